--- a/glenfall/tests/common/mod.rs
+++ b/glenfall/tests/common/mod.rs
@@ -38,8 +38,13 @@
         let broken: Vec<String> = logs
             .flat_map(|log| log.lines().filter(|l| l.contains(BROKEN)).map(str::to_owned).collect::<Vec<_>>())
             .collect();
+        if std::thread::panicking() {
+            // For whoever looks for the cause.
+            eprintln!("logs and state are left in {}", self.folder.display());
+            return;
+        }
         let _ = std::fs::remove_dir_all(&self.folder);
-        assert!(std::thread::panicking() || broken.is_empty(), "{broken:?}");
+        assert!(broken.is_empty(), "{broken:?}");
     }
 }
 
--- a/glenfall/tests/unit/boot.rs
+++ b/glenfall/tests/unit/boot.rs
@@ -59,3 +59,35 @@
         assert!(why.contains(told) && !why.contains('\n'), "{from}: {why}");
     }
 }
+
+#[test]
+fn each_setting_of_version_0_3_0_is_read() {
+    let text = include_str!("../fixtures/v0.3.0/settings.toml");
+    let boot = Boot::parse(text).expect("settings");
+    assert_eq!(
+        (boot.node.as_str(), boot.zone.as_str(), boot.bind_ip.to_string().as_str()),
+        ("core-1", "north", "127.0.0.2")
+    );
+    assert_eq!(
+        boot.seed_nodes,
+        ["127.0.0.3:80", "127.0.0.4:80"].map(|seed| seed.parse().expect("an address"))
+    );
+    assert_eq!((boot.port_range, boot.bootstrap, boot.beat_ms, boot.voter), ((7720, 7735), true, 1250, true));
+    assert_eq!(boot.state_dir.as_deref(), Some(std::path::Path::new("/var/lib/glenfall")));
+    assert_eq!(boot.feed().to_string(), "127.0.0.5:7722");
+    assert_eq!(boot.listener(boot.shield()).to_string(), "127.0.0.6:7721");
+    assert_eq!(boot.survive.hosts, 2);
+    let listeners = [boot.listeners.http, boot.listeners.ready_addr, boot.listeners.control_addr];
+    let expected = [81, 82, 83].map(|port| Some(format!("127.0.0.2:{port}")));
+    assert_eq!(listeners.map(|address| address.map(|address| address.to_string())), expected);
+    let limits = &boot.req_limits;
+    assert_eq!((limits.mem_mb, limits.max_fds, limits.disk_mb), (300, 2000, 400));
+    assert_eq!((boot.timing.grace_s, boot.timing.sync_s), (7.5, 6.0));
+    let retries = boot.further_tries();
+    assert_eq!((retries.ratio, retries.window, retries.slack), (0.3, 12_000, 70.0));
+    let rate = boot.ceiling();
+    assert_eq!((rate.window, rate.over), (8000, 1.2));
+    let file = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/v0.3.0/settings.toml");
+    let checked = glenfall::operator::verbs::check(std::path::Path::new(file));
+    assert_eq!(checked.expect("accepted"), "settings of core-1 in zone north");
+}
--- a/glenfall/tests/unit/main.rs
+++ b/glenfall/tests/unit/main.rs
@@ -27,4 +27,5 @@
 mod restarted;
 mod serve;
 mod store;
+mod stored_data;
 mod tries;
--- /dev/null
+++ b/plane/tests/wire_format.rs
@@ -0,0 +1,295 @@
+//! The bytes of each message between the system's processes, against a fixture of version 0.3.0: processes of two versions
+//! run side by side while a fleet is upgraded, so that a change of these bytes is an incompatible release.
+//!
+//! After a deliberate change of the format: `UPDATE_FIXTURES=1 cargo test -p glenfall-plane --test wire_format`.
+
+use std::fmt::Debug;
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::path::Path;
+use std::sync::Arc;
+
+use glenfall_plane::chain::{Call, Claim, HardState, Heartbeat, JointConfig, Message, Outcome, Record, View};
+use glenfall_plane::config::{Change, Invalid};
+use glenfall_plane::fleet::{Fleet, Members, Numbered, Told};
+use glenfall_plane::messages::{
+    Aged, CallId, Down, Instance, Member, News, Open, Peer, Proxy, Purge, Server, Stamped, Up,
+};
+use glenfall_plane::orders::{AppliedOrder, DeduplicationTable, Entry, IdempotencyKey};
+use glenfall_plane::registry::{Entry as ServerEntry, EntryStatus};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+const FIXTURE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt");
+
+/// Compares samples with the fixture, or writes it.
+struct Samples {
+    /// A name and its bytes in hexadecimal digits, a line each.
+    expected: String,
+    actual: String,
+}
+
+impl Samples {
+    /// Encodes a sample, and decodes the bytes of the fixture under its name.
+    fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, sample: &T) {
+        let bytes = postcard::to_stdvec(sample).expect("encodes");
+        self.actual.push_str(&format!("{name} {}\n", hexadecimal(&bytes)));
+        let prefix = format!("{name} ");
+        let Some(digits) = self.expected.lines().find_map(|line| line.strip_prefix(&prefix)) else { return };
+        let decoded: T = postcard::from_bytes(&bytes_of(digits)).expect(name);
+        assert_eq!(&decoded, sample, "{name}");
+    }
+}
+
+fn hexadecimal(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes_of(digits: &str) -> Vec<u8> {
+    let pairs = digits.as_bytes().chunks(2);
+    pairs.map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap()).collect()
+}
+
+fn ip(last: u8) -> Ipv4Addr {
+    Ipv4Addr::new(10, 0, 0, last)
+}
+
+fn addr(last: u8, port: u16) -> SocketAddrV4 {
+    SocketAddrV4::new(ip(last), port)
+}
+
+fn member(node: &str, proxy: Proxy) -> Member {
+    Member { node: node.into(), zone: "z".into(), proxy, http: addr(4, 7701), ready: true, incarnation: 77 }
+}
+
+fn server(id: &str, ready: bool) -> Server {
+    Server {
+        id: id.into(),
+        backend: "s".into(),
+        addr: addr(9, 8001),
+        zone: "z".into(),
+        capacity: 300,
+        ready,
+        warmup_left_ms: 1500,
+    }
+}
+
+fn server_entry(status: EntryStatus) -> ServerEntry {
+    ServerEntry {
+        id: "i-1".into(),
+        backend: "s".into(),
+        addr: addr(9, 8001),
+        zone: "z".into(),
+        capacity: 300,
+        status,
+        warmup_left_ms: 1500,
+        call_seq: 4000,
+    }
+}
+
+fn fleet() -> Fleet {
+    Fleet {
+        complete: true,
+        servers: vec![server("a", true), server("b", false)],
+        shields: vec![member("shield-1", Proxy::Shield)],
+        edges: vec![3, u64::MAX],
+        cores: 3,
+    }
+}
+
+fn voters() -> JointConfig {
+    JointConfig { voters: vec![ip(1), ip(2), ip(3)], before: vec![ip(1), ip(2)] }
+}
+
+fn view() -> View {
+    View { number: 513, chain: vec![ip(3), ip(1)], members: voters() }
+}
+
+fn order(rev: u64) -> AppliedOrder {
+    AppliedOrder { rev, key: IdempotencyKey([rev as u8; 32]) }
+}
+
+fn record() -> Arc<Record> {
+    let taken = DeduplicationTable::listed(5, &[order(7), order(9)]).expect("a table");
+    Arc::new(Record { seq: 4, rev: 9, document: br#"{"rev": 9}"#.to_vec(), taken })
+}
+
+fn call_id() -> CallId {
+    CallId { life: 1_000_000_007, number: 42 }
+}
+
+fn check_connection_openings(samples: &mut Samples) {
+    samples.check("open.session", &Open::Session);
+    samples.check("open.peer", &Open::Peer { ip: ip(1), life: 1_000_000_007, others: vec![ip(2), ip(3)] });
+}
+
+fn check_session_messages(samples: &mut Samples) {
+    for (name, member) in [("edge", Some(member("edge-1", Proxy::Edge))), ("none", None)] {
+        samples.check(&format!("up.hello.{name}"), &Up::Hello { node: "edge-1".into(), member });
+    }
+    samples.check("up.applied", &Up::Applied(300));
+    samples.check("up.report", &Up::Report(vec![("hits".into(), 7), ("misses".into(), u64::MAX)]));
+    samples.check("up.renew", &Up::Renew { sent: 120_000 });
+    samples.check("up.released", &Up::Released);
+    samples.check("up.ping", &Up::Ping);
+    samples.check("down.controls", &Down::Controls(vec![ip(1), ip(2)]));
+    samples.check("down.granted", &Down::Granted { sent: 120_000, lasts: 1200 });
+    samples.check("down.leaving", &Down::Leaving);
+    samples.check("down.ping", &Down::Ping);
+    let purges = vec![
+        Aged { purge: Purge::Object { hostname: "h".into(), path: "/p?q".into() }, age_ms: 5 },
+        Aged { purge: Purge::Label("l".into()), age_ms: 300 },
+        Aged { purge: Purge::Everything, age_ms: 0 },
+    ];
+    let mut numbered = Numbered::default();
+    let first = numbered.become_next(fleet()).expect("a change");
+    let mut next = fleet();
+    next.servers.remove(0);
+    next.shields.push(member("shield-2", Proxy::Shield));
+    next.edges = vec![4];
+    let change = numbered.become_next(next).expect("a change");
+    let updates = [
+        ("config", News::Config { rev: 9, document: Arc::new(br#"{"rev": 9}"#.to_vec()) }),
+        ("fleet.whole", News::Fleet(Told::Whole { number: 6, fleet: fleet() })),
+        ("fleet.first", News::Fleet(first)),
+        ("fleet.change", News::Fleet(change)),
+        ("purges", News::Purges(purges)),
+        ("in-touch", News::InTouch(true)),
+    ];
+    for (number, (name, news)) in updates.into_iter().enumerate() {
+        samples.check(&format!("down.push.{name}"), &Down::Push { number: number as u64 + 1, news });
+    }
+}
+
+fn check_peer_messages(samples: &mut Samples) {
+    let id = call_id();
+    let edges = [member("edge-1", Proxy::Edge)];
+    samples.check("peer.sessions.whole", &Peer::Sessions(Members::whole(&edges)));
+    let difference = Members::between(&edges, &[member("edge-2", Proxy::Edge)]).expect("a difference");
+    samples.check("peer.sessions.change", &Peer::Sessions(difference));
+    let statuses = [EntryStatus::Ready, EntryStatus::Draining, EntryStatus::Gone];
+    let servers = statuses.map(|status| (server_entry(status), 250)).to_vec();
+    samples.check("peer.servers", &Peer::Servers(servers));
+    let entry = server_entry(EntryStatus::Draining);
+    samples.check("peer.urgent", &Peer::Urgent { id, entry, pass_on: true });
+    let purge = Purge::Label("l".into());
+    let stamped = Stamped { origin: ip(1), life: 1_000_000_007, number: 3, age_ms: 12, purge };
+    samples
+        .check("peer.purges.history", &Peer::Purges { id: None, purges: vec![stamped.clone()], asked: None });
+    let asked = Some(vec![Instance { ip: ip(2), life: 8 }]);
+    samples.check("peer.purges.call", &Peer::Purges { id: Some(id), purges: vec![stamped], asked });
+    samples.check("peer.purge-written", &Peer::PurgeWritten { life: 1_000_000_007, number: 3 });
+    samples.check("peer.done", &Peer::Done { id, complete: true });
+    samples.check("peer.renew", &Peer::Renew { id });
+    samples.check("peer.granted", &Peer::Granted { id, lasts: 1500 });
+    samples.check("peer.released", &Peer::Released);
+    samples.check("peer.alive", &Peer::Alive);
+}
+
+fn check_chain_messages(samples: &mut Samples) {
+    let heartbeat = Heartbeat {
+        members: voters(),
+        promised: 1025,
+        view: Some(view()),
+        hears: vec![ip(2)],
+        wiped: false,
+        eligible: true,
+        unfit: false,
+        leaving: true,
+        committed: 4,
+    };
+    let entry = Arc::new(Entry { seq: 5, document: br#"{"rev": 10}"#.to_vec(), order: order(10) });
+    let (call, record) = (call_id(), record());
+    let promise =
+        |accepted| Message::Promise { view: 513, accepted, members: voters(), record: record.clone() };
+    let messages = [
+        ("heartbeat", Message::Heartbeat(heartbeat)),
+        ("heartbeat.empty", Message::Heartbeat(Heartbeat::default())),
+        ("prepare", Message::Prepare { view: 513 }),
+        ("promise", promise(Some(257))),
+        ("promise.without-vote", promise(None)),
+        ("nack", Message::Nack { promised: 1025 }),
+        ("install", Message::Install { view: view(), record: record.clone() }),
+        ("installed", Message::Installed { view: 513 }),
+        ("start-view", Message::StartView { view: view() }),
+        ("update", Message::Update { view: 513, entry }),
+        ("acked", Message::Acked { view: 513, seq: 5 }),
+        ("committed", Message::Committed { record: Arc::new(record.without_table()) }),
+    ];
+    for (name, message) in messages {
+        samples.check(&format!("chain.{name}"), &Peer::Chain(message));
+    }
+    let calls = [
+        ("put", Call::Change { builds_on: 9, change: Change::Put(br#"{"rev": 10}"#.to_vec()) }),
+        ("patch", Call::Change { builds_on: 9, change: Change::Patch(br#"{"rev": 10}"#.to_vec()) }),
+        ("read", Call::Read),
+        ("read-newer", Call::ReadNewer { than: 4 }),
+    ];
+    for (name, what) in calls {
+        samples.check(&format!("chain.forward.{name}"), &Peer::Chain(Message::Forward { call, what }));
+    }
+    let outcomes = [
+        ("done", Outcome::Done { rev: 10 }),
+        ("conflict", Outcome::Conflict { current: 11 }),
+        ("invalid", Outcome::Invalid(Invalid::UnknownBackend { path: "p".into(), backend: "b".into() })),
+        ("forgotten", Outcome::Forgotten { up_to: 5, current: 11 }),
+        ("document", Outcome::Document(record)),
+        ("unchanged", Outcome::Unchanged),
+        ("unavailable", Outcome::Unavailable),
+    ];
+    for (name, outcome) in outcomes {
+        let claim = Claim::Found(outcome.clone());
+        let confirm = Message::Confirm { view: 513, origin: ip(2), call, claim };
+        samples.check(&format!("chain.confirm.{name}"), &Peer::Chain(confirm));
+        samples.check(&format!("chain.answer.{name}"), &Peer::Chain(Message::Answer { call, outcome }));
+    }
+    let claim = Claim::Committed { than: Some(4) };
+    let confirm = Message::Confirm { view: 513, origin: ip(2), call, claim };
+    samples.check("chain.confirm.committed", &Peer::Chain(confirm));
+}
+
+/// Each variant has a number on the wire, also those that no sample above names.
+fn check_invalid_documents(samples: &mut Samples) {
+    let invalid = [
+        Invalid::Unreadable("w".into()),
+        Invalid::OldVersion { current: 9, got: 8 },
+        Invalid::NameTwice("p".into()),
+        Invalid::BackendTwice("b".into()),
+        Invalid::UnknownBackend { path: "p".into(), backend: "b".into() },
+        Invalid::SamePlace { path: "p".into(), other: "q".into() },
+        Invalid::NoWeight("p".into()),
+        Invalid::NoDeadline("p".into()),
+        Invalid::Prefix("p".into()),
+        Invalid::Target("p".into()),
+        Invalid::TooLarge(4_000_000),
+    ];
+    for (number, invalid) in invalid.iter().enumerate() {
+        samples.check(&format!("invalid.{number}"), invalid);
+    }
+}
+
+/// As it stood on disk before layout 3, and as snapshots carry it.
+fn check_hard_state(samples: &mut Samples) {
+    let state = HardState { members: voters(), votes: true, promised: 1025, accepted: 513, record: record() };
+    samples.check("hard-state", &state);
+}
+
+#[test]
+fn each_message_has_the_bytes_of_the_fixture_and_is_read_from_them() {
+    let expected = std::fs::read_to_string(Path::new(FIXTURE)).unwrap_or_default();
+    let mut samples = Samples { expected, actual: String::new() };
+    check_connection_openings(&mut samples);
+    check_session_messages(&mut samples);
+    check_peer_messages(&mut samples);
+    check_chain_messages(&mut samples);
+    check_invalid_documents(&mut samples);
+    check_hard_state(&mut samples);
+    if std::env::var_os("UPDATE_FIXTURES").is_some() {
+        std::fs::write(FIXTURE, &samples.actual).expect("the fixture is written");
+        return;
+    }
+    assert!(samples.actual.lines().count() > 70);
+    for (actual, expected) in samples.actual.lines().zip(samples.expected.lines()) {
+        assert_eq!(actual, expected);
+    }
+    assert_eq!(samples.actual, samples.expected);
+}
