--- a/glenfall/tests/silence.rs
+++ b/glenfall/tests/silence.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{await_that, read_request, request, System};
+use common::{await_that, read_request, request, System, EDGE};
 
 const BEAT: Duration = Duration::from_millis(300);
 /// Longer than servers are remembered that say nothing.
@@ -84,9 +84,22 @@
     await_that("reads and writes are served", || {
         ask(&system, "GET /r/first") == 200 && ask(&system, "POST /w/first") == 200
     });
+    // The shield of the first read is one of three: a control node that is stopped before it has pushed the servers to its
+    // own leaves a shield that has never known them.
+    await_that("each proxy has applied that there are two servers", || {
+        (1..EDGE).all(|n| has_pushed_servers(&system, n))
+    });
     (system, servers)
 }
 
+/// Whether a control node knows both servers, and all its sessions have applied what it pushed.
+fn has_pushed_servers(system: &System, n: u8) -> bool {
+    let Some(status) = system.status(n) else { return false };
+    let settled = |session: &serde_json::Value| session["applied"] == session["pushed"];
+    let servers = status["servers"].as_array().map_or(0, Vec::len);
+    servers == 2 && status["sessions"].as_array().is_some_and(|sessions| sessions.iter().all(settled))
+}
+
 #[test]
 fn servers_that_no_control_node_could_hear_go_on_getting_requests() {
     let (mut system, servers) = start(BEAT);
