--- a/glenfall/src/agent.rs
+++ b/glenfall/src/agent.rs
@@ -9,8 +9,10 @@
 use std::time::Duration;
 
 use glenfall_plane::known_fleet::KnownFleet;
-use glenfall_plane::lease::{waits_for, SESSION_LEASE};
-use glenfall_plane::messages::{Aged, Down, News, Open, Purge, Up};
+use glenfall_plane::lease::{granter_wait, SESSION_LEASE};
+use glenfall_plane::messages::{
+    AgedPurge, ConnectionOpening, PublisherMessage, Purge, SubscriberMessage, Update,
+};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
@@ -28,7 +30,7 @@
 /// The proxy has so long to apply a change before the agent goes on.
 const APPLY: Duration = Duration::from_secs(1);
 /// A proxy that does not apply a purge, or is lost, can serve from copies no more after this time.
-const LEASES_END: Duration = Duration::from_millis(waits_for(SESSION_LEASE) + 100);
+const LEASES_END: Duration = Duration::from_millis(granter_wait(SESSION_LEASE) + 100);
 /// Proxies have so long to say that they serve from copies no more.
 const RELEASE: Duration = Duration::from_millis(200);
 
@@ -82,16 +84,16 @@
         }
         let (read, write) = stream.into_split();
         let mut frames = Frames::new(read);
-        if !matches!(frames.next_in_time().await, Ok(Open::Session)) {
+        if !matches!(frames.next_in_time().await, Ok(ConnectionOpening::Session)) {
             return;
         }
         let greet = || {
             let known = self.known.borrow();
             // What was purged while the proxy was away is not known one by one.
-            let mut news = vec![News::Purges(vec![Aged { purge: Purge::Everything, age_ms: 0 }])];
-            news.extend(known.config.clone().map(|(rev, document)| News::Config { rev, document }));
-            news.extend(known.fleet.whole().map(News::Fleet));
-            news.push(News::InTouch(known.in_touch));
+            let mut news = vec![Update::Purges(vec![AgedPurge { purge: Purge::Everything, age_ms: 0 }])];
+            news.extend(known.config.clone().map(|(rev, document)| Update::Config { rev, document }));
+            news.extend(known.fleet.snapshot().map(Update::Fleet));
+            news.push(Update::Connected(known.in_touch));
             (Vec::new(), news)
         };
         self.proxies
@@ -101,8 +103,11 @@
             .await;
     }
 
-    fn hello(&self) -> Up {
-        Up::Hello { node: self.boot.node.clone(), member: self.proxies.members().into_iter().next() }
+    fn hello(&self) -> SubscriberMessage {
+        SubscriberMessage::Hello {
+            node: self.boot.node.clone(),
+            member: self.proxies.members().into_iter().next(),
+        }
     }
 
     async fn follow_control(self: &Rc<Self>) {
@@ -113,7 +118,7 @@
             let mut met = false;
             for step in 0..controls.len() {
                 let addr = controls[(turn + step) % controls.len()];
-                let Ok((read, write)) = link::open(addr, &Open::Session).await else { continue };
+                let Ok((read, write)) = link::open(addr, &ConnectionOpening::Session).await else { continue };
                 met = true;
                 let outbox = Outbox::start(write);
                 let take = async |down| self.take(down).await;
@@ -154,11 +159,11 @@
     }
 
     /// Ends the leases that came from a control node, and tells it so where it can still be told.
-    async fn release(&self, outbox: &Outbox<Up>) {
+    async fn release(&self, outbox: &Outbox<SubscriberMessage>) {
         self.touch(false);
         if self.proxies.purged(RELEASE).await {
             // It may be gone; then it waits for the end of the lease.
-            let _ = outbox.send(Up::Released);
+            let _ = outbox.send(SubscriberMessage::LeaseReleased);
         }
     }
 
@@ -168,35 +173,35 @@
             self.proxies.vouch_until(self.lease.until());
         }
         self.known.borrow_mut().in_touch = yes;
-        self.proxies.push(&News::InTouch(yes));
+        self.proxies.push(&Update::Connected(yes));
     }
 
     /// Takes what control tells; false where it does not build on what is known.
-    async fn take(&self, down: Down) -> bool {
+    async fn take(&self, down: PublisherMessage) -> bool {
         let news = match down {
-            Down::Controls(controls) => {
+            PublisherMessage::ControlNodes(controls) => {
                 self.known.borrow_mut().controls = controls;
                 return true;
             }
-            Down::Push { news, .. } => news,
-            Down::Granted { sent, lasts } => {
-                self.lease.renew(sent, lasts);
+            PublisherMessage::Push { update: news, .. } => news,
+            PublisherMessage::LeaseGranted { sent_at, duration: lasts } => {
+                self.lease.renew(sent_at, lasts);
                 self.proxies.vouch_until(self.lease.until());
                 return true;
             }
-            Down::Leaving | Down::Ping => return true,
+            PublisherMessage::Draining | PublisherMessage::Ping => return true,
         };
         let news = match news {
-            News::Config { rev, document } => {
+            Update::Config { rev, document } => {
                 let mut known = self.known.borrow_mut();
                 if known.config.as_ref().is_some_and(|(known, _)| *known >= rev) {
                     return true;
                 }
                 known.config = Some((rev, Arc::clone(&document)));
-                News::Config { rev, document }
+                Update::Config { rev, document }
             }
-            News::Fleet(told) => match self.known.borrow_mut().fleet.take(told) {
-                Ok(Some(told)) => News::Fleet(told),
+            Update::Fleet(told) => match self.known.borrow_mut().fleet.apply_update(told) {
+                Ok(Some(told)) => Update::Fleet(told),
                 Ok(None) => return true,
                 Err(gap) => {
                     tracing::warn!(%gap, "the session with control begins anew");
@@ -204,11 +209,11 @@
                 }
             },
             // The first thing that control tells is all that may have been missed.
-            News::Purges(purges) => {
+            Update::Purges(purges) => {
                 self.purge(purges).await;
                 return true;
             }
-            News::InTouch(yes) => {
+            Update::Connected(yes) => {
                 self.touch(yes);
                 return true;
             }
@@ -223,8 +228,8 @@
 
 impl Agent {
     /// Ends once no proxy can serve from copies that these purges end.
-    async fn purge(&self, purges: Vec<Aged>) {
-        self.proxies.push(&News::Purges(purges));
+    async fn purge(&self, purges: Vec<AgedPurge>) {
+        self.proxies.push(&Update::Purges(purges));
         if !self.proxies.purged(APPLY).await {
             self.proxies.drop_behind(LONGEST_BEHIND);
             // Whoever is late is granted no lease.
--- a/glenfall/src/boot.rs
+++ b/glenfall/src/boot.rs
@@ -187,8 +187,8 @@
     }
 
     /// What all machines together may send beyond the first try of each request.
-    pub fn further_tries(&self) -> budget::Bound {
-        budget::Bound {
+    pub fn further_tries(&self) -> budget::RetryBudgetSettings {
+        budget::RetryBudgetSettings {
             ratio: self.timing.retry_ratio,
             window: (self.timing.retry_window_s * 1000.0) as u64,
             slack: self.timing.retry_slack,
@@ -196,9 +196,12 @@
     }
 
     /// What all machines together may ask of a service that states a rate.
-    pub fn ceiling(&self) -> ceiling::Bound {
+    pub fn ceiling(&self) -> ceiling::RateLimitSettings {
         let timing = &self.timing;
-        ceiling::Bound { window: (timing.ceiling_window_s * 1000.0) as u64, over: timing.ceiling_over }
+        ceiling::RateLimitSettings {
+            window: (timing.ceiling_window_s * 1000.0) as u64,
+            over: timing.ceiling_over,
+        }
     }
 
     /// A listener that the role can't do without.
--- a/glenfall/src/control/api.rs
+++ b/glenfall/src/control/api.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall_plane::chain::{Call, Outcome, Refused, Seat};
-use glenfall_plane::config::{Change, ReqLimits, LARGEST};
+use glenfall_plane::chain::{Call, Outcome, VoterChange, VoterChangeError};
+use glenfall_plane::config::{ConfigChange, RequestLimits, MAX_DOCUMENT_BYTES};
 use glenfall_plane::messages::Purge;
-use glenfall_plane::registry::{Beat, Entry, Heard};
+use glenfall_plane::registry::{HeartbeatOutcome, HeartbeatRequest, ServerEntry};
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
 use hyper::http::request::Parts;
@@ -123,10 +123,10 @@
         answer
     }
 
-    fn limits(&self) -> ReqLimits {
-        ReqLimits {
+    fn limits(&self) -> RequestLimits {
+        RequestLimits {
             max_header_bytes: 16 << 10,
-            max_body_bytes: LARGEST,
+            max_body_bytes: MAX_DOCUMENT_BYTES,
             header_timeout_ms: 5000,
             idle_timeout_ms: 20_000,
         }
@@ -142,8 +142,8 @@
         let path = whole.head.uri.path();
         match (whole.head.method.as_str(), path) {
             ("GET", "/api/config") => self.read().await,
-            ("PUT", "/api/config") => self.change(whole, Change::Put).await,
-            ("PATCH", "/api/config") => self.change(whole, Change::Patch).await,
+            ("PUT", "/api/config") => self.change(whole, ConfigChange::Put).await,
+            ("PATCH", "/api/config") => self.change(whole, ConfigChange::Patch).await,
             ("POST", "/api/purge") => self.purge(&whole.body).await,
             ("GET", "/api/state") => self.export().await,
             ("GET", "/api/core") => answer(StatusCode::OK, self.core()),
@@ -204,20 +204,20 @@
             .iter()
             .map(|voter| {
                 let in_chain = chain.view().is_some_and(|view| view.chain.contains(voter));
-                json!({ "node": voter, "inChain": in_chain, "awayMs": chain.away(*voter) })
+                json!({ "node": voter, "inChain": in_chain, "awayMs": chain.silent_for(*voter) })
             })
             .collect();
         json!({
             "node": self.control.boot.bind_ip,
             "view": chain.view().map(|view| view.name()),
             "voters": voters,
-            "outgoingVoters": members.before,
+            "outgoingVoters": members.outgoing,
             // The name before version 0.4.
-            "lettingGoOf": members.before,
-            "standingBy": chain.standing_by(),
+            "lettingGoOf": members.outgoing,
+            "standingBy": chain.standbys(),
             "losses": self.control.boot.survive.hosts,
-            "outlivesLosses": chain.outlives_losses(),
-            "inMajority": chain.in_majority(),
+            "outlivesLosses": chain.tolerates_losses(),
+            "inMajority": chain.has_quorum(),
         })
     }
 
@@ -231,22 +231,22 @@
         }
         let seat = match serde_json::from_slice(body) {
             Err(e) => return wrong(StatusCode::BAD_REQUEST, e),
-            Ok(Body { add: Some(node), remove: None }) => Seat::Add(node),
-            Ok(Body { add: None, remove: Some(node) }) => Seat::Remove(node),
+            Ok(Body { add: Some(node), remove: None }) => VoterChange::Add(node),
+            Ok(Body { add: None, remove: Some(node) }) => VoterChange::Remove(node),
             Ok(_) => return wrong(StatusCode::BAD_REQUEST, "add or remove expected, with an address"),
         };
         let control = &self.control;
         // What is refused is judged by the newest set of voters, as far as a majority knows it.
         if timeout(NEWEST, control.knows_newest()).await.is_err() {
-            return wrong(StatusCode::SERVICE_UNAVAILABLE, Refused::NoView);
+            return wrong(StatusCode::SERVICE_UNAVAILABLE, VoterChangeError::NoView);
         }
         let asked = {
             let now = control.now();
-            control.chain.borrow_mut().ask_voters(now, seat)
+            control.chain.borrow_mut().request_voter_change(now, seat)
         };
         let voters = match asked {
             Ok(voters) => voters,
-            Err(refused @ (Refused::NoView | Refused::UnderWay)) => {
+            Err(refused @ (VoterChangeError::NoView | VoterChangeError::UnderWay)) => {
                 return wrong(StatusCode::SERVICE_UNAVAILABLE, refused);
             }
             Err(refused) => return wrong(StatusCode::CONFLICT, refused),
@@ -258,14 +258,14 @@
             sleep(super::TICK).await;
             let chain = control.chain.borrow();
             let members = chain.members();
-            if members.voters == voters && members.before.is_empty() {
+            if members.voters == voters && members.outgoing.is_empty() {
                 return answer(StatusCode::OK, json!({ "voters": voters }));
             }
         }
         wrong(StatusCode::SERVICE_UNAVAILABLE, "not all views stand yet: look at who votes, and ask again")
     }
 
-    async fn change(&self, whole: &Whole, change: impl Fn(Vec<u8>) -> Change) -> Answer {
+    async fn change(&self, whole: &Whole, change: impl Fn(Vec<u8>) -> ConfigChange) -> Answer {
         let stated = whole.head.headers.get(header::IF_MATCH).and_then(|value| value.to_str().ok());
         let Some(builds_on) = stated.and_then(|value| value.trim().trim_matches('"').parse().ok()) else {
             return wrong(
@@ -320,19 +320,23 @@
     }
 
     async fn beat(&self, id: &str, body: &[u8]) -> Answer {
-        let beat: Beat = match serde_json::from_slice(body) {
+        let beat: HeartbeatRequest = match serde_json::from_slice(body) {
             Ok(beat) => beat,
             Err(e) => return wrong(StatusCode::BAD_REQUEST, e),
         };
-        let Some(entry) = Entry::of(id, beat) else {
+        let Some(entry) = ServerEntry::of(id, beat) else {
             return wrong(StatusCode::BAD_REQUEST, "names of 1 to 128 bytes expected");
         };
         if !self.control.in_majority() {
             return out_of_touch();
         }
         match self.control.heard(entry).await {
-            Some(Heard::Full) => wrong(StatusCode::INSUFFICIENT_STORAGE, "no room for more servers"),
-            Some(Heard::Changed | Heard::Alive | Heard::Late) => answer(StatusCode::OK, json!({})),
+            Some(HeartbeatOutcome::RegistryFull) => {
+                wrong(StatusCode::INSUFFICIENT_STORAGE, "no room for more servers")
+            }
+            Some(HeartbeatOutcome::Changed | HeartbeatOutcome::Refreshed | HeartbeatOutcome::Stale) => {
+                answer(StatusCode::OK, json!({}))
+            }
             None => wrong(StatusCode::SERVICE_UNAVAILABLE, "not all control nodes know it yet: say it again"),
         }
     }
@@ -370,14 +374,15 @@
         let fleet = fleet.fleet();
         // An incomplete list names to proxies those as well that have ended.
         let registry = control.registry.borrow();
-        let servers: Vec<_> = fleet.servers.iter().filter(|server| !registry.has_ended(&server.id)).collect();
+        let servers: Vec<_> =
+            fleet.servers.iter().filter(|server| !registry.is_deregistered(&server.id)).collect();
         json!({
             "node": control.boot.node,
             "rev": chain.committed().rev,
             "voters": chain.members().voters,
-            "outlivesLosses": chain.outlives_losses(),
+            "outlivesLosses": chain.tolerates_losses(),
             "view": chain.view().map(|view| json!({ "name": view.name(), "chain": view.chain })),
-            "inMajority": chain.in_majority(),
+            "inMajority": chain.has_quorum(),
             "peers": control.peers.up(),
             "servers": servers,
             "shields": fleet.shields,
--- a/glenfall/src/control/backup.rs
+++ b/glenfall/src/control/backup.rs
@@ -3,8 +3,8 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-use glenfall_plane::chain::{Durable, Members, Record};
-use glenfall_plane::orders::{TakenOrder, TakenOrders, Unsound};
+use glenfall_plane::chain::{HardState, JointConfig, Record};
+use glenfall_plane::orders::{AppliedOrder, DeduplicationTable, InvalidTable};
 use serde::{Deserialize, Serialize};
 
 const FORMAT: &str = "glenfall-state-2";
@@ -28,10 +28,10 @@
     NoVoters,
     /// Its configuration is invalid.
     #[error("document: {0}")]
-    Document(#[from] glenfall_plane::config::Invalid),
+    Document(#[from] glenfall_plane::config::InvalidConfig),
     /// Its idempotency keys are out of order.
     #[error("{0}")]
-    Taken(#[from] Unsound),
+    Taken(#[from] InvalidTable),
 }
 
 /// The state of control in a file.
@@ -88,8 +88,8 @@
             seq: record.seq,
             rev: record.rev,
             document: String::from_utf8_lossy(&record.document).into_owned(),
-            forgotten_up_to: record.taken.forgotten_up_to(),
-            taken: record.taken.iter().map(|order| (order.rev, order.key.to_string())).collect(),
+            forgotten_up_to: record.applied_orders.forgotten_up_to(),
+            taken: record.applied_orders.iter().map(|order| (order.rev, order.key.to_string())).collect(),
             crc: 0,
         };
         backup.crc = backup.checksum();
@@ -129,20 +129,25 @@
         Ok(backup)
     }
 
-    fn taken_orders(&self) -> Result<TakenOrders, Unsound> {
-        let read = |(rev, key): &(u64, String)| Ok(TakenOrder { rev: *rev, key: key.parse()? });
-        let orders: Vec<TakenOrder> = self.taken.iter().map(read).collect::<Result<_, Unsound>>()?;
-        TakenOrders::listed(self.forgotten_up_to, &orders)
+    fn taken_orders(&self) -> Result<DeduplicationTable, InvalidTable> {
+        let read = |(rev, key): &(u64, String)| Ok(AppliedOrder { rev: *rev, key: key.parse()? });
+        let orders: Vec<AppliedOrder> = self.taken.iter().map(read).collect::<Result<_, InvalidTable>>()?;
+        DeduplicationTable::listed(self.forgotten_up_to, &orders)
     }
 
     /// The state that a core begins with that has nothing else, at these voters. Versions up to `acknowledged` may have
     /// been acknowledged since the export: none of them is taken again.
-    pub fn state(self, voters: Vec<Ipv4Addr>, acknowledged: u64) -> Result<Durable, BackupError> {
+    pub fn state(self, voters: Vec<Ipv4Addr>, acknowledged: u64) -> Result<HardState, BackupError> {
         let mut taken = self.taken_orders()?;
         taken.forget_up_to(acknowledged);
-        let record = Record { seq: self.seq, rev: self.rev, document: self.document.into_bytes(), taken };
-        let (members, record) = (Members::of(voters), Arc::new(record));
-        Ok(Durable { members, votes: true, promised: self.view, accepted: self.view, record })
+        let record = Record {
+            seq: self.seq,
+            rev: self.rev,
+            document: self.document.into_bytes(),
+            applied_orders: taken,
+        };
+        let (members, record) = (JointConfig::of(voters), Arc::new(record));
+        Ok(HardState { members, votes: true, promised: self.view, accepted: self.view, record })
     }
 }
 
@@ -156,8 +161,9 @@
         if old.crc != checksum([old.view, old.seq, old.rev], &table, &old.voters, &old.document) {
             return Err(BackupError::Checksum);
         }
-        let taken = TakenOrders::forgotten(old.rev);
-        let record = Record { seq: old.seq, rev: old.rev, document: old.document.into_bytes(), taken };
+        let taken = DeduplicationTable::forgotten(old.rev);
+        let record =
+            Record { seq: old.seq, rev: old.rev, document: old.document.into_bytes(), applied_orders: taken };
         Ok(Backup::of(&old.voters, old.view, &record))
     }
 }
--- a/glenfall/src/control/idempotency_keys.rs
+++ b/glenfall/src/control/idempotency_keys.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use glenfall_plane::orders::{TakenOrder, TakenOrders};
+use glenfall_plane::orders::{AppliedOrder, DeduplicationTable};
 use rusqlite::Connection;
 use serde::{Deserialize, Serialize};
 
@@ -13,7 +13,7 @@
 /// The row of a chunk is found by the version that its first order made.
 pub const TABLE: &str = "CREATE TABLE taken (first INTEGER PRIMARY KEY, orders BLOB NOT NULL)";
 
-type Chunk = Arc<[TakenOrder]>;
+type Chunk = Arc<[AppliedOrder]>;
 
 /// The table as the state's row has it.
 #[derive(Serialize, Deserialize)]
@@ -21,7 +21,7 @@
     forgotten_up_to: u64,
     /// Key and checksum of each chunk that has a row.
     full: Vec<(i64, u32)>,
-    open: Vec<TakenOrder>,
+    open: Vec<AppliedOrder>,
 }
 
 fn key(chunk: &Chunk) -> i64 {
@@ -35,7 +35,7 @@
 
 /// Writes the chunks that have no row yet, and lets go of rows that the table holds no more; `written` are those that
 /// have one. For a transaction of the caller's.
-pub fn write(db: &Connection, written: &[Chunk], table: &TakenOrders) -> Result<Named, StoreError> {
+pub fn write(db: &Connection, written: &[Chunk], table: &DeduplicationTable) -> Result<Named, StoreError> {
     let (full, open) = table.chunks();
     let has = |chunks: &[Chunk], chunk: &Chunk| chunks.iter().any(|c| Arc::ptr_eq(c, chunk) || c == chunk);
     for gone in written.iter().filter(|chunk| !has(full, chunk)) {
@@ -53,7 +53,7 @@
 }
 
 /// Reads the table that a state names: all of its rows, whole, and no others.
-pub fn read(db: &Connection, named: &Named) -> Result<TakenOrders, StoreError> {
+pub fn read(db: &Connection, named: &Named) -> Result<DeduplicationTable, StoreError> {
     let damaged = |what: &str| StoreError::Damaged(format!("taken orders: {what}"));
     let rows: i64 = db.query_row("SELECT count(*) FROM taken", [], |row| row.get(0))?;
     if usize::try_from(rows) != Ok(named.full.len()) {
@@ -66,8 +66,8 @@
         if crc32fast::hash(&row) != *crc {
             return Err(damaged("checksum does not match"));
         }
-        orders.extend(postcard::from_bytes::<Vec<TakenOrder>>(&row)?);
+        orders.extend(postcard::from_bytes::<Vec<AppliedOrder>>(&row)?);
     }
     orders.extend(&named.open);
-    TakenOrders::listed(named.forgotten_up_to, &orders).map_err(|e| damaged(&e.to_string()))
+    DeduplicationTable::listed(named.forgotten_up_to, &orders).map_err(|e| damaged(&e.to_string()))
 }
--- a/glenfall/src/control/lease.rs
+++ b/glenfall/src/control/lease.rs
@@ -5,9 +5,9 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-use glenfall_plane::chain::Members;
-use glenfall_plane::lease::{waits_for, Grants, VoterLeases, VOTER_LEASE, VOTER_RENEWAL};
-use glenfall_plane::messages::{CallId, Instance, Peer};
+use glenfall_plane::chain::JointConfig;
+use glenfall_plane::lease::{granter_wait, Grants, VoterLeases, VOTER_LEASE, VOTER_RENEWAL};
+use glenfall_plane::messages::{CallId, PeerMessage, ProcessId};
 use glenfall_plane::Millis;
 use tokio::time::{sleep, timeout};
 
@@ -19,23 +19,23 @@
 #[derive(Default)]
 pub struct Leases {
     held: RefCell<VoterLeases>,
-    granted: RefCell<Grants<Instance>>,
+    granted: RefCell<Grants<ProcessId>>,
     /// Until then the process that ran here before may have granted leases that this one knows nothing of.
     unknown_until: Cell<Millis>,
     /// The voters as last seen, and those that counted before, each until when leases by them may stand.
-    voters: RefCell<Option<Members>>,
-    former_voters: RefCell<Vec<(Members, Millis)>>,
+    voters: RefCell<Option<JointConfig>>,
+    former_voters: RefCell<Vec<(JointConfig, Millis)>>,
     asked_at: Cell<Millis>,
 }
 
 impl Leases {
     /// `first_start`: no process can have run here before.
     pub fn new(first_start: bool) -> Self {
-        let unknown_until = if first_start { 0 } else { BEFORE + waits_for(VOTER_LEASE) };
+        let unknown_until = if first_start { 0 } else { BEFORE + granter_wait(VOTER_LEASE) };
         Leases { unknown_until: Cell::new(unknown_until), ..Leases::default() }
     }
 
-    fn note_voters(&self, now: Millis, members: &Members) {
+    fn note_voters(&self, now: Millis, members: &JointConfig) {
         let mut former = self.former_voters.borrow_mut();
         former.retain(|(_, until)| now < *until);
         let mut voters = self.voters.borrow_mut();
@@ -43,7 +43,7 @@
             return;
         }
         if let Some(before) = voters.replace(members.clone()) {
-            former.push((before, now + waits_for(VOTER_LEASE)));
+            former.push((before, now + granter_wait(VOTER_LEASE)));
             if former.len() > MOST_SETS {
                 former.remove(0);
             }
@@ -63,8 +63,11 @@
         leases.asked_at.set(now);
         leases.granted.borrow_mut().forget_ended(now);
         let leaves = *self.stop.borrow() && self.sessions.last_lease_ends().is_none();
-        let ask =
-            if leaves { Peer::Released } else { Peer::Renew { id: CallId { life: self.life, number: now } } };
+        let ask = if leaves {
+            PeerMessage::LeaseReleased
+        } else {
+            PeerMessage::RenewLease { id: CallId { incarnation: self.life, number: now } }
+        };
         for ip in self.peers.up() {
             if self.chain.borrow().members().contains(ip) {
                 self.peers.send(ip, ask.clone());
@@ -75,15 +78,15 @@
 
     /// Grants a peer a lease. What was purged is told on the same connection, before.
     pub(super) fn grant_lease(&self, to: Ipv4Addr, id: CallId) {
-        if self.peers.instance(to).is_some_and(|instance| instance.life == id.life) {
-            let holder = Instance { ip: to, life: id.life };
+        if self.peers.instance(to).is_some_and(|instance| instance.incarnation == id.incarnation) {
+            let holder = ProcessId { ip: to, incarnation: id.incarnation };
             self.leases.granted.borrow_mut().grant(holder, self.now(), VOTER_LEASE);
-            self.peers.send(to, Peer::Granted { id, lasts: VOTER_LEASE });
+            self.peers.send(to, PeerMessage::LeaseGranted { id, duration: VOTER_LEASE });
         }
     }
 
     pub(super) fn lease_granted(&self, by: Ipv4Addr, id: CallId, lasts: Millis) {
-        if id.life == self.life {
+        if id.incarnation == self.life {
             self.leases.held.borrow_mut().renew(self.now(), by, id.number, lasts);
             self.vouch_for_sessions();
         }
@@ -102,7 +105,7 @@
     }
 
     /// Waits until none but these may use a lease that a process here has granted; false where that takes longer.
-    pub(super) async fn no_lease_but_of(&self, told: &[Instance], most: Duration) -> bool {
+    pub(super) async fn no_lease_but_of(&self, told: &[ProcessId], most: Duration) -> bool {
         if self.leases.unknown_until.get() > self.now() + most.as_millis() as Millis {
             return false;
         }
@@ -124,7 +127,7 @@
     /// Whether nodes are a quorum together with this one, by all sets of voters upon whose leases copies may be served.
     pub(super) fn bars_leases(&self, nodes: &[Ipv4Addr]) -> bool {
         let me = self.boot.bind_ip;
-        let majority = |members: &Members| members.majority(|node| *node == me || nodes.contains(node));
+        let majority = |members: &JointConfig| members.majority(|node| *node == me || nodes.contains(node));
         let now = self.now();
         let former = self.leases.former_voters.borrow();
         let standing = former.iter().filter(|(_, until)| now < *until);
--- a/glenfall/src/control/mod.rs
+++ b/glenfall/src/control/mod.rs
@@ -20,11 +20,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use glenfall_plane::chain::{Chain, Durable, Message, Outcome, Output, Record, Start};
-use glenfall_plane::fleet::Numbered;
+use glenfall_plane::chain::{Chain, HardState, Message, Outcome, Output, Record, Start};
+use glenfall_plane::fleet::VersionedFleet;
 use glenfall_plane::invariant::Invariant;
-use glenfall_plane::messages::{Down, Member, News, Open, Peer};
-use glenfall_plane::purges::{Purges, REMEMBERED};
+use glenfall_plane::messages::{ConnectionOpening, Member, PeerMessage, PublisherMessage, Update};
+use glenfall_plane::purges::{PurgeHistory, PURGE_RETENTION};
 use glenfall_plane::registry::Registry;
 use glenfall_plane::Millis;
 use tokio::net::{TcpListener, TcpStream};
@@ -46,7 +46,7 @@
 /// How often the state machines are asked what time has brought.
 const TICK: Duration = Duration::from_millis(25);
 /// What the clock shows at the start: what came before it, as others tell, has its time as well.
-const BEFORE: Millis = 10 * REMEMBERED;
+const BEFORE: Millis = 10 * PURGE_RETENTION;
 /// How often silent servers are looked for.
 const EXPIRE: Duration = Duration::from_millis(250);
 /// Changes of the fleet within this time are pushed as one, and within so much more for each server and member: what a
@@ -78,12 +78,12 @@
     boot: Rc<Boot>,
     began: Instant,
     chain: RefCell<Chain>,
-    writes: std::sync::mpsc::Sender<(u64, Durable)>,
+    writes: std::sync::mpsc::Sender<(u64, HardState)>,
     calls: RefCell<BTreeMap<u64, oneshot::Sender<Outcome>>>,
     next_call: Cell<u64>,
     registry: RefCell<Registry>,
     relay: BeatRelay,
-    purges: RefCell<Purges>,
+    purges: RefCell<PurgeHistory>,
     purge_log: PurgeLog,
     next_purge: Cell<u64>,
     purge_writes: PurgeWrites,
@@ -96,7 +96,7 @@
     sessions: Sessions,
     leases: Leases,
     peers: Peers,
-    fleet: RefCell<Numbered>,
+    fleet: RefCell<VersionedFleet>,
     /// The members with their sessions here, as peers have been told.
     told_members: RefCell<Vec<Member>>,
     fleet_changed: Notify,
@@ -170,12 +170,12 @@
         let start = start_of(found, boot.bootstrap, seeds);
         let leases = Leases::new(matches!(start, Start::Fresh(_)));
         let (purge_log, written) = PurgeLog::open(&folder)?;
-        let mut remembered = Purges::default();
-        remembered.take(BEFORE, written);
+        let mut remembered = PurgeHistory::default();
+        remembered.record(BEFORE, written);
         let life = crate::session::incarnation();
         Ok(Control {
             began: Instant::now(),
-            chain: RefCell::new(Chain::new(me, core, start).in_life(life)),
+            chain: RefCell::new(Chain::new(me, core, start).with_incarnation(life)),
             writes: store::start(store, synced)?,
             calls: RefCell::default(),
             next_call: Cell::new(0),
@@ -224,7 +224,7 @@
             self.chain.borrow_mut().leave(now)
         };
         self.carry_out(outputs);
-        self.sessions.tell(&Down::Leaving);
+        self.sessions.tell(&PublisherMessage::Draining);
         self.stop.send_replace(true);
         let mended = async {
             while self.chain.borrow().is_needed() {
@@ -256,7 +256,7 @@
         let (read, write) = stream.into_split();
         let mut frames = Frames::new(read);
         match frames.next_in_time().await {
-            Ok(Open::Session) => {
+            Ok(ConnectionOpening::Session) => {
                 if *self.stop.borrow() || !beside && self.cut_off() {
                     return;
                 }
@@ -282,7 +282,7 @@
                     () = kept => tracing::warn!("session ended: this node does not reach a majority"),
                 }
             }
-            Ok(Open::Peer { ip, life, others }) => {
+            Ok(ConnectionOpening::Peer { ip, incarnation: life, known_peers: others }) => {
                 peers::know(&self, &others);
                 peers::know(&self, &[ip]);
                 // Each side speaks on the connection that it opened.
@@ -292,11 +292,11 @@
         }
     }
 
-    fn greeting(&self) -> (Vec<Down>, Vec<News>) {
-        let mut news = vec![News::Purges(self.purges.borrow().missed(self.now()))];
-        news.push(News::Fleet(self.fleet.borrow().whole()));
-        news.push(News::InTouch(self.vouches.get()));
-        (vec![Down::Controls(self.peers.all())], news)
+    fn greeting(&self) -> (Vec<PublisherMessage>, Vec<Update>) {
+        let mut news = vec![Update::Purges(self.purges.borrow().missed(self.now()))];
+        news.push(Update::Fleet(self.fleet.borrow().snapshot()));
+        news.push(Update::Connected(self.vouches.get()));
+        (vec![PublisherMessage::ControlNodes(self.peers.all())], news)
     }
 
     async fn tick(self: Rc<Self>) {
@@ -316,7 +316,7 @@
             // Seen here also where no session asks.
             self.cut_off();
             let listens = self.in_majority();
-            self.registry.borrow_mut().listens(now, listens);
+            self.registry.borrow_mut().set_accepting(now, listens);
             if expire.elapsed() >= EXPIRE {
                 expire = Instant::now();
                 if *self.cut_off.borrow() {
@@ -347,7 +347,7 @@
         self.tell_view();
         for output in outputs {
             match output {
-                Output::Send(to, message) => self.peers.send(to, Peer::Chain(message)),
+                Output::Send(to, message) => self.peers.send(to, PeerMessage::Chain(message)),
                 Output::Persist(number, state) => {
                     // The thread ends with the process only.
                     let _ = self.writes.send((number, state));
@@ -384,7 +384,7 @@
         if self.told_view.replace(number) == number {
             return;
         }
-        let chain_bears = chain.outlives_losses();
+        let chain_bears = chain.tolerates_losses();
         match chain.view() {
             Some(view) => {
                 let (chain, voters) = (&view.chain, &view.members.voters);
@@ -403,7 +403,7 @@
     /// Whether a majority of the voters was heard within the last second. What binds others needs more: an answer of
     /// each of a majority to the very call.
     fn in_majority(&self) -> bool {
-        self.chain.borrow_mut().reaches_majority(self.now())
+        self.chain.borrow_mut().has_quorum_at(self.now())
     }
 
     /// Out of touch with the majority for long enough to turn agents away: they may reach nodes that are not,
@@ -427,6 +427,6 @@
     }
 }
 
-fn config_news(record: &Record) -> News {
-    News::Config { rev: record.rev, document: Arc::new(record.document.clone()) }
+fn config_news(record: &Record) -> Update {
+    Update::Config { rev: record.rev, document: Arc::new(record.document.clone()) }
 }
--- a/glenfall/src/control/peers.rs
+++ b/glenfall/src/control/peers.rs
@@ -7,9 +7,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenfall_plane::fleet::Members;
-use glenfall_plane::messages::{CallId, Instance, Member, Open, Peer, Proxy, Stamped};
-use glenfall_plane::registry::{Entry, Heard};
+use glenfall_plane::fleet::MembersUpdate;
+use glenfall_plane::messages::{
+    CallId, ConnectionOpening, Member, PeerMessage, ProcessId, ProxyRole, PurgeRecord,
+};
+use glenfall_plane::registry::{HeartbeatOutcome, ServerEntry};
 use glenfall_plane::Millis;
 use tokio::sync::{oneshot, Notify};
 use tokio::task::spawn_local;
@@ -30,7 +32,7 @@
 #[derive(Default)]
 struct Link {
     /// The connection opened from here.
-    outbox: Option<Outbox<Peer>>,
+    outbox: Option<Outbox<PeerMessage>>,
     /// The connection that the peer opened last and speaks on.
     hears: Option<u64>,
     /// Of the process that opened it.
@@ -93,26 +95,26 @@
     }
 
     /// The processes that are up.
-    pub fn instances(&self) -> Vec<Instance> {
+    pub fn instances(&self) -> Vec<ProcessId> {
         let links = self.links.borrow();
         let up = links.iter().filter(|(_, link)| link.up);
-        up.map(|(ip, link)| Instance { ip: *ip, life: link.life }).collect()
+        up.map(|(ip, link)| ProcessId { ip: *ip, incarnation: link.life }).collect()
     }
 
     /// The process of a peer that is up.
-    pub fn instance(&self, ip: Ipv4Addr) -> Option<Instance> {
+    pub fn instance(&self, ip: Ipv4Addr) -> Option<ProcessId> {
         let links = self.links.borrow();
-        links.get(&ip).filter(|link| link.up).map(|link| Instance { ip, life: link.life })
+        links.get(&ip).filter(|link| link.up).map(|link| ProcessId { ip, incarnation: link.life })
     }
 
-    pub fn send(&self, to: Ipv4Addr, message: Peer) {
+    pub fn send(&self, to: Ipv4Addr, message: PeerMessage) {
         if let Some(outbox) = self.links.borrow().get(&to).and_then(|link| link.outbox.as_ref()) {
             // A link that takes nothing more is found lost by its own task.
             let _ = outbox.send(message);
         }
     }
 
-    pub fn tell(&self, message: &Peer) {
+    pub fn tell(&self, message: &PeerMessage) {
         for ip in self.up() {
             self.send(ip, message.clone());
         }
@@ -123,7 +125,7 @@
     pub async fn ask(
         &self,
         whom: &[Ipv4Addr],
-        question: impl Fn(CallId) -> Peer,
+        question: impl Fn(CallId) -> PeerMessage,
         most: Duration,
     ) -> Option<Vec<Ipv4Addr>> {
         let id = self.next.replace(self.next.get() + 1);
@@ -131,7 +133,7 @@
         self.asked.borrow_mut().insert(id, asked);
         let _question = Question { peers: self, id };
         for ip in whom {
-            self.send(*ip, question(CallId { life: self.life, number: id }));
+            self.send(*ip, question(CallId { incarnation: self.life, number: id }));
         }
         let done = async {
             loop {
@@ -150,7 +152,7 @@
     }
 
     fn answer(&self, from: Ipv4Addr, id: CallId, complete: bool) {
-        if id.life != self.life {
+        if id.incarnation != self.life {
             tracing::debug!(peer = %from, "answers what the last process here asked");
             return;
         }
@@ -197,7 +199,8 @@
     let mut pause = AGAIN;
     loop {
         let peers = &control.peers;
-        let first = Open::Peer { ip: peers.me, life: peers.life, others: peers.all() };
+        let first =
+            ConnectionOpening::Peer { ip: peers.me, incarnation: peers.life, known_peers: peers.all() };
         if let Ok((read, write)) = link::open(control.boot.link(ip), &first).await {
             pause = AGAIN;
             let outbox = Outbox::start(write);
@@ -208,7 +211,7 @@
             // The peer says nothing here but that it is there.
             let mut frames = Frames::new(read);
             tokio::select! {
-                () = async { while frames.next_in_time::<Peer>().await.is_ok() {} } => {}
+                () = async { while frames.next_in_time::<PeerMessage>().await.is_ok() {} } => {}
                 () = outbox.closed() => {}
             }
             if let Some(link) = peers.links.borrow_mut().get_mut(&ip) {
@@ -232,7 +235,7 @@
     ip: Ipv4Addr,
     life: u64,
     mut frames: Frames,
-    outbox: &Outbox<Peer>,
+    outbox: &Outbox<PeerMessage>,
 ) {
     let connection = control.peers.next.replace(control.peers.next.get() + 1);
     let before = {
@@ -260,7 +263,7 @@
         }
     };
     let tell = async {
-        while outbox.send(Peer::Alive) {
+        while outbox.send(PeerMessage::KeepAlive) {
             sleep(PING).await;
         }
     };
@@ -289,10 +292,13 @@
     tracing::info!(peer = %ip, "peer up");
     let now = control.now();
     let peers = &control.peers;
-    peers.send(ip, Peer::Sessions(Members::whole(&control.told_members.borrow())));
-    peers.send(ip, Peer::Servers(control.registry.borrow().all(now)));
-    peers.send(ip, Peer::Purges { id: None, purges: control.purges.borrow().all(now), asked: None });
-    control.sessions.tell(&glenfall_plane::messages::Down::Controls(peers.all()));
+    peers.send(ip, PeerMessage::Members(MembersUpdate::snapshot(&control.told_members.borrow())));
+    peers.send(ip, PeerMessage::Servers(control.registry.borrow().snapshot(now)));
+    peers.send(
+        ip,
+        PeerMessage::Purges { id: None, purges: control.purges.borrow().snapshot(now), already_asked: None },
+    );
+    control.sessions.tell(&glenfall_plane::messages::PublisherMessage::ControlNodes(peers.all()));
     let outputs = control.chain.borrow_mut().peer_up(now, ip);
     control.carry_out(outputs);
 }
@@ -323,34 +329,34 @@
     control.carry_out(outputs);
 }
 
-fn take(control: &Rc<Control>, from: Ipv4Addr, message: Peer) {
+fn take(control: &Rc<Control>, from: Ipv4Addr, message: PeerMessage) {
     let now = control.now();
     match message {
-        Peer::Chain(message) if !message.is_sound() => {
+        PeerMessage::Chain(message) if !message.is_sound() => {
             tracing::warn!(peer = %from, "peer says what no node of this system says; ignored");
         }
-        Peer::Chain(message) => {
+        PeerMessage::Chain(message) => {
             let outputs = control.chain.borrow_mut().message(now, from, message);
             control.carry_out(outputs);
         }
-        Peer::Sessions(members) => {
+        PeerMessage::Members(members) => {
             if let Some(link) = control.peers.links.borrow_mut().get_mut(&from) {
                 members.apply(&mut link.members);
                 // A shield is a member through the control node beside it.
-                link.members.retain(|m| m.proxy != Proxy::Shield || *m.http.ip() == from);
+                link.members.retain(|m| m.proxy != ProxyRole::Shield || *m.http.ip() == from);
             }
             control.fleet_changed.notify_one();
         }
-        Peer::Servers(entries) => take_servers(control, from, entries),
-        Peer::Urgent { id, entry, pass_on } => {
-            let heard = control.registry.borrow_mut().hear(now, 0, entry.clone());
-            if heard == Heard::Changed {
+        PeerMessage::Servers(entries) => take_servers(control, from, entries),
+        PeerMessage::ReplicateServer { id, entry, forward } => {
+            let heard = control.registry.borrow_mut().observe(now, 0, entry.clone());
+            if heard == HeartbeatOutcome::Changed {
                 control.push_fleet_now();
             }
-            let on = move |id| Peer::Urgent { id, entry: entry.clone(), pass_on: false };
-            confirm_urgent(control, (from, id), pass_on.then_some(on));
+            let on = move |id| PeerMessage::ReplicateServer { id, entry: entry.clone(), forward: false };
+            confirm_urgent(control, (from, id), forward.then_some(on));
         }
-        Peer::Purges { id, purges, asked } => {
+        PeerMessage::Purges { id, purges, already_asked: asked } => {
             tell_written(control, from, &purges, control.take_purges(purges.clone()));
             match id {
                 None => {
@@ -360,15 +366,15 @@
                 Some(id) => confirm_purges(control, (from, id), purges, asked),
             }
         }
-        Peer::PurgeWritten { life, number } if life == control.life => {
+        PeerMessage::PurgeDurable { incarnation, number } if incarnation == control.life => {
             control.purge_writes.note(from, number)
         }
-        Peer::PurgeWritten { .. } => {}
-        Peer::Done { id, complete } => control.peers.answer(from, id, complete),
-        Peer::Renew { id } => control.grant_lease(from, id),
-        Peer::Granted { id, lasts } => control.lease_granted(from, id, lasts),
-        Peer::Released => control.lease_released(from),
-        Peer::Alive => {}
+        PeerMessage::PurgeDurable { .. } => {}
+        PeerMessage::Acknowledged { id, complete } => control.peers.answer(from, id, complete),
+        PeerMessage::RenewLease { id } => control.grant_lease(from, id),
+        PeerMessage::LeaseGranted { id, duration } => control.lease_granted(from, id, duration),
+        PeerMessage::LeaseReleased => control.lease_released(from),
+        PeerMessage::KeepAlive => {}
     }
 }
 
@@ -377,7 +383,7 @@
 fn confirm_urgent(
     control: &Rc<Control>,
     (to, id): (Ipv4Addr, CallId),
-    on: Option<impl Fn(CallId) -> Peer + 'static>,
+    on: Option<impl Fn(CallId) -> PeerMessage + 'static>,
 ) {
     let control = Rc::clone(control);
     // By what the peer heard when it asked: it tells those itself that come up later.
@@ -394,14 +400,14 @@
         };
         let (_applied, told) = tokio::join!(applied, told);
         if told {
-            control.peers.send(to, Peer::Done { id, complete: true });
+            control.peers.send(to, PeerMessage::Acknowledged { id, complete: true });
         }
     });
 }
 
 /// Takes what a peer has heard of servers, and passes on what is news to those whom the peer does not reach: servers that
 /// call it alone would count as silent there.
-fn take_servers(control: &Rc<Control>, from: Ipv4Addr, entries: Vec<(Entry, Millis)>) {
+fn take_servers(control: &Rc<Control>, from: Ipv4Addr, entries: Vec<(ServerEntry, Millis)>) {
     let now = control.now();
     let beyond = beyond(control, from);
     let (mut changed, mut news) = (false, Vec::new());
@@ -409,12 +415,12 @@
         if !beyond.is_empty() && control.registry.borrow().is_newer(&entry) {
             news.push((entry.clone(), age));
         }
-        let heard = control.registry.borrow_mut().hear(now, age, entry);
-        changed |= heard == Heard::Changed;
+        let heard = control.registry.borrow_mut().observe(now, age, entry);
+        changed |= heard == HeartbeatOutcome::Changed;
     }
     if !news.is_empty() {
         for ip in beyond {
-            control.peers.send(ip, Peer::Servers(news.clone()));
+            control.peers.send(ip, PeerMessage::Servers(news.clone()));
         }
     }
     if changed {
@@ -426,17 +432,18 @@
 fn tell_written(
     control: &Rc<Control>,
     origin: Ipv4Addr,
-    purges: &[Stamped],
+    purges: &[PurgeRecord],
     written: Option<oneshot::Receiver<()>>,
 ) {
-    let own = |purge: &&Stamped| purge.origin == origin;
-    let names: Vec<(u64, u64)> = purges.iter().filter(own).map(|purge| (purge.life, purge.number)).collect();
+    let own = |purge: &&PurgeRecord| purge.origin == origin;
+    let names: Vec<(u64, u64)> =
+        purges.iter().filter(own).map(|purge| (purge.incarnation, purge.number)).collect();
     let Some(written) = written.filter(|_| !names.is_empty()) else { return };
     let control = Rc::clone(control);
     spawn_local(async move {
         if written.await.is_ok() {
             for (life, number) in names {
-                control.peers.send(origin, Peer::PurgeWritten { life, number });
+                control.peers.send(origin, PeerMessage::PurgeDurable { incarnation: life, number });
             }
         }
     });
@@ -447,8 +454,8 @@
 fn confirm_purges(
     control: &Rc<Control>,
     (to, id): (Ipv4Addr, CallId),
-    purges: Vec<Stamped>,
-    asked: Option<Vec<Instance>>,
+    purges: Vec<PurgeRecord>,
+    asked: Option<Vec<ProcessId>>,
 ) {
     let control = Rc::clone(control);
     // A little less than the peer waits, so that its answer still comes in time.
@@ -456,25 +463,25 @@
     let Some(mut told) = asked else {
         spawn_local(async move {
             if control.purge_sessions(most * 3 / 4).await {
-                control.peers.send(to, Peer::Done { id, complete: false });
+                control.peers.send(to, PeerMessage::Acknowledged { id, complete: false });
             }
         });
         return;
     };
-    let beyond: Vec<Instance> =
+    let beyond: Vec<ProcessId> =
         control.peers.instances().into_iter().filter(|peer| peer.ip != to && !told.contains(peer)).collect();
     told.extend(control.peers.instance(to));
     told.extend(&beyond);
     let beyond: Vec<Ipv4Addr> = beyond.iter().map(|instance| instance.ip).collect();
     spawn_local(async move {
-        let on = |id| Peer::Purges { id: Some(id), purges: purges.clone(), asked: None };
+        let on = |id| PeerMessage::Purges { id: Some(id), purges: purges.clone(), already_asked: None };
         let (passed_on, purged, complete) = tokio::join!(
             control.peers.ask(&beyond, on, most),
             control.purge_sessions(most),
             control.no_lease_but_of(&told, most)
         );
         if passed_on.is_some() && purged {
-            control.peers.send(to, Peer::Done { id, complete });
+            control.peers.send(to, PeerMessage::Acknowledged { id, complete });
         }
     });
 }
--- a/glenfall/src/control/purge_log.rs
+++ b/glenfall/src/control/purge_log.rs
@@ -6,8 +6,8 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-use glenfall_plane::messages::Stamped;
-use glenfall_plane::purges::{MOST, REMEMBERED};
+use glenfall_plane::messages::PurgeRecord;
+use glenfall_plane::purges::{MAX_PURGES, PURGE_RETENTION};
 use rusqlite::Connection;
 use tokio::sync::oneshot;
 
@@ -19,14 +19,14 @@
 /// The time of day may be off by so much, in milliseconds.
 pub const CLOCK_OFF: i64 = 2000;
 /// Purges in the log at most: one more than are remembered, so that whoever reads them knows that there were others.
-const MOST_KEPT: i64 = MOST as i64 + 1;
+const MOST_KEPT: i64 = MAX_PURGES as i64 + 1;
 /// Pause after the disk refused something.
 const AGAIN: Duration = Duration::from_millis(200);
 /// Writes that wait at most; with a disk that hangs, what comes beyond is known in memory only.
 const MOST_WAITING: usize = 1024;
 
 /// Purges to be written, and who waits until they are.
-type Write = (Vec<Stamped>, oneshot::Sender<()>);
+type Write = (Vec<PurgeRecord>, oneshot::Sender<()>);
 
 /// The way to the thread that writes.
 pub struct PurgeLog(mpsc::SyncSender<Write>);
@@ -37,23 +37,24 @@
     Ok(db)
 }
 
-fn read_all(db: &Connection) -> rusqlite::Result<Vec<Stamped>> {
+fn read_all(db: &Connection) -> rusqlite::Result<Vec<PurgeRecord>> {
     let now = now_ms();
     let mut all = db.prepare("SELECT at, purge FROM purges WHERE at > ?1 ORDER BY rowid")?;
-    let rows = all
-        .query_map([now - REMEMBERED as i64], |row| Ok((row.get::<_, i64>(0)?, row.get::<_, Vec<u8>>(1)?)))?;
+    let rows = all.query_map([now - PURGE_RETENTION as i64], |row| {
+        Ok((row.get::<_, i64>(0)?, row.get::<_, Vec<u8>>(1)?))
+    })?;
     let mut found = Vec::new();
     for row in rows {
         let (at, bytes) = row?;
-        if let Ok(stamped) = postcard::from_bytes::<Stamped>(&bytes) {
+        if let Ok(stamped) = postcard::from_bytes::<PurgeRecord>(&bytes) {
             // Taken for younger, so that copies from around that time go.
-            found.push(Stamped { age_ms: (now - at - CLOCK_OFF).max(0) as u64, ..stamped });
+            found.push(PurgeRecord { age_ms: (now - at - CLOCK_OFF).max(0) as u64, ..stamped });
         }
     }
     Ok(found)
 }
 
-fn write(db: &mut Connection, purges: &[Stamped]) -> rusqlite::Result<()> {
+fn write(db: &mut Connection, purges: &[PurgeRecord]) -> rusqlite::Result<()> {
     let now = now_ms();
     let transaction = db.transaction()?;
     {
@@ -62,7 +63,7 @@
             let bytes = postcard::to_stdvec(stamped).unwrap_or_default();
             insert.execute((now - stamped.age_ms as i64, bytes))?;
         }
-        transaction.execute("DELETE FROM purges WHERE at <= ?1", [now - REMEMBERED as i64])?;
+        transaction.execute("DELETE FROM purges WHERE at <= ?1", [now - PURGE_RETENTION as i64])?;
         transaction
             .execute("DELETE FROM purges WHERE rowid <= (SELECT max(rowid) FROM purges) - ?1", [MOST_KEPT])?;
     }
@@ -72,7 +73,7 @@
 impl PurgeLog {
     /// Opens the log in a folder; returns the purges in it that are still to be remembered. One that can't be read is
     /// begun anew: the other control nodes have theirs.
-    pub fn open(folder: &Path) -> std::io::Result<(PurgeLog, Vec<Stamped>)> {
+    pub fn open(folder: &Path) -> std::io::Result<(PurgeLog, Vec<PurgeRecord>)> {
         std::fs::create_dir_all(folder)?;
         let path = folder.join(FILE);
         let opened = open(&path).and_then(|db| read_all(&db).map(|found| (db, found)));
@@ -90,7 +91,7 @@
     }
 
     /// Writes purges; what this gives ends once they are on disk, or there is no room for them to wait.
-    pub fn write(&self, purges: Vec<Stamped>) -> oneshot::Receiver<()> {
+    pub fn write(&self, purges: Vec<PurgeRecord>) -> oneshot::Receiver<()> {
         let (tell, written) = oneshot::channel();
         if self.0.try_send((purges, tell)).is_err() {
             tracing::warn!("purges not written: the disk is behind");
--- a/glenfall/src/control/purging.rs
+++ b/glenfall/src/control/purging.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use glenfall_plane::invariant::Invariant;
-use glenfall_plane::messages::{News, Peer, Purge, Stamped};
+use glenfall_plane::messages::{PeerMessage, Purge, PurgeRecord, Update};
 use tokio::sync::{oneshot, Notify};
 use tokio::task::spawn_local;
 use tokio::time::timeout;
@@ -78,7 +78,7 @@
         // Sessions that were told so keep to it until they are turned away: a mend of the chain costs no copies.
         let before = self.vouches.replace(vouches);
         if vouches && !before {
-            self.sessions.push(&News::InTouch(true));
+            self.sessions.push(&Update::Connected(true));
         }
     }
 
@@ -87,15 +87,19 @@
     /// theirs, and where all others lose power meanwhile, what is on disk is all that is known of it.
     pub(super) async fn purge(self: &Rc<Self>, purge: Purge) -> bool {
         let number = self.next_purge.replace(self.next_purge.get() + 1);
-        let stamped = Stamped { origin: self.boot.bind_ip, life: self.life, number, age_ms: 0, purge };
+        let stamped =
+            PurgeRecord { origin: self.boot.bind_ip, incarnation: self.life, number, age_ms: 0, purge };
         let counted = self.purge_writes.count(number);
         let written = self.take_purges(vec![stamped.clone()]);
         self.note_own_write(number, written);
         let leased = self.sessions.leased();
         let asked = self.peers.instances();
         let up: Vec<Ipv4Addr> = asked.iter().map(|instance| instance.ip).collect();
-        let question =
-            |id| Peer::Purges { id: Some(id), purges: vec![stamped.clone()], asked: Some(asked.clone()) };
+        let question = |id| PeerMessage::Purges {
+            id: Some(id),
+            purges: vec![stamped.clone()],
+            already_asked: Some(asked.clone()),
+        };
         let peers = self.peers.ask(&up, question, PURGE);
         let others = self.no_lease_but_of(&asked, PURGE);
         let durable = counted.is_on(self.boot.survive.hosts + 1, PURGE);
@@ -133,12 +137,12 @@
     }
 
     /// Takes purges, and passes on those that are new; what this gives ends once they are on disk.
-    pub(super) fn take_purges(&self, purges: Vec<Stamped>) -> Option<oneshot::Receiver<()>> {
-        let fresh = self.purges.borrow_mut().take(self.now(), purges);
+    pub(super) fn take_purges(&self, purges: Vec<PurgeRecord>) -> Option<oneshot::Receiver<()>> {
+        let fresh = self.purges.borrow_mut().record(self.now(), purges);
         if fresh.is_empty() {
             return None;
         }
-        self.sessions.push(&News::Purges(fresh.iter().map(Stamped::aged).collect()));
+        self.sessions.push(&Update::Purges(fresh.iter().map(PurgeRecord::aged).collect()));
         Some(self.purge_log.write(fresh))
     }
 }
--- a/glenfall/src/control/relay.rs
+++ b/glenfall/src/control/relay.rs
@@ -4,8 +4,8 @@
 
 use std::cell::RefCell;
 
-use glenfall_plane::messages::Peer;
-use glenfall_plane::registry::Entry;
+use glenfall_plane::messages::PeerMessage;
+use glenfall_plane::registry::ServerEntry;
 use glenfall_plane::Millis;
 
 /// Beats that are gathered at most: where no heartbeats go out, as no peer is there, they need not be told.
@@ -13,11 +13,11 @@
 
 /// Beats that peers have not been told of, each with when it was heard.
 #[derive(Default)]
-pub struct BeatRelay(RefCell<Vec<(Entry, Millis)>>);
+pub struct BeatRelay(RefCell<Vec<(ServerEntry, Millis)>>);
 
 impl BeatRelay {
     /// Gathers a beat, in place of an earlier one of the same server. Where there are too many, the oldest goes.
-    pub fn add(&self, now: Millis, entry: Entry) {
+    pub fn add(&self, now: Millis, entry: ServerEntry) {
         let mut beats = self.0.borrow_mut();
         beats.retain(|(earlier, _)| earlier.id != entry.id);
         if beats.len() >= MOST {
@@ -27,9 +27,9 @@
     }
 
     /// What peers are to be told, if anything.
-    pub fn take(&self, now: Millis) -> Option<Peer> {
+    pub fn take(&self, now: Millis) -> Option<PeerMessage> {
         let beats = self.0.take();
-        let aged = |(entry, heard): (Entry, Millis)| (entry, now.saturating_sub(heard));
-        (!beats.is_empty()).then(|| Peer::Servers(beats.into_iter().map(aged).collect()))
+        let aged = |(entry, heard): (ServerEntry, Millis)| (entry, now.saturating_sub(heard));
+        (!beats.is_empty()).then(|| PeerMessage::Servers(beats.into_iter().map(aged).collect()))
     }
 }
--- a/glenfall/src/control/store.rs
+++ b/glenfall/src/control/store.rs
@@ -6,8 +6,8 @@
 use std::sync::{mpsc, Arc};
 use std::time::Duration;
 
-use glenfall_plane::chain::{Durable, Members, NodeId, Record};
-use glenfall_plane::orders::{TakenOrder, TakenOrders};
+use glenfall_plane::chain::{HardState, JointConfig, NodeId, Record};
+use glenfall_plane::orders::{AppliedOrder, DeduplicationTable};
 use rusqlite::{Connection, ErrorCode, OpenFlags, OptionalExtension};
 use serde::{Deserialize, Serialize};
 
@@ -76,7 +76,7 @@
     /// No state was ever written here.
     Nothing,
     /// The last state that was written whole.
-    Kept(Durable),
+    Kept(HardState),
     /// Something that is no state; it was set aside.
     Damaged(String),
 }
@@ -85,7 +85,7 @@
 pub struct Store {
     db: Connection,
     /// Chunks of taken orders that have a row.
-    written: RefCell<Vec<Arc<[TakenOrder]>>>,
+    written: RefCell<Vec<Arc<[AppliedOrder]>>>,
 }
 
 /// The database in a folder.
@@ -125,7 +125,7 @@
         Ok((store, found))
     }
 
-    fn open_whole(path: &Path) -> Result<(Store, Option<Durable>), StoreError> {
+    fn open_whole(path: &Path) -> Result<(Store, Option<HardState>), StoreError> {
         // SQLite takes what is too short for a header for an empty file.
         let size = std::fs::metadata(path).map_or(0, |file| file.len());
         // With a journal beside it, it is put back to what it was.
@@ -151,7 +151,7 @@
             return Ok((Store { db, written: RefCell::default() }, None));
         }
         let state = read_whole(&db)?;
-        let taken = state.as_ref().map(|state| state.record.taken.chunks().0.to_vec());
+        let taken = state.as_ref().map(|state| state.record.applied_orders.chunks().0.to_vec());
         let store = Store { db, written: RefCell::new(taken.unwrap_or_default()) };
         if layout(&store.db)? != LAYOUT {
             store.take_over(state.as_ref())?;
@@ -160,7 +160,7 @@
     }
 
     /// Writes what was found in a layout before in this one, both or neither.
-    fn take_over(&self, state: Option<&Durable>) -> Result<(), StoreError> {
+    fn take_over(&self, state: Option<&HardState>) -> Result<(), StoreError> {
         let whole = self.db.unchecked_transaction()?;
         whole.execute_batch(idempotency_keys::TABLE)?;
         if let Some(state) = state {
@@ -171,7 +171,7 @@
     }
 
     /// The state as the file has it.
-    pub fn read(&self) -> Result<Option<Durable>, StoreError> {
+    pub fn read(&self) -> Result<Option<HardState>, StoreError> {
         read_whole(&self.db)
     }
 
@@ -181,17 +181,17 @@
     }
 
     /// Writes a state in place of the one before, both its rows and those of the orders, or none.
-    pub fn save(&self, state: &Durable) -> Result<(), StoreError> {
+    pub fn save(&self, state: &HardState) -> Result<(), StoreError> {
         // Undone where it is dropped before its end.
         let whole = self.db.unchecked_transaction()?;
         self.write(state)?;
         whole.commit()?;
-        self.written.replace(state.record.taken.chunks().0.to_vec());
+        self.written.replace(state.record.applied_orders.chunks().0.to_vec());
         Ok(())
     }
 
-    fn write(&self, state: &Durable) -> Result<(), StoreError> {
-        let table = idempotency_keys::write(&self.db, &self.written.borrow(), &state.record.taken)?;
+    fn write(&self, state: &HardState) -> Result<(), StoreError> {
+        let table = idempotency_keys::write(&self.db, &self.written.borrow(), &state.record.applied_orders)?;
         let bytes = postcard::to_stdvec(&Row::of(state, table))?;
         let crc = i64::from(crc32fast::hash(&bytes));
         self.db.execute(
@@ -205,7 +205,7 @@
 /// The state as its row has it.
 #[derive(Serialize, Deserialize)]
 struct Row {
-    members: Members,
+    members: JointConfig,
     votes: bool,
     promised: u64,
     accepted: u64,
@@ -216,16 +216,16 @@
 }
 
 impl Row {
-    fn of(state: &Durable, taken: idempotency_keys::Named) -> Row {
-        let Durable { members, votes, promised, accepted, record } = state.clone();
+    fn of(state: &HardState, taken: idempotency_keys::Named) -> Row {
+        let HardState { members, votes, promised, accepted, record } = state.clone();
         let (seq, rev, document) = (record.seq, record.rev, record.document.clone());
         Row { members, votes, promised, accepted, seq, rev, document, taken }
     }
 
-    fn state(self, taken: TakenOrders) -> Durable {
+    fn state(self, taken: DeduplicationTable) -> HardState {
         let Row { members, votes, promised, accepted, seq, rev, document, .. } = self;
-        let record = Arc::new(Record { seq, rev, document, taken });
-        Durable { members, votes, promised, accepted, record }
+        let record = Arc::new(Record { seq, rev, document, applied_orders: taken });
+        HardState { members, votes, promised, accepted, record }
     }
 }
 
@@ -250,7 +250,7 @@
 }
 
 /// Reads the state, or says why the file can't be trusted. `None` where none was written yet.
-fn read_whole(db: &Connection) -> Result<Option<Durable>, StoreError> {
+fn read_whole(db: &Connection) -> Result<Option<HardState>, StoreError> {
     let damaged = |what: &str| StoreError::Damaged(what.into());
     let layout = layout(db)?;
     if !matches!(layout, LAYOUT | PRINTS | FIXED) {
@@ -294,25 +294,25 @@
 impl From<PrintsRecord> for Arc<Record> {
     /// A print is not enough to confirm an order by, and its absence none to refuse one.
     fn from(old: PrintsRecord) -> Arc<Record> {
-        let taken = TakenOrders::forgotten(old.rev);
-        Arc::new(Record { seq: old.seq, rev: old.rev, document: old.document, taken })
+        let taken = DeduplicationTable::forgotten(old.rev);
+        Arc::new(Record { seq: old.seq, rev: old.rev, document: old.document, applied_orders: taken })
     }
 }
 
 /// The state as it was then.
 #[derive(Serialize, Deserialize)]
 struct WithPrints {
-    members: Members,
+    members: JointConfig,
     votes: bool,
     promised: u64,
     accepted: u64,
     record: PrintsRecord,
 }
 
-impl From<WithPrints> for Durable {
-    fn from(old: WithPrints) -> Durable {
+impl From<WithPrints> for HardState {
+    fn from(old: WithPrints) -> HardState {
         let WithPrints { members, votes, promised, accepted, record } = old;
-        Durable { members, votes, promised, accepted, record: record.into() }
+        HardState { members, votes, promised, accepted, record: record.into() }
     }
 }
 
@@ -325,15 +325,15 @@
     record: PrintsRecord,
 }
 
-impl From<WithFixedVoters> for Durable {
-    fn from(old: WithFixedVoters) -> Durable {
+impl From<WithFixedVoters> for HardState {
+    fn from(old: WithFixedVoters) -> HardState {
         let WithFixedVoters { voters, promised, accepted, record } = old;
-        Durable { members: Members::of(voters), votes: true, promised, accepted, record: record.into() }
+        HardState { members: JointConfig::of(voters), votes: true, promised, accepted, record: record.into() }
     }
 }
 
 /// Reads the state in a folder that no process uses, and changes nothing.
-pub fn verify(folder: &Path) -> Result<Option<Durable>, StoreError> {
+pub fn verify(folder: &Path) -> Result<Option<HardState>, StoreError> {
     let db = Connection::open_with_flags(path_in(folder), OpenFlags::SQLITE_OPEN_READ_ONLY)?;
     // A running process holds it for as long as it runs.
     db.busy_timeout(Duration::from_millis(100))?;
@@ -341,7 +341,7 @@
 }
 
 /// Makes a store with this state in a folder that has none.
-pub fn create(folder: &Path, state: &Durable) -> Result<(), StoreError> {
+pub fn create(folder: &Path, state: &HardState) -> Result<(), StoreError> {
     for name in [FILE, DAMAGED] {
         if folder.join(name).exists() {
             return Err(StoreError::InTheWay(folder.join(name)));
@@ -360,8 +360,8 @@
 pub fn start(
     store: Store,
     synced: tokio::sync::mpsc::UnboundedSender<u64>,
-) -> std::io::Result<mpsc::Sender<(u64, Durable)>> {
-    let (sender, writes) = mpsc::channel::<(u64, Durable)>();
+) -> std::io::Result<mpsc::Sender<(u64, HardState)>> {
+    let (sender, writes) = mpsc::channel::<(u64, HardState)>();
     std::thread::Builder::new().name("store".into()).spawn(move || {
         while let Ok(mut newest) = writes.recv() {
             // One write covers all that came meanwhile.
--- a/glenfall/src/edge.rs
+++ b/glenfall/src/edge.rs
@@ -12,11 +12,11 @@
 use std::time::Duration;
 
 use glenfall_balancer::{Seconds, ServerId, Shields};
-use glenfall_plane::ceiling::Holder;
-use glenfall_plane::config::{Config, Kind, ReqLimits, Route};
+use glenfall_plane::ceiling::QuotaHolder;
+use glenfall_plane::config::{Config, RequestLimits, Route, RouteKind};
 use glenfall_plane::fleet::Fleet;
 use glenfall_plane::invariant::Invariant;
-use glenfall_plane::messages::{Aged, Member, Proxy, Purge};
+use glenfall_plane::messages::{AgedPurge, Member, ProxyRole, Purge};
 use hyper::header::{self, HeaderMap};
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode};
@@ -113,7 +113,7 @@
     pub fn new(boot: &Rc<Boot>, feed: Rc<Feed>, pool: Rc<Pool>) -> Rc<Self> {
         Rc::new(Edge {
             feed,
-            forwarder: Forwarder::new(pool, boot, Proxy::Edge),
+            forwarder: Forwarder::new(pool, boot, ProxyRole::Edge),
             shields: RefCell::default(),
             incarnations: RefCell::default(),
             near: RefCell::default(),
@@ -140,7 +140,7 @@
     fn hold(&self) {
         let none_answers = self.shields.borrow().all_fail(self.now());
         let alone = !self.shielded.get() || !self.in_touch.get() || none_answers;
-        self.forwarder.hold(Holder::Edge { of: self.edges.get() as usize, alone });
+        self.forwarder.hold(QuotaHolder::Edge { of: self.edges.get() as usize, alone });
     }
 
     async fn serve(&self, whole: &Whole) -> ProxyResponse {
@@ -156,7 +156,7 @@
         };
         let until = self.deadline(route, whole);
         let is_read =
-            route.kind == Kind::Cacheable && whole.head.method == Method::GET && whole.body.is_empty();
+            route.kind == RouteKind::Cacheable && whole.head.method == Method::GET && whole.body.is_empty();
         let draw = match is_read {
             true => object_draw(whole.host(), whole.path_and_query()),
             false => self.forwarder.origins.draw(),
@@ -223,9 +223,9 @@
     ) -> UpstreamRequest<'a> {
         // A method that writes is not repeated, whatever the route says of its reads.
         let repeatable = match route.kind {
-            Kind::Mutating => false,
-            Kind::Idempotent => true,
-            Kind::Cacheable => whole.head.method == Method::GET || whole.head.method == Method::HEAD,
+            RouteKind::Mutating => false,
+            RouteKind::Idempotent => true,
+            RouteKind::Cacheable => whole.head.method == Method::GET || whole.head.method == Method::HEAD,
         };
         UpstreamRequest {
             service,
@@ -237,8 +237,8 @@
             tries: route.tries,
             again: false,
             until: Instant::now(),
-            aim: route.aim(),
-            rank: config.rank(route),
+            aim: route.latency_target(),
+            rank: config.priority_rank(route),
             per_s: config.backend(service).and_then(|backend| backend.rate_per_s),
         }
     }
@@ -334,7 +334,7 @@
 
     fn fleet(&self, fleet: &Fleet) {
         self.forwarder.update(fleet);
-        let ready = fleet.shields.iter().filter(|member| member.ready && member.proxy == Proxy::Shield);
+        let ready = fleet.shields.iter().filter(|member| member.ready && member.proxy == ProxyRole::Shield);
         let incarnations: BTreeMap<ServerId, u64> =
             ready.map(|member| (shield_id(member), member.incarnation)).collect();
         let ready: Vec<ServerId> = incarnations.keys().cloned().collect();
@@ -347,7 +347,7 @@
         self.hold();
     }
 
-    fn purge(&self, purges: &[Aged]) {
+    fn purge(&self, purges: &[AgedPurge]) {
         let now = Instant::now();
         let mut purged = self.purged.borrow_mut();
         for purge in purges {
@@ -419,7 +419,7 @@
         answer.into()
     }
 
-    fn limits(&self) -> ReqLimits {
+    fn limits(&self) -> RequestLimits {
         self.0.feed.config().map(|config| config.req_limits).unwrap_or_default()
     }
 
@@ -470,8 +470,8 @@
         }
     }
 
-    fn limits(&self) -> ReqLimits {
-        ReqLimits::default()
+    fn limits(&self) -> RequestLimits {
+        RequestLimits::default()
     }
 
     /// Whoever asks goes on asking.
--- a/glenfall/src/lib.rs
+++ b/glenfall/src/lib.rs
@@ -25,7 +25,7 @@
 use std::time::Duration;
 
 use clap::{Parser, Subcommand};
-use glenfall_plane::messages::Proxy;
+use glenfall_plane::messages::ProxyRole;
 use tokio::sync::watch;
 use tokio::task::{spawn_local, LocalSet};
 
@@ -169,7 +169,7 @@
     let listen = boot.need("http", |listeners| listeners.http)?;
     let ready = boot.need("readyAddr", |listeners| listeners.ready_addr)?;
     let descriptors = boot.req_limits.max_fds.saturating_sub(OTHER_DESCRIPTORS).max(16);
-    let feed = Feed::new(Rc::clone(&boot), Proxy::Edge);
+    let feed = Feed::new(Rc::clone(&boot), ProxyRole::Edge);
     let pool = Pool::new(descriptors / 2, MemoryBudget::new(boot.memory_part(edge::COPIES + ANSWERS)));
     let edge = edge::Edge::new(&boot, Rc::clone(&feed), Rc::clone(&pool));
     spawn_local(async move { pool.sweep().await });
@@ -204,7 +204,7 @@
 
 async fn shield(boot: Rc<Boot>) -> Result<(), Failure> {
     let descriptors = boot.req_limits.max_fds.saturating_sub(OTHER_DESCRIPTORS).max(16);
-    let feed = Feed::new(Rc::clone(&boot), Proxy::Shield);
+    let feed = Feed::new(Rc::clone(&boot), ProxyRole::Shield);
     let pool = Pool::new(descriptors / 2, MemoryBudget::new(boot.memory_part(shield::COPIES + ANSWERS)));
     let shield = shield::Shield::new(&boot, Rc::clone(&feed), Rc::clone(&pool));
     spawn_local(async move { pool.sweep().await });
--- a/glenfall/src/operator/declare.rs
+++ b/glenfall/src/operator/declare.rs
@@ -42,7 +42,7 @@
     #[error("{}: {what}", path.display())]
     Wrong { path: PathBuf, what: String },
     #[error("the declared configuration is invalid: {0}")]
-    Invalid(#[from] glenfall_plane::config::Invalid),
+    Invalid(#[from] glenfall_plane::config::InvalidConfig),
     #[error("{0:?} can't be the name of a file")]
     Name(String),
     #[error("what is in force can't be read: {0}")]
--- a/glenfall/src/operator/demo.rs
+++ b/glenfall/src/operator/demo.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall_plane::config::ReqLimits;
+use glenfall_plane::config::RequestLimits;
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Request, StatusCode};
@@ -73,8 +73,8 @@
         answer
     }
 
-    fn limits(&self) -> ReqLimits {
-        ReqLimits::default()
+    fn limits(&self) -> RequestLimits {
+        RequestLimits::default()
     }
 
     fn leaving(&self) -> bool {
--- a/glenfall/src/proxy/cache.rs
+++ b/glenfall/src/proxy/cache.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall_plane::messages::{Aged, Purge};
+use glenfall_plane::messages::{AgedPurge, Purge};
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::StatusCode;
 use lru::LruCache;
@@ -216,7 +216,7 @@
     }
 
     /// Ends all copies that a purge names, but for those asked for after it was taken; returns which.
-    pub fn purge(&mut self, aged: &Aged) -> Vec<ObjectKey> {
+    pub fn purge(&mut self, aged: &AgedPurge) -> Vec<ObjectKey> {
         let mut named: Vec<ObjectKey> = match &aged.purge {
             Purge::Everything => self.copies.iter().map(|(key, _)| key.clone()).collect(),
             Purge::Label(label) => {
--- a/glenfall/src/proxy/feed.rs
+++ b/glenfall/src/proxy/feed.rs
@@ -6,9 +6,11 @@
 use std::time::Duration;
 
 use glenfall_plane::config::Config;
-use glenfall_plane::fleet::{Fleet, Told};
+use glenfall_plane::fleet::{Fleet, FleetUpdate};
 use glenfall_plane::known_fleet::KnownFleet;
-use glenfall_plane::messages::{Aged, Down, Member, News, Open, Proxy, Up};
+use glenfall_plane::messages::{
+    AgedPurge, ConnectionOpening, Member, ProxyRole, PublisherMessage, SubscriberMessage, Update,
+};
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep, Instant};
 
@@ -27,7 +29,7 @@
     /// The servers, shields and edges are these.
     fn fleet(&self, fleet: &Fleet);
     /// Copies that these purges name are no longer good.
-    fn purge(&self, purges: &[Aged]);
+    fn purge(&self, purges: &[AgedPurge]);
     /// Whether control tells of all that happens.
     fn in_touch(&self, yes: bool);
     /// Counters for `status`.
@@ -37,7 +39,7 @@
 /// What a proxy has been told.
 pub struct Feed {
     boot: Rc<Boot>,
-    proxy: Proxy,
+    proxy: ProxyRole,
     incarnation: u64,
     config: RefCell<Option<Arc<Config>>>,
     fleet: RefCell<KnownFleet>,
@@ -53,7 +55,7 @@
 
 impl Feed {
     /// A proxy that knows nothing yet.
-    pub fn new(boot: Rc<Boot>, proxy: Proxy) -> Rc<Self> {
+    pub fn new(boot: Rc<Boot>, proxy: ProxyRole) -> Rc<Self> {
         Rc::new(Feed {
             boot,
             proxy,
@@ -105,10 +107,10 @@
         self.changed.notify_one();
     }
 
-    fn hello(&self) -> Up {
+    fn hello(&self) -> SubscriberMessage {
         let http = match self.proxy {
-            Proxy::Shield => self.boot.shield(),
-            Proxy::Edge => self.boot.listeners.http.unwrap_or(self.boot.shield()),
+            ProxyRole::Shield => self.boot.shield(),
+            ProxyRole::Edge => self.boot.listeners.http.unwrap_or(self.boot.shield()),
         };
         let member = Member {
             node: self.boot.node.clone(),
@@ -118,22 +120,22 @@
             ready: self.ready(),
             incarnation: self.incarnation,
         };
-        Up::Hello { node: self.boot.node.clone(), member: Some(member) }
+        SubscriberMessage::Hello { node: self.boot.node.clone(), member: Some(member) }
     }
 
     /// Takes what the agent says; false where it does not build on what is known.
-    pub fn hear(&self, down: Down, follower: &impl Follower) -> bool {
+    pub fn hear(&self, down: PublisherMessage, follower: &impl Follower) -> bool {
         match down {
-            Down::Push { news, .. } => self.take(news, follower),
-            Down::Granted { sent, lasts } => {
+            PublisherMessage::Push { update: news, .. } => self.take(news, follower),
+            PublisherMessage::LeaseGranted { sent_at, duration: lasts } => {
                 let stood = self.lease.stands();
-                self.lease.renew(sent, lasts);
+                self.lease.renew(sent_at, lasts);
                 if !stood && self.lease.stands() {
                     tracing::info!("lease on copies begins");
                 }
                 true
             }
-            Down::Controls(_) | Down::Leaving | Down::Ping => true,
+            PublisherMessage::ControlNodes(_) | PublisherMessage::Draining | PublisherMessage::Ping => true,
         }
     }
 
@@ -147,17 +149,17 @@
     }
 
     /// Takes what the agent tells; false where it does not build on what is known.
-    pub fn take(&self, news: News, follower: &impl Follower) -> bool {
+    pub fn take(&self, news: Update, follower: &impl Follower) -> bool {
         let was_ready = self.ready();
         match news {
-            News::Config { rev, document } => self.take_config(rev, &document, follower),
-            News::Fleet(told) => {
+            Update::Config { rev, document } => self.take_config(rev, &document, follower),
+            Update::Fleet(told) => {
                 if !self.take_fleet(told, follower) {
                     return false;
                 }
             }
-            News::Purges(purges) => follower.purge(&purges),
-            News::InTouch(yes) => self.touch(yes, follower),
+            Update::Purges(purges) => follower.purge(&purges),
+            Update::Connected(yes) => self.touch(yes, follower),
         }
         if self.ready() != was_ready {
             self.changed.notify_one();
@@ -166,8 +168,8 @@
     }
 
     /// A shield has no agent beside it: the lists of a control node that has just started come here as they are.
-    fn take_fleet(&self, told: Told, follower: &impl Follower) -> bool {
-        match self.fleet.borrow_mut().take(told) {
+    fn take_fleet(&self, told: FleetUpdate, follower: &impl Follower) -> bool {
+        match self.fleet.borrow_mut().apply_update(told) {
             Ok(None) => return true,
             Ok(Some(_)) => {}
             Err(gap) => {
@@ -201,7 +203,7 @@
     /// Follows the agent for as long as the process runs.
     pub async fn run(&self, follower: &impl Follower) {
         loop {
-            if let Ok((read, write)) = link::open(self.boot.feed(), &Open::Session).await {
+            if let Ok((read, write)) = link::open(self.boot.feed(), &ConnectionOpening::Session).await {
                 let outbox = Outbox::start(write);
                 let take = async |down| self.hear(down, follower);
                 let (hello, now) = (|| self.hello(), || self.lease.now());
--- a/glenfall/src/proxy/forward.rs
+++ b/glenfall/src/proxy/forward.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall_plane::budget::Budget;
-use glenfall_plane::ceiling::{patience, Ceiling, Holder};
+use glenfall_plane::budget::RetryBudget;
+use glenfall_plane::ceiling::{max_queue_time, QuotaHolder, RateLimiter};
 use glenfall_plane::fleet::Fleet;
-use glenfall_plane::messages::Proxy;
+use glenfall_plane::messages::ProxyRole;
 use glenfall_plane::Millis;
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -101,13 +101,13 @@
     /// Which there are, and how they do.
     pub origins: Origins,
     /// Retries that the service may still be sent.
-    retry_budget: RefCell<Budget>,
-    ceiling: RefCell<Ceiling>,
+    retry_budget: RefCell<RetryBudget>,
+    ceiling: RefCell<RateLimiter>,
     limits: ConcurrencyLimits,
     /// Services that have servers which take requests.
     served: RefCell<BTreeSet<String>>,
     /// Whose servers these are to share: the shields, or the edges.
-    sharers: Proxy,
+    sharers: ProxyRole,
     began: Instant,
     /// Further tries sent, and those that the budget did not allow.
     further: Counter,
@@ -123,15 +123,15 @@
 
 impl Forwarder {
     /// A forwarder for one of the edges, or one of the shields.
-    pub fn new(pool: Rc<Pool>, boot: &Boot, sharers: Proxy) -> Self {
+    pub fn new(pool: Rc<Pool>, boot: &Boot, sharers: ProxyRole) -> Self {
         // What a shield fetches is large.
-        let origins = Origins::new(&boot.zone, sharers == Proxy::Shield, &boot.node);
+        let origins = Origins::new(&boot.zone, sharers == ProxyRole::Shield, &boot.node);
         let phase = origins.draw();
         Forwarder {
             pool,
             origins,
-            retry_budget: RefCell::new(Budget::new(boot.further_tries())),
-            ceiling: RefCell::new(Ceiling::new(boot.ceiling(), phase)),
+            retry_budget: RefCell::new(RetryBudget::new(boot.further_tries())),
+            ceiling: RefCell::new(RateLimiter::new(boot.ceiling(), phase)),
             limits: ConcurrencyLimits::default(),
             served: RefCell::default(),
             sharers,
@@ -166,15 +166,15 @@
     /// Takes the servers and the size of a fleet.
     pub fn update(&self, fleet: &Fleet) {
         // What a shield asks of servers has its own order.
-        let edges = if self.sharers == Proxy::Edge { &fleet.edges[..] } else { &[] };
+        let edges = if self.sharers == ProxyRole::Edge { &fleet.edges[..] } else { &[] };
         for addr in self.origins.update(Instant::now(), &fleet.servers, edges) {
             self.pool.forget(addr.into());
         }
         let machines = fleet.edges.len() + fleet.shields.len();
-        self.retry_budget.borrow_mut().share_among(self.now(), machines);
+        self.retry_budget.borrow_mut().set_machine_count(self.now(), machines);
         let sharers = match self.sharers {
-            Proxy::Edge => fleet.edges.len(),
-            Proxy::Shield => fleet.shields.iter().filter(|shield| shield.ready).count(),
+            ProxyRole::Edge => fleet.edges.len(),
+            ProxyRole::Shield => fleet.shields.iter().filter(|shield| shield.ready).count(),
         };
         let mut shares = BTreeMap::new();
         for server in fleet.servers.iter().filter(|server| server.ready) {
@@ -195,28 +195,28 @@
 
     /// Counts a client's request for a service. Each is counted by one machine only.
     pub fn count(&self, service: &str) {
-        self.retry_budget.borrow_mut().request(self.now(), service);
+        self.retry_budget.borrow_mut().record_request(self.now(), service);
     }
 
     /// Whether the service may be sent one request more than its clients have sent.
     fn may_retry(&self, service: &str) -> bool {
-        let may = self.retry_budget.borrow_mut().take(self.now(), service);
+        let may = self.retry_budget.borrow_mut().try_spend(self.now(), service);
         if may { &self.further } else { &self.spent }.add();
         may
     }
 
     /// What this machine is among those that share the ceilings.
-    pub fn hold(&self, holder: Holder) {
-        self.ceiling.borrow_mut().hold(self.now(), holder);
+    pub fn hold(&self, holder: QuotaHolder) {
+        self.ceiling.borrow_mut().set_holder(self.now(), holder);
     }
 
     /// Takes a request out of this machine's part of its service's ceiling, and waits a little for its turn.
     pub async fn under_ceiling(&self, job: &UpstreamRequest<'_>, may_wait: bool) -> bool {
         let Some(per_s) = job.per_s else { return true };
-        let patient_until = Instant::now() + if may_wait { patience(job.aim) } else { Duration::ZERO };
+        let patient_until = Instant::now() + if may_wait { max_queue_time(job.aim) } else { Duration::ZERO };
         let mut waited = false;
         loop {
-            let taken = self.ceiling.borrow_mut().take(self.now(), job.service, per_s, job.rank);
+            let taken = self.ceiling.borrow_mut().try_acquire(self.now(), job.service, per_s, job.rank);
             let Err(wait) = taken else { return true };
             let turn = Instant::now() + Duration::from_millis(wait.max(1));
             if turn > patient_until.min(job.until) {
--- a/glenfall/src/proxy/forward/attempts.rs
+++ b/glenfall/src/proxy/forward/attempts.rs
@@ -1,6 +1,6 @@
 //! What a request's sends to servers have come to so far.
 
-use glenfall_http::send::{Event, Fate, Sends, Stage};
+use glenfall_http::send::{ExecutionStatus, SendEvent, SendSequence, SendStage};
 use glenfall_plane::invariant::Invariant;
 use hyper::header::HeaderName;
 use hyper::StatusCode;
@@ -15,7 +15,7 @@
 
 /// The sends of one request so far.
 pub(super) struct Attempts {
-    pub sends: Sends,
+    pub sends: SendSequence,
     /// Servers that were chosen.
     pub tried: Vec<String>,
     /// How the sends to them ended, as the log tells it.
@@ -34,7 +34,7 @@
 
 /// How a send ended: what happened, and the status of the answer, if any.
 struct SendEnd {
-    event: Event,
+    event: SendEvent,
     status: Option<StatusCode>,
 }
 
@@ -42,9 +42,9 @@
     fn describe(&self) -> String {
         let status = self.status.map_or(0, |status| status.as_u16());
         match self.event {
-            Event::NoConnection => "no connection".into(),
-            Event::Silence => "no answer in time".into(),
-            Event::NotRun => format!("not run ({status})"),
+            SendEvent::NoConnection => "no connection".into(),
+            SendEvent::TimedOut => "no answer in time".into(),
+            SendEvent::NotRun => format!("not run ({status})"),
             _ if self.status.is_some() => format!("answered {status}"),
             _ => "answer lost".into(),
         }
@@ -54,7 +54,7 @@
 impl Attempts {
     pub fn new(allowed: u32, repeatable: bool) -> Self {
         Attempts {
-            sends: Sends::new(allowed, repeatable),
+            sends: SendSequence::new(allowed, repeatable),
             tried: Vec::new(),
             ends: Vec::new(),
             may_have_run: false,
@@ -113,13 +113,13 @@
     /// Takes the end of a send, and says what it tells of the server.
     pub fn ended(&mut self, ended: Result<ServerResponse, Trouble>) -> End {
         let (stage, event) = match &ended {
-            Ok(reply) => (Stage::Answering, event(reply)),
-            Err(Trouble::Unsent) => (Stage::Unconnected, Event::NoConnection),
-            Err(Trouble::Unknown) => (Stage::Answering, Event::Broken),
-            Err(Trouble::TimedOut) => (Stage::Answering, Event::Silence),
+            Ok(reply) => (SendStage::Answering, event(reply)),
+            Err(Trouble::Unsent) => (SendStage::Unconnected, SendEvent::NoConnection),
+            Err(Trouble::Unknown) => (SendStage::Answering, SendEvent::Broken),
+            Err(Trouble::TimedOut) => (SendStage::Answering, SendEvent::TimedOut),
         };
         // What did not reach a server is still to be had under the ceiling.
-        self.under_ceiling = event == Event::NoConnection;
+        self.under_ceiling = event == SendEvent::NoConnection;
         let status = ended.as_ref().ok().map(|reply| reply.status());
         let failure = status.is_some_and(|status| status.is_server_error());
         let fate = self.sends.ended(stage, event, failure);
@@ -130,17 +130,19 @@
         };
         match (fate, ended) {
             // It has not been sent: what is known of it is what was known before.
-            (Fate::NotRun, Err(_)) => {}
-            (Fate::NotRun, Ok(_)) => self.turned_away(status),
-            (Fate::Answered, Ok(reply)) => self.fallback = Outcome::Answered(reply),
-            _ if event == Event::Silence => self.fallback = Outcome::TimedOut(Cause::NoAnswer.into()),
+            (ExecutionStatus::NotRun, Err(_)) => {}
+            (ExecutionStatus::NotRun, Ok(_)) => self.turned_away(status),
+            (ExecutionStatus::Answered, Ok(reply)) => self.fallback = Outcome::Answered(reply),
+            _ if event == SendEvent::TimedOut => self.fallback = Outcome::TimedOut(Cause::NoAnswer.into()),
             (_, Ok(_)) => self.fallback = Outcome::Unknown(Cause::UnprovenRefusal.into()),
             (_, Err(_)) => self.fallback = Outcome::Unknown(Cause::AnswerLost.into()),
         }
         match event {
-            Event::NotRun if status == Some(StatusCode::MISDIRECTED_REQUEST) => End::Failed,
-            Event::NotRun => End::TurnedAway,
-            Event::NoConnection | Event::Broken | Event::Silence | Event::Noise => End::Failed,
+            SendEvent::NotRun if status == Some(StatusCode::MISDIRECTED_REQUEST) => End::Failed,
+            SendEvent::NotRun => End::TurnedAway,
+            SendEvent::NoConnection | SendEvent::Broken | SendEvent::TimedOut | SendEvent::Malformed => {
+                End::Failed
+            }
             _ if failure => End::Erred,
             _ => End::Answered,
         }
@@ -174,16 +176,16 @@
 }
 
 /// What a whole answer of a server says.
-fn event(reply: &ServerResponse) -> Event {
+fn event(reply: &ServerResponse) -> SendEvent {
     let status = reply.status();
     let failure = status.is_client_error() || status.is_server_error();
     let said = says_not_run(reply);
     match status.as_u16() {
-        _ if said && failure => Event::NotRun,
+        _ if said && failure => SendEvent::NotRun,
         // One that says that it has not run and what came of it.
-        _ if said => Event::Noise,
-        408 | 429 | 503 => Event::Unproven,
-        _ if status.is_server_error() => Event::Failure,
-        _ => Event::Success,
+        _ if said => SendEvent::Malformed,
+        408 | 429 | 503 => SendEvent::UnprovenRefusal,
+        _ if status.is_server_error() => SendEvent::Failure,
+        _ => SendEvent::Success,
     }
 }
--- a/glenfall/src/proxy/origins.rs
+++ b/glenfall/src/proxy/origins.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use glenfall_balancer::mix;
-use glenfall_plane::fleet::edge_mark;
+use glenfall_plane::fleet::edge_hash;
 use glenfall_plane::invariant::Invariant;
 use glenfall_plane::messages::Server;
 use tokio::time::Instant;
@@ -103,7 +103,7 @@
 impl Origins {
     /// `node` is the name of this machine: each draws in an order of its own, the same one every time.
     pub fn new(zone: &str, near: bool, node: &str) -> Self {
-        let mark = edge_mark(node);
+        let mark = edge_hash(node);
         let zone = zone.to_owned();
         let own_subsets = RefCell::new(OwnSubsets::new(mark));
         Origins { zone, near, known: RefCell::default(), own_subsets, rng: RefCell::new(mark) }
--- a/glenfall/src/proxy/pool.rs
+++ b/glenfall/src/proxy/pool.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use glenfall_http::send::{self, Event, Fate};
-use glenfall_http::{BodyEnd, Connection, Failed, OpenSocket, Progress, Sent};
+use glenfall_http::send::{self, ExecutionStatus, SendEvent};
+use glenfall_http::{BodyEnd, Connection, ExchangeError, OpenSocket, Progress, RequestProgress};
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap};
@@ -176,7 +176,7 @@
             if !still() {
                 return Err(Trouble::Unsent);
             }
-            let sent = Sent::default();
+            let sent = RequestProgress::default();
             let ended = self.exchange_on(&mut connection, request(), &sent, whole_within, until).await;
             match ended {
                 Ok(Answered { reply, kept_for }) => {
@@ -189,16 +189,16 @@
                     let stage = sent.stage();
                     // Nothing is read or written on it any more.
                     drop(connection);
-                    if event == Event::Foreign {
+                    if event == SendEvent::WrongRequest {
                         // What else the server says on connections that it had before may be as wrong.
                         self.forget(addr);
                     }
                     // It had been closed, or something came on it unasked; the server has seen nothing.
-                    let was_stale = reused && event == Event::Broken;
-                    match send::fate(stage, event, false) {
-                        Fate::NotRun if was_stale => {}
-                        Fate::NotRun => return Err(Trouble::Unsent),
-                        _ if event == Event::Silence => return Err(Trouble::TimedOut),
+                    let was_stale = reused && event == SendEvent::Broken;
+                    match send::execution_status(stage, event, false) {
+                        ExecutionStatus::NotRun if was_stale => {}
+                        ExecutionStatus::NotRun => return Err(Trouble::Unsent),
+                        _ if event == SendEvent::TimedOut => return Err(Trouble::TimedOut),
                         _ => return Err(Trouble::Unknown),
                     }
                 }
@@ -227,26 +227,28 @@
         &self,
         connection: &mut Connection,
         request: Request<Full<Bytes>>,
-        sent: &Sent,
+        sent: &RequestProgress,
         whole_within: Option<Duration>,
         until: Instant,
-    ) -> Result<Answered, Event> {
+    ) -> Result<Answered, SendEvent> {
         let method = request.method().clone();
         let progress = Rc::clone(&connection.progress);
         // What waits for memory of ours is no fault of the server's.
         let waiting = Cell::new(false);
         let exchange = async {
             match connection.send(request, Some(&TRY_ID), sent).await {
-                Ok(response) => read(response, &method, &self.memory, &waiting).await.ok_or(Event::Noise),
-                Err(Failed::Unsent | Failed::Broken(_)) => Err(Event::Broken),
-                Err(Failed::Foreign) => Err(Event::Foreign),
+                Ok(response) => {
+                    read(response, &method, &self.memory, &waiting).await.ok_or(SendEvent::Malformed)
+                }
+                Err(ExchangeError::Unsent | ExchangeError::Broken(_)) => Err(SendEvent::Broken),
+                Err(ExchangeError::Foreign) => Err(SendEvent::WrongRequest),
             }
         };
         tokio::select! {
             biased;
             ended = exchange => ended,
-            () = stalled(&progress, whole_within, &waiting) => Err(Event::Noise),
-            () = tokio::time::sleep_until(until) => Err(Event::Silence),
+            () = stalled(&progress, whole_within, &waiting) => Err(SendEvent::Malformed),
+            () = tokio::time::sleep_until(until) => Err(SendEvent::TimedOut),
         }
     }
 
--- a/glenfall/src/proxy/serve.rs
+++ b/glenfall/src/proxy/serve.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use glenfall_plane::config::ReqLimits;
+use glenfall_plane::config::RequestLimits;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -67,7 +67,7 @@
     /// Answers a request that was read whole. Dropped where its client goes.
     fn answer(&self, request: Whole) -> impl Future<Output = Answer>;
     /// What clients have to keep to.
-    fn limits(&self) -> ReqLimits;
+    fn limits(&self) -> RequestLimits;
     /// Answers close their connections: the process leaves.
     fn leaving(&self) -> bool;
     /// A request was turned away before it was read whole.
@@ -427,7 +427,7 @@
 async fn read_whole<'a>(
     head: &Parts,
     body: Incoming,
-    limits: &ReqLimits,
+    limits: &RequestLimits,
     clients: &'a Clients,
 ) -> Result<(Bytes, BodyReservation<'a>), LocalResponse> {
     if head.uri.authority().is_some() || head.method == hyper::Method::CONNECT {
@@ -455,7 +455,7 @@
     mut body: Incoming,
     stated: usize,
     most: usize,
-    limits: &ReqLimits,
+    limits: &RequestLimits,
     reservation: &mut BodyReservation<'_>,
 ) -> Result<Bytes, LocalResponse> {
     let began = Instant::now();
--- a/glenfall/src/session/lease.rs
+++ b/glenfall/src/session/lease.rs
@@ -44,6 +44,6 @@
 
     /// Whether it stands now.
     pub fn stands(&self) -> bool {
-        self.lease.get().stands(self.now())
+        self.lease.get().is_valid(self.now())
     }
 }
--- a/glenfall/src/session/link.rs
+++ b/glenfall/src/session/link.rs
@@ -7,7 +7,7 @@
 
 use bytes::{Buf, BytesMut};
 use glenfall_plane::invariant;
-use glenfall_plane::messages::LONGEST_FRAME;
+use glenfall_plane::messages::MAX_FRAME_BYTES;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use socket2::SockRef;
@@ -113,7 +113,7 @@
     let taken = std::mem::take(buffer);
     *buffer = postcard::to_extend(message, taken).map_err(invalid)?;
     let length = buffer.len() - at - 4;
-    if length > LONGEST_FRAME {
+    if length > MAX_FRAME_BYTES {
         return Err(invalid("frame too long"));
     }
     buffer[at..at + 4].copy_from_slice(&(length as u32).to_le_bytes());
@@ -139,7 +139,7 @@
         loop {
             if let Some(length) = self.buffer.first_chunk::<4>() {
                 let length = u32::from_le_bytes(*length) as usize;
-                if length > LONGEST_FRAME {
+                if length > MAX_FRAME_BYTES {
                     return Err(invalid("frame too long"));
                 }
                 if self.buffer.len() >= 4 + length {
--- a/glenfall/src/session/publisher.rs
+++ b/glenfall/src/session/publisher.rs
@@ -14,7 +14,7 @@
 
 use glenfall_plane::invariant::Invariant;
 use glenfall_plane::lease::Grants;
-use glenfall_plane::messages::{Down, Member, News, Up};
+use glenfall_plane::messages::{Member, PublisherMessage, SubscriberMessage, Update};
 use glenfall_plane::Millis;
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{interval, timeout, timeout_at, Instant, MissedTickBehavior};
@@ -29,7 +29,7 @@
 const CLOSING: Duration = Duration::from_millis(50);
 
 struct Session {
-    outbox: Outbox<Down>,
+    outbox: Outbox<PublisherMessage>,
     /// Ends the session where it is taken off the list.
     _stands: oneshot::Sender<Infallible>,
     node: String,
@@ -45,7 +45,7 @@
 
 #[derive(Clone, Copy)]
 struct Renewal {
-    sent: Millis,
+    sent_at: Millis,
     received: Millis,
 }
 
@@ -149,14 +149,14 @@
 
     /// Grants a session a lease upon its last request; false where it has not asked, or none can be granted.
     fn grant(&self, id: u64, session: &Session) -> bool {
-        let Some(Renewal { sent, received }) = session.renewal else { return false };
+        let Some(Renewal { sent_at, received }) = session.renewal else { return false };
         if self.overdue.borrow().contains_key(&id) {
             return false;
         }
         let until = self.vouches_until.get();
         let granted = self.grants.borrow_mut().grant_part(self.now(), id, received, until);
         let Some(lasts) = granted else { return false };
-        session.outbox.send(Down::Granted { sent, lasts })
+        session.outbox.send(PublisherMessage::LeaseGranted { sent_at, duration: lasts })
     }
 
     /// When the last lease that sessions have is over; `None` where none has one.
@@ -173,12 +173,12 @@
         &self,
         reach: Reach,
         mut frames: Frames,
-        outbox: Outbox<Down>,
-        greet: impl FnOnce() -> (Vec<Down>, Vec<News>),
-        proved: impl Future<Output = Option<Vec<News>>>,
+        outbox: Outbox<PublisherMessage>,
+        greet: impl FnOnce() -> (Vec<PublisherMessage>, Vec<Update>),
+        proved: impl Future<Output = Option<Vec<Update>>>,
         changed: impl Fn(),
     ) {
-        let Ok(Up::Hello { node, member }) = frames.next_in_time().await else { return };
+        let Ok(SubscriberMessage::Hello { node, member }) = frames.next_in_time().await else { return };
         if self.all.borrow().len() >= MOST {
             tracing::warn!(%node, "session turned away: too many");
             return;
@@ -217,8 +217,8 @@
         &self,
         id: u64,
         frames: &mut Frames,
-        outbox: &Outbox<Down>,
-        proved: impl Future<Output = Option<Vec<News>>>,
+        outbox: &Outbox<PublisherMessage>,
+        proved: impl Future<Output = Option<Vec<Update>>>,
         mut dropped: oneshot::Receiver<Infallible>,
         changed: &impl Fn(),
     ) -> Ended {
@@ -243,7 +243,7 @@
                     Err(error) => return Ended::by(&error),
                 },
                 _ = ping.tick() => {
-                    if !outbox.send(Down::Ping) {
+                    if !outbox.send(PublisherMessage::Ping) {
                         return Ended::Lost;
                     }
                 }
@@ -255,7 +255,7 @@
     }
 
     /// Tells a session of configurations from now on, beginning with these; false where it ends.
-    fn prove(&self, id: u64, news: Option<Vec<News>>) -> bool {
+    fn prove(&self, id: u64, news: Option<Vec<Update>>) -> bool {
         let Some(news) = news else { return false };
         match self.all.borrow_mut().get_mut(&id) {
             Some(session) => {
@@ -267,22 +267,23 @@
     }
 
     /// Takes what a session says; true where it was answered with a lease.
-    fn hear(&self, id: u64, up: Up, changed: &impl Fn()) -> bool {
+    fn hear(&self, id: u64, up: SubscriberMessage, changed: &impl Fn()) -> bool {
         let mut all = self.all.borrow_mut();
         let Some(session) = all.get_mut(&id) else { return false };
         match up {
-            Up::Ping => {}
-            Up::Renew { sent } => {
-                let asked_before = session.renewal.replace(Renewal { sent, received: self.now() }).is_some();
+            SubscriberMessage::Ping => {}
+            SubscriberMessage::RenewLease { sent_at } => {
+                let asked_before =
+                    session.renewal.replace(Renewal { sent_at, received: self.now() }).is_some();
                 return !(self.relays && asked_before) && self.grant(id, session);
             }
-            Up::Released => {
+            SubscriberMessage::LeaseReleased => {
                 session.renewal = None;
                 self.grants.borrow_mut().release(&id);
                 self.applied.notify_waiters();
             }
-            Up::Report(report) => session.report = report,
-            Up::Applied(number) => {
+            SubscriberMessage::Counters(report) => session.report = report,
+            SubscriberMessage::Applied(number) => {
                 let sent = session.sent;
                 Invariant::AppliedWasSent.check(number <= sent, || format!("{number} of {sent}"));
                 session.applied = session.applied.max(number);
@@ -292,7 +293,7 @@
                 }
                 self.applied.notify_waiters();
             }
-            Up::Hello { node, member } => {
+            SubscriberMessage::Hello { node, member } => {
                 (session.node, session.member) = (node, member);
                 drop(all);
                 changed();
@@ -302,15 +303,15 @@
     }
 
     /// Pushes a change to all.
-    pub fn push(&self, news: &News) {
+    pub fn push(&self, news: &Update) {
         // A session whose queue is full would miss this, and with the next one seem to have applied it: it ends here, and
         // begins anew with all.
-        let told = |session: &Session| session.proved || !matches!(news, News::Config { .. });
+        let told = |session: &Session| session.proved || !matches!(news, Update::Config { .. });
         self.all.borrow_mut().retain(|_, session| !told(session) || session.push(news.clone()));
     }
 
     /// Says something to all that is no change.
-    pub fn tell(&self, down: &Down) {
+    pub fn tell(&self, down: &PublisherMessage) {
         for session in self.all.borrow().values() {
             let _ = session.outbox.send(down.clone());
         }
@@ -441,9 +442,9 @@
 }
 
 impl Session {
-    fn push(&mut self, news: News) -> bool {
+    fn push(&mut self, news: Update) -> bool {
         self.sent += 1;
-        self.outbox.send(Down::Push { number: self.sent, news })
+        self.outbox.send(PublisherMessage::Push { number: self.sent, update: news })
     }
 }
 
@@ -461,7 +462,7 @@
 async fn closed_in_time(frames: &mut Frames) -> bool {
     let read_out = async {
         loop {
-            if let Err(error) = frames.next::<Up>().await {
+            if let Err(error) = frames.next::<SubscriberMessage>().await {
                 return Ended::by(&error) == Ended::Closed;
             }
         }
--- a/glenfall/src/session/subscriber.rs
+++ b/glenfall/src/session/subscriber.rs
@@ -4,7 +4,7 @@
 
 use glenfall_plane::invariant::Invariant;
 use glenfall_plane::lease::VOTER_LEASE;
-use glenfall_plane::messages::{Down, Up};
+use glenfall_plane::messages::{PublisherMessage, SubscriberMessage};
 use glenfall_plane::Millis;
 use tokio::sync::Notify;
 use tokio::time::{interval, sleep, MissedTickBehavior};
@@ -15,10 +15,10 @@
 const REPORT: Duration = Duration::from_secs(5);
 
 /// Sends counters for as long as the session takes them.
-pub async fn send_reports(outbox: &Outbox<Up>, report: impl Fn() -> Vec<(String, u64)>) {
+pub async fn send_reports(outbox: &Outbox<SubscriberMessage>, report: impl Fn() -> Vec<(String, u64)>) {
     loop {
         sleep(REPORT).await;
-        if !outbox.send(Up::Report(report())) {
+        if !outbox.send(SubscriberMessage::Counters(report())) {
             return;
         }
     }
@@ -29,11 +29,11 @@
 /// that what came can't be built on: it begins anew then.
 pub async fn follow(
     mut frames: Frames,
-    outbox: Outbox<Up>,
-    hello: impl Fn() -> Up,
+    outbox: Outbox<SubscriberMessage>,
+    hello: impl Fn() -> SubscriberMessage,
     now: impl Fn() -> Millis,
     changed: &Notify,
-    mut take: impl AsyncFnMut(Down) -> bool,
+    mut take: impl AsyncFnMut(PublisherMessage) -> bool,
 ) {
     if !outbox.send(hello()) {
         return;
@@ -43,26 +43,26 @@
     let mut last = 0;
     loop {
         tokio::select! {
-            down = frames.next_in_time::<Down>() => {
+            down = frames.next_in_time::<PublisherMessage>() => {
                 let Ok(down) = down else { return };
                 let number = match &down {
-                    Down::Push { number, .. } => Some(*number),
-                    Down::Leaving => return,
+                    PublisherMessage::Push { number, .. } => Some(*number),
+                    PublisherMessage::Draining => return,
                     _ => None,
                 };
                 if let Some(number) = number {
                     Invariant::PushesInOrder.check(number == last + 1, || format!("{number} after {last}"));
                     last = number;
                 }
-                if let Down::Granted { sent, lasts } = down {
+                if let PublisherMessage::LeaseGranted { sent_at, duration: lasts } = down {
                     // It may answer a request of a while ago; what is left of the lease counts.
-                    let left = sent.saturating_add(lasts).saturating_sub(now());
+                    let left = sent_at.saturating_add(lasts).saturating_sub(now());
                     Invariant::LeaseIsBounded.check(left <= VOTER_LEASE, || format!("{left} ms left"));
                 }
-                if !matches!(down, Down::Ping) && !take(down).await {
+                if !matches!(down, PublisherMessage::Ping) && !take(down).await {
                     return;
                 }
-                if number.is_some_and(|number| !outbox.send(Up::Applied(number))) {
+                if number.is_some_and(|number| !outbox.send(SubscriberMessage::Applied(number))) {
                     return;
                 }
             }
@@ -72,7 +72,7 @@
                 }
             }
             _ = ping.tick() => {
-                if !outbox.send(Up::Renew { sent: now() }) {
+                if !outbox.send(SubscriberMessage::RenewLease { sent_at: now() }) {
                     return;
                 }
             }
--- a/glenfall/src/shield.rs
+++ b/glenfall/src/shield.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 use glenfall_balancer::mix;
-use glenfall_plane::ceiling::Holder;
-use glenfall_plane::config::{Config, ReqLimits, Route};
+use glenfall_plane::ceiling::QuotaHolder;
+use glenfall_plane::config::{Config, RequestLimits, Route};
 use glenfall_plane::fleet::Fleet;
-use glenfall_plane::messages::{Aged, Proxy, Purge};
+use glenfall_plane::messages::{AgedPurge, ProxyRole, Purge};
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::Method;
 use tokio::task::spawn_local;
@@ -90,7 +90,7 @@
     /// All fetches under way, also those that are not joined any more as a purge has come since.
     fetches: Cell<usize>,
     read_from_disk: Cell<bool>,
-    purged_early: RefCell<Vec<Aged>>,
+    purged_early: RefCell<Vec<AgedPurge>>,
     /// Control has told of all purges that came before this process began.
     told_all: Cell<bool>,
     counters: Counters,
@@ -107,7 +107,7 @@
         let (disk_cache, found) = opened.unzip();
         let shield = Rc::new(Shield {
             feed,
-            forwarder: Forwarder::new(pool, boot, Proxy::Shield),
+            forwarder: Forwarder::new(pool, boot, ProxyRole::Shield),
             cache: RefCell::new(Cache::new(most)),
             disk_cache,
             found: RefCell::new(found.is_some().then(|| Cache::new(most))),
@@ -318,13 +318,13 @@
 
     fn fleet(&self, fleet: &Fleet) {
         self.forwarder.update(fleet);
-        let ready = fleet.shields.iter().filter(|member| member.ready && member.proxy == Proxy::Shield);
+        let ready = fleet.shields.iter().filter(|member| member.ready && member.proxy == ProxyRole::Shield);
         // Whoever has not heard of all yet takes it that all there are by rights ask as well.
         let of = ready.count().max(if fleet.complete { 1 } else { fleet.cores as usize });
-        self.forwarder.hold(Holder::Shield { of });
+        self.forwarder.hold(QuotaHolder::Shield { of });
     }
 
-    fn purge(&self, purges: &[Aged]) {
+    fn purge(&self, purges: &[AgedPurge]) {
         let mut cache = self.cache.borrow_mut();
         let mut flights = self.flights.borrow_mut();
         for purge in purges {
@@ -406,9 +406,9 @@
         response.into()
     }
 
-    fn limits(&self) -> ReqLimits {
+    fn limits(&self) -> RequestLimits {
         // Edges have kept clients to the operator's limits; what they add must fit too.
-        ReqLimits {
+        RequestLimits {
             max_header_bytes: 64 << 10,
             max_body_bytes: 0,
             header_timeout_ms: 5000,
--- a/glenfall/src/shield/disk_cache.rs
+++ b/glenfall/src/shield/disk_cache.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall_plane::purges::REMEMBERED;
+use glenfall_plane::purges::PURGE_RETENTION;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use nix::time::{clock_gettime, ClockId};
 use rusqlite::{Connection, OptionalExtension};
@@ -43,7 +43,7 @@
 const CLOCK_OFF: Duration = Duration::from_secs(3);
 /// What was written longer ago than this before a start is not used: purges of that time are not remembered. Less
 /// than that time, by what a start takes.
-const FRESH: Duration = Duration::from_millis(REMEMBERED - 20_000);
+const FRESH: Duration = Duration::from_millis(PURGE_RETENTION - 20_000);
 /// Pause after the disk refused something.
 const AGAIN: Duration = Duration::from_millis(500);
 
--- a/glenfall/src/shield/fetch.rs
+++ b/glenfall/src/shield/fetch.rs
@@ -109,8 +109,8 @@
         RouteTerms {
             tries: route.tries,
             deadline: Duration::from_millis(route.deadline_ms),
-            aim: route.aim(),
-            rank: config.rank(route),
+            aim: route.latency_target(),
+            rank: config.priority_rank(route),
             per_s: config.backend(service).and_then(|backend| backend.rate_per_s),
         }
     }
--- a/glenfall/tests/bounds.rs
+++ b/glenfall/tests/bounds.rs
@@ -7,8 +7,8 @@
 use glenfall::control::purge_log::PurgeLog;
 use glenfall::proxy::cache::ObjectKey;
 use glenfall::shield::disk_cache::{DiskCache, MOST_WAITING};
-use glenfall_plane::messages::{Aged, Purge, Stamped, LONGEST_FRAME};
-use glenfall_plane::purges::{Purges, MOST};
+use glenfall_plane::messages::{AgedPurge, Purge, PurgeRecord, MAX_FRAME_BYTES};
+use glenfall_plane::purges::{PurgeHistory, MAX_PURGES};
 use hyper::header::HeaderMap;
 
 fn folder(name: &str) -> PathBuf {
@@ -23,7 +23,7 @@
 }
 
 /// Opens the log once whoever had it before has let go of it.
-fn open_log(folder: &Path) -> (PurgeLog, Vec<Stamped>) {
+fn open_log(folder: &Path) -> (PurgeLog, Vec<PurgeRecord>) {
     let began = Instant::now();
     loop {
         let (log, found) = PurgeLog::open(folder).unwrap();
@@ -40,28 +40,28 @@
     let folder = folder("purges");
     let (log, _) = PurgeLog::open(&folder).unwrap();
     // Of the length of a long path; thrice as many as are remembered.
-    let stamped = |number: u64| Stamped {
+    let stamped = |number: u64| PurgeRecord {
         origin: [10, 0, 0, 1].into(),
-        life: 7,
+        incarnation: 7,
         number,
         age_ms: 0,
         purge: Purge::Label(format!("{number:0200}")),
     };
-    for some in 0..3 * MOST as u64 / 512 {
+    for some in 0..3 * MAX_PURGES as u64 / 512 {
         log.write((some * 512..(some + 1) * 512).map(stamped).collect()).blocking_recv().unwrap();
     }
     // The purges, half-empty pages, and a log of 1,000 pages that SQLite plays back at that length.
     let size = bytes_in(&folder);
-    assert!(size < MOST as u64 * 500 + 1100 * 4096, "{size} bytes on disk");
+    assert!(size < MAX_PURGES as u64 * 500 + 1100 * 4096, "{size} bytes on disk");
     drop(log);
     let (_log, found) = open_log(&folder);
-    assert_eq!(found.len(), MOST + 1, "one more than are remembered");
-    assert_eq!(found.last().unwrap().number, 3 * MOST as u64 - 1, "the newest");
-    let mut purges = Purges::default();
-    purges.take(0, found);
+    assert_eq!(found.len(), MAX_PURGES + 1, "one more than are remembered");
+    assert_eq!(found.last().unwrap().number, 3 * MAX_PURGES as u64 - 1, "the newest");
+    let mut purges = PurgeHistory::default();
+    purges.record(0, found);
     assert_eq!(
         purges.missed(0),
-        [Aged { purge: Purge::Everything, age_ms: 0 }],
+        [AgedPurge { purge: Purge::Everything, age_ms: 0 }],
         "others are known to be missing"
     );
     std::fs::remove_dir_all(&folder).unwrap();
@@ -108,25 +108,31 @@
 
 #[test]
 fn all_purges_that_are_remembered_fit_in_one_frame_however_long_they_are() {
-    let mut purges = Purges::default();
+    let mut purges = PurgeHistory::default();
     let long = |number: u64| {
         // As long as a caller may make them.
         let purge = Purge::Object { hostname: "h".repeat(8 << 10), path: "/p".repeat(4 << 10) };
-        Stamped { origin: [10, 0, 0, 1].into(), life: u64::MAX, number, age_ms: 0, purge }
+        PurgeRecord { origin: [10, 0, 0, 1].into(), incarnation: u64::MAX, number, age_ms: 0, purge }
     };
     for number in 0..1000 {
-        assert_eq!(purges.take(number, vec![long(number)]).len(), 1);
-        let frame = postcard::to_stdvec(&purges.all(number)).unwrap().len();
-        assert!(frame < LONGEST_FRAME - (LONGEST_FRAME >> 4), "{frame} bytes after {number}");
+        assert_eq!(purges.record(number, vec![long(number)]).len(), 1);
+        let frame = postcard::to_stdvec(&purges.snapshot(number)).unwrap().len();
+        assert!(frame < MAX_FRAME_BYTES - (MAX_FRAME_BYTES >> 4), "{frame} bytes after {number}");
     }
-    assert_eq!(purges.missed(1000), [Aged { purge: Purge::Everything, age_ms: 0 }]);
+    assert_eq!(purges.missed(1000), [AgedPurge { purge: Purge::Everything, age_ms: 0 }]);
     // Short ones as well, whose numbers are longer than what they name.
-    let mut purges = Purges::default();
+    let mut purges = PurgeHistory::default();
     let short = |number: u64| {
         let purge = Purge::Label("l".into());
-        Stamped { origin: [10, 0, 0, 1].into(), life: u64::MAX, number: u64::MAX - number, age_ms: 0, purge }
+        PurgeRecord {
+            origin: [10, 0, 0, 1].into(),
+            incarnation: u64::MAX,
+            number: u64::MAX - number,
+            age_ms: 0,
+            purge,
+        }
     };
-    purges.take(0, (0..MOST as u64).map(short).collect());
-    assert_eq!(purges.all(0).len(), MOST);
-    assert!(postcard::to_stdvec(&purges.all(0)).unwrap().len() < LONGEST_FRAME / 2);
+    purges.record(0, (0..MAX_PURGES as u64).map(short).collect());
+    assert_eq!(purges.snapshot(0).len(), MAX_PURGES);
+    assert!(postcard::to_stdvec(&purges.snapshot(0)).unwrap().len() < MAX_FRAME_BYTES / 2);
 }
--- a/glenfall/tests/contact.rs
+++ b/glenfall/tests/contact.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use common::{await_that, request, System, PATIENCE};
-use glenfall_plane::messages::{Down, News, Open, Peer, Up};
+use glenfall_plane::messages::{ConnectionOpening, PeerMessage, PublisherMessage, SubscriberMessage, Update};
 
 fn frame(message: &impl serde::Serialize) -> Vec<u8> {
     let body = postcard::to_stdvec(message).unwrap();
@@ -57,7 +57,7 @@
 /// An agent that says that it is there, asks for leases, and applies nothing.
 struct Agent {
     end: End,
-    heard: Vec<News>,
+    heard: Vec<Update>,
     /// Of the leases granted, each as long as the longest.
     leases: usize,
 }
@@ -65,23 +65,23 @@
 impl Agent {
     fn open(addr: SocketAddrV4) -> Agent {
         let mut stream = TcpStream::connect(addr).unwrap();
-        stream.write_all(&frame(&Open::Session)).unwrap();
-        stream.write_all(&frame(&Up::Hello { node: "a".into(), member: None })).unwrap();
+        stream.write_all(&frame(&ConnectionOpening::Session)).unwrap();
+        stream.write_all(&frame(&SubscriberMessage::Hello { node: "a".into(), member: None })).unwrap();
         Agent { end: End::of(stream), heard: Vec::new(), leases: 0 }
     }
 
     fn hear(&mut self) {
-        for down in self.end.hear(&Up::Renew { sent: 0 }) {
+        for down in self.end.hear(&SubscriberMessage::RenewLease { sent_at: 0 }) {
             match down {
-                Down::Push { news, .. } => self.heard.push(news),
-                Down::Granted { .. } => self.leases += 1,
+                PublisherMessage::Push { update: news, .. } => self.heard.push(news),
+                PublisherMessage::LeaseGranted { .. } => self.leases += 1,
                 _ => {}
             }
         }
     }
 
     fn configured(&self) -> bool {
-        self.heard.iter().any(|news| matches!(news, News::Config { .. }))
+        self.heard.iter().any(|news| matches!(news, Update::Config { .. }))
     }
 }
 
@@ -215,7 +215,13 @@
     listener.set_nonblocking(true).unwrap();
     let call = |n: &u8| {
         let mut stream = TcpStream::connect(core.session_addrs(*n)[0]).unwrap();
-        stream.write_all(&frame(&Open::Peer { ip: ip(2), life: 1, others: Vec::new() })).unwrap();
+        stream
+            .write_all(&frame(&ConnectionOpening::Peer {
+                ip: ip(2),
+                incarnation: 1,
+                known_peers: Vec::new(),
+            }))
+            .unwrap();
         (ip(*n), End::of(stream))
     };
     let mut speaks: BTreeMap<Ipv4Addr, End> = reached.iter().map(call).collect();
@@ -227,12 +233,12 @@
             hears.push((None, End::of(stream)));
         }
         for end in speaks.values_mut() {
-            let _: Vec<Peer> = end.hear(&Peer::Alive);
+            let _: Vec<PeerMessage> = end.hear(&PeerMessage::KeepAlive);
         }
         for (from, end) in &mut hears {
             let Some(from) = from else {
                 end.fill();
-                if let Some(Open::Peer { ip, .. }) = end.next() {
+                if let Some(ConnectionOpening::Peer { ip, .. }) = end.next() {
                     *from = Some(ip);
                 }
                 continue;
@@ -241,11 +247,11 @@
                 end.ended = true;
                 continue;
             };
-            for message in end.hear(&Peer::Alive) {
-                let Peer::Urgent { id, .. } = message else { continue };
+            for message in end.hear(&PeerMessage::KeepAlive) {
+                let PeerMessage::ReplicateServer { id, .. } = message else { continue };
                 times += 1;
                 if asked == Asked::Answers {
-                    back.stream.write_all(&frame(&Peer::Done { id, complete: true })).unwrap();
+                    back.stream.write_all(&frame(&PeerMessage::Acknowledged { id, complete: true })).unwrap();
                 }
             }
         }
--- a/glenfall/tests/hostile.rs
+++ b/glenfall/tests/hostile.rs
@@ -15,7 +15,7 @@
 use glenfall::proxy::pool::Pool;
 use glenfall::proxy::serve::TRY_ID;
 use glenfall_plane::fleet::Fleet;
-use glenfall_plane::messages::{Proxy, Server};
+use glenfall_plane::messages::{ProxyRole, Server};
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, Uri};
 use rand::seq::IndexedRandom;
@@ -357,7 +357,7 @@
          [listeners]\n[timing]\nretryRatio = 1.2\nretrySlack = 0\n",
     );
     let direct =
-        Forwarder::new(Pool::new(64, MemoryBudget::new(64 << 20)), &boot.expect("settings"), Proxy::Edge);
+        Forwarder::new(Pool::new(64, MemoryBudget::new(64 << 20)), &boot.expect("settings"), ProxyRole::Edge);
     direct.update(&Fleet { complete: true, servers, shields: Vec::new(), edges: vec![1], cores: 1 });
     direct
 }
--- a/glenfall/tests/lives.rs
+++ b/glenfall/tests/lives.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use common::{await_that, request, System, EDGE};
-use glenfall_plane::messages::{CallId, Open, Peer};
+use glenfall_plane::messages::{CallId, ConnectionOpening, PeerMessage};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -34,7 +34,7 @@
 fn keep_alive(stream: &Arc<Mutex<TcpStream>>) {
     let stream = Arc::clone(stream);
     thread::spawn(move || {
-        while say(&stream, &Peer::Alive).is_some() {
+        while say(&stream, &PeerMessage::KeepAlive).is_some() {
             thread::sleep(ALIVE);
         }
     });
@@ -49,9 +49,9 @@
             let tell = tell.clone();
             keep_alive(&Arc::new(Mutex::new(stream.try_clone().unwrap())));
             thread::spawn(move || {
-                let Some(Open::Peer { ip, .. }) = hear(&mut stream) else { return };
-                while let Some(message) = hear::<Peer>(&mut stream) {
-                    if let Peer::Purges { id: Some(id), .. } = message {
+                let Some(ConnectionOpening::Peer { ip, .. }) = hear(&mut stream) else { return };
+                while let Some(message) = hear::<PeerMessage>(&mut stream) {
+                    if let PeerMessage::Purges { id: Some(id), .. } = message {
                         let _ = tell.send((ip, id));
                     }
                 }
@@ -69,9 +69,10 @@
     let asked = listen(link(EDGE));
     let stream = TcpStream::connect(link(1)).unwrap();
     let mut reader = stream.try_clone().unwrap();
-    thread::spawn(move || while hear::<Peer>(&mut reader).is_some() {});
+    thread::spawn(move || while hear::<PeerMessage>(&mut reader).is_some() {});
     let stream = Arc::new(Mutex::new(stream));
-    say(&stream, &Open::Peer { ip: *link(EDGE).ip(), life: 9, others: Vec::new() }).unwrap();
+    say(&stream, &ConnectionOpening::Peer { ip: *link(EDGE).ip(), incarnation: 9, known_peers: Vec::new() })
+        .unwrap();
     keep_alive(&stream);
     // Whether a purge is acknowledged where the peer answers so.
     let purged = |change: fn(CallId) -> CallId| {
@@ -81,12 +82,12 @@
                 request(core.control_addr(1), "POST /api/purge", "Host: c\r\n", r#"{"label": "x"}"#)
             });
             let id = asked.recv_timeout(Duration::from_secs(10)).ok().map(|(_, id)| id);
-            id.and_then(|id| say(&stream, &Peer::Done { id: change(id), complete: true }));
+            id.and_then(|id| say(&stream, &PeerMessage::Acknowledged { id: change(id), complete: true }));
             (id, told.join().unwrap().map(|heard| heard.0))
         })
     };
     await_that("the peer is asked, and its answer acknowledges", || purged(|id| id).1 == Some(200));
-    let (id, told) = purged(|id| CallId { life: id.life ^ 1, ..id });
+    let (id, told) = purged(|id| CallId { incarnation: id.incarnation ^ 1, ..id });
     assert!(id.is_some() && told != Some(200), "the same number in another life: {id:?}, {told:?}");
     let (id, told) = purged(|id| CallId { number: id.number + 1, ..id });
     assert!(id.is_some() && told != Some(200), "another number in this life: {id:?}, {told:?}");
--- a/glenfall/tests/send_budget.rs
+++ b/glenfall/tests/send_budget.rs
@@ -5,7 +5,7 @@
 
 use glenfall::edge::read_plan::{AskEnd, Next, ReadPlan, Verdict, MOST_ASKS};
 use glenfall::proxy::send_budget::{Allowance, SendBudget, SendReport, Usage, SENDS};
-use glenfall_http::send::{Event, Sends, Stage};
+use glenfall_http::send::{SendEvent, SendSequence, SendStage};
 use hyper::header::{HeaderMap, HeaderValue};
 
 /// Milliseconds of simulated time.
@@ -98,7 +98,7 @@
 
     /// Sends to servers until one answers or the allowance is used. Returns when that ends, and whether well.
     fn fetch(&mut self, sender: usize, began: Ms, allowance: Allowance) -> (Ms, bool, SendReport) {
-        let mut sends = Sends::new(allowance.sends, true);
+        let mut sends = SendSequence::new(allowance.sends, true);
         let (mut now, mut good) = (began, false);
         while sends.may_begin() && now < DEADLINE {
             let server = self.senders[sender].next % SERVERS;
@@ -108,16 +108,16 @@
             let another = sends.another_may_follow() || allowance.held_back > 0;
             let until = if another { now + (DEADLINE - now) / 2 } else { DEADLINE };
             let (at, event) = match self.servers[server] {
-                ServerActs::Answers => (now + PROMPT, Event::Success),
-                ServerActs::AnswersLate => (now + LATE, Event::Success),
-                ServerActs::Fails => (now + PROMPT, Event::Failure),
-                ServerActs::Resets => (now + PROMPT, Event::Broken),
-                ServerActs::Hangs => (Ms::MAX, Event::Silence),
+                ServerActs::Answers => (now + PROMPT, SendEvent::Success),
+                ServerActs::AnswersLate => (now + LATE, SendEvent::Success),
+                ServerActs::Fails => (now + PROMPT, SendEvent::Failure),
+                ServerActs::Resets => (now + PROMPT, SendEvent::Broken),
+                ServerActs::Hangs => (Ms::MAX, SendEvent::TimedOut),
             };
-            let (at, event) = if at > until { (until, Event::Silence) } else { (at, event) };
+            let (at, event) = if at > until { (until, SendEvent::TimedOut) } else { (at, event) };
             now = at;
-            good = event == Event::Success;
-            sends.ended(Stage::Answering, event, event == Event::Failure);
+            good = event == SendEvent::Success;
+            sends.ended(SendStage::Answering, event, event == SendEvent::Failure);
         }
         (now, good, SendReport { used: sends.used(), short: sends.is_short() })
     }
--- a/glenfall/tests/sessions.rs
+++ b/glenfall/tests/sessions.rs
@@ -6,7 +6,7 @@
 
 use glenfall::session::link::{self, Frames, Outbox};
 use glenfall::session::publisher::{Reach, Sessions};
-use glenfall_plane::messages::{Down, News, Open, Up};
+use glenfall_plane::messages::{ConnectionOpening, PublisherMessage, SubscriberMessage, Update};
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
@@ -17,7 +17,7 @@
 const VAIN: Duration = Duration::from_millis(50);
 
 /// A follower that says hello, and takes and acknowledges nothing by itself.
-async fn follower(sessions: &Rc<Sessions>, node: &str) -> (Frames, Outbox<Up>) {
+async fn follower(sessions: &Rc<Sessions>, node: &str) -> (Frames, Outbox<SubscriberMessage>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let std::net::SocketAddr::V4(addr) = listener.local_addr().unwrap() else { unreachable!() };
     let serving = Rc::clone(sessions);
@@ -25,16 +25,16 @@
         let (stream, _) = listener.accept().await.unwrap();
         let (read, write) = stream.into_split();
         let mut frames = Frames::new(read);
-        frames.next::<Open>().await.unwrap();
+        frames.next::<ConnectionOpening>().await.unwrap();
         let greet = || (Vec::new(), Vec::new());
         serving
             .serve(Reach::Network, frames, Outbox::start(write), greet, ready(Some(Vec::new())), || {})
             .await;
     });
-    let (read, write) = link::open(addr, &Open::Session).await.unwrap();
+    let (read, write) = link::open(addr, &ConnectionOpening::Session).await.unwrap();
     let outbox = Outbox::start(write);
     let standing = sessions.seen().len();
-    assert!(outbox.send(Up::Hello { node: node.into(), member: None }));
+    assert!(outbox.send(SubscriberMessage::Hello { node: node.into(), member: None }));
     until(|| sessions.seen().len() > standing).await;
     (Frames::new(read), outbox)
 }
@@ -63,15 +63,15 @@
         let sessions = Rc::new(Sessions::default());
         let (_behind, _silent) = follower(&sessions, "behind").await;
         let (_frames, says) = follower(&sessions, "well").await;
-        sessions.push(&News::InTouch(true));
-        assert!(says.send(Up::Applied(1)));
+        sessions.push(&Update::Connected(true));
+        assert!(says.send(SubscriberMessage::Applied(1)));
         until(|| sessions.seen().iter().any(|seen| seen.applied == 1)).await;
         assert!(!sessions.applied(VAIN).await);
         // On its way to both when the one that is behind is let go of.
-        sessions.push(&News::InTouch(true));
+        sessions.push(&Update::Connected(true));
         sessions.drop_behind(Duration::ZERO);
         assert_eq!(names(&sessions), ["well"]);
-        assert!(says.send(Up::Applied(2)));
+        assert!(says.send(SubscriberMessage::Applied(2)));
         assert!(sessions.applied(PATIENCE).await);
         sessions.drop_behind(Duration::ZERO);
         assert_eq!(names(&sessions), ["well"]);
@@ -86,9 +86,9 @@
         for number in 0..5 {
             followers.push(follower(&sessions, &number.to_string()).await);
         }
-        sessions.push(&News::InTouch(true));
+        sessions.push(&Update::Connected(true));
         for (at, done) in [(4, false), (1, false), (0, false), (3, false), (2, true)] {
-            assert!(followers[at].1.send(Up::Applied(1)));
+            assert!(followers[at].1.send(SubscriberMessage::Applied(1)));
             until(|| sessions.seen()[at].applied == 1).await;
             assert_eq!(sessions.applied(VAIN).await, done, "after {at}");
         }
@@ -103,17 +103,17 @@
         // More than the queue of a link holds, before any of it is written.
         let most = 1500;
         for _ in 0..most {
-            sessions.push(&News::InTouch(true));
+            sessions.push(&Update::Connected(true));
         }
         assert!(sessions.seen().is_empty(), "it has missed a push and still stands");
         let mut last = 0;
         let ended = async {
-            while let Ok(down) = frames.next::<Down>().await {
-                if let Down::Push { number, .. } = down {
+            while let Ok(down) = frames.next::<PublisherMessage>().await {
+                if let PublisherMessage::Push { number, .. } = down {
                     assert_eq!(number, last + 1, "a push was left out before it");
                     last = number;
                 }
-                assert!(says.send(Up::Ping));
+                assert!(says.send(SubscriberMessage::Ping));
             }
         };
         timeout(PATIENCE, ended).await.expect("the session ends");
@@ -126,19 +126,23 @@
     local(async {
         let sessions = Rc::new(Sessions::default());
         let (mut frames, says) = follower(&sessions, "early").await;
-        assert!(says.send(Up::Renew { sent: 7 }));
+        assert!(says.send(SubscriberMessage::RenewLease { sent_at: 7 }));
         // What follows on the same connection has been taken after it.
-        assert!(says.send(Up::Report(vec![("marker".into(), 1)])));
+        assert!(says.send(SubscriberMessage::Counters(vec![("marker".into(), 1)])));
         until(|| sessions.seen().iter().any(|seen| !seen.report.is_empty())).await;
         sessions.vouch_until(Instant::now() + PATIENCE);
         // It asks no second time. Something is said on a link again and again, so that these waits end.
         for _ in 0..3 {
-            match timeout(PATIENCE, frames.next::<Down>()).await.expect("it goes on").expect("a message") {
-                Down::Granted { sent, lasts } => {
-                    assert!(sent == 7 && lasts > 0, "{sent} {lasts}");
+            match timeout(PATIENCE, frames.next::<PublisherMessage>())
+                .await
+                .expect("it goes on")
+                .expect("a message")
+            {
+                PublisherMessage::LeaseGranted { sent_at, duration: lasts } => {
+                    assert!(sent_at == 7 && lasts > 0, "{sent_at} {lasts}");
                     return;
                 }
-                other => assert_eq!(other, Down::Ping),
+                other => assert_eq!(other, PublisherMessage::Ping),
             }
         }
         panic!("nothing is granted before it asks again");
--- a/glenfall/tests/store.rs
+++ b/glenfall/tests/store.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 
 use glenfall::control::store::{create, path_in, Found, Store};
-use glenfall_plane::chain::{Durable, Members, Record};
-use glenfall_plane::orders::{OrderKey, TakenOrder, TakenOrders};
+use glenfall_plane::chain::{HardState, JointConfig, Record};
+use glenfall_plane::orders::{AppliedOrder, DeduplicationTable, IdempotencyKey};
 use recorder::{await_recorder, crashes, read_folder, record, say, write_folder, Files, Step};
 
 /// The test that is run as a process of its own, and followed.
@@ -33,15 +33,15 @@
 const IMPORT: &str = "import";
 
 /// The state that is written as number `n`: of one page or of several.
-fn state(n: u64) -> Durable {
+fn state(n: u64) -> HardState {
     let size = if n.is_multiple_of(2) { 14_000 } else { 90 };
     let document = (0..size).map(|at| (at * (n + 6) % 251) as u8).collect();
     // Some chunks of the table of taken orders with each.
-    let order = |rev: u64| TakenOrder { rev, key: OrderKey([rev as u8; 32]) };
-    let taken = TakenOrders::listed(0, &(1..=n * 90).map(order).collect::<Vec<_>>()).unwrap();
-    let record = Record { seq: n, rev: n, document, taken };
-    let members = Members::of(vec![[10, 0, 0, 1].into()]);
-    Durable { members, votes: true, promised: n, accepted: n, record: Arc::new(record) }
+    let order = |rev: u64| AppliedOrder { rev, key: IdempotencyKey([rev as u8; 32]) };
+    let taken = DeduplicationTable::listed(0, &(1..=n * 90).map(order).collect::<Vec<_>>()).unwrap();
+    let record = Record { seq: n, rev: n, document, applied_orders: taken };
+    let members = JointConfig::of(vec![[10, 0, 0, 1].into()]);
+    HardState { members, votes: true, promised: n, accepted: n, record: Arc::new(record) }
 }
 
 #[test]
--- a/glenfall/tests/unit/backup.rs
+++ b/glenfall/tests/unit/backup.rs
@@ -1,14 +1,18 @@
 //! Backups of the chain's state.
 
 use glenfall::control::backup::{Backup, BackupError};
-use glenfall_plane::chain::{Members, Record};
-use glenfall_plane::orders::{OrderKey, TakenOrder, TakenOrders};
+use glenfall_plane::chain::{JointConfig, Record};
+use glenfall_plane::orders::{AppliedOrder, DeduplicationTable, IdempotencyKey};
 
 fn backup() -> Backup {
-    let order = |(rev, byte)| TakenOrder { rev, key: OrderKey([byte; 32]) };
-    let taken = TakenOrders::listed(5, &[(7, 0x1a), (9, 0x2b)].map(order)).unwrap();
-    let record =
-        Record { seq: 4, rev: 9, document: b"{\"rev\": 9, \"paths\": [], \"backends\": []}".to_vec(), taken };
+    let order = |(rev, byte)| AppliedOrder { rev, key: IdempotencyKey([byte; 32]) };
+    let taken = DeduplicationTable::listed(5, &[(7, 0x1a), (9, 0x2b)].map(order)).unwrap();
+    let record = Record {
+        seq: 4,
+        rev: 9,
+        document: b"{\"rev\": 9, \"paths\": [], \"backends\": []}".to_vec(),
+        applied_orders: taken,
+    };
     Backup::of(&[[10, 0, 0, 1].into(), [10, 0, 0, 2].into()], 48, &record)
 }
 
@@ -40,7 +44,7 @@
 fn it_becomes_the_state_of_each_voter() {
     let state = backup().state(vec![[10, 0, 0, 9].into()], 0).unwrap();
     assert_eq!((state.promised, state.accepted, state.record.rev), (48, 48, 9));
-    assert_eq!(state.members, Members::of(vec![[10, 0, 0, 9].into()]));
+    assert_eq!(state.members, JointConfig::of(vec![[10, 0, 0, 9].into()]));
     assert!(state.votes);
 }
 
@@ -48,7 +52,10 @@
 fn of_what_was_taken_since_the_export_no_version_is_taken_again() {
     for (acknowledged, up_to) in [(0, 5), (5, 5), (12, 12)] {
         let state = backup().state(vec![[10, 0, 0, 9].into()], acknowledged).unwrap();
-        assert_eq!((state.record.taken.forgotten_up_to(), state.record.taken.len()), (up_to, 2));
+        assert_eq!(
+            (state.record.applied_orders.forgotten_up_to(), state.record.applied_orders.len()),
+            (up_to, 2)
+        );
     }
 }
 
@@ -65,7 +72,7 @@
     let before = BEFORE.replace("CRC", &crc.to_string());
     let state = Backup::read(before.as_bytes()).unwrap().state(vec![[10, 0, 0, 9].into()], 0).unwrap();
     assert_eq!((state.record.seq, state.record.rev), (4, 9));
-    assert_eq!(state.record.taken, TakenOrders::forgotten(9));
+    assert_eq!(state.record.applied_orders, DeduplicationTable::forgotten(9));
     let spoilt = before.replace("[9, 2]", "[9, 3]");
     assert!(matches!(Backup::read(spoilt.as_bytes()), Err(BackupError::Checksum)));
 }
--- a/glenfall/tests/unit/cache.rs
+++ b/glenfall/tests/unit/cache.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use glenfall::proxy::cache::{Cache, Copy, OVERHEAD};
 use glenfall::proxy::response::ServerResponse;
-use glenfall_plane::messages::{Aged, Purge};
+use glenfall_plane::messages::{AgedPurge, Purge};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
@@ -30,13 +30,13 @@
     Rc::new(Copy::of(&response, Instant::now()).expect("kept"))
 }
 
-fn now(purge: Purge) -> Aged {
-    Aged { purge, age_ms: 0 }
+fn now(purge: Purge) -> AgedPurge {
+    AgedPurge { purge, age_ms: 0 }
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_purge_told_late_spares_what_was_asked_for_since() {
-    let told = |age_s: u64| Aged { purge: Purge::Everything, age_ms: age_s * 1000 };
+    let told = |age_s: u64| AgedPurge { purge: Purge::Everything, age_ms: age_s * 1000 };
     tokio::time::advance(Duration::from_secs(100)).await;
     let mut cache = Cache::new(1 << 20);
     cache.insert(key("/old"), copy("body", ""));
--- a/glenfall/tests/unit/edge.rs
+++ b/glenfall/tests/unit/edge.rs
@@ -9,7 +9,7 @@
 use glenfall::proxy::memory_budget::MemoryBudget;
 use glenfall::proxy::pool::Pool;
 use glenfall::proxy::response::ServerResponse;
-use glenfall_plane::messages::{Aged, Down, News, Proxy, Purge};
+use glenfall_plane::messages::{AgedPurge, ProxyRole, PublisherMessage, Purge, Update};
 use hyper::header::HeaderValue;
 use hyper::Response;
 use tokio::time::Instant;
@@ -18,14 +18,16 @@
 
 fn edge() -> (Rc<Edge>, Rc<Feed>) {
     let boot = Rc::new(settings(""));
-    let feed = Feed::new(Rc::clone(&boot), Proxy::Edge);
+    let feed = Feed::new(Rc::clone(&boot), ProxyRole::Edge);
     (Edge::new(&boot, Rc::clone(&feed), Pool::new(8, MemoryBudget::new(1 << 20))), feed)
 }
 
 /// In touch, and with a lease that lasts so long from the start of the test on.
 fn in_touch(edge: &Edge, feed: &Feed, lasts: Duration) {
-    assert!(feed.hear(Down::Push { number: 1, news: News::InTouch(true) }, edge));
-    assert!(feed.hear(Down::Granted { sent: 0, lasts: lasts.as_millis() as u64 }, edge));
+    assert!(feed.hear(PublisherMessage::Push { number: 1, update: Update::Connected(true) }, edge));
+    assert!(
+        feed.hear(PublisherMessage::LeaseGranted { sent_at: 0, duration: lasts.as_millis() as u64 }, edge)
+    );
 }
 
 fn from_shield(tags: &'static str) -> ServerResponse {
@@ -50,7 +52,7 @@
     edge.keep(&object("/b"), &from_shield("u"), Instant::now());
     let age = edge.copy(&object("/a")).map(|copy| copy.age());
     assert_eq!(age, Some(Duration::from_millis(1500)));
-    let now = |purge| Aged { purge, age_ms: 0 };
+    let now = |purge| AgedPurge { purge, age_ms: 0 };
     let one = Purge::Object { hostname: "h".into(), path: "/c".into() };
     edge.purge(&[now(Purge::Label("t".into())), now(one)]);
     assert!(!kept(&edge, "/a") && kept(&edge, "/b"));
@@ -72,7 +74,7 @@
     in_touch(&edge, &feed, Duration::from_secs(600));
     let purges: Vec<Purge> = (0..2 * MOST_PURGED).map(|n| Purge::Label(n.to_string())).collect();
     for purge in purges {
-        edge.purge(&[Aged { purge, age_ms: 0 }]);
+        edge.purge(&[AgedPurge { purge, age_ms: 0 }]);
     }
     assert!(edge.remembered_purges() <= MOST_PURGED);
     edge.keep(&object("/a"), &from_shield("t"), Instant::now());
@@ -82,7 +84,7 @@
 #[tokio::test(start_paused = true)]
 async fn without_a_lease_nothing_is_kept_and_one_that_ended_comes_back_with_the_next_grant() {
     let (edge, feed) = edge();
-    assert!(feed.hear(Down::Push { number: 1, news: News::InTouch(true) }, &*edge));
+    assert!(feed.hear(PublisherMessage::Push { number: 1, update: Update::Connected(true) }, &*edge));
     edge.keep(&object("/a"), &from_shield("t"), Instant::now());
     assert!(!kept(&edge, "/a") && !feed.vouches(), "in touch, and no lease");
     in_touch(&edge, &feed, Duration::from_millis(1200));
@@ -92,11 +94,11 @@
     tokio::time::advance(Duration::from_millis(1200)).await;
     assert!(!feed.vouches());
     // A grant that waited meanwhile is as old as its request.
-    assert!(feed.hear(Down::Granted { sent: 100, lasts: 1100 }, &*edge));
+    assert!(feed.hear(PublisherMessage::LeaseGranted { sent_at: 100, duration: 1100 }, &*edge));
     assert!(!feed.vouches());
-    assert!(feed.hear(Down::Granted { sent: 1200, lasts: 1000 }, &*edge));
+    assert!(feed.hear(PublisherMessage::LeaseGranted { sent_at: 1200, duration: 1000 }, &*edge));
     assert!(feed.vouches());
-    assert!(feed.hear(Down::Push { number: 2, news: News::InTouch(false) }, &*edge));
-    assert!(feed.hear(Down::Push { number: 3, news: News::InTouch(true) }, &*edge));
+    assert!(feed.hear(PublisherMessage::Push { number: 2, update: Update::Connected(false) }, &*edge));
+    assert!(feed.hear(PublisherMessage::Push { number: 3, update: Update::Connected(true) }, &*edge));
     assert!(!feed.vouches(), "a lease from before contact was lost");
 }
--- a/glenfall/tests/unit/forward.rs
+++ b/glenfall/tests/unit/forward.rs
@@ -9,9 +9,9 @@
 use glenfall::proxy::memory_budget::MemoryBudget;
 use glenfall::proxy::pool::Pool;
 use glenfall::proxy::serve::TRY_ID;
-use glenfall_plane::ceiling::Holder;
+use glenfall_plane::ceiling::QuotaHolder;
 use glenfall_plane::fleet::Fleet;
-use glenfall_plane::messages::{Proxy, Server};
+use glenfall_plane::messages::{ProxyRole, Server};
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, Uri};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -40,7 +40,7 @@
 /// A way to servers that know as many requests of clients.
 fn way(servers: Vec<Server>, counted: u32) -> Forwarder {
     let boot = settings("[timing]\nretryRatio = 1.2\nretrySlack = 0\n");
-    let direct = Forwarder::new(Pool::new(8, MemoryBudget::new(1 << 20)), &boot, Proxy::Edge);
+    let direct = Forwarder::new(Pool::new(8, MemoryBudget::new(1 << 20)), &boot, ProxyRole::Edge);
     direct.update(&Fleet { complete: true, servers, shields: Vec::new(), edges: vec![1], cores: 1 });
     (0..counted).for_each(|_| direct.count("s"));
     direct
@@ -87,7 +87,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_first_try_waits_a_little_for_its_turn_under_a_ceiling_and_a_further_one_does_not() {
     let direct = way(Vec::new(), 0);
-    direct.hold(Holder::Shield { of: 1 });
+    direct.hold(QuotaHolder::Shield { of: 1 });
     let uri = Uri::from_static("/x");
     let asked = |per_s| UpstreamRequest { per_s, ..job(&uri, true, 2) };
     assert!(direct.under_ceiling(&asked(None), false).await, "none is stated");
--- a/glenfall/tests/unit/origins.rs
+++ b/glenfall/tests/unit/origins.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use glenfall::proxy::origins::{End, InFlight, Origins, REST};
-use glenfall_plane::fleet::edge_mark;
+use glenfall_plane::fleet::edge_hash;
 use glenfall_plane::messages::Server;
 use glenfall_plane::subset;
 use tokio::time::Instant;
@@ -21,7 +21,7 @@
 }
 
 fn marks() -> Vec<u64> {
-    (0..90).map(|n| edge_mark(&format!("edge-{n}"))).collect()
+    (0..90).map(|n| edge_hash(&format!("edge-{n}"))).collect()
 }
 
 fn drawn(origins: &Origins, warm: impl Fn(SocketAddr) -> bool) -> BTreeSet<String> {
--- a/glenfall/tests/unit/proxies.rs
+++ b/glenfall/tests/unit/proxies.rs
@@ -15,8 +15,8 @@
 use glenfall::proxy::pool::Pool;
 use glenfall::proxy::serve::{serve_at, Terms, Whole};
 use glenfall::shield::{self, Shield};
-use glenfall_plane::fleet::{Fleet, Told};
-use glenfall_plane::messages::{Down, Member, News, Proxy, Server};
+use glenfall_plane::fleet::{Fleet, FleetUpdate};
+use glenfall_plane::messages::{Member, ProxyRole, PublisherMessage, Server, Update};
 use hyper::Request;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
@@ -147,10 +147,10 @@
 
 /// Tells a proxy what control would.
 fn tell(feed: &Feed, follower: &impl Follower, fleet: &Fleet) {
-    assert!(feed.take(News::Config { rev: 1, document: document() }, follower));
-    assert!(feed.take(News::Fleet(Told::Whole { number: 1, fleet: fleet.clone() }), follower));
-    assert!(feed.take(News::InTouch(true), follower));
-    assert!(feed.hear(Down::Granted { sent: 0, lasts: 600_000 }, follower));
+    assert!(feed.take(Update::Config { rev: 1, document: document() }, follower));
+    assert!(feed.take(Update::Fleet(FleetUpdate::Snapshot { version: 1, fleet: fleet.clone() }), follower));
+    assert!(feed.take(Update::Connected(true), follower));
+    assert!(feed.hear(PublisherMessage::LeaseGranted { sent_at: 0, duration: 600_000 }, follower));
 }
 
 /// A pool with room for all answers of a test.
@@ -171,7 +171,7 @@
     pool: Rc<Pool>,
 ) -> (Rc<Edge>, Rc<Feed>) {
     let boot = Rc::new(settings(&format!("{SETTINGS}{timing}")));
-    let feed = Feed::new(Rc::clone(&boot), Proxy::Edge);
+    let feed = Feed::new(Rc::clone(&boot), ProxyRole::Edge);
     let edge = Edge::new(&boot, Rc::clone(&feed), pool);
     tell(&feed, &*edge, &fleet(servers, shields));
     sleep(RETRY_WINDOW).await;
@@ -198,7 +198,7 @@
 /// Starts a shield, and returns where it takes reads.
 async fn start_shield(is_told: bool, servers: &[Server], stopping: &watch::Receiver<bool>) -> SocketAddrV4 {
     let boot = Rc::new(settings(SETTINGS));
-    let feed = Feed::new(Rc::clone(&boot), Proxy::Shield);
+    let feed = Feed::new(Rc::clone(&boot), ProxyRole::Shield);
     let shield = Shield::new(&boot, Rc::clone(&feed), pool());
     if is_told {
         tell(&feed, &*shield, &fleet(servers, &[]));
@@ -241,7 +241,7 @@
     /// The same, with what feeds it.
     pub fn start_fed(self, servers: &[Server], stopping: &watch::Receiver<bool>) -> (Rc<Shield>, Rc<Feed>) {
         let boot = Rc::new(settings(SETTINGS));
-        let feed = Feed::new(Rc::clone(&boot), Proxy::Shield);
+        let feed = Feed::new(Rc::clone(&boot), ProxyRole::Shield);
         let shield = Shield::new(&boot, Rc::clone(&feed), pool());
         tell(&feed, &*shield, &fleet(servers, &[]));
         let listener = self.socket.listen(64).expect("it listens");
@@ -319,7 +319,7 @@
     let member = |(number, http): (usize, &SocketAddrV4)| Member {
         node: format!("shield-{number}"),
         zone: "other".into(),
-        proxy: Proxy::Shield,
+        proxy: ProxyRole::Shield,
         http: *http,
         ready: true,
         incarnation,
--- a/glenfall/tests/unit/purge_log.rs
+++ b/glenfall/tests/unit/purge_log.rs
@@ -1,14 +1,14 @@
 //! Purges on disk.
 
 use glenfall::control::purge_log::{PurgeLog, CLOCK_OFF};
-use glenfall_plane::messages::{Purge, Stamped};
-use glenfall_plane::purges::REMEMBERED;
+use glenfall_plane::messages::{Purge, PurgeRecord};
+use glenfall_plane::purges::PURGE_RETENTION;
 
 use crate::support::{copy_files, Folder};
 
-fn stamped(number: u64, age_ms: u64) -> Stamped {
+fn stamped(number: u64, age_ms: u64) -> PurgeRecord {
     let purge = Purge::Label(format!("l{number}"));
-    Stamped { origin: [10, 0, 0, 1].into(), life: 7, number, age_ms, purge }
+    PurgeRecord { origin: [10, 0, 0, 1].into(), incarnation: 7, number, age_ms, purge }
 }
 
 #[test]
@@ -16,9 +16,10 @@
     let folder = Folder::new("purges");
     let (log, found) = PurgeLog::open(&folder).unwrap();
     assert_eq!(found, []);
-    log.write(vec![stamped(1, 0), stamped(2, REMEMBERED - 60_000)]).blocking_recv().unwrap();
-    log.write(vec![stamped(3, REMEMBERED + 1), stamped(4, 0)]).blocking_recv().unwrap();
-    let numbers = |found: &[Stamped]| found.iter().map(|s| (s.number, s.purge.clone())).collect::<Vec<_>>();
+    log.write(vec![stamped(1, 0), stamped(2, PURGE_RETENTION - 60_000)]).blocking_recv().unwrap();
+    log.write(vec![stamped(3, PURGE_RETENTION + 1), stamped(4, 0)]).blocking_recv().unwrap();
+    let numbers =
+        |found: &[PurgeRecord]| found.iter().map(|s| (s.number, s.purge.clone())).collect::<Vec<_>>();
     let label = |n: u64| (n, Purge::Label(format!("l{n}")));
     drop(log);
     // The thread lets go of the file when it has seen that nobody writes any more.
@@ -29,7 +30,7 @@
         }
     };
     assert_eq!(numbers(&found), [label(1), label(2), label(4)]);
-    assert!(found[1].age_ms + CLOCK_OFF as u64 >= REMEMBERED - 60_000);
+    assert!(found[1].age_ms + CLOCK_OFF as u64 >= PURGE_RETENTION - 60_000);
 }
 
 /// What lies in the folder at the moment when a purge is said to be written, its thread stopped there or going on.
--- a/glenfall/tests/unit/relay.rs
+++ b/glenfall/tests/unit/relay.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddrV4;
 
 use glenfall::control::relay::{BeatRelay, MOST};
-use glenfall_plane::messages::Peer;
-use glenfall_plane::registry::{Entry, EntryStatus, Heard, Registry};
+use glenfall_plane::messages::PeerMessage;
+use glenfall_plane::registry::{EntryStatus, HeartbeatOutcome, Registry, ServerEntry};
 
-fn entry(number: usize, call_seq: u64) -> Entry {
-    Entry {
+fn entry(number: usize, call_seq: u64) -> ServerEntry {
+    ServerEntry {
         id: format!("s{number}"),
         backend: "b".into(),
         addr: SocketAddrV4::new([127, 0, 0, 1].into(), number as u16 + 1),
@@ -19,9 +19,9 @@
     }
 }
 
-fn told(relay: &BeatRelay, now: u64) -> Vec<(Entry, u64)> {
+fn told(relay: &BeatRelay, now: u64) -> Vec<(ServerEntry, u64)> {
     match relay.take(now) {
-        Some(Peer::Servers(beats)) => beats,
+        Some(PeerMessage::Servers(beats)) => beats,
         None => Vec::new(),
         Some(other) => panic!("{other:?} is no list of servers"),
     }
@@ -50,12 +50,12 @@
 fn a_beat_that_was_gathered_takes_back_nothing_that_was_said_since() {
     let relay = BeatRelay::default();
     let mut peer = Registry::new(500);
-    peer.hear(0, 0, entry(1, 1));
+    peer.observe(0, 0, entry(1, 1));
     relay.add(10, entry(1, 2));
-    let draining = Entry { status: EntryStatus::Draining, ..entry(1, 3) };
-    assert_eq!(peer.hear(20, 0, draining.clone()), Heard::Changed);
+    let draining = ServerEntry { status: EntryStatus::Draining, ..entry(1, 3) };
+    assert_eq!(peer.observe(20, 0, draining.clone()), HeartbeatOutcome::Changed);
     for (beat, age) in told(&relay, 60) {
-        assert_eq!(peer.hear(60, age, beat), Heard::Late);
+        assert_eq!(peer.observe(60, age, beat), HeartbeatOutcome::Stale);
     }
     assert_eq!(peer.entry("s1"), Some(&draining));
 }
--- a/glenfall/tests/unit/serve.rs
+++ b/glenfall/tests/unit/serve.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use glenfall::proxy::serve::{passed_on, plain, serve_at, Answer, Handler, Terms, Whole};
-use glenfall_plane::config::ReqLimits;
+use glenfall_plane::config::RequestLimits;
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -19,7 +19,7 @@
 
 /// Tells how long the bodies are; who asks for `/held` waits for ever.
 struct Lengths {
-    limits: Cell<ReqLimits>,
+    limits: Cell<RequestLimits>,
     held: Notify,
 }
 
@@ -34,7 +34,7 @@
         answer
     }
 
-    fn limits(&self) -> ReqLimits {
+    fn limits(&self) -> RequestLimits {
         self.limits.get()
     }
 
@@ -43,7 +43,7 @@
     }
 }
 
-const LIMITS: ReqLimits = ReqLimits {
+const LIMITS: RequestLimits = RequestLimits {
     max_header_bytes: 8 << 10,
     max_body_bytes: 4000,
     header_timeout_ms: 150,
@@ -51,7 +51,7 @@
 };
 
 /// Takes clients until the sender is dropped.
-async fn serving(limits: ReqLimits) -> (Rc<Lengths>, SocketAddrV4, watch::Sender<bool>) {
+async fn serving(limits: RequestLimits) -> (Rc<Lengths>, SocketAddrV4, watch::Sender<bool>) {
     let (listener, listen) = listener().await;
     let (stop, stopping) = watch::channel(false);
     let (still_accepting, grace) = (Duration::ZERO, Duration::ZERO);
@@ -159,18 +159,18 @@
     run_local(async {
         // The idle limit at first, and after a change.
         let (first, later) = (600, 60_000);
-        let limits = ReqLimits { idle_timeout_ms: first, max_body_bytes: 4, ..ReqLimits::default() };
+        let limits = RequestLimits { idle_timeout_ms: first, max_body_bytes: 4, ..RequestLimits::default() };
         let (handler, addr, _stop) = serving(limits).await;
         let mut stream = TcpStream::connect(addr).await.expect("a connection");
         assert!(asked(&mut stream).await.expect("an answer").starts_with("HTTP/1.1 200 "));
         // While it rests, clients are allowed to rest for longer.
-        let limits = ReqLimits { idle_timeout_ms: later, ..limits };
+        let limits = RequestLimits { idle_timeout_ms: later, ..limits };
         handler.limits.set(limits);
         sleep(Duration::from_millis(2 * first)).await;
         let after = asked(&mut stream).await;
         assert!(after.expect("the connection is there").starts_with("HTTP/1.1 200 "));
         // Bodies may be shorter only.
-        handler.limits.set(ReqLimits { max_body_bytes: 3, ..limits });
+        handler.limits.set(RequestLimits { max_body_bytes: 3, ..limits });
         let large = asked(&mut stream).await;
         assert!(large.expect("an answer").starts_with("HTTP/1.1 413 "));
     });
@@ -179,13 +179,13 @@
 #[test]
 fn a_client_that_rests_has_the_idle_limit_of_when_it_was_answered_where_that_is_longer() {
     run_local(async {
-        let limits = ReqLimits { idle_timeout_ms: 3000, ..ReqLimits::default() };
+        let limits = RequestLimits { idle_timeout_ms: 3000, ..RequestLimits::default() };
         let (handler, addr, _stop) = serving(limits).await;
         let mut stream = TcpStream::connect(addr).await.expect("a connection");
         sleep(Duration::from_millis(2000)).await;
         assert!(asked(&mut stream).await.is_some());
         // Far less is allowed from now on, and the connection is looked at 3 s after it was opened.
-        handler.limits.set(ReqLimits { idle_timeout_ms: 50, ..limits });
+        handler.limits.set(RequestLimits { idle_timeout_ms: 50, ..limits });
         sleep(Duration::from_millis(1500)).await;
         let after = asked(&mut stream).await;
         assert!(after.expect("the connection is there").starts_with("HTTP/1.1 200 "));
@@ -211,7 +211,7 @@
 #[test]
 fn a_new_client_takes_the_place_of_the_one_that_has_rested_longest_and_of_none_that_waits() {
     run_local(async {
-        let limits = ReqLimits { idle_timeout_ms: 60_000, ..LIMITS };
+        let limits = RequestLimits { idle_timeout_ms: 60_000, ..LIMITS };
         let (handler, addr, _stop) = serving(limits).await;
         let connect = || async { TcpStream::connect(addr).await.expect("a connection") };
         let ok = Some("HTTP/1.1 200 OK".to_owned());
--- a/glenfall/tests/unit/store.rs
+++ b/glenfall/tests/unit/store.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use glenfall::control::store::{path_in, start, verify, Found, Store};
-use glenfall_plane::chain::{Durable, Members, Record};
-use glenfall_plane::orders::{OrderKey, TakenOrder, TakenOrders, CHUNK, MOST_TAKEN};
+use glenfall_plane::chain::{HardState, JointConfig, Record};
+use glenfall_plane::orders::{AppliedOrder, DeduplicationTable, IdempotencyKey, CHUNK, MAX_APPLIED_ORDERS};
 use rusqlite::Connection;
 use serde::Serialize;
 
@@ -17,18 +17,18 @@
 const PRINTS: i64 = 2;
 const FIXED: i64 = 1;
 
-fn order(rev: u64) -> TakenOrder {
-    TakenOrder { rev, key: OrderKey([rev as u8; 32]) }
+fn order(rev: u64) -> AppliedOrder {
+    AppliedOrder { rev, key: IdempotencyKey([rev as u8; 32]) }
 }
 
-fn state(promised: u64, size: usize) -> Durable {
+fn state(promised: u64, size: usize) -> HardState {
     let document = (0..size).map(|n| (n * 7 % 251) as u8).collect();
     // One chunk that is full, and three orders more.
-    let orders: Vec<TakenOrder> = (1..=CHUNK as u64 + 3).map(order).collect();
-    let taken = TakenOrders::listed(0, &orders).unwrap();
-    let record = Record { seq: 67, rev: 67, document, taken };
-    let members = Members::of(vec![[10, 0, 0, 1].into()]);
-    Durable { members, votes: true, promised, accepted: 16, record: Arc::new(record) }
+    let orders: Vec<AppliedOrder> = (1..=CHUNK as u64 + 3).map(order).collect();
+    let taken = DeduplicationTable::listed(0, &orders).unwrap();
+    let record = Record { seq: 67, rev: 67, document, applied_orders: taken };
+    let members = JointConfig::of(vec![[10, 0, 0, 1].into()]);
+    HardState { members, votes: true, promised, accepted: 16, record: Arc::new(record) }
 }
 
 /// A state as the layouts before had it.
@@ -45,9 +45,10 @@
 #[test]
 fn each_layout_before_is_taken_over_once_and_its_prints_confirm_and_refuse_nothing() {
     let whole = state(64, 100);
-    let Durable { members, votes, promised, accepted, record } = whole.clone();
-    let taken = TakenOrders::forgotten(67);
-    let expected = Durable { record: Arc::new(Record { taken, ..(*record).clone() }), ..whole };
+    let HardState { members, votes, promised, accepted, record } = whole.clone();
+    let taken = DeduplicationTable::forgotten(67);
+    let expected =
+        HardState { record: Arc::new(Record { applied_orders: taken, ..(*record).clone() }), ..whole };
     let prints = [(7u64, 1u64), (9, 2)].as_slice();
     let record = (record.seq, record.rev, &record.document, prints);
     for before in [FIXED, PRINTS] {
@@ -100,19 +101,19 @@
 }
 
 /// A state with these orders in its table.
-fn with(orders: RangeInclusive<u64>) -> Durable {
+fn with(orders: RangeInclusive<u64>) -> HardState {
     let (rev, forgotten) = (*orders.end(), orders.start() - 1);
-    let orders: Vec<TakenOrder> = orders.map(order).collect();
-    let taken = TakenOrders::listed(forgotten, &orders).unwrap();
-    let record = Record { seq: rev, rev, document: b"{}".to_vec(), taken };
-    Durable { record: Arc::new(record), ..state(16, 0) }
+    let orders: Vec<AppliedOrder> = orders.map(order).collect();
+    let taken = DeduplicationTable::listed(forgotten, &orders).unwrap();
+    let record = Record { seq: rev, rev, document: b"{}".to_vec(), applied_orders: taken };
+    HardState { record: Arc::new(record), ..state(16, 0) }
 }
 
 #[test]
 fn taken_orders_are_written_once_and_those_that_leave_the_table_leave_the_file() {
     let folder = Folder::new("store-taken");
     let (store, _) = Store::open(&folder).unwrap();
-    let (most, chunk) = (MOST_TAKEN as u64, CHUNK as u64);
+    let (most, chunk) = (MAX_APPLIED_ORDERS as u64, CHUNK as u64);
     // The table grows, is full, lets go of its oldest chunk, and begins anew as a restored one does. Rows that are
     // written or deleted, that of the state included.
     let cases = [
@@ -154,7 +155,7 @@
 
 /// Opens a folder whose file holds these bytes. What is found is the state or that it is damaged; then the
 /// file can be written again, and a start after that knows that something was lost.
-fn open_spoilt(folder: &Path, bytes: &[u8], whole: &Durable, case: &str) -> bool {
+fn open_spoilt(folder: &Path, bytes: &[u8], whole: &HardState, case: &str) -> bool {
     let _ = std::fs::remove_dir_all(folder);
     std::fs::create_dir_all(folder).unwrap();
     std::fs::write(path_in(folder), bytes).unwrap();
--- a/glenfall/tests/unit/stored_data.rs
+++ b/glenfall/tests/unit/stored_data.rs
@@ -14,7 +14,7 @@
 use glenfall::control::store::{self, Found, Store};
 use glenfall::shield::disk_cache::{DiskCache, FILE as COPIES};
 use glenfall_plane::chain::{HardState, JointConfig, Record};
-use glenfall_plane::messages::{Purge, Stamped};
+use glenfall_plane::messages::{Purge, PurgeRecord};
 use glenfall_plane::orders::{AppliedOrder, DeduplicationTable, IdempotencyKey, CHUNK};
 use hyper::header::{HeaderMap, HeaderValue};
 use rusqlite::Connection;
@@ -59,11 +59,11 @@
 /// A joint configuration of three incoming and two outgoing voters, with a deduplication table.
 fn state() -> HardState {
     let ip = |last| [10, 0, 0, last].into();
-    let members = JointConfig { voters: vec![ip(1), ip(2), ip(3)], before: vec![ip(1), ip(2)] };
+    let members = JointConfig { voters: vec![ip(1), ip(2), ip(3)], outgoing: vec![ip(1), ip(2)] };
     let order = |rev: u64| AppliedOrder { rev, key: IdempotencyKey([rev as u8; 32]) };
     let orders: Vec<AppliedOrder> = (FIRST_ORDER..FIRST_ORDER + ORDERS).map(order).collect();
     let taken = DeduplicationTable::listed(FIRST_ORDER - 1, &orders).expect("a table");
-    let record = Arc::new(Record { seq: 71, rev: 90, document: DOCUMENT.to_vec(), taken });
+    let record = Arc::new(Record { seq: 71, rev: 90, document: DOCUMENT.to_vec(), applied_orders: taken });
     HardState { members, votes: true, promised: 1025, accepted: 513, record }
 }
 
@@ -85,11 +85,11 @@
     assert_eq!(Store::open(&folder).expect("opened again").1, Found::Kept(next));
 }
 
-fn purge(number: u64, purge: Purge) -> Stamped {
-    Stamped { origin: [10, 0, 0, 1].into(), life: 1_000_000_007, number, age_ms: 500, purge }
+fn purge(number: u64, purge: Purge) -> PurgeRecord {
+    PurgeRecord { origin: [10, 0, 0, 1].into(), incarnation: 1_000_000_007, number, age_ms: 500, purge }
 }
 
-fn purges() -> [Stamped; 3] {
+fn purges() -> [PurgeRecord; 3] {
     [
         purge(1, Purge::Object { hostname: "h".into(), path: "/p?q".into() }),
         purge(2, Purge::Label("l".into())),
@@ -117,7 +117,8 @@
     drop(db);
     let (_log, found) = PurgeLog::open(&folder).expect("opened");
     assert!(found.iter().all(|purge| purge.age_ms >= CLOCK_OFF as u64), "{found:?}");
-    let found: Vec<Stamped> = found.into_iter().map(|purge| Stamped { age_ms: 500, ..purge }).collect();
+    let found: Vec<PurgeRecord> =
+        found.into_iter().map(|purge| PurgeRecord { age_ms: 500, ..purge }).collect();
     assert_eq!(found, purges());
 }
 
--- a/http/src/connection.rs
+++ b/http/src/connection.rs
@@ -15,7 +15,7 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::Instant;
 
-use crate::socket::{OpenSocket, Progress, Sent, Socket};
+use crate::socket::{OpenSocket, Progress, RequestProgress, Socket};
 
 /// A connection whose answer has been read whole is free at once; one that is not is of no further use.
 const SETTLE: Duration = Duration::from_millis(5);
@@ -46,7 +46,7 @@
 
 /// Why there is no head of an answer.
 #[derive(Debug)]
-pub enum Failed {
+pub enum ExchangeError {
     /// Not all of the request was written: it has not run.
     Unsent,
     /// It was written whole and may have run.
@@ -79,8 +79,8 @@
         &mut self,
         mut request: Request<Full<Bytes>>,
         id: Option<&HeaderName>,
-        sent: &Sent,
-    ) -> Result<Response<Incoming>, Failed> {
+        sent: &RequestProgress,
+    ) -> Result<Response<Incoming>, ExchangeError> {
         let own = id.and_then(|id| Some((id, request.headers().get(id)?.clone())));
         sent.begin(&self.progress);
         self.progress.watch(&mut request);
@@ -93,12 +93,12 @@
                 };
                 match is_own {
                     true => Ok(response),
-                    false if sent.whole() => Err(Failed::Foreign),
-                    false => Err(Failed::Unsent),
+                    false if sent.whole() => Err(ExchangeError::Foreign),
+                    false => Err(ExchangeError::Unsent),
                 }
             }
-            Err(e) if sent.whole() => Err(Failed::Broken(e.into_error())),
-            Err(_) => Err(Failed::Unsent),
+            Err(e) if sent.whole() => Err(ExchangeError::Broken(e.into_error())),
+            Err(_) => Err(ExchangeError::Unsent),
         }
     }
 
@@ -149,7 +149,7 @@
 
 /// Whether what came on a connection is no answer, rather than the connection having been lost: the first
 /// does not tell of the server's process, the second does.
-pub fn unreadable(error: &hyper::Error) -> bool {
+pub fn is_unreadable(error: &hyper::Error) -> bool {
     let io = std::error::Error::source(error).and_then(|e| e.downcast_ref::<std::io::Error>());
     error.is_parse()
         || io.is_some_and(|e| matches!(e.kind(), ErrorKind::InvalidInput | ErrorKind::InvalidData))
--- a/http/src/lib.rs
+++ b/http/src/lib.rs
@@ -8,5 +8,5 @@
 pub mod send;
 mod socket;
 
-pub use connection::{unreadable, BodyEnd, Connection, Failed};
-pub use socket::{OpenSocket, Progress, Sent, Socket};
+pub use connection::{is_unreadable, BodyEnd, Connection, ExchangeError};
+pub use socket::{OpenSocket, Progress, RequestProgress, Socket};
--- a/http/src/send.rs
+++ b/http/src/send.rs
@@ -9,55 +9,55 @@
 
 /// How far a send has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Stage {
+pub enum SendStage {
     /// No connection yet.
     Unconnected,
     /// A connection, and nothing written on it.
-    Untouched,
+    Connected,
     /// Some of the request is written, and not its last byte.
-    Partly,
+    PartlySent,
     /// All of it is written.
-    Whole,
+    Sent,
     /// An interim answer (1xx) has come.
     Informed,
     /// The head of an answer has come, and not all of its body.
     Answering,
 }
 
-impl Stage {
+impl SendStage {
     /// All stages, in their order.
-    pub const ALL: [Stage; 6] = [
-        Stage::Unconnected,
-        Stage::Untouched,
-        Stage::Partly,
-        Stage::Whole,
-        Stage::Informed,
-        Stage::Answering,
+    pub const ALL: [SendStage; 6] = [
+        SendStage::Unconnected,
+        SendStage::Connected,
+        SendStage::PartlySent,
+        SendStage::Sent,
+        SendStage::Informed,
+        SendStage::Answering,
     ];
 
     /// The server has the last byte, or may have it.
     pub fn is_sent(self) -> bool {
-        self >= Stage::Whole
+        self >= SendStage::Sent
     }
 }
 
 /// What happens to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Event {
+pub enum SendEvent {
     /// The connection is refused or does not come up in time, or the server is to get nothing more.
     NoConnection,
     /// Reset or closed by the other side.
     Broken,
     /// The time that it had has passed.
-    Silence,
+    TimedOut,
     /// What came is no answer, or not one whose end can be told.
-    Noise,
+    Malformed,
     /// An answer that does not name this request.
-    Foreign,
+    WrongRequest,
     /// A whole answer with the word that the request has not run.
     NotRun,
     /// A whole answer whose status promises that, without the word: 408, 429, 503.
-    Unproven,
+    UnprovenRefusal,
     /// A whole answer that is a failure.
     Failure,
     /// Any other whole answer.
@@ -68,26 +68,26 @@
     Stopping,
 }
 
-impl Event {
+impl SendEvent {
     /// All events.
-    pub const ALL: [Event; 11] = [
-        Event::NoConnection,
-        Event::Broken,
-        Event::Silence,
-        Event::Noise,
-        Event::Foreign,
-        Event::NotRun,
-        Event::Unproven,
-        Event::Failure,
-        Event::Success,
-        Event::Abandoned,
-        Event::Stopping,
+    pub const ALL: [SendEvent; 11] = [
+        SendEvent::NoConnection,
+        SendEvent::Broken,
+        SendEvent::TimedOut,
+        SendEvent::Malformed,
+        SendEvent::WrongRequest,
+        SendEvent::NotRun,
+        SendEvent::UnprovenRefusal,
+        SendEvent::Failure,
+        SendEvent::Success,
+        SendEvent::Abandoned,
+        SendEvent::Stopping,
     ];
 }
 
 /// What is known of a request then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Fate {
+pub enum ExecutionStatus {
     /// The send goes on as if nothing had happened.
     Waits,
     /// It has not run there and never will: it may go to another server, or be refused with a promise.
@@ -100,46 +100,50 @@
     Dropped,
 }
 
-impl Fate {
+impl ExecutionStatus {
     /// Whether the same request may be sent to another server after this.
-    pub fn may_go_out_again(self, repeatable: bool, failure: bool) -> bool {
+    pub fn may_retry(self, repeatable: bool, failure: bool) -> bool {
         match self {
-            Fate::NotRun => true,
-            Fate::Unknown => repeatable,
-            Fate::Answered => repeatable && failure,
-            Fate::Waits | Fate::Dropped => false,
+            ExecutionStatus::NotRun => true,
+            ExecutionStatus::Unknown => repeatable,
+            ExecutionStatus::Answered => repeatable && failure,
+            ExecutionStatus::Waits | ExecutionStatus::Dropped => false,
         }
     }
 }
 
-impl fmt::Display for Fate {
+impl fmt::Display for ExecutionStatus {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Fate::Waits => "waits",
-            Fate::NotRun => "not run",
-            Fate::Unknown => "unknown",
-            Fate::Answered => "answered",
-            Fate::Dropped => "dropped",
+            ExecutionStatus::Waits => "waits",
+            ExecutionStatus::NotRun => "not run",
+            ExecutionStatus::Unknown => "unknown",
+            ExecutionStatus::Answered => "answered",
+            ExecutionStatus::Dropped => "dropped",
         })
     }
 }
 
 /// What is known of a request to which something happens. `repeatable` matters only where a status promises what the
 /// server does not say: of a request that may run twice it is passed on.
-pub fn fate(stage: Stage, event: Event, repeatable: bool) -> Fate {
+pub fn execution_status(stage: SendStage, event: SendEvent, repeatable: bool) -> ExecutionStatus {
     match event {
-        Event::Stopping => Fate::Waits,
-        Event::Abandoned => Fate::Dropped,
-        Event::NoConnection | Event::Broken | Event::Silence | Event::Noise | Event::Foreign => {
+        SendEvent::Stopping => ExecutionStatus::Waits,
+        SendEvent::Abandoned => ExecutionStatus::Dropped,
+        SendEvent::NoConnection
+        | SendEvent::Broken
+        | SendEvent::TimedOut
+        | SendEvent::Malformed
+        | SendEvent::WrongRequest => {
             if stage.is_sent() {
-                Fate::Unknown
+                ExecutionStatus::Unknown
             } else {
-                Fate::NotRun
+                ExecutionStatus::NotRun
             }
         }
-        Event::NotRun => Fate::NotRun,
-        Event::Unproven if !repeatable => Fate::Unknown,
-        Event::Unproven | Event::Failure | Event::Success => Fate::Answered,
+        SendEvent::NotRun => ExecutionStatus::NotRun,
+        SendEvent::UnprovenRefusal if !repeatable => ExecutionStatus::Unknown,
+        SendEvent::UnprovenRefusal | SendEvent::Failure | SendEvent::Success => ExecutionStatus::Answered,
     }
 }
 
@@ -147,9 +151,9 @@
 /// as sends, but each costs the time of a connect.
 const MOST_UNREACHABLE: u32 = 4;
 
-/// The sends of one request, one server after another: a state machine over [`fate`].
+/// The sends of one request, one server after another: a state machine over [`execution_status`].
 #[derive(Clone, Debug)]
-pub struct Sends {
+pub struct SendSequence {
     allowed: u32,
     repeatable: bool,
     used: u32,
@@ -158,10 +162,10 @@
     settled: bool,
 }
 
-impl Sends {
+impl SendSequence {
     /// Of a request that may go to as many servers.
     pub fn new(allowed: u32, repeatable: bool) -> Self {
-        Sends { allowed, repeatable, used: 0, unreachable: 0, settled: false }
+        SendSequence { allowed, repeatable, used: 0, unreachable: 0, settled: false }
     }
 
     /// Servers that it has been sent to.
@@ -185,14 +189,14 @@
     }
 
     /// Takes the end of a send; `failure` where the server has answered with an error of its own.
-    pub fn ended(&mut self, stage: Stage, event: Event, failure: bool) -> Fate {
-        let fate = fate(stage, event, self.repeatable);
-        if event == Event::NoConnection {
+    pub fn ended(&mut self, stage: SendStage, event: SendEvent, failure: bool) -> ExecutionStatus {
+        let fate = execution_status(stage, event, self.repeatable);
+        if event == SendEvent::NoConnection {
             self.unreachable += 1;
         } else {
             self.used += 1;
         }
-        self.settled = !fate.may_go_out_again(self.repeatable, failure);
+        self.settled = !fate.may_retry(self.repeatable, failure);
         fate
     }
 
--- a/http/src/socket.rs
+++ b/http/src/socket.rs
@@ -19,7 +19,7 @@
 use tokio::sync::Notify;
 use tokio::time::Sleep;
 
-use crate::send::Stage;
+use crate::send::SendStage;
 
 /// How far the request last begun on a connection has been written.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -86,9 +86,9 @@
 
 /// Tells of an attempt, also one that is dropped on the way, whether its request was written whole.
 #[derive(Default)]
-pub struct Sent(RefCell<Option<Rc<Progress>>>);
+pub struct RequestProgress(RefCell<Option<Rc<Progress>>>);
 
-impl Sent {
+impl RequestProgress {
     /// A request begins on the connection with this progress.
     pub fn begin(&self, progress: &Rc<Progress>) {
         progress.written.set(Written::Nothing);
@@ -104,14 +104,14 @@
     }
 
     /// How far it has come, as far as its socket can tell.
-    pub fn stage(&self) -> Stage {
+    pub fn stage(&self) -> SendStage {
         let progress = self.0.borrow();
-        let Some(progress) = progress.as_ref() else { return Stage::Unconnected };
+        let Some(progress) = progress.as_ref() else { return SendStage::Unconnected };
         match progress.written.get() {
-            Written::Nothing => Stage::Untouched,
-            Written::Partly => Stage::Partly,
-            Written::Whole if progress.informed.load(Ordering::Relaxed) => Stage::Informed,
-            Written::Whole => Stage::Whole,
+            Written::Nothing => SendStage::Connected,
+            Written::Partly => SendStage::PartlySent,
+            Written::Whole if progress.informed.load(Ordering::Relaxed) => SendStage::Informed,
+            Written::Whole => SendStage::Sent,
         }
     }
 }
--- a/http/tests/early.rs
+++ b/http/tests/early.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall_http::send::Stage;
-use glenfall_http::{Connection, Failed, OpenSocket, Sent};
+use glenfall_http::send::SendStage;
+use glenfall_http::{Connection, ExchangeError, OpenSocket, RequestProgress};
 use http_body_util::{BodyExt, Full};
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::{Method, Request};
@@ -60,20 +60,22 @@
         on_loopback(async |listener| {
             let mut connection = open(listener.local_addr().unwrap()).await;
             let (mut stream, _) = listener.accept().await.unwrap();
-            let sent = Sent::default();
+            let sent = RequestProgress::default();
             let (told, mut stream) =
                 tokio::join!(connection.send(request(own, LARGE), Some(&ID), &sent), async {
                     read_body(&mut stream, 1).await;
                     stream.write_all(answer(named).as_bytes()).await.unwrap();
                     stream
                 });
-            assert_eq!(sent.stage(), Stage::Partly);
+            assert_eq!(sent.stage(), SendStage::PartlySent);
             match told {
                 Ok(response) => {
                     assert!(is_told, "{own:?}, {named}");
                     assert_eq!(response.into_body().collect().await.unwrap().to_bytes(), "no");
                 }
-                Err(failed) => assert!(!is_told && matches!(failed, Failed::Unsent), "{own:?}, {named}"),
+                Err(failed) => {
+                    assert!(!is_told && matches!(failed, ExchangeError::Unsent), "{own:?}, {named}")
+                }
             }
             assert!(!connection.is_free().await, "it is not used again");
             let rest = async {
@@ -98,7 +100,7 @@
         on_loopback(async |listener| {
             let mut connection = open(listener.local_addr().unwrap()).await;
             let (mut stream, _) = listener.accept().await.unwrap();
-            let first = Sent::default();
+            let first = RequestProgress::default();
             let (told, ()) = tokio::join!(connection.send(request(Some("z"), 4), Some(&ID), &first), async {
                 read_body(&mut stream, 4).await;
                 stream.write_all(answer("z").as_bytes()).await.unwrap();
@@ -106,14 +108,14 @@
             told.expect("its own").into_body().collect().await.unwrap();
             assert!(first.whole() && connection.is_free().await);
             connection.be_wary();
-            let sent = Sent::default();
+            let sent = RequestProgress::default();
             let (told, mut stream) =
                 tokio::join!(connection.send(request(Some("a"), 4), Some(&ID), &sent), async {
                     assert_eq!(read_body(&mut stream, 0).await, 0, "the body is held");
                     stream.write_all(answer(named).as_bytes()).await.unwrap();
                     stream
                 });
-            assert_eq!((told.is_ok(), sent.stage()), (is_told, Stage::Partly), "{named}");
+            assert_eq!((told.is_ok(), sent.stage()), (is_told, SendStage::PartlySent), "{named}");
             drop(told);
             // The pause is over, and the last byte is still not gone.
             tokio::time::sleep(Duration::from_millis(30)).await;
--- a/lab/src/fleet/reads.rs
+++ b/lab/src/fleet/reads.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, VecDeque};
 
 use glenfall_balancer::{mix, Key, ServerId, Shields};
-use glenfall_plane::ceiling::{Bound, Ceiling, Holder};
+use glenfall_plane::ceiling::{QuotaHolder, RateLimitSettings, RateLimiter};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
@@ -13,7 +13,7 @@
 use super::FleetPlan;
 
 /// The users' bound: in any window no more than so many times the rate, and a few.
-const BOUND: Bound = Bound { window: 5000, over: 1.1 };
+const BOUND: RateLimitSettings = RateLimitSettings { window: 5000, over: 1.1 };
 const FEW: f64 = 5.0;
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -27,7 +27,7 @@
 }
 
 struct Shield {
-    ceiling: Ceiling,
+    ceiling: RateLimiter,
     /// Until when an object's copy is fresh; who asks while it is on its way joins.
     copies: HashMap<u32, u64>,
     reads: u64,
@@ -36,8 +36,8 @@
 impl Shield {
     /// An empty one of so many.
     fn one_of(count: usize, rng: &mut ChaCha8Rng) -> Shield {
-        let mut ceiling = Ceiling::new(BOUND, rng.random());
-        ceiling.hold(0, Holder::Shield { of: count });
+        let mut ceiling = RateLimiter::new(BOUND, rng.random());
+        ceiling.set_holder(0, QuotaHolder::Shield { of: count });
         Shield { ceiling, copies: HashMap::new(), reads: 0 }
     }
 }
@@ -84,7 +84,7 @@
             continue;
         }
         // In the system a miss may wait a little for its turn; here it does not.
-        if shield.ceiling.take(ms, "origin", rate, 0.0).is_err() {
+        if shield.ceiling.try_acquire(ms, "origin", rate, 0.0).is_err() {
             refused += 1;
             continue;
         }
--- a/lab/src/fleet/telling.rs
+++ b/lab/src/fleet/telling.rs
@@ -3,9 +3,9 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use glenfall_plane::fleet::{edge_mark, Fleet, Members, Numbered};
-use glenfall_plane::messages::{Down, Member, News, Peer, Proxy};
-use glenfall_plane::registry::{Entry, EntryStatus, Registry};
+use glenfall_plane::fleet::{edge_hash, Fleet, MembersUpdate, VersionedFleet};
+use glenfall_plane::messages::{Member, PeerMessage, ProxyRole, PublisherMessage, Update};
+use glenfall_plane::registry::{EntryStatus, Registry, ServerEntry};
 use glenfall_plane::Millis;
 use serde::{Deserialize, Serialize};
 
@@ -39,7 +39,7 @@
 
 struct Node {
     registry: Registry,
-    fleet: Numbered,
+    fleet: VersionedFleet,
     /// Edges with their sessions here, as peers have been told.
     told: Vec<Member>,
     sessions: Vec<Member>,
@@ -61,11 +61,18 @@
 fn edge(n: u32) -> Member {
     let http = SocketAddrV4::new(Ipv4Addr::from(0x0a01_0000 + n), 8161);
     let zone = format!("zone-{}", n % 4);
-    Member { node: format!("edge-{zone}-{n}"), zone, proxy: Proxy::Edge, http, ready: true, incarnation: 1 }
+    Member {
+        node: format!("edge-{zone}-{n}"),
+        zone,
+        proxy: ProxyRole::Edge,
+        http,
+        ready: true,
+        incarnation: 1,
+    }
 }
 
-fn server(n: u32, status: EntryStatus, call_seq: u64) -> Entry {
-    Entry {
+fn server(n: u32, status: EntryStatus, call_seq: u64) -> ServerEntry {
+    ServerEntry {
         id: format!("i-{:010x}", u64::from(n) * 0x9e37_79b9),
         backend: "orders".into(),
         addr: SocketAddrV4::new(Ipv4Addr::from(0x0a02_0000 + n), 8080),
@@ -89,19 +96,19 @@
         let node = &mut self.nodes[at];
         if there {
             node.sessions.push(edge(n));
-            let greeting = Down::Push { number: 1, news: News::Fleet(node.fleet.whole()) };
+            let greeting = PublisherMessage::Push { number: 1, update: Update::Fleet(node.fleet.snapshot()) };
             self.messages += 1;
             self.down += bytes(&greeting) as u64;
             self.whole += bytes(&greeting) as u64;
         } else {
             node.sessions.retain(|member| member.node != edge(n).node);
         }
-        let members = Members::listed(node.sessions.clone());
-        let change = Members::between(&node.told, &members);
+        let members = MembersUpdate::listed(node.sessions.clone());
+        let change = MembersUpdate::delta(&node.told, &members);
         node.told = members;
         node.dirty = true;
         if let Some(change) = change {
-            self.between += self.peers() * bytes(&Peer::Sessions(change.clone())) as u64;
+            self.between += self.peers() * bytes(&PeerMessage::Members(change.clone())) as u64;
             for to in (0..self.nodes.len()).filter(|to| *to != at) {
                 change.apply(&mut self.nodes[to].others[at]);
                 self.nodes[to].dirty = true;
@@ -110,11 +117,11 @@
     }
 
     /// A server calls one control node, which passes it on.
-    fn hear(&mut self, entry: &Entry) {
-        self.between += self.peers() * bytes(&Peer::Servers(vec![(entry.clone(), 0)])) as u64;
+    fn hear(&mut self, entry: &ServerEntry) {
+        self.between += self.peers() * bytes(&PeerMessage::Servers(vec![(entry.clone(), 0)])) as u64;
         for node in &mut self.nodes {
-            let heard = node.registry.hear(self.now, 0, entry.clone());
-            node.dirty |= heard == glenfall_plane::registry::Heard::Changed;
+            let heard = node.registry.observe(self.now, 0, entry.clone());
+            node.dirty |= heard == glenfall_plane::registry::HeartbeatOutcome::Changed;
         }
     }
 
@@ -128,16 +135,18 @@
                 complete: true,
                 servers: node.registry.servers(self.now, false),
                 shields: Vec::new(),
-                edges: edges.map(|edge| edge_mark(&edge.node)).collect(),
+                edges: edges.map(|edge| edge_hash(&edge.node)).collect(),
                 cores: u32::from(self.cores),
             };
             fleet.sort();
-            if let Some(told) = node.fleet.become_next(fleet) {
+            if let Some(told) = node.fleet.advance_to(fleet) {
                 let sessions = node.sessions.len() as u64;
-                let push = |told| bytes(&Down::Push { number: 1000, news: News::Fleet(told) }) as u64;
+                let push = |told| {
+                    bytes(&PublisherMessage::Push { number: 1000, update: Update::Fleet(told) }) as u64
+                };
                 self.messages += sessions;
                 self.down += sessions * push(told);
-                self.whole += sessions * push(node.fleet.whole());
+                self.whole += sessions * push(node.fleet.snapshot());
             }
         }
     }
@@ -158,7 +167,7 @@
     let cores = usize::from(plan.cores);
     let node = |_| Node {
         registry: Registry::new(plan.writes.beat_ms),
-        fleet: Numbered::default(),
+        fleet: VersionedFleet::default(),
         told: Vec::new(),
         sessions: Vec::new(),
         others: vec![Vec::new(); cores],
@@ -191,7 +200,7 @@
             play.hear(&server(servers + n, EntryStatus::Ready, 1));
             play.hear(&server(n, EntryStatus::Draining, 1000));
             if let Some(before) = n.checked_sub(servers.div_ceil(10)) {
-                play.hear(&server(before, EntryStatus::Gone, 1001));
+                play.hear(&server(before, EntryStatus::Deregistered, 1001));
             }
         }
         play.pass(GATHER);
--- a/lab/src/fleet/writes.rs
+++ b/lab/src/fleet/writes.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use glenfall::proxy::origins::{End, Origins};
-use glenfall_plane::fleet::edge_mark;
+use glenfall_plane::fleet::edge_hash;
 use glenfall_plane::messages::Server;
 use glenfall_plane::subset;
 use rand::{Rng, SeedableRng};
@@ -200,7 +200,7 @@
     let began = Instant::now();
     let servers: Vec<Server> = (0..plan.servers(edges)).map(|n| server(plan, n)).collect();
     let names: Vec<String> = (0..edges).map(|n| format!("edge-{n}")).collect();
-    let mut marks: Vec<u64> = names.iter().map(|name| edge_mark(name)).collect();
+    let mut marks: Vec<u64> = names.iter().map(|name| edge_hash(name)).collect();
     marks.sort_unstable();
     let origin = |name: &String| {
         let origins = Origins::new("z", false, name);
--- a/lab/src/hollow/nodes.rs
+++ b/lab/src/hollow/nodes.rs
@@ -11,8 +11,10 @@
 use glenfall::session::lease::HeldLease;
 use glenfall::session::link::{self, Outbox};
 use glenfall::session::subscriber;
-use glenfall_plane::fleet::{edge_mark, Numbered};
-use glenfall_plane::messages::{Aged, Down, Member, News, Open, Proxy, Purge, Up};
+use glenfall_plane::fleet::{edge_hash, VersionedFleet};
+use glenfall_plane::messages::{
+    AgedPurge, ConnectionOpening, Member, ProxyRole, PublisherMessage, Purge, SubscriberMessage, Update,
+};
 use tokio::sync::{mpsc, Notify};
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::sleep;
@@ -119,7 +121,7 @@
     }
 
     /// Notes what a node takes.
-    fn purged(&self, purges: &[Aged], node: usize) {
+    fn purged(&self, purges: &[AgedPurge], node: usize) {
         for aged in purges {
             let Purge::Label(label) = &aged.purge else { continue };
             let number = label.strip_prefix(LABEL).and_then(|number| number.parse::<usize>().ok());
@@ -170,7 +172,7 @@
 #[derive(Default)]
 struct Known {
     rev: u64,
-    fleet: Numbered,
+    fleet: VersionedFleet,
     fleet_known: bool,
     controls: Vec<Ipv4Addr>,
     in_touch: bool,
@@ -233,7 +235,7 @@
             let mut met = false;
             for step in 0..controls.len() {
                 let addr = controls[(turn + step) % controls.len()];
-                let Ok((read, write)) = link::open(addr, &Open::Session).await else { continue };
+                let Ok((read, write)) = link::open(addr, &ConnectionOpening::Session).await else { continue };
                 met = true;
                 let outbox = Outbox::start(write);
                 let take = async |down| self.take(down);
@@ -247,7 +249,7 @@
                 self.seen.lost.fetch_add(1, Ordering::Relaxed);
                 self.count_lost();
                 // Nothing below it serves from copies.
-                let _ = outbox.send(Up::Released);
+                let _ = outbox.send(SubscriberMessage::LeaseReleased);
                 turn = if self.control.spread { 0 } else { turn + step + 1 };
                 break;
             }
@@ -267,7 +269,7 @@
         }
         if self.control.spread {
             // By the highest of what names make together: each node has an order of its own.
-            addrs.sort_by_key(|addr| edge_mark(&format!("{}{}", self.name, addr.ip())));
+            addrs.sort_by_key(|addr| edge_hash(&format!("{}{}", self.name, addr.ip())));
         }
         addrs
     }
@@ -281,47 +283,47 @@
         while self.known.borrow().controls.is_empty() || self.controls().first() == Some(&here) {
             sleep(LONGEST_PAUSE).await;
         }
-        let part = (edge_mark(&self.name) >> 11) as f64 / (1u64 << 53) as f64;
+        let part = (edge_hash(&self.name) >> 11) as f64 / (1u64 << 53) as f64;
         sleep(MOVES.mul_f64(part)).await;
         self.moved.set(true);
     }
 
-    fn hello(&self) -> Up {
+    fn hello(&self) -> SubscriberMessage {
         let known = self.known.borrow();
         let member = Member {
             node: self.name.clone(),
             zone: self.zone.clone(),
-            proxy: Proxy::Edge,
+            proxy: ProxyRole::Edge,
             // Nobody calls it.
             http: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1),
             ready: known.rev > 0 && known.fleet_known,
             incarnation: 1,
         };
-        Up::Hello { node: self.name.clone(), member: Some(member) }
+        SubscriberMessage::Hello { node: self.name.clone(), member: Some(member) }
     }
 
-    fn take(&self, down: Down) -> bool {
+    fn take(&self, down: PublisherMessage) -> bool {
         let mut known = self.known.borrow_mut();
         let was_ready = known.rev > 0 && known.fleet_known;
         match down {
-            Down::Controls(controls) => known.controls = controls,
-            Down::Push { news: News::Config { rev, .. }, .. } if rev > known.rev => {
+            PublisherMessage::ControlNodes(controls) => known.controls = controls,
+            PublisherMessage::Push { update: Update::Config { rev, .. }, .. } if rev > known.rev => {
                 known.rev = rev;
                 let at = self.seen.now();
                 self.seen.applied.lock().unwrap_or_else(|broken| broken.into_inner()).push((rev, at));
             }
-            Down::Push { news: News::Fleet(told), .. } => {
-                if known.fleet.take(told).is_err() {
+            PublisherMessage::Push { update: Update::Fleet(told), .. } => {
+                if known.fleet.apply_update(told).is_err() {
                     return false;
                 }
                 known.fleet_known = true;
             }
-            Down::Push { news: News::Purges(purges), .. } => {
+            PublisherMessage::Push { update: Update::Purges(purges), .. } => {
                 self.seen.purged(&purges, self.number);
             }
-            Down::Push { news: News::InTouch(yes), .. } => known.in_touch = yes,
-            Down::Granted { sent, lasts } => self.lease.renew(sent, lasts),
-            Down::Push { .. } | Down::Leaving | Down::Ping => {}
+            PublisherMessage::Push { update: Update::Connected(yes), .. } => known.in_touch = yes,
+            PublisherMessage::LeaseGranted { sent_at, duration: lasts } => self.lease.renew(sent_at, lasts),
+            PublisherMessage::Push { .. } | PublisherMessage::Draining | PublisherMessage::Ping => {}
         }
         if !was_ready && known.rev > 0 && known.fleet_known {
             self.changed.notify_one();
--- a/node/src/host.rs
+++ b/node/src/host.rs
@@ -23,7 +23,7 @@
 use crate::peers::Peers;
 use crate::reply::{Ended, Reply};
 use crate::upstream::{Payload, Upstreams};
-use glenfall_http::Sent;
+use glenfall_http::RequestProgress;
 
 /// The final answer to a request.
 pub enum Answer {
@@ -242,7 +242,7 @@
             request,
             number,
             launched: Instant::now(),
-            sent: Sent::default(),
+            sent: RequestProgress::default(),
             reported: false,
         };
         spawn_local(async move {
@@ -281,7 +281,7 @@
     request: RequestId,
     number: u32,
     launched: Instant,
-    sent: Sent,
+    sent: RequestProgress,
     reported: bool,
 }
 
--- a/node/src/reply.rs
+++ b/node/src/reply.rs
@@ -66,7 +66,7 @@
 /// How an exchange ended whose request was written whole: the connection is gone, or what came on it is no
 /// answer. The first tells of the server's process, the second does not.
 pub fn broken(error: Option<&hyper::Error>) -> Status {
-    if error.is_some_and(glenfall_http::unreadable) {
+    if error.is_some_and(glenfall_http::is_unreadable) {
         Status::Spoilt
     } else {
         Status::Broken
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use glenfall_balancer::{Limits, ServerId, ServerState, Status};
-use glenfall_http::{Connection, Failed, OpenSocket, Sent};
+use glenfall_http::{Connection, ExchangeError, OpenSocket, RequestProgress};
 use http_body_util::Full;
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::{header, Method, Request, StatusCode, Uri};
@@ -258,7 +258,13 @@
     }
 
     /// Makes one attempt. The caller bounds its time, and ends it by dropping the future.
-    pub async fn exchange(&self, server: &ServerId, payload: &Payload, wait: Duration, sent: &Sent) -> Ended {
+    pub async fn exchange(
+        &self,
+        server: &ServerId,
+        payload: &Payload,
+        wait: Duration,
+        sent: &RequestProgress,
+    ) -> Ended {
         let started = Instant::now();
         loop {
             let write = payload.method != Method::GET;
@@ -283,10 +289,10 @@
                     Ok(response) => Some(reply::read(response).await),
                     // It had been closed, or something came on it unasked: the server has not failed, and
                     // has seen no request.
-                    Err(Failed::Unsent) if reused => None,
-                    Err(Failed::Unsent) => Some(Ended::without_reply(Status::Unreachable)),
-                    Err(Failed::Foreign) => Some(Ended::without_reply(Status::Spoilt)),
-                    Err(Failed::Broken(e)) => Some(Ended::without_reply(reply::broken(Some(&e)))),
+                    Err(ExchangeError::Unsent) if reused => None,
+                    Err(ExchangeError::Unsent) => Some(Ended::without_reply(Status::Unreachable)),
+                    Err(ExchangeError::Foreign) => Some(Ended::without_reply(Status::Spoilt)),
+                    Err(ExchangeError::Broken(e)) => Some(Ended::without_reply(reply::broken(Some(&e)))),
                 }
             };
             let ended = tokio::select! {
@@ -315,7 +321,7 @@
             let mut request = Request::new(Full::default());
             *request.uri_mut() = Uri::from_static("/health/live");
             request.headers_mut().insert(header::HOST, host_value(connection.addr));
-            let response = connection.send(request, None, &Sent::default()).await;
+            let response = connection.send(request, None, &RequestProgress::default()).await;
             match response.map(|response| response.status()) {
                 Ok(StatusCode::OK) => Ok(Status::Success),
                 Ok(_) => Ok(Status::Error),
