--- a/node/tests/upstream.rs
+++ b/node/tests/upstream.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use glenfall_balancer::{CacheNote, Limits, RosterEntry, ServerId, ServerState, Status};
-use glenfall_http::Sent;
+use glenfall_http::RequestProgress;
 use glenfall_node::config::List;
 use glenfall_node::upstream::{Payload, Upstreams};
 use hyper::header::HeaderValue;
@@ -77,7 +77,7 @@
 fn nothing_that_waits_for_a_connect_goes_to_a_server_that_drains_meanwhile() {
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 1, 8);
-        let (server, payload, sent) = (server(1), payload(""), Sent::default());
+        let (server, payload, sent) = (server(1), payload(""), RequestProgress::default());
         let (ended, ()) = tokio::join! {
             biased;
             upstreams.exchange(&server, &payload, WAIT, &sent),
@@ -96,7 +96,7 @@
 fn a_request_is_known_to_be_written_whole_once_its_last_byte_is() {
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 1, 8);
-        let (server, payload, sent) = (server(1), payload("body"), Sent::default());
+        let (server, payload, sent) = (server(1), payload("body"), RequestProgress::default());
         let answered = async {
             let (mut stream, _) = listener.accept().await.unwrap();
             let mut seen = Vec::new();
@@ -118,7 +118,7 @@
         let addrs = [&listener, &second].map(|listener| listener.local_addr().unwrap());
         upstreams.update(&list(&addrs, ServerState::Ready));
         let (payload, first, other) = (payload(""), server(1), server(2));
-        let (sent, unsent) = (Sent::default(), Sent::default());
+        let (sent, unsent) = (RequestProgress::default(), RequestProgress::default());
         let (ended, beyond, mut stream) = tokio::join! {
             biased;
             upstreams.exchange(&first, &payload, WAIT, &sent),
@@ -150,7 +150,7 @@
                 stream
             }
         };
-        let sent = Sent::default();
+        let sent = RequestProgress::default();
         let (_, stream) = tokio::join!(upstreams.exchange(&server, &payload, WAIT, &sent), serve("one"));
         // A second copy comes behind, of which the reactor has not told when the next request begins.
         assert!(stream.try_write(answer("one").as_bytes()).is_ok());
@@ -168,7 +168,7 @@
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 100, 8);
         let (server, payload) = (server(1), payload(""));
-        let sent = [Sent::default(), Sent::default(), Sent::default()];
+        let sent = [RequestProgress::default(), RequestProgress::default(), RequestProgress::default()];
         let exchange = |n: usize| upstreams.exchange(&server, &payload, WAIT, &sent[n]);
         let (begun, turned_away) = (Notify::new(), Notify::new());
         let (first, second, third, ()) = tokio::join! {
@@ -206,7 +206,7 @@
 fn a_request_that_waits_for_a_connection_opens_its_own_once_there_is_none() {
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 100, 8);
-        let (server, payload, sent) = (server(1), payload(""), Sent::default());
+        let (server, payload, sent) = (server(1), payload(""), RequestProgress::default());
         upstreams.no_room_until(&server, Instant::now() + WAIT);
         let other = upstreams.claim_place(&server);
         let (ended, _, ()) = tokio::join! {
@@ -227,7 +227,7 @@
         upstreams.no_room_until(&server, Instant::now() + WAIT);
         let open = upstreams.claim_place(&server);
         let (reads, write) = ([payload(""), payload("")], payload("body"));
-        let sent = [Sent::default(), Sent::default(), Sent::default()];
+        let sent = [RequestProgress::default(), RequestProgress::default(), RequestProgress::default()];
         let served = async {
             drop(open);
             let (mut stream, _) = listener.accept().await.unwrap();
@@ -271,7 +271,7 @@
         // The test's own sweeps alone matter.
         let upstreams = upstreams(&listener, 100, 8);
         let (server, payload) = (server(1), payload(""));
-        let sent = [Sent::default(), Sent::default()];
+        let sent = [RequestProgress::default(), RequestProgress::default()];
         let (.., (mut one, mut two)) = tokio::join! {
             upstreams.exchange(&server, &payload, WAIT, &sent[0]),
             upstreams.exchange(&server, &payload, WAIT, &sent[1]),
@@ -299,7 +299,7 @@
 fn answered(status: &str) -> (Status, Option<CacheNote>) {
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 1, 8);
-        let (server, payload, sent) = (server(1), payload(""), Sent::default());
+        let (server, payload, sent) = (server(1), payload(""), RequestProgress::default());
         let (ended, _) =
             tokio::join!(upstreams.exchange(&server, &payload, WAIT, &sent), serve_one(&listener, status));
         (ended.status, ended.note)
--- a/plane/src/budget.rs
+++ b/plane/src/budget.rs
@@ -17,11 +17,11 @@
 /// hear at different moments that another has come or gone.
 const USED: f64 = 0.85;
 /// Services counted at most; one more is as one that was never asked for, and gets first tries only.
-pub const MOST: usize = 1024;
+pub const MAX_SERVICES: usize = 1024;
 
 /// The operator's bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct RetryBudgetSettings {
     pub ratio: f64,
     pub window: Millis,
     pub slack: f64,
@@ -35,17 +35,17 @@
 }
 
 /// What one machine has sent.
-pub struct Budget {
-    bound: Bound,
+pub struct RetryBudget {
+    bound: RetryBudgetSettings,
     /// This machine's part of the slack, and what it becomes when.
     share: f64,
     next: Option<(f64, Millis)>,
     services: BTreeMap<String, VecDeque<Part>>,
 }
 
-impl Budget {
-    pub fn new(bound: Bound) -> Self {
-        Budget { bound, share: 0.0, next: None, services: BTreeMap::new() }
+impl RetryBudget {
+    pub fn new(bound: RetryBudgetSettings) -> Self {
+        RetryBudget { bound, share: 0.0, next: None, services: BTreeMap::new() }
     }
 
     /// Services that are counted.
@@ -54,7 +54,7 @@
     }
 
     /// The slack is shared by so many machines.
-    pub fn share_among(&mut self, now: Millis, machines: usize) {
+    pub fn set_machine_count(&mut self, now: Millis, machines: usize) {
         self.grow(now);
         let share = self.bound.slack / machines.max(1) as f64;
         if share <= self.share {
@@ -81,10 +81,10 @@
     fn now(&mut self, now: Millis, service: &str) -> Option<&mut VecDeque<Part>> {
         let number = now / self.part_length();
         if !self.services.contains_key(service) {
-            if self.services.len() >= MOST {
+            if self.services.len() >= MAX_SERVICES {
                 self.services.retain(|_, parts| parts.back().is_some_and(|p| p.number + PARTS >= number));
             }
-            if self.services.len() >= MOST {
+            if self.services.len() >= MAX_SERVICES {
                 return None;
             }
             self.services.insert(service.to_owned(), VecDeque::new());
@@ -100,14 +100,14 @@
     }
 
     /// A request for the service has come to this machine.
-    pub fn request(&mut self, now: Millis, service: &str) {
+    pub fn record_request(&mut self, now: Millis, service: &str) {
         if let Some(part) = self.now(now, service).and_then(VecDeque::back_mut) {
             part.requests += 1;
         }
     }
 
     /// Whether a request may be sent to the service once more; takes it out of the budget if so.
-    pub fn take(&mut self, now: Millis, service: &str) -> bool {
+    pub fn try_spend(&mut self, now: Millis, service: &str) -> bool {
         self.grow(now);
         let (ratio, share) = (self.bound.ratio, self.share);
         let oldest = now / self.part_length();
--- a/plane/src/ceiling.rs
+++ b/plane/src/ceiling.rs
@@ -38,32 +38,32 @@
 const WAYS: Duration = Duration::from_millis(12);
 
 /// How long a request may wait for its turn under a ceiling: a refusal after that is still an early one.
-pub fn patience(aim: Duration) -> Duration {
+pub fn max_queue_time(aim: Duration) -> Duration {
     (aim / PATIENCE).min((aim / EARLY).saturating_sub(WAYS))
 }
 
 /// The operator's bound: over any window no more than `over` times the rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct RateLimitSettings {
     pub window: Millis,
     pub over: f64,
 }
 
 /// What a machine is among those that ask servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Holder {
+pub enum QuotaHolder {
     /// One of so many shields.
     Shield { of: usize },
     /// One of so many edges. `alone`: no shield asks for them.
     Edge { of: usize, alone: bool },
 }
 
-impl Holder {
+impl QuotaHolder {
     fn part(self) -> f64 {
         match self {
-            Holder::Shield { of } => (1.0 - EDGES) / of.max(1) as f64,
-            Holder::Edge { of, alone: false } => EDGES / of.max(1) as f64,
-            Holder::Edge { of, alone: true } => (1.0 - EDGES) / of.max(1) as f64,
+            QuotaHolder::Shield { of } => (1.0 - EDGES) / of.max(1) as f64,
+            QuotaHolder::Edge { of, alone: false } => EDGES / of.max(1) as f64,
+            QuotaHolder::Edge { of, alone: true } => (1.0 - EDGES) / of.max(1) as f64,
         }
     }
 }
@@ -75,8 +75,8 @@
 }
 
 /// One machine's part of every ceiling.
-pub struct Ceiling {
-    bound: Bound,
+pub struct RateLimiter {
+    bound: RateLimitSettings,
     part: f64,
     /// From 0 to 1, another at each machine: when small parts come in.
     phase: f64,
@@ -85,13 +85,13 @@
     since: Option<Millis>,
 }
 
-impl Ceiling {
-    pub fn new(bound: Bound, phase: f64) -> Self {
-        Ceiling { bound, part: 0.0, phase: phase.clamp(0.0, 1.0), shares: BTreeMap::new(), since: None }
+impl RateLimiter {
+    pub fn new(bound: RateLimitSettings, phase: f64) -> Self {
+        RateLimiter { bound, part: 0.0, phase: phase.clamp(0.0, 1.0), shares: BTreeMap::new(), since: None }
     }
 
     /// What this machine is from now on.
-    pub fn hold(&mut self, now: Millis, holder: Holder) {
+    pub fn set_holder(&mut self, now: Millis, holder: QuotaHolder) {
         let part = holder.part();
         self.since.get_or_insert(now);
         if part == self.part {
@@ -107,7 +107,7 @@
 
     /// Takes one request of a rank from 0, the highest, to 1 to a service with this ceiling. Otherwise says when
     /// the next one comes in.
-    pub fn take(&mut self, now: Millis, service: &str, per_s: f64, rank: f64) -> Result<(), Millis> {
+    pub fn try_acquire(&mut self, now: Millis, service: &str, per_s: f64, rank: f64) -> Result<(), Millis> {
         if !self.shares.contains_key(service) {
             if self.shares.len() >= MOST {
                 return Err(self.bound.window);
@@ -133,7 +133,7 @@
 
 impl Share {
     /// Adds what has come in since it was last looked at.
-    fn fill(&mut self, now: Millis, bound: Bound, part: f64) {
+    fn fill(&mut self, now: Millis, bound: RateLimitSettings, part: f64) {
         let rate = per_ms(bound, part, self.per_s);
         let saved = self.saved + rate * now.saturating_sub(self.at) as f64;
         let most = most(rate, bound);
@@ -149,15 +149,15 @@
 }
 
 /// Requests that come in in a millisecond.
-fn per_ms(bound: Bound, part: f64, per_s: f64) -> f64 {
+fn per_ms(bound: RateLimitSettings, part: f64, per_s: f64) -> f64 {
     per_s.max(0.0) * bound.over * USED * part / 1000.0
 }
 
 /// How long what comes in may be saved.
-fn lasts(bound: Bound) -> f64 {
+fn lasts(bound: RateLimitSettings) -> f64 {
     bound.window as f64 * SAVED
 }
 
-fn most(rate: f64, bound: Bound) -> f64 {
+fn most(rate: f64, bound: RateLimitSettings) -> f64 {
     (rate * lasts(bound)).max(1.0)
 }
--- a/plane/src/chain/client_calls.rs
+++ b/plane/src/chain/client_calls.rs
@@ -8,7 +8,7 @@
 use crate::chain::replication::InFlight;
 use crate::chain::settings::{CALL_TIMEOUT, MAX_CALLS};
 use crate::chain::{Chain, Claim, Message, Output};
-use crate::config::{Change, Invalid};
+use crate::config::{ConfigChange, InvalidConfig};
 use crate::ids::{CallId, NodeId};
 use crate::record::{Decision, Record};
 use crate::Millis;
@@ -21,7 +21,7 @@
         /// The version that the change builds on.
         builds_on: u64,
         /// The change.
-        change: Change,
+        change: ConfigChange,
     },
     /// Reads the newest committed record.
     Read,
@@ -46,7 +46,7 @@
         current: u64,
     },
     /// The change does not give a valid configuration.
-    Invalid(Invalid),
+    Invalid(InvalidConfig),
     /// The order may be one that was applied too long ago for its key to be known: no clear answer, of any node.
     Forgotten {
         /// Highest version whose key may have been evicted.
@@ -77,7 +77,7 @@
     origin: NodeId,
     call: CallId,
     builds_on: u64,
-    change: Change,
+    change: ConfigChange,
 }
 
 impl Chain {
@@ -113,7 +113,7 @@
             }
         }
         for (number, what) in due {
-            let call = CallId { life: self.incarnation, number };
+            let call = CallId { incarnation: self.incarnation, number };
             self.send(head, Message::Forward { call, what });
         }
     }
@@ -125,7 +125,7 @@
             return;
         }
         // The last process here may have asked under the same number.
-        if call.life != self.incarnation || self.calls.remove(&call.number).is_none() {
+        if call.incarnation != self.incarnation || self.calls.remove(&call.number).is_none() {
             return;
         }
         // A node that the record has not reached yet knows it from now on.
@@ -164,7 +164,7 @@
     /// The head begins with the next change, one at a time: what it builds on is then committed.
     pub(super) fn begin_next_change(&mut self) {
         while let Some(ballot) = self.ballot_as_head() {
-            if self.in_flight.is_some() || !self.outlives_losses() {
+            if self.in_flight.is_some() || !self.tolerates_losses() {
                 break;
             }
             let Some(next) = self.head_queue.pop_front() else { return };
@@ -177,8 +177,8 @@
                     self.accept(&Arc::new(entry));
                     return;
                 }
-                Decision::Taken { rev } => Outcome::Done { rev },
-                Decision::Forgotten { up_to } => {
+                Decision::AlreadyApplied { rev } => Outcome::Done { rev },
+                Decision::Expired { up_to } => {
                     Outcome::Forgotten { up_to, current: self.hard_state.record.rev }
                 }
                 Decision::Stale { current } => Outcome::Conflict { current },
--- a/plane/src/chain/message.rs
+++ b/plane/src/chain/message.rs
@@ -11,7 +11,7 @@
 use crate::chain::settings::{MAX_NODES, MAX_VOTERS};
 use crate::chain::{Call, HardState, JointConfig, Outcome, View};
 use crate::ids::{CallId, NodeId};
-use crate::orders::Entry;
+use crate::orders::LogEntry;
 use crate::record::Record;
 
 /// The longest chain: all voters of two sets.
@@ -27,7 +27,7 @@
     /// The standing and unbroken view that it is a member of.
     pub view: Option<View>,
     /// The peers that it hears.
-    pub hears: Vec<NodeId>,
+    pub heard_peers: Vec<NodeId>,
     /// It lost its disk, and may have forgotten promises.
     pub wiped: bool,
     /// It may become a voter.
@@ -100,7 +100,7 @@
         /// The view's ballot.
         view: u64,
         /// The change.
-        entry: Arc<Entry>,
+        entry: Arc<LogEntry>,
     },
     /// From the tail to the chain: the change is committed.
     Acked {
@@ -172,11 +172,11 @@
 
 /// The table of orders is bounded where it is deserialised.
 fn is_sound_record(record: &Record) -> bool {
-    ballot::is_valid(record.seq) && record.taken.newest() <= record.rev
+    ballot::is_valid(record.seq) && record.applied_orders.newest() <= record.rev
 }
 
 fn is_sound_config(config: &JointConfig) -> bool {
-    config.voters.len() <= MAX_VOTERS && config.before.len() <= MAX_VOTERS
+    config.voters.len() <= MAX_VOTERS && config.outgoing.len() <= MAX_VOTERS
 }
 
 fn is_sound_view(view: &View) -> bool {
@@ -194,7 +194,7 @@
     ballot::is_valid(heartbeat.promised)
         && ballot::is_valid(heartbeat.committed)
         && is_sound_config(&heartbeat.members)
-        && heartbeat.hears.len() <= MAX_NODES
+        && heartbeat.heard_peers.len() <= MAX_NODES
         && heartbeat.view.as_ref().is_none_or(is_sound_view)
 }
 
--- a/plane/src/chain/mod.rs
+++ b/plane/src/chain/mod.rs
@@ -162,7 +162,7 @@
     }
 
     /// Whether the voters are enough to outlive the losses that the settings promise.
-    pub fn outlives_losses(&self) -> bool {
+    pub fn tolerates_losses(&self) -> bool {
         self.members().survives(self.settings.losses)
     }
 
@@ -306,22 +306,3 @@
         std::mem::take(&mut self.outputs)
     }
 }
-
-// Names before version 0.4, for callers that are not renamed yet.
-pub use message::Heartbeat as Beat;
-pub use quorum::JointConfig as Members;
-pub use reconfiguration::{VoterChange as Seat, VoterChangeError as Refused};
-pub use settings::ChainSettings as Terms;
-pub use state::HardState as Durable;
-
-impl Chain {
-    #[doc(hidden)]
-    pub fn ask_voters(&mut self, now: Millis, change: VoterChange) -> Result<Vec<NodeId>, VoterChangeError> {
-        self.request_voter_change(now, change)
-    }
-
-    #[doc(hidden)]
-    pub fn in_life(self, life: u64) -> Self {
-        self.with_incarnation(life)
-    }
-}
--- a/plane/src/chain/peers.rs
+++ b/plane/src/chain/peers.rs
@@ -89,8 +89,8 @@
 
     /// Whether two peers hear each other, by their last heartbeats.
     fn connected(&self, one: NodeId, other: NodeId) -> bool {
-        self.check(one, |peer| peer.heartbeat.hears.contains(&other))
-            && self.check(other, |peer| peer.heartbeat.hears.contains(&one))
+        self.check(one, |peer| peer.heartbeat.heard_peers.contains(&other))
+            && self.check(other, |peer| peer.heartbeat.heard_peers.contains(&one))
     }
 
     pub(super) fn exclude_silent(&mut self, nodes: &[NodeId], now: Millis) {
@@ -141,7 +141,7 @@
             members: self.members().clone(),
             promised: self.highest_ballot,
             view: self.active_view().map(|installed| installed.view.clone()),
-            hears: self.peers.ids().filter(|peer| self.hears(*peer)).collect(),
+            heard_peers: self.peers.ids().filter(|peer| self.hears(*peer)).collect(),
             wiped: !self.hard_state.votes,
             eligible: self.settings.eligible,
             unfit: self.is_unfit(),
@@ -214,7 +214,7 @@
     /// Whether a peer can take part in a view: it is there, hears this node too, is fit, and is not left out.
     fn can_take_part(&self, node: NodeId) -> bool {
         let takes_part = |peer: &Peer| {
-            let hears_this_node = peer.heartbeat.hears.contains(&self.me);
+            let hears_this_node = peer.heartbeat.heard_peers.contains(&self.me);
             hears_this_node && !peer.heartbeat.unfit && self.now >= peer.excluded_until
         };
         self.hears(node) && self.peers.check(node, takes_part)
@@ -224,7 +224,7 @@
     fn candidates(&self) -> Vec<NodeId> {
         let members = self.members();
         let eligible = self.peers.matching(|peer| peer.heartbeat.eligible);
-        let mut candidates = [members.voters.as_slice(), &members.before, &eligible].concat();
+        let mut candidates = [members.voters.as_slice(), &members.outgoing, &eligible].concat();
         candidates.sort();
         candidates.dedup();
         candidates
@@ -255,7 +255,7 @@
     }
 
     /// How long a voter has not been heard; 0 where it is there.
-    pub fn away(&self, node: NodeId) -> Millis {
+    pub fn silent_for(&self, node: NodeId) -> Millis {
         if !self.has_lost(node) {
             return 0;
         }
@@ -272,14 +272,14 @@
     }
 
     /// Whether this node reaches a quorum of the voters, itself included: what it acknowledges binds all.
-    pub fn in_majority(&self) -> bool {
+    pub fn has_quorum(&self) -> bool {
         self.members().majority(|node| !self.has_lost(*node))
     }
 
     /// The same at this time: timers may be behind where the process was frozen.
-    pub fn reaches_majority(&mut self, now: Millis) -> bool {
+    pub fn has_quorum_at(&mut self, now: Millis) -> bool {
         self.now = now;
-        self.in_majority()
+        self.has_quorum()
     }
 
     /// Whether this node and those that have answered it form a quorum, also by what each of them knows of the voters:
@@ -295,6 +295,6 @@
     /// The nodes that a peer hears, by its last heartbeat. All of them are connected to it, and it sends a new heartbeat
     /// before anything that follows the loss of one.
     pub fn heard_by(&self, peer: NodeId) -> &[NodeId] {
-        self.peers.get(peer).map_or(&[], |peer| &peer.heartbeat.hears)
+        self.peers.get(peer).map_or(&[], |peer| &peer.heartbeat.heard_peers)
     }
 }
--- a/plane/src/chain/proposal.rs
+++ b/plane/src/chain/proposal.rs
@@ -76,13 +76,13 @@
     fn next_config(&self, current: &JointConfig, stands: bool) -> JointConfig {
         let wanted = self.wanted_voters.as_ref().filter(|_| !current.is_joint());
         if let Some(wanted) = wanted.filter(|wanted| self.can_become_voters(wanted, current)) {
-            return JointConfig { voters: wanted.clone(), before: current.voters.clone() };
+            return JointConfig { voters: wanted.clone(), outgoing: current.voters.clone() };
         }
         if !stands {
             // A change that only some may have seen is made whole before the outgoing set is let go of.
             return current.clone();
         }
-        JointConfig { voters: current.voters.clone(), before: Vec::new() }
+        JointConfig { voters: current.voters.clone(), outgoing: Vec::new() }
     }
 }
 
--- a/plane/src/chain/quorum.rs
+++ b/plane/src/chain/quorum.rs
@@ -10,7 +10,7 @@
     /// The voters, or the incoming ones while a change is under way.
     pub voters: Vec<NodeId>,
     /// The outgoing voters while a change is under way, and empty otherwise.
-    pub before: Vec<NodeId>,
+    pub outgoing: Vec<NodeId>,
 }
 
 impl JointConfig {
@@ -18,7 +18,7 @@
     pub fn of(mut voters: Vec<NodeId>) -> Self {
         voters.sort();
         voters.dedup();
-        JointConfig { voters, before: Vec::new() }
+        JointConfig { voters, outgoing: Vec::new() }
     }
 
     /// Whether the nodes that the predicate holds for form a quorum.
@@ -28,12 +28,12 @@
 
     /// Whether a node votes in either set.
     pub fn contains(&self, node: NodeId) -> bool {
-        self.voters.contains(&node) || self.before.contains(&node)
+        self.voters.contains(&node) || self.outgoing.contains(&node)
     }
 
     /// Whether two voter sets count.
     pub(super) fn is_joint(&self) -> bool {
-        !self.before.is_empty()
+        !self.outgoing.is_empty()
     }
 
     /// Whether any so many voters may fail, with their disks, without a committed change being lost.
@@ -42,6 +42,6 @@
     }
 
     fn every_set(&self, holds: impl Fn(&[NodeId]) -> bool) -> bool {
-        holds(&self.voters) && (!self.is_joint() || holds(&self.before))
+        holds(&self.voters) && (!self.is_joint() || holds(&self.outgoing))
     }
 }
--- a/plane/src/chain/reconfiguration.rs
+++ b/plane/src/chain/reconfiguration.rs
@@ -83,7 +83,7 @@
     ) -> Result<Vec<NodeId>, VoterChangeError> {
         self.now = now;
         let members = self.members();
-        if self.active_view().is_none() || !members.contains(self.me) || !self.in_majority() {
+        if self.active_view().is_none() || !members.contains(self.me) || !self.has_quorum() {
             return Err(VoterChangeError::NoView);
         }
         if members.is_joint() || self.requested_voters.is_some() {
@@ -188,7 +188,7 @@
         let needed = self.settings.voters_needed().min(MAX_VOTERS);
         // Those that have been away for longest first: they are the least likely to come back.
         let mut voters = members.voters.clone();
-        voters.sort_by_key(|voter| Reverse(self.away(*voter)));
+        voters.sort_by_key(|voter| Reverse(self.silent_for(*voter)));
         let mut surplus = voters.len().saturating_sub(needed);
         let mut wanted = Vec::new();
         for voter in voters {
@@ -212,11 +212,11 @@
     /// Whether a voter is to be replaced. One that leaves announces it, and is replaced before it has gone: it may be
     /// gone for good, and then counts no more at once.
     fn gives_up_vote(&self, voter: NodeId) -> bool {
-        self.peers.check(voter, |peer| peer.left) || self.away(voter) >= self.settings.replaced_after()
+        self.peers.check(voter, |peer| peer.left) || self.silent_for(voter) >= self.settings.replaced_after()
     }
 
     /// Control nodes that may vote and do not, and are there.
-    pub fn standing_by(&self) -> Vec<NodeId> {
+    pub fn standbys(&self) -> Vec<NodeId> {
         let members = self.members();
         let mut eligible = self.peers.matching(|peer| peer.heartbeat.eligible);
         eligible.retain(|node| self.hears(*node) && !members.contains(*node));
@@ -234,7 +234,7 @@
         // While both sets count, the outgoing one is counted with it.
         let can_be_replaced = || {
             let is_fit = |peer: &Peer| !peer.heartbeat.unfit;
-            members.is_joint() || self.standing_by().iter().any(|node| self.peers.check(*node, is_fit))
+            members.is_joint() || self.standbys().iter().any(|node| self.peers.check(*node, is_fit))
         };
         in_chain || members.contains(self.me) && can_be_replaced()
     }
--- a/plane/src/chain/replication.rs
+++ b/plane/src/chain/replication.rs
@@ -6,7 +6,7 @@
 use crate::chain::settings::REPLICATION_TIMEOUT;
 use crate::chain::{Chain, Message, Outcome, Output};
 use crate::ids::{CallId, NodeId};
-use crate::orders::Entry;
+use crate::orders::LogEntry;
 use crate::record::Record;
 use crate::Millis;
 
@@ -29,7 +29,7 @@
     }
 
     /// A change from the predecessor.
-    pub(super) fn handle_update(&mut self, from: NodeId, ballot: u64, entry: &Arc<Entry>) {
+    pub(super) fn handle_update(&mut self, from: NodeId, ballot: u64, entry: &Arc<LogEntry>) {
         let Some(view) = self.unfenced_view(ballot) else { return };
         let record = &self.hard_state.record;
         let is_next = entry.seq == record.seq + 1 && entry.order.rev > record.rev;
@@ -40,7 +40,7 @@
     }
 
     /// Makes a change durable, then passes it on, or commits it at the tail.
-    pub(super) fn accept(&mut self, entry: &Arc<Entry>) {
+    pub(super) fn accept(&mut self, entry: &Arc<LogEntry>) {
         let Some(installed) = &self.installed else { return };
         let view = &installed.view;
         let follow_up = match view.successor(self.me) {
@@ -101,7 +101,9 @@
         if record.seq > self.committed.seq {
             self.committed = Arc::clone(&record);
             self.outputs.push(Output::Publish(record));
-        } else if record.seq == self.committed.seq && record.taken.len() > self.committed.taken.len() {
+        } else if record.seq == self.committed.seq
+            && record.applied_orders.len() > self.committed.applied_orders.len()
+        {
             // It came without the table of orders, which a backup needs.
             self.committed = record;
         }
--- a/plane/src/config.rs
+++ b/plane/src/config.rs
@@ -11,39 +11,39 @@
 
 /// Largest document, also of one that grows by PATCH: with the table of taken orders and a view it fits into a frame, and
 /// what does not could never reach another member of the chain.
-pub const LARGEST: usize = 3 << 20;
+pub const MAX_DOCUMENT_BYTES: usize = 3 << 20;
 
 /// Why a document or a change is not taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
-pub enum Invalid {
+pub enum InvalidConfig {
     #[error("not a configuration: {0}")]
     Unreadable(String),
     #[error("rev: a version above {current} expected, got {got}")]
     OldVersion { current: u64, got: u64 },
     #[error("paths: {0:?} is named twice")]
-    NameTwice(String),
+    DuplicateRoute(String),
     #[error("backends: {0:?} is named twice")]
-    BackendTwice(String),
+    DuplicateBackend(String),
     #[error("path {path:?}: no backend is named {backend:?}")]
     UnknownBackend { path: String, backend: String },
     #[error("path {path:?}: {other:?} has the same hostname and pathPrefix")]
-    SamePlace { path: String, other: String },
+    DuplicatePrefix { path: String, other: String },
     #[error("path {0:?}: the weights of its split sum to 0")]
-    NoWeight(String),
+    ZeroWeight(String),
     #[error("path {0:?}: deadlineMs above 0 expected")]
-    NoDeadline(String),
+    ZeroDeadline(String),
     #[error("path {0:?}: pathPrefix must begin and end with a slash")]
-    Prefix(String),
+    InvalidPrefix(String),
     #[error("path {0:?}: exactly one of backend and split expected")]
-    Target(String),
-    #[error("{LARGEST} bytes are the most, got {0}")]
+    BackendOrSplit(String),
+    #[error("{MAX_DOCUMENT_BYTES} bytes are the most, got {0}")]
     TooLarge(usize),
 }
 
 /// What a route allows to be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
-pub enum Kind {
+pub enum RouteKind {
     /// Object reads: may be repeated, answers may be kept.
     Cacheable,
     /// May be repeated.
@@ -55,7 +55,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Share {
+pub struct WeightedBackend {
     pub backend: String,
     pub weight: f64,
 }
@@ -68,7 +68,7 @@
     pub hostname: String,
     pub path_prefix: String,
     #[serde(rename = "type", default)]
-    pub kind: Kind,
+    pub kind: RouteKind,
     pub deadline_ms: u64,
     #[serde(default)]
     pub target_ms: Option<f64>,
@@ -77,7 +77,7 @@
     #[serde(default)]
     pub backend: Option<String>,
     #[serde(default)]
-    pub split: Vec<Share>,
+    pub split: Vec<WeightedBackend>,
     #[serde(default = "one")]
     pub tries: u32,
     #[serde(default)]
@@ -112,7 +112,7 @@
     }
 
     /// The time within which an answer earns its full worth.
-    pub fn aim(&self) -> Duration {
+    pub fn latency_target(&self) -> Duration {
         let ms = self.target_ms.unwrap_or(self.deadline_ms as f64);
         Duration::from_secs_f64(ms.clamp(1.0, LONGEST_AIM_MS) / 1000.0)
     }
@@ -134,16 +134,16 @@
 /// What clients may send, and how long they may take.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "camelCase", default)]
-pub struct ReqLimits {
+pub struct RequestLimits {
     pub max_header_bytes: usize,
     pub max_body_bytes: usize,
     pub header_timeout_ms: u64,
     pub idle_timeout_ms: u64,
 }
 
-impl Default for ReqLimits {
+impl Default for RequestLimits {
     fn default() -> Self {
-        ReqLimits {
+        RequestLimits {
             max_header_bytes: 16 << 10,
             max_body_bytes: 64 << 20,
             header_timeout_ms: 3000,
@@ -162,7 +162,7 @@
     #[serde(default)]
     pub backends: Vec<Backend>,
     #[serde(default)]
-    pub req_limits: ReqLimits,
+    pub req_limits: RequestLimits,
     /// Places in `paths`, by host and prefix.
     #[serde(skip)]
     places: HashMap<String, HashMap<String, usize>>,
@@ -173,9 +173,9 @@
 
 impl Config {
     /// Reads a document and checks it.
-    pub fn read(document: &[u8]) -> Result<Config, Invalid> {
+    pub fn read(document: &[u8]) -> Result<Config, InvalidConfig> {
         let mut config: Config =
-            serde_json::from_slice(document).map_err(|e| Invalid::Unreadable(e.to_string()))?;
+            serde_json::from_slice(document).map_err(|e| InvalidConfig::Unreadable(e.to_string()))?;
         config.check()?;
         for (index, route) in config.paths.iter().enumerate() {
             let host = config.places.entry(route.hostname.to_ascii_lowercase()).or_default();
@@ -187,11 +187,11 @@
         Ok(config)
     }
 
-    fn check(&self) -> Result<(), Invalid> {
+    fn check(&self) -> Result<(), InvalidConfig> {
         let mut backends = HashSet::new();
         for backend in &self.backends {
             if !backends.insert(backend.name.as_str()) {
-                return Err(Invalid::BackendTwice(backend.name.clone()));
+                return Err(InvalidConfig::DuplicateBackend(backend.name.clone()));
             }
         }
         let mut names = HashSet::new();
@@ -199,30 +199,30 @@
         for route in &self.paths {
             let name = || route.name.clone();
             if !names.insert(route.name.as_str()) {
-                return Err(Invalid::NameTwice(name()));
+                return Err(InvalidConfig::DuplicateRoute(name()));
             }
             if !(route.path_prefix.starts_with('/') && route.path_prefix.ends_with('/')) {
-                return Err(Invalid::Prefix(name()));
+                return Err(InvalidConfig::InvalidPrefix(name()));
             }
             if route.deadline_ms == 0 {
-                return Err(Invalid::NoDeadline(name()));
+                return Err(InvalidConfig::ZeroDeadline(name()));
             }
             if route.backend.is_some() != route.split.is_empty() {
-                return Err(Invalid::Target(name()));
+                return Err(InvalidConfig::BackendOrSplit(name()));
             }
             let named = route.backend.iter().chain(route.split.iter().map(|share| &share.backend));
             for backend in named {
                 if !backends.contains(backend.as_str()) {
-                    return Err(Invalid::UnknownBackend { path: name(), backend: backend.clone() });
+                    return Err(InvalidConfig::UnknownBackend { path: name(), backend: backend.clone() });
                 }
             }
             let weight: f64 = route.split.iter().map(|share| share.weight.max(0.0)).sum();
             if !route.split.is_empty() && weight <= 0.0 {
-                return Err(Invalid::NoWeight(name()));
+                return Err(InvalidConfig::ZeroWeight(name()));
             }
             let place = (route.hostname.to_ascii_lowercase(), route.path_prefix.as_str());
             if let Some(other) = places.insert(place, &route.name) {
-                return Err(Invalid::SamePlace { path: name(), other: other.clone() });
+                return Err(InvalidConfig::DuplicatePrefix { path: name(), other: other.clone() });
             }
         }
         Ok(())
@@ -253,7 +253,7 @@
     }
 
     /// Where a route stands among all, from 0 for the highest rank to 1 for the lowest.
-    pub fn rank(&self, route: &Route) -> f64 {
+    pub fn priority_rank(&self, route: &Route) -> f64 {
         let above = self.prios.iter().filter(|prio| **prio < route.prio).count();
         above as f64 / self.prios.len().saturating_sub(1).max(1) as f64
     }
@@ -265,14 +265,14 @@
 
 /// A change that an operator asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Change {
+pub enum ConfigChange {
     /// A whole document.
     Put(Vec<u8>),
     /// Named items.
     Patch(Vec<u8>),
 }
 
-impl Change {
+impl ConfigChange {
     /// The version that the change makes, where it can be told.
     pub fn rev(&self) -> Option<u64> {
         #[derive(Deserialize)]
@@ -280,35 +280,35 @@
             rev: u64,
         }
         match self {
-            Change::Put(bytes) => serde_json::from_slice::<Rev>(bytes).ok().map(|r| r.rev),
+            ConfigChange::Put(bytes) => serde_json::from_slice::<Rev>(bytes).ok().map(|r| r.rev),
             // As `apply` reads it: of a field that is there twice, the last counts.
-            Change::Patch(bytes) => object(bytes).ok()?.get("rev")?.as_u64(),
+            ConfigChange::Patch(bytes) => object(bytes).ok()?.get("rev")?.as_u64(),
         }
     }
 
     /// The document that results from the change to `current`, whose version is `rev`.
-    pub fn apply(&self, current: &[u8], rev: u64) -> Result<(u64, Vec<u8>), Invalid> {
+    pub fn apply(&self, current: &[u8], rev: u64) -> Result<(u64, Vec<u8>), InvalidConfig> {
         let document = match self {
-            Change::Put(bytes) => bytes.clone(),
-            Change::Patch(bytes) => patched(current, bytes)?,
+            ConfigChange::Put(bytes) => bytes.clone(),
+            ConfigChange::Patch(bytes) => patched(current, bytes)?,
         };
-        if document.len() > LARGEST {
-            return Err(Invalid::TooLarge(document.len()));
+        if document.len() > MAX_DOCUMENT_BYTES {
+            return Err(InvalidConfig::TooLarge(document.len()));
         }
         let config = Config::read(&document)?;
         if config.rev <= rev {
-            return Err(Invalid::OldVersion { current: rev, got: config.rev });
+            return Err(InvalidConfig::OldVersion { current: rev, got: config.rev });
         }
         Ok((config.rev, document))
     }
 }
 
-fn object(bytes: &[u8]) -> Result<Map<String, Value>, Invalid> {
-    serde_json::from_slice(bytes).map_err(|e| Invalid::Unreadable(e.to_string()))
+fn object(bytes: &[u8]) -> Result<Map<String, Value>, InvalidConfig> {
+    serde_json::from_slice(bytes).map_err(|e| InvalidConfig::Unreadable(e.to_string()))
 }
 
-fn patched(current: &[u8], patch: &[u8]) -> Result<Vec<u8>, Invalid> {
-    let unreadable = |what: &str| Invalid::Unreadable(what.to_owned());
+fn patched(current: &[u8], patch: &[u8]) -> Result<Vec<u8>, InvalidConfig> {
+    let unreadable = |what: &str| InvalidConfig::Unreadable(what.to_owned());
     let mut document = if current.is_empty() { Map::new() } else { object(current)? };
     let mut patch = object(patch)?;
     let rev = patch.remove("rev").ok_or_else(|| unreadable("missing field `rev`"))?;
@@ -342,5 +342,5 @@
             }
         }
     }
-    serde_json::to_vec(&document).map_err(|e| Invalid::Unreadable(e.to_string()))
+    serde_json::to_vec(&document).map_err(|e| InvalidConfig::Unreadable(e.to_string()))
 }
--- a/plane/src/fleet.rs
+++ b/plane/src/fleet.rs
@@ -24,7 +24,7 @@
 }
 
 /// What stands for an edge among all edges, by the name of its machine.
-pub fn edge_mark(node: &str) -> u64 {
+pub fn edge_hash(node: &str) -> u64 {
     node.bytes().fold(0, |hash, byte| mix(hash ^ u64::from(byte)))
 }
 
@@ -47,18 +47,18 @@
 
 /// The entries of a list in order that have come or are others now, and the names of those that have gone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Difference<T, N> {
-    put: Vec<T>,
-    gone: Vec<N>,
+struct ListDelta<T, N> {
+    upserted: Vec<T>,
+    removed: Vec<N>,
 }
 
-impl<T: Clone, N: Clone + Ord> Difference<T, N> {
+impl<T: Clone, N: Clone + Ord> ListDelta<T, N> {
     fn between(old: &[T], new: &[T], name: impl Fn(&T) -> &N, same: impl Fn(&T, &T) -> bool) -> Self {
         let (mut put, mut gone) = (Vec::new(), Vec::new());
         let (mut old, mut new) = (old.iter().peekable(), new.iter().peekable());
         loop {
             let order = match (old.peek(), new.peek()) {
-                (None, None) => return Difference { put, gone },
+                (None, None) => return ListDelta { upserted: put, removed: gone },
                 (Some(_), None) => Ordering::Less,
                 (None, Some(_)) => Ordering::Greater,
                 (Some(a), Some(b)) => name(a).cmp(name(b)),
@@ -75,11 +75,11 @@
     }
 
     fn apply(&self, list: &mut Vec<T>, name: impl Fn(&T) -> &N) {
-        if !self.gone.is_empty() {
-            let gone: BTreeSet<&N> = self.gone.iter().collect();
+        if !self.removed.is_empty() {
+            let gone: BTreeSet<&N> = self.removed.iter().collect();
             list.retain(|entry| !gone.contains(name(entry)));
         }
-        for entry in &self.put {
+        for entry in &self.upserted {
             match list.binary_search_by(|known| name(known).cmp(name(entry))) {
                 Ok(at) => list[at] = entry.clone(),
                 Err(at) => list.insert(at, entry.clone()),
@@ -88,26 +88,26 @@
     }
 
     fn is_empty(&self) -> bool {
-        self.put.is_empty() && self.gone.is_empty()
+        self.upserted.is_empty() && self.removed.is_empty()
     }
 }
 
 /// What makes a fleet the next one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Change {
-    builds_on: u64,
-    number: u64,
+pub struct FleetDelta {
+    base_version: u64,
+    version: u64,
     complete: bool,
     cores: u32,
-    servers: Difference<Server, String>,
-    shields: Difference<Member, String>,
-    edges: Difference<u64, u64>,
+    servers: ListDelta<Server, String>,
+    shields: ListDelta<Member, String>,
+    edges: ListDelta<u64, u64>,
 }
 
-impl Change {
+impl FleetDelta {
     /// Whether it only adds or replaces entries.
-    pub fn takes_none_off(&self) -> bool {
-        self.servers.gone.is_empty() && self.shields.gone.is_empty() && self.edges.gone.is_empty()
+    pub fn removes_nothing(&self) -> bool {
+        self.servers.removed.is_empty() && self.shields.removed.is_empty() && self.edges.removed.is_empty()
     }
 
     /// Whether its teller has heard of all there are.
@@ -118,9 +118,9 @@
 
 /// What is told of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Told {
-    Whole { number: u64, fleet: Fleet },
-    Change(Change),
+pub enum FleetUpdate {
+    Snapshot { version: u64, fleet: Fleet },
+    Delta(FleetDelta),
 }
 
 /// A change that does not build on what is here: something was missed.
@@ -133,60 +133,60 @@
 
 /// A fleet and how often it has changed at whoever tells of it.
 #[derive(Clone, Debug, Default)]
-pub struct Numbered {
-    number: u64,
+pub struct VersionedFleet {
+    version: u64,
     fleet: Fleet,
 }
 
-impl Numbered {
+impl VersionedFleet {
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    pub fn whole(&self) -> Told {
-        Told::Whole { number: self.number, fleet: self.fleet.clone() }
+    pub fn snapshot(&self) -> FleetUpdate {
+        FleetUpdate::Snapshot { version: self.version, fleet: self.fleet.clone() }
     }
 
     /// Makes `next` the fleet; gives what those who know the last one have to be told. How warm a server is changes
     /// with time alone, and is told when it comes.
-    pub fn become_next(&mut self, next: Fleet) -> Option<Told> {
+    pub fn advance_to(&mut self, next: Fleet) -> Option<FleetUpdate> {
         let warmth_aside = |a: &Server, b: &Server| {
             (&a.backend, a.addr, &a.zone, a.capacity, a.ready)
                 == (&b.backend, b.addr, &b.zone, b.capacity, b.ready)
         };
         let old = &self.fleet;
-        let change = Change {
-            builds_on: self.number,
-            number: self.number + 1,
+        let change = FleetDelta {
+            base_version: self.version,
+            version: self.version + 1,
             complete: next.complete,
             cores: next.cores,
-            servers: Difference::between(&old.servers, &next.servers, |s| &s.id, warmth_aside),
-            shields: Difference::between(&old.shields, &next.shields, |m| &m.node, |a, b| a == b),
-            edges: Difference::between(&old.edges, &next.edges, |edge| edge, |a, b| a == b),
+            servers: ListDelta::between(&old.servers, &next.servers, |s| &s.id, warmth_aside),
+            shields: ListDelta::between(&old.shields, &next.shields, |m| &m.node, |a, b| a == b),
+            edges: ListDelta::between(&old.edges, &next.edges, |edge| edge, |a, b| a == b),
         };
         let nothing = change.servers.is_empty() && change.shields.is_empty() && change.edges.is_empty();
         if nothing && (old.complete, old.cores) == (next.complete, next.cores) {
             return None;
         }
-        (self.number, self.fleet) = (change.number, next);
-        Some(Told::Change(change))
+        (self.version, self.fleet) = (change.version, next);
+        Some(FleetUpdate::Delta(change))
     }
 
     /// Takes a change that another one numbers, of the very fleet that is here; gives what those who know the last one
     /// have to be told.
-    pub fn take_over(&mut self, change: &Change) -> Told {
-        let change = Change { builds_on: self.number, number: self.number + 1, ..change.clone() };
+    pub fn adopt(&mut self, change: &FleetDelta) -> FleetUpdate {
+        let change = FleetDelta { base_version: self.version, version: self.version + 1, ..change.clone() };
         self.apply(&change);
-        Told::Change(change)
+        FleetUpdate::Delta(change)
     }
 
     /// Takes what was told.
-    pub fn take(&mut self, told: Told) -> Result<(), Gap> {
+    pub fn apply_update(&mut self, told: FleetUpdate) -> Result<(), Gap> {
         match told {
-            Told::Whole { number, fleet } => (self.number, self.fleet) = (number, fleet),
-            Told::Change(change) => {
-                if change.builds_on != self.number {
-                    return Err(Gap { expected: change.builds_on, here: self.number });
+            FleetUpdate::Snapshot { version, fleet } => (self.version, self.fleet) = (version, fleet),
+            FleetUpdate::Delta(change) => {
+                if change.base_version != self.version {
+                    return Err(Gap { expected: change.base_version, here: self.version });
                 }
                 self.apply(&change);
             }
@@ -194,24 +194,24 @@
         Ok(())
     }
 
-    fn apply(&mut self, change: &Change) {
+    fn apply(&mut self, change: &FleetDelta) {
         change.servers.apply(&mut self.fleet.servers, |server| &server.id);
         change.shields.apply(&mut self.fleet.shields, |member| &member.node);
         change.edges.apply(&mut self.fleet.edges, |edge| edge);
         (self.fleet.complete, self.fleet.cores) = (change.complete, change.cores);
-        self.number = change.number;
+        self.version = change.version;
     }
 }
 
 /// Members with their sessions at one control node, as it tells its peers: whole when a link comes up, and by what
 /// has changed from then on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Members {
+pub struct MembersUpdate {
     whole: bool,
-    difference: Difference<Member, String>,
+    difference: ListDelta<Member, String>,
 }
 
-impl Members {
+impl MembersUpdate {
     /// The members of a list in any order, each name once; the last of a name stays.
     pub fn listed(members: Vec<Member>) -> Vec<Member> {
         let by_name: std::collections::BTreeMap<_, _> =
@@ -219,14 +219,17 @@
         by_name.into_values().collect()
     }
 
-    pub fn whole(members: &[Member]) -> Self {
-        Members { whole: true, difference: Difference { put: members.to_vec(), gone: Vec::new() } }
+    pub fn snapshot(members: &[Member]) -> Self {
+        MembersUpdate {
+            whole: true,
+            difference: ListDelta { upserted: members.to_vec(), removed: Vec::new() },
+        }
     }
 
     /// `None` where nothing has changed.
-    pub fn between(old: &[Member], new: &[Member]) -> Option<Self> {
-        let difference = Difference::between(old, new, |member| &member.node, |a, b| a == b);
-        (!difference.is_empty()).then_some(Members { whole: false, difference })
+    pub fn delta(old: &[Member], new: &[Member]) -> Option<Self> {
+        let difference = ListDelta::between(old, new, |member| &member.node, |a, b| a == b);
+        (!difference.is_empty()).then_some(MembersUpdate { whole: false, difference })
     }
 
     pub fn apply(&self, members: &mut Vec<Member>) {
--- a/plane/src/ids.rs
+++ b/plane/src/ids.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId {
     /// Incarnation of the process that sent the request.
-    pub life: u64,
+    pub incarnation: u64,
     /// Number of the request within that incarnation.
     pub number: u64,
 }
--- a/plane/src/known_fleet.rs
+++ b/plane/src/known_fleet.rs
@@ -3,15 +3,15 @@
 
 use std::collections::HashSet;
 
-use crate::fleet::{Fleet, Gap, Numbered, Told};
+use crate::fleet::{Fleet, FleetUpdate, Gap, VersionedFleet};
 
 /// The fleet that a process goes by, and may pass on.
 #[derive(Default)]
 pub struct KnownFleet {
     /// What whoever tells now has told.
-    told: Numbered,
+    told: VersionedFleet,
     /// What this process goes by: nothing yet, or that and what is known from others.
-    known: Option<Numbered>,
+    known: Option<VersionedFleet>,
     /// Both are the same fleet, so that a change of one is a change of the other.
     in_step: bool,
 }
@@ -19,31 +19,31 @@
 impl KnownFleet {
     /// The fleet to go by; `None` until something was told.
     pub fn fleet(&self) -> Option<&Fleet> {
-        self.known.as_ref().map(Numbered::fleet)
+        self.known.as_ref().map(VersionedFleet::fleet)
     }
 
     /// The same, for a process that knows nothing.
-    pub fn whole(&self) -> Option<Told> {
-        self.known.as_ref().map(Numbered::whole)
+    pub fn snapshot(&self) -> Option<FleetUpdate> {
+        self.known.as_ref().map(VersionedFleet::snapshot)
     }
 
     /// Takes what is told; gives what those have to be told who know the fleet as it was.
-    pub fn take(&mut self, told: Told) -> Result<Option<Told>, Gap> {
-        if let (true, Told::Change(change), Some(known)) = (self.in_step, &told, &mut self.known) {
+    pub fn apply_update(&mut self, told: FleetUpdate) -> Result<Option<FleetUpdate>, Gap> {
+        if let (true, FleetUpdate::Delta(change), Some(known)) = (self.in_step, &told, &mut self.known) {
             // Without putting the two together: with thousands of servers that is most of what a change costs.
-            if change.is_complete() || change.takes_none_off() {
+            if change.is_complete() || change.removes_nothing() {
                 let change = change.clone();
-                self.told.take(told)?;
-                return Ok(Some(known.take_over(&change)));
+                self.told.apply_update(told)?;
+                return Ok(Some(known.adopt(&change)));
             }
         }
-        self.told.take(told)?;
+        self.told.apply_update(told)?;
         let first = self.known.is_none();
         let known = self.known.get_or_insert_default();
         let next = merged(known.fleet(), self.told.fleet().clone());
-        let told = known.become_next(next);
+        let told = known.advance_to(next);
         self.in_step = known.fleet() == self.told.fleet();
-        Ok(if first { Some(known.whole()) } else { told })
+        Ok(if first { Some(known.snapshot()) } else { told })
     }
 }
 
--- a/plane/src/lease.rs
+++ b/plane/src/lease.rs
@@ -27,7 +27,7 @@
 const ROUNDING: Millis = 10;
 
 /// How long a granter waits for a lease of this length to be over at its holder.
-pub const fn waits_for(lasts: Millis) -> Millis {
+pub const fn granter_wait(lasts: Millis) -> Millis {
     lasts + lasts.div_ceil(CLOCK_RATE_SHARE) + ROUNDING
 }
 
@@ -52,7 +52,7 @@
     }
 
     /// Whether copies may be served: the answer holds for this moment only.
-    pub fn stands(&self, now: Millis) -> bool {
+    pub fn is_valid(&self, now: Millis) -> bool {
         now < self.until
     }
 }
@@ -73,7 +73,7 @@
     /// Notes a lease that was granted upon a request received at `received`.
     pub fn grant(&mut self, holder: K, received: Millis, lasts: Millis) {
         let until = self.until.entry(holder).or_default();
-        *until = (*until).max(received + waits_for(lasts));
+        *until = (*until).max(received + granter_wait(lasts));
     }
 
     /// Grants a part of a lease that the granter itself holds until `until`; gives how long it lasts from the moment of
--- a/plane/src/messages.rs
+++ b/plane/src/messages.rs
@@ -11,18 +11,18 @@
 
 use crate::chain;
 use crate::fleet;
-use crate::registry::Entry;
+use crate::registry::ServerEntry;
 use crate::Millis;
 
 pub use crate::ids::CallId;
-pub use crate::nodes::{Member, Proxy, Server};
+pub use crate::nodes::{Member, ProxyRole, Server};
 
 /// Longest frame: a configuration of many hundred routes, and room.
-pub const LONGEST_FRAME: usize = 4 << 20;
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
 /// From proxy to agent and from agent to control.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Up {
+pub enum SubscriberMessage {
     /// First, and again whenever it changes. An agent whose proxy is away says `None`.
     Hello {
         node: String,
@@ -31,13 +31,13 @@
     /// All changes up to this number are applied.
     Applied(u64),
     /// Counters since the start, for `status`.
-    Report(Vec<(String, u64)>),
+    Counters(Vec<(String, u64)>),
     /// Asks for a lease on copies; `sent` is a reading of the sender's clock, for the grant to name.
-    Renew {
-        sent: Millis,
+    RenewLease {
+        sent_at: Millis,
     },
     /// The sender, and whoever had a lease from it, serve from copies no more.
-    Released,
+    LeaseReleased,
     Ping,
 }
 
@@ -55,7 +55,7 @@
 
 /// A purge as proxies hear of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Aged {
+pub struct AgedPurge {
     pub purge: Purge,
     /// How long ago it was taken, at least. Copies that were asked for later than that are not older than it.
     pub age_ms: u64,
@@ -63,102 +63,102 @@
 
 /// A change pushed down a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum Update {
     Config {
         rev: u64,
         document: Arc<Vec<u8>>,
     },
-    Fleet(fleet::Told),
-    Purges(Vec<Aged>),
+    Fleet(fleet::FleetUpdate),
+    Purges(Vec<AgedPurge>),
     /// Whether the link to control stands: without it purges may be missed, and copies can't be vouched for.
-    InTouch(bool),
+    Connected(bool),
 }
 
 /// From control to agent and from agent to proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Down {
+pub enum PublisherMessage {
     /// Other control nodes, where an agent may turn to when this one is lost.
-    Controls(Vec<Ipv4Addr>),
+    ControlNodes(Vec<Ipv4Addr>),
     Push {
         number: u64,
-        news: News,
+        update: Update,
     },
     /// A lease on copies, from the moment that the request gave as `sent`.
-    Granted {
-        sent: Millis,
-        lasts: Millis,
+    LeaseGranted {
+        sent_at: Millis,
+        duration: Millis,
     },
     /// The sender stops soon: turn to another now.
-    Leaving,
+    Draining,
     Ping,
 }
 
 /// A process of control: a restarted one has another life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Instance {
+pub struct ProcessId {
     pub ip: Ipv4Addr,
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// Between control nodes, each on the connection that it opened; the other side only says that it is there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Peer {
+pub enum PeerMessage {
     Chain(chain::Message),
     /// The members whose sessions stand at the sender.
-    Sessions(fleet::Members),
+    Members(fleet::MembersUpdate),
     /// What servers have told; `age_ms` since the sender heard of each.
-    Servers(Vec<(Entry, u64)>),
+    Servers(Vec<(ServerEntry, u64)>),
     /// The same, and the sender waits for the word that it is pushed on; with `pass_on` also to those that the receiver
     /// reaches and the sender does not.
-    Urgent {
+    ReplicateServer {
         id: CallId,
-        entry: Entry,
-        pass_on: bool,
+        entry: ServerEntry,
+        forward: bool,
     },
     /// Purges, each with its number at its origin. The sender waits where there is an id; with `asked` it has asked these
     /// itself, and the receiver passes the purges on to those that it reaches beyond them.
     Purges {
         id: Option<CallId>,
-        purges: Vec<Stamped>,
-        asked: Option<Vec<Instance>>,
+        purges: Vec<PurgeRecord>,
+        already_asked: Option<Vec<ProcessId>>,
     },
     /// A purge of the receiver's is on the sender's disk; by its number in that life.
-    PurgeWritten {
-        life: u64,
+    PurgeDurable {
+        incarnation: u64,
         number: u64,
     },
     /// What `Urgent` or `Purges` asked for is done at the sender and its sessions. `complete`: of a purge, whoever else
     /// may still use a lease that the sender granted has taken it as well.
-    Done {
+    Acknowledged {
         id: CallId,
         complete: bool,
     },
     /// Asks a voter for a lease; the number is a reading of the sender's clock.
-    Renew {
+    RenewLease {
         id: CallId,
     },
-    Granted {
+    LeaseGranted {
         id: CallId,
-        lasts: Millis,
+        duration: Millis,
     },
     /// The sender and its sessions use the leases granted to it no more, and it asks for none.
-    Released,
+    LeaseReleased,
     /// From the side that was called.
-    Alive,
+    KeepAlive,
 }
 
-impl Stamped {
-    pub fn aged(&self) -> Aged {
-        Aged { purge: self.purge.clone(), age_ms: self.age_ms }
+impl PurgeRecord {
+    pub fn aged(&self) -> AgedPurge {
+        AgedPurge { purge: self.purge.clone(), age_ms: self.age_ms }
     }
 }
 
 /// A purge with the name that it is known by at all control nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamped {
+pub struct PurgeRecord {
     pub origin: Ipv4Addr,
     /// Of the origin's process, so that numbers of a restarted one do not pass for the last one's.
-    pub life: u64,
+    pub incarnation: u64,
     pub number: u64,
     /// How long ago it was taken, for its end.
     pub age_ms: u64,
@@ -167,9 +167,9 @@
 
 /// The first frame on any connection between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Open {
+pub enum ConnectionOpening {
     /// A session follows.
     Session,
     /// A control node, whose life tells one process from the next at the same address, and the others it knows.
-    Peer { ip: Ipv4Addr, life: u64, others: Vec<Ipv4Addr> },
+    Peer { ip: Ipv4Addr, incarnation: u64, known_peers: Vec<Ipv4Addr> },
 }
--- a/plane/src/nodes.rs
+++ b/plane/src/nodes.rs
@@ -7,7 +7,7 @@
 
 /// The role of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Proxy {
+pub enum ProxyRole {
     /// Takes clients' requests.
     Edge,
     /// Caches answers of the origin servers.
@@ -22,7 +22,7 @@
     /// Zone of its machine.
     pub zone: String,
     /// Its role.
-    pub proxy: Proxy,
+    pub proxy: ProxyRole,
     /// Where a shield takes reads.
     pub http: SocketAddrV4,
     /// It takes requests.
--- a/plane/src/orders.rs
+++ b/plane/src/orders.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-use crate::config::Change;
+use crate::config::ConfigChange;
 
 /// Bound of the table. A day has hundreds of orders, 3,200 in two years' time: more than a day of those. A version takes
 /// ten bytes at most and a key 32, so that the table is below 176 KB, less than the document of 700 routes that it
@@ -28,11 +28,11 @@
 impl IdempotencyKey {
     /// The key of an order. The version that it builds on is a part of it: a PATCH makes another document of another
     /// version, and a PUT that is sent again upon another one is a new decision of the operator, not a repeat.
-    pub fn of(builds_on: u64, change: &Change) -> IdempotencyKey {
+    pub fn of(builds_on: u64, change: &ConfigChange) -> IdempotencyKey {
         // Each field but the last has a fixed length, so that no two orders give the same bytes.
         let (method, body) = match change {
-            Change::Put(body) => (b"PUT  ", body),
-            Change::Patch(body) => (b"PATCH", body),
+            ConfigChange::Put(body) => (b"PUT  ", body),
+            ConfigChange::Patch(body) => (b"PATCH", body),
         };
         let hash =
             Sha256::new().chain_update(method).chain_update(builds_on.to_le_bytes()).chain_update(body);
@@ -195,7 +195,7 @@
 
 /// A log entry: what an order adds to the record before it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct LogEntry {
     /// Log index.
     pub seq: u64,
     /// The whole new document.
@@ -203,10 +203,3 @@
     /// The order, with the version that it makes.
     pub order: AppliedOrder,
 }
-
-// Names before version 0.4, for callers that are not renamed yet.
-pub use AppliedOrder as TakenOrder;
-pub use DeduplicationTable as TakenOrders;
-pub use IdempotencyKey as OrderKey;
-pub use InvalidTable as Unsound;
-pub use MAX_APPLIED_ORDERS as MOST_TAKEN;
--- a/plane/src/registry.rs
+++ b/plane/src/registry.rs
@@ -16,7 +16,7 @@
 /// A server that has been silent for so many beats has crashed: one may be lost, and a second late.
 const MISSED_BEATS: u64 = 4;
 /// Servers and tombstones kept at most; what beats beyond is turned away.
-pub const MOST: usize = 4096;
+pub const MAX_SERVERS: usize = 4096;
 /// A process that has not looked at its clock for so long was stopped, and may have missed what servers said. Shorter than
 /// a beat, and longer than a busy machine takes between two looks.
 const LONGEST_LOOK: Millis = 400;
@@ -38,7 +38,7 @@
 /// The body of a beat.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Beat {
+pub struct HeartbeatRequest {
     pub backend: String,
     pub addr: SocketAddrV4,
     #[serde(default)]
@@ -56,7 +56,7 @@
 
 /// What is known of a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct ServerEntry {
     pub id: String,
     pub backend: String,
     pub addr: SocketAddrV4,
@@ -72,17 +72,17 @@
 pub enum EntryStatus {
     Ready,
     Draining,
-    Gone,
+    Deregistered,
 }
 
-impl Entry {
-    pub fn of(id: &str, beat: Beat) -> Option<Entry> {
+impl ServerEntry {
+    pub fn of(id: &str, beat: HeartbeatRequest) -> Option<ServerEntry> {
         let fits = |name: &str| name.len() <= LONGEST_NAME;
         if id.is_empty() || !fits(id) || !fits(&beat.backend) || !fits(&beat.zone) {
             return None;
         }
         let status = if beat.status == Status::Ready { EntryStatus::Ready } else { EntryStatus::Draining };
-        Some(Entry {
+        Some(ServerEntry {
             id: id.to_owned(),
             backend: beat.backend,
             addr: beat.addr,
@@ -96,7 +96,7 @@
 }
 
 struct Known {
-    entry: Entry,
+    entry: ServerEntry,
     heard: Millis,
     /// How long this node had been deaf in all by then.
     deaf_before: Millis,
@@ -106,15 +106,15 @@
 
 /// What a beat changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum HeartbeatOutcome {
     /// Proxies have to know.
     Changed,
     /// It is alive, no more; peers have to know that too.
-    Alive,
+    Refreshed,
     /// An old call, overtaken by a later one.
-    Late,
+    Stale,
     /// There is no room for it.
-    Full,
+    RegistryFull,
 }
 
 /// The servers that one control node knows.
@@ -152,7 +152,7 @@
 
     /// Notes whether this node takes what servers say; to be told at short intervals, as a long one without a word means
     /// that the process was stopped.
-    pub fn listens(&mut self, now: Millis, listens: bool) {
+    pub fn set_accepting(&mut self, now: Millis, listens: bool) {
         let hearing = &mut self.hearing;
         let passed = now.saturating_sub(hearing.looked.unwrap_or(now));
         hearing.looked = Some(now);
@@ -168,21 +168,21 @@
     }
 
     /// Whether every server that there is has been heard of, for a node that began to listen at this time.
-    pub fn has_heard_all(&self, now: Millis, began: Millis) -> bool {
+    pub fn is_complete(&self, now: Millis, began: Millis) -> bool {
         now >= self.hearing.since.max(began) + self.beat * MISSED_BEATS
     }
 
     /// Takes what a server said `age` ago.
-    pub fn hear(&mut self, now: Millis, age: Millis, entry: Entry) -> Heard {
+    pub fn observe(&mut self, now: Millis, age: Millis, entry: ServerEntry) -> HeartbeatOutcome {
         let heard = now.saturating_sub(age);
         if let Some(known) = self.known.get_mut(&entry.id) {
             // A goodbye is final; a drain is not taken back by a beat sent before it.
-            let old = entry.status != EntryStatus::Gone
-                && (known.entry.status == EntryStatus::Gone || entry.call_seq < known.entry.call_seq);
+            let old = entry.status != EntryStatus::Deregistered
+                && (known.entry.status == EntryStatus::Deregistered || entry.call_seq < known.entry.call_seq);
             if old {
-                return Heard::Late;
+                return HeartbeatOutcome::Stale;
             }
-            let same = |a: &Entry, b: &Entry| {
+            let same = |a: &ServerEntry, b: &ServerEntry| {
                 (&a.backend, a.addr, &a.zone, a.capacity, a.status)
                     == (&b.backend, b.addr, &b.zone, b.capacity, b.status)
             };
@@ -192,60 +192,60 @@
                 (known.heard, known.deaf_before) = (heard, self.hearing.deaf);
             }
             known.entry = entry;
-            return if changed { Heard::Changed } else { Heard::Alive };
+            return if changed { HeartbeatOutcome::Changed } else { HeartbeatOutcome::Refreshed };
         }
         if age >= self.remembered(entry.status) {
             // From the list of a node that was frozen.
-            return Heard::Late;
+            return HeartbeatOutcome::Stale;
         }
-        if entry.status != EntryStatus::Gone {
+        if entry.status != EntryStatus::Deregistered {
             let last = self.forgotten.get(&entry.id).map(|(call_seq, _)| *call_seq);
             let overtaken = last.is_some_and(|last| last > 0 && entry.call_seq <= last);
             let owners = || {
-                let all = self.known.values().filter(|known| known.entry.status != EntryStatus::Gone);
+                let all = self.known.values().filter(|known| known.entry.status != EntryStatus::Deregistered);
                 all.filter(|known| known.entry.addr == entry.addr)
             };
             if overtaken || owners().any(|known| known.heard > heard) {
-                return Heard::Late;
+                return HeartbeatOutcome::Stale;
             }
         }
-        if self.known.len() >= MOST {
-            return Heard::Full;
+        if self.known.len() >= MAX_SERVERS {
+            return HeartbeatOutcome::RegistryFull;
         }
-        if entry.status != EntryStatus::Gone {
+        if entry.status != EntryStatus::Deregistered {
             // The address has a new owner: who had it before is gone, though it never said so.
             let before = self.known.values_mut().filter(|known| known.entry.addr == entry.addr);
-            for known in before.filter(|known| known.entry.status != EntryStatus::Gone) {
-                (known.entry.status, known.heard) = (EntryStatus::Gone, now);
+            for known in before.filter(|known| known.entry.status != EntryStatus::Deregistered) {
+                (known.entry.status, known.heard) = (EntryStatus::Deregistered, now);
                 known.spread = false;
             }
         }
         let deaf_before = self.hearing.deaf;
         self.known.insert(entry.id.clone(), Known { entry, heard, deaf_before, spread: false });
-        Heard::Changed
+        HeartbeatOutcome::Changed
     }
 
     /// Whether an entry tells of a later call of its server than is known here: then those should hear of it whom its teller
     /// does not reach. What is told twice is told on once, whatever way it takes.
-    pub fn is_newer(&self, entry: &Entry) -> bool {
+    pub fn is_newer(&self, entry: &ServerEntry) -> bool {
         self.known.get(&entry.id).is_none_or(|known| entry.call_seq > known.entry.call_seq)
     }
 
     /// A server said goodbye. One that is not known may be on the list of a node that is cut off. `None` where there is
     /// no room for its end.
-    pub fn leave(&mut self, now: Millis, id: &str) -> Option<Entry> {
+    pub fn deregister(&mut self, now: Millis, id: &str) -> Option<ServerEntry> {
         if !self.known.contains_key(id) {
             // Half of the room is for servers, whatever callers say that they are.
-            if self.known.len() >= MOST / 2 || id.is_empty() || id.len() > LONGEST_NAME {
+            if self.known.len() >= MAX_SERVERS / 2 || id.is_empty() || id.len() > LONGEST_NAME {
                 return None;
             }
-            let entry = Entry {
+            let entry = ServerEntry {
                 id: id.to_owned(),
                 backend: String::new(),
                 addr: SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0),
                 zone: String::new(),
                 capacity: 0,
-                status: EntryStatus::Gone,
+                status: EntryStatus::Deregistered,
                 warmup_left_ms: 0,
                 call_seq: 0,
             };
@@ -253,29 +253,29 @@
             self.known.insert(id.to_owned(), Known { entry, heard: now, deaf_before, spread: false });
         }
         let known = self.known.get_mut(id)?;
-        if known.entry.status != EntryStatus::Gone {
-            (known.entry.status, known.heard, known.spread) = (EntryStatus::Gone, now, false);
+        if known.entry.status != EntryStatus::Deregistered {
+            (known.entry.status, known.heard, known.spread) = (EntryStatus::Deregistered, now, false);
         }
         Some(known.entry.clone())
     }
 
     /// What is known of a server.
-    pub fn entry(&self, id: &str) -> Option<&Entry> {
+    pub fn entry(&self, id: &str) -> Option<&ServerEntry> {
         self.known.get(id).map(|known| &known.entry)
     }
 
     /// Whether a server has said goodbye, or lost its address to another.
-    pub fn has_ended(&self, id: &str) -> bool {
-        self.entry(id).is_some_and(|entry| entry.status == EntryStatus::Gone)
+    pub fn is_deregistered(&self, id: &str) -> bool {
+        self.entry(id).is_some_and(|entry| entry.status == EntryStatus::Deregistered)
     }
 
     /// Whether all control nodes that are there have been told what status a server has.
-    pub fn is_spread(&self, id: &str) -> bool {
+    pub fn is_replicated(&self, id: &str) -> bool {
         self.known.get(id).is_some_and(|known| known.spread)
     }
 
     /// They have been told, if it is still this one.
-    pub fn spread(&mut self, id: &str, status: EntryStatus) {
+    pub fn mark_replicated(&mut self, id: &str, status: EntryStatus) {
         if let Some(known) = self.known.get_mut(id).filter(|known| known.entry.status == status) {
             known.spread = true;
         }
@@ -287,7 +287,7 @@
         let deaf = self.hearing.deaf;
         let is_past = |known: &Known| {
             let deaf_since =
-                if known.entry.status == EntryStatus::Gone { 0 } else { deaf - known.deaf_before };
+                if known.entry.status == EntryStatus::Deregistered { 0 } else { deaf - known.deaf_before };
             now >= known.heard + deaf_since + self.remembered(known.entry.status)
         };
         let past = self.known.iter().filter(|(_, known)| is_past(known));
@@ -295,7 +295,7 @@
         self.forgotten.retain(|_, (_, at)| now < *at + TOMBSTONE);
         for (id, call_seq) in &silent {
             self.known.remove(id);
-            if self.forgotten.len() < MOST {
+            if self.forgotten.len() < MAX_SERVERS {
                 self.forgotten.insert(id.clone(), (*call_seq, now));
             }
         }
@@ -305,7 +305,7 @@
     /// How long after it was last heard of a server is known.
     fn remembered(&self, status: EntryStatus) -> Millis {
         match status {
-            EntryStatus::Gone => TOMBSTONE,
+            EntryStatus::Deregistered => TOMBSTONE,
             EntryStatus::Ready | EntryStatus::Draining => self.beat * MISSED_BEATS,
         }
     }
@@ -313,7 +313,8 @@
     /// All that are not gone, as proxies see them. With `ended` those as well that have said goodbye or lost their address,
     /// as servers that take nothing: whoever keeps what a list lacks would keep them ready otherwise.
     pub fn servers(&self, now: Millis, ended: bool) -> Vec<Server> {
-        let present = self.known.values().filter(|known| ended || known.entry.status != EntryStatus::Gone);
+        let present =
+            self.known.values().filter(|known| ended || known.entry.status != EntryStatus::Deregistered);
         present
             .map(|known| Server {
                 id: known.entry.id.clone(),
@@ -328,7 +329,7 @@
     }
 
     /// All entries and how long ago each was heard of, for a peer that has just come.
-    pub fn all(&self, now: Millis) -> Vec<(Entry, Millis)> {
+    pub fn snapshot(&self, now: Millis) -> Vec<(ServerEntry, Millis)> {
         self.known.values().map(|known| (known.entry.clone(), now.saturating_sub(known.heard))).collect()
     }
 }
--- a/plane/src/subset.rs
+++ b/plane/src/subset.rs
@@ -9,25 +9,25 @@
 //!   equally many subsets, and none goes without.
 //! - Whoever comes or goes changes the subsets near it on the ring, and hardly any others.
 //!
-//! A subset grows with the servers for each edge, so that every server serves [`HOLDERS`] edges at least: what
+//! A subset grows with the servers for each edge, so that every server serves [`MIN_EDGES_PER_SERVER`] edges at least: what
 //! one edge has more of than another evens out. In a small system it is all servers.
 
 use std::collections::BTreeMap;
 
 use glenfall_balancer::mix;
 
-use crate::fleet::edge_mark;
+use crate::fleet::edge_hash;
 
 /// Edges that share a server, at least. Clients don't spread evenly over edges; over eight the difference is a third.
-pub const HOLDERS: usize = 8;
+pub const MIN_EDGES_PER_SERVER: usize = 8;
 /// Servers that a subset has at least: two may fail and there is still a choice.
-pub const LEAST: usize = 4;
+pub const MIN_SUBSET_SIZE: usize = 4;
 /// Points on the ring of a server of the usual capacity.
 const POINTS: usize = 32;
 
 /// How many servers each edge has.
 pub fn size(edges: usize, servers: usize) -> usize {
-    (HOLDERS * servers).div_ceil(edges.max(1)).max(LEAST).min(servers)
+    (MIN_EDGES_PER_SERVER * servers).div_ceil(edges.max(1)).max(MIN_SUBSET_SIZE).min(servers)
 }
 
 /// The subset of each edge: places in `servers`, which holds names and capacities. Edges are given by their marks.
@@ -45,7 +45,7 @@
         let capacity = f64::from((*capacity).max(1));
         room.push((places * capacity / all).round().max(1.0) as usize);
         let points = (POINTS as f64 * capacity / usual).ceil() as usize;
-        let mark = edge_mark(id);
+        let mark = edge_hash(id);
         ring.extend((0..points).map(|point| (mix(mark ^ mix(point as u64 + 1)), at)));
     }
     ring.sort_unstable();
--- a/plane/tests/calls.rs
+++ b/plane/tests/calls.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use glenfall_plane::chain::{
-    Call, Chain, Claim, Durable, Members, Message, Outcome, Output, Record, Start, Terms, View,
+    Call, Chain, ChainSettings, Claim, HardState, JointConfig, Message, Outcome, Output, Record, Start, View,
 };
 use glenfall_plane::messages::CallId;
 
@@ -18,11 +18,14 @@
 
 /// A member of a chain of two whose head is node 1, in one of its lives.
 fn member(n: u8, life: u64) -> Chain {
-    let view =
-        View { number: 1 << 32, chain: vec![node(1), node(2)], members: Members::of(vec![node(1), node(2)]) };
+    let view = View {
+        number: 1 << 32,
+        chain: vec![node(1), node(2)],
+        members: JointConfig::of(vec![node(1), node(2)]),
+    };
     let kept =
-        Durable { members: view.members.clone(), votes: true, promised: 0, accepted: 0, record: record() };
-    let mut chain = Chain::new(node(n), Terms::default(), Start::Kept(kept)).in_life(life);
+        HardState { members: view.members.clone(), votes: true, promised: 0, accepted: 0, record: record() };
+    let mut chain = Chain::new(node(n), ChainSettings::default(), Start::Kept(kept)).with_incarnation(life);
     let other = node(3 - n);
     chain.peer_up(0, other);
     let mut due = chain.message(1, other, Message::Install { view: view.clone(), record: record() });
@@ -58,8 +61,8 @@
     let (to, before) = asked(&mut member(2, 100));
     let mut chain = member(2, 200);
     let (_, now) = asked(&mut chain);
-    assert_eq!((to, before), (node(1), CallId { life: 100, number: 1 }));
-    assert_eq!(now, CallId { life: 200, number: 1 });
+    assert_eq!((to, before), (node(1), CallId { incarnation: 100, number: 1 }));
+    assert_eq!(now, CallId { incarnation: 200, number: 1 });
     let answer = |call| Message::Answer { call, outcome: Outcome::Document(record()) };
     assert_eq!(answers(&chain.message(11, node(1), answer(before))), [0; 0]);
     assert_eq!(answers(&chain.message(12, node(1), answer(now))), [1]);
@@ -68,7 +71,7 @@
 
 #[test]
 fn an_answer_names_the_call_as_it_came() {
-    let call = CallId { life: 5, number: 9 };
+    let call = CallId { incarnation: 5, number: 9 };
     let named = |outputs: Vec<Output>| {
         outputs.into_iter().find_map(|output| match output {
             Output::Send(_, Message::Confirm { call, .. } | Message::Answer { call, .. }) => Some(call),
--- a/plane/tests/chain.rs
+++ b/plane/tests/chain.rs
@@ -8,12 +8,12 @@
 use std::sync::Arc;
 
 use glenfall_plane::chain::{
-    Beat, Call, Chain, Claim, Durable, Members, Message, NodeId, Outcome, Output, Record, Refused, Seat,
-    Start, View,
+    Call, Chain, Claim, HardState, Heartbeat, JointConfig, Message, NodeId, Outcome, Output, Record, Start,
+    View, VoterChange, VoterChangeError,
 };
-use glenfall_plane::config::Change;
+use glenfall_plane::config::ConfigChange;
 use glenfall_plane::messages::CallId;
-use glenfall_plane::orders::{Entry, OrderKey, TakenOrder, TakenOrders};
+use glenfall_plane::orders::{AppliedOrder, DeduplicationTable, IdempotencyKey, LogEntry};
 use glenfall_sim::{node, seeds, Schedule, Size, World};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -115,7 +115,7 @@
     let stand = |world: &World| {
         let chain = world.chain(at).expect("it runs");
         let members = chain.members();
-        members.voters == wanted && members.before.is_empty() && chain.view().is_some()
+        members.voters == wanted && members.outgoing.is_empty() && chain.view().is_some()
     };
     while !stand(world) {
         assert!(world.now < until, "no view of the voters {voters:?}");
@@ -141,9 +141,11 @@
         let told = loop {
             let now = world.now;
             let chain = world.machine(at).chain.as_mut().expect("it runs");
-            let told = chain.ask_voters(now, seat);
-            if !matches!(told, Err(Refused::NoView | Refused::UnderWay)) || now >= until {
-                assert!(told.is_err() || chain.ask_voters(now, seat) == Err(Refused::UnderWay));
+            let told = chain.request_voter_change(now, seat);
+            if !matches!(told, Err(VoterChangeError::NoView | VoterChangeError::UnderWay)) || now >= until {
+                assert!(
+                    told.is_err() || chain.request_voter_change(now, seat) == Err(VoterChangeError::UnderWay)
+                );
                 break told;
             }
             step(world);
@@ -151,17 +153,21 @@
         told.map(|voters| voters.into_iter().map(|voter| voter.octets()[3]).collect::<Vec<u8>>())
     };
     await_voters(&mut world, 1, &[1, 2, 3]);
-    assert_eq!(ask(&mut world, 1, Seat::Add(node(2))), Err(Refused::Votes(node(2))));
-    assert_eq!(ask(&mut world, 1, Seat::Add(node(9))), Err(Refused::NotThere(node(9))));
-    assert_eq!(ask(&mut world, 1, Seat::Remove(node(4))), Err(Refused::NoVoter(node(4))));
-    assert_eq!(ask(&mut world, 4, Seat::Remove(node(1))), Err(Refused::NoView), "it has no vote");
+    assert_eq!(ask(&mut world, 1, VoterChange::Add(node(2))), Err(VoterChangeError::Votes(node(2))));
+    assert_eq!(ask(&mut world, 1, VoterChange::Add(node(9))), Err(VoterChangeError::NotThere(node(9))));
+    assert_eq!(ask(&mut world, 1, VoterChange::Remove(node(4))), Err(VoterChangeError::NoVoter(node(4))));
+    assert_eq!(
+        ask(&mut world, 4, VoterChange::Remove(node(1))),
+        Err(VoterChangeError::NoView),
+        "it has no vote"
+    );
     // One of three goes: its place is taken by one that stands by, also where it is the one that is asked.
-    assert_eq!(ask(&mut world, 2, Seat::Remove(node(2))), Ok(vec![1, 3, 4]));
+    assert_eq!(ask(&mut world, 2, VoterChange::Remove(node(2))), Ok(vec![1, 3, 4]));
     await_voters(&mut world, 1, &[1, 3, 4]);
-    assert_eq!(ask(&mut world, 3, Seat::Add(node(5))), Ok(vec![1, 3, 4, 5]));
+    assert_eq!(ask(&mut world, 3, VoterChange::Add(node(5))), Ok(vec![1, 3, 4, 5]));
     await_voters(&mut world, 1, &[1, 3, 4, 5]);
     // More than are needed: one may go without another in its place.
-    assert_eq!(ask(&mut world, 1, Seat::Remove(node(3))), Ok(vec![1, 4, 5]));
+    assert_eq!(ask(&mut world, 1, VoterChange::Remove(node(3))), Ok(vec![1, 4, 5]));
     await_voters(&mut world, 4, &[1, 4, 5]);
     // Nobody stands by.
     for n in 2..=3 {
@@ -170,8 +176,8 @@
     while world.now < 9000 {
         step(&mut world);
     }
-    let refused = Refused::NobodyStandsBy { left: 2, needed: 3, losses: 1 };
-    assert_eq!(ask(&mut world, 1, Seat::Remove(node(5))), Err(refused));
+    let refused = VoterChangeError::NobodyStandsBy { left: 2, needed: 3, losses: 1 };
+    assert_eq!(ask(&mut world, 1, VoterChange::Remove(node(5))), Err(refused));
     let done = world.counts.changes;
     for _ in 0..100 {
         step(&mut world);
@@ -195,7 +201,7 @@
     world.power_on(4);
     until(&mut world, 2900);
     // The successor is added, in place of taking the seat that is free.
-    world.ask_voters(1, Seat::Add(node(4)));
+    world.ask_voters(1, VoterChange::Add(node(4)));
     await_voters(&mut world, 1, &[1, 2, 3, 4]);
     // As soon as the lost one counts no more, another disk may be lost.
     until(&mut world, 5500);
@@ -210,7 +216,7 @@
         2 => 1 << 62,
         _ => rng.random_range(0..200),
     };
-    let call = |rng: &mut ChaCha8Rng| CallId { life: number(rng), number: number(rng) };
+    let call = |rng: &mut ChaCha8Rng| CallId { incarnation: number(rng), number: number(rng) };
     let nodes = |rng: &mut ChaCha8Rng| -> Vec<NodeId> {
         let count = if rng.random_bool(0.1) { 100 } else { rng.random_range(0..4) };
         (0..count).map(|_| node(rng.random_range(0..6))).collect()
@@ -219,23 +225,23 @@
         let document = (0..rng.random_range(0..40)).map(|_| rng.random()).collect();
         let rev = number(rng);
         let newest = if rng.random_bool(0.1) { number(rng) } else { rev };
-        let order = TakenOrder { rev: newest, key: OrderKey([1; 32]) };
-        let taken = TakenOrders::listed(number(rng), &[order]).expect("one order rises");
-        Arc::new(Record { seq: number(rng), rev, document, taken })
+        let order = AppliedOrder { rev: newest, key: IdempotencyKey([1; 32]) };
+        let taken = DeduplicationTable::listed(number(rng), &[order]).expect("one order rises");
+        Arc::new(Record { seq: number(rng), rev, document, applied_orders: taken })
     };
-    let members = |rng: &mut ChaCha8Rng| Members { voters: nodes(rng), before: nodes(rng) };
+    let members = |rng: &mut ChaCha8Rng| JointConfig { voters: nodes(rng), outgoing: nodes(rng) };
     let view = |rng: &mut ChaCha8Rng| View { number: number(rng), chain: nodes(rng), members: members(rng) };
     let change = |rng: &mut ChaCha8Rng| {
         let bytes = (0..rng.random_range(0..40)).map(|_| rng.random()).collect();
-        Call::Change { builds_on: number(rng), change: Change::Put(bytes) }
+        Call::Change { builds_on: number(rng), change: ConfigChange::Put(bytes) }
     };
     match rng.random_range(0..13) {
-        0 => Message::Heartbeat(Beat {
+        0 => Message::Heartbeat(Heartbeat {
             members: members(rng),
             eligible: rng.random(),
             promised: number(rng),
             view: rng.random_bool(0.5).then(|| view(rng)),
-            hears: nodes(rng),
+            heard_peers: nodes(rng),
             wiped: rng.random(),
             unfit: rng.random(),
             leaving: rng.random(),
@@ -251,8 +257,8 @@
         5 => Message::Installed { view: number(rng) },
         6 => Message::StartView { view: view(rng) },
         7 => {
-            let order = TakenOrder { rev: number(rng), key: OrderKey([2; 32]) };
-            let entry = Entry { seq: number(rng), document: record(rng).document.clone(), order };
+            let order = AppliedOrder { rev: number(rng), key: IdempotencyKey([2; 32]) };
+            let entry = LogEntry { seq: number(rng), document: record(rng).document.clone(), order };
             Message::Update { view: number(rng), entry: Arc::new(entry) }
         }
         8 => Message::Acked { view: number(rng), seq: number(rng) },
@@ -336,17 +342,17 @@
 
 fn record(seq: u64) -> Arc<Record> {
     let document = format!("{{\"rev\":{seq}}}").into_bytes();
-    Arc::new(Record { seq, rev: seq, document, taken: TakenOrders::default() })
+    Arc::new(Record { seq, rev: seq, document, applied_orders: DeduplicationTable::default() })
 }
 
 #[test]
 fn what_comes_down_the_chain_before_the_word_that_the_view_stands_shows_that_it_does() {
-    let members = Members::of(seeds());
+    let members = JointConfig::of(seeds());
     let view = View { number: 3 << 32, chain: seeds(), members: members.clone() };
     // The tail begins anew from its disk: it knows of no committed record.
     let begins = || {
         let disk =
-            Durable { members: members.clone(), votes: true, promised: 1, accepted: 1, record: record(6) };
+            HardState { members: members.clone(), votes: true, promised: 1, accepted: 1, record: record(6) };
         let mut chain = Chain::new(node(3), SMALL.terms(), Start::Kept(disk));
         for peer in 1..=2 {
             chain.peer_up(0, node(peer));
@@ -355,7 +361,7 @@
         chain
     };
     let mut chain = begins();
-    let call = CallId { life: 0, number: 9 };
+    let call = CallId { incarnation: 0, number: 9 };
     let claim = Claim::Committed { than: None };
     let read = Message::Confirm { view: view.number, origin: node(2), call, claim };
     let answer = Message::Answer { call, outcome: Outcome::Document(record(6)) };
@@ -366,10 +372,10 @@
     let mut chain = begins();
     let install = Message::Install { view: View { number: 4 << 32, ..middle.clone() }, record: record(6) };
     said(&mut chain, 2, 2, install);
-    let entry = Entry {
+    let entry = LogEntry {
         seq: 7,
         document: record(7).document.clone(),
-        order: TakenOrder { rev: 7, key: OrderKey([7; 32]) },
+        order: AppliedOrder { rev: 7, key: IdempotencyKey([7; 32]) },
     };
     let update = Message::Update { view: 4 << 32, entry: Arc::new(entry) };
     let passed = said(&mut chain, 3, 1, update);
@@ -384,7 +390,12 @@
     let mut chain = Chain::new(node(1), SMALL.terms(), Start::Fresh(seeds()));
     let beat = |hears: [u8; 2], wiped| {
         let hears = hears.map(node).to_vec();
-        Message::Heartbeat(Beat { members: Members::of(seeds()), hears, wiped, ..Beat::default() })
+        Message::Heartbeat(Heartbeat {
+            members: JointConfig::of(seeds()),
+            heard_peers: hears,
+            wiped,
+            ..Heartbeat::default()
+        })
     };
     for peer in 2..=3 {
         chain.peer_up(0, node(peer));
@@ -403,8 +414,12 @@
         }
     }
     let view = view.expect("it proposes");
-    let promise =
-        Message::Promise { view, accepted: Some(0), members: Members::of(seeds()), record: Arc::default() };
+    let promise = Message::Promise {
+        view,
+        accepted: Some(0),
+        members: JointConfig::of(seeds()),
+        record: Arc::default(),
+    };
     assert_eq!(chain.message(200, node(3), promise), []);
     // 3 loses its disk, and with it what it promised since; it is back at once.
     chain.peer_down(210, node(3));
@@ -424,8 +439,9 @@
 
 #[test]
 fn one_that_was_let_go_of_and_takes_an_old_view_for_standing_keeps_nobody_from_mending_the_chain() {
-    let members = Members::of(seeds());
-    let disk = Durable { members: members.clone(), votes: true, promised: 1, accepted: 1, record: record(6) };
+    let members = JointConfig::of(seeds());
+    let disk =
+        HardState { members: members.clone(), votes: true, promised: 1, accepted: 1, record: record(6) };
     let mut chain = Chain::new(node(1), SMALL.terms(), Start::Kept(disk));
     let view = View { number: 5 << 32, chain: seeds(), members: members.clone() };
     // 4 had the place of 1 in an older view, and has heard of nothing since.
@@ -433,7 +449,12 @@
     let beats = |chain: &mut Chain, now| {
         for (peer, view) in [(2, &view), (3, &view), (4, &old)] {
             let hears = (1..=4).filter(|n| *n != peer).map(node).collect();
-            let beat = Beat { members: members.clone(), view: Some(view.clone()), hears, ..Beat::default() };
+            let beat = Heartbeat {
+                members: members.clone(),
+                view: Some(view.clone()),
+                heard_peers: hears,
+                ..Heartbeat::default()
+            };
             said(chain, now, peer, Message::Heartbeat(beat));
         }
     };
--- a/plane/tests/contact.rs
+++ b/plane/tests/contact.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 
-use glenfall_plane::chain::{Call, Chain, Durable, Message, NodeId, Outcome, Output, Start, Terms};
-use glenfall_plane::config::Change;
+use glenfall_plane::chain::{Call, Chain, ChainSettings, HardState, Message, NodeId, Outcome, Output, Start};
+use glenfall_plane::config::ConfigChange;
 use glenfall_plane::Millis;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -33,7 +33,7 @@
 
 struct Machine {
     chain: Option<Chain>,
-    disk: Option<Durable>,
+    disk: Option<HardState>,
     frozen_until: Millis,
     /// Calls that wait for it to wake.
     waiting: Vec<Asked>,
@@ -75,7 +75,7 @@
     fn new(seed: u64) -> Self {
         let voters = if seed.is_multiple_of(3) { 5 } else { 3 };
         let seeds: Vec<NodeId> = (0..voters).map(node).collect();
-        let terms = Terms { losses: voters / 2, eligible: true, ..Terms::default() };
+        let terms = ChainSettings { losses: voters / 2, eligible: true, ..ChainSettings::default() };
         let chain = |n| match n {
             n if n < voters => Chain::new(node(n), terms, Start::Fresh(seeds.clone())),
             // One that stands by.
@@ -215,7 +215,7 @@
             let taken = self.acknowledged.get(&builds_on) == Some(&rev)
                 && self.acknowledged.range(builds_on..).count() < 30
                 && self.sent.iter().filter(|(on, its, _)| (*on, *its) == (builds_on, rev)).count() == 1;
-            let what = Call::Change { builds_on, change: Change::Put(document) };
+            let what = Call::Change { builds_on, change: ConfigChange::Put(document) };
             self.begin(n, Asked { what, floor, taken, known: 0 });
         }
         let (n, floor) = (self.rng.random_range(0..self.nodes()), self.newest());
@@ -331,7 +331,11 @@
                 }
                 self.asked.retain(|(at, _), _| *at != hit);
                 let start = self.machines[hit].disk.clone().map_or(Start::Wiped, Start::Kept);
-                let terms = Terms { losses: (self.nodes() - 1) / 2, eligible: true, ..Terms::default() };
+                let terms = ChainSettings {
+                    losses: (self.nodes() - 1) / 2,
+                    eligible: true,
+                    ..ChainSettings::default()
+                };
                 self.machines[hit].chain = Some(Chain::new(node(hit), terms, start));
             }
         }
--- a/plane/tests/documents.rs
+++ b/plane/tests/documents.rs
@@ -2,7 +2,7 @@
 //! routes and services as lists of its own and judges them by looking at every pair; it shares no code with the
 //! library. `DOCUMENTS_SEED` and `DOCUMENTS_RUNS` choose other runs.
 
-use glenfall_plane::config::{Change, Config};
+use glenfall_plane::config::{Config, ConfigChange};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -101,7 +101,7 @@
 }
 
 /// A change and what the reference makes of it; `None` where its text is no document.
-fn change(rng: &mut ChaCha8Rng, now: &Reference) -> (Change, Option<Reference>) {
+fn change(rng: &mut ChaCha8Rng, now: &Reference) -> (ConfigChange, Option<Reference>) {
     let mut next = now.clone();
     // Mostly above the current version, at times at it or below.
     next.rev = (now.rev + rng.random_range(0..9)).saturating_sub(1);
@@ -144,7 +144,7 @@
     if cut {
         bytes.truncate(rng.random_range(0..bytes.len()));
     }
-    let change = if patch { Change::Patch(bytes) } else { Change::Put(bytes) };
+    let change = if patch { ConfigChange::Patch(bytes) } else { ConfigChange::Put(bytes) };
     (change, (!cut).then_some(next))
 }
 
--- a/plane/tests/exhaustive/members.rs
+++ b/plane/tests/exhaustive/members.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::sync::Mutex;
 
-use glenfall_plane::chain::{Chain, Members, NodeId, Seat, Start};
+use glenfall_plane::chain::{Chain, JointConfig, NodeId, Start, VoterChange};
 
 use crate::world::{hashed, pairs, place, seeds, Event, Machine, World, MENDED, SEEDS};
 
@@ -25,9 +25,9 @@
     fn whole(&self) -> bool {
         let views = || self.machines.iter().filter_map(|machine| machine.chain.as_ref()).map(Chain::view);
         let Some(view) = views().next().flatten() else { return false };
-        let Members { voters, before } = &view.members;
+        let JointConfig { voters, outgoing } = &view.members;
         views().all(|other| other == Some(view))
-            && before.is_empty()
+            && outgoing.is_empty()
             && voters.len() > 2 * self.losses
             && view.chain == *voters
     }
@@ -36,7 +36,7 @@
     /// is on a disk, is left without a majority of votes.
     fn covers(&self, lost: [usize; 2]) -> bool {
         let newest = self.machines.iter().filter_map(|m| m.disk.as_ref()).max_by_key(|disk| disk.accepted);
-        let first = Members::of(seeds());
+        let first = JointConfig::of(seeds());
         let stood = self.stood().map_or(first, |view| view.members.clone());
         let sets = [Some(&stood), newest.map(|disk| &disk.members)];
         let votes = |id: &NodeId| {
@@ -216,7 +216,11 @@
     (world.breaks, world.passes, world.due) = (1, 1, 100);
     let voters = world.chain(0).members().voters.clone();
     let now = world.now;
-    let asked = world.machines[0].chain.as_mut().expect("it runs").ask_voters(now, Seat::Remove(voters[4]));
+    let asked = world.machines[0]
+        .chain
+        .as_mut()
+        .expect("it runs")
+        .request_voter_change(now, VoterChange::Remove(voters[4]));
     assert!(asked.is_ok(), "{asked:?}");
     let known = visited_around("one of five voters is replaced", world);
     assert!(known.states.len() > 3000 && known.came_back.len() > 300);
--- a/plane/tests/exhaustive/world.rs
+++ b/plane/tests/exhaustive/world.rs
@@ -6,9 +6,9 @@
 use std::net::Ipv4Addr;
 
 use glenfall_plane::chain::{
-    Call, Chain, Durable, Members, Message, NodeId, Outcome, Output, Start, Terms, View,
+    Call, Chain, ChainSettings, HardState, JointConfig, Message, NodeId, Outcome, Output, Start, View,
 };
-use glenfall_plane::config::Change;
+use glenfall_plane::config::ConfigChange;
 use glenfall_plane::Millis;
 
 pub const SEEDS: usize = 3;
@@ -55,8 +55,8 @@
 #[derive(Clone)]
 pub struct Machine {
     pub chain: Option<Chain>,
-    pub disk: Option<Durable>,
-    pub syncing: VecDeque<(u64, Durable)>,
+    pub disk: Option<HardState>,
+    pub syncing: VecDeque<(u64, HardState)>,
     /// Of all this, if it has not changed since.
     pub print: Option<u64>,
 }
@@ -100,7 +100,7 @@
 
     /// Nodes that begin like this, all linked; `None` is not there.
     pub fn of(losses: usize, starts: Vec<Option<Start>>) -> World {
-        let terms = Terms { losses, eligible: true, ..Terms::default() };
+        let terms = ChainSettings { losses, eligible: true, ..ChainSettings::default() };
         let machine = |(n, start): (usize, Option<Start>)| Machine {
             disk: match &start {
                 Some(Start::Kept(disk)) => Some(disk.clone()),
@@ -252,7 +252,7 @@
             Event::Ask(n) => {
                 let rev = self.asks;
                 self.asks -= 1;
-                let change = Change::Put(format!("{{\"rev\":{rev}}}").into_bytes());
+                let change = ConfigChange::Put(format!("{{\"rev\":{rev}}}").into_bytes());
                 self.with(n, |chain, now| chain.call(now, rev, Call::Change { builds_on: 0, change }))
             }
             Event::Break(a, b) => {
@@ -375,7 +375,7 @@
     pub fn check(&self) -> Result<(), String> {
         let Some(rev) = self.acknowledged else { return Ok(()) };
         let holds = |machine: &Machine| machine.disk.as_ref().is_some_and(|disk| disk.record.rev == rev);
-        let held = |members: &Members| members.majority(|id| holds(&self.machines[place(*id)]));
+        let held = |members: &JointConfig| members.majority(|id| holds(&self.machines[place(*id)]));
         if self.stood().is_some_and(|view| held(&view.members)) {
             Ok(())
         } else {
--- a/plane/tests/lease_world/control.rs
+++ b/plane/tests/lease_world/control.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-use glenfall_plane::lease::{waits_for, Grants, VoterLeases, VOTER_LEASE};
-use glenfall_plane::messages::Instance;
+use glenfall_plane::lease::{granter_wait, Grants, VoterLeases, VOTER_LEASE};
+use glenfall_plane::messages::ProcessId;
 use glenfall_plane::Millis;
 use rand::Rng;
 
@@ -33,7 +33,7 @@
     purge: u32,
     due: Vec<(usize, u64)>,
     /// Whose leases need not be over.
-    told: Vec<Instance>,
+    told: Vec<ProcessId>,
     left: BTreeSet<usize>,
     complete: Vec<Ipv4Addr>,
     until: Millis,
@@ -46,7 +46,7 @@
 #[derive(Default)]
 pub struct Control {
     held: VoterLeases,
-    granted: Grants<Instance>,
+    granted: Grants<ProcessId>,
     unknown_until: Millis,
     links: BTreeMap<usize, Link>,
     waiting: BTreeMap<u64, Waiting>,
@@ -55,15 +55,15 @@
 
 impl Control {
     pub fn started(now: Millis) -> Control {
-        Control { unknown_until: now + waits_for(VOTER_LEASE), ..Control::default() }
+        Control { unknown_until: now + granter_wait(VOTER_LEASE), ..Control::default() }
     }
 
     fn up(&self) -> impl Iterator<Item = (usize, &Link)> {
         self.links.iter().filter(|(_, link)| link.up).map(|(control, link)| (*control, link))
     }
 
-    fn instances(&self) -> Vec<Instance> {
-        self.up().map(|(control, link)| Instance { ip: address(control), life: link.life }).collect()
+    fn instances(&self) -> Vec<ProcessId> {
+        self.up().map(|(control, link)| ProcessId { ip: address(control), incarnation: link.life }).collect()
     }
 }
 
@@ -121,7 +121,7 @@
         me: usize,
         purge: u32,
         (peers, question): (BTreeSet<usize>, impl Fn(u64) -> Message),
-        told: Vec<Instance>,
+        told: Vec<ProcessId>,
         asker: Option<(usize, u64)>,
         first: bool,
     ) {
@@ -157,13 +157,13 @@
         else {
             return;
         };
-        let peer = Instance { ip: address(from), life: link.life };
+        let peer = ProcessId { ip: address(from), incarnation: link.life };
         match message {
             Message::Purges(purges) => {
                 self.processes[me].purges.extend(&purges);
                 self.push(me, &purges, true);
             }
-            Message::PeerRenew { life: theirs, sent } if theirs == peer.life => {
+            Message::PeerRenew { life: theirs, sent } if theirs == peer.incarnation => {
                 control.granted.grant(peer, now, VOTER_LEASE);
                 self.say(me, connection, Message::PeerGranted { life: theirs, sent, lasts: VOTER_LEASE });
             }
@@ -177,7 +177,7 @@
                 self.wait(me, purge, nobody, Vec::new(), Some((from, id)), false);
             }
             Message::Purge { id, purge, asked: Some(mut told) } => {
-                let beyond: Vec<Instance> = control
+                let beyond: Vec<ProcessId> = control
                     .instances()
                     .into_iter()
                     .filter(|other| *other != peer && !told.contains(other))
@@ -227,7 +227,7 @@
         }
     }
 
-    fn no_lease_but_of(&self, me: usize, told: &[Instance]) -> bool {
+    fn no_lease_but_of(&self, me: usize, told: &[ProcessId]) -> bool {
         let now = self.clock(me);
         let control = &self.processes[me].control;
         let peers = control.granted.last_end(now, |holder| !told.contains(holder)).is_none();
--- a/plane/tests/lease_world/mod.rs
+++ b/plane/tests/lease_world/mod.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use glenfall_plane::lease::Lease;
-use glenfall_plane::messages::Instance;
+use glenfall_plane::messages::ProcessId;
 use glenfall_plane::Millis;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -56,7 +56,7 @@
     Purges(BTreeSet<u32>),
     PeerRenew { life: u64, sent: Millis },
     PeerGranted { life: u64, sent: Millis, lasts: Millis },
-    Purge { id: u64, purge: u32, asked: Option<Vec<Instance>> },
+    Purge { id: u64, purge: u32, asked: Option<Vec<ProcessId>> },
     Done { id: u64, complete: bool },
 }
 
@@ -181,7 +181,7 @@
     fn look(&mut self) {
         for proxy in CONTROLS + AGENTS..PROCESSES {
             let process = &self.processes[proxy];
-            let serves = process.in_touch && process.lease.stands(process.clock.read(self.now));
+            let serves = process.in_touch && process.lease.is_valid(process.clock.read(self.now));
             let missed = self.acknowledged.difference(&process.purges).next();
             if let (true, true, Some(purge)) = (serves, process.paused_until <= self.now, missed) {
                 self.broken = Some((proxy, *purge));
--- a/plane/tests/members.rs
+++ b/plane/tests/members.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use glenfall_plane::chain::{Chain, Members, NodeId, Terms};
+use glenfall_plane::chain::{Chain, ChainSettings, JointConfig, NodeId};
 use glenfall_plane::Millis;
 use glenfall_sim::{node, Size, World};
 use rand::{Rng, SeedableRng};
@@ -70,7 +70,7 @@
 }
 
 impl Play {
-    fn new(seed: u64, size: Size, terms: Terms, slow: Millis) -> Self {
+    fn new(seed: u64, size: Size, terms: ChainSettings, slow: Millis) -> Self {
         let mut world = World::under(seed, size, terms);
         for machine in &mut world.machines {
             machine.disk.sync_takes = (slow / 2 + 1, slow.max(2) + 1);
@@ -95,7 +95,7 @@
         machine.chain.is_some() && machine.paused_until <= self.world.now
     }
 
-    fn members_at(&self, n: u8) -> Option<Members> {
+    fn members_at(&self, n: u8) -> Option<JointConfig> {
         self.world.chain(n).map(|chain| chain.members().clone())
     }
 
@@ -268,9 +268,10 @@
             members.contains(node(*n)) && successor.is_some_and(|since| now >= since + self.world.terms.sync)
         };
         self.overdue = self.removed.iter().any(overdue);
-        let takes = |successor: &u8| members.voters.contains(&node(*successor)) && members.before.is_empty();
+        let takes =
+            |successor: &u8| members.voters.contains(&node(*successor)) && members.outgoing.is_empty();
         self.waiting.retain(|successor, _| !takes(successor));
-        let out = |n: &u8| !members.contains(node(*n)) && members.before.is_empty();
+        let out = |n: &u8| !members.contains(node(*n)) && members.outgoing.is_empty();
         let seated = &mut self.told.seated;
         self.removed.retain(|n, successor| {
             seated.extend(successor.filter(|_| out(n)).map(|since| now - since));
@@ -346,7 +347,7 @@
     // For what is not promised on these disks see the table of worst cases.
     let sync = rng.random_range(4..=6) * 1000;
     let size = Size { losses, spare: 6 };
-    let terms = Terms { sync, ..size.terms() };
+    let terms = ChainSettings { sync, ..size.terms() };
     (losses, sync, Play::new(seed, size, terms, slow).run())
 }
 
--- a/plane/tests/orders.rs
+++ b/plane/tests/orders.rs
@@ -6,11 +6,14 @@
 use std::sync::Arc;
 
 use glenfall_plane::chain::{
-    Call, Chain, Durable, Members, Message, NodeId, Outcome, Output, Record, Seat, Start, Terms, View,
+    Call, Chain, ChainSettings, HardState, JointConfig, Message, NodeId, Outcome, Output, Record, Start,
+    View, VoterChange,
+};
+use glenfall_plane::config::{ConfigChange, InvalidConfig, MAX_DOCUMENT_BYTES};
+use glenfall_plane::messages::MAX_FRAME_BYTES;
+use glenfall_plane::orders::{
+    AppliedOrder, DeduplicationTable, IdempotencyKey, InvalidTable, LogEntry, CHUNK, MAX_APPLIED_ORDERS,
 };
-use glenfall_plane::config::{Change, Invalid, LARGEST};
-use glenfall_plane::messages::LONGEST_FRAME;
-use glenfall_plane::orders::{Entry, OrderKey, TakenOrder, TakenOrders, Unsound, CHUNK, MOST_TAKEN};
 use glenfall_plane::record::Decision;
 use glenfall_plane::Millis;
 use rand::seq::IndexedRandom;
@@ -18,16 +21,16 @@
 use rand_chacha::ChaCha8Rng;
 
 /// The least number of further changes that an order is known through.
-const HORIZON: usize = MOST_TAKEN - CHUNK;
+const HORIZON: usize = MAX_APPLIED_ORDERS - CHUNK;
 
-type Order = (u64, Change);
+type Order = (u64, ConfigChange);
 
 fn put(builds_on: u64, rev: u64, note: u64) -> Order {
-    (builds_on, Change::Put(format!("{{\"rev\":{rev},\"note\":{note}}}").into_bytes()))
+    (builds_on, ConfigChange::Put(format!("{{\"rev\":{rev},\"note\":{note}}}").into_bytes()))
 }
 
 fn patch(builds_on: u64, rev: u64, note: u64) -> Order {
-    (builds_on, Change::Patch(format!("{{\"rev\":{rev},\"upsert\":{{\"note\":{note}}}}}").into_bytes()))
+    (builds_on, ConfigChange::Patch(format!("{{\"rev\":{rev},\"upsert\":{{\"note\":{note}}}}}").into_bytes()))
 }
 
 fn take(record: &mut Record, order: &Order) {
@@ -61,23 +64,23 @@
         for after in [0, 1, 64, 65, 1000, HORIZON] {
             further(&mut record, after - made);
             made = after;
-            assert_eq!(decide(&record, &order), Decision::Taken { rev }, "after {after}");
+            assert_eq!(decide(&record, &order), Decision::AlreadyApplied { rev }, "after {after}");
             // Another one with its number is never confirmed: by the other method, of other content, upon another version.
             let others = [put(order.0, rev, 8), patch(order.0, rev, 8), put(order.0 - 1, rev, 7)];
-            let other_method = if matches!(order.1, Change::Put(_)) { patch } else { put };
+            let other_method = if matches!(order.1, ConfigChange::Put(_)) { patch } else { put };
             for other in others.iter().chain([&other_method(order.0, rev, 7)]) {
                 assert_eq!(decide(&record, other), Decision::Stale { current: record.rev }, "after {after}");
             }
         }
-        for after in [MOST_TAKEN, 5000, 9000] {
+        for after in [MAX_APPLIED_ORDERS, 5000, 9000] {
             further(&mut record, after - made);
             made = after;
-            let up_to = record.taken.forgotten_up_to();
-            assert!(up_to >= rev && record.taken.len() <= MOST_TAKEN);
-            assert_eq!(decide(&record, &order), Decision::Forgotten { up_to }, "after {after}");
-            assert_eq!(decide(&record, &put(order.0, rev, 8)), Decision::Forgotten { up_to });
+            let up_to = record.applied_orders.forgotten_up_to();
+            assert!(up_to >= rev && record.applied_orders.len() <= MAX_APPLIED_ORDERS);
+            assert_eq!(decide(&record, &order), Decision::Expired { up_to }, "after {after}");
+            assert_eq!(decide(&record, &put(order.0, rev, 8)), Decision::Expired { up_to });
             // What never made a version is told so, however old.
-            let refused = Invalid::OldVersion { current: record.rev, got: rev };
+            let refused = InvalidConfig::OldVersion { current: record.rev, got: rev };
             assert_eq!(decide(&record, &put(record.rev, rev, 7)), Decision::Invalid(refused));
             assert_eq!(decide(&record, &put(rev, rev, 7)), Decision::Stale { current: record.rev });
         }
@@ -89,27 +92,27 @@
     let mut keys = std::collections::HashSet::new();
     for builds_on in [0, 1, 5, 256, u64::MAX] {
         for body in [&b""[..], b"a", b"b", b"a\0", b"\0a", b" {\"rev\":5}"] {
-            assert!(keys.insert(OrderKey::of(builds_on, &Change::Put(body.to_vec())).0));
-            assert!(keys.insert(OrderKey::of(builds_on, &Change::Patch(body.to_vec())).0));
+            assert!(keys.insert(IdempotencyKey::of(builds_on, &ConfigChange::Put(body.to_vec())).0));
+            assert!(keys.insert(IdempotencyKey::of(builds_on, &ConfigChange::Patch(body.to_vec())).0));
         }
     }
     // The same in all versions, as it is kept on disk: SHA-256 of "PATCH", 258 in eight bytes and the body.
-    let key = OrderKey::of(258, &Change::Patch(b"{\"rev\":260}".to_vec()));
+    let key = IdempotencyKey::of(258, &ConfigChange::Patch(b"{\"rev\":260}".to_vec()));
     assert_eq!(key.to_string(), "57f92f777dc32a89bab1162fa292d5f2236aa33528bd3fb3ed58a2cf30e5b2f9");
     assert_eq!(key.to_string().parse(), Ok(key));
-    assert_eq!("12".parse::<OrderKey>(), Err(Unsound::Key));
-    assert_eq!("x".repeat(64).parse::<OrderKey>(), Err(Unsound::Key));
+    assert_eq!("12".parse::<IdempotencyKey>(), Err(InvalidTable::Key));
+    assert_eq!("x".repeat(64).parse::<IdempotencyKey>(), Err(InvalidTable::Key));
 }
 
 #[test]
 fn a_patch_whose_version_is_named_twice_is_known_by_the_one_that_counts() {
     let mut record = Record::default();
-    let twice = (0, Change::Patch(b"{\"rev\":3,\"upsert\":{},\"rev\":4}".to_vec()));
+    let twice = (0, ConfigChange::Patch(b"{\"rev\":3,\"upsert\":{},\"rev\":4}".to_vec()));
     take(&mut record, &twice);
-    assert_eq!((record.rev, decide(&record, &twice)), (4, Decision::Taken { rev: 4 }));
+    assert_eq!((record.rev, decide(&record, &twice)), (4, Decision::AlreadyApplied { rev: 4 }));
     further(&mut record, 5000);
-    let up_to = record.taken.forgotten_up_to();
-    assert_eq!(decide(&record, &twice), Decision::Forgotten { up_to });
+    let up_to = record.applied_orders.forgotten_up_to();
+    assert_eq!(decide(&record, &twice), Decision::Expired { up_to });
 }
 
 #[test]
@@ -124,13 +127,13 @@
         take(&mut lost, order);
     }
     // The backup was made before the last two; who restores it says that versions up to 13 were acknowledged.
-    record.taken.forget_up_to(13);
+    record.applied_orders.forget_up_to(13);
     for order in orders.iter().chain([&put(10, 12, 2), &patch(10, 13, 2)]) {
-        assert_eq!(decide(&record, order), Decision::Forgotten { up_to: 13 });
+        assert_eq!(decide(&record, order), Decision::Expired { up_to: 13 });
     }
-    assert_eq!(decide(&record, &known), Decision::Taken { rev: 10 });
+    assert_eq!(decide(&record, &known), Decision::AlreadyApplied { rev: 10 });
     take(&mut record, &put(10, 14, 1));
-    assert_eq!(decide(&record, &orders[0]), Decision::Forgotten { up_to: 13 });
+    assert_eq!(decide(&record, &orders[0]), Decision::Expired { up_to: 13 });
     assert_eq!(decide(&record, &put(10, 15, 1)), Decision::Stale { current: 14 });
 }
 
@@ -138,29 +141,29 @@
 fn the_table_is_bounded_comes_back_as_it_was_and_is_told_from_what_is_none() {
     let mut record = Record { rev: u64::MAX - (1 << 20), ..Record::default() };
     let mut longest = 0;
-    for _ in 0..MOST_TAKEN + CHUNK + 1 {
+    for _ in 0..MAX_APPLIED_ORDERS + CHUNK + 1 {
         further(&mut record, 1);
-        longest = longest.max(record.taken.len());
+        longest = longest.max(record.applied_orders.len());
     }
-    assert_eq!(longest, MOST_TAKEN);
+    assert_eq!(longest, MAX_APPLIED_ORDERS);
     for changes in [0, 1, CHUNK - 1, CHUNK, 1000] {
         further(&mut record, changes);
-        let told = postcard::to_stdvec(&record.taken).unwrap();
+        let told = postcard::to_stdvec(&record.applied_orders).unwrap();
         assert!(told.len() <= 176_000, "{} bytes", told.len());
-        assert_eq!(postcard::from_bytes::<TakenOrders>(&told).unwrap(), record.taken);
+        assert_eq!(postcard::from_bytes::<DeduplicationTable>(&told).unwrap(), record.applied_orders);
     }
     // Most of it is shared with the record before.
     let mut next = record.clone();
     further(&mut next, 1);
     let shared = |(one, other): (&Arc<_>, &Arc<_>)| Arc::ptr_eq(one, other);
-    assert!(record.taken.chunks().0.iter().zip(next.taken.chunks().0).all(shared));
-    let order = |rev| TakenOrder { rev, key: OrderKey([0; 32]) };
-    let falling = TakenOrders::listed(0, &[order(4), order(6), order(6)]);
-    assert_eq!(falling, Err(Unsound::NotRising(6, 6)));
-    let many: Vec<TakenOrder> = (0..=MOST_TAKEN as u64).map(order).collect();
-    assert_eq!(TakenOrders::listed(0, &many), Err(Unsound::TooMany(MOST_TAKEN + 1)));
+    assert!(record.applied_orders.chunks().0.iter().zip(next.applied_orders.chunks().0).all(shared));
+    let order = |rev| AppliedOrder { rev, key: IdempotencyKey([0; 32]) };
+    let falling = DeduplicationTable::listed(0, &[order(4), order(6), order(6)]);
+    assert_eq!(falling, Err(InvalidTable::NotRising(6, 6)));
+    let many: Vec<AppliedOrder> = (0..=MAX_APPLIED_ORDERS as u64).map(order).collect();
+    assert_eq!(DeduplicationTable::listed(0, &many), Err(InvalidTable::TooMany(MAX_APPLIED_ORDERS + 1)));
     let spoilt = postcard::to_stdvec(&(0u64, many)).unwrap();
-    assert!(postcard::from_bytes::<TakenOrders>(&spoilt).is_err());
+    assert!(postcard::from_bytes::<DeduplicationTable>(&spoilt).is_err());
 }
 
 #[test]
@@ -168,20 +171,26 @@
     let mut record = Record::default();
     let grown = |rev: u64, name: &str, bytes: usize| {
         let text = "x".repeat(bytes);
-        (rev - 1, Change::Patch(format!(r#"{{"rev":{rev},"upsert":{{"{name}":"{text}"}}}}"#).into_bytes()))
+        (
+            rev - 1,
+            ConfigChange::Patch(format!(r#"{{"rev":{rev},"upsert":{{"{name}":"{text}"}}}}"#).into_bytes()),
+        )
     };
-    further(&mut record, MOST_TAKEN);
+    further(&mut record, MAX_APPLIED_ORDERS);
     let rev = record.rev;
     for (n, name) in (1..).zip(["a", "b", "c"]) {
         take(&mut record, &grown(rev + n, name, (1 << 20) - 40));
     }
     let last = grown(rev + 4, "d", 1000);
-    assert!(matches!(decide(&record, &last), Decision::Invalid(Invalid::TooLarge(_))));
-    let view =
-        View { number: 1 << 40, chain: vec![node(0); 32], members: Members::of((0..16).map(node).collect()) };
+    assert!(matches!(decide(&record, &last), Decision::Invalid(InvalidConfig::TooLarge(_))));
+    let view = View {
+        number: 1 << 40,
+        chain: vec![node(0); 32],
+        members: JointConfig::of((0..16).map(node).collect()),
+    };
     let install = Message::Install { view, record: Arc::new(record) };
     let bytes = postcard::to_stdvec(&install).unwrap().len();
-    assert!(bytes > LARGEST && bytes < LONGEST_FRAME, "{bytes} bytes");
+    assert!(bytes > MAX_DOCUMENT_BYTES && bytes < MAX_FRAME_BYTES, "{bytes} bytes");
 }
 
 /// What a plain list says of an order: every order ever taken, in the order of their taking.
@@ -198,8 +207,8 @@
         let place = self.taken.iter().position(|(taken, _)| taken == order);
         let known = place.is_some_and(|place| self.taken.len() - 1 - place <= HORIZON);
         match told {
-            Decision::Taken { rev: told } => assert!(place.is_some() && *told == rev, "{case}"),
-            Decision::Forgotten { .. } => {
+            Decision::AlreadyApplied { rev: told } => assert!(place.is_some() && *told == rev, "{case}"),
+            Decision::Expired { .. } => {
                 // Only where so many were taken above its number that the table may have let it go.
                 let above = self.taken.iter().filter(|(_, taken)| *taken > rev).count();
                 assert!(!known && above >= HORIZON, "{case}: {above} above it");
@@ -245,8 +254,8 @@
             reference.check(&order, rev, &decision, &case);
             told[match &decision {
                 Decision::New(_) => 0,
-                Decision::Taken { .. } => 1,
-                Decision::Forgotten { .. } => 2,
+                Decision::AlreadyApplied { .. } => 1,
+                Decision::Expired { .. } => 2,
                 Decision::Stale { .. } => 3,
                 Decision::Invalid(_) => 4,
             }] += 1;
@@ -273,7 +282,7 @@
     rng: ChaCha8Rng,
     now: Millis,
     chains: Vec<Option<Chain>>,
-    disks: Vec<Option<Durable>>,
+    disks: Vec<Option<HardState>>,
     links: BTreeMap<(usize, usize), VecDeque<Message>>,
     syncs: Vec<VecDeque<u64>>,
     answers: BTreeMap<u64, Outcome>,
@@ -305,7 +314,7 @@
     }
 
     fn start(&mut self, n: usize, start: Start) {
-        let terms = Terms { losses: 1, eligible: true, ..Terms::default() };
+        let terms = ChainSettings { losses: 1, eligible: true, ..ChainSettings::default() };
         self.chains[n] = Some(Chain::new(node(n), terms, start));
         for other in self.running().into_iter().filter(|other| *other != n) {
             self.links.insert((n, other), VecDeque::new());
@@ -452,9 +461,10 @@
         core.pass(1500);
         if round % 4 == 3 {
             let other = *core.running().iter().find(|other| **other != 3).expect("one runs");
-            let seat = if round % 8 == 3 { Seat::Remove(node(n)) } else { Seat::Remove(node(3)) };
+            let seat =
+                if round % 8 == 3 { VoterChange::Remove(node(n)) } else { VoterChange::Remove(node(3)) };
             core.with(other, |chain, now| {
-                let _ = chain.ask_voters(now, seat);
+                let _ = chain.request_voter_change(now, seat);
                 Vec::new()
             });
             core.pass(2000);
@@ -463,7 +473,7 @@
         let Outcome::Document(record) = core.answer(&Call::Read) else {
             panic!("round {round}: no document")
         };
-        assert_eq!(record.taken.len(), taken.len(), "round {round}");
+        assert_eq!(record.applied_orders.len(), taken.len(), "round {round}");
         core.restart(n);
         core.pass(1500);
         for (order, rev) in &taken {
@@ -478,13 +488,17 @@
 #[test]
 fn an_order_older_than_the_table_is_told_what_is_in_force_at_any_node() {
     let mut core = Core::new(1);
-    let record =
-        Record { seq: 9, rev: 20, document: br#"{"rev":20}"#.to_vec(), taken: TakenOrders::forgotten(13) };
+    let record = Record {
+        seq: 9,
+        rev: 20,
+        document: br#"{"rev":20}"#.to_vec(),
+        applied_orders: DeduplicationTable::forgotten(13),
+    };
     for n in 0..3 {
         core.stop(n, true);
-        let members = Members::of((0..3).map(node).collect());
+        let members = JointConfig::of((0..3).map(node).collect());
         let record = Arc::new(record.clone());
-        core.disks[n] = Some(Durable { members, votes: true, promised: 0, accepted: 0, record });
+        core.disks[n] = Some(HardState { members, votes: true, promised: 0, accepted: 0, record });
     }
     (0..3).for_each(|n| core.restart(n));
     core.pass(1500);
@@ -493,7 +507,7 @@
             Outcome::Forgotten { up_to: 13, current: 20 }
         } else {
             // It makes no version above the one that it builds on, and so was never applied.
-            Outcome::Invalid(Invalid::OldVersion { current: 20, got: 13 })
+            Outcome::Invalid(InvalidConfig::OldVersion { current: 20, got: 13 })
         };
         assert_eq!(core.told(&order), expected, "{order:?}");
     }
@@ -513,8 +527,8 @@
     let view = core.chains[1].as_ref().and_then(|chain| chain.view()).expect("a view").clone();
     assert_eq!(view.chain[..2], [node(0), node(1)]);
     for (seq, rev, taken) in [(3, 9, false), (3, 7, false), (4, 10, false), (2, 10, false), (3, 10, true)] {
-        let order = TakenOrder { rev, key: OrderKey([3; 32]) };
-        let entry = Arc::new(Entry { seq, document: b"{}".to_vec(), order });
+        let order = AppliedOrder { rev, key: IdempotencyKey([3; 32]) };
+        let entry = Arc::new(LogEntry { seq, document: b"{}".to_vec(), order });
         let message = Message::Update { view: view.number, entry };
         let chain = core.chains[1].as_mut().expect("it runs");
         let outputs = chain.message(core.now, node(0), message);
--- a/plane/tests/unit/budget.rs
+++ b/plane/tests/unit/budget.rs
@@ -1,41 +1,41 @@
 //! The budget for further tries, at one machine and at many.
 
-use glenfall_plane::budget::{Bound, Budget, MOST};
+use glenfall_plane::budget::{RetryBudget, RetryBudgetSettings, MAX_SERVICES};
 use glenfall_plane::Millis;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const BOUND: Bound = Bound { ratio: 0.2, window: 10_000, slack: 60.0 };
+const BOUND: RetryBudgetSettings = RetryBudgetSettings { ratio: 0.2, window: 10_000, slack: 60.0 };
 
 /// How many of a hundred further tries are let.
-fn spent(budget: &mut Budget, now: Millis, service: &str) -> usize {
-    (0..100).filter(|_| budget.take(now, service)).count()
+fn spent(budget: &mut RetryBudget, now: Millis, service: &str) -> usize {
+    (0..100).filter(|_| budget.try_spend(now, service)).count()
 }
 
 #[test]
 fn without_a_share_only_own_requests_are_spent() {
-    let mut budget = Budget::new(BOUND);
-    assert!(!budget.take(0, "s"));
-    budget.share_among(0, 10);
-    assert!(!budget.take(9_999, "s"), "the last life may have spent its part");
+    let mut budget = RetryBudget::new(BOUND);
+    assert!(!budget.try_spend(0, "s"));
+    budget.set_machine_count(0, 10);
+    assert!(!budget.try_spend(9_999, "s"), "the last life may have spent its part");
     assert_eq!(spent(&mut budget, 10_000, "s"), 5, "a tenth of the slack, used to 85 %");
-    assert!(budget.take(10_000, "other"), "services don't share");
-    (0..200).for_each(|n| budget.request(10_000 + n, "t"));
+    assert!(budget.try_spend(10_000, "other"), "services don't share");
+    (0..200).for_each(|n| budget.record_request(10_000 + n, "t"));
     assert_eq!(spent(&mut budget, 10_200, "t"), 39);
     assert_eq!(spent(&mut budget, 40_000, "t"), 5, "what is long past counts no more");
 }
 
 #[test]
 fn a_share_falls_at_once_and_grows_when_a_window_has_passed() {
-    let mut budget = Budget::new(BOUND);
-    budget.share_among(0, 3);
-    budget.share_among(5_000, 2);
-    budget.share_among(12_000, 6);
+    let mut budget = RetryBudget::new(BOUND);
+    budget.set_machine_count(0, 3);
+    budget.set_machine_count(5_000, 2);
+    budget.set_machine_count(12_000, 6);
     assert_eq!(spent(&mut budget, 14_999, "a"), 0, "it was to be a half at 15 s, a sixth comes no later");
     assert_eq!(spent(&mut budget, 15_000, "a"), 8);
-    budget.share_among(30_000, 12);
+    budget.set_machine_count(30_000, 12);
     assert_eq!(spent(&mut budget, 30_000, "a"), 4);
-    budget.share_among(31_000, 3);
+    budget.set_machine_count(31_000, 3);
     assert_eq!(spent(&mut budget, 40_999, "b"), 4);
     assert_eq!(spent(&mut budget, 41_000, "c"), 17);
 }
@@ -46,8 +46,8 @@
     const MACHINES: usize = 13;
     for seed in 0..20u64 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut budgets: Vec<Budget> = (0..MACHINES).map(|_| Budget::new(BOUND)).collect();
-        budgets.iter_mut().for_each(|budget| budget.share_among(0, MACHINES));
+        let mut budgets: Vec<RetryBudget> = (0..MACHINES).map(|_| RetryBudget::new(BOUND)).collect();
+        budgets.iter_mut().for_each(|budget| budget.set_machine_count(0, MACHINES));
         let mut requests: Vec<Millis> = Vec::new();
         let mut further: Vec<Millis> = Vec::new();
         let mut calm = 1;
@@ -57,10 +57,10 @@
             }
             for (n, budget) in budgets.iter_mut().enumerate() {
                 if rng.random_ratio(1, calm * (n as u32 + 1)) {
-                    budget.request(now, "s");
+                    budget.record_request(now, "s");
                     requests.push(now);
                 }
-                while budget.take(now, "s") {
+                while budget.try_spend(now, "s") {
                     further.push(now);
                 }
             }
@@ -83,12 +83,12 @@
 
 #[test]
 fn services_that_come_and_go_take_no_more_room_than_is_meant() {
-    let mut budget = Budget::new(BOUND);
-    budget.share_among(0, 1);
-    for n in 0..3 * MOST as u64 {
-        budget.request(n, &n.to_string());
+    let mut budget = RetryBudget::new(BOUND);
+    budget.set_machine_count(0, 1);
+    for n in 0..3 * MAX_SERVICES as u64 {
+        budget.record_request(n, &n.to_string());
     }
-    assert!(budget.services() <= MOST);
-    assert!(!budget.take(3 * MOST as u64, "one more"));
-    assert!(budget.take(BOUND.window * 9, "one more"), "room is made by those long past");
+    assert!(budget.services() <= MAX_SERVICES);
+    assert!(!budget.try_spend(3 * MAX_SERVICES as u64, "one more"));
+    assert!(budget.try_spend(BOUND.window * 9, "one more"), "room is made by those long past");
 }
--- a/plane/tests/unit/ceiling.rs
+++ b/plane/tests/unit/ceiling.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use glenfall_plane::ceiling::{patience, Bound, Ceiling, Holder};
+use glenfall_plane::ceiling::{max_queue_time, QuotaHolder, RateLimitSettings, RateLimiter};
 use glenfall_plane::Millis;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const BOUND: Bound = Bound { window: 5000, over: 1.1 };
+const BOUND: RateLimitSettings = RateLimitSettings { window: 5000, over: 1.1 };
 const PER_S: f64 = 280.0;
 
 /// Machines that join, leave, start again and lose touch, each asked for more than it may send. Returns the
@@ -16,7 +16,7 @@
     const SECONDS: u64 = 30;
     const STEP: usize = 4;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut run: Vec<Option<Ceiling>> = (0..shields + edges).map(|_| None).collect();
+    let mut run: Vec<Option<RateLimiter>> = (0..shields + edges).map(|_| None).collect();
     // What each machine believes of the number of shields, and when it hears of the present one.
     let mut heard: Vec<(usize, Millis)> = vec![(shields, 0); shields + edges];
     let mut sent: Vec<Millis> = Vec::new();
@@ -31,7 +31,7 @@
         }
         for n in 0..run.len() {
             if run[n].is_none() && (!troubles || rng.random_bool(0.002)) || now == 0 {
-                run[n] = Some(Ceiling::new(BOUND, rng.random()));
+                run[n] = Some(RateLimiter::new(BOUND, rng.random()));
                 // Nothing is known but how many there are by rights.
                 heard[n] = (shields, now);
             }
@@ -41,13 +41,13 @@
             }
             let known = heard[n].0;
             let holder = if n < shields {
-                Holder::Shield { of: known.max(1) }
+                QuotaHolder::Shield { of: known.max(1) }
             } else {
-                Holder::Edge { of: edges, alone: known == 0 }
+                QuotaHolder::Edge { of: edges, alone: known == 0 }
             };
-            ceiling.hold(now, holder);
+            ceiling.set_holder(now, holder);
             // A shield asks where there are shields; edges ask all the time.
-            while ceiling.take(now, "s", PER_S, 0.0).is_ok() {
+            while ceiling.try_acquire(now, "s", PER_S, 0.0).is_ok() {
                 sent.push(now);
             }
         }
@@ -84,14 +84,14 @@
 
 #[test]
 fn a_process_begins_with_nothing_and_ranks_share_what_is_saved() {
-    let mut ceiling = Ceiling::new(BOUND, 0.0);
-    ceiling.hold(0, Holder::Shield { of: 1 });
-    let wait = ceiling.take(0, "s", 100.0, 0.0).expect_err("nothing saved yet");
+    let mut ceiling = RateLimiter::new(BOUND, 0.0);
+    ceiling.set_holder(0, QuotaHolder::Shield { of: 1 });
+    let wait = ceiling.try_acquire(0, "s", 100.0, 0.0).expect_err("nothing saved yet");
     assert!((10..12).contains(&wait), "one in about 10 ms, got {wait}");
-    assert_eq!(ceiling.take(wait, "s", 100.0, 0.0), Ok(()));
+    assert_eq!(ceiling.try_acquire(wait, "s", 100.0, 0.0), Ok(()));
     // Saved up for long, the lowest rank leaves a part to the highest.
-    let taken = |ceiling: &mut Ceiling, rank| {
-        (0..100).take_while(|_| ceiling.take(10_000, "s", 100.0, rank).is_ok()).count()
+    let taken = |ceiling: &mut RateLimiter, rank| {
+        (0..100).take_while(|_| ceiling.try_acquire(10_000, "s", 100.0, rank).is_ok()).count()
     };
     let low = taken(&mut ceiling, 1.0);
     let high = taken(&mut ceiling, 0.0);
@@ -100,13 +100,13 @@
 
 #[test]
 fn a_small_part_comes_at_times_and_does_not_pile_up() {
-    let mut ceiling = Ceiling::new(BOUND, 0.5);
-    ceiling.hold(0, Holder::Edge { of: 1000, alone: false });
-    assert!(ceiling.take(0, "s", 100.0, 1.0).is_err());
+    let mut ceiling = RateLimiter::new(BOUND, 0.5);
+    ceiling.set_holder(0, QuotaHolder::Edge { of: 1000, alone: false });
+    assert!(ceiling.try_acquire(0, "s", 100.0, 1.0).is_err());
     let (mut sent, mut waits) = (0, 0);
     // After a long rest one at most.
     for now in [1_000_000, 1_000_001, 1_000_002] {
-        match ceiling.take(now, "s", 100.0, 1.0) {
+        match ceiling.try_acquire(now, "s", 100.0, 1.0) {
             Ok(()) => sent += 1,
             Err(_) => waits += 1,
         }
@@ -119,9 +119,9 @@
     // Both ways between client and edge, and between edge and shield, where zones are 1.4 ms apart.
     let ways = Duration::from_micros(2 * 3000 + 2 * 1400);
     for aim in (1..2000).map(Duration::from_millis) {
-        let waits = patience(aim);
+        let waits = max_queue_time(aim);
         assert!(waits.is_zero() || waits + ways < aim / 4, "{aim:?}: {waits:?}");
         assert!(waits <= aim / 5, "{aim:?}: what gets its turn comes in time");
     }
-    assert_eq!([40, 80, 400].map(|ms| patience(Duration::from_millis(ms)).as_millis()), [0, 8, 80]);
+    assert_eq!([40, 80, 400].map(|ms| max_queue_time(Duration::from_millis(ms)).as_millis()), [0, 8, 80]);
 }
--- a/plane/tests/unit/config.rs
+++ b/plane/tests/unit/config.rs
@@ -1,6 +1,6 @@
 //! Configuration documents.
 
-use glenfall_plane::config::{Change, Config, Invalid};
+use glenfall_plane::config::{Config, ConfigChange, InvalidConfig};
 use serde_json::Value;
 
 fn document() -> Value {
@@ -17,7 +17,7 @@
     })
 }
 
-fn read(document: &Value) -> Result<Config, Invalid> {
+fn read(document: &Value) -> Result<Config, InvalidConfig> {
     Config::read(document.to_string().as_bytes())
 }
 
@@ -31,7 +31,7 @@
     assert_eq!(route("one.example", "/a"), None);
     assert_eq!(route("two.example", "/a/x"), None);
     assert_eq!(route("one.example", "*"), None);
-    let ranks = [0, 1].map(|n| config.rank(&config.paths[n]));
+    let ranks = [0, 1].map(|n| config.priority_rank(&config.paths[n]));
     assert_eq!(ranks, [1.0, 0.0]);
     assert_eq!((config.req_limits.max_body_bytes, config.req_limits.header_timeout_ms), (10, 3000));
 }
@@ -69,7 +69,7 @@
         assert!(why.contains(told), "{case}: {why}");
     }
     let whole = document().to_string();
-    assert!(matches!(Config::read(&whole.as_bytes()[..whole.len() - 9]), Err(Invalid::Unreadable(_))));
+    assert!(matches!(Config::read(&whole.as_bytes()[..whole.len() - 9]), Err(InvalidConfig::Unreadable(_))));
 }
 
 #[test]
@@ -83,7 +83,7 @@
         "remove": {"paths": ["a", "nobody"]},
     });
     let current = document().to_string().into_bytes();
-    let change = Change::Patch(patch.to_string().into_bytes());
+    let change = ConfigChange::Patch(patch.to_string().into_bytes());
     let (rev, made) = change.apply(&current, 5).unwrap();
     let made_value: Value = serde_json::from_slice(&made).unwrap();
     assert_eq!((rev, &made_value["extra"]["kept"]), (8, &Value::from(1.5)));
@@ -91,5 +91,5 @@
     let names: Vec<_> = config.paths.iter().map(|route| route.name.as_str()).collect();
     assert_eq!(names, ["ab", "c"]);
     assert_eq!(config.backend("s").unwrap().rate_per_s, Some(9.0));
-    assert_eq!(change.apply(&current, 8), Err(Invalid::OldVersion { current: 8, got: 8 }));
+    assert_eq!(change.apply(&current, 8), Err(InvalidConfig::OldVersion { current: 8, got: 8 }));
 }
--- a/plane/tests/unit/fleet.rs
+++ b/plane/tests/unit/fleet.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddrV4;
 
-use glenfall_plane::fleet::{edge_mark, Fleet, Gap, Members, Numbered};
-use glenfall_plane::messages::{Member, Proxy, Server};
+use glenfall_plane::fleet::{edge_hash, Fleet, Gap, MembersUpdate, VersionedFleet};
+use glenfall_plane::messages::{Member, ProxyRole, Server};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -21,7 +21,7 @@
 
 fn member(n: u16, ready: bool) -> Member {
     let http = SocketAddrV4::new([127, 0, 0, 1].into(), n);
-    Member { node: format!("m{n}"), zone: "z".into(), proxy: Proxy::Shield, http, ready, incarnation: 1 }
+    Member { node: format!("m{n}"), zone: "z".into(), proxy: ProxyRole::Shield, http, ready, incarnation: 1 }
 }
 
 fn drawn(rng: &mut ChaCha8Rng) -> Fleet {
@@ -34,7 +34,7 @@
             fleet.shields.push(member(n, rng.random()));
         }
         if rng.random() {
-            fleet.edges.push(edge_mark(&format!("e{n}")));
+            fleet.edges.push(edge_hash(&format!("e{n}")));
         }
     }
     fleet.sort();
@@ -44,17 +44,17 @@
 #[test]
 fn changes_make_the_fleet_that_was_meant_whatever_it_is() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let (mut here, mut there) = (Numbered::default(), Numbered::default());
-    there.take(here.whole()).unwrap();
+    let (mut here, mut there) = (VersionedFleet::default(), VersionedFleet::default());
+    there.apply_update(here.snapshot()).unwrap();
     let mut changes = 0;
     for _ in 0..5000 {
         let next = drawn(&mut rng);
-        if let Some(told) = here.become_next(next.clone()) {
-            there.take(told).unwrap();
+        if let Some(told) = here.advance_to(next.clone()) {
+            there.apply_update(told).unwrap();
             changes += 1;
         }
         assert_eq!(there.fleet(), &next);
-        assert_eq!(here.become_next(next), None, "nothing has changed");
+        assert_eq!(here.advance_to(next), None, "nothing has changed");
     }
     assert!(changes > 4900);
 }
@@ -62,16 +62,16 @@
 #[test]
 fn a_change_that_builds_on_another_fleet_is_turned_away_and_changes_nothing() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
-    let (mut here, mut there) = (Numbered::default(), Numbered::default());
-    let first = here.become_next(drawn(&mut rng)).unwrap();
-    let missed = here.become_next(drawn(&mut rng)).unwrap();
-    let third = here.become_next(drawn(&mut rng)).unwrap();
-    there.take(first).unwrap();
+    let (mut here, mut there) = (VersionedFleet::default(), VersionedFleet::default());
+    let first = here.advance_to(drawn(&mut rng)).unwrap();
+    let missed = here.advance_to(drawn(&mut rng)).unwrap();
+    let third = here.advance_to(drawn(&mut rng)).unwrap();
+    there.apply_update(first).unwrap();
     let before = there.fleet().clone();
-    assert_eq!(there.take(third.clone()), Err(Gap { expected: 2, here: 1 }));
+    assert_eq!(there.apply_update(third.clone()), Err(Gap { expected: 2, here: 1 }));
     assert_eq!(there.fleet(), &before);
-    there.take(missed).unwrap();
-    there.take(third).unwrap();
+    there.apply_update(missed).unwrap();
+    there.apply_update(third).unwrap();
     assert_eq!(there.fleet(), here.fleet());
 }
 
@@ -80,12 +80,12 @@
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let cold = |left| Server { warmup_left_ms: left, ready: true, ..server(1, &mut rng.clone()) };
     let fleet = |servers| Fleet { servers, ..Fleet::default() };
-    let (mut here, mut there) = (Numbered::default(), Numbered::default());
-    there.take(here.become_next(fleet(vec![cold(3000)])).unwrap()).unwrap();
+    let (mut here, mut there) = (VersionedFleet::default(), VersionedFleet::default());
+    there.apply_update(here.advance_to(fleet(vec![cold(3000)])).unwrap()).unwrap();
     assert_eq!(there.fleet().servers[0].warmup_left_ms, 3000);
-    assert_eq!(here.become_next(fleet(vec![cold(1000)])), None);
+    assert_eq!(here.advance_to(fleet(vec![cold(1000)])), None);
     let next = fleet(vec![cold(500), server(2, &mut rng)]);
-    there.take(here.become_next(next).unwrap()).unwrap();
+    there.apply_update(here.advance_to(next).unwrap()).unwrap();
     assert_eq!(there.fleet().servers.len(), 2);
 }
 
@@ -93,12 +93,12 @@
 fn members_are_told_by_what_has_changed() {
     let mut rng = ChaCha8Rng::seed_from_u64(4);
     let (mut told, mut known) = (Vec::new(), vec![member(99, true)]);
-    Members::whole(&told).apply(&mut known);
+    MembersUpdate::snapshot(&told).apply(&mut known);
     for _ in 0..2000 {
         // One that moves has two sessions for a moment.
         let drawn = (0..8).map(|_| member(rng.random_range(0..6), rng.random())).collect();
-        let next = Members::listed(drawn);
-        match Members::between(&told, &next) {
+        let next = MembersUpdate::listed(drawn);
+        match MembersUpdate::delta(&told, &next) {
             Some(change) => change.apply(&mut known),
             None => assert_eq!(told, next),
         }
--- a/plane/tests/unit/peers.rs
+++ b/plane/tests/unit/peers.rs
@@ -22,7 +22,7 @@
 /// The receiver of a heartbeat that says that its sender hears `heard`.
 fn receiver_of(output: &Output, heard: NodeId) -> Option<NodeId> {
     match output {
-        Output::Send(receiver, Message::Heartbeat(heartbeat)) if heartbeat.hears.contains(&heard) => {
+        Output::Send(receiver, Message::Heartbeat(heartbeat)) if heartbeat.heard_peers.contains(&heard) => {
             Some(*receiver)
         }
         _ => None,
--- a/plane/tests/unit/registry.rs
+++ b/plane/tests/unit/registry.rs
@@ -3,13 +3,13 @@
 
 use std::net::SocketAddrV4;
 
-use glenfall_plane::registry::{Entry, EntryStatus, Heard, Registry};
+use glenfall_plane::registry::{EntryStatus, HeartbeatOutcome, Registry, ServerEntry};
 use glenfall_plane::Millis;
 
 const BEAT: Millis = 1500;
 
-fn entry(id: &str, port: u16, status: EntryStatus, call_seq: u64) -> Entry {
-    Entry {
+fn entry(id: &str, port: u16, status: EntryStatus, call_seq: u64) -> ServerEntry {
+    ServerEntry {
         id: id.into(),
         backend: "s".into(),
         addr: SocketAddrV4::new([127, 0, 0, 1].into(), port),
@@ -28,14 +28,14 @@
 #[test]
 fn a_late_beat_does_not_take_back_a_drain_and_nothing_takes_back_a_goodbye() {
     let mut registry = Registry::new(BEAT);
-    assert_eq!(registry.hear(0, 0, entry("a", 1, EntryStatus::Ready, 1)), Heard::Changed);
-    assert_eq!(registry.hear(10, 0, entry("a", 1, EntryStatus::Draining, 3)), Heard::Changed);
-    assert_eq!(registry.hear(20, 0, entry("a", 1, EntryStatus::Ready, 2)), Heard::Late);
+    assert_eq!(registry.observe(0, 0, entry("a", 1, EntryStatus::Ready, 1)), HeartbeatOutcome::Changed);
+    assert_eq!(registry.observe(10, 0, entry("a", 1, EntryStatus::Draining, 3)), HeartbeatOutcome::Changed);
+    assert_eq!(registry.observe(20, 0, entry("a", 1, EntryStatus::Ready, 2)), HeartbeatOutcome::Stale);
     assert_eq!(ready(&registry, 20), Vec::<String>::new());
     // One that is not known may be on the list of a node that is cut off.
     for id in ["a", "b"] {
-        assert_eq!(registry.leave(30, id).map(|entry| entry.status), Some(EntryStatus::Gone));
-        assert_eq!(registry.hear(40, 0, entry(id, 1, EntryStatus::Ready, 9)), Heard::Late);
+        assert_eq!(registry.deregister(30, id).map(|entry| entry.status), Some(EntryStatus::Deregistered));
+        assert_eq!(registry.observe(40, 0, entry(id, 1, EntryStatus::Ready, 9)), HeartbeatOutcome::Stale);
     }
     assert!(registry.servers(40, false).is_empty());
     // Whoever keeps what a list lacks has to be told.
@@ -46,34 +46,37 @@
 #[test]
 fn what_others_were_told_holds_until_the_status_changes() {
     let mut registry = Registry::new(BEAT);
-    registry.hear(0, 0, entry("a", 1, EntryStatus::Draining, 1));
-    assert!(!registry.is_spread("a"));
-    registry.spread("a", EntryStatus::Draining);
-    registry.hear(10, 0, entry("a", 1, EntryStatus::Draining, 2));
-    assert!(registry.is_spread("a"));
+    registry.observe(0, 0, entry("a", 1, EntryStatus::Draining, 1));
+    assert!(!registry.is_replicated("a"));
+    registry.mark_replicated("a", EntryStatus::Draining);
+    registry.observe(10, 0, entry("a", 1, EntryStatus::Draining, 2));
+    assert!(registry.is_replicated("a"));
     // It said goodbye while others were being told that it drains.
-    registry.leave(20, "a");
-    registry.spread("a", EntryStatus::Draining);
-    assert!(!registry.is_spread("a"));
-    registry.spread("a", EntryStatus::Gone);
-    registry.leave(30, "a");
-    assert!(registry.is_spread("a"));
+    registry.deregister(20, "a");
+    registry.mark_replicated("a", EntryStatus::Draining);
+    assert!(!registry.is_replicated("a"));
+    registry.mark_replicated("a", EntryStatus::Deregistered);
+    registry.deregister(30, "a");
+    assert!(registry.is_replicated("a"));
 }
 
 #[test]
 fn a_new_server_at_an_address_ends_the_one_before() {
     let mut registry = Registry::new(BEAT);
-    registry.hear(0, 0, entry("a", 1, EntryStatus::Ready, 1));
-    registry.hear(100, 0, entry("b", 1, EntryStatus::Ready, 1));
+    registry.observe(0, 0, entry("a", 1, EntryStatus::Ready, 1));
+    registry.observe(100, 0, entry("b", 1, EntryStatus::Ready, 1));
     assert_eq!(ready(&registry, 100), ["b"]);
 }
 
 #[test]
 fn the_silent_are_forgotten_after_some_beats_and_warmth_comes_with_time() {
     let mut registry = Registry::new(BEAT);
-    registry.hear(0, 0, entry("a", 1, EntryStatus::Ready, 1));
-    registry.hear(4000, 0, entry("b", 2, EntryStatus::Ready, 1));
-    assert_eq!(registry.hear(4000, 500, entry("a", 1, EntryStatus::Ready, 2)), Heard::Alive);
+    registry.observe(0, 0, entry("a", 1, EntryStatus::Ready, 1));
+    registry.observe(4000, 0, entry("b", 2, EntryStatus::Ready, 1));
+    assert_eq!(
+        registry.observe(4000, 500, entry("a", 1, EntryStatus::Ready, 2)),
+        HeartbeatOutcome::Refreshed
+    );
     assert!(registry.expire(9000).is_empty());
     let warmup: Vec<u64> = registry.servers(5000, false).iter().map(|server| server.warmup_left_ms).collect();
     assert_eq!(warmup, [1500, 2000]);
@@ -86,24 +89,24 @@
     let mut majority = Registry::new(BEAT);
     let mut away = Registry::new(BEAT);
     for (id, port) in [("gone", 1), ("drained", 2), ("crashed", 3), ("alive", 4)] {
-        majority.hear(0, 0, entry(id, port, EntryStatus::Ready, 5));
-        away.hear(0, 0, entry(id, port, EntryStatus::Ready, 5));
+        majority.observe(0, 0, entry(id, port, EntryStatus::Ready, 5));
+        away.observe(0, 0, entry(id, port, EntryStatus::Ready, 5));
     }
     // Told to the one that is cut off alone, in the second before it knew.
-    assert_eq!(away.hear(500, 0, entry("early", 5, EntryStatus::Ready, 1)), Heard::Changed);
-    majority.hear(1000, 0, entry("drained", 2, EntryStatus::Draining, 6));
-    assert!(majority.leave(2000, "gone").is_some());
-    assert!(majority.leave(2000, "early").is_some(), "remembered, though not known");
+    assert_eq!(away.observe(500, 0, entry("early", 5, EntryStatus::Ready, 1)), HeartbeatOutcome::Changed);
+    majority.observe(1000, 0, entry("drained", 2, EntryStatus::Draining, 6));
+    assert!(majority.deregister(2000, "gone").is_some());
+    assert!(majority.deregister(2000, "early").is_some(), "remembered, though not known");
     // The address of the one that crashed has a new owner.
-    majority.hear(4000, 0, entry("new", 3, EntryStatus::Ready, 1));
-    majority.hear(4500, 0, entry("alive", 4, EntryStatus::Ready, 8));
-    for (told, age) in away.all(5000) {
+    majority.observe(4000, 0, entry("new", 3, EntryStatus::Ready, 1));
+    majority.observe(4500, 0, entry("alive", 4, EntryStatus::Ready, 8));
+    for (told, age) in away.snapshot(5000) {
         let alive = told.id == "alive";
-        assert_eq!(majority.hear(5000, age, told), Heard::Late, "alive: {alive}");
+        assert_eq!(majority.observe(5000, age, told), HeartbeatOutcome::Stale, "alive: {alive}");
     }
     assert_eq!(ready(&majority, 5000), ["alive", "new"]);
-    for (told, age) in majority.all(5000) {
-        away.hear(5000, age, told);
+    for (told, age) in majority.snapshot(5000) {
+        away.observe(5000, age, told);
     }
     assert_eq!(ready(&away, 5000), ["alive", "new"]);
 }
@@ -111,23 +114,26 @@
 #[test]
 fn what_a_frozen_node_finds_waiting_does_not_bring_back_who_has_fallen_silent() {
     let mut registry = Registry::new(BEAT);
-    registry.hear(0, 0, entry("s", 1, EntryStatus::Ready, 9));
+    registry.observe(0, 0, entry("s", 1, EntryStatus::Ready, 9));
     assert_eq!(registry.expire(4 * BEAT), ["s"]);
     // The same call as before, or an older one, heard late; and an entry as old as its age tells.
     let now = 5 * BEAT;
-    assert_eq!(registry.hear(now, 0, entry("s", 1, EntryStatus::Ready, 9)), Heard::Late);
-    assert_eq!(registry.hear(now, 0, entry("s", 1, EntryStatus::Draining, 8)), Heard::Late);
-    assert_eq!(registry.hear(now, 4 * BEAT, entry("t", 2, EntryStatus::Ready, 3)), Heard::Late);
+    assert_eq!(registry.observe(now, 0, entry("s", 1, EntryStatus::Ready, 9)), HeartbeatOutcome::Stale);
+    assert_eq!(registry.observe(now, 0, entry("s", 1, EntryStatus::Draining, 8)), HeartbeatOutcome::Stale);
+    assert_eq!(
+        registry.observe(now, 4 * BEAT, entry("t", 2, EntryStatus::Ready, 3)),
+        HeartbeatOutcome::Stale
+    );
     assert_eq!(registry.servers(now, true), []);
     // It was cut off itself, and goes on.
-    assert_eq!(registry.hear(now, 0, entry("s", 1, EntryStatus::Ready, 10)), Heard::Changed);
+    assert_eq!(registry.observe(now, 0, entry("s", 1, EntryStatus::Ready, 10)), HeartbeatOutcome::Changed);
 }
 
 #[test]
 fn an_address_stays_with_its_newest_owner() {
     let mut registry = Registry::new(BEAT);
-    registry.hear(3000, 0, entry("new", 1, EntryStatus::Ready, 1));
-    assert_eq!(registry.hear(4000, 2000, entry("old", 1, EntryStatus::Ready, 9)), Heard::Late);
+    registry.observe(3000, 0, entry("new", 1, EntryStatus::Ready, 1));
+    assert_eq!(registry.observe(4000, 2000, entry("old", 1, EntryStatus::Ready, 9)), HeartbeatOutcome::Stale);
     assert_eq!(ready(&registry, 4000), ["new"]);
 }
 
@@ -145,17 +151,17 @@
 /// Plays what a node does, each until a moment; then whether it knows a server that it heard at 0, and all there are.
 fn after(does: &[(Does, Millis)]) -> (bool, bool) {
     let mut registry = Registry::new(BEAT);
-    registry.hear(0, 0, entry("s", 1, EntryStatus::Ready, 1));
-    registry.listens(0, true);
+    registry.observe(0, 0, entry("s", 1, EntryStatus::Ready, 1));
+    registry.set_accepting(0, true);
     let mut now = 0;
     for (does, until) in does {
         while now < *until {
             now += if matches!(does, Does::Stands) { *until - now } else { 25 };
-            registry.listens(now, !matches!(does, Does::TurnsAway));
+            registry.set_accepting(now, !matches!(does, Does::TurnsAway));
             registry.expire(now);
         }
     }
-    (!ready(&registry, now).is_empty(), registry.has_heard_all(now, 0))
+    (!ready(&registry, now).is_empty(), registry.is_complete(now, 0))
 }
 
 #[test]
@@ -189,11 +195,11 @@
     let mut registry = Registry::new(BEAT);
     let told = |call_seq| entry("s", 1, EntryStatus::Ready, call_seq);
     assert!(registry.is_newer(&told(1)));
-    registry.hear(0, 0, told(1));
+    registry.observe(0, 0, told(1));
     assert!(!registry.is_newer(&told(1)), "the same by another way");
     assert!(registry.is_newer(&told(2)));
-    registry.hear(10, 0, told(3));
+    registry.observe(10, 0, told(3));
     assert!(!registry.is_newer(&told(2)), "overtaken");
-    registry.leave(20, "s");
+    registry.deregister(20, "s");
     assert!(!registry.is_newer(&told(3)));
 }
--- a/plane/tests/unit/settings.rs
+++ b/plane/tests/unit/settings.rs
@@ -16,7 +16,7 @@
     chain.tick(0);
     chain.peer_up(0, peer);
     let mut now = 0;
-    while chain.in_majority() {
+    while chain.has_quorum() {
         now += STEP;
         chain.tick(now);
     }
--- a/plane/tests/unit/subset.rs
+++ b/plane/tests/unit/subset.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use glenfall_plane::fleet::edge_mark;
-use glenfall_plane::subset::{size, subsets, HOLDERS};
+use glenfall_plane::fleet::edge_hash;
+use glenfall_plane::subset::{size, subsets, MIN_EDGES_PER_SERVER};
 
 fn edges(count: usize) -> Vec<u64> {
-    (0..count).map(|n| edge_mark(&format!("edge-{n}"))).collect()
+    (0..count).map(|n| edge_hash(&format!("edge-{n}"))).collect()
 }
 
 fn names(count: usize) -> Vec<String> {
@@ -30,7 +30,7 @@
         let subsets = subsets_of(&edges(edge_count), &names);
         let size = size(edge_count, server_count);
         let mean = (edge_count * size) as f64 / server_count as f64;
-        assert!(mean >= HOLDERS.min(edge_count) as f64 || size == server_count);
+        assert!(mean >= MIN_EDGES_PER_SERVER.min(edge_count) as f64 || size == server_count);
         for subset in subsets.values() {
             let mut sorted = subset.clone();
             sorted.sort();
--- a/plane/tests/wire_format.rs
+++ b/plane/tests/wire_format.rs
@@ -9,13 +9,14 @@
 use std::sync::Arc;
 
 use glenfall_plane::chain::{Call, Claim, HardState, Heartbeat, JointConfig, Message, Outcome, Record, View};
-use glenfall_plane::config::{Change, Invalid};
-use glenfall_plane::fleet::{Fleet, Members, Numbered, Told};
+use glenfall_plane::config::{ConfigChange, InvalidConfig};
+use glenfall_plane::fleet::{Fleet, FleetUpdate, MembersUpdate, VersionedFleet};
 use glenfall_plane::messages::{
-    Aged, CallId, Down, Instance, Member, News, Open, Peer, Proxy, Purge, Server, Stamped, Up,
+    AgedPurge, CallId, ConnectionOpening, Member, PeerMessage, ProcessId, ProxyRole, PublisherMessage, Purge,
+    PurgeRecord, Server, SubscriberMessage, Update,
 };
-use glenfall_plane::orders::{AppliedOrder, DeduplicationTable, Entry, IdempotencyKey};
-use glenfall_plane::registry::{Entry as ServerEntry, EntryStatus};
+use glenfall_plane::orders::{AppliedOrder, DeduplicationTable, IdempotencyKey, LogEntry};
+use glenfall_plane::registry::{EntryStatus, ServerEntry};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -57,7 +58,7 @@
     SocketAddrV4::new(ip(last), port)
 }
 
-fn member(node: &str, proxy: Proxy) -> Member {
+fn member(node: &str, proxy: ProxyRole) -> Member {
     Member { node: node.into(), zone: "z".into(), proxy, http: addr(4, 7701), ready: true, incarnation: 77 }
 }
 
@@ -90,14 +91,14 @@
     Fleet {
         complete: true,
         servers: vec![server("a", true), server("b", false)],
-        shields: vec![member("shield-1", Proxy::Shield)],
+        shields: vec![member("shield-1", ProxyRole::Shield)],
         edges: vec![3, u64::MAX],
         cores: 3,
     }
 }
 
 fn voters() -> JointConfig {
-    JointConfig { voters: vec![ip(1), ip(2), ip(3)], before: vec![ip(1), ip(2)] }
+    JointConfig { voters: vec![ip(1), ip(2), ip(3)], outgoing: vec![ip(1), ip(2)] }
 }
 
 fn view() -> View {
@@ -110,79 +111,95 @@
 
 fn record() -> Arc<Record> {
     let taken = DeduplicationTable::listed(5, &[order(7), order(9)]).expect("a table");
-    Arc::new(Record { seq: 4, rev: 9, document: br#"{"rev": 9}"#.to_vec(), taken })
+    Arc::new(Record { seq: 4, rev: 9, document: br#"{"rev": 9}"#.to_vec(), applied_orders: taken })
 }
 
 fn call_id() -> CallId {
-    CallId { life: 1_000_000_007, number: 42 }
+    CallId { incarnation: 1_000_000_007, number: 42 }
 }
 
 fn check_connection_openings(samples: &mut Samples) {
-    samples.check("open.session", &Open::Session);
-    samples.check("open.peer", &Open::Peer { ip: ip(1), life: 1_000_000_007, others: vec![ip(2), ip(3)] });
+    samples.check("open.session", &ConnectionOpening::Session);
+    samples.check(
+        "open.peer",
+        &ConnectionOpening::Peer { ip: ip(1), incarnation: 1_000_000_007, known_peers: vec![ip(2), ip(3)] },
+    );
 }
 
 fn check_session_messages(samples: &mut Samples) {
-    for (name, member) in [("edge", Some(member("edge-1", Proxy::Edge))), ("none", None)] {
-        samples.check(&format!("up.hello.{name}"), &Up::Hello { node: "edge-1".into(), member });
+    for (name, member) in [("edge", Some(member("edge-1", ProxyRole::Edge))), ("none", None)] {
+        samples
+            .check(&format!("up.hello.{name}"), &SubscriberMessage::Hello { node: "edge-1".into(), member });
     }
-    samples.check("up.applied", &Up::Applied(300));
-    samples.check("up.report", &Up::Report(vec![("hits".into(), 7), ("misses".into(), u64::MAX)]));
-    samples.check("up.renew", &Up::Renew { sent: 120_000 });
-    samples.check("up.released", &Up::Released);
-    samples.check("up.ping", &Up::Ping);
-    samples.check("down.controls", &Down::Controls(vec![ip(1), ip(2)]));
-    samples.check("down.granted", &Down::Granted { sent: 120_000, lasts: 1200 });
-    samples.check("down.leaving", &Down::Leaving);
-    samples.check("down.ping", &Down::Ping);
+    samples.check("up.applied", &SubscriberMessage::Applied(300));
+    samples.check(
+        "up.report",
+        &SubscriberMessage::Counters(vec![("hits".into(), 7), ("misses".into(), u64::MAX)]),
+    );
+    samples.check("up.renew", &SubscriberMessage::RenewLease { sent_at: 120_000 });
+    samples.check("up.released", &SubscriberMessage::LeaseReleased);
+    samples.check("up.ping", &SubscriberMessage::Ping);
+    samples.check("down.controls", &PublisherMessage::ControlNodes(vec![ip(1), ip(2)]));
+    samples.check("down.granted", &PublisherMessage::LeaseGranted { sent_at: 120_000, duration: 1200 });
+    samples.check("down.leaving", &PublisherMessage::Draining);
+    samples.check("down.ping", &PublisherMessage::Ping);
     let purges = vec![
-        Aged { purge: Purge::Object { hostname: "h".into(), path: "/p?q".into() }, age_ms: 5 },
-        Aged { purge: Purge::Label("l".into()), age_ms: 300 },
-        Aged { purge: Purge::Everything, age_ms: 0 },
+        AgedPurge { purge: Purge::Object { hostname: "h".into(), path: "/p?q".into() }, age_ms: 5 },
+        AgedPurge { purge: Purge::Label("l".into()), age_ms: 300 },
+        AgedPurge { purge: Purge::Everything, age_ms: 0 },
     ];
-    let mut numbered = Numbered::default();
-    let first = numbered.become_next(fleet()).expect("a change");
+    let mut numbered = VersionedFleet::default();
+    let first = numbered.advance_to(fleet()).expect("a change");
     let mut next = fleet();
     next.servers.remove(0);
-    next.shields.push(member("shield-2", Proxy::Shield));
+    next.shields.push(member("shield-2", ProxyRole::Shield));
     next.edges = vec![4];
-    let change = numbered.become_next(next).expect("a change");
+    let change = numbered.advance_to(next).expect("a change");
     let updates = [
-        ("config", News::Config { rev: 9, document: Arc::new(br#"{"rev": 9}"#.to_vec()) }),
-        ("fleet.whole", News::Fleet(Told::Whole { number: 6, fleet: fleet() })),
-        ("fleet.first", News::Fleet(first)),
-        ("fleet.change", News::Fleet(change)),
-        ("purges", News::Purges(purges)),
-        ("in-touch", News::InTouch(true)),
+        ("config", Update::Config { rev: 9, document: Arc::new(br#"{"rev": 9}"#.to_vec()) }),
+        ("fleet.whole", Update::Fleet(FleetUpdate::Snapshot { version: 6, fleet: fleet() })),
+        ("fleet.first", Update::Fleet(first)),
+        ("fleet.change", Update::Fleet(change)),
+        ("purges", Update::Purges(purges)),
+        ("in-touch", Update::Connected(true)),
     ];
     for (number, (name, news)) in updates.into_iter().enumerate() {
-        samples.check(&format!("down.push.{name}"), &Down::Push { number: number as u64 + 1, news });
+        samples.check(
+            &format!("down.push.{name}"),
+            &PublisherMessage::Push { number: number as u64 + 1, update: news },
+        );
     }
 }
 
 fn check_peer_messages(samples: &mut Samples) {
     let id = call_id();
-    let edges = [member("edge-1", Proxy::Edge)];
-    samples.check("peer.sessions.whole", &Peer::Sessions(Members::whole(&edges)));
-    let difference = Members::between(&edges, &[member("edge-2", Proxy::Edge)]).expect("a difference");
-    samples.check("peer.sessions.change", &Peer::Sessions(difference));
-    let statuses = [EntryStatus::Ready, EntryStatus::Draining, EntryStatus::Gone];
+    let edges = [member("edge-1", ProxyRole::Edge)];
+    samples.check("peer.sessions.whole", &PeerMessage::Members(MembersUpdate::snapshot(&edges)));
+    let difference =
+        MembersUpdate::delta(&edges, &[member("edge-2", ProxyRole::Edge)]).expect("a difference");
+    samples.check("peer.sessions.change", &PeerMessage::Members(difference));
+    let statuses = [EntryStatus::Ready, EntryStatus::Draining, EntryStatus::Deregistered];
     let servers = statuses.map(|status| (server_entry(status), 250)).to_vec();
-    samples.check("peer.servers", &Peer::Servers(servers));
+    samples.check("peer.servers", &PeerMessage::Servers(servers));
     let entry = server_entry(EntryStatus::Draining);
-    samples.check("peer.urgent", &Peer::Urgent { id, entry, pass_on: true });
+    samples.check("peer.urgent", &PeerMessage::ReplicateServer { id, entry, forward: true });
     let purge = Purge::Label("l".into());
-    let stamped = Stamped { origin: ip(1), life: 1_000_000_007, number: 3, age_ms: 12, purge };
-    samples
-        .check("peer.purges.history", &Peer::Purges { id: None, purges: vec![stamped.clone()], asked: None });
-    let asked = Some(vec![Instance { ip: ip(2), life: 8 }]);
-    samples.check("peer.purges.call", &Peer::Purges { id: Some(id), purges: vec![stamped], asked });
-    samples.check("peer.purge-written", &Peer::PurgeWritten { life: 1_000_000_007, number: 3 });
-    samples.check("peer.done", &Peer::Done { id, complete: true });
-    samples.check("peer.renew", &Peer::Renew { id });
-    samples.check("peer.granted", &Peer::Granted { id, lasts: 1500 });
-    samples.check("peer.released", &Peer::Released);
-    samples.check("peer.alive", &Peer::Alive);
+    let stamped = PurgeRecord { origin: ip(1), incarnation: 1_000_000_007, number: 3, age_ms: 12, purge };
+    samples.check(
+        "peer.purges.history",
+        &PeerMessage::Purges { id: None, purges: vec![stamped.clone()], already_asked: None },
+    );
+    let asked = Some(vec![ProcessId { ip: ip(2), incarnation: 8 }]);
+    samples.check(
+        "peer.purges.call",
+        &PeerMessage::Purges { id: Some(id), purges: vec![stamped], already_asked: asked },
+    );
+    samples.check("peer.purge-written", &PeerMessage::PurgeDurable { incarnation: 1_000_000_007, number: 3 });
+    samples.check("peer.done", &PeerMessage::Acknowledged { id, complete: true });
+    samples.check("peer.renew", &PeerMessage::RenewLease { id });
+    samples.check("peer.granted", &PeerMessage::LeaseGranted { id, duration: 1500 });
+    samples.check("peer.released", &PeerMessage::LeaseReleased);
+    samples.check("peer.alive", &PeerMessage::KeepAlive);
 }
 
 fn check_chain_messages(samples: &mut Samples) {
@@ -190,14 +207,14 @@
         members: voters(),
         promised: 1025,
         view: Some(view()),
-        hears: vec![ip(2)],
+        heard_peers: vec![ip(2)],
         wiped: false,
         eligible: true,
         unfit: false,
         leaving: true,
         committed: 4,
     };
-    let entry = Arc::new(Entry { seq: 5, document: br#"{"rev": 10}"#.to_vec(), order: order(10) });
+    let entry = Arc::new(LogEntry { seq: 5, document: br#"{"rev": 10}"#.to_vec(), order: order(10) });
     let (call, record) = (call_id(), record());
     let promise =
         |accepted| Message::Promise { view: 513, accepted, members: voters(), record: record.clone() };
@@ -216,21 +233,24 @@
         ("committed", Message::Committed { record: Arc::new(record.without_table()) }),
     ];
     for (name, message) in messages {
-        samples.check(&format!("chain.{name}"), &Peer::Chain(message));
+        samples.check(&format!("chain.{name}"), &PeerMessage::Chain(message));
     }
     let calls = [
-        ("put", Call::Change { builds_on: 9, change: Change::Put(br#"{"rev": 10}"#.to_vec()) }),
-        ("patch", Call::Change { builds_on: 9, change: Change::Patch(br#"{"rev": 10}"#.to_vec()) }),
+        ("put", Call::Change { builds_on: 9, change: ConfigChange::Put(br#"{"rev": 10}"#.to_vec()) }),
+        ("patch", Call::Change { builds_on: 9, change: ConfigChange::Patch(br#"{"rev": 10}"#.to_vec()) }),
         ("read", Call::Read),
         ("read-newer", Call::ReadNewer { than: 4 }),
     ];
     for (name, what) in calls {
-        samples.check(&format!("chain.forward.{name}"), &Peer::Chain(Message::Forward { call, what }));
+        samples.check(&format!("chain.forward.{name}"), &PeerMessage::Chain(Message::Forward { call, what }));
     }
     let outcomes = [
         ("done", Outcome::Done { rev: 10 }),
         ("conflict", Outcome::Conflict { current: 11 }),
-        ("invalid", Outcome::Invalid(Invalid::UnknownBackend { path: "p".into(), backend: "b".into() })),
+        (
+            "invalid",
+            Outcome::Invalid(InvalidConfig::UnknownBackend { path: "p".into(), backend: "b".into() }),
+        ),
         ("forgotten", Outcome::Forgotten { up_to: 5, current: 11 }),
         ("document", Outcome::Document(record)),
         ("unchanged", Outcome::Unchanged),
@@ -239,28 +259,29 @@
     for (name, outcome) in outcomes {
         let claim = Claim::Found(outcome.clone());
         let confirm = Message::Confirm { view: 513, origin: ip(2), call, claim };
-        samples.check(&format!("chain.confirm.{name}"), &Peer::Chain(confirm));
-        samples.check(&format!("chain.answer.{name}"), &Peer::Chain(Message::Answer { call, outcome }));
+        samples.check(&format!("chain.confirm.{name}"), &PeerMessage::Chain(confirm));
+        samples
+            .check(&format!("chain.answer.{name}"), &PeerMessage::Chain(Message::Answer { call, outcome }));
     }
     let claim = Claim::Committed { than: Some(4) };
     let confirm = Message::Confirm { view: 513, origin: ip(2), call, claim };
-    samples.check("chain.confirm.committed", &Peer::Chain(confirm));
+    samples.check("chain.confirm.committed", &PeerMessage::Chain(confirm));
 }
 
 /// Each variant has a number on the wire, also those that no sample above names.
 fn check_invalid_documents(samples: &mut Samples) {
     let invalid = [
-        Invalid::Unreadable("w".into()),
-        Invalid::OldVersion { current: 9, got: 8 },
-        Invalid::NameTwice("p".into()),
-        Invalid::BackendTwice("b".into()),
-        Invalid::UnknownBackend { path: "p".into(), backend: "b".into() },
-        Invalid::SamePlace { path: "p".into(), other: "q".into() },
-        Invalid::NoWeight("p".into()),
-        Invalid::NoDeadline("p".into()),
-        Invalid::Prefix("p".into()),
-        Invalid::Target("p".into()),
-        Invalid::TooLarge(4_000_000),
+        InvalidConfig::Unreadable("w".into()),
+        InvalidConfig::OldVersion { current: 9, got: 8 },
+        InvalidConfig::DuplicateRoute("p".into()),
+        InvalidConfig::DuplicateBackend("b".into()),
+        InvalidConfig::UnknownBackend { path: "p".into(), backend: "b".into() },
+        InvalidConfig::DuplicatePrefix { path: "p".into(), other: "q".into() },
+        InvalidConfig::ZeroWeight("p".into()),
+        InvalidConfig::ZeroDeadline("p".into()),
+        InvalidConfig::InvalidPrefix("p".into()),
+        InvalidConfig::BackendOrSplit("p".into()),
+        InvalidConfig::TooLarge(4_000_000),
     ];
     for (number, invalid) in invalid.iter().enumerate() {
         samples.check(&format!("invalid.{number}"), invalid);
--- a/sim/src/action.rs
+++ b/sim/src/action.rs
@@ -1,6 +1,6 @@
 //! What can happen to a cluster: faults and what operators do.
 
-use glenfall_plane::chain::Seat;
+use glenfall_plane::chain::VoterChange;
 use glenfall_plane::Millis;
 use serde::{Deserialize, Serialize};
 
@@ -171,8 +171,8 @@
                 self.read(*at);
             }
             Action::OpenSession { at } => self.open_session(*at),
-            Action::AddVoter { at, node: n } => self.ask_voters(*at, Seat::Add(node(*n))),
-            Action::RemoveVoter { at, node: n } => self.ask_voters(*at, Seat::Remove(node(*n))),
+            Action::AddVoter { at, node: n } => self.ask_voters(*at, VoterChange::Add(node(*n))),
+            Action::RemoveVoter { at, node: n } => self.ask_voters(*at, VoterChange::Remove(node(*n))),
             Action::Kill { nodes } => nodes.iter().for_each(|n| self.kill(*n)),
             Action::PowerOff { nodes } => nodes.iter().for_each(|n| self.power_off(*n, false)),
             Action::PowerOn { nodes } => nodes.iter().for_each(|n| self.power_on(*n)),
--- a/sim/src/cluster.rs
+++ b/sim/src/cluster.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use glenfall_plane::chain::{NodeId, Terms};
+use glenfall_plane::chain::{ChainSettings, NodeId};
 
 /// Voters of the first start, as an operator names them.
 const SEEDS: u8 = 3;
@@ -41,7 +41,7 @@
     }
 
     /// The settings of each node.
-    pub fn terms(self) -> Terms {
-        Terms { losses: usize::from(self.losses), eligible: true, ..Terms::default() }
+    pub fn terms(self) -> ChainSettings {
+        ChainSettings { losses: usize::from(self.losses), eligible: true, ..ChainSettings::default() }
     }
 }
--- a/sim/src/disk.rs
+++ b/sim/src/disk.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use glenfall_plane::chain::Durable;
+use glenfall_plane::chain::HardState;
 use glenfall_plane::Millis;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -15,17 +15,17 @@
 struct Write {
     done_at: Millis,
     number: u64,
-    state: Durable,
+    state: HardState,
 }
 
 /// The disk of one machine.
 pub struct Disk {
     /// What has reached it.
-    pub durable: Option<Durable>,
+    pub durable: Option<HardState>,
     writing: Option<Write>,
-    queued: Option<(u64, Durable)>,
+    queued: Option<(u64, HardState)>,
     /// What a disk that lies about its syncs has said it had written, and when it is there.
-    withheld: VecDeque<(Millis, Durable)>,
+    withheld: VecDeque<(Millis, HardState)>,
     stalled_until: Millis,
     /// How long a sync takes, drawn from below the second.
     pub sync_takes: (Millis, Millis),
@@ -44,14 +44,14 @@
     }
 
     /// All states that it holds or is to hold.
-    pub(crate) fn states(&self) -> impl Iterator<Item = &Durable> {
+    pub(crate) fn states(&self) -> impl Iterator<Item = &HardState> {
         let writing = self.writing.as_ref().map(|write| &write.state);
         let queued = self.queued.as_ref().map(|(_, state)| state);
         self.durable.iter().chain(writing).chain(queued)
     }
 
     /// Writes a state, once what is under way is there.
-    pub(crate) fn write(&mut self, now: Millis, number: u64, state: Durable, rng: &mut ChaCha8Rng) {
+    pub(crate) fn write(&mut self, now: Millis, number: u64, state: HardState, rng: &mut ChaCha8Rng) {
         self.queued = Some((number, state));
         self.begin_write(now, rng);
     }
--- a/sim/src/losses.rs
+++ b/sim/src/losses.rs
@@ -1,6 +1,6 @@
 //! How many machines and disks may be lost now: what the cluster promises to outlive, less what it has lost already.
 
-use glenfall_plane::chain::{Members, Message, NodeId};
+use glenfall_plane::chain::{JointConfig, Message, NodeId};
 use glenfall_plane::Millis;
 
 use crate::cluster::node;
@@ -17,7 +17,7 @@
     pub fn disks_to_lose(&self) -> usize {
         let newest = self.newest_members();
         let members = [Some(&self.newest_view.1), newest.as_ref()].into_iter().flatten();
-        let sets = members.flat_map(|m| [&m.voters, &m.before]).filter(|set| !set.is_empty());
+        let sets = members.flat_map(|m| [&m.voters, &m.outgoing]).filter(|set| !set.is_empty());
         let left = sets.map(|set| {
             let outlived = ((set.len() - 1) / 2).min(usize::from(self.size.losses));
             outlived.saturating_sub(self.disks_lost(set))
@@ -26,7 +26,7 @@
     }
 
     /// Who counts by the newest view that is on any disk or on its way to one.
-    fn newest_members(&self) -> Option<Members> {
+    fn newest_members(&self) -> Option<JointConfig> {
         let states = self.machines.iter().flat_map(|machine| machine.disk.states());
         let accepted = states.map(|state| (state.accepted, &state.members));
         let installs = self.network.messages().filter_map(|message| match message {
--- a/sim/src/operators.rs
+++ b/sim/src/operators.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use glenfall_plane::chain::{Call, Outcome, Record, Seat};
-use glenfall_plane::config::Change;
+use glenfall_plane::chain::{Call, Outcome, Record, VoterChange};
+use glenfall_plane::config::ConfigChange;
 use glenfall_plane::Millis;
 use rand::Rng;
 
@@ -23,7 +23,7 @@
 struct Order {
     rev: u64,
     builds_on: u64,
-    change: Change,
+    change: ConfigChange,
     /// It is no configuration.
     invalid: bool,
     /// Answers that are lost on their way to the operator.
@@ -143,12 +143,12 @@
     }
 
     /// An order that is sent once; `rev` is the version that it makes.
-    pub fn order(&mut self, n: u8, change: Change, rev: u64, builds_on: u64) -> Option<u64> {
+    pub fn order(&mut self, n: u8, change: ConfigChange, rev: u64, builds_on: u64) -> Option<u64> {
         let order = self.note_order(n, change, rev, builds_on);
         self.send_order(n, order)
     }
 
-    fn note_order(&mut self, at: u8, change: Change, rev: u64, builds_on: u64) -> u64 {
+    fn note_order(&mut self, at: u8, change: ConfigChange, rev: u64, builds_on: u64) -> u64 {
         let order = Order {
             rev,
             builds_on,
@@ -183,7 +183,7 @@
     /// it sends it once.
     pub fn change(&mut self, n: u8, raise: u64) -> Option<u64> {
         let (builds_on, rev, document) = self.next_document(raise);
-        self.order(n, Change::Put(document.into_bytes()), rev, builds_on)
+        self.order(n, ConfigChange::Put(document.into_bytes()), rev, builds_on)
     }
 
     /// The same, but sent until there is a clear answer; of the answers so many are lost on their way.
@@ -194,12 +194,14 @@
         }
         let (builds_on, rev, document) = self.next_document(raise);
         let change = match content {
-            Content::Put => Change::Put(document.into_bytes()),
+            Content::Put => ConfigChange::Put(document.into_bytes()),
             Content::Patch => {
                 let order = self.operators.orders.len();
-                Change::Patch(format!("{{\"rev\":{rev},\"upsert\":{{\"order\":{order}}}}}").into_bytes())
+                ConfigChange::Patch(
+                    format!("{{\"rev\":{rev},\"upsert\":{{\"order\":{order}}}}}").into_bytes(),
+                )
             }
-            Content::Invalid => Change::Put(document.replace('}', ",\"paths\":1}").into_bytes()),
+            Content::Invalid => ConfigChange::Put(document.replace('}', ",\"paths\":1}").into_bytes()),
         };
         let order = self.note_order(n, change, rev, builds_on);
         let now = self.now;
@@ -335,14 +337,14 @@
     }
 
     /// An operator asks a node for other voters.
-    pub fn ask_voters(&mut self, n: u8, seat: Seat) {
+    pub fn ask_voters(&mut self, n: u8, seat: VoterChange) {
         let (now, losses) = (self.now, usize::from(self.size.losses));
         if self.is_paused(n) {
             return;
         }
         let Some(chain) = &mut self.machine(n).chain else { return };
         let before = chain.members().voters.len();
-        match chain.ask_voters(now, seat) {
+        match chain.request_voter_change(now, seat) {
             Ok(voters) => {
                 let (voters, needed) = (voters.len(), (2 * losses + 1).min(before));
                 self.require(voters >= needed, || Violation::FewVoters { voters, needed });
@@ -362,7 +364,7 @@
             let (n, rev) = (self.rng.random_range(1..=nodes), builds_on + self.rng.random_range(1..9));
             let order = self.operators.orders.len();
             let document = format!("{{\"rev\":{rev},\"order\":{order}}}").into_bytes();
-            self.order(n, Change::Put(document), rev, builds_on);
+            self.order(n, ConfigChange::Put(document), rev, builds_on);
         }
         let reader = self.rng.random_range(1..=nodes);
         self.read(reader);
--- a/sim/src/world.rs
+++ b/sim/src/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use glenfall_plane::chain::{Chain, Durable, Members, Output, Start, Terms};
+use glenfall_plane::chain::{Chain, ChainSettings, HardState, JointConfig, Output, Start};
 use glenfall_plane::Millis;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -26,7 +26,7 @@
 /// [`World::step`].
 pub struct World {
     pub size: Size,
-    pub terms: Terms,
+    pub terms: ChainSettings,
     /// Of operators that are not told what to do.
     pub rng: ChaCha8Rng,
     pub now: Millis,
@@ -37,7 +37,7 @@
     pub committed: BTreeMap<u64, (u64, Option<u64>)>,
     pub counts: Coverage,
     /// The newest view that any node ever knew to stand, and who counts in it.
-    pub(crate) newest_view: (u64, Members),
+    pub(crate) newest_view: (u64, JointConfig),
     /// What happens after the next acknowledgement, and after a time.
     pub(crate) on_acknowledged: Vec<Action>,
     pub(crate) pending_actions: Vec<(Millis, Action)>,
@@ -53,7 +53,7 @@
     }
 
     /// The same, with these settings of the nodes.
-    pub fn under(seed: u64, size: Size, terms: Terms) -> Self {
+    pub fn under(seed: u64, size: Size, terms: ChainSettings) -> Self {
         let machine = |n| {
             let starts = n <= size.voters();
             Machine::new(seed, n, starts.then(|| Chain::new(node(n), terms, Start::Fresh(seeds()))))
@@ -68,7 +68,7 @@
             operators: Operators::default(),
             committed: BTreeMap::new(),
             counts: Coverage::default(),
-            newest_view: (0, Members::of(seeds())),
+            newest_view: (0, JointConfig::of(seeds())),
             on_acknowledged: Vec::new(),
             pending_actions: Vec::new(),
             fault: None,
@@ -107,7 +107,7 @@
         let Some(view) = running().find_map(Chain::view) else { return false };
         let voters = &view.members.voters;
         views.len() == 1
-            && view.members.before.is_empty()
+            && view.members.outgoing.is_empty()
             && voters.len() >= usize::from(self.size.voters())
             && voters.iter().all(|voter| view.chain.contains(voter))
     }
@@ -116,12 +116,12 @@
     pub fn describe(&self) -> String {
         let line = |(machine, n): (&Machine, u8)| {
             let chain = machine.chain.as_ref();
-            let kept = |d: &Durable| (d.votes, d.promised, d.accepted, d.members.clone(), d.record.seq);
+            let kept = |d: &HardState| (d.votes, d.promised, d.accepted, d.members.clone(), d.record.seq);
             format!(
                 "node {n}: view {:?} members {:?} majority {:?} disk {:?}\n",
                 chain.and_then(|chain| chain.view().cloned()),
                 chain.map(|chain| chain.members().clone()),
-                chain.map(Chain::in_majority),
+                chain.map(Chain::has_quorum),
                 machine.disk.durable.as_ref().map(kept)
             )
         };
