--- a/control-plane/src/chain/message.rs
+++ b/control-plane/src/chain/message.rs
@@ -10,8 +10,8 @@
 use crate::chain::ballot;
 use crate::chain::settings::{MAX_NODES, MAX_VOTERS};
 use crate::chain::{Call, HardState, JointConfig, Outcome, View};
+use crate::deduplication::LogEntry;
 use crate::ids::{CallId, NodeId};
-use crate::orders::LogEntry;
 use crate::record::Record;
 
 /// The longest chain: all voters of two sets.
--- a/control-plane/src/chain/replication.rs
+++ b/control-plane/src/chain/replication.rs
@@ -5,8 +5,8 @@
 
 use crate::chain::settings::REPLICATION_TIMEOUT;
 use crate::chain::{Chain, Message, Outcome, Output};
+use crate::deduplication::LogEntry;
 use crate::ids::{CallId, NodeId};
-use crate::orders::LogEntry;
 use crate::record::Record;
 use crate::Millis;
 
--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -2,13 +2,10 @@
 //! servers, and the messages between processes. No sockets, no disk and no clock: callers pass events and the time in,
 //! and carry out what comes out. `docs/glossary.md` defines the terms.
 
-#[allow(missing_docs)]
-pub mod budget;
-#[allow(missing_docs)]
-pub mod ceiling;
 pub mod chain;
 #[allow(missing_docs)]
 pub mod config;
+pub mod deduplication;
 #[allow(missing_docs)]
 pub mod fleet;
 pub mod ids;
@@ -18,13 +15,16 @@
 #[allow(missing_docs)]
 pub mod messages;
 pub mod nodes;
-pub mod orders;
 #[allow(missing_docs)]
-pub mod purges;
+pub mod purge_history;
+#[allow(missing_docs)]
+pub mod rate_limit;
 pub mod record;
 #[allow(missing_docs)]
 pub mod registry;
 #[allow(missing_docs)]
+pub mod retry_budget;
+#[allow(missing_docs)]
 pub mod subset;
 
 /// Milliseconds on the caller's steady clock.
--- a/control-plane/src/record.rs
+++ b/control-plane/src/record.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::config::{ConfigChange, InvalidConfig};
-use crate::orders::{AppliedOrder, DeduplicationTable, IdempotencyKey, LogEntry};
+use crate::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey, LogEntry};
 
 /// The state that the chain replicates: the newest configuration document with the table of orders that led to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
--- a/control-plane/tests/chain.rs
+++ b/control-plane/tests/chain.rs
@@ -12,8 +12,8 @@
     View, VoterChange, VoterChangeError,
 };
 use glenfall_control_plane::config::ConfigChange;
+use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey, LogEntry};
 use glenfall_control_plane::messages::CallId;
-use glenfall_control_plane::orders::{AppliedOrder, DeduplicationTable, IdempotencyKey, LogEntry};
 use glenfall_control_plane_sim::{node, seeds, Schedule, Size, World};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/control-plane/tests/orders.rs
+++ b/control-plane/tests/deduplication.rs
@@ -10,10 +10,10 @@
     View, VoterChange,
 };
 use glenfall_control_plane::config::{ConfigChange, InvalidConfig, MAX_DOCUMENT_BYTES};
-use glenfall_control_plane::messages::MAX_FRAME_BYTES;
-use glenfall_control_plane::orders::{
+use glenfall_control_plane::deduplication::{
     AppliedOrder, DeduplicationTable, IdempotencyKey, InvalidTable, LogEntry, CHUNK, MAX_APPLIED_ORDERS,
 };
+use glenfall_control_plane::messages::MAX_FRAME_BYTES;
 use glenfall_control_plane::record::Decision;
 use glenfall_control_plane::Millis;
 use rand::seq::IndexedRandom;
--- a/control-plane/tests/unit/main.rs
+++ b/control-plane/tests/unit/main.rs
@@ -1,13 +1,13 @@
 //! The parts of the crate, each by its own interface.
 
-mod budget;
-mod ceiling;
 mod config;
 mod fleet;
 mod invariant;
 mod peers;
-mod purges;
+mod purge_history;
+mod rate_limit;
 mod registry;
+mod retry_budget;
 mod settings;
 mod subset;
 mod voters;
--- a/control-plane/tests/unit/purges.rs
+++ b/control-plane/tests/unit/purge_history.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use glenfall_control_plane::messages::{AgedPurge, Purge, PurgeRecord};
-use glenfall_control_plane::purges::{PurgeHistory, MAX_PURGES, PURGE_RETENTION};
+use glenfall_control_plane::purge_history::{PurgeHistory, MAX_PURGES, PURGE_RETENTION};
 
 fn purge(number: u64, age_ms: u64) -> PurgeRecord {
     let purge = Purge::Label(number.to_string());
--- a/control-plane/tests/unit/ceiling.rs
+++ b/control-plane/tests/unit/rate_limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use glenfall_control_plane::ceiling::{max_queue_time, QuotaHolder, RateLimitSettings, RateLimiter};
+use glenfall_control_plane::rate_limit::{max_queue_time, QuotaHolder, RateLimitSettings, RateLimiter};
 use glenfall_control_plane::Millis;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/control-plane/tests/unit/budget.rs
+++ b/control-plane/tests/unit/retry_budget.rs
@@ -1,6 +1,6 @@
 //! The budget for further tries, at one machine and at many.
 
-use glenfall_control_plane::budget::{RetryBudget, RetryBudgetSettings, MAX_SERVICES};
+use glenfall_control_plane::retry_budget::{RetryBudget, RetryBudgetSettings, MAX_SERVICES};
 use glenfall_control_plane::Millis;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/control-plane/tests/wire_format.rs
+++ b/control-plane/tests/wire_format.rs
@@ -12,12 +12,12 @@
     Call, Claim, HardState, Heartbeat, JointConfig, Message, Outcome, Record, View,
 };
 use glenfall_control_plane::config::{ConfigChange, InvalidConfig};
+use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey, LogEntry};
 use glenfall_control_plane::fleet::{Fleet, FleetUpdate, MembersUpdate, VersionedFleet};
 use glenfall_control_plane::messages::{
     AgedPurge, CallId, ConnectionOpening, Member, PeerMessage, ProcessId, ProxyRole, PublisherMessage, Purge,
     PurgeRecord, Server, SubscriberMessage, Update,
 };
-use glenfall_control_plane::orders::{AppliedOrder, DeduplicationTable, IdempotencyKey, LogEntry};
 use glenfall_control_plane::registry::{EntryStatus, ServerEntry};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
--- a/experiments/src/experiment.rs
+++ b/experiments/src/experiment.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenfall::operator::local_system::{Layout, Local};
-use glenfall::operator::verbs::{self, Controls, OpsError};
+use glenfall::operator::commands::{self, ControlAddresses, OperatorError};
+use glenfall::operator::local_system::{LocalSystem, SystemLayout};
 use hyper::Method;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -37,7 +37,7 @@
     #[error("{0}")]
     Io(#[from] std::io::Error),
     #[error("{0}")]
-    Ops(#[from] OpsError),
+    Ops(#[from] OperatorError),
     #[error("{count} invariants broken: {first}")]
     Invariant { count: usize, first: String },
     #[error("the system is not up after {} s", START.as_secs())]
@@ -49,7 +49,7 @@
 /// Plays a plan with this program.
 pub async fn run(plan: &Plan, program: &Path) -> Result<Report, LabError> {
     let system = plan.system;
-    let layout = Layout {
+    let layout = SystemLayout {
         net: NET,
         cores: system.cores,
         seeds: system.cores,
@@ -60,7 +60,7 @@
         losses: 0,
         relayed: false,
     };
-    let local = Local::start(layout, program).await?;
+    let local = LocalSystem::start(layout, program).await?;
     let controls = local.controls();
     let ledger = Rc::new(Ledger::default());
     let origins = start_servers(plan, &local, &ledger).await?;
@@ -94,7 +94,7 @@
 
 pub async fn start_servers(
     plan: &Plan,
-    local: &Local,
+    local: &LocalSystem,
     ledger: &Rc<Ledger>,
 ) -> std::io::Result<Vec<Rc<Origin>>> {
     let mut origins = Vec::new();
@@ -114,25 +114,26 @@
     Ok(origins)
 }
 
-pub async fn configured(plan: &Plan, controls: &Controls) -> Result<(), LabError> {
+pub async fn configured(plan: &Plan, controls: &ControlAddresses) -> Result<(), LabError> {
     let body = plan.document().to_string();
     let began = Instant::now();
     loop {
-        match verbs::call(controls, Method::PUT, "/api/config", Some(0), body.clone().into()).await {
+        match commands::call_control(controls, Method::PUT, "/api/config", Some(0), body.clone().into()).await
+        {
             Ok(_) => return Ok(()),
-            Err(OpsError::NoAnswer) if began.elapsed() < START => sleep(BEAT).await,
+            Err(OperatorError::NoAnswer) if began.elapsed() < START => sleep(BEAT).await,
             Err(error) => return Err(error.into()),
         }
     }
 }
 
-async fn nodes(controls: &Controls) -> Result<Vec<serde_json::Value>, LabError> {
-    let told = verbs::status(controls).await?;
+async fn nodes(controls: &ControlAddresses) -> Result<Vec<serde_json::Value>, LabError> {
+    let told = commands::status(controls).await?;
     Ok(serde_json::from_str(&told).unwrap_or_default())
 }
 
 /// Waits until all control nodes know all, and all sessions have applied it.
-pub async fn settled(plan: &Plan, controls: &Controls, servers: usize) -> Result<(), LabError> {
+pub async fn settled(plan: &Plan, controls: &ControlAddresses, servers: usize) -> Result<(), LabError> {
     let machines = usize::from(plan.system.cores) + usize::from(plan.system.edges);
     let began = Instant::now();
     while began.elapsed() < START {
@@ -156,7 +157,7 @@
 }
 
 /// The counters of all sessions, summed; quantiles are no sums and stay out.
-async fn counters(controls: &Controls) -> Result<BTreeMap<String, u64>, LabError> {
+async fn counters(controls: &ControlAddresses) -> Result<BTreeMap<String, u64>, LabError> {
     let mut sums = BTreeMap::new();
     for node in nodes(controls).await? {
         for session in node["sessions"].as_array().into_iter().flatten() {
@@ -171,7 +172,7 @@
 }
 
 /// Makes one fault of a plan, and ends it.
-async fn trouble(fault: Fault, began: Instant, local: Rc<RefCell<Local>>, origins: Vec<Rc<Origin>>) {
+async fn trouble(fault: Fault, began: Instant, local: Rc<RefCell<LocalSystem>>, origins: Vec<Rc<Origin>>) {
     sleep_until(began + Duration::from_secs_f64(fault.at)).await;
     let over = began + Duration::from_secs_f64(fault.at + fault.for_s);
     let signal = |node: &str, role: &Option<String>, signal| {
@@ -215,7 +216,7 @@
     }
 }
 
-fn start_again(local: &RefCell<Local>, node: &str) {
+fn start_again(local: &RefCell<LocalSystem>, node: &str) {
     if let Err(error) = local.borrow_mut().start_again(node) {
         eprintln!("{node}: {error}");
     }
--- a/experiments/src/fleet/reads.rs
+++ b/experiments/src/fleet/reads.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, VecDeque};
 
 use glenfall_balancer::{mix, Key, ServerId, Shields};
-use glenfall_control_plane::ceiling::{QuotaHolder, RateLimitSettings, RateLimiter};
+use glenfall_control_plane::rate_limit::{QuotaHolder, RateLimitSettings, RateLimiter};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
--- a/experiments/src/fleet/writes.rs
+++ b/experiments/src/fleet/writes.rs
@@ -6,7 +6,7 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-use glenfall::proxy::origins::{End, Origins};
+use glenfall::upstream::origins::{OriginBalancer, SendOutcome};
 use glenfall_control_plane::fleet::edge_hash;
 use glenfall_control_plane::messages::Server;
 use glenfall_control_plane::subset;
@@ -67,7 +67,7 @@
     work: LogNormal<f64>,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     number: u64,
-    origins: Vec<Origins>,
+    origins: Vec<OriginBalancer>,
     names: HashMap<String, usize>,
     servers: Vec<Emulated>,
     /// Idle connections, by edge and server: since when.
@@ -132,7 +132,7 @@
             server.waiting.push_back(number);
         } else {
             self.turned_away += 1;
-            self.leave(at, number, End::TurnedAway);
+            self.leave(at, number, SendOutcome::Rejected);
             self.send(number);
         }
     }
@@ -143,7 +143,7 @@
     }
 
     /// A write has its answer, and its connection lies idle.
-    fn leave(&mut self, at: usize, number: usize, end: End) {
+    fn leave(&mut self, at: usize, number: usize, end: SendOutcome) {
         let Some(write) = self.writes.get(&number) else { return };
         let (edge, took) = (write.edge, Duration::from_micros(self.now - write.began));
         if let Some(id) = write.tried.last() {
@@ -165,7 +165,7 @@
             }
             Event::Ends { server, write } => {
                 self.servers[server].served += 1;
-                self.leave(server, write, End::Answered);
+                self.leave(server, write, SendOutcome::Success);
                 self.writes.remove(&write);
                 match self.servers[server].waiting.pop_front() {
                     Some(next) => self.work_on(server, next),
@@ -203,7 +203,7 @@
     let mut marks: Vec<u64> = names.iter().map(|name| edge_hash(name)).collect();
     marks.sort_unstable();
     let origin = |name: &String| {
-        let origins = Origins::new("z", false, name);
+        let origins = OriginBalancer::new("z", false, name);
         origins.update(began, &servers, &marks);
         origins
     };
--- a/experiments/src/hollow/load.rs
+++ b/experiments/src/hollow/load.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenfall::operator::verbs::{self, Controls, OpsError};
-use glenfall::proxy::memory_budget::MemoryBudget;
-use glenfall::proxy::pool::Pool;
+use glenfall::memory_budget::MemoryBudget;
+use glenfall::operator::commands::{self, ControlAddresses, OperatorError};
+use glenfall::upstream::pool::Pool;
 use hyper::Method;
 use serde_json::json;
 use tokio::task::{spawn_local, JoinHandle};
@@ -44,17 +44,17 @@
 }
 
 /// The same nodes, another one first.
-fn turned(controls: &Controls, by: usize) -> Controls {
+fn turned(controls: &ControlAddresses, by: usize) -> ControlAddresses {
     let mut all = controls.controls.clone();
     let by = by % all.len().max(1);
     all.rotate_left(by);
-    Controls { controls: all }
+    ControlAddresses { controls: all }
 }
 
 /// Servers that beat, spread over the control nodes and over time; `failed` counts beats that no node took.
 pub fn servers(
     count: u32,
-    controls: &Controls,
+    controls: &ControlAddresses,
     addr: SocketAddrV4,
     failed: &Rc<Cell<u32>>,
 ) -> Vec<JoinHandle<()>> {
@@ -98,13 +98,13 @@
 
 /// Changes one route after another, at even times; each is waited for at all nodes.
 pub async fn change(
-    controls: &Controls,
+    controls: &ControlAddresses,
     seen: &Seen,
     nodes: u32,
     rev: &Cell<u64>,
     per_s: f64,
     lasts: Duration,
-) -> Result<Told, OpsError> {
+) -> Result<Told, OperatorError> {
     let mut told = Told::default();
     let began = Instant::now();
     let mut ticks = interval(Duration::from_secs_f64(1.0 / per_s));
@@ -116,8 +116,14 @@
             json!({ "rev": next, "upsert": { "paths": [route(next as u32 % 7, 40.0 + next as f64)] } });
         let (from, called) = (seen.now(), Instant::now());
         let controls = turned(controls, next as usize);
-        verbs::call(&controls, Method::PATCH, "/api/config", Some(rev.get()), patch.to_string().into())
-            .await?;
+        commands::call_control(
+            &controls,
+            Method::PATCH,
+            "/api/config",
+            Some(rev.get()),
+            patch.to_string().into(),
+        )
+        .await?;
         rev.set(next);
         told.acknowledged.push(called.elapsed().as_secs_f64() * 1000.0);
         while seen.took_version(next).len() < nodes as usize && called.elapsed() < IN_FORCE {
@@ -132,7 +138,7 @@
 
 /// Purges at even times, whether or not those before are acknowledged.
 pub async fn purge(
-    controls: &Controls,
+    controls: &ControlAddresses,
     seen: &std::sync::Arc<Seen>,
     next: &Cell<usize>,
     per_s: f64,
--- a/experiments/src/hollow/mod.rs
+++ b/experiments/src/hollow/mod.rs
@@ -18,8 +18,8 @@
 use std::time::Duration;
 
 use clap::Args;
-use glenfall::operator::local_system::{Layout, Local};
-use glenfall::operator::verbs::{self, Controls};
+use glenfall::operator::commands::{self, ControlAddresses};
+use glenfall::operator::local_system::{LocalSystem, SystemLayout};
 use hyper::Method;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -167,8 +167,8 @@
 }
 
 struct Run {
-    local: Local,
-    controls: Controls,
+    local: LocalSystem,
+    controls: ControlAddresses,
     seen: Arc<Seen>,
     nodes: u32,
     failed_beats: Rc<Cell<u32>>,
@@ -224,7 +224,7 @@
 }
 
 async fn play_size(plan: &HollowPlan, nodes: u32, program: &Path) -> Result<Size, LabError> {
-    let layout = Layout {
+    let layout = SystemLayout {
         net: NET,
         cores: plan.controls,
         seeds: plan.seeds,
@@ -235,7 +235,7 @@
         losses: 0,
         relayed: false,
     };
-    let local = Local::start(layout, program).await?;
+    let local = LocalSystem::start(layout, program).await?;
     let controls = local.controls();
     let document = load::document(plan.routes).to_string();
     let document_bytes = document.len();
@@ -337,12 +337,14 @@
     }
 }
 
-async fn put(controls: &Controls, document: String) -> Result<(), LabError> {
+async fn put(controls: &ControlAddresses, document: String) -> Result<(), LabError> {
     let began = Instant::now();
     loop {
-        match verbs::call(controls, Method::PUT, "/api/config", Some(0), document.clone().into()).await {
+        match commands::call_control(controls, Method::PUT, "/api/config", Some(0), document.clone().into())
+            .await
+        {
             Ok(_) => return Ok(()),
-            Err(verbs::OpsError::NoAnswer) if began.elapsed() < UP => sleep(BEAT).await,
+            Err(commands::OperatorError::NoAnswer) if began.elapsed() < UP => sleep(BEAT).await,
             Err(error) => return Err(error.into()),
         }
     }
@@ -373,7 +375,7 @@
     }
 
     async fn status(&self) -> Vec<serde_json::Value> {
-        let told = verbs::status(&self.controls).await.unwrap_or_default();
+        let told = commands::status(&self.controls).await.unwrap_or_default();
         serde_json::from_str(&told).unwrap_or_default()
     }
 
--- a/experiments/src/hollow/nodes.rs
+++ b/experiments/src/hollow/nodes.rs
@@ -239,7 +239,7 @@
                 met = true;
                 let outbox = Outbox::start(write);
                 let take = async |down| self.take(down);
-                let frames = link::Frames::new(read);
+                let frames = link::FrameReader::new(read);
                 let (hello, now) = (|| self.hello(), || self.lease.now());
                 tokio::select! {
                     () = self.moves(addr) => {}
--- a/experiments/src/load.rs
+++ b/experiments/src/load.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall::proxy::memory_budget::MemoryBudget;
-use glenfall::proxy::pool::{Pool, Trouble, Trust};
-use glenfall::proxy::response::ServerResponse;
-use glenfall::proxy::serve::{DEADLINE, TRY_ID};
+use glenfall::http::headers::{DEADLINE, TRY_ID};
+use glenfall::http::response::ServerResponse;
+use glenfall::memory_budget::MemoryBudget;
+use glenfall::upstream::pool::{Pool, SendError, UpstreamKind};
 use glenfall_balancer::mix;
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
@@ -143,7 +143,7 @@
                 }
                 Err(trouble) => {
                     ended = Ended::Failed;
-                    let may = *trouble == Trouble::Unsent || class.kind != Kind::Mutating;
+                    let may = *trouble == SendError::NotSent || class.kind != Kind::Mutating;
                     may.then_some(Duration::ZERO)
                 }
             };
@@ -160,7 +160,7 @@
         path: &str,
         id: &str,
         until: Instant,
-    ) -> Result<ServerResponse, Trouble> {
+    ) -> Result<ServerResponse, SendError> {
         let request = || {
             let mut request = Request::new(Full::new(Bytes::new()));
             if class.kind == Kind::Mutating {
@@ -176,11 +176,11 @@
             }
             request
         };
-        self.pool.exchange(edge.into(), request, until, Trust::Ours, || true).await
+        self.pool.exchange(edge.into(), request, until, UpstreamKind::Internal, || true).await
     }
 
     /// Objects that change, each with its purge.
-    pub async fn change_objects(self: Rc<Self>, controls: glenfall::operator::verbs::Controls) {
+    pub async fn change_objects(self: Rc<Self>, controls: glenfall::operator::commands::ControlAddresses) {
         let mut rng = ChaCha8Rng::seed_from_u64(mix(self.plan.seed ^ 0xc4a6));
         let rate: f64 = self.plan.classes.iter().map(|class| class.changes_per_s).sum();
         if rate <= 0.0 {
@@ -198,9 +198,14 @@
             let path = format!("/{}/{}", class.name, rng.random_range(1..=class.objects.min(20)));
             let old = self.ledger.change(&path);
             let purge = serde_json::json!({ "hostname": crate::HOST, "urlPath": path }).to_string();
-            let told =
-                glenfall::operator::verbs::call(&controls, Method::POST, "/api/purge", None, purge.into())
-                    .await;
+            let told = glenfall::operator::commands::call_control(
+                &controls,
+                Method::POST,
+                "/api/purge",
+                None,
+                purge.into(),
+            )
+            .await;
             let mut seen = self.seen.borrow_mut();
             seen.purges += 1;
             match told {
--- a/experiments/src/origin.rs
+++ b/experiments/src/origin.rs
@@ -6,10 +6,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall::operator::verbs::Controls;
-use glenfall::proxy::memory_budget::MemoryBudget;
-use glenfall::proxy::pool::{Pool, Trust};
-use glenfall::proxy::serve::{self, plain, refused, Answer, Handler, Whole, DEADLINE, TRY_ID};
+use glenfall::http::headers::{DEADLINE, TRY_ID};
+use glenfall::http_server::{self, plain_response, retry_later_response, FullRequest, FullResponse, Handler};
+use glenfall::memory_budget::MemoryBudget;
+use glenfall::operator::commands::ControlAddresses;
+use glenfall::upstream::pool::{Pool, UpstreamKind};
 use glenfall_control_plane::config::RequestLimits;
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
@@ -95,17 +96,17 @@
         listen: SocketAddrV4,
         announced: SocketAddrV4,
         zone: String,
-        controls: Controls,
+        controls: ControlAddresses,
     ) {
-        let terms = serve::Terms {
+        let terms = http_server::ServerConfig {
             listen,
-            most: 256,
-            most_bodies: 8 << 20,
-            still_accepting: Duration::ZERO,
+            max_connections: 256,
+            max_body_bytes: 8 << 20,
+            drain_accept_time: Duration::ZERO,
             grace: Duration::ZERO,
         };
         let mut crash = self.crash.subscribe();
-        let serving = serve::serve(terms, Rc::new(Serving(Rc::clone(&self))), crash.clone());
+        let serving = http_server::serve(terms, Rc::new(Serving(Rc::clone(&self))), crash.clone());
         tokio::select! {
             served = serving => {
                 if let Err(e) = served {
@@ -117,7 +118,7 @@
         }
     }
 
-    async fn beat(&self, addr: SocketAddrV4, zone: String, controls: &Controls) {
+    async fn beat(&self, addr: SocketAddrV4, zone: String, controls: &ControlAddresses) {
         let pool = Pool::new(8, MemoryBudget::new(1 << 20));
         let uri = format!("/api/servers/{}", self.id);
         for seq in 1u64.. {
@@ -152,7 +153,14 @@
     }
 
     /// Calls control nodes in turn until one takes it, beginning with the one that took the last call.
-    async fn call(&self, pool: &Pool, controls: &Controls, method: Method, uri: &str, body: Bytes) -> bool {
+    async fn call(
+        &self,
+        pool: &Pool,
+        controls: &ControlAddresses,
+        method: Method,
+        uri: &str,
+        body: Bytes,
+    ) -> bool {
         let taken = call_from(self.called.get(), pool, controls, method, uri, body).await;
         self.called.set(taken.unwrap_or(self.called.get()));
         taken.is_some()
@@ -178,9 +186,9 @@
         !self.draining.get() && !*self.crash.borrow() && self.slow.get() == 1.0
     }
 
-    fn not_run(&self, status: StatusCode, why: &'static str) -> Answer {
+    fn not_run(&self, status: StatusCode, why: &'static str) -> FullResponse {
         self.turned_away.set(self.turned_away.get() + 1);
-        let mut answer = refused(status, why, FULL);
+        let mut answer = retry_later_response(status, why, FULL);
         answer.headers_mut().insert("x-glenfall-not-run", HeaderValue::from_static("1"));
         answer
     }
@@ -193,7 +201,7 @@
         (Duration::from_secs_f64(work * self.slow.get()), rng.random_bool(self.plan.error_share))
     }
 
-    async fn work(&self, whole: &Whole) -> Answer {
+    async fn work(&self, whole: &FullRequest) -> FullResponse {
         self.arrivals.set(self.arrivals.get() + 1);
         if self.leaving_since.get().is_some_and(|since| since.elapsed() > DRAIN) {
             self.late_arrivals.borrow_mut().push(Instant::now());
@@ -229,14 +237,14 @@
         sleep(work).await;
         drop(place);
         if error {
-            return plain(StatusCode::INTERNAL_SERVER_ERROR, "as it happens");
+            return plain_response(StatusCode::INTERNAL_SERVER_ERROR, "as it happens");
         }
         let tag = format!("\"{version}\"");
         let unchanged = text(header::IF_NONE_MATCH.as_str()) == Some(tag.as_str());
         let mut answer = if unchanged {
-            plain(StatusCode::NOT_MODIFIED, "")
+            plain_response(StatusCode::NOT_MODIFIED, "")
         } else {
-            Answer::new(Full::new(body(path, version, class.bytes)))
+            FullResponse::new(Full::new(body(path, version, class.bytes)))
         };
         let headers = answer.headers_mut();
         for (name, value) in [("etag", tag.as_str()), ("x-glenfall-seal", self.id.as_str())] {
@@ -267,7 +275,7 @@
 struct Serving(Rc<Origin>);
 
 impl Handler for Serving {
-    async fn answer(&self, whole: Whole) -> Answer {
+    async fn handle(&self, whole: FullRequest) -> FullResponse {
         let mut answer = self.0.work(&whole).await;
         if let Some(id) = whole.head.headers.get(TRY_ID) {
             answer.headers_mut().insert(TRY_ID, id.clone());
@@ -279,13 +287,13 @@
         RequestLimits::default()
     }
 
-    fn leaving(&self) -> bool {
+    fn is_draining(&self) -> bool {
         self.0.draining.get()
     }
 }
 
 /// Calls control nodes in turn until one takes it.
-pub async fn call(pool: &Pool, controls: &Controls, method: Method, uri: &str, body: Bytes) -> bool {
+pub async fn call(pool: &Pool, controls: &ControlAddresses, method: Method, uri: &str, body: Bytes) -> bool {
     call_from(0, pool, controls, method, uri, body).await.is_some()
 }
 
@@ -293,7 +301,7 @@
 async fn call_from(
     first: usize,
     pool: &Pool,
-    controls: &Controls,
+    controls: &ControlAddresses,
     method: Method,
     uri: &str,
     body: Bytes,
@@ -316,6 +324,7 @@
         request.headers_mut().insert(header::HOST, HeaderValue::from_static("control"));
         request
     };
-    let reply = pool.exchange(control.into(), request, Instant::now() + CALL, Trust::Ours, || true).await;
+    let reply =
+        pool.exchange(control.into(), request, Instant::now() + CALL, UpstreamKind::Internal, || true).await;
     reply.is_ok_and(|reply| reply.status().is_success())
 }
--- a/experiments/src/processor/mod.rs
+++ b/experiments/src/processor/mod.rs
@@ -13,10 +13,10 @@
 
 use bytes::Bytes;
 use clap::Args;
-use glenfall::operator::local_system::{Layout, Local};
-use glenfall::proxy::memory_budget::MemoryBudget;
-use glenfall::proxy::pool::{Pool, Trust};
-use glenfall::proxy::serve::TRY_ID;
+use glenfall::http::headers::TRY_ID;
+use glenfall::memory_budget::MemoryBudget;
+use glenfall::operator::local_system::{LocalSystem, SystemLayout};
+use glenfall::upstream::pool::{Pool, UpstreamKind};
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Request, StatusCode};
@@ -101,7 +101,7 @@
 
 /// A system that is up.
 struct System {
-    local: Local,
+    local: LocalSystem,
     edge: SocketAddrV4,
     /// Number of the next object or try.
     next: u32,
@@ -134,7 +134,7 @@
 impl System {
     async fn start(zones: u8, net: u8, program: &Path) -> Result<System, LabError> {
         let plan = Plan::read(PLAN).map_err(std::io::Error::other)?;
-        let layout = Layout {
+        let layout = SystemLayout {
             net,
             cores: plan.system.cores,
             seeds: plan.system.cores,
@@ -145,7 +145,7 @@
             losses: 0,
             relayed: false,
         };
-        let local = Local::start(layout, program).await?;
+        let local = LocalSystem::start(layout, program).await?;
         let servers = start_servers(&plan, &local, &Rc::new(Ledger::default())).await?;
         configured(&plan, &local.controls()).await?;
         settled(&plan, &local.controls(), servers.len()).await?;
@@ -223,7 +223,7 @@
             request
         };
         let until = Instant::now() + ANSWERED;
-        let reply = pool.exchange(self.edge.into(), request, until, Trust::Ours, || true).await;
+        let reply = pool.exchange(self.edge.into(), request, until, UpstreamKind::Internal, || true).await;
         let status = reply.map(|reply| reply.status());
         if status != Ok(StatusCode::OK) {
             eprintln!("{}: request {} ended with {status:?}", case.name, self.next);
--- a/experiments/src/soak/clients.rs
+++ b/experiments/src/soak/clients.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall::proxy::memory_budget::MemoryBudget;
-use glenfall::proxy::pool::{Pool, Trouble, Trust};
-use glenfall::proxy::response::{ServerResponse, SEAL};
-use glenfall::proxy::serve::{DEADLINE, TRY_ID};
+use glenfall::http::headers::{DEADLINE, TRY_ID};
+use glenfall::http::response::{ServerResponse, SEAL};
+use glenfall::memory_budget::MemoryBudget;
+use glenfall::upstream::pool::{Pool, SendError, UpstreamKind};
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Request, StatusCode};
@@ -168,7 +168,7 @@
         (method, host, path): (Method, &str, &str),
         id: &str,
         deadline: Duration,
-    ) -> Result<ServerResponse, Trouble> {
+    ) -> Result<ServerResponse, SendError> {
         let request = || {
             let mut request = Request::new(Full::new(Bytes::new()));
             *request.method_mut() = method.clone();
@@ -184,7 +184,14 @@
         };
         let until = Instant::now() + deadline + GIVEN_UP;
         self.pool
-            .exchange_within(None, self.edges[edge].addr.into(), request, until, Trust::Ours, || true)
+            .exchange_within(
+                None,
+                self.edges[edge].addr.into(),
+                request,
+                until,
+                UpstreamKind::Internal,
+                || true,
+            )
             .await
     }
 
@@ -232,13 +239,13 @@
         }
     }
 
-    fn unanswered(&self, asked: &Asked, trouble: Trouble) {
+    fn unanswered(&self, asked: &Asked, trouble: SendError) {
         let Asked { edge, id, sent, .. } = asked;
         let after = sent.elapsed().as_millis();
         let machine = self.edges[*edge].machine;
         match trouble {
-            Trouble::Unsent => self.observed.count("not read"),
-            Trouble::Unknown => {
+            SendError::NotSent => self.observed.count("not read"),
+            SendError::NoResponse => {
                 self.observed.count("cut off");
                 if self.observed.without(Kind::Unplanned, machine, *sent) {
                     // What crosses the close of a connection was not read; whether this was shows in the end.
@@ -246,7 +253,7 @@
                     self.cut_off.borrow_mut().push(CutOff { id: id.clone(), edge: *edge, after_ms });
                 }
             }
-            Trouble::TimedOut => {
+            SendError::TimedOut => {
                 self.observed.count("no answer");
                 if self.observed.in_touch_since(machine, *sent) {
                     self.observed.broken(Promise::AnswerComesInTime, format!("{id}: none at edge {edge}"));
--- a/experiments/src/soak/operators.rs
+++ b/experiments/src/soak/operators.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall::operator::verbs::Controls;
-use glenfall::proxy::memory_budget::MemoryBudget;
-use glenfall::proxy::pool::{Pool, Trust};
-use glenfall::proxy::response::ServerResponse;
+use glenfall::http::response::ServerResponse;
+use glenfall::memory_budget::MemoryBudget;
+use glenfall::operator::commands::ControlAddresses;
+use glenfall::upstream::pool::{Pool, UpstreamKind};
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Request, StatusCode};
@@ -72,7 +72,7 @@
 
 pub struct Operators {
     plan: Plan,
-    controls: Controls,
+    controls: ControlAddresses,
     observed: Rc<Observed>,
     pool: Rc<Pool>,
     rng: RefCell<ChaCha8Rng>,
@@ -88,7 +88,7 @@
 }
 
 impl Operators {
-    pub fn new(plan: &Plan, controls: Controls, observed: &Rc<Observed>, seed: u64) -> Rc<Self> {
+    pub fn new(plan: &Plan, controls: ControlAddresses, observed: &Rc<Observed>, seed: u64) -> Rc<Self> {
         Rc::new(Operators {
             plan: plan.clone(),
             controls,
@@ -159,7 +159,13 @@
             }
             request
         };
-        let reply = self.pool.exchange(control.into(), request, Instant::now() + CALL, Trust::Ours, || true);
+        let reply = self.pool.exchange(
+            control.into(),
+            request,
+            Instant::now() + CALL,
+            UpstreamKind::Internal,
+            || true,
+        );
         let is_lost = {
             let mut rng = self.rng.borrow_mut();
             let share = if self.answers_lost.get() > 0 { 0.6 } else { 0.05 };
--- a/experiments/src/soak/play.rs
+++ b/experiments/src/soak/play.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenfall::operator::local_system::{Layout, Local};
-use glenfall::operator::verbs::{self, Controls};
+use glenfall::operator::commands::{self, ControlAddresses};
+use glenfall::operator::local_system::{LocalSystem, SystemLayout};
 use serde::Serialize;
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, sleep_until, Instant};
@@ -116,7 +116,7 @@
     let mut plan = Plan::read(PLAN).unwrap_or_else(|wrong| unreachable!("{wrong}"));
     plan.seed = schedule.seed;
     plan.system.cores = size.cores;
-    let layout = Layout {
+    let layout = SystemLayout {
         net,
         cores: size.cores,
         seeds: 3,
@@ -127,7 +127,7 @@
         losses: LOSSES,
         relayed: true,
     };
-    let local = Local::start(layout, program).await?;
+    let local = LocalSystem::start(layout, program).await?;
     let network = Network::new();
     for (machine, pairs) in local.relayed() {
         for (announced, listens) in pairs {
@@ -150,7 +150,7 @@
 struct Play {
     schedule: Schedule,
     plan: Plan,
-    controls: Controls,
+    controls: ControlAddresses,
     observed: Rc<Observed>,
     ledger: Rc<Ledger>,
     servers: Rc<Servers>,
@@ -242,7 +242,7 @@
 
     /// What the control nodes lack, in words; nothing where all are in touch and know all.
     async fn what_is_missing(&self) -> String {
-        let told = verbs::status(&self.controls).await.unwrap_or_default();
+        let told = commands::status(&self.controls).await.unwrap_or_default();
         let nodes: Vec<serde_json::Value> = serde_json::from_str(&told).unwrap_or_default();
         let size = self.schedule.size;
         let mut missing = Vec::new();
@@ -339,4 +339,4 @@
 }
 
 /// Shared by the tasks of a play.
-pub type SharedLocal = RefCell<Local>;
+pub type SharedLocal = RefCell<LocalSystem>;
--- a/experiments/src/soak/servers.rs
+++ b/experiments/src/soak/servers.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
 
-use glenfall::operator::verbs::Controls;
+use glenfall::operator::commands::ControlAddresses;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
@@ -26,7 +26,7 @@
 pub struct Servers {
     plan: Plan,
     net: u8,
-    controls: Controls,
+    controls: ControlAddresses,
     ledger: Rc<Ledger>,
     all: RefCell<Vec<Rc<Server>>>,
     started: Cell<u8>,
@@ -37,7 +37,7 @@
     pub async fn start(
         plan: &Plan,
         net: u8,
-        controls: Controls,
+        controls: ControlAddresses,
         ledger: &Rc<Ledger>,
     ) -> io::Result<Rc<Self>> {
         let servers = Rc::new(Servers {
--- a/experiments/src/soak/troubles.rs
+++ b/experiments/src/soak/troubles.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenfall::operator::local_system::Local;
+use glenfall::operator::local_system::LocalSystem;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use tokio::time::{sleep, sleep_until, Instant};
@@ -39,7 +39,7 @@
 }
 
 impl Machines {
-    pub fn new(local: Local, network: Rc<Network>, observed: Rc<Observed>) -> Rc<Self> {
+    pub fn new(local: LocalSystem, network: Rc<Network>, observed: Rc<Observed>) -> Rc<Self> {
         let cores = local.relayed().len() as u8;
         let machines =
             Machines { local: RefCell::new(local), network, observed, expected: RefCell::default(), cores };
--- a/glenfall/src/agent.rs
+++ b/glenfall/src/agent.rs
@@ -18,11 +18,11 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::boot::Boot;
 use crate::session::lease::HeldLease;
-use crate::session::link::{self, Frames, Outbox};
+use crate::session::link::{self, FrameReader, Outbox};
 use crate::session::publisher::{Reach, Sessions, LONGEST_BEHIND};
 use crate::session::subscriber;
+use crate::settings::Settings;
 
 /// Pause after all known control nodes were tried in vain; it grows to the longest.
 const PAUSE: Duration = Duration::from_millis(50);
@@ -44,7 +44,7 @@
 }
 
 struct Agent {
-    boot: Rc<Boot>,
+    boot: Rc<Settings>,
     known: RefCell<Known>,
     proxies: Sessions,
     /// By which leases of the proxies end; it serves nothing itself.
@@ -53,8 +53,8 @@
 }
 
 /// Runs the agent for as long as the process runs.
-pub async fn run(boot: Rc<Boot>) -> std::io::Result<()> {
-    let listener = TcpListener::bind(boot.feed()).await?;
+pub async fn run(boot: Rc<Settings>) -> std::io::Result<()> {
+    let listener = TcpListener::bind(boot.watch_address()).await?;
     let agent = Rc::new(Agent {
         boot,
         known: RefCell::default(),
@@ -83,7 +83,7 @@
             return;
         }
         let (read, write) = stream.into_split();
-        let mut frames = Frames::new(read);
+        let mut frames = FrameReader::new(read);
         if !matches!(frames.next_in_time().await, Ok(ConnectionOpening::Session)) {
             return;
         }
@@ -129,7 +129,7 @@
                 tracing::info!(control = %addr, "control found");
                 let (hello, now) = (|| self.hello(), || self.lease.now());
                 tokio::select! {
-                    () = subscriber::follow(Frames::new(read), outbox.clone(), hello, now, &self.changed, take) => {}
+                    () = subscriber::follow(FrameReader::new(read), outbox.clone(), hello, now, &self.changed, take) => {}
                     () = subscriber::send_reports(&outbox, report) => {}
                 }
                 tracing::warn!(control = %addr, "control lost");
@@ -145,12 +145,12 @@
 
     /// Where control may be: the nodes that control itself named, then the seeds as the file has them now.
     fn controls(&self) -> Vec<SocketAddrV4> {
-        let boot = Boot::load();
+        let boot = Settings::load();
         let seeds = boot.as_ref().map_or(&self.boot.seed_nodes, |boot| &boot.seed_nodes);
         let known = self.known.borrow();
         let mut addrs: Vec<SocketAddrV4> = Vec::new();
         for ip in known.controls.iter().copied().chain(seeds.iter().map(|seed| *seed.ip())) {
-            let addr = self.boot.link(ip);
+            let addr = self.boot.link_address(ip);
             if !addrs.contains(&addr) {
                 addrs.push(addr);
             }
--- a/glenfall/src/shield/disk_cache.rs
+++ b/glenfall/src/cache/disk.rs
@@ -10,16 +10,16 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall_control_plane::purges::PURGE_RETENTION;
+use glenfall_control_plane::purge_history::PURGE_RETENTION;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use nix::time::{clock_gettime, ClockId};
 use rusqlite::{Connection, OptionalExtension};
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 
-use crate::backlog::{Backlog, Reserved};
+use crate::cache::backlog::{Backlog, Reserved};
+use crate::cache::ObjectKey;
 use crate::disk::{self, now_ms};
-use crate::proxy::cache::ObjectKey;
 
 /// The file's name in its folder.
 pub const FILE: &str = "copies.sqlite";
--- a/glenfall/src/proxy/cache.rs
+++ b/glenfall/src/cache/mod.rs
@@ -1,5 +1,8 @@
 //! Copies of objects: bounded in bytes, the least recently used go first; ended by age and by purges.
 
+pub mod backlog;
+pub mod disk;
+
 use std::cell::Cell;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -13,8 +16,8 @@
 use lru::LruCache;
 use tokio::time::Instant;
 
-use crate::proxy::response::{CachedResponse, ProxyResponse, ServerResponse, AGE_MS, SEAL, TAGS};
-use crate::proxy::serve::{passed_on, TRY_ID};
+use crate::http::headers::{passed_on, TRY_ID};
+use crate::http::response::{CachedResponse, ProxyResponse, ServerResponse, AGE_MS, SEAL, TAGS};
 
 /// What a copy costs beside its body: headers, names, places in the tables.
 pub const OVERHEAD: usize = 1024;
--- a/glenfall/src/control/api.rs
+++ b/glenfall/src/control/api.rs
@@ -20,8 +20,8 @@
 
 use super::backup::Backup;
 use super::Control;
+use crate::http_server::{FullRequest, FullResponse, Handler};
 use crate::metrics::log_limit::LogLimit;
-use crate::proxy::serve::{Answer, Handler, Whole};
 
 /// How long it may take to prove what is the newest; callers move on after a second.
 const NEWEST: Duration = Duration::from_millis(900);
@@ -54,7 +54,7 @@
     }
 
     /// Writes a line for a call that is refused.
-    fn note_refusal(&self, head: &Parts, answer: &Answer, began: Instant) {
+    fn note_refusal(&self, head: &Parts, answer: &FullResponse, began: Instant) {
         let Some(not_logged) = self.refusals.borrow_mut().admit(Instant::now()) else { return };
         let reason = answer.extensions().get::<Reason>().map_or("", |reason| &reason.0);
         tracing::warn!(
@@ -69,18 +69,18 @@
     }
 }
 
-fn answer(status: StatusCode, body: serde_json::Value) -> Answer {
+fn answer(status: StatusCode, body: serde_json::Value) -> FullResponse {
     raw(status, Bytes::from(body.to_string()))
 }
 
-fn raw(status: StatusCode, body: Bytes) -> Answer {
+fn raw(status: StatusCode, body: Bytes) -> FullResponse {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-fn wrong(status: StatusCode, why: impl std::fmt::Display) -> Answer {
+fn wrong(status: StatusCode, why: impl std::fmt::Display) -> FullResponse {
     let mut why = why.to_string();
     if why.len() > LONGEST_WHY {
         // What is wrong may be quoted, and be as long as the caller made it.
@@ -90,14 +90,14 @@
     with_reason(answer(status, json!({ "error": why })), why)
 }
 
-fn with_reason(mut answer: Answer, why: String) -> Answer {
+fn with_reason(mut answer: FullResponse, why: String) -> FullResponse {
     answer.extensions_mut().insert(Reason(why));
     answer
 }
 
 /// The order may have been applied before the horizon of the deduplication table: no node will ever tell, and sending it
 /// again is no use. Its caller reads the current version back, and decides.
-fn forgotten(up_to: u64, current: u64) -> Answer {
+fn forgotten(up_to: u64, current: u64) -> FullResponse {
     let why = format!(
         "no clear answer: versions up to {up_to} may have been taken, too long ago to tell; version {current} is in \
          force: read it back, and do not send this again"
@@ -109,12 +109,12 @@
     )
 }
 
-fn out_of_touch() -> Answer {
+fn out_of_touch() -> FullResponse {
     wrong(StatusCode::SERVICE_UNAVAILABLE, "this node does not reach a majority of the core")
 }
 
 impl Handler for Api {
-    async fn answer(&self, whole: Whole) -> Answer {
+    async fn handle(&self, whole: FullRequest) -> FullResponse {
         let began = Instant::now();
         let answer = self.dispatch(&whole).await;
         if answer.status().is_client_error() || answer.status().is_server_error() {
@@ -132,13 +132,13 @@
         }
     }
 
-    fn leaving(&self) -> bool {
+    fn is_draining(&self) -> bool {
         *self.control.stop.borrow()
     }
 }
 
 impl Api {
-    async fn dispatch(&self, whole: &Whole) -> Answer {
+    async fn dispatch(&self, whole: &FullRequest) -> FullResponse {
         let path = whole.head.uri.path();
         match (whole.head.method.as_str(), path) {
             ("GET", "/api/config") => self.read().await,
@@ -167,7 +167,7 @@
         }
     }
 
-    async fn read(&self) -> Answer {
+    async fn read(&self) -> FullResponse {
         match self.control.call(Call::Read).await {
             Outcome::Document(record) if record.rev == 0 => {
                 wrong(StatusCode::NOT_FOUND, "no configuration yet")
@@ -183,7 +183,7 @@
 
     /// The newest acknowledged state, as a backup keeps it. A read down the chain makes it consistent, whatever
     /// goes on meanwhile.
-    async fn export(&self) -> Answer {
+    async fn export(&self) -> FullResponse {
         let Outcome::Document(record) = self.control.call(Call::Read).await else {
             return wrong(StatusCode::SERVICE_UNAVAILABLE, "no view stands");
         };
@@ -222,7 +222,7 @@
     }
 
     /// A voter is added or removed; answered once views with the new set stand.
-    async fn seat(&self, body: &[u8]) -> Answer {
+    async fn seat(&self, body: &[u8]) -> FullResponse {
         #[derive(Deserialize)]
         #[serde(deny_unknown_fields)]
         struct Body {
@@ -265,7 +265,7 @@
         wrong(StatusCode::SERVICE_UNAVAILABLE, "not all views stand yet: look at who votes, and ask again")
     }
 
-    async fn change(&self, whole: &Whole, change: impl Fn(Vec<u8>) -> ConfigChange) -> Answer {
+    async fn change(&self, whole: &FullRequest, change: impl Fn(Vec<u8>) -> ConfigChange) -> FullResponse {
         let stated = whole.head.headers.get(header::IF_MATCH).and_then(|value| value.to_str().ok());
         let Some(builds_on) = stated.and_then(|value| value.trim().trim_matches('"').parse().ok()) else {
             return wrong(
@@ -291,7 +291,7 @@
         }
     }
 
-    async fn purge(&self, body: &[u8]) -> Answer {
+    async fn purge(&self, body: &[u8]) -> FullResponse {
         #[derive(Deserialize)]
         #[serde(rename_all = "camelCase")]
         struct Body {
@@ -319,7 +319,7 @@
         }
     }
 
-    async fn beat(&self, id: &str, body: &[u8]) -> Answer {
+    async fn beat(&self, id: &str, body: &[u8]) -> FullResponse {
         let beat: HeartbeatRequest = match serde_json::from_slice(body) {
             Ok(beat) => beat,
             Err(e) => return wrong(StatusCode::BAD_REQUEST, e),
@@ -341,7 +341,7 @@
         }
     }
 
-    async fn goodbye(&self, id: &str) -> Answer {
+    async fn goodbye(&self, id: &str) -> FullResponse {
         if !self.control.in_majority() {
             return out_of_touch();
         }
--- a/glenfall/src/control/backup.rs
+++ b/glenfall/src/control/backup.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use glenfall_control_plane::chain::{HardState, JointConfig, Record};
-use glenfall_control_plane::orders::{AppliedOrder, DeduplicationTable, InvalidTable};
+use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable, InvalidTable};
 use serde::{Deserialize, Serialize};
 
 const FORMAT: &str = "glenfall-state-2";
--- a/glenfall/src/control/idempotency_keys.rs
+++ b/glenfall/src/control/idempotency_keys.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use glenfall_control_plane::orders::{AppliedOrder, DeduplicationTable};
+use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable};
 use rusqlite::Connection;
 use serde::{Deserialize, Serialize};
 
--- a/glenfall/src/control/mod.rs
+++ b/glenfall/src/control/mod.rs
@@ -24,7 +24,7 @@
 use glenfall_control_plane::fleet::VersionedFleet;
 use glenfall_control_plane::invariant::Invariant;
 use glenfall_control_plane::messages::{ConnectionOpening, Member, PeerMessage, PublisherMessage, Update};
-use glenfall_control_plane::purges::{PurgeHistory, PURGE_RETENTION};
+use glenfall_control_plane::purge_history::{PurgeHistory, PURGE_RETENTION};
 use glenfall_control_plane::registry::Registry;
 use glenfall_control_plane::Millis;
 use tokio::net::{TcpListener, TcpStream};
@@ -32,10 +32,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
 
-use crate::boot::Boot;
-use crate::proxy::serve;
-use crate::session::link::{self, Frames, Outbox};
+use crate::http_server;
+use crate::session::link::{self, FrameReader, Outbox};
 use crate::session::publisher::{Reach, Sessions};
+use crate::settings::Settings;
 use lease::Leases;
 use peers::Peers;
 use purge_log::PurgeLog;
@@ -75,7 +75,7 @@
 
 /// A control node.
 pub struct Control {
-    boot: Rc<Boot>,
+    boot: Rc<Settings>,
     began: Instant,
     chain: RefCell<Chain>,
     writes: std::sync::mpsc::Sender<(u64, HardState)>,
@@ -129,13 +129,13 @@
 }
 
 /// Runs a control node until it is told to stop.
-pub async fn run(boot: Rc<Boot>) -> Result<(), Box<dyn std::error::Error>> {
-    let listen = boot.need("controlAddr", |listeners| listeners.control_addr)?;
+pub async fn run(boot: Rc<Settings>) -> Result<(), Box<dyn std::error::Error>> {
+    let listen = boot.require_listener("controlAddr", |listeners| listeners.control_addr)?;
     let seeds: Vec<Ipv4Addr> = boot.seed_nodes.iter().map(|seed| *seed.ip()).collect();
     let (synced, syncs) = mpsc::unbounded_channel();
     let control = Rc::new(Control::open(Rc::clone(&boot), &seeds, synced)?);
-    let links = TcpListener::bind(boot.listener(boot.link(boot.bind_ip))).await?;
-    let feed = TcpListener::bind(boot.feed()).await?;
+    let links = TcpListener::bind(boot.listen_address(boot.link_address(boot.bind_ip))).await?;
+    let feed = TcpListener::bind(boot.watch_address()).await?;
     for (listener, beside) in [(links, false), (feed, true)] {
         spawn_local(Rc::clone(&control).accept(listener, beside));
     }
@@ -144,14 +144,15 @@
     spawn_local(Rc::clone(&control).tick());
     spawn_local(Rc::clone(&control).push_fleet());
     spawn_local(Rc::clone(&control).follow_newest());
-    let terms = serve::Terms {
+    let terms = http_server::ServerConfig {
         listen,
-        most: boot.req_limits.max_fds.saturating_sub(OTHER_DESCRIPTORS).max(LEAST_CALLERS),
-        most_bodies: MOST_BODIES,
-        still_accepting: LEAVING,
+        max_connections: boot.req_limits.max_fds.saturating_sub(OTHER_DESCRIPTORS).max(LEAST_CALLERS),
+        max_body_bytes: MOST_BODIES,
+        drain_accept_time: LEAVING,
         grace: boot.grace(),
     };
-    let serving = serve::serve(terms, Rc::new(api::Api::new(Rc::clone(&control))), control.stop.subscribe());
+    let serving =
+        http_server::serve(terms, Rc::new(api::Api::new(Rc::clone(&control))), control.stop.subscribe());
     let (served, ()) = tokio::join!(serving, control.leave());
     Ok(served?)
 }
@@ -159,11 +160,11 @@
 impl Control {
     /// A control node with the state that lies in its folder. `synced` hears of each write that is on disk.
     fn open(
-        boot: Rc<Boot>,
+        boot: Rc<Settings>,
         seeds: &[Ipv4Addr],
         synced: mpsc::UnboundedSender<u64>,
     ) -> Result<Control, Box<dyn std::error::Error>> {
-        let core = boot.core()?;
+        let core = boot.chain_settings()?;
         let me = boot.bind_ip;
         let folder = boot.state_dir.clone().ok_or("stateDir: missing; control keeps its state there")?;
         let (store, found) = store::Store::open(&folder)?;
@@ -254,7 +255,7 @@
             return;
         }
         let (read, write) = stream.into_split();
-        let mut frames = Frames::new(read);
+        let mut frames = FrameReader::new(read);
         match frames.next_in_time().await {
             Ok(ConnectionOpening::Session) => {
                 if *self.stop.borrow() || !beside && self.cut_off() {
@@ -336,7 +337,7 @@
     /// Takes the seeds as the settings name them now. They are all that a node is told of others: one that began with
     /// seeds that are down, and that nobody knows, finds none otherwise.
     fn know_seeds(self: &Rc<Self>) {
-        if let Ok(boot) = Boot::load() {
+        if let Ok(boot) = Settings::load() {
             let seeds: Vec<Ipv4Addr> = boot.seed_nodes.iter().map(|seed| *seed.ip()).collect();
             peers::know(self, &seeds);
         }
--- a/glenfall/src/control/peers.rs
+++ b/glenfall/src/control/peers.rs
@@ -19,7 +19,7 @@
 
 use super::purging::PURGE;
 use super::{Control, DRAIN};
-use crate::session::link::{self, Frames, Outbox, PING};
+use crate::session::link::{self, FrameReader, Outbox, KEEPALIVE_INTERVAL};
 
 /// Pause before a peer is called again.
 const AGAIN: Duration = Duration::from_millis(30);
@@ -201,7 +201,7 @@
         let peers = &control.peers;
         let first =
             ConnectionOpening::Peer { ip: peers.me, incarnation: peers.life, known_peers: peers.all() };
-        if let Ok((read, write)) = link::open(control.boot.link(ip), &first).await {
+        if let Ok((read, write)) = link::open(control.boot.link_address(ip), &first).await {
             pause = AGAIN;
             let outbox = Outbox::start(write);
             if let Some(link) = peers.links.borrow_mut().get_mut(&ip) {
@@ -209,7 +209,7 @@
             }
             both_up(&control, ip);
             // The peer says nothing here but that it is there.
-            let mut frames = Frames::new(read);
+            let mut frames = FrameReader::new(read);
             tokio::select! {
                 () = async { while frames.next_in_time::<PeerMessage>().await.is_ok() {} } => {}
                 () = outbox.closed() => {}
@@ -234,7 +234,7 @@
     control: &Rc<Control>,
     ip: Ipv4Addr,
     life: u64,
-    mut frames: Frames,
+    mut frames: FrameReader,
     outbox: &Outbox<PeerMessage>,
 ) {
     let connection = control.peers.next.replace(control.peers.next.get() + 1);
@@ -264,7 +264,7 @@
     };
     let tell = async {
         while outbox.send(PeerMessage::KeepAlive) {
-            sleep(PING).await;
+            sleep(KEEPALIVE_INTERVAL).await;
         }
     };
     tokio::select! {
--- a/glenfall/src/control/purge_log.rs
+++ b/glenfall/src/control/purge_log.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use glenfall_control_plane::messages::PurgeRecord;
-use glenfall_control_plane::purges::{MAX_PURGES, PURGE_RETENTION};
+use glenfall_control_plane::purge_history::{MAX_PURGES, PURGE_RETENTION};
 use rusqlite::Connection;
 use tokio::sync::oneshot;
 
--- a/glenfall/src/control/store.rs
+++ b/glenfall/src/control/store.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use glenfall_control_plane::chain::{HardState, JointConfig, NodeId, Record};
-use glenfall_control_plane::orders::{AppliedOrder, DeduplicationTable};
+use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable};
 use rusqlite::{Connection, ErrorCode, OpenFlags, OptionalExtension};
 use serde::{Deserialize, Serialize};
 
--- a/glenfall/src/edge.rs
+++ b/glenfall/src/edge/mod.rs
@@ -12,28 +12,29 @@
 use std::time::Duration;
 
 use glenfall_balancer::{Seconds, ServerId, Shields};
-use glenfall_control_plane::ceiling::QuotaHolder;
 use glenfall_control_plane::config::{Config, RequestLimits, Route, RouteKind};
 use glenfall_control_plane::fleet::Fleet;
 use glenfall_control_plane::invariant::Invariant;
 use glenfall_control_plane::messages::{AgedPurge, Member, ProxyRole, Purge};
+use glenfall_control_plane::rate_limit::QuotaHolder;
 use hyper::header::{self, HeaderMap};
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode};
 use tokio::time::Instant;
 
 use self::read::Read;
-use crate::boot::Boot;
+use crate::cache::{Cache, Copy, ObjectKey};
+use crate::http::failure::{Cause, FailedRequest, Failure, FailureLog};
+use crate::http::headers::{passed_on, DEADLINE, TRY_ID};
+use crate::http::response::{LocalResponse, ProxyResponse, ServerResponse, SEAL};
+use crate::http_server::{plain_response, FullRequest, FullResponse, Handler};
 use crate::metrics::counter::Counter;
 use crate::metrics::latency::Latency;
-use crate::proxy::cache::{Cache, Copy, ObjectKey};
-use crate::proxy::failure::{Cause, FailedRequest, Failure, FailureLog};
-use crate::proxy::feed::{Feed, Follower};
-use crate::proxy::forward::{Forwarder, Outcome, UpstreamRequest};
-use crate::proxy::pool::Pool;
-use crate::proxy::response::{LocalResponse, ProxyResponse, ServerResponse, SEAL};
-use crate::proxy::serve::{passed_on, plain, Answer, Handler, Whole, DEADLINE, TRY_ID};
+use crate::settings::Settings;
 use crate::shield::object_draw;
+use crate::upstream::forward::{Forwarder, Outcome, UpstreamRequest};
+use crate::upstream::pool::Pool;
+use crate::watch_client::{WatchClient, WatchHandler};
 
 /// What a request has spent on its way here since the client's clock started, and what its answer needs back.
 const TRANSIT: Duration = Duration::from_millis(12);
@@ -70,7 +71,7 @@
 
 /// An edge: the requests that it forwards, and its own copies.
 pub struct Edge {
-    feed: Rc<Feed>,
+    feed: Rc<WatchClient>,
     forwarder: Forwarder,
     shields: RefCell<Shields>,
     /// The processes of the ready shields, as last told.
@@ -110,14 +111,14 @@
 
 impl Edge {
     /// An edge that is fed by `feed` and sends through `pool`.
-    pub fn new(boot: &Rc<Boot>, feed: Rc<Feed>, pool: Rc<Pool>) -> Rc<Self> {
+    pub fn new(boot: &Rc<Settings>, feed: Rc<WatchClient>, pool: Rc<Pool>) -> Rc<Self> {
         Rc::new(Edge {
             feed,
             forwarder: Forwarder::new(pool, boot, ProxyRole::Edge),
             shields: RefCell::default(),
             incarnations: RefCell::default(),
             near: RefCell::default(),
-            copies: RefCell::new(Cache::new(boot.memory_part(COPIES))),
+            copies: RefCell::new(Cache::new(boot.memory_share(COPIES))),
             purged: RefCell::default(),
             in_touch: Cell::new(false),
             zone: boot.zone.clone(),
@@ -143,7 +144,7 @@
         self.forwarder.hold(QuotaHolder::Edge { of: self.edges.get() as usize, alone });
     }
 
-    async fn serve(&self, whole: &Whole) -> ProxyResponse {
+    async fn serve(&self, whole: &FullRequest) -> ProxyResponse {
         self.counters.requests.add();
         let Some(config) = self.feed.config() else {
             return LocalResponse::refused(Cause::NoConfiguration, UNREADY).into();
@@ -204,7 +205,7 @@
     /// When a request must be answered: the one deadline of all that it waits for, from when it has been read. It is the
     /// client's or the route's, whichever is earlier. One that comes after the signal to stop ends within the grace:
     /// its server is told how much time there is, and answers in it.
-    fn deadline(&self, route: &Route, whole: &Whole) -> Instant {
+    fn deadline(&self, route: &Route, whole: &FullRequest) -> Instant {
         let stated = whole.head.headers.get(DEADLINE).and_then(|value| value.to_str().ok()?.parse().ok());
         let wait = stated.map_or(route.deadline_ms, |ms: u64| ms.min(route.deadline_ms));
         let until = Instant::now() + Duration::from_millis(wait).saturating_sub(TRANSIT);
@@ -218,7 +219,7 @@
         config: &Config,
         route: &Route,
         service: &'a str,
-        whole: &'a Whole,
+        whole: &'a FullRequest,
         headers: HeaderMap,
     ) -> UpstreamRequest<'a> {
         // A method that writes is not repeated, whatever the route says of its reads.
@@ -329,7 +330,7 @@
     ServerId(member.http.to_string().as_str().into())
 }
 
-impl Follower for Edge {
+impl WatchHandler for Edge {
     fn config(&self, _config: &Arc<Config>) {}
 
     fn fleet(&self, fleet: &Fleet) {
@@ -397,7 +398,7 @@
 pub struct Serving(pub Rc<Edge>);
 
 impl Handler for Serving {
-    async fn answer(&self, whole: Whole) -> Answer {
+    async fn handle(&self, whole: FullRequest) -> FullResponse {
         let began = Instant::now();
         let read = whole.head.method == Method::GET;
         let mut unanswered = Unanswered { edge: &self.0, head: &whole.head, began, is_answered: false };
@@ -423,15 +424,15 @@
         self.0.feed.config().map(|config| config.req_limits).unwrap_or_default()
     }
 
-    fn leaving(&self) -> bool {
+    fn is_draining(&self) -> bool {
         self.0.feed.leaving()
     }
 
-    fn turned_away(&self, head: &Parts, response: &LocalResponse, began: Instant) {
+    fn on_rejected(&self, head: &Parts, response: &LocalResponse, began: Instant) {
         self.0.note_failure(response.failure(), head, response.status(), began);
     }
 
-    fn head_too_slow(&self) {
+    fn on_slow_head(&self) {
         let (head, _) = hyper::Request::new(()).into_parts();
         self.0.note_failure(&Cause::HeadTooSlow.into(), &head, StatusCode::REQUEST_TIMEOUT, Instant::now());
     }
@@ -459,14 +460,14 @@
 }
 
 /// Tells whoever asks whether new clients should come here.
-pub struct Readiness(pub Rc<Feed>);
+pub struct Readiness(pub Rc<WatchClient>);
 
 impl Handler for Readiness {
-    async fn answer(&self, _request: Whole) -> Answer {
+    async fn handle(&self, _request: FullRequest) -> FullResponse {
         if self.0.ready() {
-            plain(StatusCode::OK, "ready")
+            plain_response(StatusCode::OK, "ready")
         } else {
-            plain(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+            plain_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")
         }
     }
 
@@ -475,7 +476,7 @@
     }
 
     /// Whoever asks goes on asking.
-    fn leaving(&self) -> bool {
+    fn is_draining(&self) -> bool {
         false
     }
 }
--- a/glenfall/src/edge/read.rs
+++ b/glenfall/src/edge/read.rs
@@ -17,15 +17,16 @@
 
 use super::ask_log::{AskLog, AskOutcome};
 use super::{Edge, UNREADY};
+use crate::cache::{Copy, ObjectKey};
 use crate::edge::read_plan::{AskEnd, Next, ReadPlan, Verdict};
-use crate::proxy::cache::{Copy, ObjectKey};
-use crate::proxy::failure::Cause;
-use crate::proxy::forward::Outcome;
-use crate::proxy::pool::{Trouble, Trust};
-use crate::proxy::response::{LocalResponse, ProxyResponse, ServerResponse, ShieldSource};
-use crate::proxy::send_budget::{Allowance, SendReport, SENDS};
-use crate::proxy::serve::{Whole, DEADLINE};
+use crate::http::failure::Cause;
+use crate::http::headers::DEADLINE;
+use crate::http::response::{LocalResponse, ProxyResponse, ServerResponse, ShieldSource};
+use crate::http::send_budget::{Allowance, SendReport, SENDS};
+use crate::http_server::FullRequest;
 use crate::shield::{object_hash, AGAIN, REV};
+use crate::upstream::forward::Outcome;
+use crate::upstream::pool::{SendError, UpstreamKind};
 
 /// A shield that has not answered after this part of the time that is left, and this much at least, may be dark:
 /// the next one is asked. Half of the time was too much: what waited for a frozen shield came late.
@@ -37,7 +38,7 @@
     pub config: &'a Arc<Config>,
     pub route: &'a Route,
     pub service: &'a str,
-    pub whole: &'a Whole,
+    pub whole: &'a FullRequest,
     /// The client's headers, as they go on.
     pub headers: &'a HeaderMap,
     pub until: Instant,
@@ -98,7 +99,7 @@
     shield: ServerId,
     asked: Instant,
     asked_s: Seconds,
-    ended: Result<ServerResponse, Trouble>,
+    ended: Result<ServerResponse, SendError>,
 }
 
 /// The end of an ask.
@@ -218,7 +219,7 @@
         let ending = Box::pin(async move {
             // Ranges are the server's to cut.
             let job = edge.job(read.config, read.route, read.service, read.whole, read.headers.clone());
-            let job = crate::proxy::forward::UpstreamRequest { again, until: read.until, ..job };
+            let job = crate::upstream::forward::UpstreamRequest { again, until: read.until, ..job };
             let (outcome, report) = edge.forwarder.send_within(job, allowance).await;
             Ended::Servers(outcome, report)
         });
@@ -341,10 +342,13 @@
 
 impl Edge {
     /// How an ask at a shield ended, and the answer, if it can be used.
-    fn outcome_of_ask(&self, ended: Result<ServerResponse, Trouble>) -> (AskOutcome, Option<ServerResponse>) {
+    fn outcome_of_ask(
+        &self,
+        ended: Result<ServerResponse, SendError>,
+    ) -> (AskOutcome, Option<ServerResponse>) {
         let reply = match ended {
             Ok(reply) => reply,
-            Err(Trouble::Unsent) => return (AskOutcome::Unreached, None),
+            Err(SendError::NotSent) => return (AskOutcome::Unreached, None),
             Err(_) => return (AskOutcome::Lost, None),
         };
         match reply.shield_source() {
@@ -364,8 +368,8 @@
         headers: &HeaderMap,
         allowance: Allowance,
         again: bool,
-    ) -> Result<ServerResponse, Trouble> {
-        let addr = shield.0.parse().map_err(|_| Trouble::Unsent)?;
+    ) -> Result<ServerResponse, SendError> {
+        let addr = shield.0.parse().map_err(|_| SendError::NotSent)?;
         let request = || {
             let mut request = Request::new(Full::new(Bytes::new()));
             *request.uri_mut() = read.whole.head.uri.clone();
@@ -380,7 +384,7 @@
             request
         };
         let _in_flight = super::InFlight::at(&self.shields, shield);
-        self.forwarder.pool.exchange(addr, request, read.until, Trust::Ours, || true).await
+        self.forwarder.pool.exchange(addr, request, read.until, UpstreamKind::Internal, || true).await
     }
 }
 
--- a/glenfall/src/edge/read_plan.rs
+++ b/glenfall/src/edge/read_plan.rs
@@ -5,7 +5,7 @@
 //! be dark: the next one is asked beside it, with what is left of the try's sends. The silent one is not given up: what
 //! it was lent may have reached a server whose answer is still to come.
 
-use crate::proxy::send_budget::{Allowance, Loan, SendBudget, SendReport, Usage};
+use crate::http::send_budget::{Allowance, Loan, SendBudget, SendReport, Usage};
 
 /// Shields that one read may ask, the same one again included.
 pub const MOST_ASKS: usize = 3;
--- a/glenfall/src/proxy/response.rs
+++ b/glenfall/src/http/response.rs
@@ -11,7 +11,7 @@
 //! its seal or its body be replaced, so that mixing two of them does not compile:
 //!
 //! ```compile_fail
-//! # use glenfall::proxy::response::ServerResponse;
+//! # use glenfall::http::response::ServerResponse;
 //! # use hyper::StatusCode;
 //! fn change_status(mut response: ServerResponse) -> ServerResponse {
 //!     response.status = StatusCode::BAD_GATEWAY; // private
@@ -20,14 +20,14 @@
 //! ```
 //!
 //! ```compile_fail
-//! # use glenfall::proxy::response::{LocalResponse, ServerResponse};
+//! # use glenfall::http::response::{LocalResponse, ServerResponse};
 //! fn local_with_headers(response: ServerResponse) -> LocalResponse {
 //!     LocalResponse::bad_gateway().with_headers(response.headers().clone()) // no such method
 //! }
 //! ```
 //!
 //! ```compile_fail
-//! # use glenfall::proxy::response::ProxyResponse;
+//! # use glenfall::http::response::ProxyResponse;
 //! # use http_body_util::Full;
 //! # use bytes::Bytes;
 //! fn untyped(response: hyper::Response<Full<Bytes>>) -> ProxyResponse {
@@ -36,7 +36,7 @@
 //! ```
 //!
 //! ```compile_fail
-//! # use glenfall::proxy::response::{CachedResponse, ProxyResponse};
+//! # use glenfall::http::response::{CachedResponse, ProxyResponse};
 //! fn cached_with_status(response: CachedResponse) -> ProxyResponse {
 //!     let mut response = ProxyResponse::from(response);
 //!     *response.status_mut() = hyper::StatusCode::SERVICE_UNAVAILABLE; // no such method
@@ -52,9 +52,9 @@
 use hyper::http::response::Parts;
 use hyper::{Method, Response, StatusCode};
 
-use crate::proxy::failure::{Cause, Failure, FAILURE};
-use crate::proxy::send_budget::{SendReport, SENDS};
-use crate::proxy::serve::{passed_on, TRY_ID};
+use crate::http::failure::{Cause, Failure, FAILURE};
+use crate::http::headers::{passed_on, TRY_ID};
+use crate::http::send_budget::{SendReport, SENDS};
 
 /// A server's signature of its response.
 pub const SEAL: HeaderName = HeaderName::from_static("x-glenfall-seal");
--- a/glenfall/src/proxy/serve.rs
+++ b/glenfall/src/http_server/mod.rs
@@ -1,5 +1,7 @@
 //! The client side of a proxy: accepts connections, reads requests whole, and ends in order.
 
+pub mod client_timeouts;
+
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -13,7 +15,7 @@
 use glenfall_control_plane::config::RequestLimits;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
-use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
+use hyper::header::{self, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::server::conn::http1;
 use hyper::service::{service_fn, HttpService};
@@ -25,31 +27,12 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-use crate::proxy::client_timeouts::{self, ClientTimeouts, Ended, TimedStream};
-use crate::proxy::failure::Cause;
-use crate::proxy::response::LocalResponse;
-
-/// A whole answer, of whatever origin: proxies make theirs as [`ProxyResponse`](crate::proxy::response::ProxyResponse).
-pub type Answer = Response<Full<Bytes>>;
-
-/// The id of a try, as its client gave it.
-pub const TRY_ID: HeaderName = HeaderName::from_static("x-glenfall-try-id");
-/// How long the sender of a request waits, in milliseconds.
-pub const DEADLINE: HeaderName = HeaderName::from_static("x-glenfall-deadline");
-/// Headers that the system sets itself, on its own ways or for servers: what others say under these names goes no further.
-const OWN: [&str; 9] = [
-    "x-glenfall-deadline",
-    "x-glenfall-want-server",
-    "x-glenfall-not-run",
-    "x-glenfall-rev",
-    "x-glenfall-again",
-    "x-glenfall-sends",
-    "x-glenfall-shield",
-    "x-glenfall-failure",
-    "x-glenfall-age-ms",
-];
-/// Labels of an object go as far as copies are kept, and not to clients.
-const TAGS: &str = "x-glenfall-tags";
+use crate::http::failure::Cause;
+use crate::http::response::LocalResponse;
+use crate::http_server::client_timeouts::{ClientTimeouts, Ended, TimedStream};
+
+/// A whole answer, of whatever origin: proxies make theirs as [`ProxyResponse`](crate::http::response::ProxyResponse).
+pub type FullResponse = Response<Full<Bytes>>;
 
 /// Pause when no descriptor is left for a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
@@ -65,26 +48,26 @@
 /// Answers requests that have been read whole.
 pub trait Handler: 'static {
     /// Answers a request that was read whole. Dropped where its client goes.
-    fn answer(&self, request: Whole) -> impl Future<Output = Answer>;
+    fn handle(&self, request: FullRequest) -> impl Future<Output = FullResponse>;
     /// What clients have to keep to.
     fn limits(&self) -> RequestLimits;
     /// Answers close their connections: the process leaves.
-    fn leaving(&self) -> bool;
+    fn is_draining(&self) -> bool;
     /// A request was turned away before it was read whole.
-    fn turned_away(&self, _head: &Parts, _response: &LocalResponse, _began: Instant) {}
+    fn on_rejected(&self, _head: &Parts, _response: &LocalResponse, _began: Instant) {}
     /// A client took too long for the head of a request.
-    fn head_too_slow(&self) {}
+    fn on_slow_head(&self) {}
 }
 
 /// A request and all of its body.
-pub struct Whole {
+pub struct FullRequest {
     /// Method, path, headers.
     pub head: Parts,
     /// All of it.
     pub body: Bytes,
 }
 
-impl Whole {
+impl FullRequest {
     /// The host that the request is for.
     pub fn host(&self) -> &str {
         self.head.headers.get(header::HOST).and_then(|host| host.to_str().ok()).unwrap_or("")
@@ -97,54 +80,21 @@
 }
 
 /// An answer of the system's own.
-pub fn plain(status: StatusCode, why: &'static str) -> Answer {
+pub fn plain_response(status: StatusCode, why: &'static str) -> FullResponse {
     let mut response = Response::new(Full::new(Bytes::from_static(why.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
 /// The request has not run and never will; it may come again after so long.
-pub fn refused(status: StatusCode, why: &'static str, retry_after: Duration) -> Answer {
-    let mut response = plain(status, why);
+pub fn retry_later_response(status: StatusCode, why: &'static str, retry_after: Duration) -> FullResponse {
+    let mut response = plain_response(status, why);
     if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", retry_after.as_secs_f64())) {
         response.headers_mut().insert(header::RETRY_AFTER, value);
     }
     response
 }
 
-/// Headers that go on to the other side: all but those that concern one connection, and the system's own.
-pub fn passed_on(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<&str> = headers
-        .get_all(header::CONNECTION)
-        .iter()
-        .filter_map(|value| value.to_str().ok())
-        .flat_map(|value| value.split(',').map(str::trim))
-        .collect();
-    let stays = |name: &HeaderName| {
-        let hop = [
-            header::CONNECTION,
-            header::TRANSFER_ENCODING,
-            header::CONTENT_LENGTH,
-            header::TE,
-            header::TRAILER,
-            header::UPGRADE,
-            header::EXPECT,
-            header::PROXY_AUTHENTICATE,
-            header::PROXY_AUTHORIZATION,
-        ];
-        hop.contains(name)
-            || matches!(name.as_str(), "keep-alive" | "proxy-connection")
-            || OWN.contains(&name.as_str())
-            || name.as_str() == TAGS
-            || named.iter().any(|word| name.as_str().eq_ignore_ascii_case(word))
-    };
-    headers
-        .iter()
-        .filter(|(name, _)| !stays(name))
-        .map(|(name, value)| (name.clone(), value.clone()))
-        .collect()
-}
-
 /// Connections of clients, counted.
 struct Clients {
     open: Cell<usize>,
@@ -226,23 +176,23 @@
 }
 
 /// How a proxy takes clients.
-pub struct Terms {
+pub struct ServerConfig {
     /// Where clients connect.
     pub listen: SocketAddrV4,
     /// Most connections held open. With one more the one that has rested longest is closed.
-    pub most: usize,
+    pub max_connections: usize,
     /// Most bytes of request bodies held, of all connections together.
-    pub most_bodies: usize,
+    pub max_body_bytes: usize,
     /// After the signal to stop, connections go on being accepted for so long: those who send them here
     /// learn of it late.
-    pub still_accepting: Duration,
+    pub drain_accept_time: Duration,
     /// And after this long in all, what is not done is given up.
     pub grace: Duration,
 }
 
 /// Serves until told to stop and all that was taken is answered.
 pub async fn serve<H: Handler>(
-    terms: Terms,
+    terms: ServerConfig,
     handler: Rc<H>,
     stopping: watch::Receiver<bool>,
 ) -> std::io::Result<()> {
@@ -254,7 +204,7 @@
 /// The same, at a listener that is open already.
 pub async fn serve_at<H: Handler>(
     listener: TcpListener,
-    terms: Terms,
+    terms: ServerConfig,
     handler: Rc<H>,
     stopping: watch::Receiver<bool>,
 ) {
@@ -262,18 +212,18 @@
     let _ = SockRef::from(&listener).set_tcp_nodelay(true);
     let clients = Rc::new(Clients {
         open: Cell::new(0),
-        most: terms.most,
+        most: terms.max_connections,
         resting: RefCell::default(),
         rests: Cell::new(0),
         bodies: Cell::new(0),
-        most_bodies: terms.most_bodies,
+        most_bodies: terms.max_body_bytes,
         closed: Notify::new(),
     });
     tokio::select! {
         () = accept(&listener, &handler, &clients, &stopping) => {}
         () = async {
-            signalled(stopping.clone()).await;
-            sleep(terms.still_accepting).await;
+            stop_requested(stopping.clone()).await;
+            sleep(terms.drain_accept_time).await;
         } => {}
     }
     drop(listener);
@@ -282,13 +232,13 @@
             clients.closed.notified().await;
         }
     };
-    if timeout(terms.grace.saturating_sub(terms.still_accepting), none_left).await.is_err() {
+    if timeout(terms.grace.saturating_sub(terms.drain_accept_time), none_left).await.is_err() {
         tracing::warn!(connections = clients.open.get(), listen = %terms.listen, "given up as the grace ends");
     }
 }
 
 /// Ends once the process is told to stop.
-pub async fn signalled(mut stopping: watch::Receiver<bool>) {
+pub async fn stop_requested(mut stopping: watch::Receiver<bool>) {
     // An error means that nobody is left to signal, which ends the process as well.
     let _ = stopping.wait_for(|stop| *stop).await;
 }
@@ -353,7 +303,7 @@
         tokio::select! {
             // An error is the client's, who has gone or has been told.
             ended = timeouts.keep(&mut serving) => break Some(ended),
-            () = signalled(stopping.clone()) => break None,
+            () = stop_requested(stopping.clone()) => break None,
             () = client.evicted.notified() => if timeouts.is_resting() {
                 Pin::new(&mut serving).graceful_shutdown();
                 break Some(timeouts.keep(&mut serving).await);
@@ -365,13 +315,13 @@
         None => close(&mut serving, &timeouts, &served, time(limits.header_timeout_ms.min(1000))).await,
     };
     if ended == Ended::SlowHead {
-        handler.head_too_slow();
+        handler.on_slow_head();
         serving.into_parts().io.inner().last_word(SLOW_HEAD);
     }
 }
 
 /// Reads a request whole and answers it; the answer says whether another may follow on the connection.
-async fn respond_to<H: Handler>(request: Request<Incoming>, handler: &H, clients: &Clients) -> Answer {
+async fn respond_to<H: Handler>(request: Request<Incoming>, handler: &H, clients: &Clients) -> FullResponse {
     // Beside `Transfer-Encoding` hyper hides a length; the two may disagree on where the next request begins, so that
     // nothing more is read on the connection.
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
@@ -379,13 +329,13 @@
     let began = Instant::now();
     let (head, body) = request.into_parts();
     let (mut answer, understood) = match read_whole(&head, body, &limits, clients).await {
-        Ok((body, _room)) => (handler.answer(Whole { head, body }).await, true),
+        Ok((body, _room)) => (handler.handle(FullRequest { head, body }).await, true),
         Err(local) => {
-            handler.turned_away(&head, &local, began);
-            (Answer::from(local), false)
+            handler.on_rejected(&head, &local, began);
+            (FullResponse::from(local), false)
         }
     };
-    if chunked || !understood || handler.leaving() {
+    if chunked || !understood || handler.is_draining() {
         answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     answer
--- a/glenfall/src/lib.rs
+++ b/glenfall/src/lib.rs
@@ -2,19 +2,23 @@
 //! `GLENFALL_CONFIG`.
 
 pub mod agent;
-pub mod backlog;
-#[allow(missing_docs)]
-pub mod boot;
+pub mod cache;
 pub mod control;
 mod disk;
 pub mod edge;
+pub mod http;
+pub mod http_server;
+pub mod memory_budget;
 pub mod metrics;
 #[allow(missing_docs)]
 pub mod operator;
-pub mod proxy;
 pub mod session;
+#[allow(missing_docs)]
+pub mod settings;
 pub mod shield;
 mod signals;
+pub mod upstream;
+pub mod watch_client;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -26,13 +30,12 @@
 use tokio::sync::watch;
 use tokio::task::{spawn_local, LocalSet};
 
-use crate::boot::Boot;
-use crate::operator::{demo, verbs};
-use crate::proxy::feed::Feed;
-use crate::proxy::memory_budget::MemoryBudget;
-use crate::proxy::pool::Pool;
-use crate::proxy::serve;
+use crate::memory_budget::MemoryBudget;
+use crate::operator::{commands, demo};
+use crate::settings::Settings;
 use crate::signals::{survive_hangup, terminated};
+use crate::upstream::pool::Pool;
+use crate::watch_client::WatchClient;
 
 #[derive(Parser)]
 #[command(version, about)]
@@ -55,22 +58,22 @@
     Check { file: PathBuf },
     /// Read or change the configuration
     #[command(subcommand)]
-    Config(verbs::ConfigVerb),
+    Config(commands::ConfigVerb),
     /// Keep the configuration as files under version control
     #[command(subcommand)]
-    Declared(verbs::DeclaredVerb),
+    Declared(commands::DeclaredVerb),
     /// Back up, restore and check the state of control
     #[command(subcommand)]
-    State(verbs::StateVerb),
+    State(commands::StateVerb),
     /// Show, add and remove the voters of the core
     #[command(subcommand)]
-    Core(verbs::CoreVerb),
+    Core(commands::CoreVerb),
     /// End all copies of an object, or of all objects with a label
-    Purge(verbs::PurgeArgs),
+    Purge(commands::PurgeArgs),
     /// Show members, servers, and who has applied what
     Status {
         #[command(flatten)]
-        at: verbs::Controls,
+        at: commands::ControlAddresses,
     },
     /// Run the whole system on loopback with stand-in servers
     Demo {
@@ -117,7 +120,7 @@
     LocalSet::new().block_on(&runtime, async {
         let boot = || {
             survive_hangup();
-            Boot::load().map(Rc::new)
+            Settings::load().map(Rc::new)
         };
         match command {
             Command::Edge => edge(boot()?).await,
@@ -130,25 +133,25 @@
             }
             Command::Shield => shield(boot()?).await,
             Command::Control => control::run(boot()?).await,
-            Command::Check { file } => print(verbs::check(&file)),
-            Command::Config(verb) => print(verbs::config(&verb).await),
-            Command::Declared(verb) => print(verbs::declared(verb).await),
-            Command::State(verb) => print(verbs::state(verb).await),
-            Command::Core(verb) => print(verbs::core(&verb).await),
-            Command::Purge(args) => print(verbs::purge(&args).await),
-            Command::Status { at } => print(verbs::status(&at).await),
+            Command::Check { file } => print(commands::check(&file)),
+            Command::Config(verb) => print(commands::config(&verb).await),
+            Command::Declared(verb) => print(commands::declared(verb).await),
+            Command::State(verb) => print(commands::state(verb).await),
+            Command::Core(verb) => print(commands::core(&verb).await),
+            Command::Purge(args) => print(commands::purge(&args).await),
+            Command::Status { at } => print(commands::status(&at).await),
             Command::Demo { once } => Ok(demo::run(once).await?),
         }
     })
 }
 
-fn print(told: Result<String, verbs::OpsError>) -> Result<(), Failure> {
+fn print(told: Result<String, commands::OperatorError>) -> Result<(), Failure> {
     println!("{}", told?);
     Ok(())
 }
 
 /// Tells all who listen once the process is to stop.
-fn stopping(feed: &Rc<Feed>) -> watch::Receiver<bool> {
+fn stopping(feed: &Rc<WatchClient>) -> watch::Receiver<bool> {
     let (stop, stopping) = watch::channel(false);
     let feed = Rc::clone(feed);
     spawn_local(async move {
@@ -162,34 +165,35 @@
     stopping
 }
 
-async fn edge(boot: Rc<Boot>) -> Result<(), Failure> {
-    let listen = boot.need("http", |listeners| listeners.http)?;
-    let ready = boot.need("readyAddr", |listeners| listeners.ready_addr)?;
+async fn edge(boot: Rc<Settings>) -> Result<(), Failure> {
+    let listen = boot.require_listener("http", |listeners| listeners.http)?;
+    let ready = boot.require_listener("readyAddr", |listeners| listeners.ready_addr)?;
     let descriptors = boot.req_limits.max_fds.saturating_sub(OTHER_DESCRIPTORS).max(16);
-    let feed = Feed::new(Rc::clone(&boot), ProxyRole::Edge);
-    let pool = Pool::new(descriptors / 2, MemoryBudget::new(boot.memory_part(edge::COPIES + ANSWERS)));
+    let feed = WatchClient::new(Rc::clone(&boot), ProxyRole::Edge);
+    let pool = Pool::new(descriptors / 2, MemoryBudget::new(boot.memory_share(edge::COPIES + ANSWERS)));
     let edge = edge::Edge::new(&boot, Rc::clone(&feed), Rc::clone(&pool));
     spawn_local(async move { pool.sweep().await });
     let stopping = stopping(&feed);
     let follower = Rc::clone(&edge);
     let following = Rc::clone(&feed);
     spawn_local(async move { following.run(&*follower).await });
-    let readiness = serve::Terms {
+    let readiness = http_server::ServerConfig {
         listen: ready,
-        most: 16,
-        most_bodies: 0,
-        still_accepting: boot.grace(),
+        max_connections: 16,
+        max_body_bytes: 0,
+        drain_accept_time: boot.grace(),
         grace: boot.grace(),
     };
-    let readiness = serve::serve(readiness, Rc::new(edge::Readiness(Rc::clone(&feed))), stopping.clone());
-    let terms = serve::Terms {
+    let readiness =
+        http_server::serve(readiness, Rc::new(edge::Readiness(Rc::clone(&feed))), stopping.clone());
+    let terms = http_server::ServerConfig {
         listen,
-        most: descriptors / 2,
-        most_bodies: boot.memory_part(BODIES),
-        still_accepting: STILL_ACCEPTING.min(boot.grace()),
+        max_connections: descriptors / 2,
+        max_body_bytes: boot.memory_share(BODIES),
+        drain_accept_time: STILL_ACCEPTING.min(boot.grace()),
         grace: boot.grace(),
     };
-    let serving = serve::serve(terms, Rc::new(edge::Serving(edge)), stopping);
+    let serving = http_server::serve(terms, Rc::new(edge::Serving(edge)), stopping);
     tokio::select! {
         served = serving => Ok(served?),
         failed = async { readiness.await.err().ok_or(()) } => match failed {
@@ -199,22 +203,22 @@
     }
 }
 
-async fn shield(boot: Rc<Boot>) -> Result<(), Failure> {
+async fn shield(boot: Rc<Settings>) -> Result<(), Failure> {
     let descriptors = boot.req_limits.max_fds.saturating_sub(OTHER_DESCRIPTORS).max(16);
-    let feed = Feed::new(Rc::clone(&boot), ProxyRole::Shield);
-    let pool = Pool::new(descriptors / 2, MemoryBudget::new(boot.memory_part(shield::COPIES + ANSWERS)));
+    let feed = WatchClient::new(Rc::clone(&boot), ProxyRole::Shield);
+    let pool = Pool::new(descriptors / 2, MemoryBudget::new(boot.memory_share(shield::COPIES + ANSWERS)));
     let shield = shield::Shield::new(&boot, Rc::clone(&feed), Rc::clone(&pool));
     spawn_local(async move { pool.sweep().await });
     let stopping = stopping(&feed);
-    let terms = serve::Terms {
-        listen: boot.listener(boot.shield()),
-        most: descriptors / 2,
-        most_bodies: 0,
-        still_accepting: SHIELD_STILL_ACCEPTING.min(boot.grace()),
+    let terms = http_server::ServerConfig {
+        listen: boot.listen_address(boot.shield_address()),
+        max_connections: descriptors / 2,
+        max_body_bytes: 0,
+        drain_accept_time: SHIELD_STILL_ACCEPTING.min(boot.grace()),
         grace: boot.grace(),
     };
     let follower = Rc::clone(&shield);
     spawn_local(async move { feed.run(&*follower).await });
-    serve::serve(terms, Rc::new(shield::Serving(shield)), stopping).await?;
+    http_server::serve(terms, Rc::new(shield::Serving(shield)), stopping).await?;
     Ok(())
 }
--- a/glenfall/src/operator/verbs.rs
+++ b/glenfall/src/operator/commands.rs
@@ -13,14 +13,14 @@
 use hyper::{Method, Request};
 use tokio::time::Instant;
 
-use crate::boot::Boot;
 use crate::control::backup::{Backup, BackupError};
 use crate::control::store::{self, StoreError};
 use crate::disk;
-use crate::operator::declare::{self, DeclareError, Declared, Difference};
-use crate::proxy::memory_budget::MemoryBudget;
-use crate::proxy::pool::{Pool, Trust};
-use crate::proxy::response::ServerResponse;
+use crate::http::response::ServerResponse;
+use crate::memory_budget::MemoryBudget;
+use crate::operator::declarative_config::{self, DeclareError, Declared, Difference};
+use crate::settings::Settings;
+use crate::upstream::pool::{Pool, UpstreamKind};
 
 /// One call to a control node; it answers within a second or not at all.
 const CALL: Duration = Duration::from_millis(1500);
@@ -31,11 +31,11 @@
 /// Connections a verb may hold.
 const CONNECTIONS: usize = 8;
 /// The largest answers of control, and room.
-pub const ROOM: usize = 64 << 20;
+pub const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Why a verb failed; one line.
 #[derive(Debug, thiserror::Error)]
-pub enum OpsError {
+pub enum OperatorError {
     #[error("{}: {what}", path.display())]
     File { path: PathBuf, what: std::io::Error },
     #[error("{}: {what}", path.display())]
@@ -56,7 +56,7 @@
 
 /// Where control is.
 #[derive(Args, Clone)]
-pub struct Controls {
+pub struct ControlAddresses {
     /// `controlAddr` of a control node; may be repeated
     #[arg(long = "control", required = true)]
     pub controls: Vec<SocketAddrV4>,
@@ -67,12 +67,12 @@
     /// Print the newest configuration
     Get {
         #[command(flatten)]
-        at: Controls,
+        at: ControlAddresses,
     },
     /// Put a whole configuration in force
     Put {
         #[command(flatten)]
-        at: Controls,
+        at: ControlAddresses,
         /// The version that it builds on, 0 for the first
         #[arg(long)]
         builds_on: u64,
@@ -81,7 +81,7 @@
     /// Change named items
     Patch {
         #[command(flatten)]
-        at: Controls,
+        at: ControlAddresses,
         /// The version that it builds on
         #[arg(long)]
         builds_on: u64,
@@ -96,13 +96,13 @@
     /// Show what would change
     Plan {
         #[command(flatten)]
-        at: Controls,
+        at: ControlAddresses,
         folder: PathBuf,
     },
     /// Put what a folder declares in force
     Apply {
         #[command(flatten)]
-        at: Controls,
+        at: ControlAddresses,
         /// Only where this version is in force, as it was when the change was looked at
         #[arg(long)]
         if_rev: Option<u64>,
@@ -111,7 +111,7 @@
     /// Write what is in force as files into a folder
     Export {
         #[command(flatten)]
-        at: Controls,
+        at: ControlAddresses,
         folder: PathBuf,
     },
 }
@@ -121,7 +121,7 @@
     /// Write the newest acknowledged state of a running core to a file
     Export {
         #[command(flatten)]
-        at: Controls,
+        at: ControlAddresses,
         /// A new file; one that exists is not written over
         file: PathBuf,
     },
@@ -147,19 +147,19 @@
     /// Show who votes, who stands by, and what may be lost, as each control node sees it
     List {
         #[command(flatten)]
-        at: Controls,
+        at: ControlAddresses,
     },
     /// Make a control node that stands by a voter
     Add {
         #[command(flatten)]
-        at: Controls,
+        at: ControlAddresses,
         /// Address of the machine
         node: Ipv4Addr,
     },
     /// Take a voter out; one that stands by takes its place
     Remove {
         #[command(flatten)]
-        at: Controls,
+        at: ControlAddresses,
         /// Address of the machine
         node: Ipv4Addr,
     },
@@ -168,7 +168,7 @@
 #[derive(Args)]
 pub struct PurgeArgs {
     #[command(flatten)]
-    at: Controls,
+    at: ControlAddresses,
     /// All objects with this label
     #[arg(long, conflicts_with_all = ["host", "path"])]
     label: Option<String>,
@@ -180,14 +180,14 @@
     path: Option<String>,
 }
 
-fn read(path: &Path) -> Result<Vec<u8>, OpsError> {
-    std::fs::read(path).map_err(|what| OpsError::File { path: path.to_owned(), what })
+fn read(path: &Path) -> Result<Vec<u8>, OperatorError> {
+    std::fs::read(path).map_err(|what| OperatorError::File { path: path.to_owned(), what })
 }
 
 /// Checks a settings file (TOML) or a configuration (JSON); says what it is.
-pub fn check(path: &Path) -> Result<String, OpsError> {
+pub fn check(path: &Path) -> Result<String, OperatorError> {
     let bytes = read(path)?;
-    let wrong = |what: String| OpsError::Wrong { path: path.to_owned(), what };
+    let wrong = |what: String| OperatorError::Wrong { path: path.to_owned(), what };
     let json = bytes.iter().find(|byte| !byte.is_ascii_whitespace()) == Some(&b'{');
     if json {
         let config = Config::read(&bytes).map_err(|e| wrong(e.to_string()))?;
@@ -195,31 +195,31 @@
         return Ok(format!("configuration {}: {paths} paths, {backends} backends", config.rev));
     }
     let text = String::from_utf8(bytes).map_err(|e| wrong(e.to_string()))?;
-    let boot = Boot::parse(&text).map_err(wrong)?;
-    boot.core().map_err(|e| wrong(e.to_string()))?;
+    let boot = Settings::parse(&text).map_err(wrong)?;
+    boot.chain_settings().map_err(|e| wrong(e.to_string()))?;
     Ok(format!("settings of {} in zone {}", boot.node, boot.zone))
 }
 
 /// Calls control nodes in turn until one gives a clear answer.
-pub async fn call(
-    at: &Controls,
+pub async fn call_control(
+    at: &ControlAddresses,
     method: Method,
     path: &'static str,
     if_match: Option<u64>,
     body: Bytes,
-) -> Result<ServerResponse, OpsError> {
+) -> Result<ServerResponse, OperatorError> {
     call_within(CALL, at, method, path, if_match, body).await
 }
 
 async fn call_within(
     within: Duration,
-    at: &Controls,
+    at: &ControlAddresses,
     method: Method,
     path: &'static str,
     if_match: Option<u64>,
     body: Bytes,
-) -> Result<ServerResponse, OpsError> {
-    let pool = Pool::new(CONNECTIONS, MemoryBudget::new(ROOM));
+) -> Result<ServerResponse, OperatorError> {
+    let pool = Pool::new(CONNECTIONS, MemoryBudget::new(MAX_RESPONSE_BYTES));
     for addr in at.controls.iter().cycle().take(at.controls.len() * ROUNDS) {
         let request = || {
             let mut request = Request::new(Full::new(body.clone()));
@@ -233,17 +233,20 @@
             }
             request
         };
-        match pool.exchange((*addr).into(), request, Instant::now() + within, Trust::Ours, || true).await {
+        match pool
+            .exchange((*addr).into(), request, Instant::now() + within, UpstreamKind::Internal, || true)
+            .await
+        {
             Ok(reply) if reply.status().is_success() => return Ok(reply),
             Ok(reply) if reply.status().is_client_error() || is_final(&reply) => {
                 let body = String::from_utf8_lossy(reply.body()).into_owned();
-                return Err(OpsError::Refused { status: reply.status().as_u16(), body });
+                return Err(OperatorError::Refused { status: reply.status().as_u16(), body });
             }
             // Changes and purges are known again when they are repeated.
             Ok(_) | Err(_) => tokio::time::sleep(Duration::from_millis(100)).await,
         }
     }
-    Err(OpsError::NoAnswer)
+    Err(OperatorError::NoAnswer)
 }
 
 /// Whether no other node and no later call gives another answer, whatever the status: the order is older than what
@@ -257,35 +260,37 @@
     String::from_utf8_lossy(reply.body()).into_owned()
 }
 
-pub async fn config(verb: &ConfigVerb) -> Result<String, OpsError> {
+pub async fn config(verb: &ConfigVerb) -> Result<String, OperatorError> {
     match verb {
-        ConfigVerb::Get { at } => call(at, Method::GET, "/api/config", None, Bytes::new()).await.map(text),
+        ConfigVerb::Get { at } => {
+            call_control(at, Method::GET, "/api/config", None, Bytes::new()).await.map(text)
+        }
         ConfigVerb::Put { at, builds_on, file } => {
             check(file)?;
             let body = read(file)?.into();
-            call(at, Method::PUT, "/api/config", Some(*builds_on), body).await.map(text)
+            call_control(at, Method::PUT, "/api/config", Some(*builds_on), body).await.map(text)
         }
         ConfigVerb::Patch { at, builds_on, file } => {
             let body = read(file)?.into();
-            call(at, Method::PATCH, "/api/config", Some(*builds_on), body).await.map(text)
+            call_control(at, Method::PATCH, "/api/config", Some(*builds_on), body).await.map(text)
         }
     }
 }
 
 /// What is in force and its version; nothing and 0 before the first.
-async fn in_force(at: &Controls) -> Result<(u64, Bytes), OpsError> {
-    match call(at, Method::GET, "/api/config", None, Bytes::new()).await {
+async fn in_force(at: &ControlAddresses) -> Result<(u64, Bytes), OperatorError> {
+    match call_control(at, Method::GET, "/api/config", None, Bytes::new()).await {
         Ok(reply) => {
             let rev =
                 serde_json::from_slice::<serde_json::Value>(reply.body()).map_err(DeclareError::from)?;
             Ok((rev["rev"].as_u64().unwrap_or(0), reply.body().clone()))
         }
-        Err(OpsError::Refused { status: 404, .. }) => Ok((0, Bytes::new())),
+        Err(OperatorError::Refused { status: 404, .. }) => Ok((0, Bytes::new())),
         Err(error) => Err(error),
     }
 }
 
-pub async fn declared(verb: DeclaredVerb) -> Result<String, OpsError> {
+pub async fn declared(verb: DeclaredVerb) -> Result<String, OperatorError> {
     let lines = |differences: &[Difference]| {
         let lines: Vec<String> = differences.iter().map(ToString::to_string).collect();
         lines.join("\n")
@@ -308,7 +313,7 @@
             let declared = Declared::read(&folder)?;
             let (rev, document) = in_force(&at).await?;
             if let Some(expected) = if_rev.filter(|expected| *expected != rev) {
-                return Err(OpsError::Moved { expected, current: rev });
+                return Err(OperatorError::Moved { expected, current: rev });
             }
             let differences = declared.differences(&document)?;
             if differences.is_empty() && rev > 0 {
@@ -316,30 +321,30 @@
             }
             // Who changes it meanwhile makes this fail with 412, and nothing is lost.
             let next = declared.document(rev + 1);
-            call(&at, Method::PUT, "/api/config", Some(rev), next.into()).await?;
+            call_control(&at, Method::PUT, "/api/config", Some(rev), next.into()).await?;
             Ok(format!("version {} is in force:\n{}", rev + 1, lines(&differences)))
         }
         DeclaredVerb::Export { at, folder } => {
             let (rev, document) = in_force(&at).await?;
-            let left_out = if rev > 0 { declare::write(&document, &folder)? } else { Vec::new() };
+            let left_out = if rev > 0 { declarative_config::write(&document, &folder)? } else { Vec::new() };
             let told = left_out.iter().map(|field| format!("\nleft out: {field}"));
             Ok(format!("version {rev} written{}", told.collect::<String>()))
         }
     }
 }
 
-fn backup(path: &Path) -> Result<Backup, OpsError> {
-    Backup::read(&read(path)?).map_err(|what| OpsError::Backup { path: path.to_owned(), what })
+fn backup(path: &Path) -> Result<Backup, OperatorError> {
+    Backup::read(&read(path)?).map_err(|what| OperatorError::Backup { path: path.to_owned(), what })
 }
 
-pub async fn state(verb: StateVerb) -> Result<String, OpsError> {
+pub async fn state(verb: StateVerb) -> Result<String, OperatorError> {
     match verb {
         StateVerb::Export { at, file } => {
-            let reply = call(&at, Method::GET, "/api/state", None, Bytes::new()).await?;
+            let reply = call_control(&at, Method::GET, "/api/state", None, Bytes::new()).await?;
             // What is not whole here would be of no use when it is needed.
-            let wrong = |what| OpsError::Backup { path: file.clone(), what };
+            let wrong = |what| OperatorError::Backup { path: file.clone(), what };
             let backup = Backup::read(reply.body()).map_err(wrong)?;
-            let broken = |what| OpsError::File { path: file.clone(), what };
+            let broken = |what| OperatorError::File { path: file.clone(), what };
             let out = std::fs::File::create_new(&file).map_err(broken)?;
             let folder = file.parent().filter(|folder| !folder.as_os_str().is_empty());
             let folder = folder.unwrap_or(Path::new("."));
@@ -351,9 +356,9 @@
             let backup = backup(&file)?;
             let told = format!("configuration {}, change {}, imported", backup.rev, backup.seq);
             let voters = if voters.is_empty() { backup.voters.clone() } else { voters };
-            let unsound = |what| OpsError::Backup { path: file.clone(), what };
+            let unsound = |what| OperatorError::Backup { path: file.clone(), what };
             let state = backup.state(voters, acknowledged).map_err(unsound)?;
-            let wrong = |what| OpsError::Store { path: into.clone(), what };
+            let wrong = |what| OperatorError::Store { path: into.clone(), what };
             store::create(&into, &state).map_err(wrong)?;
             Ok(told)
         }
@@ -364,7 +369,7 @@
                 Ok(format!("configuration {rev}, change {seq}, accepted in view {view}, {voters} voters"))
             }
             Ok(None) => Ok("a store without state: nothing was promised or accepted yet".into()),
-            Err(what) => Err(OpsError::Store { path, what }),
+            Err(what) => Err(OperatorError::Store { path, what }),
         },
         StateVerb::Verify { path } => {
             let backup = backup(&path)?;
@@ -374,15 +379,15 @@
     }
 }
 
-pub async fn purge(args: &PurgeArgs) -> Result<String, OpsError> {
+pub async fn purge(args: &PurgeArgs) -> Result<String, OperatorError> {
     let body = match &args.label {
         Some(label) => serde_json::json!({ "label": label }),
         None => serde_json::json!({ "hostname": args.host, "urlPath": args.path }),
     };
-    call(&args.at, Method::POST, "/api/purge", None, body.to_string().into()).await.map(text)
+    call_control(&args.at, Method::POST, "/api/purge", None, body.to_string().into()).await.map(text)
 }
 
-pub async fn core(verb: &CoreVerb) -> Result<String, OpsError> {
+pub async fn core(verb: &CoreVerb) -> Result<String, OperatorError> {
     let (at, body) = match verb {
         CoreVerb::List { at } => return from_each(at, "/api/core").await,
         CoreVerb::Add { at, node } => (at, serde_json::json!({ "add": node })),
@@ -393,15 +398,15 @@
 }
 
 /// What each control node sees, one document apiece.
-pub async fn status(at: &Controls) -> Result<String, OpsError> {
+pub async fn status(at: &ControlAddresses) -> Result<String, OperatorError> {
     from_each(at, "/api/status").await
 }
 
-async fn from_each(at: &Controls, path: &'static str) -> Result<String, OpsError> {
+async fn from_each(at: &ControlAddresses, path: &'static str) -> Result<String, OperatorError> {
     let mut seen = Vec::new();
     for control in &at.controls {
-        let one = Controls { controls: vec![*control] };
-        let reply = call(&one, Method::GET, path, None, Bytes::new()).await;
+        let one = ControlAddresses { controls: vec![*control] };
+        let reply = call_control(&one, Method::GET, path, None, Bytes::new()).await;
         let value = match reply {
             Ok(reply) => serde_json::from_slice(reply.body()).unwrap_or(serde_json::Value::Null),
             Err(error) => serde_json::json!({ "control": control, "error": error.to_string() }),
--- a/glenfall/src/operator/demo.rs
+++ b/glenfall/src/operator/demo.rs
@@ -19,12 +19,13 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-use crate::operator::local_system::{Layout, Local};
-use crate::operator::verbs::{self, Controls, ROOM};
-use crate::proxy::memory_budget::MemoryBudget;
-use crate::proxy::pool::{Pool, Trust};
-use crate::proxy::response::ServerResponse;
-use crate::proxy::serve::{self, plain, Answer, Handler, Whole};
+use crate::http::headers;
+use crate::http::response::ServerResponse;
+use crate::http_server::{self, plain_response, FullRequest, FullResponse, Handler};
+use crate::memory_budget::MemoryBudget;
+use crate::operator::commands::{self, ControlAddresses, MAX_RESPONSE_BYTES};
+use crate::operator::local_system::{LocalSystem, SystemLayout};
+use crate::upstream::pool::{Pool, UpstreamKind};
 
 /// Each step of the demo comes true within this time, also on a busy machine.
 const STEP: Duration = Duration::from_secs(30);
@@ -44,7 +45,7 @@
     #[error("demo: {0}")]
     Broken(String),
     #[error("demo: {0}")]
-    Ops(#[from] verbs::OpsError),
+    Ops(#[from] commands::OperatorError),
 }
 
 /// A server that stands in for a user's.
@@ -55,20 +56,20 @@
 }
 
 impl Handler for StandIn {
-    async fn answer(&self, whole: Whole) -> Answer {
+    async fn handle(&self, whole: FullRequest) -> FullResponse {
         let text = |name: &str| whole.head.headers.get(name).and_then(|value| value.to_str().ok());
         if text("x-glenfall-want-server").is_some_and(|wanted| wanted != self.id) {
-            return plain(StatusCode::MISDIRECTED_REQUEST, "another server");
+            return plain_response(StatusCode::MISDIRECTED_REQUEST, "another server");
         }
         self.runs.set(self.runs.get() + 1);
         let body =
             format!("{} {} run {} at {}\n", whole.head.method, whole.head.uri, self.runs.get(), self.id);
-        let mut answer = Answer::new(Full::new(Bytes::from(body)));
+        let mut answer = FullResponse::new(Full::new(Bytes::from(body)));
         let headers = answer.headers_mut();
         headers.insert("x-glenfall-seal", HeaderValue::from_static("demo"));
         headers.insert("x-glenfall-tags", HeaderValue::from_static("demo-label"));
-        if let Some(id) = whole.head.headers.get(serve::TRY_ID) {
-            headers.insert(serve::TRY_ID, id.clone());
+        if let Some(id) = whole.head.headers.get(headers::TRY_ID) {
+            headers.insert(headers::TRY_ID, id.clone());
         }
         answer
     }
@@ -77,14 +78,14 @@
         RequestLimits::default()
     }
 
-    fn leaving(&self) -> bool {
+    fn is_draining(&self) -> bool {
         false
     }
 }
 
 /// Starts the system and shows its path; then goes on until a signal, or ends if `once`.
 pub async fn run(once: bool) -> Result<(), DemoError> {
-    let layout = Layout {
+    let layout = SystemLayout {
         net: NET,
         cores: CORES,
         seeds: CORES,
@@ -96,7 +97,7 @@
         relayed: false,
     };
     let program = std::env::current_exe()?;
-    let mut local = Local::start(layout, &program).await?;
+    let mut local = LocalSystem::start(layout, &program).await?;
     let shown = show(&local, &program, once).await;
     if shown.is_err() {
         println!("logs:           {}", local.keep_folder().display());
@@ -105,7 +106,7 @@
 }
 
 /// Shows each step of the path; then goes on until a signal, or ends if `once`.
-async fn show(local: &Local, program: &Path, once: bool) -> Result<(), DemoError> {
+async fn show(local: &LocalSystem, program: &Path, once: bool) -> Result<(), DemoError> {
     let at = local.controls();
     let (_stop, stopping) = watch::channel(false);
     for number in 0..2 {
@@ -126,7 +127,7 @@
         return Err(DemoError::TooLate { what: "the shield's copy at the other edge" });
     }
     let body = json!({ "hostname": HOST, "urlPath": "/pages/hello" }).to_string();
-    verbs::call(&at, Method::POST, "/api/purge", None, body.into()).await?;
+    commands::call_control(&at, Method::POST, "/api/purge", None, body.into()).await?;
     let fresh = until("the read after a purge", || get("/pages/hello")).await?;
     print!("after a purge:  {}", String::from_utf8_lossy(fresh.body()));
     if fresh.body() == first.body() {
@@ -150,24 +151,28 @@
 }
 
 /// Starts a stand-in server and its beats.
-async fn start_server(number: u8, local: &Local, stopping: watch::Receiver<bool>) -> std::io::Result<()> {
+async fn start_server(
+    number: u8,
+    local: &LocalSystem,
+    stopping: watch::Receiver<bool>,
+) -> std::io::Result<()> {
     let ip = local.machine(100 + number);
     let listener = TcpListener::bind((ip, 0)).await?;
     let listen = SocketAddrV4::new(ip, listener.local_addr()?.port());
     drop(listener);
     let id = format!("demo-{number}");
     let server = Rc::new(StandIn { id: id.clone(), runs: Cell::new(0) });
-    let terms = serve::Terms {
+    let terms = http_server::ServerConfig {
         listen,
-        most: 64,
-        most_bodies: 1 << 20,
-        still_accepting: Duration::ZERO,
+        max_connections: 64,
+        max_body_bytes: 1 << 20,
+        drain_accept_time: Duration::ZERO,
         grace: Duration::ZERO,
     };
-    spawn_local(serve::serve(terms, server, stopping));
+    spawn_local(http_server::serve(terms, server, stopping));
     let (at, zone) = (local.controls(), local.zone(number));
     spawn_local(async move {
-        let pool = Pool::new(8, MemoryBudget::new(ROOM));
+        let pool = Pool::new(8, MemoryBudget::new(MAX_RESPONSE_BYTES));
         for seq in 1u64.. {
             let body = json!({
                 "backend": "demo", "addr": listen, "zone": zone, "rev": "v1", "capacity": 8,
@@ -183,7 +188,8 @@
                     request
                 };
                 let until = Instant::now() + Duration::from_secs(1);
-                let reply = pool.exchange((*control).into(), request, until, Trust::Ours, || true).await;
+                let reply =
+                    pool.exchange((*control).into(), request, until, UpstreamKind::Internal, || true).await;
                 if reply.is_ok_and(|reply| reply.status().is_success()) {
                     break;
                 }
@@ -194,7 +200,7 @@
     Ok(())
 }
 
-async fn put_config(at: &Controls) -> Result<(), DemoError> {
+async fn put_config(at: &ControlAddresses) -> Result<(), DemoError> {
     let route = |name: &str, prefix: &str, kind: &str| {
         json!({
             "name": name, "hostname": HOST, "pathPrefix": prefix, "type": kind, "deadlineMs": 2000,
@@ -210,9 +216,9 @@
     let body = Bytes::from(config.to_string());
     let began = Instant::now();
     loop {
-        match verbs::call(at, Method::PUT, "/api/config", Some(0), body.clone()).await {
+        match commands::call_control(at, Method::PUT, "/api/config", Some(0), body.clone()).await {
             Ok(_) => return Ok(()),
-            Err(verbs::OpsError::NoAnswer) if began.elapsed() < STEP => {}
+            Err(commands::OperatorError::NoAnswer) if began.elapsed() < STEP => {}
             Err(error) => return Err(error.into()),
         }
     }
@@ -220,10 +226,10 @@
 
 /// Waits until every control node knows all shields and servers, and every session has applied that and holds a lease:
 /// a shield without one has its copies passed over.
-async fn settled(at: &Controls) -> Result<(), DemoError> {
+async fn settled(at: &ControlAddresses) -> Result<(), DemoError> {
     let began = Instant::now();
     while began.elapsed() < STEP {
-        let told = verbs::status(at).await?;
+        let told = commands::status(at).await?;
         let seen: Vec<serde_json::Value> = serde_json::from_str(&told).unwrap_or_default();
         let listed = |node: &serde_json::Value, list: &str, count: usize| {
             let ready =
@@ -253,12 +259,12 @@
         *request.method_mut() = method.clone();
         *request.uri_mut() = hyper::Uri::from_static(path);
         request.headers_mut().insert(header::HOST, HeaderValue::from_static(HOST));
-        request.headers_mut().insert(serve::TRY_ID, HeaderValue::from_static("demo-try"));
+        request.headers_mut().insert(headers::TRY_ID, HeaderValue::from_static("demo-try"));
         request
     };
     let until = Instant::now() + Duration::from_secs(3);
-    let reply = Pool::new(8, MemoryBudget::new(ROOM))
-        .exchange(edge.into(), request, until, Trust::Ours, || true)
+    let reply = Pool::new(8, MemoryBudget::new(MAX_RESPONSE_BYTES))
+        .exchange(edge.into(), request, until, UpstreamKind::Internal, || true)
         .await
         .ok()?;
     (reply.status() == StatusCode::OK && reply.headers().contains_key("x-glenfall-seal")).then_some(reply)
--- a/glenfall/src/operator/local_system.rs
+++ b/glenfall/src/operator/local_system.rs
@@ -9,8 +9,8 @@
 use glenfall_control_plane::invariant::BROKEN;
 use tokio::net::TcpListener;
 
-use crate::boot::VARIABLE;
-use crate::operator::verbs::Controls;
+use crate::operator::commands::ControlAddresses;
+use crate::settings::VARIABLE;
 
 /// Ports that a machine needs, next to each other.
 const PORTS: u16 = 6;
@@ -20,7 +20,7 @@
 
 /// What is started.
 #[derive(Clone, Copy, Debug)]
-pub struct Layout {
+pub struct SystemLayout {
     /// Third byte of the machines' addresses, 127.0.N.x: several systems may run beside each other.
     pub net: u8,
     /// Machines with control and a shield; those with an edge and its agent.
@@ -44,8 +44,8 @@
 }
 
 /// The processes end, and their folder goes, when this is dropped; unless it is to be kept.
-pub struct Local {
-    layout: Layout,
+pub struct LocalSystem {
+    layout: SystemLayout,
     program: PathBuf,
     base: u16,
     pub folder: PathBuf,
@@ -55,7 +55,7 @@
     wiped: BTreeSet<String>,
 }
 
-impl Drop for Local {
+impl Drop for LocalSystem {
     fn drop(&mut self) {
         for process in &mut self.processes {
             let _ = process.child.kill();
@@ -85,14 +85,14 @@
     }
 }
 
-impl Local {
+impl LocalSystem {
     /// Starts all processes; they find each other by themselves.
-    pub async fn start(layout: Layout, program: &Path) -> std::io::Result<Local> {
+    pub async fn start(layout: SystemLayout, program: &Path) -> std::io::Result<LocalSystem> {
         let base = free_ports().await?;
         let folder = std::env::temp_dir().join(format!("glenfall-local-{}-{base}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let program = program.to_owned();
-        let mut local = Local {
+        let mut local = LocalSystem {
             layout,
             program,
             base,
@@ -215,8 +215,8 @@
     }
 
     /// Where control is called.
-    pub fn controls(&self) -> Controls {
-        Controls { controls: (1..=self.layout.cores).map(|number| self.control(number)).collect() }
+    pub fn controls(&self) -> ControlAddresses {
+        ControlAddresses { controls: (1..=self.layout.cores).map(|number| self.control(number)).collect() }
     }
 
     fn control(&self, number: u8) -> SocketAddrV4 {
--- a/glenfall/src/session/link.rs
+++ b/glenfall/src/session/link.rs
@@ -20,9 +20,9 @@
 
 /// Silence on a link after which the other side is taken for lost, and how often something is said. A dark
 /// machine answers nothing, not even a reset.
-pub const SILENCE: Duration = Duration::from_millis(1500);
+pub const LINK_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How often something is said on a link, so that it does not count as lost.
-pub const PING: Duration = Duration::from_millis(500);
+pub const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 /// Frames that may wait to be written; a reader that is further behind than this is cut off, and catches up
 /// on a new link.
 const WAITING: usize = 1024;
@@ -79,7 +79,7 @@
 /// what waits in it goes with it.
 pub fn tune(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    SockRef::from(stream).set_tcp_user_timeout(Some(SILENCE))
+    SockRef::from(stream).set_tcp_user_timeout(Some(LINK_TIMEOUT))
 }
 
 /// Connects, with another opening packet behind each that is not answered soon.
@@ -121,17 +121,17 @@
 }
 
 /// Reads frames. Cancelling a read loses nothing.
-pub struct Frames {
+pub struct FrameReader {
     read: OwnedReadHalf,
     buffer: BytesMut,
     /// When something last came.
     heard: Instant,
 }
 
-impl Frames {
+impl FrameReader {
     /// The reading side of a link.
     pub fn new(read: OwnedReadHalf) -> Self {
-        Frames { read, buffer: BytesMut::new(), heard: Instant::now() }
+        FrameReader { read, buffer: BytesMut::new(), heard: Instant::now() }
     }
 
     /// The next message; an error where the other side is gone or says nothing that can be read.
@@ -159,7 +159,7 @@
     /// The same, where silence means that the other side is lost. It counts from what came last, however
     /// often the wait is begun anew.
     pub async fn next_in_time<T: DeserializeOwned>(&mut self) -> io::Result<T> {
-        timeout_at(self.heard + SILENCE, self.next()).await?
+        timeout_at(self.heard + LINK_TIMEOUT, self.next()).await?
     }
 }
 
@@ -209,7 +209,7 @@
         }
         SAID.add(messages, buffer.len());
         // The other side reads what it is sent within this time, or it is lost.
-        if !matches!(timeout(SILENCE, write.write_all(&buffer)).await, Ok(Ok(()))) {
+        if !matches!(timeout(LINK_TIMEOUT, write.write_all(&buffer)).await, Ok(Ok(()))) {
             return;
         }
     }
--- a/glenfall/src/session/publisher.rs
+++ b/glenfall/src/session/publisher/mod.rs
@@ -19,7 +19,7 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{interval, timeout, timeout_at, Instant, MissedTickBehavior};
 
-use crate::session::link::{Frames, Outbox, PING};
+use crate::session::link::{FrameReader, Outbox, KEEPALIVE_INTERVAL};
 
 /// Sessions that one node holds at most: all proxies of a large system.
 const MOST: usize = 1024;
@@ -77,7 +77,7 @@
 }
 
 /// What `status` tells of a session.
-pub struct Seen {
+pub struct SessionStatus {
     /// The subscriber's name.
     pub node: String,
     /// The proxy that it speaks for.
@@ -172,7 +172,7 @@
     pub async fn serve(
         &self,
         reach: Reach,
-        mut frames: Frames,
+        mut frames: FrameReader,
         outbox: Outbox<PublisherMessage>,
         greet: impl FnOnce() -> (Vec<PublisherMessage>, Vec<Update>),
         proved: impl Future<Output = Option<Vec<Update>>>,
@@ -216,7 +216,7 @@
     async fn serve_listed(
         &self,
         id: u64,
-        frames: &mut Frames,
+        frames: &mut FrameReader,
         outbox: &Outbox<PublisherMessage>,
         proved: impl Future<Output = Option<Vec<Update>>>,
         mut dropped: oneshot::Receiver<Infallible>,
@@ -224,7 +224,7 @@
     ) -> Ended {
         let mut proved = pin!(proved);
         let mut waits = true;
-        let mut ping = interval(PING);
+        let mut ping = interval(KEEPALIVE_INTERVAL);
         ping.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -427,9 +427,9 @@
     }
 
     /// All sessions, for `status`.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn seen(&self) -> Vec<SessionStatus> {
         let (all, grants, now) = (self.all.borrow(), self.grants.borrow(), self.now());
-        let seen = |(id, s): (&u64, &Session)| Seen {
+        let seen = |(id, s): (&u64, &Session)| SessionStatus {
             node: s.node.clone(),
             member: s.member.clone(),
             sent: s.sent,
@@ -459,7 +459,7 @@
 }
 
 /// Whether the other side turns out to have closed a connection on which nothing can be said any more.
-async fn closed_in_time(frames: &mut Frames) -> bool {
+async fn closed_in_time(frames: &mut FrameReader) -> bool {
     let read_out = async {
         loop {
             if let Err(error) = frames.next::<SubscriberMessage>().await {
--- a/glenfall/src/session/subscriber.rs
+++ b/glenfall/src/session/subscriber.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 use tokio::time::{interval, sleep, MissedTickBehavior};
 
-use crate::session::link::{Frames, Outbox, PING};
+use crate::session::link::{FrameReader, Outbox, KEEPALIVE_INTERVAL};
 
 /// How often counters go up: they are for people to look at.
 const REPORT: Duration = Duration::from_secs(5);
@@ -28,7 +28,7 @@
 /// `now` is the clock by which it holds its lease. Returns when the session is lost, the other side leaves, or `take` says
 /// that what came can't be built on: it begins anew then.
 pub async fn follow(
-    mut frames: Frames,
+    mut frames: FrameReader,
     outbox: Outbox<SubscriberMessage>,
     hello: impl Fn() -> SubscriberMessage,
     now: impl Fn() -> Millis,
@@ -38,7 +38,7 @@
     if !outbox.send(hello()) {
         return;
     }
-    let mut ping = interval(PING);
+    let mut ping = interval(KEEPALIVE_INTERVAL);
     ping.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut last = 0;
     loop {
--- a/glenfall/src/boot.rs
+++ b/glenfall/src/settings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use glenfall_control_plane::chain::{ChainSettings, SyncTooShort};
-use glenfall_control_plane::{budget, ceiling, Millis};
+use glenfall_control_plane::{rate_limit, retry_budget, Millis};
 use serde::Deserialize;
 
 /// Names the settings file.
@@ -13,7 +13,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Boot {
+pub struct Settings {
     pub node: String,
     pub zone: String,
     pub bind_ip: Ipv4Addr,
@@ -44,7 +44,7 @@
     pub survive: Survive,
     pub listeners: Listeners,
     #[serde(default)]
-    pub req_limits: Limits,
+    pub req_limits: ProcessLimits,
     #[serde(default)]
     pub timing: Timing,
 }
@@ -67,16 +67,16 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub struct Limits {
+pub struct ProcessLimits {
     pub mem_mb: u64,
     pub max_fds: usize,
     /// MemoryBudget under `stateDir`.
     pub disk_mb: u64,
 }
 
-impl Default for Limits {
+impl Default for ProcessLimits {
     fn default() -> Self {
-        Limits { mem_mb: 256, max_fds: 1024, disk_mb: 256 }
+        ProcessLimits { mem_mb: 256, max_fds: 1024, disk_mb: 256 }
     }
 }
 
@@ -119,7 +119,7 @@
 
 /// Why the settings can't be used; one line.
 #[derive(Debug, thiserror::Error)]
-pub enum BootError {
+pub enum SettingsError {
     #[error("{VARIABLE} is not set: the path of the settings file expected")]
     NoPath,
     #[error("{path}: {what}")]
@@ -130,18 +130,18 @@
     Promise { hosts: usize, sync_s: f64, why: SyncTooShort },
 }
 
-impl Boot {
+impl Settings {
     /// Reads the file that the environment names.
-    pub fn load() -> Result<Boot, BootError> {
-        let path = std::env::var(VARIABLE).map_err(|_| BootError::NoPath)?;
+    pub fn load() -> Result<Settings, SettingsError> {
+        let path = std::env::var(VARIABLE).map_err(|_| SettingsError::NoPath)?;
         let text = std::fs::read_to_string(&path)
-            .map_err(|what| BootError::Unreadable { path: path.clone(), what })?;
-        Boot::parse(&text).map_err(|what| BootError::Wrong { path, what })
+            .map_err(|what| SettingsError::Unreadable { path: path.clone(), what })?;
+        Settings::parse(&text).map_err(|what| SettingsError::Wrong { path, what })
     }
 
     /// Reads settings; an error names the place.
-    pub fn parse(text: &str) -> Result<Boot, String> {
-        let boot: Boot = toml::from_str(text).map_err(|e| {
+    pub fn parse(text: &str) -> Result<Settings, String> {
+        let boot: Settings = toml::from_str(text).map_err(|e| {
             let place = e.span().map(|span| {
                 let before = &text[..span.start.min(text.len())];
                 let line = before.matches('\n').count() + 1;
@@ -178,17 +178,17 @@
     }
 
     /// The settings of the core; an error where it can't outlive the promised losses in the time that it has.
-    pub fn core(&self) -> Result<ChainSettings, BootError> {
+    pub fn chain_settings(&self) -> Result<ChainSettings, SettingsError> {
         let sync = (self.timing.sync_s * 1000.0) as Millis;
         let settings = ChainSettings { losses: self.survive.hosts, eligible: self.voter, sync };
         let (hosts, sync_s) = (self.survive.hosts, self.timing.sync_s);
-        settings.check().map_err(|why| BootError::Promise { hosts, sync_s, why })?;
+        settings.check().map_err(|why| SettingsError::Promise { hosts, sync_s, why })?;
         Ok(settings)
     }
 
     /// What all machines together may send beyond the first try of each request.
-    pub fn further_tries(&self) -> budget::RetryBudgetSettings {
-        budget::RetryBudgetSettings {
+    pub fn retry_budget(&self) -> retry_budget::RetryBudgetSettings {
+        retry_budget::RetryBudgetSettings {
             ratio: self.timing.retry_ratio,
             window: (self.timing.retry_window_s * 1000.0) as u64,
             slack: self.timing.retry_slack,
@@ -196,47 +196,47 @@
     }
 
     /// What all machines together may ask of a service that states a rate.
-    pub fn ceiling(&self) -> ceiling::RateLimitSettings {
+    pub fn rate_limit(&self) -> rate_limit::RateLimitSettings {
         let timing = &self.timing;
-        ceiling::RateLimitSettings {
+        rate_limit::RateLimitSettings {
             window: (timing.ceiling_window_s * 1000.0) as u64,
             over: timing.ceiling_over,
         }
     }
 
     /// A listener that the role can't do without.
-    pub fn need(
+    pub fn require_listener(
         &self,
         what: &str,
         pick: impl Fn(&Listeners) -> Option<SocketAddrV4>,
-    ) -> Result<SocketAddrV4, BootError> {
+    ) -> Result<SocketAddrV4, SettingsError> {
         let path = std::env::var(VARIABLE).unwrap_or_default();
-        let wrong = || BootError::Wrong { path, what: format!("listeners.{what}: missing") };
+        let wrong = || SettingsError::Wrong { path, what: format!("listeners.{what}: missing") };
         pick(&self.listeners).ok_or_else(wrong)
     }
 
     /// Where the control node on a machine takes links; ports are alike on all machines.
-    pub fn link(&self, machine: Ipv4Addr) -> SocketAddrV4 {
+    pub fn link_address(&self, machine: Ipv4Addr) -> SocketAddrV4 {
         SocketAddrV4::new(machine, self.port_range.0)
     }
 
     /// Where this machine's shield takes reads.
-    pub fn shield(&self) -> SocketAddrV4 {
+    pub fn shield_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.bind_ip, self.port_range.0 + SHIELD)
     }
 
     /// The address to listen at for what comes to one of this machine's.
-    pub fn listener(&self, announced: SocketAddrV4) -> SocketAddrV4 {
+    pub fn listen_address(&self, announced: SocketAddrV4) -> SocketAddrV4 {
         SocketAddrV4::new(self.listen_ip.unwrap_or(*announced.ip()), announced.port())
     }
 
     /// Where the proxy of this machine is fed.
-    pub fn feed(&self) -> SocketAddrV4 {
+    pub fn watch_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.feed_ip, self.port_range.0 + FEED)
     }
 
     /// Bytes of a part of the memory that a process may take.
-    pub fn memory_part(&self, part: f64) -> usize {
+    pub fn memory_share(&self, part: f64) -> usize {
         (self.req_limits.mem_mb as f64 * part * f64::from(1 << 20)) as usize
     }
 
--- a/glenfall/src/shield/fetch.rs
+++ b/glenfall/src/shield/fetch.rs
@@ -14,12 +14,12 @@
 use tokio::time::Instant;
 
 use super::{Shield, AGAIN};
-use crate::proxy::cache::{Copy, ObjectKey};
-use crate::proxy::failure::Failure;
-use crate::proxy::forward::{Outcome, Refusal, UpstreamRequest};
-use crate::proxy::response::ServerResponse;
-use crate::proxy::send_budget::{Allowance, SendReport};
-use crate::proxy::serve::passed_on;
+use crate::cache::{Copy, ObjectKey};
+use crate::http::failure::Failure;
+use crate::http::headers::passed_on;
+use crate::http::response::ServerResponse;
+use crate::http::send_budget::{Allowance, SendReport};
+use crate::upstream::forward::{Outcome, Refusal, UpstreamRequest};
 
 /// A fetch may outlive the read that began it by so long: what it brings serves the next read. Servers are handed no more
 /// time than that beyond what the client has left.
--- a/glenfall/src/shield.rs
+++ b/glenfall/src/shield/mod.rs
@@ -1,6 +1,5 @@
 //! The shield: answers edges' reads from its copies, joins concurrent misses, and fetches from the servers.
 
-pub mod disk_cache;
 mod fetch;
 
 use std::cell::{Cell, RefCell};
@@ -10,28 +9,29 @@
 use std::time::Duration;
 
 use glenfall_balancer::mix;
-use glenfall_control_plane::ceiling::QuotaHolder;
 use glenfall_control_plane::config::{Config, RequestLimits, Route};
 use glenfall_control_plane::fleet::Fleet;
 use glenfall_control_plane::messages::{AgedPurge, ProxyRole, Purge};
+use glenfall_control_plane::rate_limit::QuotaHolder;
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::Method;
 use tokio::task::spawn_local;
 use tokio::time::{timeout_at, Instant};
 
 use self::fetch::{FetchDone, FetchEnd, FetchRequest, Fetched, Flight, TooManyFetches};
-use crate::boot::Boot;
+use crate::cache::disk::{DiskCache, Row};
+use crate::cache::{Cache, Copy, ObjectKey};
+use crate::http::failure::Cause;
+use crate::http::headers::{DEADLINE, TRY_ID};
+use crate::http::response::{LocalResponse, ProxyResponse, ShieldSource};
+use crate::http::send_budget::{Allowance, SendReport};
+use crate::http_server::{FullRequest, FullResponse, Handler};
 use crate::metrics::counter::Counter;
 use crate::metrics::latency::Latency;
-use crate::proxy::cache::{Cache, Copy, ObjectKey};
-use crate::proxy::failure::Cause;
-use crate::proxy::feed::{Feed, Follower};
-use crate::proxy::forward::{Forwarder, Refusal, NONE};
-use crate::proxy::pool::Pool;
-use crate::proxy::response::{LocalResponse, ProxyResponse, ShieldSource};
-use crate::proxy::send_budget::{Allowance, SendReport};
-use crate::proxy::serve::{Answer, Handler, Whole, DEADLINE, TRY_ID};
-use crate::shield::disk_cache::{DiskCache, Row};
+use crate::settings::Settings;
+use crate::upstream::forward::{Forwarder, Refusal, NONE};
+use crate::upstream::pool::Pool;
+use crate::watch_client::{WatchClient, WatchHandler};
 
 /// The version that an edge decided under; the shield never answers by an older one.
 pub const REV: HeaderName = HeaderName::from_static("x-glenfall-rev");
@@ -78,7 +78,7 @@
 
 /// A shield: its copies, and the fetches under way.
 pub struct Shield {
-    feed: Rc<Feed>,
+    feed: Rc<WatchClient>,
     forwarder: Forwarder,
     cache: RefCell<Cache>,
     /// Copies on disk, where this machine has one.
@@ -98,8 +98,8 @@
 
 impl Shield {
     /// A shield that is fed by `feed` and fetches through `pool`.
-    pub fn new(boot: &Rc<Boot>, feed: Rc<Feed>, pool: Rc<Pool>) -> Rc<Self> {
-        let most = boot.memory_part(COPIES);
+    pub fn new(boot: &Rc<Settings>, feed: Rc<WatchClient>, pool: Rc<Pool>) -> Rc<Self> {
+        let most = boot.memory_share(COPIES);
         let opened = boot.state_dir.as_ref().and_then(|folder| {
             let disk_cache = DiskCache::open(folder, boot.req_limits.disk_mb);
             disk_cache.inspect_err(|error| tracing::warn!(%error, "no copies on disk")).ok()
@@ -163,7 +163,7 @@
     }
 
     /// Answers a read: from a copy, from a fetch that another read began, or by a fetch of its own.
-    async fn read(self: &Rc<Self>, whole: &Whole) -> Read {
+    async fn read(self: &Rc<Self>, whole: &FullRequest) -> Read {
         let number = |name| whole.head.headers.get(name)?.to_str().ok()?.parse::<u64>().ok();
         let until = Instant::now() + Duration::from_millis(number(DEADLINE).unwrap_or(1000).min(60_000));
         let config = match self.configuration(number(REV).unwrap_or(0), until).await {
@@ -213,7 +213,13 @@
     }
 
     /// Waits for the fetch that a read has begun, until the read's deadline.
-    async fn await_own(&self, done: FetchDone, until: Instant, allowance: Allowance, whole: &Whole) -> Read {
+    async fn await_own(
+        &self,
+        done: FetchDone,
+        until: Instant,
+        allowance: Allowance,
+        whole: &FullRequest,
+    ) -> Read {
         match await_end(done, until).await {
             Ok(FetchEnd { fetched: Fetched::Other(response), report }) => {
                 Read { response: response.forward(&Method::GET), source: ShieldSource::Passed, report }
@@ -229,7 +235,7 @@
 
     /// Waits for the fetch that another read has begun. Servers know it by the id of that read's try, so that it uses
     /// none of this one's sends.
-    async fn await_joined(&self, done: FetchDone, until: Instant, whole: &Whole) -> Read {
+    async fn await_joined(&self, done: FetchDone, until: Instant, whole: &FullRequest) -> Read {
         match await_end(done, until).await {
             Ok(FetchEnd { fetched, report }) => {
                 let report = SendReport { used: 0, short: report.short };
@@ -240,7 +246,7 @@
     }
 
     /// What a fetch brings to all who wait for it.
-    fn read_of(&self, fetched: Fetched, whole: &Whole) -> Read {
+    fn read_of(&self, fetched: Fetched, whole: &FullRequest) -> Read {
         match fetched {
             Fetched::Copy(copy) => Read::of(&copy, &whole.head.headers, ShieldSource::Miss),
             Fetched::Other(failure) if !failure.status().is_success() => {
@@ -279,7 +285,7 @@
 }
 
 /// The route of a read and the name of its object; `None` where no route takes it.
-fn object_of<'a>(config: &'a Config, whole: &Whole) -> Option<(&'a Route, ObjectKey)> {
+fn object_of<'a>(config: &'a Config, whole: &FullRequest) -> Option<(&'a Route, ObjectKey)> {
     let path = whole.path_and_query();
     let route = config.route(whole.host(), whole.head.uri.path());
     let route = route.filter(|_| whole.head.method == Method::GET)?;
@@ -313,7 +319,7 @@
     words(words(0, host) ^ 1, path)
 }
 
-impl Follower for Shield {
+impl WatchHandler for Shield {
     fn config(&self, _config: &Arc<Config>) {}
 
     fn fleet(&self, fleet: &Fleet) {
@@ -394,7 +400,7 @@
 pub struct Serving(pub Rc<Shield>);
 
 impl Handler for Serving {
-    async fn answer(&self, whole: Whole) -> Answer {
+    async fn handle(&self, whole: FullRequest) -> FullResponse {
         let began = Instant::now();
         let Read { mut response, source, report } = self.0.read(&whole).await;
         response.set_shield_source(source);
@@ -416,7 +422,7 @@
         }
     }
 
-    fn leaving(&self) -> bool {
+    fn is_draining(&self) -> bool {
         self.0.feed.leaving()
     }
 }
--- a/glenfall/src/proxy/forward/attempts.rs
+++ b/glenfall/src/upstream/forward/attempts.rs
@@ -6,10 +6,10 @@
 use hyper::StatusCode;
 
 use super::{Outcome, Refusal, FULL, NONE};
-use crate::proxy::failure::{Cause, Failure};
-use crate::proxy::origins::End;
-use crate::proxy::pool::Trouble;
-use crate::proxy::response::ServerResponse;
+use crate::http::failure::{Cause, Failure};
+use crate::http::response::ServerResponse;
+use crate::upstream::origins::SendOutcome;
+use crate::upstream::pool::SendError;
 
 const NOT_RUN: HeaderName = HeaderName::from_static("x-glenfall-not-run");
 
@@ -111,12 +111,12 @@
     }
 
     /// Takes the end of a send, and says what it tells of the server.
-    pub fn ended(&mut self, ended: Result<ServerResponse, Trouble>) -> End {
+    pub fn ended(&mut self, ended: Result<ServerResponse, SendError>) -> SendOutcome {
         let (stage, event) = match &ended {
             Ok(reply) => (SendStage::Answering, event(reply)),
-            Err(Trouble::Unsent) => (SendStage::Unconnected, SendEvent::NoConnection),
-            Err(Trouble::Unknown) => (SendStage::Answering, SendEvent::Broken),
-            Err(Trouble::TimedOut) => (SendStage::Answering, SendEvent::TimedOut),
+            Err(SendError::NotSent) => (SendStage::Unconnected, SendEvent::NoConnection),
+            Err(SendError::NoResponse) => (SendStage::Answering, SendEvent::Broken),
+            Err(SendError::TimedOut) => (SendStage::Answering, SendEvent::TimedOut),
         };
         // What did not reach a server is still to be had under the ceiling.
         self.under_ceiling = event == SendEvent::NoConnection;
@@ -126,7 +126,7 @@
         self.ends.push(SendEnd { event, status });
         self.may_have_run |= match &ended {
             Ok(reply) => !says_not_run(reply),
-            Err(trouble) => *trouble != Trouble::Unsent,
+            Err(trouble) => *trouble != SendError::NotSent,
         };
         match (fate, ended) {
             // It has not been sent: what is known of it is what was known before.
@@ -138,13 +138,13 @@
             (_, Err(_)) => self.fallback = Outcome::Unknown(Cause::AnswerLost.into()),
         }
         match event {
-            SendEvent::NotRun if status == Some(StatusCode::MISDIRECTED_REQUEST) => End::Failed,
-            SendEvent::NotRun => End::TurnedAway,
+            SendEvent::NotRun if status == Some(StatusCode::MISDIRECTED_REQUEST) => SendOutcome::Failed,
+            SendEvent::NotRun => SendOutcome::Rejected,
             SendEvent::NoConnection | SendEvent::Broken | SendEvent::TimedOut | SendEvent::Malformed => {
-                End::Failed
+                SendOutcome::Failed
             }
-            _ if failure => End::Erred,
-            _ => End::Answered,
+            _ if failure => SendOutcome::ServerError,
+            _ => SendOutcome::Success,
         }
     }
 
--- a/glenfall/src/proxy/forward.rs
+++ b/glenfall/src/upstream/forward/mod.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall_control_plane::budget::RetryBudget;
-use glenfall_control_plane::ceiling::{max_queue_time, QuotaHolder, RateLimiter};
 use glenfall_control_plane::fleet::Fleet;
 use glenfall_control_plane::messages::ProxyRole;
+use glenfall_control_plane::rate_limit::{max_queue_time, QuotaHolder, RateLimiter};
+use glenfall_control_plane::retry_budget::RetryBudget;
 use glenfall_control_plane::Millis;
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -19,15 +19,15 @@
 use tokio::time::{sleep_until, Instant};
 
 use self::attempts::Attempts;
-use crate::boot::Boot;
+use crate::http::failure::{Cause, Failure};
+use crate::http::headers::DEADLINE;
+use crate::http::response::ServerResponse;
+use crate::http::send_budget::{Allowance, SendReport};
 use crate::metrics::counter::Counter;
-use crate::proxy::concurrency_limit::ConcurrencyLimits;
-use crate::proxy::failure::{Cause, Failure};
-use crate::proxy::origins::{Chosen, Origins};
-use crate::proxy::pool::{Pool, Trouble, Trust, ANSWER_TIME};
-use crate::proxy::response::ServerResponse;
-use crate::proxy::send_budget::{Allowance, SendReport};
-use crate::proxy::serve::DEADLINE;
+use crate::settings::Settings;
+use crate::upstream::concurrency_limit::ConcurrencyLimits;
+use crate::upstream::origins::{Chosen, OriginBalancer};
+use crate::upstream::pool::{Pool, SendError, UpstreamKind, ANSWER_TIME};
 
 const WANT_SERVER: HeaderName = HeaderName::from_static("x-glenfall-want-server");
 
@@ -99,7 +99,7 @@
     /// Connections to them.
     pub pool: Rc<Pool>,
     /// Which there are, and how they do.
-    pub origins: Origins,
+    pub origins: OriginBalancer,
     /// Retries that the service may still be sent.
     retry_budget: RefCell<RetryBudget>,
     ceiling: RefCell<RateLimiter>,
@@ -123,15 +123,15 @@
 
 impl Forwarder {
     /// A forwarder for one of the edges, or one of the shields.
-    pub fn new(pool: Rc<Pool>, boot: &Boot, sharers: ProxyRole) -> Self {
+    pub fn new(pool: Rc<Pool>, boot: &Settings, sharers: ProxyRole) -> Self {
         // What a shield fetches is large.
-        let origins = Origins::new(&boot.zone, sharers == ProxyRole::Shield, &boot.node);
+        let origins = OriginBalancer::new(&boot.zone, sharers == ProxyRole::Shield, &boot.node);
         let phase = origins.draw();
         Forwarder {
             pool,
             origins,
-            retry_budget: RefCell::new(RetryBudget::new(boot.further_tries())),
-            ceiling: RefCell::new(RateLimiter::new(boot.ceiling(), phase)),
+            retry_budget: RefCell::new(RetryBudget::new(boot.retry_budget())),
+            ceiling: RefCell::new(RateLimiter::new(boot.rate_limit(), phase)),
             limits: ConcurrencyLimits::default(),
             served: RefCell::default(),
             sharers,
@@ -313,7 +313,7 @@
         job: &UpstreamRequest<'_>,
         server: &Chosen,
         another: bool,
-    ) -> Result<ServerResponse, Trouble> {
+    ) -> Result<ServerResponse, SendError> {
         let began = Instant::now();
         let until = if another { began + (job.until - began) / 2 } else { job.until };
         let request = || {
@@ -328,6 +328,8 @@
         };
         let still = || self.origins.takes(&server.id);
         let whole_within = another.then_some(ANSWER_TIME);
-        self.pool.exchange_within(whole_within, server.addr.into(), request, until, Trust::Wary, still).await
+        self.pool
+            .exchange_within(whole_within, server.addr.into(), request, until, UpstreamKind::Origin, still)
+            .await
     }
 }
--- a/glenfall/src/proxy/origins.rs
+++ b/glenfall/src/upstream/origins/mod.rs
@@ -79,19 +79,19 @@
 
 /// How a request ended at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum SendOutcome {
     /// With a success, or an error that is the client's.
-    Answered,
+    Success,
     /// Answered with an error of its own. That says nothing of its speed: a server that fails all may do so at once.
-    Erred,
+    ServerError,
     /// Turned away: full, or not the one that was meant.
-    TurnedAway,
+    Rejected,
     /// No connection, or no answer that could be read.
     Failed,
 }
 
 /// The servers that are known, and how each has done.
-pub struct Origins {
+pub struct OriginBalancer {
     zone: String,
     /// Prefers servers of its own zone: what it fetches is large.
     near: bool,
@@ -100,13 +100,13 @@
     rng: RefCell<u64>,
 }
 
-impl Origins {
+impl OriginBalancer {
     /// `node` is the name of this machine: each draws in an order of its own, the same one every time.
     pub fn new(zone: &str, near: bool, node: &str) -> Self {
         let mark = edge_hash(node);
         let zone = zone.to_owned();
         let own_subsets = RefCell::new(OwnSubsets::new(mark));
-        Origins { zone, near, known: RefCell::default(), own_subsets, rng: RefCell::new(mark) }
+        OriginBalancer { zone, near, known: RefCell::default(), own_subsets, rng: RefCell::new(mark) }
     }
 
     /// Takes the servers of a fleet and the edges that share them; returns the addresses that take nothing more.
@@ -242,21 +242,21 @@
     }
 
     /// How a request ended at a server, and how long that took.
-    pub fn heard(&self, now: Instant, id: &str, end: End, took: Duration) {
+    pub fn heard(&self, now: Instant, id: &str, end: SendOutcome, took: Duration) {
         let mut known = self.known.borrow_mut();
         let Some(k) = known.get_mut(id) else { return };
         let failed = match end {
-            End::Answered => Some(0.0),
-            End::Erred | End::Failed => Some(1.0),
-            End::TurnedAway => None,
+            SendOutcome::Success => Some(0.0),
+            SendOutcome::ServerError | SendOutcome::Failed => Some(1.0),
+            SendOutcome::Rejected => None,
         };
         if let Some(failed) = failed {
             let before = k.failing_at(now);
             (k.failing, k.blamed) = (before + BLAME * (failed - before), now);
         }
         match end {
-            End::Erred => {}
-            End::Answered => {
+            SendOutcome::ServerError => {}
+            SendOutcome::Success => {
                 let took = took.as_secs_f64();
                 // The longer ago the last answer, the more the new one says.
                 let part = 1.0 - (1.0 - SMOOTH) * k.time_trust(now);
@@ -264,8 +264,8 @@
                 k.log_time = k.time.max(1e-6).ln();
                 k.timed = now;
             }
-            End::TurnedAway => k.rests_until = now + FULL,
-            End::Failed => k.rests_until = now + REST,
+            SendOutcome::Rejected => k.rests_until = now + FULL,
+            SendOutcome::Failed => k.rests_until = now + REST,
         }
     }
 
@@ -278,14 +278,14 @@
 
 /// A request at a server. Dropped without an end, its client has gone, which tells nothing of the server.
 pub struct InFlight<'a> {
-    origins: &'a Origins,
+    origins: &'a OriginBalancer,
     id: &'a str,
     began: Instant,
 }
 
 impl InFlight<'_> {
     /// It has ended like this.
-    pub fn ended(self, end: End) {
+    pub fn ended(self, end: SendOutcome) {
         let now = Instant::now();
         self.origins.heard(now, self.id, end, now - self.began);
     }
--- a/glenfall/src/proxy/pool.rs
+++ b/glenfall/src/upstream/pool.rs
@@ -16,9 +16,9 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-use crate::proxy::memory_budget::MemoryBudget;
-use crate::proxy::response::ServerResponse;
-use crate::proxy::serve::TRY_ID;
+use crate::http::headers::TRY_ID;
+use crate::http::response::ServerResponse;
+use crate::memory_budget::MemoryBudget;
 
 /// A connection not up by then is not waited for: the opening packet was lost, or the machine is dark.
 const CONNECT: Duration = Duration::from_millis(300);
@@ -41,11 +41,11 @@
 
 /// Why there is no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum SendError {
     /// No connection, or not all was written: it has not run.
-    Unsent,
+    NotSent,
     /// Written, and nothing that can be used came back: it may have run.
-    Unknown,
+    NoResponse,
     /// The same, as time ran out.
     TimedOut,
 }
@@ -58,12 +58,12 @@
 
 /// How far an idle connection is trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trust {
+pub enum UpstreamKind {
     /// The other side is ours: it closes what it forgets.
-    Ours,
+    Internal,
     /// A server may have forgotten it without a word, and what is sent on it is lost: the end of the request waits
     /// until that would have shown.
-    Wary,
+    Origin,
 }
 
 /// All connections that one process opens.
@@ -120,13 +120,13 @@
         self.idle.borrow().get(&addr).is_some_and(|idle| idle.iter().any(usable))
     }
 
-    fn take_idle(&self, addr: SocketAddr, trust: Trust) -> Option<Connection> {
+    fn take_idle(&self, addr: SocketAddr, trust: UpstreamKind) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let idle = idle.get_mut(&addr)?;
         let now = Instant::now();
         while let Some(last) = idle.pop() {
             if last.until > now && !last.connection.is_closed() {
-                if trust == Trust::Wary && now - last.since >= SURE {
+                if trust == UpstreamKind::Origin && now - last.since >= SURE {
                     last.connection.be_wary();
                 }
                 return Some(last.connection);
@@ -154,9 +154,9 @@
         addr: SocketAddr,
         request: impl Fn() -> Request<Full<Bytes>>,
         until: Instant,
-        trust: Trust,
+        trust: UpstreamKind,
         still: impl Fn() -> bool,
-    ) -> Result<ServerResponse, Trouble> {
+    ) -> Result<ServerResponse, SendError> {
         self.exchange_within(Some(ANSWER_TIME), addr, request, until, trust, still).await
     }
 
@@ -168,13 +168,13 @@
         addr: SocketAddr,
         request: impl Fn() -> Request<Full<Bytes>>,
         until: Instant,
-        trust: Trust,
+        trust: UpstreamKind,
         still: impl Fn() -> bool,
-    ) -> Result<ServerResponse, Trouble> {
+    ) -> Result<ServerResponse, SendError> {
         loop {
             let (mut connection, reused) = self.connection(addr, until, trust).await?;
             if !still() {
-                return Err(Trouble::Unsent);
+                return Err(SendError::NotSent);
             }
             let sent = RequestProgress::default();
             let ended = self.exchange_on(&mut connection, request(), &sent, whole_within, until).await;
@@ -197,9 +197,9 @@
                     let was_stale = reused && event == SendEvent::Broken;
                     match send::execution_status(stage, event, false) {
                         ExecutionStatus::NotRun if was_stale => {}
-                        ExecutionStatus::NotRun => return Err(Trouble::Unsent),
-                        _ if event == SendEvent::TimedOut => return Err(Trouble::TimedOut),
-                        _ => return Err(Trouble::Unknown),
+                        ExecutionStatus::NotRun => return Err(SendError::NotSent),
+                        _ if event == SendEvent::TimedOut => return Err(SendError::TimedOut),
+                        _ => return Err(SendError::NoResponse),
                     }
                 }
             }
@@ -211,14 +211,14 @@
         &self,
         addr: SocketAddr,
         until: Instant,
-        trust: Trust,
-    ) -> Result<(Connection, bool), Trouble> {
+        trust: UpstreamKind,
+    ) -> Result<(Connection, bool), SendError> {
         if let Some(idle) = self.take_idle(addr, trust) {
             return Ok((idle, true));
         }
         match timeout_at(until, self.connect(addr)).await {
             Ok(Some(new)) => Ok((new, false)),
-            _ => Err(Trouble::Unsent),
+            _ => Err(SendError::NotSent),
         }
     }
 
--- a/glenfall/src/proxy/feed.rs
+++ b/glenfall/src/watch_client.rs
@@ -14,16 +14,16 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep, Instant};
 
-use crate::boot::Boot;
 use crate::session::lease::HeldLease;
-use crate::session::link::{self, Frames, Outbox};
+use crate::session::link::{self, FrameReader, Outbox};
 use crate::session::subscriber;
+use crate::settings::Settings;
 
 /// Pause before the agent is called again: it starts beside the proxy, or has just been killed.
 const AGAIN: Duration = Duration::from_millis(100);
 
 /// What follows from news, for the proxy that it concerns.
-pub trait Follower {
+pub trait WatchHandler {
     /// A configuration is in force.
     fn config(&self, config: &Arc<Config>);
     /// The servers, shields and edges are these.
@@ -37,8 +37,8 @@
 }
 
 /// What a proxy has been told.
-pub struct Feed {
-    boot: Rc<Boot>,
+pub struct WatchClient {
+    boot: Rc<Settings>,
     proxy: ProxyRole,
     incarnation: u64,
     config: RefCell<Option<Arc<Config>>>,
@@ -53,10 +53,10 @@
     lease: HeldLease,
 }
 
-impl Feed {
+impl WatchClient {
     /// A proxy that knows nothing yet.
-    pub fn new(boot: Rc<Boot>, proxy: ProxyRole) -> Rc<Self> {
-        Rc::new(Feed {
+    pub fn new(boot: Rc<Settings>, proxy: ProxyRole) -> Rc<Self> {
+        Rc::new(WatchClient {
             boot,
             proxy,
             incarnation: crate::session::incarnation(),
@@ -109,8 +109,8 @@
 
     fn hello(&self) -> SubscriberMessage {
         let http = match self.proxy {
-            ProxyRole::Shield => self.boot.shield(),
-            ProxyRole::Edge => self.boot.listeners.http.unwrap_or(self.boot.shield()),
+            ProxyRole::Shield => self.boot.shield_address(),
+            ProxyRole::Edge => self.boot.listeners.http.unwrap_or(self.boot.shield_address()),
         };
         let member = Member {
             node: self.boot.node.clone(),
@@ -124,7 +124,7 @@
     }
 
     /// Takes what the agent says; false where it does not build on what is known.
-    pub fn hear(&self, down: PublisherMessage, follower: &impl Follower) -> bool {
+    pub fn hear(&self, down: PublisherMessage, follower: &impl WatchHandler) -> bool {
         match down {
             PublisherMessage::Push { update: news, .. } => self.take(news, follower),
             PublisherMessage::LeaseGranted { sent_at, duration: lasts } => {
@@ -140,7 +140,7 @@
     }
 
     /// Without contact there is no lease: another one is granted after all that was missed.
-    fn touch(&self, yes: bool, follower: &impl Follower) {
+    fn touch(&self, yes: bool, follower: &impl WatchHandler) {
         if !yes {
             self.lease.end();
         }
@@ -149,7 +149,7 @@
     }
 
     /// Takes what the agent tells; false where it does not build on what is known.
-    pub fn take(&self, news: Update, follower: &impl Follower) -> bool {
+    pub fn take(&self, news: Update, follower: &impl WatchHandler) -> bool {
         let was_ready = self.ready();
         match news {
             Update::Config { rev, document } => self.take_config(rev, &document, follower),
@@ -168,7 +168,7 @@
     }
 
     /// A shield has no agent beside it: the lists of a control node that has just started come here as they are.
-    fn take_fleet(&self, told: FleetUpdate, follower: &impl Follower) -> bool {
+    fn take_fleet(&self, told: FleetUpdate, follower: &impl WatchHandler) -> bool {
         match self.fleet.borrow_mut().apply_update(told) {
             Ok(None) => return true,
             Ok(Some(_)) => {}
@@ -183,7 +183,7 @@
         true
     }
 
-    fn take_config(&self, rev: u64, document: &[u8], follower: &impl Follower) {
+    fn take_config(&self, rev: u64, document: &[u8], follower: &impl WatchHandler) {
         // Never backwards in one life, whoever is asked.
         if rev <= *self.rev.borrow() {
             return;
@@ -201,15 +201,17 @@
     }
 
     /// Follows the agent for as long as the process runs.
-    pub async fn run(&self, follower: &impl Follower) {
+    pub async fn run(&self, follower: &impl WatchHandler) {
         loop {
-            if let Ok((read, write)) = link::open(self.boot.feed(), &ConnectionOpening::Session).await {
+            if let Ok((read, write)) =
+                link::open(self.boot.watch_address(), &ConnectionOpening::Session).await
+            {
                 let outbox = Outbox::start(write);
                 let take = async |down| self.hear(down, follower);
                 let (hello, now) = (|| self.hello(), || self.lease.now());
                 let report = || follower.report().into_iter().chain(link::report("")).collect();
                 tokio::select! {
-                    () = subscriber::follow(Frames::new(read), outbox.clone(), hello, now, &self.changed, take) => {}
+                    () = subscriber::follow(FrameReader::new(read), outbox.clone(), hello, now, &self.changed, take) => {}
                     () = subscriber::send_reports(&outbox, report) => {}
                 }
                 // Before anything else runs in this process: that the connection is closed says that no copy is served.
--- a/glenfall/tests/bounds.rs
+++ b/glenfall/tests/bounds.rs
@@ -4,11 +4,11 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
+use glenfall::cache::disk::{DiskCache, MOST_WAITING};
+use glenfall::cache::ObjectKey;
 use glenfall::control::purge_log::PurgeLog;
-use glenfall::proxy::cache::ObjectKey;
-use glenfall::shield::disk_cache::{DiskCache, MOST_WAITING};
 use glenfall_control_plane::messages::{AgedPurge, Purge, PurgeRecord, MAX_FRAME_BYTES};
-use glenfall_control_plane::purges::{PurgeHistory, MAX_PURGES};
+use glenfall_control_plane::purge_history::{PurgeHistory, MAX_PURGES};
 use hyper::header::HeaderMap;
 
 fn folder(name: &str) -> PathBuf {
--- a/glenfall/tests/hostile.rs
+++ b/glenfall/tests/hostile.rs
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall::boot::Boot;
-use glenfall::proxy::forward::{Forwarder, Outcome, UpstreamRequest};
-use glenfall::proxy::memory_budget::MemoryBudget;
-use glenfall::proxy::pool::Pool;
-use glenfall::proxy::serve::TRY_ID;
+use glenfall::http::headers::TRY_ID;
+use glenfall::memory_budget::MemoryBudget;
+use glenfall::settings::Settings;
+use glenfall::upstream::forward::{Forwarder, Outcome, UpstreamRequest};
+use glenfall::upstream::pool::Pool;
 use glenfall_control_plane::fleet::Fleet;
 use glenfall_control_plane::messages::{ProxyRole, Server};
 use hyper::header::{HeaderMap, HeaderValue};
@@ -352,7 +352,7 @@
 }
 
 fn way(servers: Vec<Server>) -> Forwarder {
-    let boot = Boot::parse(
+    let boot = Settings::parse(
         "node = \"n\"\nzone = \"z\"\nbindIp = \"127.0.0.1\"\nportRange = [1, 9]\nseedNodes = [\"127.0.0.1:1\"]\n\
          [listeners]\n[timing]\nretryRatio = 1.2\nretrySlack = 0\n",
     );
--- a/glenfall/tests/send_budget.rs
+++ b/glenfall/tests/send_budget.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use glenfall::edge::read_plan::{AskEnd, Next, ReadPlan, Verdict, MOST_ASKS};
-use glenfall::proxy::send_budget::{Allowance, SendBudget, SendReport, Usage, SENDS};
+use glenfall::http::send_budget::{Allowance, SendBudget, SendReport, Usage, SENDS};
 use glenfall_http_client::send::{SendEvent, SendSequence, SendStage};
 use hyper::header::{HeaderMap, HeaderValue};
 
--- a/glenfall/tests/sessions.rs
+++ b/glenfall/tests/sessions.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenfall::session::link::{self, Frames, Outbox};
+use glenfall::session::link::{self, FrameReader, Outbox};
 use glenfall::session::publisher::{Reach, Sessions};
 use glenfall_control_plane::messages::{ConnectionOpening, PublisherMessage, SubscriberMessage, Update};
 use tokio::net::TcpListener;
@@ -17,14 +17,14 @@
 const VAIN: Duration = Duration::from_millis(50);
 
 /// A follower that says hello, and takes and acknowledges nothing by itself.
-async fn follower(sessions: &Rc<Sessions>, node: &str) -> (Frames, Outbox<SubscriberMessage>) {
+async fn follower(sessions: &Rc<Sessions>, node: &str) -> (FrameReader, Outbox<SubscriberMessage>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let std::net::SocketAddr::V4(addr) = listener.local_addr().unwrap() else { unreachable!() };
     let serving = Rc::clone(sessions);
     spawn_local(async move {
         let (stream, _) = listener.accept().await.unwrap();
         let (read, write) = stream.into_split();
-        let mut frames = Frames::new(read);
+        let mut frames = FrameReader::new(read);
         frames.next::<ConnectionOpening>().await.unwrap();
         let greet = || (Vec::new(), Vec::new());
         serving
@@ -36,7 +36,7 @@
     let standing = sessions.seen().len();
     assert!(outbox.send(SubscriberMessage::Hello { node: node.into(), member: None }));
     until(|| sessions.seen().len() > standing).await;
-    (Frames::new(read), outbox)
+    (FrameReader::new(read), outbox)
 }
 
 async fn until(holds: impl Fn() -> bool) {
--- a/glenfall/tests/store.rs
+++ b/glenfall/tests/store.rs
@@ -11,7 +11,7 @@
 
 use glenfall::control::store::{create, path_in, Found, Store};
 use glenfall_control_plane::chain::{HardState, JointConfig, Record};
-use glenfall_control_plane::orders::{AppliedOrder, DeduplicationTable, IdempotencyKey};
+use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey};
 use recorder::{await_recorder, crashes, read_folder, record, say, write_folder, Files, Step};
 
 /// The test that is run as a process of its own, and followed.
--- a/glenfall/tests/unit/backlog.rs
+++ b/glenfall/tests/unit/backlog.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-use glenfall::backlog::{Backlog, Reserved, SharedCount};
+use glenfall::cache::backlog::{Backlog, Reserved, SharedCount};
 
 const MOST: usize = 100;
 
--- a/glenfall/tests/unit/backup.rs
+++ b/glenfall/tests/unit/backup.rs
@@ -2,7 +2,7 @@
 
 use glenfall::control::backup::{Backup, BackupError};
 use glenfall_control_plane::chain::{JointConfig, Record};
-use glenfall_control_plane::orders::{AppliedOrder, DeduplicationTable, IdempotencyKey};
+use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey};
 
 fn backup() -> Backup {
     let order = |(rev, byte)| AppliedOrder { rev, key: IdempotencyKey([byte; 32]) };
--- a/glenfall/tests/unit/boot.rs
+++ b/glenfall/tests/unit/boot.rs
@@ -1,6 +1,6 @@
 //! The settings file.
 
-use glenfall::boot::Boot;
+use glenfall::settings::Settings;
 
 const TEXT: &str = r#"
 node = "edge-1"
@@ -15,9 +15,9 @@
 
 #[test]
 fn unknown_fields_are_ignored_and_defaults_are_stated() {
-    let boot = Boot::parse(TEXT).unwrap();
-    assert_eq!((boot.beat_ms, boot.bootstrap, boot.feed().port()), (1500, false, 7722));
-    assert_eq!(boot.link([127, 0, 0, 9].into()).to_string(), "127.0.0.9:7720");
+    let boot = Settings::parse(TEXT).unwrap();
+    assert_eq!((boot.beat_ms, boot.bootstrap, boot.watch_address().port()), (1500, false, 7722));
+    assert_eq!(boot.link_address([127, 0, 0, 9].into()).to_string(), "127.0.0.9:7720");
 }
 
 #[test]
@@ -27,8 +27,8 @@
         let promise = format!("[survive]\nhosts = {hosts}\n[timing]\nsyncS = {sync_s}\n[listeners]");
         let text = TEXT.replace("[listeners]", &promise);
         std::fs::write(&file, &text).unwrap();
-        let checked = glenfall::operator::verbs::check(&file).map_err(|e| e.to_string());
-        let core = Boot::parse(&text).unwrap().core();
+        let checked = glenfall::operator::commands::check(&file).map_err(|e| e.to_string());
+        let core = Settings::parse(&text).unwrap().chain_settings();
         assert_eq!(core.is_ok(), checked.is_ok(), "{checked:?}");
         checked.map(|_| core.unwrap().losses)
     };
@@ -55,7 +55,7 @@
         ("[listeners]", "[timing]\nretrySlack = -1\n[listeners]", "timing.retrySlack: a number"),
         ("zone = \"z\"", "zone = \"z", "line 3"),
     ] {
-        let why = Boot::parse(&TEXT.replace(from, to)).expect_err(from);
+        let why = Settings::parse(&TEXT.replace(from, to)).expect_err(from);
         assert!(why.contains(told) && !why.contains('\n'), "{from}: {why}");
     }
 }
@@ -63,7 +63,7 @@
 #[test]
 fn each_setting_of_version_0_3_0_is_read() {
     let text = include_str!("../fixtures/v0.3.0/settings.toml");
-    let boot = Boot::parse(text).expect("settings");
+    let boot = Settings::parse(text).expect("settings");
     assert_eq!(
         (boot.node.as_str(), boot.zone.as_str(), boot.bind_ip.to_string().as_str()),
         ("core-1", "north", "127.0.0.2")
@@ -74,8 +74,8 @@
     );
     assert_eq!((boot.port_range, boot.bootstrap, boot.beat_ms, boot.voter), ((7720, 7735), true, 1250, true));
     assert_eq!(boot.state_dir.as_deref(), Some(std::path::Path::new("/var/lib/glenfall")));
-    assert_eq!(boot.feed().to_string(), "127.0.0.5:7722");
-    assert_eq!(boot.listener(boot.shield()).to_string(), "127.0.0.6:7721");
+    assert_eq!(boot.watch_address().to_string(), "127.0.0.5:7722");
+    assert_eq!(boot.listen_address(boot.shield_address()).to_string(), "127.0.0.6:7721");
     assert_eq!(boot.survive.hosts, 2);
     let listeners = [boot.listeners.http, boot.listeners.ready_addr, boot.listeners.control_addr];
     let expected = [81, 82, 83].map(|port| Some(format!("127.0.0.2:{port}")));
@@ -83,11 +83,11 @@
     let limits = &boot.req_limits;
     assert_eq!((limits.mem_mb, limits.max_fds, limits.disk_mb), (300, 2000, 400));
     assert_eq!((boot.timing.grace_s, boot.timing.sync_s), (7.5, 6.0));
-    let retries = boot.further_tries();
+    let retries = boot.retry_budget();
     assert_eq!((retries.ratio, retries.window, retries.slack), (0.3, 12_000, 70.0));
-    let rate = boot.ceiling();
+    let rate = boot.rate_limit();
     assert_eq!((rate.window, rate.over), (8000, 1.2));
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/v0.3.0/settings.toml");
-    let checked = glenfall::operator::verbs::check(std::path::Path::new(file));
+    let checked = glenfall::operator::commands::check(std::path::Path::new(file));
     assert_eq!(checked.expect("accepted"), "settings of core-1 in zone north");
 }
--- a/glenfall/tests/unit/cache.rs
+++ b/glenfall/tests/unit/cache.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall::proxy::cache::{Cache, Copy, OVERHEAD};
-use glenfall::proxy::response::ServerResponse;
+use glenfall::cache::{Cache, Copy, OVERHEAD};
+use glenfall::http::response::ServerResponse;
 use glenfall_control_plane::messages::{AgedPurge, Purge};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::response::Parts;
--- a/glenfall/tests/unit/concurrency_limit.rs
+++ b/glenfall/tests/unit/concurrency_limit.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use glenfall::proxy::concurrency_limit::{Admitted, ConcurrencyLimits, MOST};
+use glenfall::upstream::concurrency_limit::{Admitted, ConcurrencyLimits, MOST};
 use tokio::time::Instant;
 
 const AIM: Duration = Duration::from_millis(250);
--- a/glenfall/tests/unit/deadlines.rs
+++ b/glenfall/tests/unit/deadlines.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use glenfall::edge;
-use glenfall::proxy::memory_budget::MemoryBudget;
-use glenfall::proxy::pool::Pool;
-use glenfall::proxy::serve::Handler;
+use glenfall::http_server::Handler;
+use glenfall::memory_budget::MemoryBudget;
+use glenfall::upstream::pool::Pool;
 use glenfall_control_plane::messages::Server;
 use tokio::sync::watch;
 use tokio::task::{JoinSet, LocalSet};
@@ -59,7 +59,7 @@
             Request::Write => request("POST", "/w/x", "t"),
         };
         let began = Instant::now();
-        edge::Serving(edge).answer(whole).await;
+        edge::Serving(edge).handle(whole).await;
         began.elapsed()
     }
 }
--- a/glenfall/tests/unit/declare.rs
+++ b/glenfall/tests/unit/declare.rs
@@ -1,6 +1,6 @@
 //! The configuration as files.
 
-use glenfall::operator::declare::{write, DeclareError, Declared};
+use glenfall::operator::declarative_config::{write, DeclareError, Declared};
 
 use crate::support::Folder;
 
--- a/glenfall/tests/unit/disk_cache.rs
+++ b/glenfall/tests/unit/disk_cache.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use bytes::Bytes;
-use glenfall::shield::disk_cache::{since_written, DiskCache, FILE, MOST_ENTRIES, MOST_WAITING};
+use glenfall::cache::disk::{since_written, DiskCache, FILE, MOST_ENTRIES, MOST_WAITING};
 use hyper::header::{HeaderMap, HeaderValue};
 use rusqlite::Connection;
 
--- a/glenfall/tests/unit/edge.rs
+++ b/glenfall/tests/unit/edge.rs
@@ -5,10 +5,10 @@
 
 use bytes::Bytes;
 use glenfall::edge::{Edge, MOST_PURGED, PURGED};
-use glenfall::proxy::feed::{Feed, Follower};
-use glenfall::proxy::memory_budget::MemoryBudget;
-use glenfall::proxy::pool::Pool;
-use glenfall::proxy::response::ServerResponse;
+use glenfall::http::response::ServerResponse;
+use glenfall::memory_budget::MemoryBudget;
+use glenfall::upstream::pool::Pool;
+use glenfall::watch_client::{WatchClient, WatchHandler};
 use glenfall_control_plane::messages::{AgedPurge, ProxyRole, PublisherMessage, Purge, Update};
 use hyper::header::HeaderValue;
 use hyper::Response;
@@ -16,14 +16,14 @@
 
 use crate::support::{object, settings};
 
-fn edge() -> (Rc<Edge>, Rc<Feed>) {
+fn edge() -> (Rc<Edge>, Rc<WatchClient>) {
     let boot = Rc::new(settings(""));
-    let feed = Feed::new(Rc::clone(&boot), ProxyRole::Edge);
+    let feed = WatchClient::new(Rc::clone(&boot), ProxyRole::Edge);
     (Edge::new(&boot, Rc::clone(&feed), Pool::new(8, MemoryBudget::new(1 << 20))), feed)
 }
 
 /// In touch, and with a lease that lasts so long from the start of the test on.
-fn in_touch(edge: &Edge, feed: &Feed, lasts: Duration) {
+fn in_touch(edge: &Edge, feed: &WatchClient, lasts: Duration) {
     assert!(feed.hear(PublisherMessage::Push { number: 1, update: Update::Connected(true) }, edge));
     assert!(
         feed.hear(PublisherMessage::LeaseGranted { sent_at: 0, duration: lasts.as_millis() as u64 }, edge)
--- a/glenfall/tests/unit/failure.rs
+++ b/glenfall/tests/unit/failure.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use glenfall::http::failure::{Cause, Failure};
 use glenfall::metrics::log_limit::LogLimit;
-use glenfall::proxy::failure::{Cause, Failure};
 use hyper::header::HeaderValue;
 use tokio::time::{advance, Instant};
 
--- a/glenfall/tests/unit/forward.rs
+++ b/glenfall/tests/unit/forward.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall::proxy::forward::{Forwarder, Outcome, UpstreamRequest};
-use glenfall::proxy::memory_budget::MemoryBudget;
-use glenfall::proxy::pool::Pool;
-use glenfall::proxy::serve::TRY_ID;
-use glenfall_control_plane::ceiling::QuotaHolder;
+use glenfall::http::headers::TRY_ID;
+use glenfall::memory_budget::MemoryBudget;
+use glenfall::upstream::forward::{Forwarder, Outcome, UpstreamRequest};
+use glenfall::upstream::pool::Pool;
 use glenfall_control_plane::fleet::Fleet;
 use glenfall_control_plane::messages::{ProxyRole, Server};
+use glenfall_control_plane::rate_limit::QuotaHolder;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, Uri};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/glenfall/tests/unit/gone.rs
+++ b/glenfall/tests/unit/gone.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use glenfall::edge;
-use glenfall::proxy::serve::{serve_at, Terms};
+use glenfall::http_server::{serve_at, ServerConfig};
 use glenfall_control_plane::messages::Server;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -71,7 +71,13 @@
     let (listener, address) = listener().await;
     let (running, stopping) = watch::channel(false);
     let (still_accepting, grace) = (Duration::ZERO, Duration::ZERO);
-    let terms = Terms { listen: address, most: 64, most_bodies: 1 << 20, still_accepting, grace };
+    let terms = ServerConfig {
+        listen: address,
+        max_connections: 64,
+        max_body_bytes: 1 << 20,
+        drain_accept_time: still_accepting,
+        grace,
+    };
     spawn_local(serve_at(listener, terms, Rc::new(edge::Serving(edge)), stopping));
     Path { edge: address, seen, _running: running }
 }
--- a/glenfall/tests/unit/handed.rs
+++ b/glenfall/tests/unit/handed.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use glenfall::edge::{self, Edge};
-use glenfall::proxy::serve::{Handler, Whole};
+use glenfall::http_server::{FullRequest, Handler};
 use glenfall_control_plane::messages::Server;
 use hyper::StatusCode;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -77,11 +77,11 @@
 }
 
 /// The status of the answer to a request, and how long its client waited.
-fn ask(edge: &Rc<Edge>, whole: Whole) -> JoinHandle<(StatusCode, Duration)> {
+fn ask(edge: &Rc<Edge>, whole: FullRequest) -> JoinHandle<(StatusCode, Duration)> {
     let edge = Rc::clone(edge);
     spawn_local(async move {
         let began = Instant::now();
-        let answer = edge::Serving(edge).answer(whole).await;
+        let answer = edge::Serving(edge).handle(whole).await;
         (answer.status(), began.elapsed())
     })
 }
--- a/glenfall/tests/unit/memory_budget.rs
+++ b/glenfall/tests/unit/memory_budget.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall::proxy::memory_budget::{MemoryBudget, UNIT};
+use glenfall::memory_budget::{MemoryBudget, UNIT};
 use tokio::time::timeout;
 
 #[tokio::test(start_paused = true)]
--- a/glenfall/tests/unit/ops.rs
+++ b/glenfall/tests/unit/ops.rs
@@ -1,6 +1,6 @@
 //! What the operator's verbs say without a running core.
 
-use glenfall::operator::verbs::check;
+use glenfall::operator::commands::check;
 
 use crate::support::Folder;
 
--- a/glenfall/tests/unit/pool.rs
+++ b/glenfall/tests/unit/pool.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall::proxy::memory_budget::MemoryBudget;
-use glenfall::proxy::pool::{kept_for, Pool, Trouble, Trust, KEPT, SURE};
+use glenfall::memory_budget::MemoryBudget;
+use glenfall::upstream::pool::{kept_for, Pool, SendError, UpstreamKind, KEPT, SURE};
 use http_body_util::Full;
 use hyper::header::HeaderMap;
 use hyper::{Method, Request, Uri};
@@ -31,8 +31,8 @@
     addr: SocketAddr,
     method: Method,
     body: &'static str,
-    trust: Trust,
-) -> Result<String, Trouble> {
+    trust: UpstreamKind,
+) -> Result<String, SendError> {
     let request = || {
         let mut request = Request::new(Full::new(Bytes::from_static(body.as_bytes())));
         *request.method_mut() = method.clone();
@@ -70,7 +70,11 @@
 }
 
 /// What two requests get, one after the other.
-async fn two(answer: &'static str, unasked: &'static str, trust: Trust) -> [Result<String, Trouble>; 2] {
+async fn two(
+    answer: &'static str,
+    unasked: &'static str,
+    trust: UpstreamKind,
+) -> [Result<String, SendError>; 2] {
     let (pool, addr) = (pool(), server(answer, unasked).await);
     let mut got = Vec::new();
     for _ in 0..2 {
@@ -98,10 +102,10 @@
             ("a 1xx before", informed, "", [ok("first"), ok("later")]),
             ("a 1xx late", FIRST, "HTTP/1.1 100 Continue\r\n\r\n", [ok("first"), ok("later")]),
             ("longer than it says", longer, "", [ok("first"), ok("later")]),
-            ("shorter than it says", shorter, "", [Err(Trouble::Unknown), ok("later")]),
-            ("no length", neither, "", [Err(Trouble::Unknown), ok("later")]),
+            ("shorter than it says", shorter, "", [Err(SendError::NoResponse), ok("later")]),
+            ("no length", neither, "", [Err(SendError::NoResponse), ok("later")]),
         ] {
-            for trust in [Trust::Ours, Trust::Wary] {
+            for trust in [UpstreamKind::Internal, UpstreamKind::Origin] {
                 assert_eq!(two(answer, unasked, trust).await, got, "{case}, {trust:?}");
             }
         }
@@ -112,7 +116,7 @@
 #[test]
 fn an_answer_without_a_length_is_whole_once_its_connection_has_ended_in_order() {
     run_local(async {
-        for (end, got) in [("close", Ok("first".to_owned())), ("reset", Err(Trouble::Unknown))] {
+        for (end, got) in [("close", Ok("first".to_owned())), ("reset", Err(SendError::NoResponse))] {
             let connection = move |mut stream: TcpStream| async move {
                 let mut heard = Vec::new();
                 while !heard.ends_with(b"\r\n\r\n") && stream.read_buf(&mut heard).await.is_ok_and(|n| n > 0)
@@ -126,7 +130,7 @@
                 }
             };
             let (pool, addr) = (pool(), stand_in(connection).await.into());
-            assert_eq!(exchanged(&pool, addr, Method::GET, "", Trust::Wary).await, got, "{end}");
+            assert_eq!(exchanged(&pool, addr, Method::GET, "", UpstreamKind::Origin).await, got, "{end}");
             assert!(!pool.is_warm(addr), "{end}: its connection is over");
         }
     });
@@ -161,9 +165,9 @@
     run_local(async {
         for (trust, got) in [
             // The reset comes before the last byte goes.
-            (Trust::Wary, Ok("first".to_owned())),
+            (UpstreamKind::Origin, Ok("first".to_owned())),
             // Sent whole at once, it may have run.
-            (Trust::Ours, Err(Trouble::Unknown)),
+            (UpstreamKind::Internal, Err(SendError::NoResponse)),
         ] {
             let whole = Rc::new(Cell::new(0));
             let (pool, addr) = (pool(), forgetful(Rc::clone(&whole)).await);
@@ -211,7 +215,7 @@
                 stream.write_all(answer.as_bytes()).await.expect("it is read");
                 stream
             };
-            let asked = exchanged(&pool, addr, Method::GET, "", Trust::Ours);
+            let asked = exchanged(&pool, addr, Method::GET, "", UpstreamKind::Internal);
             let (body, mut stream) = tokio::join!(asked, served);
             assert_eq!(body, Ok("ok".to_owned()));
             assert!(pool.is_warm(addr));
--- a/glenfall/tests/unit/proxies.rs
+++ b/glenfall/tests/unit/proxies.rs
@@ -10,11 +10,11 @@
 
 use bytes::Bytes;
 use glenfall::edge::Edge;
-use glenfall::proxy::feed::{Feed, Follower};
-use glenfall::proxy::memory_budget::MemoryBudget;
-use glenfall::proxy::pool::Pool;
-use glenfall::proxy::serve::{serve_at, Terms, Whole};
+use glenfall::http_server::{serve_at, FullRequest, ServerConfig};
+use glenfall::memory_budget::MemoryBudget;
 use glenfall::shield::{self, Shield};
+use glenfall::upstream::pool::Pool;
+use glenfall::watch_client::{WatchClient, WatchHandler};
 use glenfall_control_plane::fleet::{Fleet, FleetUpdate};
 use glenfall_control_plane::messages::{Member, ProxyRole, PublisherMessage, Server, Update};
 use hyper::Request;
@@ -146,7 +146,7 @@
 }
 
 /// Tells a proxy what control would.
-fn tell(feed: &Feed, follower: &impl Follower, fleet: &Fleet) {
+fn tell(feed: &WatchClient, follower: &impl WatchHandler, fleet: &Fleet) {
     assert!(feed.take(Update::Config { rev: 1, document: document() }, follower));
     assert!(feed.take(Update::Fleet(FleetUpdate::Snapshot { version: 1, fleet: fleet.clone() }), follower));
     assert!(feed.take(Update::Connected(true), follower));
@@ -169,9 +169,9 @@
     servers: &[Server],
     shields: &[SocketAddrV4],
     pool: Rc<Pool>,
-) -> (Rc<Edge>, Rc<Feed>) {
+) -> (Rc<Edge>, Rc<WatchClient>) {
     let boot = Rc::new(settings(&format!("{SETTINGS}{timing}")));
-    let feed = Feed::new(Rc::clone(&boot), ProxyRole::Edge);
+    let feed = WatchClient::new(Rc::clone(&boot), ProxyRole::Edge);
     let edge = Edge::new(&boot, Rc::clone(&feed), pool);
     tell(&feed, &*edge, &fleet(servers, shields));
     sleep(RETRY_WINDOW).await;
@@ -179,12 +179,12 @@
 }
 
 /// A request as an edge has read it, of a client that waits for longer than any route allows.
-pub fn request(method: &str, path: &str, id: &str) -> Whole {
+pub fn request(method: &str, path: &str, id: &str) -> FullRequest {
     request_within(2 * DEADLINE, method, path, id)
 }
 
 /// A request of a client that waits for so long.
-pub fn request_within(deadline: Duration, method: &str, path: &str, id: &str) -> Whole {
+pub fn request_within(deadline: Duration, method: &str, path: &str, id: &str) -> FullRequest {
     let request = Request::builder()
         .method(method)
         .uri(path)
@@ -192,13 +192,13 @@
         .header("X-Glenfall-Try-Id", id)
         .header("X-Glenfall-Deadline", deadline.as_millis().to_string());
     let (head, ()) = request.body(()).expect("a request").into_parts();
-    Whole { head, body: Bytes::new() }
+    FullRequest { head, body: Bytes::new() }
 }
 
 /// Starts a shield, and returns where it takes reads.
 async fn start_shield(is_told: bool, servers: &[Server], stopping: &watch::Receiver<bool>) -> SocketAddrV4 {
     let boot = Rc::new(settings(SETTINGS));
-    let feed = Feed::new(Rc::clone(&boot), ProxyRole::Shield);
+    let feed = WatchClient::new(Rc::clone(&boot), ProxyRole::Shield);
     let shield = Shield::new(&boot, Rc::clone(&feed), pool());
     if is_told {
         tell(&feed, &*shield, &fleet(servers, &[]));
@@ -215,7 +215,13 @@
     stopping: &watch::Receiver<bool>,
 ) {
     let (still_accepting, grace) = (Duration::ZERO, Duration::ZERO);
-    let terms = Terms { listen, most: 64, most_bodies: 0, still_accepting, grace };
+    let terms = ServerConfig {
+        listen,
+        max_connections: 64,
+        max_body_bytes: 0,
+        drain_accept_time: still_accepting,
+        grace,
+    };
     spawn_local(serve_at(listener, terms, Rc::new(shield::Serving(shield)), stopping.clone()));
 }
 
@@ -239,9 +245,13 @@
     }
 
     /// The same, with what feeds it.
-    pub fn start_fed(self, servers: &[Server], stopping: &watch::Receiver<bool>) -> (Rc<Shield>, Rc<Feed>) {
+    pub fn start_fed(
+        self,
+        servers: &[Server],
+        stopping: &watch::Receiver<bool>,
+    ) -> (Rc<Shield>, Rc<WatchClient>) {
         let boot = Rc::new(settings(SETTINGS));
-        let feed = Feed::new(Rc::clone(&boot), ProxyRole::Shield);
+        let feed = WatchClient::new(Rc::clone(&boot), ProxyRole::Shield);
         let shield = Shield::new(&boot, Rc::clone(&feed), pool());
         tell(&feed, &*shield, &fleet(servers, &[]));
         let listener = self.socket.listen(64).expect("it listens");
--- a/glenfall/tests/unit/purge_log.rs
+++ b/glenfall/tests/unit/purge_log.rs
@@ -2,7 +2,7 @@
 
 use glenfall::control::purge_log::{PurgeLog, CLOCK_OFF};
 use glenfall_control_plane::messages::{Purge, PurgeRecord};
-use glenfall_control_plane::purges::PURGE_RETENTION;
+use glenfall_control_plane::purge_history::PURGE_RETENTION;
 
 use crate::support::{copy_files, Folder};
 
--- a/glenfall/tests/unit/restarted.rs
+++ b/glenfall/tests/unit/restarted.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use glenfall::edge::{self, Edge};
-use glenfall::proxy::feed::Follower;
-use glenfall::proxy::serve::Handler;
+use glenfall::http_server::Handler;
 use glenfall::shield::Shield;
+use glenfall::watch_client::WatchHandler;
 use glenfall_control_plane::fleet::FleetUpdate;
 use glenfall_control_plane::messages::{PublisherMessage, Update};
 use hyper::StatusCode;
@@ -31,7 +31,7 @@
 }
 
 async fn read(edge: &Rc<Edge>, path: &str) -> StatusCode {
-    edge::Serving(Rc::clone(edge)).answer(request("GET", path, "t")).await.status()
+    edge::Serving(Rc::clone(edge)).handle(request("GET", path, "t")).await.status()
 }
 
 /// A path whose home is the second of two shields.
--- a/glenfall/tests/unit/serve.rs
+++ b/glenfall/tests/unit/serve.rs
@@ -5,7 +5,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenfall::proxy::serve::{passed_on, plain, serve_at, Answer, Handler, Terms, Whole};
+use glenfall::http::headers::passed_on;
+use glenfall::http_server::{plain_response, serve_at, FullRequest, FullResponse, Handler, ServerConfig};
 use glenfall_control_plane::config::RequestLimits;
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
@@ -24,12 +25,12 @@
 }
 
 impl Handler for Lengths {
-    async fn answer(&self, whole: Whole) -> Answer {
+    async fn handle(&self, whole: FullRequest) -> FullResponse {
         if whole.path_and_query() == "/held" {
             self.held.notify_one();
             std::future::pending::<()>().await;
         }
-        let mut answer = plain(StatusCode::OK, "");
+        let mut answer = plain_response(StatusCode::OK, "");
         answer.headers_mut().insert("x-length", HeaderValue::from(whole.body.len()));
         answer
     }
@@ -38,7 +39,7 @@
         self.limits.get()
     }
 
-    fn leaving(&self) -> bool {
+    fn is_draining(&self) -> bool {
         false
     }
 }
@@ -55,7 +56,13 @@
     let (listener, listen) = listener().await;
     let (stop, stopping) = watch::channel(false);
     let (still_accepting, grace) = (Duration::ZERO, Duration::ZERO);
-    let terms = Terms { listen, most: 2, most_bodies: 5000, still_accepting, grace };
+    let terms = ServerConfig {
+        listen,
+        max_connections: 2,
+        max_body_bytes: 5000,
+        drain_accept_time: still_accepting,
+        grace,
+    };
     let handler = Rc::new(Lengths { limits: Cell::new(limits), held: Notify::new() });
     spawn_local(serve_at(listener, terms, Rc::clone(&handler), stopping));
     (handler, listen, stop)
--- a/glenfall/tests/unit/store.rs
+++ b/glenfall/tests/unit/store.rs
@@ -6,7 +6,7 @@
 
 use glenfall::control::store::{path_in, start, verify, Found, Store};
 use glenfall_control_plane::chain::{HardState, JointConfig, Record};
-use glenfall_control_plane::orders::{
+use glenfall_control_plane::deduplication::{
     AppliedOrder, DeduplicationTable, IdempotencyKey, CHUNK, MAX_APPLIED_ORDERS,
 };
 use rusqlite::Connection;
--- a/glenfall/tests/unit/stored_data.rs
+++ b/glenfall/tests/unit/stored_data.rs
@@ -9,13 +9,13 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use bytes::Bytes;
+use glenfall::cache::disk::{DiskCache, FILE as COPIES};
 use glenfall::control::backup::Backup;
 use glenfall::control::purge_log::{PurgeLog, CLOCK_OFF};
 use glenfall::control::store::{self, Found, Store};
-use glenfall::shield::disk_cache::{DiskCache, FILE as COPIES};
 use glenfall_control_plane::chain::{HardState, JointConfig, Record};
+use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey, CHUNK};
 use glenfall_control_plane::messages::{Purge, PurgeRecord};
-use glenfall_control_plane::orders::{AppliedOrder, DeduplicationTable, IdempotencyKey, CHUNK};
 use hyper::header::{HeaderMap, HeaderValue};
 use rusqlite::Connection;
 
--- a/glenfall/tests/unit/support.rs
+++ b/glenfall/tests/unit/support.rs
@@ -5,8 +5,8 @@
 use std::ops::Deref;
 use std::path::{Path, PathBuf};
 
-use glenfall::boot::Boot;
-use glenfall::proxy::cache::ObjectKey;
+use glenfall::cache::ObjectKey;
+use glenfall::settings::Settings;
 use glenfall_control_plane::messages::Server;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, LocalSet};
@@ -78,10 +78,10 @@
 }
 
 /// Settings of a node, with more lines at their end.
-pub fn settings(more: &str) -> Boot {
+pub fn settings(more: &str) -> Settings {
     let text = "node = \"n\"\nzone = \"z\"\nbindIp = \"127.0.0.1\"\nportRange = [1, 9]\n\
                 seedNodes = [\"127.0.0.1:1\"]\n[listeners]\n";
-    Boot::parse(&format!("{text}{more}")).expect("settings")
+    Settings::parse(&format!("{text}{more}")).expect("settings")
 }
 
 /// A server of the service `s`, ready and warm.
--- a/glenfall/tests/unit/tries.rs
+++ b/glenfall/tests/unit/tries.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 
 use glenfall::edge;
-use glenfall::proxy::serve::Handler;
+use glenfall::http_server::Handler;
 use glenfall::shield::object_hash;
 use glenfall_balancer::{Key, ServerId, Shields};
 use glenfall_control_plane::messages::Server;
@@ -58,7 +58,7 @@
         let edge = start_edge(servers, &shields, pool()).await;
         let began = Instant::now();
         let path = path_at_first(&shields, self.tries);
-        let answer = edge::Serving(edge).answer(request("GET", &path, id)).await;
+        let answer = edge::Serving(edge).handle(request("GET", &path, id)).await;
         sleep_until(began + ALL_SENT).await;
         answer.status()
     }
