--- a/control-plane/src/ids.rs
+++ b/control-plane/src/ids.rs
@@ -1,14 +1,15 @@
-//! Identifiers that several modules share. Depends on no other module of this crate.
+//! Identifiers that several modules use. This module depends on no other module of the crate.
 
 use std::net::Ipv4Addr;
 
 use serde::{Deserialize, Serialize};
 
-/// A control node, named by its address.
+/// A control node, identified by its address.
 pub type NodeId = Ipv4Addr;
 
-/// Correlation id of a request among all that the processes of one machine have ever sent: numbers begin anew with
-/// each process, so that the response to a request of an earlier process must not be taken for one of this.
+/// Correlation id of a request, unique among all that the processes of one machine ever send. Numbers begin anew with each
+/// process; the incarnation keeps the response to a request of an earlier process from being mistaken for one of this
+/// process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId {
     /// Incarnation of the process that sent the request.
--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -12,7 +12,6 @@
 pub mod invariant;
 pub mod known_fleet;
 pub mod lease;
-#[allow(missing_docs)]
 pub mod messages;
 pub mod nodes;
 #[allow(missing_docs)]
@@ -20,7 +19,6 @@
 #[allow(missing_docs)]
 pub mod rate_limit;
 pub mod record;
-#[allow(missing_docs)]
 pub mod registry;
 #[allow(missing_docs)]
 pub mod retry_budget;
--- a/control-plane/src/nodes.rs
+++ b/control-plane/src/nodes.rs
@@ -1,5 +1,5 @@
-//! Proxies and origin servers, as control describes them to the other processes. Depends on no other module of this
-//! crate.
+//! Proxies and origin servers, as control nodes describe them to other processes. This module depends on no other module of
+//! the crate.
 
 use std::net::SocketAddrV4;
 
@@ -8,13 +8,13 @@
 /// The role of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProxyRole {
-    /// Takes clients' requests.
+    /// Accepts the requests of clients.
     Edge,
-    /// Caches answers of the origin servers.
+    /// Caches responses of the origin servers for the edges.
     Shield,
 }
 
-/// A proxy, as it describes itself in its session.
+/// A proxy, as it describes itself on its session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Name of its machine.
@@ -23,29 +23,29 @@
     pub zone: String,
     /// Its role.
     pub proxy: ProxyRole,
-    /// Where a shield takes reads.
+    /// Address where a shield accepts the requests of edges.
     pub http: SocketAddrV4,
-    /// It takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// Tells this process from the last one on its machine.
+    /// Distinguishes this process from the earlier ones on its machine.
     pub incarnation: u64,
 }
 
 /// An origin server, as proxies know it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Its id, unique among all servers.
+    /// Id of the server, unique among all servers.
     pub id: String,
-    /// Name of its service.
+    /// Name of the server's service.
     pub backend: String,
-    /// Where it takes requests.
+    /// Address where the server accepts requests.
     pub addr: SocketAddrV4,
-    /// Zone of its machine.
+    /// Zone of the server's machine.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Number of requests that the server processes concurrently.
     pub capacity: u32,
-    /// It takes requests.
+    /// Whether the server accepts new requests.
     pub ready: bool,
-    /// How much longer it is slow from its start.
+    /// Remaining time of the server's slow start, in milliseconds.
     pub warmup_left_ms: u64,
 }
--- /dev/null
+++ b/control-plane/src/registry/mod.rs
@@ -0,0 +1,321 @@
+//! Registry of the origin servers that one control node knows, built from their heartbeats.
+//!
+//! The registry is soft state: it is not stored, and a node that restarts rebuilds it from heartbeats. Each control node
+//! sends its peers what it receives. A server expires when no heartbeat of it arrived for [`MISSED_HEARTBEATS`] intervals;
+//! time during which this node could not accept heartbeats does not count (see `acceptance`). After a downtime of a
+//! heartbeat interval or more the registry is incomplete until this node has accepted heartbeats for as long as a server
+//! takes to expire.
+//!
+//! Calls of a server may overtake each other, and a peer that was stopped or partitioned sends old entries. Three rules keep
+//! such messages from reviving a server:
+//!
+//! - A deregistered server stays as a tombstone, which no later entry replaces.
+//! - The sequence number of an expired server's last call is remembered, and only a later call registers it again.
+//! - An address belongs to the server that was observed there last.
+
+mod acceptance;
+mod entry;
+
+use std::collections::BTreeMap;
+use std::net::SocketAddrV4;
+
+use crate::nodes::Server;
+use crate::Millis;
+use acceptance::HeartbeatAcceptance;
+
+pub use entry::{EntryStatus, HeartbeatRequest, ObservedServer, ServerEntry, Status};
+
+/// A server expires after so many heartbeat intervals without a heartbeat: one may be lost, and a second one delayed.
+const MISSED_HEARTBEATS: u64 = 4;
+/// Bound of the entries, tombstones included; heartbeats of further servers are rejected.
+pub const MAX_SERVERS: usize = 4096;
+/// Bound of the tombstones that are made for unknown ids. The rest of the registry is left to servers, whatever ids callers
+/// deregister.
+const MAX_ENTRIES_FOR_UNKNOWN_TOMBSTONE: usize = MAX_SERVERS / 2;
+/// How long a tombstone is retained, as the last heartbeats of its server may still be in transit.
+const TOMBSTONE_RETENTION: Millis = 60_000;
+
+/// How an observation has changed the registry.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HeartbeatOutcome {
+    /// The server is new, or differs in a field that proxies use: proxies have to be notified.
+    Changed,
+    /// The server is alive and otherwise unchanged: peers have to be notified, proxies need not.
+    Refreshed,
+    /// The observation was overtaken by a later one, and was ignored.
+    Stale,
+    /// The registry has no capacity for another server.
+    RegistryFull,
+}
+
+/// A server that was removed from the registry.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ExpiredServer {
+    /// Id of the server.
+    pub id: String,
+    /// Name of the server's service.
+    pub backend: String,
+    /// Last status: [`EntryStatus::Deregistered`] where the entry was a tombstone at the end of its retention, and any
+    /// other where the server sent no heartbeat.
+    pub status: EntryStatus,
+    /// Time since the last heartbeat, or since the deregistration of a tombstone, in milliseconds.
+    pub last_heartbeat_age_ms: Millis,
+}
+
+/// A server in the registry of this node.
+struct RegisteredServer {
+    entry: ServerEntry,
+    /// Time of the last heartbeat, or of the deregistration.
+    observed_at: Millis,
+    /// Total downtime of this node when the last heartbeat was observed.
+    downtime_before: Millis,
+    /// Every reachable control node has acknowledged the present status.
+    replicated: bool,
+}
+
+impl RegisteredServer {
+    fn deregister(&mut self, now: Millis) {
+        self.entry.status = EntryStatus::Deregistered;
+        self.observed_at = now;
+        self.replicated = false;
+    }
+
+    fn age(&self, now: Millis) -> Millis {
+        now.saturating_sub(self.observed_at)
+    }
+}
+
+/// Last call of a server that has expired.
+struct LastCall {
+    call_seq: u64,
+    expired_at: Millis,
+}
+
+/// The servers that one control node knows.
+pub struct Registry {
+    heartbeat_interval: Millis,
+    servers: BTreeMap<String, RegisteredServer>,
+    acceptance: HeartbeatAcceptance,
+    /// The last calls of expired servers, by id. A call that was sent before may still be in transit, or be in the
+    /// registry of a node that was partitioned.
+    last_calls: BTreeMap<String, LastCall>,
+}
+
+impl Registry {
+    /// Creates an empty registry. Servers send a heartbeat every `heartbeat_interval` milliseconds.
+    pub fn new(heartbeat_interval: Millis) -> Self {
+        Registry {
+            heartbeat_interval: heartbeat_interval.max(1),
+            servers: BTreeMap::new(),
+            acceptance: HeartbeatAcceptance::default(),
+            last_calls: BTreeMap::new(),
+        }
+    }
+
+    /// Records whether this node accepts heartbeats now. The caller repeats this at short intervals: a long time between
+    /// two calls means that the process was stopped, and counts as downtime.
+    pub fn set_accepting(&mut self, now: Millis, accepting: bool) {
+        self.acceptance.update(now, accepting, self.heartbeat_interval);
+    }
+
+    /// Whether the registry has every live server, for a node that began to accept heartbeats at `started_at`.
+    pub fn is_complete(&self, now: Millis, started_at: Millis) -> bool {
+        let accepting_since = self.acceptance.accepting_since().max(started_at);
+        now >= accepting_since + self.expiry()
+    }
+
+    // ---- Heartbeats ----
+
+    /// Records an entry that this node or a peer received `age` milliseconds ago.
+    pub fn observe(&mut self, now: Millis, age: Millis, entry: ServerEntry) -> HeartbeatOutcome {
+        let observed_at = now.saturating_sub(age);
+        if let Some(known) = self.servers.get_mut(&entry.id) {
+            return update_known(known, observed_at, self.acceptance.total_downtime(), entry);
+        }
+        // An entry that would have expired by now comes from a peer that was stopped.
+        if age >= self.retention(entry.status) || self.is_overtaken(observed_at, &entry) {
+            return HeartbeatOutcome::Stale;
+        }
+        if self.servers.len() >= MAX_SERVERS {
+            return HeartbeatOutcome::RegistryFull;
+        }
+        if !entry.is_deregistered() {
+            self.deregister_previous_owner(now, entry.addr);
+        }
+        self.insert(observed_at, entry);
+        HeartbeatOutcome::Changed
+    }
+
+    /// Whether the entry of an unknown server is older than what this node knows of the server's last call, or of its
+    /// address. A tombstone is never overtaken.
+    fn is_overtaken(&self, observed_at: Millis, entry: &ServerEntry) -> bool {
+        if entry.is_deregistered() {
+            return false;
+        }
+        // A server without sequence numbers sends 0 in each call.
+        let last_call_seq = self.last_calls.get(&entry.id).map_or(0, |last| last.call_seq);
+        let is_old_call = last_call_seq > 0 && entry.call_seq <= last_call_seq;
+        let has_newer_owner = self
+            .servers
+            .values()
+            .filter(|known| !known.entry.is_deregistered() && known.entry.addr == entry.addr)
+            .any(|owner| owner.observed_at > observed_at);
+        is_old_call || has_newer_owner
+    }
+
+    /// Deregisters the server that had this address: another one has it now, so that the previous one is gone, though it
+    /// did not deregister.
+    fn deregister_previous_owner(&mut self, now: Millis, addr: SocketAddrV4) {
+        let at_address = self.servers.values_mut().filter(|known| known.entry.addr == addr);
+        for known in at_address.filter(|known| !known.entry.is_deregistered()) {
+            known.deregister(now);
+        }
+    }
+
+    fn insert(&mut self, observed_at: Millis, entry: ServerEntry) {
+        let downtime_before = self.acceptance.total_downtime();
+        let id = entry.id.clone();
+        self.servers.insert(id, RegisteredServer { entry, observed_at, downtime_before, replicated: false });
+    }
+
+    /// Whether an entry was made from a later call of its server than the one known here. The peers that its sender does
+    /// not reach have to be notified then. An entry that arrives by two routes is forwarded once.
+    pub fn is_newer(&self, entry: &ServerEntry) -> bool {
+        self.entry(&entry.id).is_none_or(|known| entry.call_seq > known.call_seq)
+    }
+
+    /// Deregisters a server. One that is unknown here gets a tombstone, as it may be in the registry of a node that is
+    /// partitioned. Returns `None` where there is no capacity for that, or the id is invalid.
+    pub fn deregister(&mut self, now: Millis, id: &str) -> Option<ServerEntry> {
+        if !self.servers.contains_key(id) {
+            if self.servers.len() >= MAX_ENTRIES_FOR_UNKNOWN_TOMBSTONE || !entry::is_valid_id(id) {
+                return None;
+            }
+            self.insert(now, ServerEntry::tombstone(id));
+        }
+        let known = self.servers.get_mut(id)?;
+        if !known.entry.is_deregistered() {
+            known.deregister(now);
+        }
+        Some(known.entry.clone())
+    }
+
+    // ---- Replication to the other control nodes ----
+
+    /// Whether every reachable control node has acknowledged the present status of a server.
+    pub fn is_replicated(&self, id: &str) -> bool {
+        self.servers.get(id).is_some_and(|known| known.replicated)
+    }
+
+    /// Records that every reachable control node has acknowledged `status`. This has no effect where the server's status is
+    /// another one by now.
+    pub fn mark_replicated(&mut self, id: &str, status: EntryStatus) {
+        if let Some(known) = self.servers.get_mut(id).filter(|known| known.entry.status == status) {
+            known.replicated = true;
+        }
+    }
+
+    // ---- Expiry ----
+
+    /// Removes servers without a heartbeat and tombstones at the end of their retention, and returns what it removed.
+    /// Proxies have to be notified where that is not empty.
+    pub fn expire(&mut self, now: Millis) -> Vec<ExpiredServer> {
+        let expired_ids: Vec<String> = self
+            .servers
+            .iter()
+            .filter(|(_, known)| self.is_expired(now, known))
+            .map(|(id, _)| id.clone())
+            .collect();
+        self.last_calls.retain(|_, last| now < last.expired_at + TOMBSTONE_RETENTION);
+        expired_ids.into_iter().filter_map(|id| self.remove_expired(now, id)).collect()
+    }
+
+    fn is_expired(&self, now: Millis, known: &RegisteredServer) -> bool {
+        // A tombstone waits for no heartbeat, so that downtime does not prolong it.
+        let downtime_since = if known.entry.is_deregistered() {
+            0
+        } else {
+            self.acceptance.total_downtime() - known.downtime_before
+        };
+        now >= known.observed_at + downtime_since + self.retention(known.entry.status)
+    }
+
+    fn remove_expired(&mut self, now: Millis, id: String) -> Option<ExpiredServer> {
+        let known = self.servers.remove(&id)?;
+        if self.last_calls.len() < MAX_SERVERS {
+            let last_call = LastCall { call_seq: known.entry.call_seq, expired_at: now };
+            self.last_calls.insert(id.clone(), last_call);
+        }
+        let last_heartbeat_age_ms = known.age(now);
+        let ServerEntry { backend, status, .. } = known.entry;
+        Some(ExpiredServer { id, backend, status, last_heartbeat_age_ms })
+    }
+
+    /// How long an entry is retained after it was observed.
+    fn retention(&self, status: EntryStatus) -> Millis {
+        match status {
+            EntryStatus::Deregistered => TOMBSTONE_RETENTION,
+            EntryStatus::Ready | EntryStatus::Draining => self.expiry(),
+        }
+    }
+
+    /// Time without a heartbeat after which a server expires.
+    fn expiry(&self) -> Millis {
+        self.heartbeat_interval * MISSED_HEARTBEATS
+    }
+
+    // ---- Queries ----
+
+    /// The entry of a server.
+    pub fn entry(&self, id: &str) -> Option<&ServerEntry> {
+        self.servers.get(id).map(|known| &known.entry)
+    }
+
+    /// Whether a server has deregistered, or another server has taken over its address.
+    pub fn is_deregistered(&self, id: &str) -> bool {
+        self.entry(id).is_some_and(ServerEntry::is_deregistered)
+    }
+
+    /// The servers as proxies see them, in the order of their ids. `with_tombstones` includes the deregistered ones, as
+    /// servers that are not ready: a receiver that retains what an incomplete list lacks would retain them as ready
+    /// otherwise.
+    pub fn servers(&self, now: Millis, with_tombstones: bool) -> Vec<Server> {
+        let listed = self.servers.values().filter(|known| with_tombstones || !known.entry.is_deregistered());
+        listed.map(|known| known.entry.for_proxies(known.age(now))).collect()
+    }
+
+    /// All entries with their ages, for a peer that has just connected.
+    pub fn snapshot(&self, now: Millis) -> Vec<ObservedServer> {
+        let observed =
+            |known: &RegisteredServer| ObservedServer { entry: known.entry.clone(), age_ms: known.age(now) };
+        self.servers.values().map(observed).collect()
+    }
+}
+
+/// Applies an entry to the known server of the same id. Deregistration is final, and an older call does not replace a later
+/// one: a drain is not undone by a heartbeat that was sent before it.
+fn update_known(
+    known: &mut RegisteredServer,
+    observed_at: Millis,
+    total_downtime: Millis,
+    entry: ServerEntry,
+) -> HeartbeatOutcome {
+    let is_overtaken = known.entry.is_deregistered() || entry.call_seq < known.entry.call_seq;
+    if is_overtaken && !entry.is_deregistered() {
+        return HeartbeatOutcome::Stale;
+    }
+    let unchanged = known.entry.looks_same_to_proxies(&entry);
+    if known.entry.status != entry.status {
+        known.replicated = false;
+    }
+    if observed_at >= known.observed_at {
+        known.observed_at = observed_at;
+        known.downtime_before = total_downtime;
+    }
+    known.entry = entry;
+    if unchanged {
+        HeartbeatOutcome::Refreshed
+    } else {
+        HeartbeatOutcome::Changed
+    }
+}
--- a/control-plane/tests/modules.rs
+++ b/control-plane/tests/modules.rs
@@ -58,7 +58,8 @@
 
 #[test]
 fn no_module_depends_on_itself_through_others() {
-    for (crate_folder, module, used) in [("control-plane", "chain", "record"), ("glenfall", "edge", "upstream")]
+    for (crate_folder, module, used) in
+        [("control-plane", "chain", "record"), ("glenfall", "edge", "upstream")]
     {
         let dependencies = dependencies(crate_folder);
         assert!(dependencies[module].contains(used), "dependencies are found: {dependencies:?}");
--- a/control-plane/tests/wire_format.rs
+++ b/control-plane/tests/wire_format.rs
@@ -15,10 +15,10 @@
 use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey, LogEntry};
 use glenfall_control_plane::fleet::{Fleet, FleetUpdate, MembersUpdate, VersionedFleet};
 use glenfall_control_plane::messages::{
-    AgedPurge, CallId, ConnectionOpening, Member, PeerMessage, ProcessId, ProxyRole, PublisherMessage, Purge,
-    PurgeRecord, Server, SubscriberMessage, Update,
+    AgedPurge, CallId, ConnectionOpening, Counter, Member, PeerMessage, ProcessId, ProxyRole,
+    PublisherMessage, Purge, PurgeRecord, Server, SubscriberMessage, Update,
 };
-use glenfall_control_plane::registry::{EntryStatus, ServerEntry};
+use glenfall_control_plane::registry::{EntryStatus, ObservedServer, ServerEntry};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -116,6 +116,10 @@
     Arc::new(Record { seq: 4, rev: 9, document: br#"{"rev": 9}"#.to_vec(), applied_orders: taken })
 }
 
+fn counter(name: &str, value: u64) -> Counter {
+    Counter { name: name.into(), value }
+}
+
 fn call_id() -> CallId {
     CallId { incarnation: 1_000_000_007, number: 42 }
 }
@@ -136,7 +140,7 @@
     samples.check("up.applied", &SubscriberMessage::Applied(300));
     samples.check(
         "up.report",
-        &SubscriberMessage::Counters(vec![("hits".into(), 7), ("misses".into(), u64::MAX)]),
+        &SubscriberMessage::Counters(vec![counter("hits", 7), counter("misses", u64::MAX)]),
     );
     samples.check("up.renew", &SubscriberMessage::RenewLease { sent_at: 120_000 });
     samples.check("up.released", &SubscriberMessage::LeaseReleased);
@@ -181,7 +185,7 @@
         MembersUpdate::delta(&edges, &[member("edge-2", ProxyRole::Edge)]).expect("a difference");
     samples.check("peer.sessions.change", &PeerMessage::Members(difference));
     let statuses = [EntryStatus::Ready, EntryStatus::Draining, EntryStatus::Deregistered];
-    let servers = statuses.map(|status| (server_entry(status), 250)).to_vec();
+    let servers = statuses.map(|status| ObservedServer { entry: server_entry(status), age_ms: 250 }).to_vec();
     samples.check("peer.servers", &PeerMessage::Servers(servers));
     let entry = server_entry(EntryStatus::Draining);
     samples.check("peer.urgent", &PeerMessage::ReplicateServer { id, entry, forward: true });
--- a/experiments/src/fleet/telling.rs
+++ b/experiments/src/fleet/telling.rs
@@ -5,7 +5,7 @@
 
 use glenfall_control_plane::fleet::{edge_hash, Fleet, MembersUpdate, VersionedFleet};
 use glenfall_control_plane::messages::{Member, PeerMessage, ProxyRole, PublisherMessage, Update};
-use glenfall_control_plane::registry::{EntryStatus, Registry, ServerEntry};
+use glenfall_control_plane::registry::{EntryStatus, ObservedServer, Registry, ServerEntry};
 use glenfall_control_plane::Millis;
 use serde::{Deserialize, Serialize};
 
@@ -118,7 +118,8 @@
 
     /// A server calls one control node, which passes it on.
     fn hear(&mut self, entry: &ServerEntry) {
-        self.between += self.peers() * bytes(&PeerMessage::Servers(vec![(entry.clone(), 0)])) as u64;
+        self.between +=
+            self.peers() * bytes(&PeerMessage::Servers(vec![ObservedServer::now(entry.clone())])) as u64;
         for node in &mut self.nodes {
             let heard = node.registry.observe(self.now, 0, entry.clone());
             node.dirty |= heard == glenfall_control_plane::registry::HeartbeatOutcome::Changed;
--- a/glenfall/src/control/membership.rs
+++ b/glenfall/src/control/membership.rs
@@ -7,7 +7,7 @@
 use glenfall_control_plane::fleet::{edge_hash, Fleet, MembersUpdate};
 use glenfall_control_plane::invariant::Invariant;
 use glenfall_control_plane::messages::{CallId, PeerMessage, ProxyRole, Update};
-use glenfall_control_plane::registry::{EntryStatus, HeartbeatOutcome, ServerEntry};
+use glenfall_control_plane::registry::{EntryStatus, HeartbeatOutcome, ObservedServer, ServerEntry};
 use tokio::time::{sleep, timeout};
 
 use super::{Control, BEFORE, DRAIN, GATHER, GATHER_FOR_EACH};
@@ -25,7 +25,7 @@
     pub(super) fn expire_servers(&self) -> bool {
         let silent = self.registry.borrow_mut().expire(self.now());
         for server in silent.iter().take(MOST_NAMED) {
-            tracing::warn!(%server, of = silent.len(), "server forgotten: it has said nothing for too long");
+            tracing::warn!(server = %server.id, of = silent.len(), "server forgotten: it has said nothing for too long");
         }
         !silent.is_empty()
     }
@@ -87,7 +87,7 @@
         match heard {
             HeartbeatOutcome::Stale | HeartbeatOutcome::RegistryFull => {}
             HeartbeatOutcome::Changed => {
-                self.peers.tell(&PeerMessage::Servers(vec![(entry, 0)]));
+                self.peers.tell(&PeerMessage::Servers(vec![ObservedServer::now(entry)]));
                 self.fleet_changed.notify_one();
             }
             HeartbeatOutcome::Refreshed => self.relay.add(self.now(), entry),
@@ -115,7 +115,7 @@
     /// Tells all control nodes, and proxies, that a server leaves.
     pub(super) async fn spread(&self, entry: &ServerEntry) -> bool {
         if self.registry.borrow().is_replicated(&entry.id) {
-            self.peers.tell(&PeerMessage::Servers(vec![(entry.clone(), 0)]));
+            self.peers.tell(&PeerMessage::Servers(vec![ObservedServer::now(entry.clone())]));
             // It holds for good, and is confirmed by a node in touch alone.
             return timeout(DRAIN, self.knows_newest()).await.is_ok();
         }
--- a/glenfall/src/control/peers.rs
+++ b/glenfall/src/control/peers.rs
@@ -11,8 +11,7 @@
 use glenfall_control_plane::messages::{
     CallId, ConnectionOpening, Member, PeerMessage, ProcessId, ProxyRole, PurgeRecord,
 };
-use glenfall_control_plane::registry::{HeartbeatOutcome, ServerEntry};
-use glenfall_control_plane::Millis;
+use glenfall_control_plane::registry::{HeartbeatOutcome, ObservedServer};
 use tokio::sync::{oneshot, Notify};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
@@ -407,15 +406,15 @@
 
 /// Takes what a peer has heard of servers, and passes on what is news to those whom the peer does not reach: servers that
 /// call it alone would count as silent there.
-fn take_servers(control: &Rc<Control>, from: Ipv4Addr, entries: Vec<(ServerEntry, Millis)>) {
+fn take_servers(control: &Rc<Control>, from: Ipv4Addr, entries: Vec<ObservedServer>) {
     let now = control.now();
     let beyond = beyond(control, from);
     let (mut changed, mut news) = (false, Vec::new());
-    for (entry, age) in entries {
-        if !beyond.is_empty() && control.registry.borrow().is_newer(&entry) {
-            news.push((entry.clone(), age));
+    for observed in entries {
+        if !beyond.is_empty() && control.registry.borrow().is_newer(&observed.entry) {
+            news.push(observed.clone());
         }
-        let heard = control.registry.borrow_mut().observe(now, age, entry);
+        let heard = control.registry.borrow_mut().observe(now, observed.age_ms, observed.entry);
         changed |= heard == HeartbeatOutcome::Changed;
     }
     if !news.is_empty() {
--- a/glenfall/src/control/relay.rs
+++ b/glenfall/src/control/relay.rs
@@ -5,7 +5,7 @@
 use std::cell::RefCell;
 
 use glenfall_control_plane::messages::PeerMessage;
-use glenfall_control_plane::registry::ServerEntry;
+use glenfall_control_plane::registry::{ObservedServer, ServerEntry};
 use glenfall_control_plane::Millis;
 
 /// Beats that are gathered at most: where no heartbeats go out, as no peer is there, they need not be told.
@@ -29,7 +29,7 @@
     /// What peers are to be told, if anything.
     pub fn take(&self, now: Millis) -> Option<PeerMessage> {
         let beats = self.0.take();
-        let aged = |(entry, heard): (ServerEntry, Millis)| (entry, now.saturating_sub(heard));
+        let aged = |(entry, heard)| ObservedServer { entry, age_ms: now.saturating_sub(heard) };
         (!beats.is_empty()).then(|| PeerMessage::Servers(beats.into_iter().map(aged).collect()))
     }
 }
--- a/glenfall/src/session/publisher/mod.rs
+++ b/glenfall/src/session/publisher/mod.rs
@@ -282,7 +282,9 @@
                 self.grants.borrow_mut().release(&id);
                 self.applied.notify_waiters();
             }
-            SubscriberMessage::Counters(report) => session.report = report,
+            SubscriberMessage::Counters(counters) => {
+                session.report = counters.into_iter().map(|counter| (counter.name, counter.value)).collect();
+            }
             SubscriberMessage::Applied(number) => {
                 let sent = session.sent;
                 Invariant::AppliedWasSent.check(number <= sent, || format!("{number} of {sent}"));
--- a/glenfall/src/session/subscriber.rs
+++ b/glenfall/src/session/subscriber.rs
@@ -4,7 +4,7 @@
 
 use glenfall_control_plane::invariant::Invariant;
 use glenfall_control_plane::lease::VOTER_LEASE;
-use glenfall_control_plane::messages::{PublisherMessage, SubscriberMessage};
+use glenfall_control_plane::messages::{Counter, PublisherMessage, SubscriberMessage};
 use glenfall_control_plane::Millis;
 use tokio::sync::Notify;
 use tokio::time::{interval, sleep, MissedTickBehavior};
@@ -18,7 +18,8 @@
 pub async fn send_reports(outbox: &Outbox<SubscriberMessage>, report: impl Fn() -> Vec<(String, u64)>) {
     loop {
         sleep(REPORT).await;
-        if !outbox.send(SubscriberMessage::Counters(report())) {
+        let counters = report().into_iter().map(|(name, value)| Counter { name, value }).collect();
+        if !outbox.send(SubscriberMessage::Counters(counters)) {
             return;
         }
     }
--- a/glenfall/tests/sessions.rs
+++ b/glenfall/tests/sessions.rs
@@ -6,7 +6,9 @@
 
 use glenfall::session::link::{self, FrameReader, Outbox};
 use glenfall::session::publisher::{Reach, Sessions};
-use glenfall_control_plane::messages::{ConnectionOpening, PublisherMessage, SubscriberMessage, Update};
+use glenfall_control_plane::messages::{
+    ConnectionOpening, Counter, PublisherMessage, SubscriberMessage, Update,
+};
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
@@ -128,7 +130,7 @@
         let (mut frames, says) = follower(&sessions, "early").await;
         assert!(says.send(SubscriberMessage::RenewLease { sent_at: 7 }));
         // What follows on the same connection has been taken after it.
-        assert!(says.send(SubscriberMessage::Counters(vec![("marker".into(), 1)])));
+        assert!(says.send(SubscriberMessage::Counters(vec![Counter { name: "marker".into(), value: 1 }])));
         until(|| sessions.seen().iter().any(|seen| !seen.report.is_empty())).await;
         sessions.vouch_until(Instant::now() + PATIENCE);
         // It asks no second time. Something is said on a link again and again, so that these waits end.
--- a/glenfall/tests/unit/relay.rs
+++ b/glenfall/tests/unit/relay.rs
@@ -21,7 +21,9 @@
 
 fn told(relay: &BeatRelay, now: u64) -> Vec<(ServerEntry, u64)> {
     match relay.take(now) {
-        Some(PeerMessage::Servers(beats)) => beats,
+        Some(PeerMessage::Servers(beats)) => {
+            beats.into_iter().map(|observed| (observed.entry, observed.age_ms)).collect()
+        }
         None => Vec::new(),
         Some(other) => panic!("{other:?} is no list of servers"),
     }
