--- /dev/null
+++ b/glenfall/src/control/api/state_export.rs
@@ -0,0 +1,22 @@
+//! `/api/state`: exports the committed state as a backup.
+
+use glenfall_control_plane::chain::{Call, Outcome};
+use hyper::StatusCode;
+
+use super::error::ApiError;
+use super::json_response;
+use crate::control::backup::Backup;
+use crate::control::Control;
+use crate::http_server::FullResponse;
+
+/// A backup of the newest acknowledged state. A read down the chain makes it consistent, whatever changes meanwhile.
+pub(super) async fn export(control: &Control) -> Result<FullResponse, ApiError> {
+    let Outcome::Document(record) = control.call(Call::Read).await else {
+        return Err(ApiError::NoActiveView);
+    };
+    let chain = control.chain.borrow();
+    let view = chain.view().map_or(0, |view| view.number);
+    let backup = Backup::of(&chain.members().voters, view, &record);
+    let document = serde_json::to_value(backup).map_err(ApiError::NotEncodable)?;
+    Ok(json_response(StatusCode::OK, &document))
+}
--- /dev/null
+++ b/glenfall/src/control/api/status.rs
@@ -0,0 +1,54 @@
+//! `/api/status`: what this control node knows of the chain, its peers, the servers, and the sessions.
+
+use std::collections::BTreeMap;
+
+use hyper::StatusCode;
+use serde_json::{json, Value};
+
+use super::json_response;
+use crate::control::Control;
+use crate::http_server::FullResponse;
+use crate::session::link;
+use crate::session::publisher::SessionStatus;
+
+/// The state of this node, for people to read.
+pub(super) fn report(control: &Control) -> FullResponse {
+    let chain = control.chain.borrow();
+    let sessions: Vec<Value> = control.sessions.seen().into_iter().map(session_report).collect();
+    let versioned_fleet = control.fleet.borrow();
+    let fleet = versioned_fleet.fleet();
+    // While the registry is incomplete, the fleet that proxies get also names servers that were deregistered.
+    let registry = control.registry.borrow();
+    let is_registered = |id: &str| !registry.is_deregistered(id);
+    let servers: Vec<_> = fleet.servers.iter().filter(|server| is_registered(&server.id)).collect();
+    let report = json!({
+        "node": control.boot.node,
+        "rev": chain.committed().rev,
+        "voters": chain.members().voters,
+        "outlivesLosses": chain.tolerates_losses(),
+        "view": chain.view().map(|view| json!({ "name": view.name(), "chain": view.chain })),
+        "inMajority": chain.has_quorum(),
+        "peers": control.peers.up(),
+        "servers": servers,
+        "shields": fleet.shields,
+        "sessions": sessions,
+        "counters": by_name(link::report("")),
+        "upMs": control.began.elapsed().as_millis() as u64,
+    });
+    json_response(StatusCode::OK, &report)
+}
+
+fn session_report(session: SessionStatus) -> Value {
+    json!({
+        "node": session.node,
+        "ready": session.member.as_ref().is_some_and(|member| member.ready),
+        "pushed": session.sent,
+        "applied": session.applied,
+        "leased": session.leased,
+        "counters": by_name(session.report),
+    })
+}
+
+fn by_name(counters: Vec<(String, u64)>) -> BTreeMap<String, u64> {
+    counters.into_iter().collect()
+}
--- /dev/null
+++ b/glenfall/src/control/api/voters.rs
@@ -0,0 +1,100 @@
+//! `/api/core`: lists, adds and removes the voters of the chain.
+
+use std::net::Ipv4Addr;
+use std::time::Duration;
+
+use glenfall_control_plane::chain::{VoterChange, VoterChangeError};
+use hyper::StatusCode;
+use serde::Deserialize;
+use serde_json::json;
+use tokio::time::{sleep, timeout, Instant};
+
+use super::error::ApiError;
+use super::json_response;
+use crate::control::{Control, TICK};
+use crate::http_server::FullResponse;
+
+/// How long a quorum read for the newest set of voters may take: callers move on after a second.
+const QUORUM_READ_TIMEOUT: Duration = Duration::from_millis(900);
+/// How long a change of the voters may take until views with the new set are active.
+const VOTER_CHANGE_TIMEOUT: Duration = Duration::from_millis(3200);
+
+/// The body of a request. Exactly one of both has to be there.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct VoterChangeRequest {
+    add: Option<Ipv4Addr>,
+    remove: Option<Ipv4Addr>,
+}
+
+impl VoterChangeRequest {
+    fn change(&self) -> Result<VoterChange, ApiError> {
+        match (self.add, self.remove) {
+            (Some(node), None) => Ok(VoterChange::Add(node)),
+            (None, Some(node)) => Ok(VoterChange::Remove(node)),
+            _ => Err(ApiError::InvalidVoterChange),
+        }
+    }
+}
+
+/// The voters and the standbys, and how many losses the voters tolerate.
+pub(super) fn list(control: &Control) -> FullResponse {
+    let chain = control.chain.borrow();
+    let members = chain.members();
+    let voters: Vec<_> = members
+        .voters
+        .iter()
+        .map(|voter| {
+            let in_chain = chain.view().is_some_and(|view| view.chain.contains(voter));
+            json!({ "node": voter, "inChain": in_chain, "awayMs": chain.silent_for(*voter) })
+        })
+        .collect();
+    let body = json!({
+        "node": control.boot.bind_ip,
+        "view": chain.view().map(|view| view.name()),
+        "voters": voters,
+        "outgoingVoters": members.outgoing,
+        // The name before version 0.4.
+        "lettingGoOf": members.outgoing,
+        "standingBy": chain.standbys(),
+        "losses": control.boot.survive.hosts,
+        "outlivesLosses": chain.tolerates_losses(),
+        "inMajority": chain.has_quorum(),
+    });
+    json_response(StatusCode::OK, &body)
+}
+
+/// Adds or removes a voter, and succeeds once views with the new set are active.
+pub(super) async fn change(control: &Control, body: &[u8]) -> Result<FullResponse, ApiError> {
+    let request: VoterChangeRequest = serde_json::from_slice(body).map_err(ApiError::InvalidBody)?;
+    let change = request.change()?;
+    // The change is judged by the newest set of voters that a majority knows.
+    if timeout(QUORUM_READ_TIMEOUT, control.knows_newest()).await.is_err() {
+        return Err(VoterChangeError::NoView.into());
+    }
+    let voters = {
+        let now = control.now();
+        control.chain.borrow_mut().request_voter_change(now, change)?
+    };
+    // `seat` is the name before version 0.4.
+    tracing::info!(?change, seat = ?change, ?voters, "voter change requested by an operator");
+    if are_active(control, &voters).await {
+        Ok(json_response(StatusCode::OK, &json!({ "voters": voters })))
+    } else {
+        Err(ApiError::VoterChangePending)
+    }
+}
+
+/// Waits until these are the only voters; false where that takes longer than [`VOTER_CHANGE_TIMEOUT`].
+async fn are_active(control: &Control, voters: &[Ipv4Addr]) -> bool {
+    let started = Instant::now();
+    while started.elapsed() < VOTER_CHANGE_TIMEOUT {
+        sleep(TICK).await;
+        let chain = control.chain.borrow();
+        let members = chain.members();
+        if members.voters == voters && members.outgoing.is_empty() {
+            return true;
+        }
+    }
+    false
+}
--- a/glenfall/src/control/mod.rs
+++ b/glenfall/src/control/mod.rs
@@ -1,7 +1,7 @@
 //! A control node: its part of the chain, the registry of servers, the sessions of the agents and of the
 //! shield beside it, and the links to its peers.
 
-mod api;
+pub mod api;
 pub mod backup;
 mod idempotency_keys;
 mod lease;
--- a/glenfall/tests/sight.rs
+++ b/glenfall/tests/sight.rs
@@ -171,7 +171,7 @@
         );
         assert!(line.contains(way), "{id}: {way} expected in {line}");
     }
-    assert!(log(1).contains("call refused") && log(1).contains("status=400"), "the operator's call");
+    assert!(log(1).contains("request rejected") && log(1).contains("status=400"), "the operator's call");
     let counted = || {
         let status = (1..=3).filter_map(|n| system.status(n));
         let sessions = status.flat_map(|s| s["sessions"].as_array().cloned().unwrap_or_default());
--- a/glenfall/tests/unit/main.rs
+++ b/glenfall/tests/unit/main.rs
@@ -3,6 +3,7 @@
 mod support;
 
 mod agent;
+mod api_error;
 mod backlog;
 mod backup;
 mod boot;
