--- a/http-client/src/connection.rs
+++ b/http-client/src/connection.rs
@@ -1,4 +1,4 @@
-//! An open connection to a server, and one exchange on it.
+//! An open connection to a server, and one request/response exchange on it.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -9,31 +9,34 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
-use hyper::header::{self, HeaderMap, HeaderName};
+use hyper::header::{HeaderName, HeaderValue};
 use hyper::{Request, Response};
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::Instant;
 
-use crate::socket::{OpenSocket, Progress, RequestProgress, Socket};
+use crate::progress::{Progress, RequestProgress};
+use crate::socket::{OpenSocket, Socket};
 
-/// A connection whose answer has been read whole is free at once; one that is not is of no further use.
-const SETTLE: Duration = Duration::from_millis(5);
-/// A reset of what is sent on a forgotten connection is back after one way there and back. Twice that, measured when
-/// the connection was opened, and what the two machines take to wake up; where it took long, the opening packet was
-/// lost or a machine was busy.
-const RESET_BACK: u32 = 2;
-const WAKE_UP: Duration = Duration::from_millis(1);
-const LONGEST_PAUSE: Duration = Duration::from_millis(20);
+/// How long to wait until hyper reports a connection as ready again. Once its response has been read completely it is
+/// ready almost at once; a connection that is not ready by then is of no further use.
+const READY_TIMEOUT: Duration = Duration::from_millis(5);
+/// A server that has forgotten a connection answers with a reset, which arrives after one round trip. The last byte
+/// waits for this many times the connect time, which is one round trip as measured when the connection was opened.
+const RESET_WAIT_ROUND_TRIPS: u32 = 2;
+/// Added to the wait for a reset: the time that the two machines need to schedule the processes.
+const SCHEDULING_ALLOWANCE: Duration = Duration::from_millis(1);
+/// Upper bound of the wait for a reset. A longer connect time means that the opening packet was lost or a machine was
+/// busy, and is no measure of the round trip.
+const MAX_RESET_WAIT: Duration = Duration::from_millis(20);
 
-/// An open connection. Dropping it closes it, whatever is out on it.
+/// An open connection. Dropping it closes it, even while a request is in flight.
 pub struct Connection {
     /// The server's address.
     pub addr: SocketAddr,
-    /// How far the request on it has come.
+    /// How far the current request has been written.
     pub progress: Rc<Progress>,
-    /// How long it took to open.
-    opened_in: Duration,
+    connect_time: Duration,
     sender: http1::SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
 }
@@ -44,113 +47,96 @@
     }
 }
 
-/// Why there is no head of an answer.
+/// Why an exchange brought no head of a response.
 #[derive(Debug)]
 pub enum ExchangeError {
-    /// Not all of the request was written: it has not run.
+    /// The request was not written completely: the server has not run it.
     Unsent,
-    /// It was written whole and may have run.
+    /// The connection failed after the request was written completely: the server may have run it.
     Broken(hyper::Error),
-    /// The same, and what came is the answer to another request.
+    /// The response names another request. The request was written completely: the server may have run it.
     Foreign,
 }
 
 impl Connection {
-    /// Opens a connection; `None` where that fails. The caller bounds its time.
-    pub async fn open(addr: SocketAddr, open: OpenSocket, longest_head: usize) -> Option<Self> {
-        let began = Instant::now();
+    /// Opens a connection, or returns `None` where that fails. `max_head_bytes` bounds the head of a response. The caller
+    /// bounds the time that this may take.
+    pub async fn open(addr: SocketAddr, open: OpenSocket, max_head_bytes: usize) -> Option<Self> {
+        let started = Instant::now();
         let stream = TcpStream::connect(addr).await.ok()?;
-        let opened_in = began.elapsed();
+        let connect_time = started.elapsed();
         stream.set_nodelay(true).ok()?;
         let (socket, progress) = Socket::new(stream, open);
         let mut builder = http1::Builder::new();
-        let (sender, driving) = builder.max_buf_size(longest_head).handshake(socket).await.ok()?;
+        let (sender, driving) = builder.max_buf_size(max_head_bytes).handshake(socket).await.ok()?;
         let driver = spawn_local(async move {
-            // How it ended shows in the answers of `sender`.
+            // A failure of the connection is reported by the calls of `sender`.
             let _ = driving.await;
         });
-        Some(Connection { addr, progress, opened_in, sender, driver })
+        Some(Connection { addr, progress, connect_time, sender, driver })
     }
 
-    /// Sends a request and waits for the head of its answer. `id` is the header that an answer repeats, where the
-    /// servers do that: the order on the connection does not tell a surplus answer that comes late from the one that is
-    /// due.
+    /// Sends a request and waits for the head of its response. `sent` reports how far the request was written, also where
+    /// the future is dropped.
+    ///
+    /// `id_header` is the header that a response repeats from its request, where the servers do that. The order on the
+    /// connection alone does not distinguish a delayed surplus response from the one that is due.
     pub async fn send(
         &mut self,
         mut request: Request<Full<Bytes>>,
-        id: Option<&HeaderName>,
+        id_header: Option<&HeaderName>,
         sent: &RequestProgress,
     ) -> Result<Response<Incoming>, ExchangeError> {
-        let own = id.and_then(|id| Some((id, request.headers().get(id)?.clone())));
+        let expected_id = id_header.and_then(|name| Some((name, request.headers().get(name)?.clone())));
         sent.begin(&self.progress);
-        self.progress.watch(&mut request);
+        self.progress.watch_informational(&mut request);
         match self.sender.try_send_request(request).await {
-            Ok(response) => {
-                let is_own = match &own {
-                    Some((id, own)) => response.headers().get_all(*id).iter().eq([own]),
-                    // Only its place on the connection says so.
-                    None => self.progress.in_turn(),
-                };
-                match is_own {
-                    true => Ok(response),
-                    false if sent.whole() => Err(ExchangeError::Foreign),
-                    false => Err(ExchangeError::Unsent),
-                }
-            }
-            Err(e) if sent.whole() => Err(ExchangeError::Broken(e.into_error())),
+            Ok(response) if self.is_response_to(expected_id, &response) => Ok(response),
+            Ok(_) if sent.whole() => Err(ExchangeError::Foreign),
+            Ok(_) => Err(ExchangeError::Unsent),
+            Err(error) if sent.whole() => Err(ExchangeError::Broken(error.into_error())),
             Err(_) => Err(ExchangeError::Unsent),
         }
     }
 
-    /// The next request is held short of its last byte until a server that has forgotten this connection would have
-    /// reset it: it then has certainly not run, and may go elsewhere.
+    /// Whether a response belongs to the current request: it repeats the id exactly once or, for a request without an
+    /// id, came only after the request was written completely.
+    fn is_response_to(
+        &self,
+        expected_id: Option<(&HeaderName, HeaderValue)>,
+        response: &Response<Incoming>,
+    ) -> bool {
+        match expected_id {
+            Some((name, id)) => response.headers().get_all(name).iter().eq([&id]),
+            None => self.progress.is_in_sequence(),
+        }
+    }
+
+    /// Delays the last byte of the next request until a server that has forgotten this connection would have reset it.
+    /// A request that fails before that has certainly not run, and may go to another server.
     pub fn be_wary(&self) {
-        self.progress.be_wary((self.opened_in * RESET_BACK + WAKE_UP).min(LONGEST_PAUSE));
+        let reset_wait = self.connect_time * RESET_WAIT_ROUND_TRIPS + SCHEDULING_ALLOWANCE;
+        self.progress.delay_last_byte(reset_wait.min(MAX_RESET_WAIT));
     }
 
-    /// Whether the other side has closed it, as far as this one has seen.
+    /// Whether the server is known to have closed the connection.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Whether it can carry another request, its last answer having been read whole and not before its turn.
+    /// Whether the connection can carry another request: its last response was read completely, and began only after
+    /// its request was written completely.
     pub async fn is_free(&mut self) -> bool {
-        self.progress.in_turn()
-            && matches!(tokio::time::timeout(SETTLE, self.sender.ready()).await, Ok(Ok(())))
-    }
-}
-
-/// How the end of a response's body is known (RFC 9112, section 6.3).
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BodyEnd {
-    /// By its length, or by its last chunk.
-    Stated,
-    /// By the orderly close of the connection. After a reset the body is incomplete.
-    Close,
-    /// With two lengths the two sides may not mean the same end; with a coding other than `chunked` the bytes are not the
-    /// body's own.
-    Unclear,
-}
-
-impl BodyEnd {
-    /// What the head of a response says of the end of its body.
-    pub fn of(headers: &HeaderMap) -> Self {
-        let codings = headers.get_all(header::TRANSFER_ENCODING);
-        let mut codings = codings.iter().map(|coding| coding.as_bytes().trim_ascii());
-        let has_length = headers.contains_key(header::CONTENT_LENGTH);
-        match (codings.next(), codings.next()) {
-            (None, _) if has_length => BodyEnd::Stated,
-            (None, _) => BodyEnd::Close,
-            (Some(coding), None) if !has_length && coding.eq_ignore_ascii_case(b"chunked") => BodyEnd::Stated,
-            _ => BodyEnd::Unclear,
-        }
+        self.progress.is_in_sequence()
+            && matches!(tokio::time::timeout(READY_TIMEOUT, self.sender.ready()).await, Ok(Ok(())))
     }
 }
 
-/// Whether what came on a connection is no answer, rather than the connection having been lost: the first
-/// does not tell of the server's process, the second does.
+/// Whether the error means that the received bytes are no HTTP response, rather than that the connection was lost. Only a
+/// lost connection says something about the server's process.
 pub fn is_unreadable(error: &hyper::Error) -> bool {
-    let io = std::error::Error::source(error).and_then(|e| e.downcast_ref::<std::io::Error>());
-    error.is_parse()
-        || io.is_some_and(|e| matches!(e.kind(), ErrorKind::InvalidInput | ErrorKind::InvalidData))
+    let source = std::error::Error::source(error).and_then(|source| source.downcast_ref::<std::io::Error>());
+    let has_invalid_data =
+        source.is_some_and(|io| matches!(io.kind(), ErrorKind::InvalidInput | ErrorKind::InvalidData));
+    error.is_parse() || has_invalid_data
 }
--- a/http-client/src/lib.rs
+++ b/http-client/src/lib.rs
@@ -1,9 +1,13 @@
-//! HTTP/1.1 towards servers: a connection carries one request at a time, knows how far it has been written,
-//! and never takes what came unasked for an answer.
+//! HTTP/1.1 client connections to servers. A connection carries one request at a time, records how much of it has been
+//! written, and never accepts unsolicited bytes as a response.
 
+mod body_framing;
 mod connection;
+mod progress;
 pub mod send;
 mod socket;
 
-pub use connection::{is_unreadable, BodyEnd, Connection, ExchangeError};
-pub use socket::{OpenSocket, Progress, RequestProgress, Socket};
+pub use body_framing::BodyEnd;
+pub use connection::{is_unreadable, Connection, ExchangeError};
+pub use progress::{Progress, RequestProgress};
+pub use socket::OpenSocket;
--- a/http-client/src/send.rs
+++ b/http-client/src/send.rs
@@ -1,31 +1,31 @@
-//! What may follow a send, by how far it has come and what has happened: the one place that decides it, for the proxies
-//! and for the balancer node.
+//! Retry safety: whether a request may be sent again, by how far its last send came and how that ended. This is the one
+//! module that decides it, for the proxies and for the balancer node; `docs/hardening.md` has its table.
 //!
-//! A request that is short of its last byte has not run, whatever comes: nothing more of it is written once anything
-//! has come, and its connection is closed. From the last byte on only the server's own word, under the request's id, says
-//! that it has not run.
+//! A request without its last byte has not run, whatever happens: once anything is received nothing more of it is written,
+//! and its connection is closed. From the last byte on only an explicit statement of the server, under the request's id,
+//! shows that the request has not run.
 
 use std::fmt;
 
-/// How far a send has come.
+/// How far a send has come. The stages are in the order in which a send passes them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SendStage {
-    /// No connection yet.
+    /// There is no connection yet.
     Unconnected,
-    /// A connection, and nothing written on it.
+    /// The connection is open, and nothing is written on it.
     Connected,
-    /// Some of the request is written, and not its last byte.
+    /// Some of the request is written, but not its last byte.
     PartlySent,
-    /// All of it is written.
+    /// The request is written completely.
     Sent,
-    /// An interim answer (1xx) has come.
+    /// An interim response (1xx) was received.
     Informed,
-    /// The head of an answer has come, and not all of its body.
+    /// The head of a response was received, but not all of its body.
     Answering,
 }
 
 impl SendStage {
-    /// All stages, in their order.
+    /// All stages, in order.
     pub const ALL: [SendStage; 6] = [
         SendStage::Unconnected,
         SendStage::Connected,
@@ -35,36 +35,36 @@
         SendStage::Answering,
     ];
 
-    /// The server has the last byte, or may have it.
+    /// Whether the server has, or may have, the last byte of the request.
     pub fn is_sent(self) -> bool {
         self >= SendStage::Sent
     }
 }
 
-/// What happens to it.
+/// What ends a send, or happens during it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SendEvent {
-    /// The connection is refused or does not come up in time, or the server is to get nothing more.
+    /// The connection is refused or not established in time, or the server has begun to drain.
     NoConnection,
-    /// Reset or closed by the other side.
+    /// The server reset or closed the connection.
     Broken,
-    /// The time that it had has passed.
+    /// No complete response was received before the deadline.
     TimedOut,
-    /// What came is no answer, or not one whose end can be told.
+    /// What was received is no response, or a response whose end is ambiguous.
     Malformed,
-    /// An answer that does not name this request.
+    /// The response does not carry the id of this request.
     WrongRequest,
-    /// A whole answer with the word that the request has not run.
+    /// A complete response which states that the request has not run.
     NotRun,
-    /// A whole answer whose status promises that, without the word: 408, 429, 503.
+    /// A complete response whose status suggests that the request has not run (408, 429, 503), without that statement.
     UnprovenRefusal,
-    /// A whole answer that is a failure.
+    /// A complete response with another server error.
     Failure,
-    /// Any other whole answer.
+    /// Any other complete response.
     Success,
-    /// The client has gone.
+    /// The client has closed its connection.
     Abandoned,
-    /// This process is told to stop.
+    /// This process was signalled to stop.
     Stopping,
 }
 
@@ -85,28 +85,29 @@
     ];
 }
 
-/// What is known of a request then.
+/// What is known about the execution of a request after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ExecutionStatus {
-    /// The send goes on as if nothing had happened.
+    /// Nothing changes: the send goes on.
     Waits,
-    /// It has not run there and never will: it may go to another server, or be refused with a promise.
+    /// The request has not run at the server and never will. It may go to another server, or be rejected with the promise
+    /// that it has not run.
     NotRun,
-    /// It may have run: it goes out again only if it may run twice, and its client is promised nothing.
+    /// The request may have run. Only an idempotent request is sent again, and the client is promised nothing.
     Unknown,
-    /// The server has answered for it. Where that is a failure, what may run twice may go out again.
+    /// The server has responded. After a failure an idempotent request may be sent again.
     Answered,
-    /// Nobody waits for it.
+    /// Nobody waits for the response any more.
     Dropped,
 }
 
 impl ExecutionStatus {
-    /// Whether the same request may be sent to another server after this.
-    pub fn may_retry(self, repeatable: bool, failure: bool) -> bool {
+    /// Whether the request may be sent to another server. `failure`: the server responded with an error of its own.
+    pub fn may_retry(self, idempotent: bool, failure: bool) -> bool {
         match self {
             ExecutionStatus::NotRun => true,
-            ExecutionStatus::Unknown => repeatable,
-            ExecutionStatus::Answered => repeatable && failure,
+            ExecutionStatus::Unknown => idempotent,
+            ExecutionStatus::Answered => idempotent && failure,
             ExecutionStatus::Waits | ExecutionStatus::Dropped => false,
         }
     }
@@ -124,9 +125,9 @@
     }
 }
 
-/// What is known of a request to which something happens. `repeatable` matters only where a status promises what the
-/// server does not say: of a request that may run twice it is passed on.
-pub fn execution_status(stage: SendStage, event: SendEvent, repeatable: bool) -> ExecutionStatus {
+/// What is known about a request at this stage after this event. `idempotent` matters only for
+/// [`SendEvent::UnprovenRefusal`]: the response to an idempotent request is forwarded as it is.
+pub fn execution_status(stage: SendStage, event: SendEvent, idempotent: bool) -> ExecutionStatus {
     match event {
         SendEvent::Stopping => ExecutionStatus::Waits,
         SendEvent::Abandoned => ExecutionStatus::Dropped,
@@ -142,66 +143,66 @@
             }
         }
         SendEvent::NotRun => ExecutionStatus::NotRun,
-        SendEvent::UnprovenRefusal if !repeatable => ExecutionStatus::Unknown,
+        SendEvent::UnprovenRefusal if !idempotent => ExecutionStatus::Unknown,
         SendEvent::UnprovenRefusal | SendEvent::Failure | SendEvent::Success => ExecutionStatus::Answered,
     }
 }
 
-/// Servers that may be found unreachable for one request: nothing was sent to them, so that they don't count
-/// as sends, but each costs the time of a connect.
-const MOST_UNREACHABLE: u32 = 4;
+/// Bounds the failed connects of one request. Nothing was sent to these servers, so that they don't count as sends, but
+/// each may cost a connect time-out.
+const MAX_UNREACHABLE_SERVERS: u32 = 4;
 
-/// The sends of one request, one server after another: a state machine over [`execution_status`].
+/// The sends of one request to one server after another: a state machine over [`execution_status`].
 #[derive(Clone, Debug)]
 pub struct SendSequence {
-    allowed: u32,
-    repeatable: bool,
+    max_sends: u32,
+    idempotent: bool,
     used: u32,
     unreachable: u32,
-    /// The last send was the last, whatever is left.
-    settled: bool,
+    /// No further send may begin, whatever is left of `max_sends`.
+    stopped: bool,
 }
 
 impl SendSequence {
-    /// Of a request that may go to as many servers.
-    pub fn new(allowed: u32, repeatable: bool) -> Self {
-        SendSequence { allowed, repeatable, used: 0, unreachable: 0, settled: false }
+    /// The sends of a request that may be sent to this many servers.
+    pub fn new(max_sends: u32, idempotent: bool) -> Self {
+        SendSequence { max_sends, idempotent, used: 0, unreachable: 0, stopped: false }
     }
 
-    /// Servers that it has been sent to.
+    /// The number of servers that the request was sent to.
     pub fn used(&self) -> u32 {
         self.used
     }
 
-    /// Whether it may be sent to another server now.
+    /// Whether the request may be sent to another server now.
     pub fn may_begin(&self) -> bool {
-        !self.settled && self.used < self.allowed && self.unreachable < MOST_UNREACHABLE
+        !self.stopped && self.used < self.max_sends && self.unreachable < MAX_UNREACHABLE_SERVERS
     }
 
-    /// Whether another send may follow the one that begins now, whatever comes of it: this one must leave time for it.
+    /// Whether another send may follow the one that begins now, however that ends: this one must leave time for it.
     pub fn another_may_follow(&self) -> bool {
-        self.repeatable && self.used + 1 < self.allowed
+        self.idempotent && self.used + 1 < self.max_sends
     }
 
-    /// Whether it would go to another server if more were allowed.
+    /// Whether the request would be sent to another server if more sends were allowed.
     pub fn is_short(&self) -> bool {
-        !self.settled && self.used > 0 && self.used == self.allowed
+        !self.stopped && self.used > 0 && self.used == self.max_sends
     }
 
-    /// Takes the end of a send; `failure` where the server has answered with an error of its own.
+    /// Records the end of a send. `failure`: the server responded with an error of its own.
     pub fn ended(&mut self, stage: SendStage, event: SendEvent, failure: bool) -> ExecutionStatus {
-        let fate = execution_status(stage, event, self.repeatable);
+        let status = execution_status(stage, event, self.idempotent);
         if event == SendEvent::NoConnection {
             self.unreachable += 1;
         } else {
             self.used += 1;
         }
-        self.settled = !fate.may_retry(self.repeatable, failure);
-        fate
+        self.stopped = !status.may_retry(self.idempotent, failure);
+        status
     }
 
-    /// No other server is to be asked.
+    /// Stops the sequence: the request is sent to no other server.
     pub fn settle(&mut self) {
-        self.settled = true;
+        self.stopped = true;
     }
 }
--- a/http-client/tests/send.rs
+++ b/http-client/tests/retry_safety.rs
@@ -1,11 +1,12 @@
-//! Every stage of a send with everything that may happen to it.
+//! Every stage of a send with every event, and how response bodies are delimited.
 
 use glenfall_http_client::send::{execution_status, ExecutionStatus, SendEvent, SendSequence, SendStage};
 use glenfall_http_client::BodyEnd;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 
-const WORDS: [(SendEvent, [&str; 6]); 11] = [
-    // Unconnected, untouched, partly, whole, informed, answering; to what may run once only.
+/// The execution status of a non-idempotent request for each event, by stage: unconnected, connected, partly sent, sent,
+/// informed, answering.
+const EXPECTED_STATUS: [(SendEvent, [&str; 6]); 11] = [
     (SendEvent::NoConnection, ["not run", "not run", "not run", "unknown", "unknown", "unknown"]),
     (SendEvent::Broken, ["not run", "not run", "not run", "unknown", "unknown", "unknown"]),
     (SendEvent::TimedOut, ["not run", "not run", "not run", "unknown", "unknown", "unknown"]),
@@ -20,47 +21,47 @@
 ];
 
 #[test]
-fn what_follows_is_as_the_table_of_the_docs_says() {
-    assert_eq!(WORDS.map(|(event, _)| event), SendEvent::ALL);
+fn execution_status_matches_the_table_in_the_docs() {
+    assert_eq!(EXPECTED_STATUS.map(|(event, _)| event), SendEvent::ALL);
     let page = include_str!("../../docs/hardening.md");
-    for (event, words) in WORDS {
+    for (event, statuses) in EXPECTED_STATUS {
         assert_eq!(
             SendStage::ALL.map(|stage| execution_status(stage, event, false).to_string()),
-            words,
+            statuses,
             "{event:?}"
         );
-        let row = format!("| `{event:?}` | {} |", words.join(" | "));
+        let row = format!("| `{event:?}` | {} |", statuses.join(" | "));
         assert!(page.contains(&row), "docs/hardening.md has no row {row}");
     }
 }
 
 #[test]
-fn what_may_have_run_is_never_sent_again_nor_promised_not_to_have() {
+fn a_non_idempotent_request_that_may_have_run_is_never_retried_nor_promised_not_to_have_run() {
     for stage in SendStage::ALL {
         for event in SendEvent::ALL {
             for failure in [false, true] {
-                let (once, twice) =
+                let (non_idempotent, idempotent) =
                     (execution_status(stage, event, false), execution_status(stage, event, true));
-                let may = once.may_retry(false, failure);
-                // Only what never had its last byte, and what the server itself says.
-                assert!(!may || !stage.is_sent() || event == SendEvent::NotRun, "{stage:?} {event:?}");
+                let may_retry = non_idempotent.may_retry(false, failure);
+                // Only before the last byte, or on the explicit statement of the server.
+                assert!(!may_retry || !stage.is_sent() || event == SendEvent::NotRun, "{stage:?} {event:?}");
                 assert_eq!(
-                    may,
-                    once == ExecutionStatus::NotRun,
-                    "what may go out again may be refused, and nothing else"
+                    may_retry,
+                    non_idempotent == ExecutionStatus::NotRun,
+                    "exactly what may be retried may also be rejected as not run"
                 );
-                // To be allowed to run twice opens ways, and closes none.
-                assert!(twice.may_retry(true, failure) || !may, "{stage:?} {event:?}");
-                // Nothing is settled by the wish to stop, and nothing is sent for nobody.
-                assert_eq!(once == ExecutionStatus::Waits, event == SendEvent::Stopping);
-                assert!(event != SendEvent::Abandoned || !twice.may_retry(true, failure));
+                // Idempotence allows more retries, and forbids none.
+                assert!(idempotent.may_retry(true, failure) || !may_retry, "{stage:?} {event:?}");
+                // A stop signal decides nothing, and nothing is sent for a client that has gone.
+                assert_eq!(non_idempotent == ExecutionStatus::Waits, event == SendEvent::Stopping);
+                assert!(event != SendEvent::Abandoned || !idempotent.may_retry(true, failure));
             }
         }
     }
 }
 
 #[test]
-fn the_end_of_a_body_is_stated_in_one_way_or_the_close_of_its_connection() {
+fn a_body_end_is_stated_by_one_header_or_by_the_close_of_the_connection() {
     for (lines, end) in [
         (&["content-length: 5"][..], BodyEnd::Stated),
         (&["transfer-encoding: Chunked "], BodyEnd::Stated),
@@ -74,31 +75,31 @@
         let headers = parts.map(|(name, value)| {
             (HeaderName::from_static(name), HeaderValue::from_str(value).expect("a value"))
         });
-        let mut all = HeaderMap::new();
+        let mut header_map = HeaderMap::new();
         for (name, value) in headers {
-            all.append(name, value);
+            header_map.append(name, value);
         }
-        assert_eq!(BodyEnd::of(&all), end, "{lines:?}");
+        assert_eq!(BodyEnd::of(&header_map), end, "{lines:?}");
     }
 }
 
 #[test]
-fn sends_end_with_their_number_with_a_settled_answer_or_with_four_unreachable_servers() {
+fn sends_end_at_their_limit_at_a_final_response_or_after_four_unreachable_servers() {
     let ended = |sends: &mut SendSequence, event| {
         sends.ended(SendStage::Answering, event, event == SendEvent::Failure)
     };
-    for (case, repeatable, events, used, may_begin, is_short) in [
+    for (case, idempotent, events, used, may_begin, is_short) in [
         ("none yet", true, &[][..], 0, true, false),
         ("a success", true, &[SendEvent::Success], 1, false, false),
         ("a failure", true, &[SendEvent::Failure], 1, true, false),
-        ("a failure of what runs once", false, &[SendEvent::Failure], 1, false, false),
-        ("silence, and what runs once", false, &[SendEvent::TimedOut], 1, false, false),
-        ("not run, and what runs once", false, &[SendEvent::NotRun], 1, true, false),
+        ("a failure, not idempotent", false, &[SendEvent::Failure], 1, false, false),
+        ("a time-out, not idempotent", false, &[SendEvent::TimedOut], 1, false, false),
+        ("not run, not idempotent", false, &[SendEvent::NotRun], 1, true, false),
         ("all used", true, &[SendEvent::TimedOut, SendEvent::Broken], 2, false, true),
-        ("all used, and what runs once", false, &[SendEvent::NotRun, SendEvent::NotRun], 2, false, true),
-        ("a good end", true, &[SendEvent::Failure, SendEvent::Success], 2, false, false),
+        ("all used, not idempotent", false, &[SendEvent::NotRun, SendEvent::NotRun], 2, false, true),
+        ("a success after a failure", true, &[SendEvent::Failure, SendEvent::Success], 2, false, false),
     ] {
-        let mut sends = SendSequence::new(2, repeatable);
+        let mut sends = SendSequence::new(2, idempotent);
         for event in events {
             assert!(sends.may_begin(), "{case}");
             ended(&mut sends, *event);
@@ -114,7 +115,11 @@
         assert!(sends.may_begin());
         sends.ended(SendStage::Unconnected, SendEvent::NoConnection, false);
     }
-    assert_eq!((sends.used(), sends.may_begin(), sends.is_short()), (0, false, false), "nobody was reached");
+    assert_eq!(
+        (sends.used(), sends.may_begin(), sends.is_short()),
+        (0, false, false),
+        "no server was reached"
+    );
     let mut sends = SendSequence::new(2, true);
     ended(&mut sends, SendEvent::NotRun);
     sends.settle();
