--- /dev/null
+++ b/glenfall/src/http_server/connection_limit.rs
@@ -0,0 +1,107 @@
+//! Bounds the open connections of a server. At the limit the connection that has been idle longest is evicted.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::sync::Notify;
+use tokio::time::timeout;
+
+/// An evicted connection stays open if its next request arrives at the same moment. If none has closed after this time,
+/// the next one is evicted.
+const EVICTION_TIMEOUT: Duration = Duration::from_millis(10);
+
+/// The open connections of a server.
+pub struct ConnectionLimit {
+    max_open: usize,
+    open: Cell<usize>,
+    /// The connections that are idle after a response, in the order in which they became idle, with what evicts them.
+    idle: RefCell<BTreeMap<u64, Rc<Notify>>>,
+    last_idle_number: Cell<u64>,
+    connection_closed: Notify,
+}
+
+impl ConnectionLimit {
+    /// A server without connections, which may have this many.
+    pub fn new(max_open: usize) -> Self {
+        ConnectionLimit {
+            max_open,
+            open: Cell::new(0),
+            idle: RefCell::default(),
+            last_idle_number: Cell::new(0),
+            connection_closed: Notify::new(),
+        }
+    }
+
+    /// The number of open connections.
+    pub fn open(&self) -> usize {
+        self.open.get()
+    }
+
+    /// Waits until there is capacity for one more connection, and evicts idle ones until there is.
+    pub async fn capacity_available(&self) {
+        while self.open.get() >= self.max_open {
+            self.evict_longest_idle();
+            let _ = timeout(EVICTION_TIMEOUT, self.connection_closed.notified()).await;
+        }
+    }
+
+    /// Waits until no connection is open.
+    pub async fn all_closed(&self) {
+        while self.open.get() > 0 {
+            self.connection_closed.notified().await;
+        }
+    }
+
+    /// Asks the connection that has been idle longest to close. Its client opens a new one for its next request.
+    fn evict_longest_idle(&self) {
+        if let Some((_, evicted)) = self.idle.borrow_mut().pop_first() {
+            evicted.notify_one();
+        }
+    }
+}
+
+/// One open connection, counted until this is dropped.
+pub struct ConnectionSlot {
+    limit: Rc<ConnectionLimit>,
+    /// The key among the idle connections, while this one is idle.
+    idle_number: Cell<Option<u64>>,
+    evicted: Rc<Notify>,
+}
+
+impl ConnectionSlot {
+    /// Counts a new connection. It is not evicted before its first response.
+    pub fn claim(limit: &Rc<ConnectionLimit>) -> Self {
+        limit.open.set(limit.open.get() + 1);
+        ConnectionSlot { limit: Rc::clone(limit), idle_number: Cell::new(None), evicted: Rc::default() }
+    }
+
+    /// A request has arrived: the connection can't be evicted until it is idle again.
+    pub fn mark_busy(&self) {
+        if let Some(idle_number) = self.idle_number.take() {
+            self.limit.idle.borrow_mut().remove(&idle_number);
+        }
+    }
+
+    /// The response is ready: the connection can be evicted from now on.
+    pub fn mark_idle(&self) {
+        let idle_number = self.limit.last_idle_number.get() + 1;
+        self.limit.last_idle_number.set(idle_number);
+        self.idle_number.set(Some(idle_number));
+        self.limit.idle.borrow_mut().insert(idle_number, Rc::clone(&self.evicted));
+    }
+
+    /// Waits until the connection is evicted.
+    pub async fn evicted(&self) {
+        self.evicted.notified().await;
+    }
+}
+
+impl Drop for ConnectionSlot {
+    fn drop(&mut self) {
+        self.mark_busy();
+        self.limit.open.set(self.limit.open.get() - 1);
+        self.limit.connection_closed.notify_waiters();
+    }
+}
--- /dev/null
+++ b/glenfall/src/http_server/message.rs
@@ -0,0 +1,50 @@
+//! Complete requests and responses, as handlers see them.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header;
+use hyper::http::request::Parts;
+use hyper::{Response, StatusCode};
+
+use crate::http::headers::retry_after_value;
+
+/// A complete response. Proxies create theirs as [`ProxyResponse`](crate::http::response::ProxyResponse).
+pub type FullResponse = Response<Full<Bytes>>;
+
+/// A request with its complete body.
+pub struct FullRequest {
+    /// Method, target and headers.
+    pub head: Parts,
+    /// The complete body; empty where the request has none.
+    pub body: Bytes,
+}
+
+impl FullRequest {
+    /// The host that the request is for; empty where the header is not text.
+    pub fn host(&self) -> &str {
+        self.head.headers.get(header::HOST).and_then(|host| host.to_str().ok()).unwrap_or("")
+    }
+
+    /// Path and query, as in the request line.
+    pub fn path_and_query(&self) -> &str {
+        self.head.uri.path_and_query().map_or("/", |path| path.as_str())
+    }
+}
+
+/// A response with a fixed text as its body.
+pub fn plain_response(status: StatusCode, text: &'static str) -> FullResponse {
+    let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
+    *response.status_mut() = status;
+    response
+}
+
+/// A response which promises that the request has not run and never will. The client may retry it after this time.
+pub fn retry_later_response(status: StatusCode, text: &'static str, retry_after: Duration) -> FullResponse {
+    let mut response = plain_response(status, text);
+    if let Some(value) = retry_after_value(retry_after) {
+        response.headers_mut().insert(header::RETRY_AFTER, value);
+    }
+    response
+}
