--- a/experiments/src/load.rs
+++ b/experiments/src/load.rs
@@ -10,7 +10,7 @@
 use glenfall::http::headers::{DEADLINE, TRY_ID};
 use glenfall::http::response::ServerResponse;
 use glenfall::memory_budget::MemoryBudget;
-use glenfall::upstream::pool::{Pool, SendError, UpstreamKind};
+use glenfall::upstream::pool::{ExchangeParams, Pool, SendError};
 use glenfall_balancer::mix;
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
@@ -176,7 +176,7 @@
             }
             request
         };
-        self.pool.exchange(edge.into(), request, until, UpstreamKind::Internal, || true).await
+        self.pool.exchange(ExchangeParams::internal(edge, until), request).await
     }
 
     /// Objects that change, each with its purge.
--- a/experiments/src/origin.rs
+++ b/experiments/src/origin.rs
@@ -10,7 +10,7 @@
 use glenfall::http_server::{self, plain_response, retry_later_response, FullRequest, FullResponse, Handler};
 use glenfall::memory_budget::MemoryBudget;
 use glenfall::operator::commands::ControlAddresses;
-use glenfall::upstream::pool::{Pool, UpstreamKind};
+use glenfall::upstream::pool::{ExchangeParams, Pool};
 use glenfall_control_plane::config::RequestLimits;
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
@@ -324,7 +324,7 @@
         request.headers_mut().insert(header::HOST, HeaderValue::from_static("control"));
         request
     };
-    let reply =
-        pool.exchange(control.into(), request, Instant::now() + CALL, UpstreamKind::Internal, || true).await;
+    let params = ExchangeParams::internal(control, Instant::now() + CALL);
+    let reply = pool.exchange(params, request).await;
     reply.is_ok_and(|reply| reply.status().is_success())
 }
--- a/experiments/src/processor/mod.rs
+++ b/experiments/src/processor/mod.rs
@@ -16,7 +16,7 @@
 use glenfall::http::headers::TRY_ID;
 use glenfall::memory_budget::MemoryBudget;
 use glenfall::operator::local_system::{LocalSystem, SystemLayout};
-use glenfall::upstream::pool::{Pool, UpstreamKind};
+use glenfall::upstream::pool::{ExchangeParams, Pool};
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Request, StatusCode};
@@ -223,7 +223,7 @@
             request
         };
         let until = Instant::now() + ANSWERED;
-        let reply = pool.exchange(self.edge.into(), request, until, UpstreamKind::Internal, || true).await;
+        let reply = pool.exchange(ExchangeParams::internal(self.edge, until), request).await;
         let status = reply.map(|reply| reply.status());
         if status != Ok(StatusCode::OK) {
             eprintln!("{}: request {} ended with {status:?}", case.name, self.next);
--- a/experiments/src/soak/clients.rs
+++ b/experiments/src/soak/clients.rs
@@ -11,7 +11,7 @@
 use glenfall::http::headers::{DEADLINE, TRY_ID};
 use glenfall::http::response::{ServerResponse, SEAL};
 use glenfall::memory_budget::MemoryBudget;
-use glenfall::upstream::pool::{Pool, SendError, UpstreamKind};
+use glenfall::upstream::pool::{ExchangeParams, Pool, SendError};
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Request, StatusCode};
@@ -183,16 +183,8 @@
             request
         };
         let until = Instant::now() + deadline + GIVEN_UP;
-        self.pool
-            .exchange_within(
-                None,
-                self.edges[edge].addr.into(),
-                request,
-                until,
-                UpstreamKind::Internal,
-                || true,
-            )
-            .await
+        let params = ExchangeParams::internal(self.edges[edge].addr, until);
+        self.pool.exchange(ExchangeParams { completion_timeout: None, ..params }, request).await
     }
 
     fn answered(&self, asked: &Asked, reply: &ServerResponse, elapsed: Duration) {
--- a/experiments/src/soak/operators.rs
+++ b/experiments/src/soak/operators.rs
@@ -10,7 +10,7 @@
 use glenfall::http::response::ServerResponse;
 use glenfall::memory_budget::MemoryBudget;
 use glenfall::operator::commands::ControlAddresses;
-use glenfall::upstream::pool::{Pool, UpstreamKind};
+use glenfall::upstream::pool::{ExchangeParams, Pool};
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Request, StatusCode};
@@ -159,13 +159,8 @@
             }
             request
         };
-        let reply = self.pool.exchange(
-            control.into(),
-            request,
-            Instant::now() + CALL,
-            UpstreamKind::Internal,
-            || true,
-        );
+        let params = ExchangeParams::internal(control, Instant::now() + CALL);
+        let reply = self.pool.exchange(params, request);
         let is_lost = {
             let mut rng = self.rng.borrow_mut();
             let share = if self.answers_lost.get() > 0 { 0.6 } else { 0.05 };
--- a/glenfall/src/edge/read.rs
+++ b/glenfall/src/edge/read.rs
@@ -1,6 +1,7 @@
 //! Reads at an edge: from its own copies, by the shields, and from the servers where no shield answers.
 
 use std::future::{poll_fn, Future};
+use std::net::SocketAddr;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -26,7 +27,7 @@
 use crate::http_server::FullRequest;
 use crate::shield::{object_hash, AGAIN, REV};
 use crate::upstream::forward::Outcome;
-use crate::upstream::pool::{SendError, UpstreamKind};
+use crate::upstream::pool::{ExchangeParams, SendError};
 
 /// A shield that has not answered after this part of the time that is left, and this much at least, may be dark:
 /// the next one is asked. Half of the time was too much: what waited for a frozen shield came late.
@@ -369,7 +370,7 @@
         allowance: Allowance,
         again: bool,
     ) -> Result<ServerResponse, SendError> {
-        let addr = shield.0.parse().map_err(|_| SendError::NotSent)?;
+        let address: SocketAddr = shield.0.parse().map_err(|_| SendError::NotSent)?;
         let request = || {
             let mut request = Request::new(Full::new(Bytes::new()));
             *request.uri_mut() = read.whole.head.uri.clone();
@@ -384,7 +385,8 @@
             request
         };
         let _in_flight = super::InFlight::at(&self.shields, shield);
-        self.forwarder.pool.exchange(addr, request, read.until, UpstreamKind::Internal, || true).await
+        let params = ExchangeParams::internal(address, read.until);
+        self.forwarder.pool.exchange(params, request).await
     }
 }
 
--- a/glenfall/src/operator/commands.rs
+++ b/glenfall/src/operator/commands.rs
@@ -20,7 +20,7 @@
 use crate::memory_budget::MemoryBudget;
 use crate::operator::declarative_config::{self, DeclareError, Declared, Difference};
 use crate::settings::Settings;
-use crate::upstream::pool::{Pool, UpstreamKind};
+use crate::upstream::pool::{ExchangeParams, Pool};
 
 /// One call to a control node; it answers within a second or not at all.
 const CALL: Duration = Duration::from_millis(1500);
@@ -233,10 +233,8 @@
             }
             request
         };
-        match pool
-            .exchange((*addr).into(), request, Instant::now() + within, UpstreamKind::Internal, || true)
-            .await
-        {
+        let params = ExchangeParams::internal(*addr, Instant::now() + within);
+        match pool.exchange(params, request).await {
             Ok(reply) if reply.status().is_success() => return Ok(reply),
             Ok(reply) if reply.status().is_client_error() || is_final(&reply) => {
                 let body = String::from_utf8_lossy(reply.body()).into_owned();
--- a/glenfall/src/operator/demo.rs
+++ b/glenfall/src/operator/demo.rs
@@ -25,7 +25,7 @@
 use crate::memory_budget::MemoryBudget;
 use crate::operator::commands::{self, ControlAddresses, MAX_RESPONSE_BYTES};
 use crate::operator::local_system::{LocalSystem, SystemLayout};
-use crate::upstream::pool::{Pool, UpstreamKind};
+use crate::upstream::pool::{ExchangeParams, Pool};
 
 /// Each step of the demo comes true within this time, also on a busy machine.
 const STEP: Duration = Duration::from_secs(30);
@@ -187,9 +187,8 @@
                     request.headers_mut().insert(header::HOST, HeaderValue::from_static("control"));
                     request
                 };
-                let until = Instant::now() + Duration::from_secs(1);
-                let reply =
-                    pool.exchange((*control).into(), request, until, UpstreamKind::Internal, || true).await;
+                let deadline = Instant::now() + Duration::from_secs(1);
+                let reply = pool.exchange(ExchangeParams::internal(*control, deadline), request).await;
                 if reply.is_ok_and(|reply| reply.status().is_success()) {
                     break;
                 }
@@ -262,11 +261,9 @@
         request.headers_mut().insert(headers::TRY_ID, HeaderValue::from_static("demo-try"));
         request
     };
-    let until = Instant::now() + Duration::from_secs(3);
-    let reply = Pool::new(8, MemoryBudget::new(MAX_RESPONSE_BYTES))
-        .exchange(edge.into(), request, until, UpstreamKind::Internal, || true)
-        .await
-        .ok()?;
+    let deadline = Instant::now() + Duration::from_secs(3);
+    let pool = Pool::new(8, MemoryBudget::new(MAX_RESPONSE_BYTES));
+    let reply = pool.exchange(ExchangeParams::internal(edge, deadline), request).await.ok()?;
     (reply.status() == StatusCode::OK && reply.headers().contains_key("x-glenfall-seal")).then_some(reply)
 }
 
--- a/glenfall/src/upstream/forward/mod.rs
+++ b/glenfall/src/upstream/forward/mod.rs
@@ -27,7 +27,7 @@
 use crate::settings::Settings;
 use crate::upstream::concurrency_limit::ConcurrencyLimits;
 use crate::upstream::origins::{OriginBalancer, SelectedOrigin};
-use crate::upstream::pool::{Pool, SendError, UpstreamKind, ANSWER_TIME};
+use crate::upstream::pool::{ExchangeParams, Pool, SendError, UpstreamKind, RESPONSE_COMPLETION_TIMEOUT};
 
 const WANT_SERVER: HeaderName = HeaderName::from_static("x-glenfall-want-server");
 
@@ -159,7 +159,7 @@
             ("answer_bytes_held", self.pool.memory.held() as u64),
             ("waited", self.waited.get()),
             ("above_ceiling", self.above_ceiling.get()),
-            ("connections_opened", self.pool.opened.get()),
+            ("connections_opened", self.pool.connections_opened()),
         ]
     }
 
@@ -168,7 +168,7 @@
         // What a shield asks of servers has its own order.
         let edges = if self.sharers == ProxyRole::Edge { &fleet.edges[..] } else { &[] };
         for addr in self.origins.update(Instant::now(), &fleet.servers, edges) {
-            self.pool.forget(addr.into());
+            self.pool.close_idle(addr.into());
         }
         let machines = fleet.edges.len() + fleet.shields.len();
         self.retry_budget.borrow_mut().set_machine_count(self.now(), machines);
@@ -296,7 +296,7 @@
             return Err(Cause::RateLimit);
         }
         attempts.under_ceiling = true;
-        let warm = |addr| self.pool.is_warm(addr);
+        let warm = |addr| self.pool.has_idle_connection(addr);
         let server = self.origins.choose(Instant::now(), job.service, &attempts.tried, warm);
         let server = server.ok_or(Cause::NoServer)?;
         attempts.tried.push(server.id.clone());
@@ -330,10 +330,14 @@
             request.headers_mut().insert(DEADLINE, HeaderValue::from(left.max(1)));
             request
         };
-        let still = || self.origins.is_ready(&server.id);
-        let whole_within = another.then_some(ANSWER_TIME);
-        self.pool
-            .exchange_within(whole_within, server.addr.into(), request, until, UpstreamKind::Origin, still)
-            .await
+        let is_ready = || self.origins.is_ready(&server.id);
+        let params = ExchangeParams {
+            address: server.addr.into(),
+            kind: UpstreamKind::Origin,
+            deadline: until,
+            completion_timeout: another.then_some(RESPONSE_COMPLETION_TIMEOUT),
+            may_still_send: Some(&is_ready),
+        };
+        self.pool.exchange(params, request).await
     }
 }
--- a/glenfall/src/upstream/origins/load_balancer.rs
+++ b/glenfall/src/upstream/origins/load_balancer.rs
@@ -138,8 +138,8 @@
     }
 
     /// When the slow start of a server ends; `None` for an unknown server.
-    pub fn warm_at(&self, id: &str) -> Option<Instant> {
-        self.origins.borrow().get(id).map(Origin::warm_at)
+    pub fn slow_start_ends_at(&self, id: &str) -> Option<Instant> {
+        self.origins.borrow().get(id).map(Origin::slow_start_ends_at)
     }
 
     /// Requests in flight to all servers together.
--- a/glenfall/src/upstream/origins/origin.rs
+++ b/glenfall/src/upstream/origins/origin.rs
@@ -12,7 +12,7 @@
 /// A server as control last published it, and what this process has observed of it.
 pub struct Origin {
     server: Server,
-    warm_at: Instant,
+    slow_start_ends_at: Instant,
     in_flight: u32,
     latency: LatencyEstimate,
     outlier_detector: OutlierDetector,
@@ -23,7 +23,7 @@
     pub fn new(now: Instant, server: &Server) -> Self {
         Origin {
             server: server.clone(),
-            warm_at: warm_at(now, server),
+            slow_start_ends_at: slow_start_ends_at(now, server),
             in_flight: 0,
             latency: LatencyEstimate::new(now),
             outlier_detector: OutlierDetector::new(now),
@@ -39,7 +39,7 @@
         let has_returned = !self.server.ready && server.ready;
         Invariant::DrainIsFinal.check(!has_returned, || server.id.clone());
         self.server = server.clone();
-        self.warm_at = warm_at(now, server);
+        self.slow_start_ends_at = slow_start_ends_at(now, server);
     }
 
     /// The server as last published.
@@ -63,8 +63,8 @@
     }
 
     /// When its slow start ends.
-    pub fn warm_at(&self) -> Instant {
-        self.warm_at
+    pub fn slow_start_ends_at(&self) -> Instant {
+        self.slow_start_ends_at
     }
 
     /// Its response times.
@@ -101,6 +101,6 @@
     }
 }
 
-fn warm_at(now: Instant, server: &Server) -> Instant {
+fn slow_start_ends_at(now: Instant, server: &Server) -> Instant {
     now + Duration::from_millis(server.warmup_left_ms)
 }
--- a/glenfall/src/upstream/origins/scoring.rs
+++ b/glenfall/src/upstream/origins/scoring.rs
@@ -65,7 +65,7 @@
         let utilization = f64::from(origin.in_flight()) * UTILIZATION_SLOPE / capacity;
         let free_capacity = 1.0 / (1.0 + utilization);
         let base = capacity * free_capacity * free_capacity * self.speed(candidate);
-        let slow_start = if origin.warm_at() > self.now { SLOW_START_FACTOR } else { 1.0 };
+        let slow_start = if origin.slow_start_ends_at() > self.now { SLOW_START_FACTOR } else { 1.0 };
         let connection = if has_idle_connection { CONNECTION_REUSE_FACTOR } else { 1.0 };
         let success = origin.outlier_detector().success_factor(self.now);
         (base * success * slow_start * self.locality(origin) * connection).max(MIN_POSITIVE)
--- /dev/null
+++ b/glenfall/src/upstream/pool/response_reader.rs
@@ -0,0 +1,142 @@
+//! Reads complete responses within the memory that the process has for them.
+
+use std::cell::Cell;
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use glenfall_http_client::{BodyEnd, Progress};
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+use hyper::http::response::Parts;
+use hyper::{Method, Response, StatusCode};
+
+use super::keep_alive::idle_timeout;
+use crate::http::response::ServerResponse;
+use crate::memory_budget::{MemoryBudget, Reservation};
+
+/// Largest body of a response that is held in memory.
+const MAX_BODY_BYTES: usize = 16 << 20;
+
+/// A complete response, and for how long its connection may stay idle; `None` if it has to be closed.
+pub struct CompleteResponse {
+    /// The response.
+    pub response: ServerResponse,
+    /// The idle time-out of its connection.
+    pub idle_timeout: Option<Duration>,
+}
+
+/// Why no complete response could be read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ReadError {
+    /// The server changes to another protocol.
+    #[error("the server switches protocols")]
+    SwitchingProtocols,
+    /// Nothing says where the body ends.
+    #[error("the end of the body can't be determined")]
+    UnclearEnd,
+    /// The body is longer than [`MAX_BODY_BYTES`].
+    #[error("the body is too large")]
+    TooLarge,
+    /// The body is larger than the whole memory budget.
+    #[error("the body exceeds the memory budget")]
+    ExceedsMemoryBudget,
+    /// The connection failed before the end of the body.
+    #[error("the body is incomplete")]
+    Incomplete,
+}
+
+/// Reads one response.
+pub struct ResponseReader<'a> {
+    memory: &'a MemoryBudget,
+    /// Time spent waiting for memory of this process is no fault of the server's.
+    is_waiting_for_memory: Cell<bool>,
+}
+
+impl<'a> ResponseReader<'a> {
+    /// A reader that reserves memory in a budget.
+    pub fn new(memory: &'a MemoryBudget) -> Self {
+        ResponseReader { memory, is_waiting_for_memory: Cell::new(false) }
+    }
+
+    /// Reads the response to a request with this method to its end.
+    pub async fn read(
+        &self,
+        response: Response<Incoming>,
+        method: &Method,
+    ) -> Result<CompleteResponse, ReadError> {
+        let (head, body) = response.into_parts();
+        if head.status == StatusCode::SWITCHING_PROTOCOLS {
+            return Err(ReadError::SwitchingProtocols);
+        }
+        if !has_clear_end(&head, method) {
+            return Err(ReadError::UnclearEnd);
+        }
+        let body = self.read_body(body).await?;
+        let idle_timeout = idle_timeout(&head.headers);
+        Ok(CompleteResponse { response: ServerResponse::new(head, body), idle_timeout })
+    }
+
+    /// Waits until a response has begun and is not complete within the time-out, although there is memory for it.
+    /// Never returns without a time-out.
+    pub async fn stalled(&self, progress: &Progress, completion_timeout: Option<Duration>) {
+        let Some(completion_timeout) = completion_timeout else { return std::future::pending().await };
+        loop {
+            progress.stalled(completion_timeout).await;
+            if !self.is_waiting_for_memory.get() {
+                return;
+            }
+        }
+    }
+
+    async fn read_body(&self, mut body: Incoming) -> Result<Bytes, ReadError> {
+        // 0 where no length is stated.
+        let stated_length = body.size_hint().lower();
+        if stated_length > MAX_BODY_BYTES as u64 {
+            return Err(ReadError::TooLarge);
+        }
+        if body.is_end_stream() {
+            return Ok(Bytes::new());
+        }
+        let stated_length = stated_length as usize;
+        let mut reservation = self.reserve(stated_length).await?;
+        let mut buffer = BytesMut::with_capacity(stated_length);
+        while let Some(frame) = body.frame().await {
+            let frame = frame.map_err(|_| ReadError::Incomplete)?;
+            let Ok(data) = frame.into_data() else { continue };
+            let length = buffer.len() + data.len();
+            if buffer.is_empty() && body.is_end_stream() && length <= reservation.bytes() {
+                // The only frame is the body: it need not be copied.
+                return Ok(reservation.keeping(data));
+            }
+            if length > MAX_BODY_BYTES {
+                return Err(ReadError::TooLarge);
+            }
+            if length > reservation.bytes() {
+                // No length is stated: reserve as much again as has arrived.
+                self.grow(&mut reservation, (2 * length).min(MAX_BODY_BYTES)).await?;
+            }
+            buffer.extend_from_slice(&data);
+        }
+        Ok(reservation.keeping(buffer.freeze()))
+    }
+
+    async fn reserve(&self, bytes: usize) -> Result<Reservation, ReadError> {
+        self.is_waiting_for_memory.set(true);
+        let reservation = self.memory.hold(bytes).await.ok_or(ReadError::ExceedsMemoryBudget)?;
+        self.is_waiting_for_memory.set(false);
+        Ok(reservation)
+    }
+
+    async fn grow(&self, reservation: &mut Reservation, bytes: usize) -> Result<(), ReadError> {
+        self.is_waiting_for_memory.set(true);
+        reservation.grow(bytes).await.ok_or(ReadError::ExceedsMemoryBudget)?;
+        self.is_waiting_for_memory.set(false);
+        Ok(())
+    }
+}
+
+fn has_clear_end(head: &Parts, method: &Method) -> bool {
+    let has_no_body =
+        method == Method::HEAD || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
+    has_no_body || BodyEnd::of(&head.headers) != BodyEnd::Unclear
+}
--- a/glenfall/tests/unit/pool.rs
+++ b/glenfall/tests/unit/pool.rs
@@ -1,4 +1,5 @@
-//! Connections to servers: what is read as an answer, what goes out again, and how long they are kept.
+//! The connection pool: which bytes are read as a response, which requests are sent again, and how long connections
+//! stay idle.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -7,7 +8,9 @@
 
 use bytes::Bytes;
 use glenfall::memory_budget::MemoryBudget;
-use glenfall::upstream::pool::{kept_for, Pool, SendError, UpstreamKind, KEPT, SURE};
+use glenfall::upstream::pool::{
+    idle_timeout, ExchangeParams, Pool, SendError, UpstreamKind, DEFAULT_IDLE_TIMEOUT, MAX_TRUSTED_IDLE_TIME,
+};
 use http_body_util::Full;
 use hyper::header::HeaderMap;
 use hyper::{Method, Request, Uri};
@@ -18,20 +21,20 @@
 
 use crate::support::{run_local, stand_in};
 
-const FIRST: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
-const LATER: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nlater";
+const FIRST_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
+const LATER_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nlater";
 
 fn pool() -> Rc<Pool> {
     Pool::new(8, MemoryBudget::new(1 << 20))
 }
 
-/// The body of the answer to a request.
-async fn exchanged(
+/// Sends a request, and returns the body of its response.
+async fn exchange(
     pool: &Pool,
     addr: SocketAddr,
     method: Method,
     body: &'static str,
-    trust: UpstreamKind,
+    kind: UpstreamKind,
 ) -> Result<String, SendError> {
     let request = || {
         let mut request = Request::new(Full::new(Bytes::from_static(body.as_bytes())));
@@ -39,29 +42,30 @@
         *request.uri_mut() = Uri::from_static("/x");
         request
     };
-    let until = Instant::now() + Duration::from_secs(20);
-    let reply = pool.exchange(addr, request, until, trust, || true).await?;
-    Ok(String::from_utf8_lossy(reply.body()).into_owned())
+    let deadline = Instant::now() + Duration::from_secs(20);
+    let params = ExchangeParams { kind, ..ExchangeParams::internal(addr, deadline) };
+    let response = pool.exchange(params, request).await?;
+    Ok(String::from_utf8_lossy(response.body()).into_owned())
 }
 
-/// A server that says one text to the first request that it ever gets, and then, unasked, another one; to each
-/// later request it answers `later`.
-async fn server(answer: &'static str, unasked: &'static str) -> SocketAddr {
+/// A server that sends one text in response to the first request that it ever receives, and then, unrequested, another
+/// one; each later request gets [`LATER_RESPONSE`].
+async fn server(response: &'static str, unrequested: &'static str) -> SocketAddr {
     let first = Cell::new(true);
     let connection = move |mut stream: TcpStream| {
-        let mut said = first.replace(false).then_some((answer, unasked));
+        let mut first_texts = first.replace(false).then_some((response, unrequested));
         async move {
-            let mut heard = Vec::new();
-            while stream.read_buf(&mut heard).await.is_ok_and(|n| n > 0) {
-                if !heard.ends_with(b"\r\n\r\n") {
+            let mut received = Vec::new();
+            while stream.read_buf(&mut received).await.is_ok_and(|n| n > 0) {
+                if !received.ends_with(b"\r\n\r\n") {
                     continue;
                 }
-                heard.clear();
-                let (answer, unasked) = said.take().unwrap_or((LATER, ""));
-                let _ = stream.write_all(answer.as_bytes()).await;
-                if !unasked.is_empty() {
+                received.clear();
+                let (response, unrequested) = first_texts.take().unwrap_or((LATER_RESPONSE, ""));
+                let _ = stream.write_all(response.as_bytes()).await;
+                if !unrequested.is_empty() {
                     sleep(Duration::from_millis(50)).await;
-                    let _ = stream.write_all(unasked.as_bytes()).await;
+                    let _ = stream.write_all(unrequested.as_bytes()).await;
                 }
             }
         }
@@ -69,23 +73,23 @@
     stand_in(connection).await.into()
 }
 
-/// What two requests get, one after the other.
-async fn two(
-    answer: &'static str,
-    unasked: &'static str,
-    trust: UpstreamKind,
+/// The responses to two requests, one after the other.
+async fn two_exchanges(
+    response: &'static str,
+    unrequested: &'static str,
+    kind: UpstreamKind,
 ) -> [Result<String, SendError>; 2] {
-    let (pool, addr) = (pool(), server(answer, unasked).await);
-    let mut got = Vec::new();
+    let (pool, addr) = (pool(), server(response, unrequested).await);
+    let mut results = Vec::new();
     for _ in 0..2 {
-        got.push(exchanged(&pool, addr, Method::GET, "", trust).await);
+        results.push(exchange(&pool, addr, Method::GET, "", kind).await);
         sleep(Duration::from_millis(150)).await;
     }
-    got.try_into().expect("two")
+    results.try_into().expect("two")
 }
 
 #[test]
-fn an_answer_is_read_as_the_next_one_only_where_it_came_in_answer() {
+fn only_bytes_that_follow_a_request_are_read_as_its_response() {
     run_local(async {
         let ok = |text: &str| Ok(text.to_owned());
         let twice = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst\
@@ -94,66 +98,66 @@
         let longer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst and more than that";
         let shorter = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfirst";
         let neither = "HTTP/1.1 200 OK\r\n\r\nfirst";
-        for (case, answer, unasked, got) in [
-            ("well", FIRST, "", [ok("first"), ok("later")]),
-            ("a second answer at once", twice, "", [ok("first"), ok("later")]),
-            ("a second answer late", FIRST, FIRST, [ok("first"), ok("later")]),
-            ("noise late", FIRST, "noise", [ok("first"), ok("later")]),
+        for (case, response, unrequested, expected) in [
+            ("normal", FIRST_RESPONSE, "", [ok("first"), ok("later")]),
+            ("a second response immediately", twice, "", [ok("first"), ok("later")]),
+            ("a second response late", FIRST_RESPONSE, FIRST_RESPONSE, [ok("first"), ok("later")]),
+            ("noise late", FIRST_RESPONSE, "noise", [ok("first"), ok("later")]),
             ("a 1xx before", informed, "", [ok("first"), ok("later")]),
-            ("a 1xx late", FIRST, "HTTP/1.1 100 Continue\r\n\r\n", [ok("first"), ok("later")]),
+            ("a 1xx late", FIRST_RESPONSE, "HTTP/1.1 100 Continue\r\n\r\n", [ok("first"), ok("later")]),
             ("longer than it says", longer, "", [ok("first"), ok("later")]),
             ("shorter than it says", shorter, "", [Err(SendError::NoResponse), ok("later")]),
             ("no length", neither, "", [Err(SendError::NoResponse), ok("later")]),
         ] {
-            for trust in [UpstreamKind::Internal, UpstreamKind::Origin] {
-                assert_eq!(two(answer, unasked, trust).await, got, "{case}, {trust:?}");
+            for kind in [UpstreamKind::Internal, UpstreamKind::Origin] {
+                assert_eq!(two_exchanges(response, unrequested, kind).await, expected, "{case}, {kind:?}");
             }
         }
     });
 }
 
-/// What the end of a connection makes of an answer without a length on it.
 #[test]
-fn an_answer_without_a_length_is_whole_once_its_connection_has_ended_in_order() {
+fn a_response_without_a_length_is_complete_only_once_its_connection_is_closed_in_order() {
     run_local(async {
-        for (end, got) in [("close", Ok("first".to_owned())), ("reset", Err(SendError::NoResponse))] {
+        for (end, expected) in [("close", Ok("first".to_owned())), ("reset", Err(SendError::NoResponse))] {
             let connection = move |mut stream: TcpStream| async move {
-                let mut heard = Vec::new();
-                while !heard.ends_with(b"\r\n\r\n") && stream.read_buf(&mut heard).await.is_ok_and(|n| n > 0)
-                {
-                }
+                let mut received = Vec::new();
+                while !received.ends_with(b"\r\n\r\n")
+                    && stream.read_buf(&mut received).await.is_ok_and(|n| n > 0)
+                {}
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=60\r\n\r\nfirst").await;
-                // The bytes come before the end does.
+                // The bytes arrive before the end does.
                 sleep(Duration::from_millis(50)).await;
                 if end == "reset" {
                     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                 }
             };
             let (pool, addr) = (pool(), stand_in(connection).await.into());
-            assert_eq!(exchanged(&pool, addr, Method::GET, "", UpstreamKind::Origin).await, got, "{end}");
-            assert!(!pool.is_warm(addr), "{end}: its connection is over");
+            assert_eq!(exchange(&pool, addr, Method::GET, "", UpstreamKind::Origin).await, expected, "{end}");
+            assert!(!pool.has_idle_connection(addr), "{end}: its connection is closed");
         }
     });
 }
 
-/// A server that forgets connections without a word: what comes after its first answer is reset, once a few bytes
-/// of it are there. Counts the requests that reached it whole.
-async fn forgetful(whole: Rc<Cell<u32>>) -> SocketAddr {
+/// A server that drops connections without notice: what arrives after its first response is reset, once a few bytes
+/// of it are there. Counts the requests that it received completely.
+async fn dropping_server(complete_requests: Rc<Cell<u32>>) -> SocketAddr {
     let connection = move |mut stream: TcpStream| {
-        let whole = Rc::clone(&whole);
+        let complete_requests = Rc::clone(&complete_requests);
         async move {
-            let mut heard = Vec::new();
-            while !heard.ends_with(b"\r\n\r\nbody") {
-                if stream.read_buf(&mut heard).await.is_ok_and(|n| n == 0) {
+            let mut received = Vec::new();
+            while !received.ends_with(b"\r\n\r\nbody") {
+                if stream.read_buf(&mut received).await.is_ok_and(|n| n == 0) {
                     return;
                 }
             }
-            whole.set(whole.get() + 1);
-            let _ = stream.write_all(FIRST.as_bytes()).await;
+            complete_requests.set(complete_requests.get() + 1);
+            let _ = stream.write_all(FIRST_RESPONSE.as_bytes()).await;
             let mut more = [0; 4096];
             let read = stream.read(&mut more).await.unwrap_or(0);
-            whole.set(whole.get() + u32::from(more[..read].ends_with(b"body")));
-            // Without waiting for what is still to come.
+            let is_complete = more[..read].ends_with(b"body");
+            complete_requests.set(complete_requests.get() + u32::from(is_complete));
+            // Closes with a reset, without reading the rest.
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
     };
@@ -161,42 +165,42 @@
 }
 
 #[test]
-fn a_request_on_a_forgotten_connection_goes_out_again_only_where_it_was_not_sent_whole() {
+fn a_request_on_a_dropped_connection_is_sent_again_only_if_it_was_not_sent_completely() {
     run_local(async {
-        for (trust, got) in [
-            // The reset comes before the last byte goes.
+        for (kind, expected) in [
+            // The reset arrives before the last byte is sent.
             (UpstreamKind::Origin, Ok("first".to_owned())),
-            // Sent whole at once, it may have run.
+            // Sent completely at once, it may have run.
             (UpstreamKind::Internal, Err(SendError::NoResponse)),
         ] {
-            let whole = Rc::new(Cell::new(0));
-            let (pool, addr) = (pool(), forgetful(Rc::clone(&whole)).await);
-            let send = || exchanged(&pool, addr, Method::POST, "body", trust);
+            let complete_requests = Rc::new(Cell::new(0));
+            let (pool, addr) = (pool(), dropping_server(Rc::clone(&complete_requests)).await);
+            let send = || exchange(&pool, addr, Method::POST, "body", kind);
             assert!(send().await.is_ok());
-            assert!(pool.is_warm(addr));
-            sleep(SURE).await;
+            assert!(pool.has_idle_connection(addr));
+            sleep(MAX_TRUSTED_IDLE_TIME).await;
             let second = send().await;
-            assert_eq!((second, whole.get()), (got, 2), "{trust:?}");
+            assert_eq!((second, complete_requests.get()), (expected, 2), "{kind:?}");
         }
     });
 }
 
 #[test]
-fn a_connection_is_kept_for_less_than_the_server_says() {
-    let kept = |name: &'static str, value: &'static str| {
+fn the_idle_timeout_is_shorter_than_the_server_states() {
+    let timeout_for = |name: &'static str, value: &'static str| {
         let mut headers = HeaderMap::new();
         headers.insert(name, value.parse().unwrap());
-        kept_for(&headers)
+        idle_timeout(&headers)
     };
-    assert_eq!(kept("keep-alive", "timeout=5, max=100"), Some(Duration::from_millis(3500)));
-    assert_eq!(kept("keep-alive", "timeout=1"), None);
-    assert_eq!(kept("connection", "Close"), None);
-    assert_eq!(kept("server", "x"), Some(KEPT));
+    assert_eq!(timeout_for("keep-alive", "timeout=5, max=100"), Some(Duration::from_millis(3500)));
+    assert_eq!(timeout_for("keep-alive", "timeout=1"), None);
+    assert_eq!(timeout_for("connection", "Close"), None);
+    assert_eq!(timeout_for("server", "x"), Some(DEFAULT_IDLE_TIMEOUT));
 }
 
-/// The sweep rests while no connection is idle; one that becomes idle after such a rest is closed all the same.
+/// The sweep waits while no connection is idle; one that becomes idle after such a wait is closed all the same.
 #[test]
-fn connections_that_become_idle_after_a_rest_are_closed_in_time() {
+fn connections_that_become_idle_while_the_sweep_waits_are_closed_in_time() {
     run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let addr = listener.local_addr().expect("its address");
@@ -206,19 +210,19 @@
         for _ in 0..2 {
             let served = async {
                 let (mut stream, _) = listener.accept().await.expect("the client");
-                let mut heard = Vec::new();
-                while !heard.ends_with(b"\r\n\r\n") {
-                    stream.read_buf(&mut heard).await.expect("a request");
+                let mut received = Vec::new();
+                while !received.ends_with(b"\r\n\r\n") {
+                    stream.read_buf(&mut received).await.expect("a request");
                 }
-                // Kept for half a second by the client.
-                let answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=2\r\n\r\nok";
-                stream.write_all(answer.as_bytes()).await.expect("it is read");
+                // The client keeps the connection for half a second.
+                let response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=2\r\n\r\nok";
+                stream.write_all(response.as_bytes()).await.expect("it is read");
                 stream
             };
-            let asked = exchanged(&pool, addr, Method::GET, "", UpstreamKind::Internal);
-            let (body, mut stream) = tokio::join!(asked, served);
+            let exchange = exchange(&pool, addr, Method::GET, "", UpstreamKind::Internal);
+            let (body, mut stream) = tokio::join!(exchange, served);
             assert_eq!(body, Ok("ok".to_owned()));
-            assert!(pool.is_warm(addr));
+            assert!(pool.has_idle_connection(addr));
             let closed = timeout(Duration::from_secs(30), stream.read(&mut [0])).await;
             assert_eq!(closed.expect("a close, long after it is due").expect("in order"), 0);
         }
