--- a/glenfall/src/control/api/mod.rs
+++ b/glenfall/src/control/api/mod.rs
@@ -40,7 +40,7 @@
 /// Time for which a connection may be idle. Servers keep theirs between heartbeats.
 const IDLE_TIMEOUT_MS: u64 = 20_000;
 
-/// Prefix of the path of a server; the rest of the path is the identifier of the server.
+/// Prefix of the path of a server; what follows is the identifier of the server.
 const SERVER_PATH_PREFIX: &str = "/api/servers/";
 
 /// The HTTP interface of a control node.
--- a/glenfall/src/control/mod.rs
+++ b/glenfall/src/control/mod.rs
@@ -3,7 +3,6 @@
 
 pub mod api;
 pub mod backup;
-mod idempotency_keys;
 mod lease;
 mod membership;
 mod peers;
@@ -20,7 +19,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use glenfall_control_plane::chain::{Chain, HardState, Message, Outcome, Output, Record, Start};
+use glenfall_control_plane::chain::{Chain, Message, Outcome, Output, Record, Start};
 use glenfall_control_plane::fleet::VersionedFleet;
 use glenfall_control_plane::invariant::Invariant;
 use glenfall_control_plane::messages::{ConnectionOpening, Member, PeerMessage, PublisherMessage, Update};
@@ -41,6 +40,7 @@
 use purge_log::PurgeLog;
 use purging::PurgeWrites;
 use relay::BeatRelay;
+use store::writer::HardStateWriter;
 use store::Found;
 
 /// How often the state machines are asked what time has brought.
@@ -78,7 +78,7 @@
     boot: Rc<Settings>,
     began: Instant,
     chain: RefCell<Chain>,
-    writes: std::sync::mpsc::Sender<(u64, HardState)>,
+    writes: HardStateWriter,
     calls: RefCell<BTreeMap<u64, oneshot::Sender<Outcome>>>,
     next_call: Cell<u64>,
     registry: RefCell<Registry>,
@@ -177,7 +177,7 @@
         Ok(Control {
             began: Instant::now(),
             chain: RefCell::new(Chain::new(me, core, start).with_incarnation(life)),
-            writes: store::start(store, synced)?,
+            writes: HardStateWriter::start(store, synced)?,
             calls: RefCell::default(),
             next_call: Cell::new(0),
             registry: RefCell::new(Registry::new(boot.beat_ms)),
@@ -350,8 +350,7 @@
             match output {
                 Output::Send(to, message) => self.peers.send(to, PeerMessage::Chain(message)),
                 Output::Persist(number, state) => {
-                    // The thread ends with the process only.
-                    let _ = self.writes.send((number, state));
+                    self.writes.submit(number, state);
                 }
                 Output::Answer(call, outcome) => {
                     if let Some(waiting) = self.calls.borrow_mut().remove(&call) {
--- a/glenfall/src/control/purge_log.rs
+++ b/glenfall/src/control/purge_log.rs
@@ -1,8 +1,10 @@
-//! The purges of the last while on disk: shields keep copies there as well, and a core that was killed whole must
-//! still know what those copies have missed. SQLite on a thread of its own, apart from the chain's file, so that a
-//! stream of purges holds up no change of the configuration.
+//! The recent purges on disk.
+//!
+//! Shields keep stored responses on disk as well. After a loss of power at all control nodes, these still have to know which
+//! purges the stored responses have missed. The log is written by a thread of its own and apart from the chain's file, so
+//! that a stream of purges delays no change of the configuration.
 
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::sync::mpsc;
 use std::time::Duration;
 
@@ -13,110 +15,151 @@
 
 use crate::disk::{self, now_ms};
 
-const FILE: &str = "purges.sqlite";
-/// Bytes of its pages; purges are small.
-const PAGE: usize = 4 << 10;
-/// The time of day may be off by so much, in milliseconds.
-pub const CLOCK_OFF: i64 = 2000;
-/// Purges in the log at most: one more than are remembered, so that whoever reads them knows that there were others.
-const MOST_KEPT: i64 = MAX_PURGES as i64 + 1;
-/// Pause after the disk refused something.
-const AGAIN: Duration = Duration::from_millis(200);
-/// Writes that wait at most; with a disk that hangs, what comes beyond is known in memory only.
-const MOST_WAITING: usize = 1024;
+const DATABASE_FILE: &str = "purges.sqlite";
+/// Page size in bytes: purges are small.
+const PAGE_BYTES: usize = 4 << 10;
+/// Largest error of the time of day that is allowed for, in milliseconds.
+pub const MAX_CLOCK_ERROR_MS: i64 = 2000;
+/// Most purges in the log: one more than are remembered, so that whoever reads them knows that there were others.
+const MAX_ROWS: i64 = MAX_PURGES as i64 + 1;
+/// Pause before a write that failed is tried again.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Most writes that are queued; where the disk hangs, purges beyond these are known in memory only.
+const MAX_QUEUED_WRITES: usize = 1024;
+/// The time for which purges are remembered, in milliseconds.
+const RETENTION_MS: i64 = PURGE_RETENTION as i64;
 
-/// Purges to be written, and who waits until they are.
-type Write = (Vec<PurgeRecord>, oneshot::Sender<()>);
-
-/// The way to the thread that writes.
-pub struct PurgeLog(mpsc::SyncSender<Write>);
+/// Purges to be written, and the sender that reports their durability.
+struct PendingWrite {
+    purges: Vec<PurgeRecord>,
+    durable: oneshot::Sender<()>,
+}
 
-fn open(path: &Path) -> rusqlite::Result<Connection> {
-    let db = disk::open(path, PAGE)?;
-    db.execute_batch("CREATE TABLE IF NOT EXISTS purges (at INTEGER NOT NULL, purge BLOB NOT NULL)")?;
-    Ok(db)
+/// The log of purges, and the queue to the thread that writes it.
+pub struct PurgeLog {
+    queue: mpsc::SyncSender<PendingWrite>,
 }
 
-fn read_all(db: &Connection) -> rusqlite::Result<Vec<PurgeRecord>> {
-    let now = now_ms();
-    let mut all = db.prepare("SELECT at, purge FROM purges WHERE at > ?1 ORDER BY rowid")?;
-    let rows = all.query_map([now - PURGE_RETENTION as i64], |row| {
-        Ok((row.get::<_, i64>(0)?, row.get::<_, Vec<u8>>(1)?))
-    })?;
-    let mut found = Vec::new();
-    for row in rows {
-        let (at, bytes) = row?;
-        if let Ok(stamped) = postcard::from_bytes::<PurgeRecord>(&bytes) {
-            // Taken for younger, so that copies from around that time go.
-            found.push(PurgeRecord { age_ms: (now - at - CLOCK_OFF).max(0) as u64, ..stamped });
+impl PurgeLog {
+    /// Opens the log in a folder; returns the purges in it that are still to be remembered. A log that can't be read is
+    /// recreated empty: the other control nodes have theirs.
+    pub fn open(folder: &Path) -> std::io::Result<(PurgeLog, Vec<PurgeRecord>)> {
+        std::fs::create_dir_all(folder)?;
+        let mut file = LogFile { path: folder.join(DATABASE_FILE), db: None };
+        let remembered = file.read_or_recreate();
+        let (queue, writes) = mpsc::sync_channel(MAX_QUEUED_WRITES);
+        std::thread::Builder::new().name("purges".into()).spawn(move || write_all(file, &writes))?;
+        Ok((PurgeLog { queue }, remembered))
+    }
+
+    /// Writes purges. The receiver resolves once they are on disk, and fails where the queue is full.
+    pub fn write(&self, purges: Vec<PurgeRecord>) -> oneshot::Receiver<()> {
+        let (durable, receiver) = oneshot::channel();
+        if self.queue.try_send(PendingWrite { purges, durable }).is_err() {
+            tracing::warn!("purges not written: the write queue is full");
         }
+        receiver
     }
-    Ok(found)
 }
 
-fn write(db: &mut Connection, purges: &[PurgeRecord]) -> rusqlite::Result<()> {
-    let now = now_ms();
-    let transaction = db.transaction()?;
-    {
-        let mut insert = transaction.prepare_cached("INSERT INTO purges (at, purge) VALUES (?1, ?2)")?;
-        for stamped in purges {
-            let bytes = postcard::to_stdvec(stamped).unwrap_or_default();
-            insert.execute((now - stamped.age_ms as i64, bytes))?;
+fn write_all(mut file: LogFile, writes: &mpsc::Receiver<PendingWrite>) {
+    while let Ok(first) = writes.recv() {
+        // One sync covers all writes that came meanwhile.
+        let batch: Vec<PendingWrite> = std::iter::once(first).chain(writes.try_iter()).collect();
+        let purges: Vec<&PurgeRecord> = batch.iter().flat_map(|write| &write.purges).collect();
+        while let Err(error) = file.append(&purges) {
+            tracing::error!(%error, "purge write failed; retrying");
+            std::thread::sleep(RETRY_PAUSE);
+        }
+        for write in batch {
+            // The receiver may be gone, as nobody waits any more.
+            let _ = write.durable.send(());
         }
-        transaction.execute("DELETE FROM purges WHERE at <= ?1", [now - PURGE_RETENTION as i64])?;
-        transaction
-            .execute("DELETE FROM purges WHERE rowid <= (SELECT max(rowid) FROM purges) - ?1", [MOST_KEPT])?;
     }
-    transaction.commit()
 }
 
-impl PurgeLog {
-    /// Opens the log in a folder; returns the purges in it that are still to be remembered. One that can't be read is
-    /// begun anew: the other control nodes have theirs.
-    pub fn open(folder: &Path) -> std::io::Result<(PurgeLog, Vec<PurgeRecord>)> {
-        std::fs::create_dir_all(folder)?;
-        let path = folder.join(FILE);
-        let opened = open(&path).and_then(|db| read_all(&db).map(|found| (db, found)));
-        let (db, found) = match opened {
-            Ok((db, found)) => (Some(db), found),
+/// The database of the log.
+struct LogFile {
+    path: PathBuf,
+    /// `None` while the file can't be opened.
+    db: Option<Connection>,
+}
+
+impl LogFile {
+    fn read_or_recreate(&mut self) -> Vec<PurgeRecord> {
+        match self.connect().and_then(read_recent) {
+            Ok(purges) => purges,
             Err(error) => {
-                tracing::warn!(%error, "purges on disk can't be read; they are begun anew");
-                disk::throw_away(&path);
-                (open(&path).ok(), Vec::new())
+                tracing::warn!(%error, "purge log unreadable; recreating it");
+                self.db = None;
+                disk::throw_away(&self.path);
+                // Where this fails, the first write tries again.
+                let _ = self.connect();
+                Vec::new()
             }
-        };
-        let (writes, queue) = mpsc::sync_channel(MOST_WAITING);
-        std::thread::Builder::new().name("purges".into()).spawn(move || write_all(db, &path, &queue))?;
-        Ok((PurgeLog(writes), found))
+        }
     }
 
-    /// Writes purges; what this gives ends once they are on disk, or there is no room for them to wait.
-    pub fn write(&self, purges: Vec<PurgeRecord>) -> oneshot::Receiver<()> {
-        let (tell, written) = oneshot::channel();
-        if self.0.try_send((purges, tell)).is_err() {
-            tracing::warn!("purges not written: the disk is behind");
+    fn connect(&mut self) -> rusqlite::Result<&mut Connection> {
+        match &mut self.db {
+            Some(db) => Ok(db),
+            closed => Ok(closed.insert(open(&self.path)?)),
         }
-        written
+    }
+
+    /// Appends purges and removes those that need not be remembered any more, in one transaction.
+    fn append(&mut self, purges: &[&PurgeRecord]) -> rusqlite::Result<()> {
+        let now = now_ms();
+        let transaction = self.connect()?.transaction()?;
+        insert(&transaction, now, purges)?;
+        transaction.execute("DELETE FROM purges WHERE at <= ?1", [now - RETENTION_MS])?;
+        transaction
+            .execute("DELETE FROM purges WHERE rowid <= (SELECT max(rowid) FROM purges) - ?1", [MAX_ROWS])?;
+        transaction.commit()
     }
 }
 
-fn write_all(mut db: Option<Connection>, path: &Path, queue: &mpsc::Receiver<Write>) {
-    while let Ok(first) = queue.recv() {
-        // One sync covers all that came meanwhile.
-        let (purges, waiting): (Vec<_>, Vec<_>) = std::iter::once(first).chain(queue.try_iter()).unzip();
-        let purges = purges.concat();
-        loop {
-            db = db.or_else(|| open(path).ok());
-            match db.as_mut().map(|db| write(db, &purges)) {
-                Some(Ok(())) => break,
-                Some(Err(error)) => tracing::error!(%error, "purges not written; trying again"),
-                None => tracing::error!("purges not written, no file for them; trying again"),
-            }
-            std::thread::sleep(AGAIN);
-        }
-        for tell in waiting {
-            // Nobody may wait any more.
-            let _ = tell.send(());
-        }
+fn open(path: &Path) -> rusqlite::Result<Connection> {
+    let db = disk::open(path, PAGE_BYTES)?;
+    db.execute_batch("CREATE TABLE IF NOT EXISTS purges (at INTEGER NOT NULL, purge BLOB NOT NULL)")?;
+    Ok(db)
+}
+
+fn insert(db: &Connection, now: i64, purges: &[&PurgeRecord]) -> rusqlite::Result<()> {
+    let mut statement = db.prepare_cached("INSERT INTO purges (at, purge) VALUES (?1, ?2)")?;
+    for purge in purges {
+        let bytes = postcard::to_stdvec(purge).unwrap_or_default();
+        statement.execute((now - purge.age_ms as i64, bytes))?;
+    }
+    Ok(())
+}
+
+/// A row of the log.
+struct Row {
+    /// The time of day of the purge, in milliseconds.
+    at: i64,
+    encoded_purge: Vec<u8>,
+}
+
+impl Row {
+    /// The purge with its age; `None` where the row can't be decoded.
+    fn decode(self, now: i64) -> Option<PurgeRecord> {
+        let purge: PurgeRecord = postcard::from_bytes(&self.encoded_purge).ok()?;
+        // The age is underestimated, so that responses stored around that time are dropped.
+        let age_ms = (now - self.at - MAX_CLOCK_ERROR_MS).max(0) as u64;
+        Some(PurgeRecord { age_ms, ..purge })
+    }
+}
+
+/// The purges that are still to be remembered, the oldest first.
+fn read_recent(db: &mut Connection) -> rusqlite::Result<Vec<PurgeRecord>> {
+    let now = now_ms();
+    let mut query = db.prepare("SELECT at, purge FROM purges WHERE at > ?1 ORDER BY rowid")?;
+    let rows = query
+        .query_map([now - RETENTION_MS], |row| Ok(Row { at: row.get(0)?, encoded_purge: row.get(1)? }))?;
+    let mut purges = Vec::new();
+    for row in rows {
+        purges.extend(row?.decode(now));
     }
+    Ok(purges)
 }
--- /dev/null
+++ b/glenfall/src/control/store/idempotency_keys.rs
@@ -0,0 +1,100 @@
+//! Applied orders on disk, with the idempotency keys by which a repeated order is recognised.
+//!
+//! A full chunk of the deduplication table does not change any more: it has a row of its own, which is written once, in
+//! the same transaction as the state that names it with its CRC-32. The chunk that is still open is written with the state.
+
+use std::sync::Arc;
+
+use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable};
+use rusqlite::Connection;
+use serde::{Deserialize, Serialize};
+
+use super::error::StoreError;
+
+/// Creates the table of chunks. The key of a row is the version that the first order of its chunk made.
+pub(super) const CREATE_TABLE: &str = "CREATE TABLE taken (first INTEGER PRIMARY KEY, orders BLOB NOT NULL)";
+
+/// A full chunk of the deduplication table.
+pub(super) type Chunk = Arc<[AppliedOrder]>;
+
+/// The deduplication table as the row of the state has it.
+#[derive(Serialize, Deserialize)]
+pub(super) struct StoredTable {
+    forgotten_up_to: u64,
+    full_chunks: Vec<StoredChunk>,
+    open_chunk: Vec<AppliedOrder>,
+}
+
+/// Names a row of the table `taken`.
+#[derive(Serialize, Deserialize)]
+struct StoredChunk {
+    row_key: i64,
+    crc: u32,
+}
+
+impl StoredChunk {
+    fn of(chunk: &Chunk) -> Result<StoredChunk, StoreError> {
+        Ok(StoredChunk { row_key: row_key(chunk), crc: crc32fast::hash(&encode(chunk)?) })
+    }
+}
+
+fn row_key(chunk: &Chunk) -> i64 {
+    // Versions beyond 2^63 wrap, and stay different from each other.
+    chunk.first().map_or(0, |order| order.rev.cast_signed())
+}
+
+fn encode(chunk: &Chunk) -> Result<Vec<u8>, StoreError> {
+    Ok(postcard::to_stdvec(&chunk[..])?)
+}
+
+fn contains(chunks: &[Chunk], chunk: &Chunk) -> bool {
+    chunks.iter().any(|other| Arc::ptr_eq(other, chunk) || other == chunk)
+}
+
+/// Writes the chunks that have no row yet, and deletes the rows of chunks that the table does not hold any more; `written`
+/// are the chunks that have a row. For a transaction of the caller's.
+pub(super) fn write(
+    db: &Connection,
+    written: &[Chunk],
+    table: &DeduplicationTable,
+) -> Result<StoredTable, StoreError> {
+    let (full, open) = table.chunks();
+    for evicted in written.iter().filter(|chunk| !contains(full, chunk)) {
+        db.execute("DELETE FROM taken WHERE first = ?1", [row_key(evicted)])?;
+    }
+    for chunk in full.iter().filter(|chunk| !contains(written, chunk)) {
+        db.execute("INSERT INTO taken (first, orders) VALUES (?1, ?2)", (row_key(chunk), encode(chunk)?))?;
+    }
+    Ok(StoredTable {
+        forgotten_up_to: table.forgotten_up_to(),
+        full_chunks: full.iter().map(StoredChunk::of).collect::<Result<_, _>>()?,
+        open_chunk: open.to_vec(),
+    })
+}
+
+/// Reads the table that a state names. Fails where a row is missing, damaged or not named by the state.
+pub(super) fn read(db: &Connection, stored: &StoredTable) -> Result<DeduplicationTable, StoreError> {
+    let rows: i64 = db.query_row("SELECT count(*) FROM taken", [], |row| row.get(0))?;
+    if usize::try_from(rows) != Ok(stored.full_chunks.len()) {
+        return Err(damaged("a row is missing, or one too many"));
+    }
+    let mut orders = Vec::new();
+    for chunk in &stored.full_chunks {
+        orders.extend(read_chunk(db, chunk)?);
+    }
+    orders.extend(&stored.open_chunk);
+    DeduplicationTable::listed(stored.forgotten_up_to, &orders).map_err(damaged)
+}
+
+fn read_chunk(db: &Connection, chunk: &StoredChunk) -> Result<Vec<AppliedOrder>, StoreError> {
+    let query = "SELECT orders FROM taken WHERE first = ?1";
+    let bytes: Vec<u8> = db.query_row(query, [chunk.row_key], |row| row.get(0))?;
+    if crc32fast::hash(&bytes) != chunk.crc {
+        return Err(damaged("checksum does not match"));
+    }
+    Ok(postcard::from_bytes(&bytes)?)
+}
+
+fn damaged(description: impl std::fmt::Display) -> StoreError {
+    StoreError::damaged(format!("taken orders: {description}"))
+}
--- /dev/null
+++ b/glenfall/src/control/store/mod.rs
@@ -0,0 +1,180 @@
+//! The durable state of the chain: the hard state in one SQLite file, written completely or not at all.
+//!
+//! The hard state has one row with a checksum; full chunks of idempotency keys have rows of their own, so that a change
+//! writes its own order and not the thousands before it. A file that can't be trusted is set aside, and never read as if
+//! it were intact.
+
+mod error;
+mod hard_state_row;
+mod idempotency_keys;
+mod layout;
+mod legacy;
+mod schema;
+mod state_folder;
+pub mod writer;
+
+use std::cell::RefCell;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use glenfall_control_plane::chain::HardState;
+use rusqlite::{Connection, OpenFlags};
+
+use crate::disk;
+pub use error::StoreError;
+use idempotency_keys::Chunk;
+use layout::Layout;
+use state_folder::StateFolder;
+
+/// How long a check waits for the lock of a file. A running process holds the lock for as long as it runs, so that a longer
+/// wait would not help.
+const VERIFY_BUSY_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// What was on disk at the start.
+#[derive(Debug, PartialEq)]
+pub enum Found {
+    /// No state was ever written here.
+    Nothing,
+    /// The last state that was written completely.
+    Kept(HardState),
+    /// A file that holds no valid state, and was set aside. The text says what is wrong with it.
+    Damaged(String),
+}
+
+/// An open store. No other process can use its file.
+pub struct Store {
+    db: Connection,
+    /// The chunks of idempotency keys that have a row.
+    written_chunks: RefCell<Vec<Chunk>>,
+}
+
+/// A store, and the state that was read from its file.
+struct OpenedStore {
+    store: Store,
+    state: Option<HardState>,
+}
+
+/// The path of the database in a folder.
+pub fn database_path(folder: &Path) -> PathBuf {
+    StateFolder::new(folder).database()
+}
+
+impl Store {
+    /// Opens the store in a folder, or creates it. The file is locked from the start, so that SQLite needs no index in
+    /// shared memory, and a full sync covers each commit.
+    pub fn open(path: &Path) -> Result<(Store, Found), StoreError> {
+        disk::make_folder(path)?;
+        let folder = StateFolder::new(path);
+        if folder.is_database_lost() {
+            folder.set_aside()?;
+        }
+        let (store, found) = match Store::open_database(&folder) {
+            Ok(OpenedStore { store, state }) => (store, found_in(&folder, state)),
+            Err(error) if error.is_damage() => {
+                folder.set_aside()?;
+                let store = Store::open_database(&folder)?.store;
+                (store, Found::Damaged(error.to_string()))
+            }
+            Err(error) => return Err(error),
+        };
+        // Nothing is promised before the names of the files are as durable as what will be in them.
+        disk::sync_folder(path)?;
+        folder.mark_created()?;
+        Ok((store, found))
+    }
+
+    fn open_database(folder: &StateFolder) -> Result<OpenedStore, StoreError> {
+        folder.check_length()?;
+        let mut db = schema::connect(&folder.database())?;
+        if schema::is_new(&db)? {
+            schema::create(&mut db)?;
+            let store = Store { db, written_chunks: RefCell::default() };
+            return Ok(OpenedStore { store, state: None });
+        }
+        let state = read_database(&db)?;
+        let store = Store { db, written_chunks: RefCell::new(state.as_ref().map_or(vec![], full_chunks)) };
+        if Layout::of(&store.db)? != Layout::Current {
+            store.upgrade(state.as_ref())?;
+        }
+        Ok(OpenedStore { store, state })
+    }
+
+    /// Writes a state that was read in a legacy layout in the current one, in one transaction.
+    fn upgrade(&self, state: Option<&HardState>) -> Result<(), StoreError> {
+        let transaction = self.db.unchecked_transaction()?;
+        transaction.execute_batch(idempotency_keys::CREATE_TABLE)?;
+        if let Some(state) = state {
+            self.write_rows(state)?;
+        }
+        schema::set_current(&transaction)?;
+        Ok(transaction.commit()?)
+    }
+
+    /// The state as the file has it.
+    pub fn read(&self) -> Result<Option<HardState>, StoreError> {
+        read_database(&self.db)
+    }
+
+    /// The number of rows that were written or deleted since the store was opened.
+    pub fn rows_changed(&self) -> u64 {
+        self.db.total_changes()
+    }
+
+    /// Replaces the state and its idempotency keys, in one transaction.
+    pub fn save(&self, state: &HardState) -> Result<(), StoreError> {
+        // A transaction that is dropped before its commit is rolled back.
+        let transaction = self.db.unchecked_transaction()?;
+        self.write_rows(state)?;
+        transaction.commit()?;
+        self.written_chunks.replace(full_chunks(state));
+        Ok(())
+    }
+
+    /// Writes all rows of a state, for a transaction of the caller's.
+    fn write_rows(&self, state: &HardState) -> Result<(), StoreError> {
+        let orders = &state.record.applied_orders;
+        let table = idempotency_keys::write(&self.db, &self.written_chunks.borrow(), orders)?;
+        hard_state_row::write(&self.db, state, table)
+    }
+}
+
+fn full_chunks(state: &HardState) -> Vec<Chunk> {
+    state.record.applied_orders.chunks().0.to_vec()
+}
+
+fn found_in(folder: &StateFolder, state: Option<HardState>) -> Found {
+    match state {
+        Some(state) => Found::Kept(state),
+        None if folder.has_damaged() => {
+            Found::Damaged("set aside, or gone, at this start or an earlier one".into())
+        }
+        None => Found::Nothing,
+    }
+}
+
+/// Reads the state, or fails where the file can't be trusted. `None` where no state was written yet.
+fn read_database(db: &Connection) -> Result<Option<HardState>, StoreError> {
+    let layout = Layout::of(db)?;
+    schema::check_integrity(db)?;
+    hard_state_row::read(db, layout)
+}
+
+/// Reads the state in a folder that no process uses, and changes nothing.
+pub fn verify(folder: &Path) -> Result<Option<HardState>, StoreError> {
+    let db = Connection::open_with_flags(database_path(folder), OpenFlags::SQLITE_OPEN_READ_ONLY)?;
+    db.busy_timeout(VERIFY_BUSY_TIMEOUT)?;
+    read_database(&db)
+}
+
+/// Creates a store with this state in a folder that has none.
+pub fn create(path: &Path, state: &HardState) -> Result<(), StoreError> {
+    let folder = StateFolder::new(path);
+    folder.check_vacant()?;
+    disk::make_folder(path)?;
+    // Until the state is complete, a process that starts here has lost something: this is not its first start.
+    folder.mark_damaged()?;
+    let (store, _) = Store::open(path)?;
+    store.save(state)?;
+    drop(store);
+    folder.clear_damaged()
+}
--- /dev/null
+++ b/glenfall/src/control/store/writer.rs
@@ -0,0 +1,53 @@
+//! Writes the hard state on a thread of its own, as a sync takes its time and the event loop must not wait for it.
+
+use std::sync::mpsc;
+use std::time::Duration;
+
+use glenfall_control_plane::chain::HardState;
+use tokio::sync::mpsc::UnboundedSender;
+
+use super::Store;
+
+/// Pause before a write that failed is tried again. What depends on the write waits meanwhile.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+
+/// A state to be written, with the number under which its durability is reported.
+struct PendingWrite {
+    number: u64,
+    state: HardState,
+}
+
+/// The queue to the thread that writes. The thread ends once the queue is dropped.
+pub struct HardStateWriter {
+    queue: mpsc::Sender<PendingWrite>,
+}
+
+impl HardStateWriter {
+    /// Starts the thread. It sends the number of a write to `durable` once the write, or a later one, is on disk.
+    pub fn start(store: Store, durable: UnboundedSender<u64>) -> std::io::Result<HardStateWriter> {
+        let (queue, writes) = mpsc::channel();
+        std::thread::Builder::new()
+            .name("store".into())
+            .spawn(move || write_all(&store, &writes, &durable))?;
+        Ok(HardStateWriter { queue })
+    }
+
+    /// Queues a state. Writes are done in order, and a state that is superseded while it waits is not written.
+    pub fn submit(&self, number: u64, state: HardState) {
+        // It can't fail: the thread ends no earlier than this queue or the process.
+        let _ = self.queue.send(PendingWrite { number, state });
+    }
+}
+
+fn write_all(store: &Store, writes: &mpsc::Receiver<PendingWrite>, durable: &UnboundedSender<u64>) {
+    while let Ok(first) = writes.recv() {
+        let newest = writes.try_iter().last().unwrap_or(first);
+        while let Err(error) = store.save(&newest.state) {
+            tracing::error!(%error, "state write failed; retrying");
+            std::thread::sleep(RETRY_PAUSE);
+        }
+        if durable.send(newest.number).is_err() {
+            return;
+        }
+    }
+}
--- a/glenfall/src/disk.rs
+++ b/glenfall/src/disk.rs
@@ -1,44 +1,54 @@
-//! Folders and their syncs: after a loss of power, a name that was made, changed or removed is certain only once its
-//! folder has been synced. And what files that may be lost without harm have in common: SQLite that nothing else
-//! opens, with a log before it and a sync for each commit; begun anew where it can't be read.
+//! Durable folders, and databases that may be lost without harm.
+//!
+//! After a loss of power, a file name that was created, changed or removed is certain only once its folder has been synced.
+//! Databases that may be lost are SQLite files that no other process opens, with a write-ahead log and a sync for each
+//! commit; where one can't be read, it is removed and created again.
 
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use rusqlite::Connection;
 
-/// The time of day in milliseconds.
+/// The ends of the names of the files that SQLite keeps for a database with a write-ahead log.
+const DATABASE_SUFFIXES: [&str; 3] = ["", "-wal", "-shm"];
+
+/// The time of day in milliseconds since the epoch.
 pub fn now_ms() -> i64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as i64)
 }
 
-/// Makes the names in a folder last.
+/// Makes the names in a folder durable.
 pub fn sync_folder(folder: &Path) -> std::io::Result<()> {
     std::fs::File::open(folder)?.sync_all()
 }
 
-/// Makes a folder that lasts, and those above it.
+/// Creates a folder and those above it, durably.
 pub fn make_folder(folder: &Path) -> std::io::Result<()> {
-    let above =
-        folder.parent().map(|above| if above.as_os_str().is_empty() { Path::new(".") } else { above });
-    let Some(above) = above else { return Ok(()) };
+    let Some(parent) = parent(folder) else { return Ok(()) };
     if folder.is_dir() {
-        // Whoever made it may have died before its sync, or it may belong to others and not be ours to open.
-        let _ = sync_folder(above);
+        // The process that created it may have ended before its sync. The parent may also belong to others and not be
+        // readable, which is no error.
+        let _ = sync_folder(parent);
         return Ok(());
     }
-    make_folder(above)?;
+    make_folder(parent)?;
     match std::fs::create_dir(folder) {
-        Err(e) if e.kind() != std::io::ErrorKind::AlreadyExists => Err(e),
-        _ => sync_folder(above),
+        Err(error) if error.kind() != std::io::ErrorKind::AlreadyExists => Err(error),
+        _ => sync_folder(parent),
     }
 }
 
-/// Opens a database, or makes it with pages of this size.
-pub fn open(path: &Path, page: usize) -> rusqlite::Result<Connection> {
+fn parent(folder: &Path) -> Option<&Path> {
+    let parent = folder.parent()?;
+    let is_relative = parent.as_os_str().is_empty();
+    Some(if is_relative { Path::new(".") } else { parent })
+}
+
+/// Opens a database, or creates it with pages of so many bytes.
+pub fn open(path: &Path, page_bytes: usize) -> rusqlite::Result<Connection> {
     let db = Connection::open(path)?;
-    db.pragma_update(None, "page_size", page)?;
-    // With the lock held from the start there is no index in shared memory.
+    db.pragma_update(None, "page_size", page_bytes)?;
+    // As the database is locked from the start, SQLite needs no index in shared memory.
     db.pragma_update(None, "locking_mode", "EXCLUSIVE")?;
     db.pragma_update(None, "journal_mode", "WAL")?;
     db.pragma_update(None, "synchronous", "FULL")?;
@@ -46,15 +56,15 @@
     Ok(db)
 }
 
-/// Removes a database and all that belongs to it, for good: an old log that came back would be played into a new file.
+/// Removes a database with its log, durably: an old log that reappeared would be replayed into a new database.
 pub fn throw_away(path: &Path) {
-    for end in ["", "-wal", "-shm"] {
-        let mut name = path.as_os_str().to_owned();
-        name.push(end);
-        // What is not there need not go.
-        let _ = std::fs::remove_file(name);
+    for suffix in DATABASE_SUFFIXES {
+        let mut file = path.as_os_str().to_owned();
+        file.push(suffix);
+        // Not all of them need exist.
+        let _ = std::fs::remove_file(file);
     }
     if let Some(Err(error)) = path.parent().map(sync_folder) {
-        tracing::warn!(%error, "a removed file may come back after a loss of power");
+        tracing::warn!(%error, "folder sync failed: a removed file may reappear after a loss of power");
     }
 }
--- a/glenfall/tests/store.rs
+++ b/glenfall/tests/store.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-use glenfall::control::store::{create, path_in, Found, Store};
+use glenfall::control::store::{create, database_path, Found, Store};
 use glenfall_control_plane::chain::{HardState, JointConfig, Record};
 use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey};
 use recorder::{await_recorder, crashes, read_folder, record, say, write_folder, Files, Step};
@@ -180,7 +180,7 @@
         done |= matches!(&steps[after], Step::Said(said) if said == "done 1");
         for left in crashes(&Files::new(), &steps[..=after], after as u64) {
             write_folder(&folder, &left);
-            let begun = path_in(&folder).exists();
+            let begun = database_path(&folder).exists();
             let case = format!("after step {after}, left {:?}", left.keys());
             match found(&folder, &case).as_str() {
                 "1" => {}
--- a/glenfall/tests/unit/purge_log.rs
+++ b/glenfall/tests/unit/purge_log.rs
@@ -1,6 +1,6 @@
 //! Purges on disk.
 
-use glenfall::control::purge_log::{PurgeLog, CLOCK_OFF};
+use glenfall::control::purge_log::{PurgeLog, MAX_CLOCK_ERROR_MS};
 use glenfall_control_plane::messages::{Purge, PurgeRecord};
 use glenfall_control_plane::purge_history::PURGE_RETENTION;
 
@@ -30,7 +30,7 @@
         }
     };
     assert_eq!(numbers(&found), [label(1), label(2), label(4)]);
-    assert!(found[1].age_ms + CLOCK_OFF as u64 >= PURGE_RETENTION - 60_000);
+    assert!(found[1].age_ms + MAX_CLOCK_ERROR_MS as u64 >= PURGE_RETENTION - 60_000);
 }
 
 /// What lies in the folder at the moment when a purge is said to be written, its thread stopped there or going on.
--- a/glenfall/tests/unit/store.rs
+++ b/glenfall/tests/unit/store.rs
@@ -4,7 +4,8 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use glenfall::control::store::{path_in, start, verify, Found, Store};
+use glenfall::control::store::writer::HardStateWriter;
+use glenfall::control::store::{database_path, verify, Found, Store};
 use glenfall_control_plane::chain::{HardState, JointConfig, Record};
 use glenfall_control_plane::deduplication::{
     AppliedOrder, DeduplicationTable, IdempotencyKey, CHUNK, MAX_APPLIED_ORDERS,
@@ -36,7 +37,7 @@
 /// A state as the layouts before had it.
 fn written_before<T: Serialize>(folder: &Path, layout: i64, state: &T) {
     drop(Store::open(folder).unwrap());
-    let db = Connection::open(path_in(folder)).unwrap();
+    let db = Connection::open(database_path(folder)).unwrap();
     db.execute_batch("DROP TABLE taken").unwrap();
     let bytes = postcard::to_stdvec(state).unwrap();
     let crc = i64::from(crc32fast::hash(&bytes));
@@ -62,7 +63,7 @@
         }
         for _ in 0..2 {
             assert_eq!(Store::open(&folder).unwrap().1, Found::Kept(expected.clone()), "{before}");
-            let db = Connection::open(path_in(&folder)).unwrap();
+            let db = Connection::open(database_path(&folder)).unwrap();
             let now: i64 = db.query_row("PRAGMA user_version", [], |row| row.get(0)).unwrap();
             assert_eq!(now, LAYOUT, "{before}");
         }
@@ -75,9 +76,9 @@
     let (folder, then) = (Folder::new("store-told"), Folder::new("store-told-then"));
     let (store, _) = Store::open(&folder).unwrap();
     let (tell, mut synced) = tokio::sync::mpsc::unbounded_channel();
-    let writes = start(store, tell).unwrap();
+    let writer = HardStateWriter::start(store, tell).unwrap();
     for number in 1..=20 {
-        writes.send((number, state(number * 16, 9000))).unwrap();
+        writer.submit(number, state(number * 16, 9000));
         assert_eq!(synced.blocking_recv(), Some(number));
         copy_files(&folder, &then);
         assert_eq!(Store::open(&then).unwrap().1, Found::Kept(state(number * 16, 9000)));
@@ -90,13 +91,13 @@
     let (store, found) = Store::open(&folder).unwrap();
     assert_eq!(found, Found::Nothing);
     let (tell, mut synced) = tokio::sync::mpsc::unbounded_channel();
-    let writes = start(store, tell).unwrap();
+    let writer = HardStateWriter::start(store, tell).unwrap();
     for number in 1..=5 {
-        writes.send((number, state(number * 16, 2))).unwrap();
+        writer.submit(number, state(number * 16, 2));
     }
     while synced.blocking_recv() != Some(5) {}
     assert!(verify(&folder).is_err(), "in use");
-    drop(writes);
+    drop(writer);
     assert_eq!(synced.blocking_recv(), None);
     assert_eq!(verify(&folder).unwrap(), Some(state(80, 2)));
     assert_eq!(Store::open(&folder).unwrap().1, Found::Kept(state(80, 2)));
@@ -148,9 +149,9 @@
     {
         let spoilt = Folder::new("store-taken-spoilt");
         std::fs::create_dir_all(&*spoilt).unwrap();
-        std::fs::copy(path_in(&folder), path_in(&spoilt)).unwrap();
-        Connection::open(path_in(&spoilt)).unwrap().execute(spoil, []).unwrap();
-        let bytes = std::fs::read(path_in(&spoilt)).unwrap();
+        std::fs::copy(database_path(&folder), database_path(&spoilt)).unwrap();
+        Connection::open(database_path(&spoilt)).unwrap().execute(spoil, []).unwrap();
+        let bytes = std::fs::read(database_path(&spoilt)).unwrap();
         assert!(open_spoilt(&spoilt, &bytes, &whole, spoil), "{spoil}");
     }
 }
@@ -160,7 +161,7 @@
 fn open_spoilt(folder: &Path, bytes: &[u8], whole: &HardState, case: &str) -> bool {
     let _ = std::fs::remove_dir_all(folder);
     std::fs::create_dir_all(folder).unwrap();
-    std::fs::write(path_in(folder), bytes).unwrap();
+    std::fs::write(database_path(folder), bytes).unwrap();
     let (store, found) = Store::open(folder).unwrap_or_else(|e| panic!("{case}: {e}"));
     match found {
         Found::Kept(state) => {
@@ -193,7 +194,7 @@
         store.save(&state(16, 5000)).unwrap();
         store.save(&whole).unwrap();
     }
-    let bytes = std::fs::read(path_in(&folder)).unwrap();
+    let bytes = std::fs::read(database_path(&folder)).unwrap();
     const PAGE: usize = 4096;
     let pages = bytes.len() / PAGE;
     assert!(pages >= 4 && bytes.len().is_multiple_of(PAGE), "{} bytes", bytes.len());
--- a/glenfall/tests/unit/stored_data.rs
+++ b/glenfall/tests/unit/stored_data.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use glenfall::cache::disk::{DiskCache, FILE as COPIES};
 use glenfall::control::backup::Backup;
-use glenfall::control::purge_log::{PurgeLog, CLOCK_OFF};
+use glenfall::control::purge_log::{PurgeLog, MAX_CLOCK_ERROR_MS};
 use glenfall::control::store::{self, Found, Store};
 use glenfall_control_plane::chain::{HardState, JointConfig, Record};
 use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey, CHUNK};
@@ -113,10 +113,10 @@
     let folder = folder_with(PURGES);
     // As if it had been written just now: older purges are not remembered.
     let db = Connection::open(folder.join(PURGES)).expect("a database");
-    db.execute("UPDATE purges SET at = ?1", [now_ms() - 2 * CLOCK_OFF]).expect("updated");
+    db.execute("UPDATE purges SET at = ?1", [now_ms() - 2 * MAX_CLOCK_ERROR_MS]).expect("updated");
     drop(db);
     let (_log, found) = PurgeLog::open(&folder).expect("opened");
-    assert!(found.iter().all(|purge| purge.age_ms >= CLOCK_OFF as u64), "{found:?}");
+    assert!(found.iter().all(|purge| purge.age_ms >= MAX_CLOCK_ERROR_MS as u64), "{found:?}");
     let found: Vec<PurgeRecord> =
         found.into_iter().map(|purge| PurgeRecord { age_ms: 500, ..purge }).collect();
     assert_eq!(found, purges());
