--- a/glenfall/src/upstream/concurrency_limit.rs
+++ b/glenfall/src/upstream/concurrency_limit.rs
@@ -1,9 +1,10 @@
-//! Back-pressure: how many requests this machine may have at a service at once.
+//! Adaptive concurrency limit: how many requests this machine may have in flight to a service.
 //!
-//! A service that is asked for more than it does keeps all its queues full: it does as much as before, but what it
-//! does comes late. So each machine watches which part of its answers comes late. Where that is much, it has less
-//! out at once, down to its part of what the servers work on, and refuses the rest at once, the lowest rank first;
-//! where answers are in time again, it has more. Machines need no word between them: they see the same queues.
+//! A service that receives more requests than it can handle keeps all its queues full: its throughput stays the same,
+//! but its responses are late. So each machine observes which fraction of its responses exceeds the latency target.
+//! Where that is large, the machine lowers its limit step by step, down to its share of the servers' capacity, and
+//! rejects what exceeds it immediately, the lowest priority first; where responses are on time again, it raises the
+//! limit. Machines need no messages between each other for this, as they observe the same queues.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,115 +12,141 @@
 
 use tokio::time::Instant;
 
-/// An answer is late here that takes more than this part of its aim: the way to the client takes time as well.
-const IN_TIME: f64 = 0.8;
-/// Weight of an answer in the part that comes late.
-const SMOOTH: f64 = 0.1;
-/// Beyond this part of late answers less goes out. One slow server of a few, and work that takes long by itself,
-/// stay below it.
-const CROWDED: f64 = 0.3;
-/// Below this part more may go out.
-const CALM: f64 = 0.15;
-/// What is left of the limit after a cut.
-const CUT: f64 = 0.8;
-/// A limit never falls below this part of the machine's share of the servers' places: they stay busy, and there is
-/// something to do when a place gets free.
-const BUSY: f64 = 1.5;
-/// Nor below this: clients don't spread evenly over machines.
-const LEAST: f64 = 3.0;
-/// Before anything is known of a service, and at most.
-pub const MOST: f64 = 256.0;
-/// The lowest rank has this much less of the limit.
-const RESERVED: f64 = 0.5;
-
-struct Gate {
+/// A response counts as late if it takes more than this fraction of the latency target: transit to the client takes
+/// time as well.
+const ON_TIME_FRACTION: f64 = 0.8;
+/// Weight of a response in the moving average of late ones.
+const LATE_FRACTION_SMOOTHING: f64 = 0.1;
+/// The limit is lowered while more than this fraction is late. A single slow server of a few, and work that takes long
+/// by itself, stay below it.
+const OVERLOAD_LATE_FRACTION: f64 = 0.3;
+/// The limit may be raised while less than this fraction is late.
+const HEALTHY_LATE_FRACTION: f64 = 0.15;
+/// The limit is multiplied by this when it is lowered.
+const BACKOFF_FACTOR: f64 = 0.8;
+/// Lower bound of a limit, as a multiple of this machine's share of the servers' capacity: the servers stay busy, and
+/// have a request to run when a slot becomes free.
+const MIN_LIMIT_PER_CAPACITY: f64 = 1.5;
+/// Absolute lower bound of a limit: clients do not distribute their requests evenly over machines.
+const MIN_LIMIT: f64 = 3.0;
+/// Upper bound of a limit, and its value before anything was observed of a service.
+pub const MAX_LIMIT: f64 = 256.0;
+/// The fraction of the limit that is not available to the lowest priority.
+const PRIORITY_RESERVE: f64 = 0.5;
+
+struct ServiceLimit {
     limit: f64,
-    floor: f64,
+    min_limit: f64,
     in_flight: u32,
-    late: f64,
-    next_cut: Instant,
+    /// Moving average of the fraction of responses that are late.
+    late_fraction: f64,
+    next_decrease_at: Instant,
 }
 
-impl Gate {
+impl ServiceLimit {
+    fn new(min_limit: f64, now: Instant) -> Self {
+        ServiceLimit { limit: MAX_LIMIT, min_limit, in_flight: 0, late_fraction: 0.0, next_decrease_at: now }
+    }
+
+    fn set_min_limit(&mut self, min_limit: f64) {
+        self.min_limit = min_limit;
+        self.limit = self.limit.max(min_limit);
+    }
+
+    /// Whether a request of this priority, from 0, the highest, to 1, may be sent.
     fn admits(&self, rank: f64) -> bool {
-        f64::from(self.in_flight) + 1.0 <= (self.limit * (1.0 - RESERVED * rank)).max(1.0)
+        let limit_for_rank = (self.limit * (1.0 - PRIORITY_RESERVE * rank)).max(1.0);
+        f64::from(self.in_flight) + 1.0 <= limit_for_rank
     }
 
-    fn ended(&mut self, now: Instant, in_time: bool, aim: Duration) {
-        self.late += SMOOTH * (f64::from(u8::from(!in_time)) - self.late);
-        let out = f64::from(self.in_flight);
-        if self.late > CROWDED && now >= self.next_cut {
-            self.limit = (self.limit.min(out) * CUT).max(self.floor);
-            // What a cut does shows once what is out has ended.
-            self.next_cut = now + aim / 2;
-        } else if self.late < CALM && out + 1.0 >= self.limit {
-            self.limit = (self.limit + 1.0 / self.limit).min(MOST);
+    fn record(&mut self, now: Instant, timeliness: Timeliness, latency_target: Duration) {
+        let sample = match timeliness {
+            Timeliness::OnTime => 0.0,
+            Timeliness::Late => 1.0,
+        };
+        self.late_fraction += LATE_FRACTION_SMOOTHING * (sample - self.late_fraction);
+        let in_flight = f64::from(self.in_flight);
+        if self.late_fraction > OVERLOAD_LATE_FRACTION && now >= self.next_decrease_at {
+            self.limit = (self.limit.min(in_flight) * BACKOFF_FACTOR).max(self.min_limit);
+            // The effect of a decrease shows once the requests in flight have ended.
+            self.next_decrease_at = now + latency_target / 2;
+        } else if self.late_fraction < HEALTHY_LATE_FRACTION && in_flight + 1.0 >= self.limit {
+            self.limit = (self.limit + 1.0 / self.limit).min(MAX_LIMIT);
         }
     }
 }
 
 /// The limits of one machine, one for each service.
 #[derive(Default)]
-pub struct ConcurrencyLimits(RefCell<BTreeMap<String, Gate>>);
+pub struct ConcurrencyLimits(RefCell<BTreeMap<String, ServiceLimit>>);
 
 impl ConcurrencyLimits {
-    /// Takes the services and this machine's share of the places at the servers of each.
-    pub fn update(&self, shares: &BTreeMap<&str, f64>) {
-        let mut gates = self.0.borrow_mut();
-        // What is still out keeps its gate until it has ended.
-        gates.retain(|service, gate| gate.in_flight > 0 || shares.contains_key(service.as_str()));
-        for (service, share) in shares {
-            let floor = (share * BUSY).max(LEAST);
-            match gates.get_mut(*service) {
-                Some(gate) => (gate.floor, gate.limit) = (floor, gate.limit.max(floor)),
+    /// Takes the services, and this machine's share of the capacity of each service's servers.
+    pub fn update(&self, capacity_shares: &BTreeMap<&str, f64>) {
+        let mut limits = self.0.borrow_mut();
+        // A service with requests in flight keeps its limit until they have ended.
+        limits.retain(|service, limit| limit.in_flight > 0 || capacity_shares.contains_key(service.as_str()));
+        for (service, share) in capacity_shares {
+            let min_limit = (share * MIN_LIMIT_PER_CAPACITY).max(MIN_LIMIT);
+            match limits.get_mut(*service) {
+                Some(limit) => limit.set_min_limit(min_limit),
                 None => {
-                    let gate = Gate { limit: MOST, floor, in_flight: 0, late: 0.0, next_cut: Instant::now() };
-                    gates.insert((*service).to_owned(), gate);
+                    let limit = ServiceLimit::new(min_limit, Instant::now());
+                    limits.insert((*service).to_owned(), limit);
                 }
             }
         }
     }
 
-    /// A request of a rank from 0, the highest, to 1. `None` where there is no room for it now.
-    pub fn admit<'a>(&'a self, service: &'a str, rank: f64, aim: Duration) -> Option<Admitted<'a>> {
-        if let Some(gate) = self.0.borrow_mut().get_mut(service) {
-            if !gate.admits(rank) {
+    /// Admits a request of a priority from 0, the highest, to 1; `None` if it exceeds the limit. A service without a
+    /// limit admits all.
+    pub fn admit<'a>(&'a self, service: &'a str, rank: f64, latency_target: Duration) -> Option<Permit<'a>> {
+        if let Some(limit) = self.0.borrow_mut().get_mut(service) {
+            if !limit.admits(rank) {
                 return None;
             }
-            gate.in_flight += 1;
+            limit.in_flight += 1;
         }
-        Some(Admitted { limits: self, service, aim, began: Instant::now(), told: None })
+        Some(Permit { limits: self, service, latency_target, started_at: Instant::now(), timeliness: None })
     }
 }
 
-/// A request that counts until this is dropped. What it does not tell of its end says nothing of the service.
-pub struct Admitted<'a> {
+#[derive(Clone, Copy)]
+enum Timeliness {
+    OnTime,
+    Late,
+}
+
+/// Permission for one request, which counts as in flight until this is dropped. A permit that is dropped with nothing
+/// recorded says nothing about the service.
+pub struct Permit<'a> {
     limits: &'a ConcurrencyLimits,
     service: &'a str,
-    aim: Duration,
-    began: Instant,
-    told: Option<bool>,
+    latency_target: Duration,
+    started_at: Instant,
+    timeliness: Option<Timeliness>,
 }
 
-impl Admitted<'_> {
-    /// The service has answered.
-    pub fn answered(&mut self) {
-        self.told = Some(self.began.elapsed() <= self.aim.mul_f64(IN_TIME));
+impl Permit<'_> {
+    /// Records that the service has responded, on time or late.
+    pub fn record_response(&mut self) {
+        let is_on_time = self.started_at.elapsed() <= self.latency_target.mul_f64(ON_TIME_FRACTION);
+        self.timeliness = Some(if is_on_time { Timeliness::OnTime } else { Timeliness::Late });
     }
 
-    /// It was full, or too slow.
-    pub fn crowded(&mut self) {
-        self.told = Some(false);
+    /// Records that the service was at capacity, or did not respond before the deadline.
+    pub fn record_overload(&mut self) {
+        self.timeliness = Some(Timeliness::Late);
     }
 }
 
-impl Drop for Admitted<'_> {
+impl Drop for Permit<'_> {
     fn drop(&mut self) {
-        if let Some(gate) = self.limits.0.borrow_mut().get_mut(self.service) {
-            if let Some(in_time) = self.told {
-                gate.ended(Instant::now(), in_time, self.aim);
+        if let Some(limit) = self.limits.0.borrow_mut().get_mut(self.service) {
+            if let Some(timeliness) = self.timeliness {
+                limit.record(Instant::now(), timeliness, self.latency_target);
             }
-            gate.in_flight = gate.in_flight.saturating_sub(1);
+            limit.in_flight = limit.in_flight.saturating_sub(1);
         }
     }
 }
--- a/glenfall/src/upstream/forward/attempts.rs
+++ b/glenfall/src/upstream/forward/attempts.rs
@@ -1,191 +1,251 @@
-//! What a request's sends to servers have come to so far.
+//! The attempts of one request: which servers it was sent to, how that ended, and what follows from it.
 
 use glenfall_control_plane::invariant::Invariant;
 use glenfall_http_client::send::{ExecutionStatus, SendEvent, SendSequence, SendStage};
-use hyper::header::HeaderName;
 use hyper::StatusCode;
 
-use super::{Outcome, Refusal, FULL, NONE};
+use super::outcome::{Outcome, Refusal, AT_CAPACITY_RETRY_AFTER, NONE};
+use super::response_event::{response_event, states_not_run};
 use crate::http::failure::{Cause, Failure};
 use crate::http::response::ServerResponse;
+use crate::http::send_budget::SendReport;
 use crate::upstream::origins::SendOutcome;
 use crate::upstream::pool::SendError;
 
-const NOT_RUN: HeaderName = HeaderName::from_static("x-glenfall-not-run");
-
-/// The sends of one request so far.
-pub(super) struct Attempts {
-    pub sends: SendSequence,
-    /// Servers that were chosen.
-    pub tried: Vec<String>,
-    /// How the sends to them ended, as the log tells it.
-    ends: Vec<SendEnd>,
-    /// A server may have run it: it had all of the request, and has not said that it did not run it.
+/// The attempts of one request so far.
+pub struct Attempts {
+    sends: SendSequence,
+    max_sends: u32,
+    idempotent: bool,
+    trace: Trace,
+    /// Whether a server may have run the request: one received all of it, and has not stated that it did not run it.
     may_have_run: bool,
-    repeatable: bool,
-    allowed: u32,
-    /// What kept the request from going to another server.
-    stopped_by: Option<Cause>,
-    /// It has its turn under the ceiling, and no server has had it since.
-    pub under_ceiling: bool,
-    /// What is known of the request, if it goes to no further server.
-    fallback: Outcome,
-}
-
-/// How a send ended: what happened, and the status of the answer, if any.
-struct SendEnd {
-    event: SendEvent,
-    status: Option<StatusCode>,
-}
-
-impl SendEnd {
-    fn describe(&self) -> String {
-        let status = self.status.map_or(0, |status| status.as_u16());
-        match self.event {
-            SendEvent::NoConnection => "no connection".into(),
-            SendEvent::TimedOut => "no answer in time".into(),
-            SendEvent::NotRun => format!("not run ({status})"),
-            _ if self.status.is_some() => format!("answered {status}"),
-            _ => "answer lost".into(),
-        }
-    }
+    /// Whether the request holds a token of the rate limit that no server has received the request for.
+    has_rate_limit_token: bool,
+    /// How the request ends if it is sent to no further server.
+    outcome_so_far: Outcome,
 }
 
 impl Attempts {
-    pub fn new(allowed: u32, repeatable: bool) -> Self {
+    /// The attempts of a request that may be sent to `max_sends` servers.
+    pub fn new(max_sends: u32, idempotent: bool) -> Self {
         Attempts {
-            sends: SendSequence::new(allowed, repeatable),
-            tried: Vec::new(),
-            ends: Vec::new(),
+            sends: SendSequence::new(max_sends, idempotent),
+            max_sends,
+            idempotent,
+            trace: Trace::default(),
             may_have_run: false,
-            repeatable,
-            allowed,
-            stopped_by: None,
-            under_ceiling: false,
-            fallback: Outcome::NotRun(Refusal::new(Cause::NoConnection, NONE)),
+            has_rate_limit_token: false,
+            outcome_so_far: Outcome::NotRun(Refusal::new(Cause::NoConnection, NONE)),
         }
     }
 
-    /// It goes to no further server for this cause.
-    pub fn not_sent(&mut self, cause: Cause) {
+    /// Whether the request may be sent to another server now.
+    pub fn may_begin(&self) -> bool {
+        self.sends.may_begin()
+    }
+
+    /// Whether another attempt may follow the one that begins now, however that ends.
+    pub fn another_may_follow(&self) -> bool {
+        self.sends.another_may_follow()
+    }
+
+    /// Whether a server has received the request.
+    pub fn was_sent(&self) -> bool {
+        self.sends.used() > 0
+    }
+
+    /// The servers that were selected, in order.
+    pub fn tried(&self) -> &[String] {
+        &self.trace.servers
+    }
+
+    /// Records that a server was selected for the next attempt.
+    pub fn server_selected(&mut self, id: &str) {
+        self.trace.servers.push(id.to_owned());
+    }
+
+    /// Whether the next attempt needs no further token of the rate limit.
+    pub fn has_rate_limit_token(&self) -> bool {
+        self.has_rate_limit_token
+    }
+
+    /// Records that the next attempt has its token of the rate limit.
+    pub fn rate_limit_token_acquired(&mut self) {
+        self.has_rate_limit_token = true;
+    }
+
+    /// Records that the request is sent to no further server, and why.
+    pub fn stop(&mut self, cause: Cause) {
         self.sends.settle();
-        self.stopped_by = Some(cause);
-        if let Outcome::NotRun(refusal) = &mut self.fallback {
-            if self.ends.is_empty() {
+        self.trace.stopped_by = Some(cause);
+        if let Outcome::NotRun(refusal) = &mut self.outcome_so_far {
+            if self.trace.ends.is_empty() {
                 refusal.failure = cause.into();
             }
         }
     }
 
-    /// What must hold as the request is sent to a server.
+    /// Checks the invariants that hold whenever the request is sent to a server.
     pub fn check_send(&self) {
-        let repeated = self.may_have_run && !self.repeatable;
-        Invariant::SingleRun.check(!repeated, || self.describe());
-        Invariant::SendsAllowed.check(self.sends.used() < self.allowed, || self.describe());
+        let runs_twice = self.may_have_run && !self.idempotent;
+        Invariant::SingleRun.check(!runs_twice, || self.trace.describe());
+        Invariant::SendsAllowed.check(self.sends.used() < self.max_sends, || self.trace.describe());
     }
 
-    fn describe(&self) -> String {
-        describe(&self.tried, &self.ends, self.stopped_by)
+    /// Records the end of an attempt, and returns what it says about the server.
+    pub fn record(&mut self, result: Result<ServerResponse, SendError>) -> SendOutcome {
+        let status = result.as_ref().ok().map(ServerResponse::status);
+        let end = AttemptEnd { event: event_of(&result), status };
+        let execution = self.sends.ended(stage_of(&result), end.event, end.is_server_error());
+        self.trace.ends.push(end);
+        // A token is used up only by a request that reached a server.
+        self.has_rate_limit_token = end.event == SendEvent::NoConnection;
+        self.may_have_run |= match &result {
+            Ok(response) => !states_not_run(response),
+            Err(error) => *error != SendError::NotSent,
+        };
+        self.update_outcome(execution, end, result);
+        end.outcome()
+    }
+
+    fn update_outcome(
+        &mut self,
+        execution: ExecutionStatus,
+        end: AttemptEnd,
+        result: Result<ServerResponse, SendError>,
+    ) {
+        match (execution, result) {
+            // The request was not sent: the outcome remains that of the attempts before.
+            (ExecutionStatus::NotRun, Err(_)) => {}
+            (ExecutionStatus::NotRun, Ok(response)) => self.rejected_by_server(response.status()),
+            (ExecutionStatus::Answered, Ok(response)) => self.outcome_so_far = Outcome::Answered(response),
+            _ if end.event == SendEvent::TimedOut => {
+                self.outcome_so_far = Outcome::TimedOut(Cause::NoAnswer.into());
+            }
+            (_, Ok(_)) => self.outcome_so_far = Outcome::Unknown(Cause::UnprovenRefusal.into()),
+            (_, Err(_)) => self.outcome_so_far = Outcome::Unknown(Cause::AnswerLost.into()),
+        }
     }
 
-    /// What came of the request, once it goes to no further server.
+    /// A server states that it has not run the request.
+    fn rejected_by_server(&mut self, status: StatusCode) {
+        let is_rate_limit = status == StatusCode::TOO_MANY_REQUESTS;
+        if is_rate_limit {
+            // Another server of the service has the same rate limit, and would count the request against it.
+            self.sends.settle();
+        }
+        // The response of an earlier attempt is worth more to the client than a rejection.
+        if matches!(self.outcome_so_far, Outcome::Answered(_)) {
+            return;
+        }
+        self.outcome_so_far = Outcome::NotRun(match is_rate_limit {
+            true => Refusal::new(Cause::ServerRateLimit, NONE),
+            false => Refusal::new(Cause::ServersFull, AT_CAPACITY_RETRY_AFTER),
+        });
+    }
+
+    /// How many servers received the request, and whether it ended for want of further sends.
+    pub fn report(&self) -> SendReport {
+        SendReport { used: self.sends.used(), short: self.sends.is_short() }
+    }
+
+    /// How the request ended, once it is sent to no further server. Failures carry the trace of all attempts.
     pub fn into_outcome(self) -> Outcome {
-        let refused = matches!(self.fallback, Outcome::NotRun(_));
-        let promises = refused && !self.repeatable;
-        Invariant::RefusedNotRun.check(!(promises && self.may_have_run), || self.describe());
-        let Attempts { tried, ends, stopped_by, fallback, .. } = self;
-        let way = || describe(&tried, &ends, stopped_by);
-        let with_way = |failure: Failure| Failure::after(failure.cause, way());
-        match fallback {
-            Outcome::Answered(reply) if !reply.status().is_server_error() => Outcome::Answered(reply),
-            Outcome::Answered(mut reply) => {
-                reply.set_way(way());
-                Outcome::Answered(reply)
+        let promises_not_run = matches!(self.outcome_so_far, Outcome::NotRun(_)) && !self.idempotent;
+        let is_broken_promise = promises_not_run && self.may_have_run;
+        Invariant::RefusedNotRun.check(!is_broken_promise, || self.trace.describe());
+        let trace = self.trace;
+        let with_trace = |failure: Failure| Failure::after(failure.cause, trace.describe());
+        match self.outcome_so_far {
+            Outcome::Answered(response) if !response.status().is_server_error() => {
+                Outcome::Answered(response)
+            }
+            Outcome::Answered(mut response) => {
+                response.set_way(trace.describe());
+                Outcome::Answered(response)
             }
             Outcome::NotRun(refusal) => {
-                Outcome::NotRun(Refusal { failure: with_way(refusal.failure), ..refusal })
+                Outcome::NotRun(Refusal { failure: with_trace(refusal.failure), ..refusal })
             }
-            Outcome::Unknown(failure) => Outcome::Unknown(with_way(failure)),
-            Outcome::TimedOut(failure) => Outcome::TimedOut(with_way(failure)),
+            Outcome::Unknown(failure) => Outcome::Unknown(with_trace(failure)),
+            Outcome::TimedOut(failure) => Outcome::TimedOut(with_trace(failure)),
         }
     }
+}
 
-    /// Takes the end of a send, and says what it tells of the server.
-    pub fn ended(&mut self, ended: Result<ServerResponse, SendError>) -> SendOutcome {
-        let (stage, event) = match &ended {
-            Ok(reply) => (SendStage::Answering, event(reply)),
-            Err(SendError::NotSent) => (SendStage::Unconnected, SendEvent::NoConnection),
-            Err(SendError::NoResponse) => (SendStage::Answering, SendEvent::Broken),
-            Err(SendError::TimedOut) => (SendStage::Answering, SendEvent::TimedOut),
-        };
-        // What did not reach a server is still to be had under the ceiling.
-        self.under_ceiling = event == SendEvent::NoConnection;
-        let status = ended.as_ref().ok().map(|reply| reply.status());
-        let failure = status.is_some_and(|status| status.is_server_error());
-        let fate = self.sends.ended(stage, event, failure);
-        self.ends.push(SendEnd { event, status });
-        self.may_have_run |= match &ended {
-            Ok(reply) => !says_not_run(reply),
-            Err(trouble) => *trouble != SendError::NotSent,
-        };
-        match (fate, ended) {
-            // It has not been sent: what is known of it is what was known before.
-            (ExecutionStatus::NotRun, Err(_)) => {}
-            (ExecutionStatus::NotRun, Ok(_)) => self.turned_away(status),
-            (ExecutionStatus::Answered, Ok(reply)) => self.fallback = Outcome::Answered(reply),
-            _ if event == SendEvent::TimedOut => self.fallback = Outcome::TimedOut(Cause::NoAnswer.into()),
-            (_, Ok(_)) => self.fallback = Outcome::Unknown(Cause::UnprovenRefusal.into()),
-            (_, Err(_)) => self.fallback = Outcome::Unknown(Cause::AnswerLost.into()),
+/// The servers that a request was sent to, as logs and failures describe them.
+#[derive(Default)]
+struct Trace {
+    /// The servers that were selected; the last one may not have been sent the request.
+    servers: Vec<String>,
+    ends: Vec<AttemptEnd>,
+    /// Why the request was sent to no further server.
+    stopped_by: Option<Cause>,
+}
+
+impl Trace {
+    fn describe(&self) -> String {
+        let attempts = self.servers.iter().zip(&self.ends);
+        let mut steps: Vec<String> =
+            attempts.map(|(server, end)| format!("{server}: {}", end.describe())).collect();
+        if let Some(cause) = self.stopped_by.filter(|_| !self.ends.is_empty()) {
+            steps.push(format!("stopped by {}", cause.name()));
         }
-        match event {
-            SendEvent::NotRun if status == Some(StatusCode::MISDIRECTED_REQUEST) => SendOutcome::Failed,
+        steps.join(", ")
+    }
+}
+
+/// How an attempt ended: the event, and the status of the response, if any.
+#[derive(Clone, Copy)]
+struct AttemptEnd {
+    event: SendEvent,
+    status: Option<StatusCode>,
+}
+
+impl AttemptEnd {
+    fn is_server_error(self) -> bool {
+        self.status.is_some_and(|status| status.is_server_error())
+    }
+
+    fn describe(self) -> String {
+        let status = self.status.map_or(0, |status| status.as_u16());
+        match self.event {
+            SendEvent::NoConnection => "no connection".into(),
+            SendEvent::TimedOut => "no answer in time".into(),
+            SendEvent::NotRun => format!("not run ({status})"),
+            _ if self.status.is_some() => format!("answered {status}"),
+            _ => "answer lost".into(),
+        }
+    }
+
+    /// What the end says about the server.
+    fn outcome(self) -> SendOutcome {
+        match self.event {
+            SendEvent::NotRun if self.status == Some(StatusCode::MISDIRECTED_REQUEST) => SendOutcome::Failed,
             SendEvent::NotRun => SendOutcome::Rejected,
             SendEvent::NoConnection | SendEvent::Broken | SendEvent::TimedOut | SendEvent::Malformed => {
                 SendOutcome::Failed
             }
-            _ if failure => SendOutcome::ServerError,
+            _ if self.is_server_error() => SendOutcome::ServerError,
             _ => SendOutcome::Success,
         }
     }
-
-    /// A server says that it has not run the request.
-    fn turned_away(&mut self, status: Option<StatusCode>) {
-        // Another server of the service would say the same of its ceiling, and count it.
-        let ceiling = status == Some(StatusCode::TOO_MANY_REQUESTS);
-        if ceiling {
-            self.sends.settle();
-        }
-        if !matches!(self.fallback, Outcome::Answered(_)) {
-            let (cause, retry_after) =
-                if ceiling { (Cause::ServerRateLimit, NONE) } else { (Cause::ServersFull, FULL) };
-            self.fallback = Outcome::NotRun(Refusal::new(cause, retry_after));
-        }
-    }
 }
 
-/// Whom a request was sent to, how that ended, and what kept it from going on.
-fn describe(tried: &[String], ends: &[SendEnd], stopped_by: Option<Cause>) -> String {
-    let sends = tried.iter().zip(ends).map(|(server, end)| format!("{server}: {}", end.describe()));
-    let stop = stopped_by.filter(|_| !ends.is_empty()).map(|cause| format!("stopped by {}", cause.name()));
-    sends.chain(stop).collect::<Vec<_>>().join(", ")
-}
-
-/// Whether an answer says that the request has not run.
-fn says_not_run(reply: &ServerResponse) -> bool {
-    reply.headers().contains_key(NOT_RUN) || reply.status() == StatusCode::MISDIRECTED_REQUEST
+fn event_of(result: &Result<ServerResponse, SendError>) -> SendEvent {
+    match result {
+        Ok(response) => response_event(response),
+        Err(SendError::NotSent) => SendEvent::NoConnection,
+        Err(SendError::NoResponse) => SendEvent::Broken,
+        Err(SendError::TimedOut) => SendEvent::TimedOut,
+    }
 }
 
-/// What a whole answer of a server says.
-fn event(reply: &ServerResponse) -> SendEvent {
-    let status = reply.status();
-    let failure = status.is_client_error() || status.is_server_error();
-    let said = says_not_run(reply);
-    match status.as_u16() {
-        _ if said && failure => SendEvent::NotRun,
-        // One that says that it has not run and what came of it.
-        _ if said => SendEvent::Malformed,
-        408 | 429 | 503 => SendEvent::UnprovenRefusal,
-        _ if status.is_server_error() => SendEvent::Failure,
-        _ => SendEvent::Success,
+/// The stage that the send had reached when it ended, as far as it matters: whether the server received the request.
+fn stage_of(result: &Result<ServerResponse, SendError>) -> SendStage {
+    match result {
+        Err(SendError::NotSent) => SendStage::Unconnected,
+        Ok(_) | Err(SendError::NoResponse | SendError::TimedOut) => SendStage::Answering,
     }
 }
--- /dev/null
+++ b/glenfall/src/upstream/forward/forwarder.rs
@@ -0,0 +1,286 @@
+//! The forwarder: sends a request to a server of its service, and to others while that is allowed and safe.
+
+use std::cell::RefCell;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use glenfall_control_plane::fleet::Fleet;
+use glenfall_control_plane::messages::ProxyRole;
+use glenfall_control_plane::rate_limit::QuotaHolder;
+use glenfall_control_plane::retry_budget::RetryBudget;
+use glenfall_control_plane::Millis;
+use http_body_util::Full;
+use hyper::header::{HeaderName, HeaderValue};
+use hyper::Request;
+use tokio::time::Instant;
+
+use super::attempts::Attempts;
+use super::counters::ForwarderCounters;
+use super::outcome::{Outcome, Refusal, AT_CAPACITY_RETRY_AFTER};
+use super::rate_limit_queue::{RateLimitExceeded, RateLimitQueue};
+use super::request::UpstreamRequest;
+use crate::http::failure::Cause;
+use crate::http::headers::DEADLINE;
+use crate::http::response::ServerResponse;
+use crate::http::send_budget::{Allowance, SendReport};
+use crate::settings::Settings;
+use crate::upstream::concurrency_limit::ConcurrencyLimits;
+use crate::upstream::origins::{OriginBalancer, SelectedOrigin};
+use crate::upstream::pool::{ExchangeParams, Pool, SendError, UpstreamKind, RESPONSE_COMPLETION_TIMEOUT};
+
+/// The header that names the server that a request is meant for. Every other process rejects the request, also one that
+/// has come to listen at the same address.
+const WANT_SERVER: HeaderName = HeaderName::from_static("x-glenfall-want-server");
+/// A server is given a deadline this much earlier than this process has, so that its own response to a request that
+/// takes too long arrives in time.
+const RESPONSE_TRANSIT_TIME: Duration = Duration::from_millis(15);
+
+/// Forwards requests to servers.
+pub struct Forwarder {
+    /// The connections to servers, and to shields.
+    pub pool: Rc<Pool>,
+    /// The servers, and what was observed of each.
+    pub origins: OriginBalancer,
+    retry_budget: RefCell<RetryBudget>,
+    rate_limit: RateLimitQueue,
+    concurrency_limits: ConcurrencyLimits,
+    /// Services that have a ready server.
+    available_services: RefCell<BTreeSet<String>>,
+    /// The role of the proxies that share the servers' capacity with this one.
+    role: ProxyRole,
+    started_at: Instant,
+    counters: ForwarderCounters,
+}
+
+impl Forwarder {
+    /// A forwarder for one of the edges, or one of the shields.
+    pub fn new(pool: Rc<Pool>, boot: &Settings, sharers: ProxyRole) -> Self {
+        // Shields fetch large responses, for which traffic between zones costs.
+        let prefers_own_zone = sharers == ProxyRole::Shield;
+        let origins = OriginBalancer::new(&boot.zone, prefers_own_zone, &boot.node);
+        let started_at = Instant::now();
+        let rate_limit = RateLimitQueue::new(boot.rate_limit(), origins.draw(), started_at);
+        Forwarder {
+            pool,
+            origins,
+            retry_budget: RefCell::new(RetryBudget::new(boot.retry_budget())),
+            rate_limit,
+            concurrency_limits: ConcurrencyLimits::default(),
+            available_services: RefCell::default(),
+            role: sharers,
+            started_at,
+            counters: ForwarderCounters::default(),
+        }
+    }
+
+    fn now(&self) -> Millis {
+        self.started_at.elapsed().as_millis() as Millis
+    }
+
+    /// Counters for `status`.
+    pub fn report(&self) -> [(&'static str, u64); 8] {
+        let counters = &self.counters;
+        [
+            ("further_tries", counters.retries.get()),
+            ("budget_spent", counters.retry_budget_exhausted.get()),
+            ("limited", counters.concurrency_limited.get()),
+            ("no_room", counters.out_of_memory.get()),
+            ("answer_bytes_held", self.pool.memory.held() as u64),
+            ("waited", counters.rate_limit_queued.get()),
+            ("above_ceiling", counters.rate_limited.get()),
+            ("connections_opened", self.pool.connections_opened()),
+        ]
+    }
+
+    /// Takes the servers of a fleet, and the number of machines that share them.
+    pub fn update(&self, fleet: &Fleet) {
+        // Shields choose among all servers, without subsets.
+        let edges = if self.role == ProxyRole::Edge { &fleet.edges[..] } else { &[] };
+        for address in self.origins.update(Instant::now(), &fleet.servers, edges) {
+            self.pool.close_idle(address.into());
+        }
+        let machine_count = fleet.edges.len() + fleet.shields.len();
+        self.retry_budget.borrow_mut().set_machine_count(self.now(), machine_count);
+        let capacity_shares = self.capacity_shares(fleet);
+        self.concurrency_limits.update(&capacity_shares);
+        self.log_availability(capacity_shares.into_keys().map(str::to_owned).collect());
+    }
+
+    /// This machine's share of the capacity of the ready servers, by service.
+    fn capacity_shares<'a>(&self, fleet: &'a Fleet) -> BTreeMap<&'a str, f64> {
+        let sharing_proxies = match self.role {
+            ProxyRole::Edge => fleet.edges.len(),
+            ProxyRole::Shield => fleet.shields.iter().filter(|shield| shield.ready).count(),
+        };
+        let mut shares = BTreeMap::new();
+        for server in fleet.servers.iter().filter(|server| server.ready) {
+            let share = f64::from(server.capacity) / sharing_proxies.max(1) as f64;
+            *shares.entry(server.backend.as_str()).or_insert(0.0) += share;
+        }
+        shares
+    }
+
+    /// Logs services that have lost their last ready server, or have one again.
+    fn log_availability(&self, available: BTreeSet<String>) {
+        let previous = self.available_services.replace(available);
+        let available = self.available_services.borrow();
+        for service in previous.difference(&available) {
+            tracing::warn!(?service, "service has no ready server");
+        }
+        for service in available.difference(&previous) {
+            tracing::info!(?service, "service has a ready server");
+        }
+    }
+
+    /// Counts a client's request for a service towards the retry budget. Each request is counted by one machine only.
+    pub fn count(&self, service: &str) {
+        self.retry_budget.borrow_mut().record_request(self.now(), service);
+    }
+
+    /// Takes a retry out of the budget of a service; `false` if the budget is exhausted.
+    fn try_spend_retry(&self, service: &str) -> bool {
+        let is_allowed = self.retry_budget.borrow_mut().try_spend(self.now(), service);
+        match is_allowed {
+            true => self.counters.retries.add(),
+            false => self.counters.retry_budget_exhausted.add(),
+        }
+        is_allowed
+    }
+
+    /// Sets what this machine is among those that share the rate limits.
+    pub fn hold(&self, holder: QuotaHolder) {
+        self.rate_limit.set_holder(holder);
+    }
+
+    /// Takes a token of the rate limit of the request's service. With `may_wait`, waits a little for it.
+    pub async fn acquire_rate_limit(
+        &self,
+        request: &UpstreamRequest<'_>,
+        may_wait: bool,
+    ) -> Result<(), RateLimitExceeded> {
+        self.rate_limit.acquire(request, may_wait, &self.counters).await
+    }
+
+    /// Sends a request to a server of its service, and to others where it can do no harm; to none where the service is
+    /// overloaded.
+    pub async fn send(&self, job: UpstreamRequest<'_>) -> Outcome {
+        let allowance = Allowance::all(job.tries);
+        self.send_within(job, allowance).await.0
+    }
+
+    /// As [`send`](Self::send), to no more servers than the allowance states; also reports how many were used.
+    pub async fn send_within(&self, job: UpstreamRequest<'_>, allowance: Allowance) -> (Outcome, SendReport) {
+        if !self.pool.memory.is_free() {
+            self.counters.out_of_memory.add();
+            return rejected_as_overloaded(Cause::NoMemory);
+        }
+        let Some(mut permit) = self.concurrency_limits.admit(job.service, job.rank, job.aim) else {
+            self.counters.concurrency_limited.add();
+            return rejected_as_overloaded(Cause::ConcurrencyLimit);
+        };
+        let (outcome, report) = self.send_admitted(job, allowance).await;
+        match &outcome {
+            Outcome::Answered(_) => permit.record_response(),
+            Outcome::NotRun(refusal) if refusal.failure.cause == Cause::ServersFull => {
+                permit.record_overload();
+            }
+            Outcome::TimedOut(_) => permit.record_overload(),
+            Outcome::NotRun(_) | Outcome::Unknown(_) => {}
+        }
+        (outcome, report)
+    }
+
+    async fn send_admitted(
+        &self,
+        mut request: UpstreamRequest<'_>,
+        allowance: Allowance,
+    ) -> (Outcome, SendReport) {
+        let mut attempts = Attempts::new(allowance.sends, request.repeatable);
+        while attempts.may_begin() {
+            let server = match self.next_server(&request, &mut attempts).await {
+                Ok(server) => server,
+                Err(cause) => {
+                    attempts.stop(cause);
+                    break;
+                }
+            };
+            let Ok(server_id) = HeaderValue::from_str(&server.id) else { continue };
+            request.headers.insert(WANT_SERVER, server_id);
+            let lender_may_retry = request.repeatable && allowance.held_back > 0;
+            let retry_may_follow = attempts.another_may_follow() || lender_may_retry;
+            attempts.check_send();
+            let in_flight = self.origins.track(&server.id);
+            let result = self.exchange(&request, &server, retry_may_follow).await;
+            in_flight.finish(attempts.record(result));
+        }
+        let report = attempts.report();
+        (attempts.into_outcome(), report)
+    }
+
+    /// Selects the server of the next attempt, once the rate limit, the deadline and the retry budget allow it. Otherwise
+    /// returns what does not.
+    async fn next_server(
+        &self,
+        request: &UpstreamRequest<'_>,
+        attempts: &mut Attempts,
+    ) -> Result<SelectedOrigin, Cause> {
+        if !attempts.has_rate_limit_token() {
+            let may_wait = !attempts.was_sent();
+            self.acquire_rate_limit(request, may_wait).await.map_err(|_| Cause::RateLimit)?;
+            attempts.rate_limit_token_acquired();
+        }
+        let has_idle_connection = |address| self.pool.has_idle_connection(address);
+        let server = self
+            .origins
+            .choose(Instant::now(), request.service, attempts.tried(), has_idle_connection)
+            .ok_or(Cause::NoServer)?;
+        attempts.server_selected(&server.id);
+        if Instant::now() >= request.until {
+            return Err(Cause::DeadlineBeforeSend);
+        }
+        let is_retry = request.again || attempts.was_sent();
+        if is_retry && !self.try_spend_retry(request.service) {
+            return Err(Cause::RetryBudget);
+        }
+        Ok(server)
+    }
+
+    /// Sends a request to a server. Where a retry may follow, the attempt has to leave time for it: it gets half of the
+    /// time that is left. A request that may run only once gets all of it.
+    async fn exchange(
+        &self,
+        request: &UpstreamRequest<'_>,
+        server: &SelectedOrigin,
+        retry_may_follow: bool,
+    ) -> Result<ServerResponse, SendError> {
+        let now = Instant::now();
+        let deadline = if retry_may_follow { now + (request.until - now) / 2 } else { request.until };
+        let is_ready = || self.origins.is_ready(&server.id);
+        let params = ExchangeParams {
+            address: server.addr.into(),
+            kind: UpstreamKind::Origin,
+            deadline,
+            completion_timeout: retry_may_follow.then_some(RESPONSE_COMPLETION_TIMEOUT),
+            may_still_send: Some(&is_ready),
+        };
+        self.pool.exchange(params, || http_request(request, deadline)).await
+    }
+}
+
+fn rejected_as_overloaded(cause: Cause) -> (Outcome, SendReport) {
+    (Outcome::NotRun(Refusal::new(cause, AT_CAPACITY_RETRY_AFTER)), SendReport::default())
+}
+
+/// The request as it is written now, with the time that the server has for it.
+fn http_request(request: &UpstreamRequest<'_>, deadline: Instant) -> Request<Full<Bytes>> {
+    let time_left = deadline.saturating_duration_since(Instant::now());
+    let time_for_server_ms = time_left.saturating_sub(RESPONSE_TRANSIT_TIME).as_millis() as u64;
+    let mut http_request = Request::new(Full::new(request.body.clone()));
+    *http_request.method_mut() = request.method.clone();
+    *http_request.uri_mut() = request.uri.clone();
+    *http_request.headers_mut() = request.headers.clone();
+    http_request.headers_mut().insert(DEADLINE, HeaderValue::from(time_for_server_ms.max(1)));
+    http_request
+}
--- /dev/null
+++ b/glenfall/src/upstream/forward/response_event.rs
@@ -0,0 +1,32 @@
+//! What a complete response of a server says about its request.
+
+use glenfall_http_client::send::SendEvent;
+use hyper::header::HeaderName;
+use hyper::StatusCode;
+
+use crate::http::response::ServerResponse;
+
+/// The header by which a server states that it has not run the request.
+const NOT_RUN: HeaderName = HeaderName::from_static("x-glenfall-not-run");
+
+/// Whether a response states that the request has not run. A server that was not addressed states it by its status.
+pub fn states_not_run(response: &ServerResponse) -> bool {
+    response.headers().contains_key(NOT_RUN) || response.status() == StatusCode::MISDIRECTED_REQUEST
+}
+
+/// The event that a complete response is to the state machine of sends.
+pub fn response_event(response: &ServerResponse) -> SendEvent {
+    let status = response.status();
+    let is_error = status.is_client_error() || status.is_server_error();
+    if states_not_run(response) {
+        // A success contradicts the statement that the request has not run.
+        return if is_error { SendEvent::NotRun } else { SendEvent::Malformed };
+    }
+    match status {
+        StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
+            SendEvent::UnprovenRefusal
+        }
+        _ if status.is_server_error() => SendEvent::Failure,
+        _ => SendEvent::Success,
+    }
+}
