--- /dev/null
+++ b/balancer/src/balancer/admission.rs
@@ -0,0 +1,191 @@
+//! The life of a request: admission, queueing, sending, and its final answer.
+
+use super::Balancer;
+use crate::interface::{Action, Key, NewRequest, RequestId, Seconds, ServerId, TimerToken};
+use crate::request::{Attempt, Request};
+use crate::rjch::mix;
+
+/// Part of its latency target for which a request is queued when all servers are full.
+const MAX_QUEUE_TIME: f64 = 0.25;
+/// The same for a request beyond its tenant's quota.
+const MAX_QUEUE_TIME_OVER_QUOTA: f64 = 0.1;
+/// Writes reach the origin up to this multiple of the limit that holds for reads.
+const WRITE_FETCH_PRIORITY: f64 = 2.0;
+const READ_FETCH_PRIORITY: f64 = 1.0;
+
+/// Where a request is to be sent next.
+struct Target {
+    server: Option<ServerId>,
+    /// Whether the attempt is expected to reach the origin.
+    to_origin: bool,
+}
+
+impl Balancer {
+    pub(super) fn on_request(&mut self, new: NewRequest) {
+        if self.requests.contains_key(&new.id) {
+            return;
+        }
+        self.retry_budget.record_request(self.now);
+        let key = new.key.unwrap_or(Key(mix(new.id.0)));
+        self.popularity.record(key, self.now);
+        let over_quota = self.quotas.charge(
+            new.tenant,
+            &self.config.settings().tenants,
+            self.config.node_share(1.0),
+            self.config.slow_start_duration(),
+            self.now,
+        );
+        let request = Request {
+            class: self.config.class_index(new.class.map(|class| class.0)),
+            key,
+            write: new.write,
+            arrived: self.now,
+            deadline: self.now + new.left,
+            work: new.work.unwrap_or(0.0).max(0.0),
+            over_quota,
+            slot_draw: self.jitter.next_fraction(),
+            ..Request::default()
+        };
+        // The final answer is given ahead of the client's deadline, whatever else happens.
+        let after = (new.left - self.config.deadline_margin()).max(0.0);
+        self.actions.push(Action::SetTimer { token: TimerToken(new.id.0 + 1), after });
+        self.requests.insert(new.id, request);
+        self.dispatch(new.id);
+    }
+
+    /// Dispatches the requests that have been queued longest, `max_requests` of them at most.
+    pub(super) fn dispatch_queued(&mut self, max_requests: usize) {
+        let count = max_requests.min(self.queue.len());
+        let requests: Vec<RequestId> = self.queue.drain(..count).collect();
+        for request in requests {
+            self.dispatch(request);
+        }
+    }
+
+    /// Sends a request that has no attempt in flight to a server, queues it, or ends it.
+    pub(super) fn dispatch(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id).filter(|request| request.needs_attempt()) else { return };
+        let costs_budget = request.next_attempt_costs_budget(self.config.has_own_retry_budget());
+        if costs_budget && !self.retry_budget.allows_retry(self.now) {
+            return self.end(id);
+        }
+        let Some(request) = self.requests.get(&id) else { return };
+        let Target { server, to_origin } = self.choose_target(request);
+        // One fetch for each key: a read that would fetch it too waits for the end of that fetch.
+        if !request.write && to_origin && self.fetches.join(request.key, id) {
+            return;
+        }
+        // What reaches the origin goes only as fast as it bears, writes first: hits must not queue with it.
+        let is_held_back = to_origin && self.config.caches_read_through() && !self.origin_allows(request);
+        match server {
+            Some(server) if !is_held_back => self.send(id, &server, to_origin),
+            _ => self.queue_or_end(id),
+        }
+    }
+
+    fn choose_target(&self, request: &Request) -> Target {
+        let reads_through = self.config.caches_read_through();
+        let must_reach_origin = !reads_through && (request.write || request.missed);
+        let server =
+            if must_reach_origin { self.choose_origin(request) } else { self.choose_server(request) };
+        let is_uncached = server.as_ref().is_some_and(|server| !self.is_cached(request.key, server));
+        let to_origin = request.write || (is_uncached && (request.missed || reads_through));
+        Target { server, to_origin }
+    }
+
+    fn origin_allows(&self, request: &Request) -> bool {
+        let priority = if request.write { WRITE_FETCH_PRIORITY } else { READ_FETCH_PRIORITY };
+        self.fetches.allows(priority, self.config.min_latency_target(), self.now)
+    }
+
+    fn queue_or_end(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let max_queue_time = if request.over_quota { MAX_QUEUE_TIME_OVER_QUOTA } else { MAX_QUEUE_TIME };
+        let queued_until = request.arrived + self.config.class(request.class).aim * max_queue_time;
+        let is_hopeless = !request.attempts.is_empty() && !self.rules().may_send_to_any(request);
+        if is_hopeless || self.now >= queued_until || self.now >= request.deadline {
+            self.end(id);
+        } else {
+            self.queue.push_back(id);
+        }
+    }
+
+    /// Sends the next attempt of a request.
+    pub(super) fn send(&mut self, id: RequestId, server: &ServerId, to_origin: bool) {
+        let now = self.now;
+        let own_budget = self.config.has_own_retry_budget();
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if request.next_attempt_costs_budget(own_budget) {
+            self.retry_budget.record_retry(now);
+        }
+        let idle_time = self.servers.get(server).map_or(0.0, |server| server.idle_time(now));
+        // Guards against connections that were dropped unnoticed, by reset or in silence; costs handshakes
+        // after a crash.
+        if idle_time >= self.connections.suspect_idle_time(now) {
+            self.actions.push(Action::CloseIdle(server.clone()));
+        }
+        request.attempts.push(Attempt {
+            server: server.clone(),
+            sent: now,
+            to_origin,
+            idle_time,
+            status: None,
+        });
+        if to_origin {
+            self.fetches.begin_attempt(now);
+            if !request.write {
+                self.fetches.lead(request.key, id);
+            }
+        }
+        let time_left = request.deadline - now - self.config.deadline_margin();
+        let timeout = Some(time_left.max(self.config.settings().round));
+        self.actions.push(Action::Send { request: id, server: server.clone(), timeout });
+        self.servers.begin_attempt(server, now, self.latency.answer_time());
+        if self.servers.get(server).is_some_and(|server| server.capacity() > 0.0) {
+            self.connections.record_send(now);
+        }
+    }
+
+    /// Ends a request without a server's answer: refused where a repeat is harmless, else failed.
+    pub(super) fn end(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else { return };
+        if request.ended || request.streaming {
+            return;
+        }
+        let answer = if self.rules().may_refuse(request) {
+            Action::Refuse { request: id, retry_after: self.retry_after() }
+        } else {
+            Action::Fail(id)
+        };
+        self.actions.push(answer);
+        self.finish(id);
+    }
+
+    /// Capacity comes free in about the usual answer time; a client that repeats its request sooner finds the
+    /// same load.
+    fn retry_after(&self) -> Option<Seconds> {
+        let limits = &self.config.settings().limits;
+        let advice = self.latency.answer_time().min(limits.max_retry_after);
+        (limits.retry_after && advice > 0.0).then_some(advice)
+    }
+
+    /// The request has its final answer, or nobody waits for it: cancels what is in flight and forgets the
+    /// request when nothing is.
+    pub(super) fn finish(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let had_ended = std::mem::replace(&mut request.ended, true);
+        let must_cancel = !had_ended && !request.streaming && self.config.settings().limits.cancel;
+        if request.attempts_in_flight() == 0 {
+            self.requests.remove(&id);
+        } else if must_cancel {
+            self.cancel_attempts(id);
+        }
+    }
+
+    /// Cancels all attempts of a request that are in flight.
+    pub(super) fn cancel_attempts(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let cancels = request.ids_in_flight().map(|attempt| Action::Cancel { request: id, attempt });
+        self.actions.extend(cancels);
+    }
+}
--- /dev/null
+++ b/balancer/src/balancer/membership.rs
@@ -0,0 +1,63 @@
+//! The list of servers: calls for it, and what its changes mean for connections and queued requests.
+
+use super::Balancer;
+use crate::interface::{Action, Membership, RosterEntry, RosterNews};
+use crate::node_config::HOUSEKEEPING_INTERVAL;
+
+/// Idle connections to draining servers are closed this many times within the time that the rule allows.
+const DRAIN_CLOSES: f64 = 4.0;
+
+impl Balancer {
+    /// Subscribes to the list of servers if that is due.
+    pub(super) fn call_for_roster(&mut self) {
+        let is_on_request = self.config.settings().membership == Membership::OnRequest;
+        if is_on_request && self.subscription.call_is_due(self.now, &self.config) {
+            self.subscription.record_call(self.now);
+            self.actions.push(Action::Subscribe);
+        }
+    }
+
+    pub(super) fn on_roster(&mut self, update: RosterNews) {
+        match update {
+            RosterNews::Failed => {
+                let random = self.jitter.next_fraction();
+                self.subscription.record_failure(self.now, random, &self.config);
+            }
+            RosterNews::Cached(entries) => self.apply_complete_list(entries),
+            RosterNews::Full(entries) => {
+                self.subscription.record_update();
+                self.apply_complete_list(entries);
+            }
+            RosterNews::Delta(entries) => {
+                self.subscription.record_update();
+                self.apply_entries(entries);
+            }
+        }
+    }
+
+    fn apply_complete_list(&mut self, entries: Vec<RosterEntry>) {
+        self.servers.mark_absent_as_gone(&entries);
+        self.apply_entries(entries);
+    }
+
+    fn apply_entries(&mut self, entries: Vec<RosterEntry>) {
+        for entry in entries {
+            let allowance = self.jitter.next_fraction();
+            self.servers.apply_entry(entry, allowance, &self.config, self.now);
+        }
+        self.servers.refresh(&self.config, self.now);
+        self.close_draining_connections();
+        self.servers.remove_gone();
+        self.dispatch_queued(usize::MAX);
+    }
+
+    /// Rule six: idle connections to draining servers are closed at the notice, at each outcome and again
+    /// while a server is listed, as a connection may fall idle after its outcome: a time-out leaves it busy,
+    /// and answers may be in order.
+    pub(super) fn close_draining_connections(&mut self) {
+        let Some(within) = self.config.settings().guarantees.close_on_drain else { return };
+        self.connections.schedule_drain_close(self.now + (within / DRAIN_CLOSES).max(HOUSEKEEPING_INTERVAL));
+        let draining = self.servers.iter().filter(|(_, server)| !server.is_ready());
+        self.actions.extend(draining.map(|(id, _)| Action::CloseIdle(id.clone())));
+    }
+}
--- /dev/null
+++ b/balancer/src/balancer/mod.rs
@@ -0,0 +1,187 @@
+//! The state machine of one node: it takes events, feeds the decisions and collects the actions.
+//!
+//! Types, events and actions are in `balancer/src/interface.rs`. Each decision owns its state in a module of
+//! its own; the submodules here apply them to requests.
+//!
+//! The ordinary path is RJ-CH (Chen, Coleman, Shrivastava, "Revisiting Consistent Hashing with Bounded
+//! Loads"): a key goes to the owner of slot h(key, 0) of a fixed array, and from an owner at its cap on to
+//! the owners of h(key, 1), h(key, 2) and so on. Each departure from that path states when it applies.
+
+mod admission;
+mod hedging;
+mod membership;
+mod outcomes;
+mod placement;
+
+use std::collections::{BTreeMap, VecDeque};
+
+use crate::cached_keys::CachedKeys;
+use crate::connections::ConnectionTracker;
+use crate::interface::*;
+use crate::jitter::Jitter;
+use crate::key_popularity::KeyPopularity;
+use crate::latency::FleetLatency;
+use crate::node_config::{NodeConfig, HOUSEKEEPING_INTERVAL};
+use crate::origin_fetches::OriginFetches;
+use crate::peer_message::PeerMessage;
+use crate::request::Request;
+use crate::retry_budget::RetryBudget;
+use crate::roster_subscription::{call_spread, RosterSubscription};
+use crate::send_rules::SendRules;
+use crate::server_pool::ServerPool;
+use crate::smoothing::RECENT_PERIOD;
+use crate::tenant_quota::TenantQuotas;
+
+/// The token of the housekeeping timer; a request's timer has its number plus 1.
+const HOUSEKEEPING_TOKEN: TimerToken = TimerToken(0);
+/// Old entries of the node's tables are removed this often.
+const PURGE_INTERVAL: Seconds = RECENT_PERIOD;
+/// Servers that are warming up are sent this part of the load that brings a just-started server down: popular
+/// keys alone, requested by all nodes, could push it over.
+const SLOW_START_LOAD_SHARE: f64 = 0.5;
+
+/// The decisions of one node.
+pub struct Balancer {
+    config: NodeConfig,
+    jitter: Jitter,
+    now: Seconds,
+    /// Actions of the event that is being handled.
+    actions: Vec<Action>,
+    is_started: bool,
+    next_purge: Seconds,
+    subscription: RosterSubscription,
+    servers: ServerPool,
+    connections: ConnectionTracker,
+    latency: FleetLatency,
+    requests: BTreeMap<RequestId, Request>,
+    /// Requests that wait for a server, longest first.
+    queue: VecDeque<RequestId>,
+    quotas: TenantQuotas,
+    retry_budget: RetryBudget,
+    popularity: KeyPopularity,
+    cached_keys: CachedKeys,
+    fetches: OriginFetches,
+}
+
+impl Balancer {
+    /// A node that has just come up. `seed` feeds jitter only, never the homes of keys.
+    ///
+    /// # Errors
+    ///
+    /// Settings that make no sense are refused.
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        let config = NodeConfig::new(settings)?;
+        let settings = config.settings();
+        Ok(Balancer {
+            jitter: Jitter::new(seed),
+            now: 0.0,
+            actions: Vec::new(),
+            is_started: false,
+            next_purge: 0.0,
+            subscription: RosterSubscription::default(),
+            servers: ServerPool::default(),
+            connections: ConnectionTracker::default(),
+            latency: FleetLatency::new(config.min_latency_target()),
+            requests: BTreeMap::new(),
+            queue: VecDeque::new(),
+            quotas: TenantQuotas::new(settings.tenants.len()),
+            retry_budget: RetryBudget::new(settings.guarantees.budget, settings.round),
+            popularity: KeyPopularity::default(),
+            cached_keys: CachedKeys::default(),
+            fetches: OriginFetches::new(config.nodes()),
+            config,
+        })
+    }
+
+    /// Takes one event and adds what is to be done to `actions`.
+    pub fn handle(&mut self, now: Seconds, event: Event, actions: &mut Vec<Action>) {
+        self.now = now;
+        if !self.is_started {
+            self.start();
+        }
+        self.apply(event);
+        actions.append(&mut self.actions);
+    }
+
+    fn start(&mut self) {
+        self.is_started = true;
+        self.schedule_housekeeping();
+        let first_call = self.now + self.jitter.next_fraction() * call_spread(&self.config);
+        self.subscription.schedule_first_call(first_call);
+        self.call_for_roster();
+    }
+
+    fn apply(&mut self, event: Event) {
+        match event {
+            Event::Roster(update) => self.on_roster(update),
+            Event::Request(new) => self.on_request(new),
+            Event::StreamStarted { request, attempt: _ } => self.on_stream_started(request),
+            Event::Outcome(outcome) => self.on_outcome(outcome),
+            Event::Withdrawn(request) => self.finish(request),
+            Event::Timer(HOUSEKEEPING_TOKEN) => self.on_housekeeping(),
+            // The time of a request is nearly up.
+            Event::Timer(TimerToken(token)) => self.end(RequestId(token - 1)),
+            Event::Message { bytes, .. } => self.on_message(&bytes),
+            Event::Probed { .. } => {}
+        }
+    }
+
+    fn on_stream_started(&mut self, request: RequestId) {
+        if let Some(request) = self.requests.get_mut(&request) {
+            request.streaming = true;
+        }
+    }
+
+    fn on_message(&mut self, bytes: &[u8]) {
+        match PeerMessage::decode(bytes) {
+            Some(PeerMessage::Overloaded(server)) => {
+                self.reduce_key_share(&server);
+            }
+            Some(PeerMessage::Failing(server)) => self.record_failure(&server),
+            None => {}
+        }
+    }
+
+    fn schedule_housekeeping(&mut self) {
+        self.actions.push(Action::SetTimer { token: HOUSEKEEPING_TOKEN, after: HOUSEKEEPING_INTERVAL });
+    }
+
+    fn on_housekeeping(&mut self) {
+        self.schedule_housekeeping();
+        if self.now >= self.next_purge {
+            self.cached_keys.forget_expired(self.now);
+            self.popularity.forget_cold_keys(self.now);
+            self.next_purge = self.now + PURGE_INTERVAL;
+        }
+        self.servers.refresh(&self.config, self.now);
+        self.refresh_allowances();
+        self.call_for_roster();
+        self.send_hedged_requests();
+        if self.connections.drain_close_is_due(self.now) {
+            self.close_draining_connections();
+        }
+        self.dispatch_queued(usize::MAX);
+    }
+
+    /// Refills what may be sent of tenants' quotas and to servers that are warming up or were overloaded.
+    fn refresh_allowances(&mut self) {
+        let remaining = 1.0 - HOUSEKEEPING_INTERVAL / self.config.slow_start_duration();
+        self.quotas.decay_rates(remaining);
+        self.servers.recover_key_shares(self.now, HOUSEKEEPING_INTERVAL);
+        let request_rate = self.popularity.recent_requests(self.now) / RECENT_PERIOD;
+        let multiple = self.config.settings().guarantees.fall_multiple * SLOW_START_LOAD_SHARE;
+        self.servers.refill_slow_start(request_rate, self.entitled_rate(), multiple, HOUSEKEEPING_INTERVAL);
+    }
+
+    /// Requests a second that a warm server of capacity 1 can answer at least for this node: tenants' quotas
+    /// are shares of what the complete fleet can do. What is sent now says less where many servers are new,
+    /// or the node itself.
+    fn entitled_rate(&self) -> f64 {
+        let quotas = self.config.settings().tenants.iter().map(|tenant| tenant.quota).sum::<f64>();
+        self.config.node_share(quotas) / self.servers.fleet_capacity().max(1.0)
+    }
+
+    fn rules(&self) -> SendRules<'_> {
+        SendRules { config: &self.config, servers: &self.servers, now: self.now }
+    }
+}
--- /dev/null
+++ b/balancer/src/jitter.rs
@@ -0,0 +1,21 @@
+//! Pseudo-random numbers for jitter, the same for the same seed.
+
+use crate::rjch::{mix, unit_fraction};
+
+/// A generator that is seeded once.
+pub struct Jitter {
+    state: u64,
+}
+
+impl Jitter {
+    /// A generator for this seed.
+    pub fn new(seed: u64) -> Self {
+        Jitter { state: mix(seed) }
+    }
+
+    /// The next number, from 0 to 1.
+    pub fn next_fraction(&mut self) -> f64 {
+        self.state = self.state.wrapping_add(1);
+        unit_fraction(mix(self.state))
+    }
+}
--- /dev/null
+++ b/balancer/src/key_popularity.rs
@@ -0,0 +1,47 @@
+//! Key popularity: over how many slots of the slot array a hot key is spread.
+
+use std::collections::BTreeMap;
+
+use crate::interface::{Key, Seconds};
+use crate::smoothing::DecayingCounter;
+
+/// A key may add this part of the mean load of a server to each of its slots.
+const MAX_KEY_LOAD_SHARE: f64 = 0.6;
+/// Requests that the first ones seen of a key are set against: two in a row do not make it hot.
+const MIN_SAMPLE: f64 = 50.0;
+/// A key whose decayed count is no higher is forgotten.
+const MIN_COUNT: f64 = 0.1;
+
+/// Requests that this node has lately accepted, for each key and in total.
+#[derive(Default)]
+pub struct KeyPopularity {
+    keys: BTreeMap<Key, DecayingCounter>,
+    total: DecayingCounter,
+}
+
+impl KeyPopularity {
+    /// Counts a request for `key`.
+    pub fn record(&mut self, key: Key, now: Seconds) {
+        self.keys.entry(key).or_default().increment(now);
+        self.total.increment(now);
+    }
+
+    /// The decayed count of all requests.
+    pub fn recent_requests(&self, now: Seconds) -> f64 {
+        self.total.value(now)
+    }
+
+    /// How many slots a key is spread over among `ready` servers: one, unless it is hot. Each node sees its
+    /// own part of the key's traffic, and all nodes would fill one slot before the next, so they draw among
+    /// as many as the key needs.
+    pub fn slots_of(&self, key: Key, ready: f64, now: Seconds) -> f64 {
+        let count = self.keys.get(&key).map_or(0.0, |counter| counter.value(now));
+        let share = (count - 1.0).max(0.0) / (self.total.value(now) + MIN_SAMPLE);
+        (share * ready / MAX_KEY_LOAD_SHARE).ceil().clamp(1.0, ready.max(1.0))
+    }
+
+    /// Forgets keys that are no longer requested.
+    pub fn forget_cold_keys(&mut self, now: Seconds) {
+        self.keys.retain(|_, counter| counter.value(now) > MIN_COUNT);
+    }
+}
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,7 +1,8 @@
 //! Decisions of a proxy that spreads keys over cache servers before a slow origin.
 //!
 //! The crate holds a sans-IO state machine. A host feeds a [`Balancer`] with [`Event`]s and carries out the
-//! [`Action`]s that it answers. It has no clock, no threads and no I/O; the same events give the same actions.
+//! [`Action`]s that it answers. It has no clock, no threads and no I/O; the same events give the same
+//! actions.
 //!
 //! ```
 //! use glenfall_balancer::*;
@@ -83,15 +84,36 @@
 //! # }
 //! ```
 //!
-//! The node's decisions are in `balancer/src/balance.rs`, the edge's in `balancer/src/shields.rs`, the slot array that both use
-//! in `balancer/src/rjch.rs`, and the node's types in `balancer/src/interface.rs`.
+//! The node's state machine is in `balancer/src/balancer/`, each decision's state in a module named after it.
+//! The edge's choice of a shield is in `balancer/src/shields.rs`, the slot array that both use in
+//! `balancer/src/rjch.rs`, and the node's types are in `balancer/src/interface.rs`.
 
-mod balance;
+mod balancer;
+mod cached_keys;
+mod concurrency_limit;
+mod connections;
 mod interface;
+mod jitter;
+mod key_popularity;
+mod key_share;
+mod latency;
+mod node_config;
+mod origin_fetches;
+mod outlier_ejection;
+mod peer_message;
+mod request;
+mod retry_budget;
 mod rjch;
+mod roster_subscription;
+mod send_rules;
+mod server;
+mod server_pool;
 mod shields;
+mod slow_start;
+mod smoothing;
+mod tenant_quota;
 
-pub use balance::Balancer;
+pub use balancer::Balancer;
 pub use interface::*;
 pub use rjch::mix;
 pub use shields::Shields;
--- /dev/null
+++ b/balancer/src/retry_budget.rs
@@ -0,0 +1,68 @@
+//! The retry budget (rule five): how many attempts beyond each request's first a node may make.
+
+use std::collections::VecDeque;
+
+use crate::interface::{Budget, Seconds};
+
+/// The retry budget where the settings state none: retries must not become a storm.
+const DEFAULT_BUDGET: Budget = Budget { span: 10.0, free: 20.0, ratio: 0.1 };
+
+/// Requests accepted and retries made in the budget's window; exact, where a token bucket would let bursts
+/// pass.
+pub struct RetryBudget {
+    budget: Budget,
+    /// Tolerance for the time at which the host hands events over.
+    margin: Seconds,
+    requests: VecDeque<Seconds>,
+    retries: VecDeque<Seconds>,
+}
+
+impl RetryBudget {
+    /// The `budget` of the settings, or the default one where they state none.
+    pub fn new(budget: Option<Budget>, margin: Seconds) -> Self {
+        RetryBudget {
+            budget: budget.unwrap_or(DEFAULT_BUDGET),
+            margin,
+            requests: VecDeque::new(),
+            retries: VecDeque::new(),
+        }
+    }
+
+    /// Counts a request that was accepted at `now`.
+    pub fn record_request(&mut self, now: Seconds) {
+        // What has left the window is forgotten here too, so that memory stays bounded without retries.
+        self.forget_expired(now);
+        self.requests.push_back(now);
+    }
+
+    /// Counts a retry that is made at `now`.
+    pub fn record_retry(&mut self, now: Seconds) {
+        self.retries.push_back(now);
+    }
+
+    /// Whether one more retry is within the budget.
+    pub fn allows_retry(&mut self, now: Seconds) -> bool {
+        let Budget { free, ratio, .. } = self.budget;
+        self.allows(free, ratio, now)
+    }
+
+    /// Whether one more hedged request is within half of the budget. Retries after failures need the rest:
+    /// many resets left them none when hedged requests drew on all of it.
+    pub fn allows_hedged_request(&mut self, now: Seconds) -> bool {
+        let Budget { free, ratio, .. } = self.budget;
+        self.allows(free / 2.0, ratio / 2.0, now)
+    }
+
+    fn allows(&mut self, free: f64, ratio: f64, now: Seconds) -> bool {
+        self.forget_expired(now);
+        self.retries.len() as f64 + 1.0 <= free + ratio * self.requests.len() as f64
+    }
+
+    fn forget_expired(&mut self, now: Seconds) {
+        let window_start = now - self.budget.span;
+        let expired_requests = self.requests.partition_point(|&at| at < window_start + self.margin);
+        self.requests.drain(..expired_requests);
+        let expired_retries = self.retries.partition_point(|&at| at < window_start - self.margin);
+        self.retries.drain(..expired_retries);
+    }
+}
--- /dev/null
+++ b/balancer/src/send_rules.rs
@@ -0,0 +1,67 @@
+//! Rules two and three: where a request may be sent once more, and which answer it may be given.
+
+use crate::interface::{Class, Effect, Group, Seconds, ServerId};
+use crate::node_config::NodeConfig;
+use crate::request::{Attempt, Request};
+use crate::server::Server;
+use crate::server_pool::ServerPool;
+
+/// What the rules go by.
+pub struct SendRules<'a> {
+    /// The node's configuration.
+    pub config: &'a NodeConfig,
+    /// The listed servers.
+    pub servers: &'a ServerPool,
+    /// The present time.
+    pub now: Seconds,
+}
+
+impl SendRules<'_> {
+    /// Whether one more attempt of `request` may be sent to this server.
+    pub fn may_send(&self, request: &Request, id: &ServerId, server: &Server) -> bool {
+        server.is_ready() && self.may_send_anywhere(request) && self.may_run_again(request, id, server)
+    }
+
+    /// Whether any server that the rules allow is left for `request`.
+    pub fn may_send_to_any(&self, request: &Request) -> bool {
+        self.servers.iter().any(|(id, server)| self.may_send(request, id, server))
+    }
+
+    fn may_send_anywhere(&self, request: &Request) -> bool {
+        !request.ended
+            && !request.streaming
+            && self.now < request.deadline
+            && request.attempts.len() < self.config.settings().limits.max_attempts as usize
+            && request.attempts_in_flight() == 0
+    }
+
+    /// Whether a repeat at this server does no harm, though earlier attempts may have run.
+    fn may_run_again(&self, request: &Request, id: &ServerId, server: &Server) -> bool {
+        let class = self.config.class(request.class);
+        let mut may_have_run = request.attempts.iter().filter(|attempt| attempt.may_have_run());
+        match class.effect {
+            Effect::Safe => true,
+            Effect::Unsafe => may_have_run.next().is_none(),
+            Effect::Keyed => may_have_run.all(|attempt| self.drops_repeat(attempt, class, id, server)),
+        }
+    }
+
+    /// Whether this server still recognises a repeat of `attempt` and drops it.
+    fn drops_repeat(&self, attempt: &Attempt, class: &Class, id: &ServerId, server: &Server) -> bool {
+        let is_same_group = match (class.group, self.servers.get(&attempt.server)) {
+            (Group::All, _) => true,
+            (_, None) => attempt.server == *id,
+            (Group::Zone, Some(earlier)) => earlier.entry().zone == server.entry().zone,
+            (Group::Cell, Some(earlier)) => earlier.entry().cell == server.entry().cell,
+        };
+        is_same_group && self.now + self.config.settings().round < attempt.sent + class.window
+    }
+
+    /// Whether the client may be told that a repeat of `request` is harmless.
+    pub fn may_refuse(&self, request: &Request) -> bool {
+        let class = self.config.class(request.class);
+        class.effect == Effect::Safe
+            || (class.effect == Effect::Keyed && class.group == Group::All)
+            || !request.attempts.iter().any(Attempt::may_have_run)
+    }
+}
--- /dev/null
+++ b/balancer/src/tenant_quota.rs
@@ -0,0 +1,67 @@
+//! Tenants' quotas: which requests are beyond what their tenant is entitled to at this node.
+
+use crate::interface::{Seconds, Tenant, TenantId};
+
+/// Requests of a tenant's quota that may be saved up: few arrive unevenly.
+const MAX_SAVED_REQUESTS: f64 = 4.0;
+
+/// What a tenant may still send at this node.
+#[derive(Clone, Default)]
+struct TokenBucket {
+    tokens: f64,
+    refilled: Seconds,
+    /// Requests a second, smoothed over the slow start's duration.
+    rate: f64,
+}
+
+/// A token bucket for each tenant, filled at this node's share of the tenant's quota.
+pub struct TenantQuotas {
+    buckets: Vec<TokenBucket>,
+}
+
+impl TenantQuotas {
+    /// Full buckets for so many tenants.
+    pub fn new(tenants: usize) -> Self {
+        let full = TokenBucket { tokens: MAX_SAVED_REQUESTS, ..TokenBucket::default() };
+        TenantQuotas { buckets: vec![full; tenants] }
+    }
+
+    /// Lets the measured rates fade to the share `remaining`.
+    pub fn decay_rates(&mut self, remaining: f64) {
+        for bucket in &mut self.buckets {
+            bucket.rate *= remaining;
+        }
+    }
+
+    /// Counts a request of `tenant` and tells whether it is over the tenant's quota. Nodes carry unequal
+    /// shares of the traffic: a node's share of each quota is as much as the least demanding tenant uses of
+    /// its own, and `even_share` at least. `smoothing` is the time over which rates are measured.
+    pub fn charge(
+        &mut self,
+        tenant: Option<TenantId>,
+        tenants: &[Tenant],
+        even_share: f64,
+        smoothing: Seconds,
+        now: Seconds,
+    ) -> bool {
+        let least_used = self.least_used_share(tenants);
+        let Some(TenantId(index)) = tenant else { return false };
+        let Some(bucket) = self.buckets.get_mut(index) else { return false };
+        let refill_rate = tenants[index].quota * least_used.max(even_share);
+        bucket.rate += 1.0 / smoothing;
+        let refilled = bucket.tokens + refill_rate * (now - bucket.refilled);
+        bucket.tokens = refilled.min(refill_rate.max(MAX_SAVED_REQUESTS));
+        bucket.refilled = now;
+        let is_over = bucket.tokens < 1.0;
+        if !is_over {
+            bucket.tokens -= 1.0;
+        }
+        is_over
+    }
+
+    /// The smallest share of its quota that any tenant uses at this node.
+    fn least_used_share(&self, tenants: &[Tenant]) -> f64 {
+        let used = |(tenant, bucket): (&Tenant, &TokenBucket)| bucket.rate / tenant.quota;
+        tenants.iter().zip(&self.buckets).map(used).fold(f64::MAX, f64::min)
+    }
+}
