--- a/control-plane-sim/src/action.rs
+++ b/control-plane-sim/src/action.rs
@@ -1,138 +1,236 @@
-//! What can happen to a cluster: faults and what operators do.
+//! The events of a schedule: injected faults and operator requests. Machines are named by their numbers.
 
-use glenfall_control_plane::chain::VoterChange;
 use glenfall_control_plane::Millis;
 use serde::{Deserialize, Serialize};
 
-use crate::cluster::node;
-use crate::operators::Content;
-use crate::world::World;
+/// Two machines, and the direction from one to the other where an action has one. In JSON it is an array of two numbers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u8, u8)", into = "(u8, u8)")]
+pub struct MachinePair {
+    /// The sender.
+    pub from: u8,
+    /// The receiver.
+    pub to: u8,
+}
+
+impl MachinePair {
+    /// Returns the pair in the opposite direction.
+    pub fn reversed(self) -> MachinePair {
+        MachinePair { from: self.to, to: self.from }
+    }
+}
+
+impl From<(u8, u8)> for MachinePair {
+    fn from((from, to): (u8, u8)) -> Self {
+        MachinePair { from, to }
+    }
+}
 
-/// What happens. Machines go by their numbers.
+impl From<MachinePair> for (u8, u8) {
+    fn from(pair: MachinePair) -> Self {
+        (pair.from, pair.to)
+    }
+}
+
+/// The kind of document that a change request contains.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum DocumentKind {
+    /// A complete configuration.
+    #[default]
+    Put,
+    /// A patch of the configuration.
+    Patch,
+    /// A document that is no valid configuration.
+    Invalid,
+}
+
+/// A fault that is injected, or a request that an operator makes.
+///
+/// In the fields, `receiver` is the node that receives a request, and durations are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// An operator at a node changes the newest version that operators know, to one higher by `raise`, and sends that
-    /// until there is a clear answer; so many answers are lost on their way.
+    /// An operator changes the newest version that operators know, and retries until there is a definite answer.
     Change {
-        at: u8,
-        raise: u64,
-        content: Content,
-        lost: u32,
+        /// The node that receives the first attempt.
+        #[serde(rename = "at")]
+        receiver: u8,
+        /// How much higher the new version is than the newest known one.
+        #[serde(rename = "raise")]
+        version_step: u64,
+        /// What the request contains.
+        #[serde(rename = "content")]
+        document: DocumentKind,
+        /// How many answers are lost before they reach the operator.
+        #[serde(rename = "lost")]
+        lost_answers: u32,
     },
-    /// The same, sent once.
+    /// An operator changes the newest version that operators know, and sends the request once.
     ChangeOnce {
-        at: u8,
-        raise: u64,
+        /// The node that receives the request.
+        #[serde(rename = "at")]
+        receiver: u8,
+        /// How much higher the new version is than the newest known one.
+        #[serde(rename = "raise")]
+        version_step: u64,
     },
-    /// An earlier order is sent again, counted back from the newest.
+    /// An earlier change request is sent again.
     Resend {
-        at: u8,
-        back: usize,
+        /// The node that receives the request.
+        #[serde(rename = "at")]
+        receiver: u8,
+        /// Which request, counted back from the newest.
+        #[serde(rename = "back")]
+        requests_back: usize,
     },
-    /// An operator reads the newest document at a node.
+    /// An operator reads the newest document.
     Read {
-        at: u8,
+        /// The node that receives the request.
+        #[serde(rename = "at")]
+        receiver: u8,
     },
-    /// A session opens at a node.
+    /// A session opens.
     OpenSession {
-        at: u8,
+        /// The node where it opens.
+        #[serde(rename = "at")]
+        receiver: u8,
     },
-    /// An operator at a node asks for one more voter.
+    /// An operator requests one more voter.
     AddVoter {
-        at: u8,
+        /// The node that receives the request.
+        #[serde(rename = "at")]
+        receiver: u8,
+        /// The new voter.
         node: u8,
     },
-    /// An operator at a node asks for a voter to be replaced, or to leave.
+    /// An operator requests that a voter is replaced or removed.
     RemoveVoter {
-        at: u8,
+        /// The node that receives the request.
+        #[serde(rename = "at")]
+        receiver: u8,
+        /// The voter to remove.
         node: u8,
     },
-    /// The processes die.
+    /// Processes are killed.
     Kill {
+        /// Their machines.
         nodes: Vec<u8>,
     },
+    /// Machines lose power.
     PowerOff {
+        /// The machines.
         nodes: Vec<u8>,
     },
+    /// Machines that do not run start.
     PowerOn {
+        /// The machines.
         nodes: Vec<u8>,
     },
-    /// Power and disks go, of so many of these as the cluster is to outlive now; power is back at once.
+    /// Machines lose power and disk and restart at once, as many of them as the cluster has to tolerate at that time.
     Wipe {
+        /// The machines, in the order in which they are tried.
         nodes: Vec<u8>,
     },
-    /// The same, of as many as may be lost as the users' pages count: a machine that was removed counts no more once its
-    /// successor has had its time.
+    /// Machines lose power and disk and restart at once, as many of them as the user documentation permits: a removed
+    /// machine no longer counts as lost once its successor has synchronized.
     WipeAfterRepair {
+        /// The machines, in the order in which they are tried.
         nodes: Vec<u8>,
     },
-    /// As one wipe, but the machine does not come back.
+    /// A machine loses power and disk and does not come back.
     Lose {
+        /// The machine.
         node: u8,
     },
-    /// Nothing passes between the machines of each pair.
+    /// Machines are partitioned from each other in both directions.
     Partition {
-        pairs: Vec<(u8, u8)>,
-        lasts: Millis,
+        /// The pairs that are partitioned.
+        pairs: Vec<MachinePair>,
+        /// How long the partition lasts.
+        #[serde(rename = "lasts")]
+        duration: Millis,
     },
-    /// Nothing of the first arrives at the second of each.
+    /// Machines are partitioned in one direction.
     PartitionOneWay {
-        channels: Vec<(u8, u8)>,
-        lasts: Millis,
+        /// The directions in which nothing arrives.
+        #[serde(rename = "channels")]
+        pairs: Vec<MachinePair>,
+        /// How long the partition lasts.
+        #[serde(rename = "lasts")]
+        duration: Millis,
     },
-    /// What the first sends to the second of each within this time takes so much longer.
+    /// Messages take longer.
     Delay {
-        channels: Vec<(u8, u8)>,
-        by: Millis,
-        lasts: Millis,
+        /// The directions that are slow.
+        #[serde(rename = "channels")]
+        pairs: Vec<MachinePair>,
+        /// How much longer each message takes.
+        #[serde(rename = "by")]
+        extra_delay: Millis,
+        /// How long this lasts.
+        #[serde(rename = "lasts")]
+        duration: Millis,
     },
     /// A connection is reset.
     ResetLink {
+        /// One end.
         a: u8,
+        /// The other end.
         b: u8,
     },
-    /// The processes do nothing.
+    /// Processes are paused.
     Pause {
+        /// Their machines.
         nodes: Vec<u8>,
-        lasts: Millis,
+        /// How long they are paused.
+        #[serde(rename = "lasts")]
+        duration: Millis,
     },
-    /// No write reaches the disk.
+    /// No write completes on a disk.
     StallDisk {
+        /// The machine of the disk.
         node: u8,
-        lasts: Millis,
+        /// How long this lasts.
+        #[serde(rename = "lasts")]
+        duration: Millis,
     },
-    /// Once the next change is acknowledged.
+    /// Another action happens once the next change is acknowledged.
     OnAcknowledged {
+        /// The other action.
         then: Box<Action>,
     },
 }
 
 impl Action {
-    /// How long it lasts, or by how much it raises the version.
-    pub(crate) fn figure(&self) -> u64 {
+    /// Returns the largest of the action's figures: duration, version step and number of lost answers.
+    pub(crate) fn largest_figure(&self) -> u64 {
         match self {
-            Action::Change { raise, lost, .. } => (*raise).max(u64::from(*lost)),
-            Action::ChangeOnce { raise, .. } => *raise,
-            Action::Partition { lasts, .. }
-            | Action::PartitionOneWay { lasts, .. }
-            | Action::Pause { lasts, .. }
-            | Action::StallDisk { lasts, .. } => *lasts,
-            Action::Delay { by, lasts, .. } => (*by).max(*lasts),
-            Action::OnAcknowledged { then } => then.figure(),
+            Action::Change { version_step, lost_answers, .. } => {
+                (*version_step).max(u64::from(*lost_answers))
+            }
+            Action::ChangeOnce { version_step, .. } => *version_step,
+            Action::Partition { duration, .. }
+            | Action::PartitionOneWay { duration, .. }
+            | Action::Pause { duration, .. }
+            | Action::StallDisk { duration, .. } => *duration,
+            Action::Delay { extra_delay, duration, .. } => (*extra_delay).max(*duration),
+            Action::OnAcknowledged { then } => then.largest_figure(),
             _ => 0,
         }
     }
 
-    /// The machines that it names.
+    /// Returns the numbers of the machines that the action names.
     pub(crate) fn machines(&self) -> Vec<u8> {
         match self {
-            Action::Change { at, .. }
-            | Action::ChangeOnce { at, .. }
-            | Action::Resend { at, .. }
-            | Action::Read { at }
-            | Action::OpenSession { at } => vec![*at],
-            Action::AddVoter { at, node } | Action::RemoveVoter { at, node } => vec![*at, *node],
+            Action::Change { receiver, .. }
+            | Action::ChangeOnce { receiver, .. }
+            | Action::Resend { receiver, .. }
+            | Action::Read { receiver }
+            | Action::OpenSession { receiver } => vec![*receiver],
+            Action::AddVoter { receiver, node } | Action::RemoveVoter { receiver, node } => {
+                vec![*receiver, *node]
+            }
             Action::Kill { nodes }
             | Action::PowerOff { nodes }
             | Action::PowerOn { nodes }
@@ -140,74 +238,20 @@
             | Action::WipeAfterRepair { nodes }
             | Action::Pause { nodes, .. } => nodes.clone(),
             Action::Lose { node } | Action::StallDisk { node, .. } => vec![*node],
-            Action::Partition { pairs: ends, .. }
-            | Action::PartitionOneWay { channels: ends, .. }
-            | Action::Delay { channels: ends, .. } => ends.iter().flat_map(|(a, b)| [*a, *b]).collect(),
+            Action::Partition { pairs, .. }
+            | Action::PartitionOneWay { pairs, .. }
+            | Action::Delay { pairs, .. } => pairs.iter().flat_map(|pair| [pair.from, pair.to]).collect(),
             Action::ResetLink { a, b } => vec![*a, *b],
             Action::OnAcknowledged { then } => then.machines(),
         }
     }
 }
 
-/// An action at its time.
+/// An action and when it happens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
+    /// Milliseconds since the start of the schedule.
     pub at: Millis,
+    /// What happens.
     pub action: Action,
 }
-
-impl World {
-    /// Carries out an action now.
-    pub fn act(&mut self, action: &Action) {
-        match action {
-            Action::Change { at, raise, content, lost } => {
-                self.order_until_answered(*at, *raise, *content, *lost);
-            }
-            Action::ChangeOnce { at, raise } => {
-                self.change(*at, *raise);
-            }
-            Action::Resend { at, back } => self.resend(*at, *back),
-            Action::Read { at } => {
-                self.read(*at);
-            }
-            Action::OpenSession { at } => self.open_session(*at),
-            Action::AddVoter { at, node: n } => self.ask_voters(*at, VoterChange::Add(node(*n))),
-            Action::RemoveVoter { at, node: n } => self.ask_voters(*at, VoterChange::Remove(node(*n))),
-            Action::Kill { nodes } => nodes.iter().for_each(|n| self.kill(*n)),
-            Action::PowerOff { nodes } => nodes.iter().for_each(|n| self.power_off(*n, false)),
-            Action::PowerOn { nodes } => nodes.iter().for_each(|n| self.power_on(*n)),
-            Action::Wipe { nodes } => {
-                for n in nodes {
-                    if self.disks_to_lose() > 0 {
-                        self.wipe(*n);
-                    }
-                }
-            }
-            Action::WipeAfterRepair { nodes } => {
-                for n in nodes {
-                    if self.machines_to_lose() > 0 && self.chain(*n).is_some() {
-                        self.wipe(*n);
-                    }
-                }
-            }
-            Action::Lose { node } => {
-                if self.disks_to_lose() > 0 {
-                    self.remove(*node);
-                }
-            }
-            Action::Partition { pairs, lasts } => {
-                pairs.iter().for_each(|(a, b)| self.partition(*a, *b, *lasts));
-            }
-            Action::PartitionOneWay { channels, lasts } => {
-                channels.iter().for_each(|(from, to)| self.partition_one_way(*from, *to, *lasts));
-            }
-            Action::Delay { channels, by, lasts } => {
-                channels.iter().for_each(|(from, to)| self.delay(*from, *to, *by, *lasts));
-            }
-            Action::ResetLink { a, b } => self.reset_link(*a, *b),
-            Action::Pause { nodes, lasts } => nodes.iter().for_each(|n| self.pause(*n, *lasts)),
-            Action::StallDisk { node, lasts } => self.stall_disk(*node, *lasts),
-            Action::OnAcknowledged { then } => self.on_acknowledged.push((**then).clone()),
-        }
-    }
-}
--- /dev/null
+++ b/control-plane-sim/src/coverage.rs
@@ -0,0 +1,38 @@
+//! Counts of what a simulation run exercised, which show whether the schedules cover anything.
+
+use serde::Serialize;
+
+/// What a run without a violation exercised.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
+pub struct Coverage {
+    /// Acknowledged changes.
+    pub changes: u64,
+    /// Answered reads.
+    pub reads: u64,
+    /// Rejected change requests.
+    pub refusals: u64,
+    /// Change requests that were sent again.
+    pub repeats: u64,
+    /// Sessions that were handed a configuration.
+    pub sessions: u64,
+    /// Views that became active.
+    pub views: u64,
+    /// Active views whose members differ from those of the view before.
+    pub member_changes: u64,
+    /// Voter changes that began at the request of an operator.
+    #[serde(rename = "seats")]
+    pub requested_voter_changes: u64,
+}
+
+impl std::ops::AddAssign for Coverage {
+    fn add_assign(&mut self, other: Coverage) {
+        self.changes += other.changes;
+        self.reads += other.reads;
+        self.refusals += other.refusals;
+        self.repeats += other.repeats;
+        self.sessions += other.sessions;
+        self.views += other.views;
+        self.member_changes += other.member_changes;
+        self.requested_voter_changes += other.requested_voter_changes;
+    }
+}
--- a/control-plane-sim/src/lib.rs
+++ b/control-plane-sim/src/lib.rs
@@ -1,32 +1,32 @@
-//! The replicated chain on a simulated network and disk: the real state machines, with links that delay, break and come
-//! up again, partitions both ways or one, pauses, kills, losses of power, wiped disks, operators who race and send orders
-//! again, and voters that are replaced. All of it follows from a seed. [`World`] is driven step by step; [`Schedule`] is a
-//! list of events that replays exactly, also without some of them.
+//! A deterministic simulation of the replicated chain: the real state machines run on a simulated network and disk.
+//!
+//! Links delay messages, break and reconnect. Faults are partitions in both directions or one, pauses, killed processes,
+//! power failures and wiped disks. Simulated operators race each other, retry requests and replace voters, and every
+//! answer that they get is checked against what was committed.
+//!
+//! Everything follows from a seed. [`World`] is driven step by step; [`Schedule`] is a list of events that replays
+//! exactly, also when some of its events are left out, so that a failing one can be shrunk.
 
 mod action;
-mod aimed;
 mod cluster;
-mod disk;
-mod faults;
-mod generator;
-mod losses;
+mod coverage;
+mod injected_bug;
 mod machine;
 mod network;
 mod operators;
 mod rng;
 mod schedule;
-mod sessions;
-mod shrink;
 mod violation;
 mod world;
 
-pub use action::{Action, Event};
-pub use cluster::{node, seeds, Size};
-pub use disk::Disk;
-pub use faults::Fault;
+pub use action::{Action, DocumentKind, Event, MachinePair};
+pub use cluster::{node, seeds, ClusterSize};
+pub use coverage::Coverage;
+pub use injected_bug::InjectedBug;
+pub use machine::disk::Disk;
 pub use machine::Machine;
-pub use operators::Content;
-pub use schedule::{Broken, Coverage, InvalidSchedule, Schedule};
-pub use shrink::shrunk;
+pub use operators::CommittedChange;
+pub use schedule::shrink::{shrink, ShrunkSchedule};
+pub use schedule::{FailedRun, InvalidSchedule, Schedule};
 pub use violation::Violation;
-pub use world::{World, TICK};
+pub use world::{World, STEP_INTERVAL};
--- /dev/null
+++ b/control-plane-sim/src/network/mod.rs
@@ -0,0 +1,309 @@
+//! The simulated network: a link between any two machines, with a channel of messages in each direction. Links break
+//! and reconnect; partitions block them in both directions or one.
+//!
+//! Each channel draws from a random stream of its own, so that an event on one link changes nothing on the others.
+
+mod channel;
+
+use std::ops::Range;
+
+use glenfall_control_plane::chain::Message;
+use glenfall_control_plane::Millis;
+use rand::Rng;
+
+use channel::{Channel, MAX_NOTIFICATION_DELAY};
+
+/// An end closes a link on which nothing arrives after a time that is drawn from this range, less what has passed since
+/// the last message.
+const READ_TIMEOUT: Range<Millis> = 1000..1500;
+/// A link that may come up does so with a probability of one in this many at each step.
+const STEPS_PER_CONNECT: u32 = 5;
+/// An end whose read timeout has begun to expire closes the link with a probability of one in this many at each step.
+const STEPS_PER_TIMEOUT: u32 = 25;
+
+/// A link between two machines.
+#[derive(Clone, Default)]
+struct Link {
+    up: bool,
+    /// The current connection, or the last one.
+    connection: u64,
+    /// No connection comes up before then.
+    partitioned_until: Millis,
+}
+
+/// A notification to a machine that the link to a peer is up, or lost.
+#[derive(Clone, Copy)]
+pub(crate) struct LinkNotification {
+    due_at: Millis,
+    machine: u8,
+    pub(crate) peer: u8,
+    pub(crate) up: bool,
+}
+
+/// How the end of a link at one machine is notified that the link is lost.
+#[derive(Clone, Copy)]
+struct LostEnd {
+    machine: u8,
+    notified_after: Millis,
+    /// Whether the messages that are in flight to it still arrive.
+    delivers: bool,
+}
+
+/// What the network has to know of a machine.
+#[derive(Clone, Copy)]
+pub(crate) struct Endpoint {
+    pub(crate) running: bool,
+    pub(crate) paused_since: Option<Millis>,
+}
+
+/// A machine and its state.
+#[derive(Clone, Copy)]
+struct LinkEnd {
+    machine: u8,
+    endpoint: Endpoint,
+}
+
+/// All links between the machines of a cluster.
+pub(crate) struct Network {
+    nodes: u8,
+    /// By sender and receiver.
+    channels: Vec<Channel>,
+    /// By the lower and the higher machine.
+    links: Vec<Link>,
+    notifications: Vec<LinkNotification>,
+}
+
+impl Network {
+    pub(crate) fn new(seed: u64, nodes: u8) -> Network {
+        let pairs = (u64::from(nodes) + 1).pow(2);
+        Network {
+            nodes,
+            channels: (0..pairs).map(|index| Channel::new(seed, index)).collect(),
+            links: vec![Link::default(); pairs as usize],
+            notifications: Vec::new(),
+        }
+    }
+
+    fn pair_index(&self, a: u8, b: u8) -> usize {
+        usize::from(a) * (usize::from(self.nodes) + 1) + usize::from(b)
+    }
+
+    fn channel(&mut self, from: u8, to: u8) -> &mut Channel {
+        let index = self.pair_index(from, to);
+        &mut self.channels[index]
+    }
+
+    fn link(&mut self, a: u8, b: u8) -> &mut Link {
+        let index = self.pair_index(a.min(b), a.max(b));
+        &mut self.links[index]
+    }
+
+    fn peers(&self, machine: u8) -> impl Iterator<Item = u8> {
+        (1..=self.nodes).filter(move |peer| *peer != machine)
+    }
+
+    // ---- Messages ----
+
+    /// Sends a message, if there is such a link and it is up.
+    pub(crate) fn send(&mut self, now: Millis, from: u8, to: u8, message: Message) {
+        if from == to || to == 0 || to > self.nodes || !self.link(from, to).up {
+            return;
+        }
+        let connection = self.link(from, to).connection;
+        self.channel(from, to).send(now, connection, message);
+    }
+
+    /// Returns the next message that has arrived by now.
+    pub(crate) fn receive(&mut self, now: Millis, from: u8, to: u8) -> Option<Message> {
+        self.channel(from, to).receive(now)
+    }
+
+    /// Returns all messages in flight.
+    pub(crate) fn messages(&self) -> impl Iterator<Item = &Message> {
+        self.channels.iter().flat_map(Channel::messages)
+    }
+
+    // ---- Notifications ----
+
+    pub(crate) fn has_notification(&self, machine: u8) -> bool {
+        self.notifications.iter().any(|notification| notification.machine == machine)
+    }
+
+    /// Returns the next notification that is due at a machine. One of a lost link closes its end.
+    pub(crate) fn next_notification(&mut self, now: Millis, machine: u8) -> Option<LinkNotification> {
+        let is_due =
+            |notification: &LinkNotification| notification.machine == machine && notification.due_at <= now;
+        let index = self.notifications.iter().position(is_due)?;
+        let notification = self.notifications.remove(index);
+        if !notification.up {
+            self.channel(notification.peer, machine).close();
+        }
+        Some(notification)
+    }
+
+    // ---- Lost links ----
+
+    fn break_link(&mut self, now: Millis, ends: [LostEnd; 2]) {
+        let [first, second] = ends;
+        if !std::mem::take(&mut self.link(first.machine, second.machine).up) {
+            return;
+        }
+        self.break_end(now, first, second.machine);
+        self.break_end(now, second, first.machine);
+    }
+
+    fn break_end(&mut self, now: Millis, end: LostEnd, peer: u8) {
+        let LostEnd { machine, notified_after, delivers } = end;
+        if !delivers {
+            self.channel(peer, machine).drop_messages();
+        }
+        // It is not notified of the loss before it was notified that the link is up.
+        let earlier = self.notifications.iter().filter(|n| n.machine == machine && n.peer == peer);
+        let earliest = earlier.map(|notification| notification.due_at).max().unwrap_or(0);
+        let due_at = (now + notified_after).max(earliest);
+        self.notifications.push(LinkNotification { due_at, machine, peer, up: false });
+    }
+
+    /// Resets a connection, with the messages in flight on it.
+    pub(crate) fn reset(&mut self, now: Millis, a: u8, b: u8) {
+        let ends = [(a, b), (b, a)].map(|(machine, peer)| {
+            let notified_after = self.channel(machine, peer).notification_delay();
+            LostEnd { machine, notified_after, delivers: false }
+        });
+        self.break_link(now, ends);
+    }
+
+    /// Partitions two machines in both directions.
+    pub(crate) fn partition(&mut self, now: Millis, a: u8, b: u8, duration: Millis) {
+        self.link(a, b).partitioned_until = now + duration;
+        let ends = [(a, b), (b, a)].map(|(machine, peer)| {
+            let notified_after = self.channel(machine, peer).rng.random_range(READ_TIMEOUT);
+            LostEnd { machine, notified_after, delivers: false }
+        });
+        // Where the partition ends before a read timeout, lost packets are retransmitted.
+        if duration < READ_TIMEOUT.start {
+            self.block(now, a, b, duration);
+            self.block(now, b, a, duration);
+            return;
+        }
+        self.break_link(now, ends);
+    }
+
+    /// Lets nothing from one machine arrive at another; the opposite direction works.
+    pub(crate) fn block(&mut self, now: Millis, from: u8, to: u8, duration: Millis) {
+        self.channel(from, to).block(now, duration);
+    }
+
+    /// Makes what one machine sends to another before `until` take longer.
+    pub(crate) fn delay(&mut self, from: u8, to: u8, extra_delay: Millis, until: Millis) {
+        self.channel(from, to).delay(extra_delay, until);
+    }
+
+    /// Ends a process: what it sent still arrives, and the operating system notifies its peers.
+    pub(crate) fn kill(&mut self, now: Millis, machine: u8) {
+        for peer in self.peers(machine) {
+            let notified_after = self.channel(machine, peer).notification_delay();
+            let own = LostEnd { machine, notified_after: 0, delivers: false };
+            self.break_link(now, [own, LostEnd { machine: peer, notified_after, delivers: true }]);
+        }
+        self.close_ends(machine);
+    }
+
+    /// Takes the power of a machine: its peers detect it by their read timeouts.
+    pub(crate) fn power_off(&mut self, now: Millis, machine: u8) {
+        for peer in self.peers(machine) {
+            let notified_after = self.channel(machine, peer).rng.random_range(READ_TIMEOUT);
+            let own = LostEnd { machine, notified_after: 0, delivers: false };
+            self.break_link(now, [own, LostEnd { machine: peer, notified_after, delivers: false }]);
+        }
+        self.close_ends(machine);
+    }
+
+    fn close_ends(&mut self, machine: u8) {
+        self.notifications.retain(|notification| notification.machine != machine);
+        for peer in self.peers(machine) {
+            self.channel(peer, machine).close();
+        }
+    }
+
+    /// Starts a machine: it knows no earlier connections and resets them.
+    pub(crate) fn start(&mut self, now: Millis, machine: u8) {
+        for notification in self.notifications.iter_mut().filter(|n| n.peer == machine) {
+            notification.due_at = notification.due_at.min(now + 2 * MAX_NOTIFICATION_DELAY);
+        }
+    }
+
+    /// Ends all partitions and delays.
+    pub(crate) fn heal(&mut self, now: Millis) {
+        for link in &mut self.links {
+            link.partitioned_until = 0;
+        }
+        for channel in &mut self.channels {
+            channel.heal(now);
+        }
+    }
+
+    // ---- Time ----
+
+    /// Breaks links whose read timeout expires, and connects others where both ends run and no partition is between.
+    pub(crate) fn tick(&mut self, now: Millis, endpoints: &[Endpoint]) {
+        let end = |machine: u8| LinkEnd { machine, endpoint: endpoints[usize::from(machine) - 1] };
+        for a in 1..=self.nodes {
+            for b in a + 1..=self.nodes {
+                let ends = [end(a), end(b)];
+                if self.link(a, b).up {
+                    self.expire_read_timeouts(now, ends);
+                } else if self.can_connect(now, ends)
+                    && self.channel(a, b).rng.random_ratio(1, STEPS_PER_CONNECT)
+                {
+                    self.connect(now, a, b);
+                }
+            }
+        }
+    }
+
+    fn can_connect(&mut self, now: Millis, ends: [LinkEnd; 2]) -> bool {
+        let [a, b] = ends.map(|end| end.machine);
+        let is_running = |end: &LinkEnd| end.endpoint.running && end.endpoint.paused_since.is_none();
+        let is_pending = |n: &LinkNotification| [(n.machine, n.peer), (n.peer, n.machine)].contains(&(a, b));
+        ends.iter().all(is_running)
+            && !self.channel(a, b).is_blocked(now)
+            && !self.channel(b, a).is_blocked(now)
+            && !self.notifications.iter().any(is_pending)
+            && self.link(a, b).partitioned_until <= now
+    }
+
+    fn connect(&mut self, now: Millis, a: u8, b: u8) {
+        let link = self.link(a, b);
+        link.up = true;
+        link.connection += 1;
+        let connection = link.connection;
+        for (machine, peer) in [(a, b), (b, a)] {
+            let channel = self.channel(peer, machine);
+            channel.open(connection);
+            let due_at = now + channel.notification_delay();
+            self.notifications.push(LinkNotification { due_at, machine, peer, up: true });
+        }
+    }
+
+    /// Ends a link of which one end has received nothing for too long.
+    fn expire_read_timeouts(&mut self, now: Millis, ends: [LinkEnd; 2]) {
+        let [first, second] = ends;
+        for (own, peer) in [(first, second), (second, first)] {
+            let channel = self.channel(peer.machine, own.machine);
+            let since = peer.endpoint.paused_since.or(channel.blocked_since(now));
+            let expires = since.is_some_and(|since| now >= since + READ_TIMEOUT.start);
+            if expires && channel.rng.random_ratio(1, STEPS_PER_TIMEOUT) {
+                self.close_link(now, own.machine, peer.machine);
+                return;
+            }
+        }
+    }
+
+    /// A process closes a connection, and the other end is notified where its process is not paused.
+    fn close_link(&mut self, now: Millis, machine: u8, peer: u8) {
+        let notified_after = self.channel(machine, peer).notification_delay();
+        let own = LostEnd { machine, notified_after: 0, delivers: true };
+        self.break_link(now, [own, LostEnd { machine: peer, notified_after, delivers: true }]);
+    }
+}
--- /dev/null
+++ b/control-plane-sim/src/schedule/generator.rs
@@ -0,0 +1,372 @@
+//! Generates random schedules of faults and operators from a seed, of several kinds.
+
+use std::ops::{Range, RangeInclusive};
+
+use glenfall_control_plane::Millis;
+use rand::Rng;
+use rand_chacha::ChaCha8Rng;
+
+use super::{Schedule, OPERATOR_INTERVAL, RECOVERY_TIMEOUT};
+use crate::action::{Action, DocumentKind, Event, MachinePair};
+use crate::cluster::ClusterSize;
+use crate::rng;
+use crate::world::{STEP_INTERVAL, SYNC_TIME};
+
+/// How long the cluster runs at least after all faults of a short schedule have ended.
+pub(super) const SHORT_RECOVERY: Millis = 1_500;
+/// How long faults go on in a long schedule.
+const LONG_FAULTS: Millis = 20_000;
+/// How long faults go on in a short schedule.
+const SHORT_FAULTS: Range<Millis> = 4_000..9_000;
+/// One in this many seeds is a long schedule, and one a loss after a repair where a machine is spare.
+const SEEDS_PER_KIND: u64 = 16;
+/// The seeds of losses after repairs have this remainder.
+const REPAIR_REMAINDER: u64 = 4;
+/// A machine without power gets it back with a probability of one in this many in each step: after half a second on
+/// average.
+const STEPS_PER_POWER_ON: u32 = 50;
+/// At times operators send this many changes within 100 ms.
+const CHANGES_PER_BURST: usize = 8;
+/// The clusters of long schedules.
+const LONG_SIZES: [ClusterSize; 5] = [
+    ClusterSize::new(1, 0),
+    ClusterSize::new(2, 0),
+    ClusterSize::new(2, 2),
+    ClusterSize::new(1, 1),
+    ClusterSize::new(3, 1),
+];
+/// The clusters of short schedules.
+const SHORT_SIZES: [ClusterSize; 7] = [
+    ClusterSize::new(1, 0),
+    ClusterSize::new(2, 0),
+    ClusterSize::new(1, 1),
+    ClusterSize::new(2, 2),
+    ClusterSize::new(1, 2),
+    ClusterSize::new(3, 1),
+    ClusterSize::new(2, 1),
+];
+/// How long partitions usually last.
+const USUAL_PARTITION: Millis = 2500;
+/// How long pauses usually last.
+const USUAL_PAUSE: Millis = 1800;
+/// How long disks usually stall.
+const USUAL_STALL: Millis = 1500;
+/// Faults end so long after the loss that follows a repair.
+const FAULTS_AFTER_REPAIR: Millis = 1500;
+
+/// Builds the events of a schedule.
+pub(super) struct Generator {
+    pub(super) rng: ChaCha8Rng,
+    pub(super) size: ClusterSize,
+    events: Vec<Event>,
+}
+
+impl Generator {
+    /// Creates a generator that draws from one of the random streams of a seed.
+    pub(super) fn new(seed: u64, size: ClusterSize, stream: u64) -> Generator {
+        Generator { rng: rng::stream(seed, stream), size, events: Vec::new() }
+    }
+
+    pub(super) fn any_node(&mut self) -> u8 {
+        self.rng.random_range(1..=self.size.nodes())
+    }
+
+    pub(super) fn all_nodes(&self) -> Vec<u8> {
+        (1..=self.size.nodes()).collect()
+    }
+
+    pub(super) fn add(&mut self, at: Millis, action: Action) {
+        self.events.push(Event { at, action });
+    }
+
+    pub(super) fn finish(mut self, seed: u64, faults_end_at: Millis, min_recovery: Millis) -> Schedule {
+        self.events.sort_by_key(|event| event.at);
+        Schedule {
+            seed,
+            size: self.size,
+            injected_bug: None,
+            faults_end_at,
+            min_recovery,
+            events: self.events,
+        }
+    }
+
+    /// Starts the spare machines early on.
+    fn start_spares(&mut self) {
+        for spare in self.size.voters() + 1..=self.size.nodes() {
+            self.power_on_later(0, spare);
+        }
+    }
+
+    // ---- Operators ----
+
+    fn document_kind(&mut self) -> DocumentKind {
+        match self.rng.random_range(0..20) {
+            0 => DocumentKind::Invalid,
+            1..8 => DocumentKind::Patch,
+            _ => DocumentKind::Put,
+        }
+    }
+
+    fn change(&mut self, at: Millis) {
+        let receiver = self.any_node();
+        let version_step = self.rng.random_range(1..4);
+        let document = self.document_kind();
+        let lost_answers = if self.rng.random_ratio(1, 8) { self.rng.random_range(1..4) } else { 0 };
+        self.add(at, Action::Change { receiver, version_step, document, lost_answers });
+    }
+
+    /// Adds requests of operators: changes, reads, sessions, and at times voter changes.
+    pub(super) fn operate(&mut self, at: Millis) {
+        for _ in 0..self.rng.random_range(1..=2) {
+            if self.rng.random_ratio(1, 4) {
+                let receiver = self.any_node();
+                let version_step = self.rng.random_range(1..9);
+                self.add(at, Action::ChangeOnce { receiver, version_step });
+            } else {
+                self.change(at);
+            }
+        }
+        if self.rng.random_ratio(1, 40) {
+            self.burst_of_changes(at);
+        }
+        if self.rng.random_ratio(1, 5) {
+            self.resend(at);
+        }
+        if self.size.spare > 0 && self.rng.random_ratio(1, 10) {
+            self.voter_change(at);
+        }
+        let (reader, session_node) = (self.any_node(), self.any_node());
+        self.add(at, Action::Read { receiver: reader });
+        self.add(at, Action::OpenSession { receiver: session_node });
+    }
+
+    fn burst_of_changes(&mut self, at: Millis) {
+        for _ in 0..CHANGES_PER_BURST {
+            let soon = at + self.rng.random_range(0..100);
+            self.change(soon);
+        }
+    }
+
+    fn resend(&mut self, at: Millis) {
+        let receiver = self.any_node();
+        let bound = if self.rng.random_ratio(1, 4) { 400 } else { 8 };
+        let requests_back = self.rng.random_range(0..bound);
+        self.add(at, Action::Resend { receiver, requests_back });
+    }
+
+    fn voter_change(&mut self, at: Millis) {
+        let (receiver, node) = (self.any_node(), self.any_node());
+        let action = match self.rng.random() {
+            true => Action::AddVoter { receiver, node },
+            false => Action::RemoveVoter { receiver, node },
+        };
+        self.add(at, action);
+    }
+
+    // ---- Faults ----
+
+    /// Gives a machine without power its power back, after half a second on average.
+    fn power_on_later(&mut self, at: Millis, node: u8) {
+        let mut power_on_at = at;
+        while !self.rng.random_ratio(1, STEPS_PER_POWER_ON) {
+            power_on_at += STEP_INTERVAL;
+        }
+        self.add(power_on_at, Action::PowerOn { nodes: vec![node] });
+    }
+
+    /// Kills processes or takes the power of their machines, and starts them again later.
+    fn crash(&mut self, at: Millis, nodes: Vec<u8>) {
+        let crashed = nodes.clone();
+        let action = match self.rng.random() {
+            true => Action::Kill { nodes: crashed },
+            false => Action::PowerOff { nodes: crashed },
+        };
+        self.add(at, action);
+        for node in nodes {
+            self.power_on_later(at, node);
+        }
+    }
+
+    /// Draws how long a fault lasts: at times it ends soon or takes twice as long as usual.
+    fn duration(&mut self, usual: Millis) -> Millis {
+        match self.rng.random_range(0..8) {
+            0 => self.rng.random_range(50..1500),
+            1 => usual * 2,
+            _ => usual,
+        }
+    }
+
+    /// Partitions one link, all links of a machine, or the cluster into two sides; in both directions or one.
+    fn partition(&mut self, at: Millis, duration: Millis) {
+        let nodes = self.size.nodes();
+        let machine = self.any_node();
+        let pairs: Vec<MachinePair> = match self.rng.random_range(0..3) {
+            0 => vec![MachinePair { from: machine, to: machine % nodes + 1 }],
+            1 => {
+                let peers = (1..=nodes).filter(|peer| *peer != machine);
+                peers.map(|peer| MachinePair { from: machine, to: peer }).collect()
+            }
+            _ => {
+                let side = self.rng.random_range(1..nodes.max(2));
+                pairs_between(1..=side, side + 1..=nodes)
+            }
+        };
+        match self.rng.random_range(0..4) {
+            0 => self.add(at, Action::PartitionOneWay { pairs, duration }),
+            1 => {
+                let pairs = pairs.into_iter().map(MachinePair::reversed).collect();
+                self.add(at, Action::PartitionOneWay { pairs, duration });
+            }
+            _ => self.add(at, Action::Partition { pairs, duration }),
+        }
+    }
+
+    /// Wipes as many disks as may be lost; at times all machines crash with them.
+    fn wipe(&mut self, at: Millis) {
+        let nodes = (0..self.size.losses).map(|_| self.any_node()).collect();
+        self.add(at, Action::Wipe { nodes });
+        if self.rng.random_ratio(3, 10) {
+            self.crash(at, self.all_nodes());
+        }
+    }
+
+    fn fault(&mut self, at: Millis) {
+        let nodes = self.size.nodes();
+        let node = self.any_node();
+        match self.rng.random_range(0..12) {
+            0 | 1 => self.crash(at, vec![node]),
+            2 => self.crash(at, self.all_nodes()),
+            3 => self.wipe(at),
+            4..=6 => {
+                let duration = self.duration(USUAL_PARTITION);
+                self.partition(at, duration);
+            }
+            7 => self.add(at, Action::ResetLink { a: node, b: node % nodes + 1 }),
+            8 => self.pause(at, node),
+            9 => {
+                let duration = self.duration(USUAL_STALL);
+                self.add(at, Action::StallDisk { node, duration });
+            }
+            // Lost for good; a spare machine has to replace it.
+            10 if self.size.spare > 0 => self.add(at, Action::Lose { node }),
+            _ => self.fault_on_acknowledgement(at),
+        }
+    }
+
+    /// Pauses one process, or at times all.
+    fn pause(&mut self, at: Millis, node: u8) {
+        let pauses_all = self.rng.random_ratio(1, 6);
+        let nodes = if pauses_all { self.all_nodes() } else { vec![node] };
+        let duration = self.duration(USUAL_PAUSE);
+        self.add(at, Action::Pause { nodes, duration });
+    }
+
+    /// Adds a fault that happens as soon as a change is acknowledged.
+    fn fault_on_acknowledgement(&mut self, at: Millis) {
+        let first = self.events.len();
+        self.fault(at);
+        if let Some(Event { action, .. }) = self.events.get_mut(first) {
+            if !matches!(action, Action::OnAcknowledged { .. }) {
+                *action = Action::OnAcknowledged { then: Box::new(action.clone()) };
+            }
+        }
+    }
+
+    // ---- Kinds of schedules ----
+
+    /// Adds faults at pauses that are drawn from a range.
+    fn faults(&mut self, from: Millis, until: Millis, pause: Range<Millis>) {
+        let mut at = from;
+        while at < until {
+            self.fault(at);
+            at += self.rng.random_range(pause.clone());
+        }
+    }
+
+    /// Adds faults that happen soon after a change was sent.
+    fn faults_after_changes(&mut self, from: Millis, until: Millis) {
+        let mut at = from;
+        while at < until {
+            self.change(at);
+            let soon = at + self.rng.random_range(5..400);
+            self.fault(soon);
+            at += self.rng.random_range(500..2500);
+        }
+    }
+
+    /// Partitions a machine or a half of the cluster for most of the time, while operators go on there.
+    fn long_partition(&mut self, from: Millis, until: Millis) {
+        let duration = until - from;
+        self.partition(from, duration);
+        self.faults(from + duration / 3, until, 800..3000);
+    }
+
+    /// Removes a machine for good, starts its successor, and as soon as that has synchronized wipes as many disks as may
+    /// be lost, at times while all machines crash. Returns when faults end.
+    fn loss_after_repair(&mut self, from: Millis) -> Millis {
+        let lost = self.rng.random_range(1..=self.size.voters());
+        let successor = self.size.nodes();
+        self.add(from, Action::Lose { node: lost });
+        let starts_at = from + self.rng.random_range(0..1500);
+        self.events.retain(|event| event.action != Action::PowerOn { nodes: vec![successor] });
+        self.add(starts_at, Action::PowerOn { nodes: vec![successor] });
+        let second_loss_at = starts_at + SYNC_TIME + STEP_INTERVAL + self.rng.random_range(0..300);
+        let nodes = (0..2 * self.size.losses).map(|_| self.any_node()).collect();
+        self.add(second_loss_at, Action::WipeAfterRepair { nodes });
+        if self.rng.random_ratio(3, 10) {
+            self.crash(second_loss_at, self.all_nodes());
+        }
+        second_loss_at + FAULTS_AFTER_REPAIR
+    }
+}
+
+/// Returns each pair of a machine of one side and a machine of the other.
+fn pairs_between(from: RangeInclusive<u8>, to: RangeInclusive<u8>) -> Vec<MachinePair> {
+    from.flat_map(|from| to.clone().map(move |to| MachinePair { from, to })).collect()
+}
+
+impl Schedule {
+    /// Generates a schedule of 20 s, with a fault every 1.3 s on average, and 8 s after that.
+    pub fn long(seed: u64) -> Schedule {
+        let size = LONG_SIZES[(seed % LONG_SIZES.len() as u64) as usize];
+        let mut generator = Generator::new(seed, size, rng::EVENT_STREAM);
+        generator.start_spares();
+        for at in (OPERATOR_INTERVAL..=LONG_FAULTS).step_by(OPERATOR_INTERVAL as usize) {
+            generator.operate(at);
+        }
+        generator.faults(1500, LONG_FAULTS, 100..2500);
+        generator.finish(seed, LONG_FAULTS, RECOVERY_TIMEOUT)
+    }
+
+    /// Generates a schedule of one of several kinds, most of them short.
+    pub fn generate(seed: u64) -> Schedule {
+        match seed.is_multiple_of(SEEDS_PER_KIND) {
+            true => Schedule::long(seed),
+            false => Schedule::short(seed),
+        }
+    }
+
+    fn short(seed: u64) -> Schedule {
+        let size = SHORT_SIZES[(seed % SHORT_SIZES.len() as u64) as usize];
+        let mut generator = Generator::new(seed, size, rng::EVENT_STREAM);
+        generator.start_spares();
+        let faults_begin_at = generator.rng.random_range(300..1200);
+        let drawn_end = generator.rng.random_range(SHORT_FAULTS);
+        let is_repair = seed % SEEDS_PER_KIND == REPAIR_REMAINDER && size.spare > 0;
+        let faults_end_at =
+            if is_repair { generator.loss_after_repair(faults_begin_at + 1000) } else { drawn_end };
+        let mut at = 200;
+        while at < faults_end_at {
+            generator.operate(at);
+            at += generator.rng.random_range(50..500);
+        }
+        match generator.rng.random_range(0..8) {
+            _ if is_repair => {}
+            0..=3 => generator.faults(faults_begin_at, faults_end_at, 50..1600),
+            4..=6 => generator.faults_after_changes(faults_begin_at, faults_end_at),
+            _ => generator.long_partition(faults_begin_at, faults_end_at),
+        }
+        generator.finish(seed, faults_end_at, SHORT_RECOVERY)
+    }
+}
--- a/control-plane/tests/chain.rs
+++ b/control-plane/tests/chain.rs
@@ -14,14 +14,14 @@
 use glenfall_control_plane::config::ConfigChange;
 use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey, LogEntry};
 use glenfall_control_plane::messages::CallId;
-use glenfall_control_plane_sim::{node, seeds, Schedule, Size, World};
+use glenfall_control_plane_sim::{node, seeds, ClusterSize, Schedule, World};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const SMALL: Size = Size { losses: 1, spare: 0 };
+const SMALL: ClusterSize = ClusterSize { losses: 1, spare: 0 };
 
 fn play(seed: u64) -> u64 {
-    match Schedule::long(seed).play() {
+    match Schedule::long(seed).run() {
         Ok(played) => played.changes,
         Err(broken) => panic!("{} at {} ms\n{}", broken.violation, broken.at, broken.nodes),
     }
@@ -65,10 +65,10 @@
     while world.now < 1000 {
         step(&mut world);
         if world.now.is_multiple_of(100) {
-            world.operate();
+            world.run_operators();
         }
     }
-    assert!(world.counts.changes > 0);
+    assert!(world.coverage.changes > 0);
     assert!(world.in_one_view());
 }
 
@@ -79,7 +79,7 @@
         step(&mut world);
     }
     let now = world.now;
-    world.with(1, |chain, now| chain.leave(now));
+    world.with_chain(1, |chain, now| chain.leave(now));
     let needed = |world: &World| world.chain(1).is_some_and(Chain::is_needed);
     while needed(&world) && world.now < now + 600 {
         step(&mut world);
@@ -89,23 +89,23 @@
 
 #[test]
 fn a_core_that_waited_long_for_its_voters_takes_changes_once_they_are_there() {
-    let mut world = World::new(4, Size { losses: 2, spare: 0 });
+    let mut world = World::new(4, ClusterSize { losses: 2, spare: 0 });
     world.isolate(5, 10_000);
     while world.now < 10_000 {
         step(&mut world);
         if world.now.is_multiple_of(50) {
-            world.operate();
+            world.run_operators();
         }
     }
-    assert_eq!(world.counts.changes, 0, "four voters can't outlive two losses");
+    assert_eq!(world.coverage.changes, 0, "four voters can't outlive two losses");
     while world.now < 14_000 {
         step(&mut world);
         if world.now.is_multiple_of(250) {
-            world.operate();
+            world.run_operators();
         }
     }
     assert!(world.in_one_view());
-    assert!(world.counts.changes > 5, "{} changes went through", world.counts.changes);
+    assert!(world.coverage.changes > 5, "{} changes went through", world.coverage.changes);
 }
 
 /// Lets time pass until a node's view has these voters and no others.
@@ -125,14 +125,14 @@
 
 #[test]
 fn voters_are_added_and_removed_at_an_operators_word_and_what_would_break_the_core_is_refused() {
-    let mut world = World::new(5, Size { losses: 1, spare: 2 });
+    let mut world = World::new(5, ClusterSize { losses: 1, spare: 2 });
     for n in 4..=5 {
         world.power_on(n);
     }
     while world.now < 3000 {
         step(&mut world);
         if world.now.is_multiple_of(250) {
-            world.operate();
+            world.run_operators();
         }
     }
     let ask = |world: &mut World, at: u8, seat| {
@@ -178,19 +178,19 @@
     }
     let refused = VoterChangeError::NobodyStandsBy { left: 2, needed: 3, losses: 1 };
     assert_eq!(ask(&mut world, 1, VoterChange::Remove(node(5))), Err(refused));
-    let done = world.counts.changes;
+    let done = world.coverage.changes;
     for _ in 0..100 {
         step(&mut world);
         if world.now.is_multiple_of(250) {
-            world.operate();
+            world.run_operators();
         }
     }
-    assert!(world.counts.changes > done, "changes go through");
+    assert!(world.coverage.changes > done, "changes go through");
 }
 
 #[test]
 fn a_lost_voter_leaves_where_an_operator_has_made_more_voters_than_are_needed_and_nobody_stands_by() {
-    let mut world = World::new(6, Size { losses: 1, spare: 1 });
+    let mut world = World::new(6, ClusterSize { losses: 1, spare: 1 });
     let until = |world: &mut World, end| {
         while world.now < end {
             step(world);
@@ -201,7 +201,7 @@
     world.power_on(4);
     until(&mut world, 2900);
     // The successor is added, in place of taking the seat that is free.
-    world.ask_voters(1, VoterChange::Add(node(4)));
+    world.request_voter_change(1, VoterChange::Add(node(4)));
     await_voters(&mut world, 1, &[1, 2, 3, 4]);
     // As soon as the lost one counts no more, another disk may be lost.
     until(&mut world, 5500);
@@ -291,13 +291,13 @@
             ignored += 1;
         }
         if world.now.is_multiple_of(100) {
-            world.operate();
+            world.run_operators();
         }
     }
     assert!(
-        ignored > 1000 && world.counts.changes > 20,
+        ignored > 1000 && world.coverage.changes > 20,
         "{ignored} ignored, {} changes",
-        world.counts.changes
+        world.coverage.changes
     );
     assert!(world.in_one_view());
 }
@@ -306,7 +306,7 @@
 fn what_a_broken_peer_says_soundly_breaks_no_node() {
     for seed in 0..300 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut chain = Chain::new(node(1), SMALL.terms(), Start::Fresh(seeds()));
+        let mut chain = Chain::new(node(1), SMALL.settings(), Start::Fresh(seeds()));
         let mut syncs = VecDeque::new();
         for now in 0..2000 {
             let from = node(rng.random_range(1..5));
@@ -353,7 +353,7 @@
     let begins = || {
         let disk =
             HardState { members: members.clone(), votes: true, promised: 1, accepted: 1, record: record(6) };
-        let mut chain = Chain::new(node(3), SMALL.terms(), Start::Kept(disk));
+        let mut chain = Chain::new(node(3), SMALL.settings(), Start::Kept(disk));
         for peer in 1..=2 {
             chain.peer_up(0, node(peer));
         }
@@ -387,7 +387,7 @@
 
 #[test]
 fn a_promise_does_not_outlive_the_link_on_which_it_was_given() {
-    let mut chain = Chain::new(node(1), SMALL.terms(), Start::Fresh(seeds()));
+    let mut chain = Chain::new(node(1), SMALL.settings(), Start::Fresh(seeds()));
     let beat = |hears: [u8; 2], wiped| {
         let hears = hears.map(node).to_vec();
         Message::Heartbeat(Heartbeat {
@@ -442,7 +442,7 @@
     let members = JointConfig::of(seeds());
     let disk =
         HardState { members: members.clone(), votes: true, promised: 1, accepted: 1, record: record(6) };
-    let mut chain = Chain::new(node(1), SMALL.terms(), Start::Kept(disk));
+    let mut chain = Chain::new(node(1), SMALL.settings(), Start::Kept(disk));
     let view = View { number: 5 << 32, chain: seeds(), members: members.clone() };
     // 4 had the place of 1 in an older view, and has heard of nothing since.
     let old = View { number: 3 << 32, chain: [2, 3, 4].map(node).to_vec(), ..view.clone() };
--- a/control-plane/tests/members.rs
+++ b/control-plane/tests/members.rs
@@ -9,7 +9,7 @@
 
 use glenfall_control_plane::chain::{Chain, ChainSettings, JointConfig, NodeId};
 use glenfall_control_plane::Millis;
-use glenfall_control_plane_sim::{node, Size, World};
+use glenfall_control_plane_sim::{node, ClusterSize, World};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -70,10 +70,10 @@
 }
 
 impl Play {
-    fn new(seed: u64, size: Size, terms: ChainSettings, slow: Millis) -> Self {
-        let mut world = World::under(seed, size, terms);
+    fn new(seed: u64, size: ClusterSize, terms: ChainSettings, slow: Millis) -> Self {
+        let mut world = World::with_settings(seed, size, terms);
         for machine in &mut world.machines {
-            machine.disk.sync_takes = (slow / 2 + 1, slow.max(2) + 1);
+            machine.disk.sync_duration = slow / 2 + 1..slow.max(2) + 1;
         }
         Play {
             seed,
@@ -124,7 +124,7 @@
                 self.world.power_on(successor);
                 // Whoever is in its time of starting counts as a loss; the one that it follows does not.
                 self.losses.insert(successor, Loss::Back { since: now });
-                self.planned.insert(n, now + self.world.terms.sync);
+                self.planned.insert(n, now + self.world.settings.sync);
                 self.told.struck += 1;
                 return;
             }
@@ -145,7 +145,7 @@
             Loss::Killed { .. } => self.world.kill(n),
             Loss::Silent { .. } => self.world.power_off(n, wipe),
             Loss::Removed { .. } => self.world.power_off(n, true),
-            Loss::Leaves { .. } => self.world.with(n, Chain::leave),
+            Loss::Leaves { .. } => self.world.with_chain(n, Chain::leave),
             Loss::Frozen { .. } | Loss::Back { .. } => self.world.pause(n, 2 * PLAYED),
         }
         if matches!(loss, Loss::Removed { .. }) {
@@ -160,7 +160,7 @@
         for _ in 0..self.rng.random_range(1..=2) {
             let n = running[self.rng.random_range(0..running.len())];
             let raise = self.rng.random_range(1..9);
-            self.world.change(n, raise);
+            self.world.change_once(n, raise);
         }
         let n = running[self.rng.random_range(0..running.len())];
         self.world.read(n);
@@ -168,7 +168,7 @@
 
     /// What time brings to those that are lost.
     fn mend(&mut self) {
-        let (now, sync) = (self.world.now, self.world.terms.sync);
+        let (now, sync) = (self.world.now, self.world.settings.sync);
         let lost: Vec<u8> = self.losses.keys().copied().collect();
         for n in lost {
             let back = match &self.losses[&n] {
@@ -182,7 +182,7 @@
                 }
                 Loss::Removed { successor, starts } if now >= *starts => {
                     let successor = *successor;
-                    self.world.machine(n).gone = true;
+                    self.world.machine(n).removed = true;
                     self.world.power_on(successor);
                     self.waiting.insert(successor, now);
                     self.removed.insert(n, Some(now));
@@ -201,7 +201,7 @@
                     match again {
                         Some(after) => self.losses.insert(n, Loss::Killed { until: now + after }),
                         None => {
-                            self.world.machine(n).gone = true;
+                            self.world.machine(n).removed = true;
                             self.losses.remove(&n)
                         }
                     };
@@ -228,7 +228,7 @@
         let Some(n) = self.planned.iter().find_map(due) else { return };
         if self.losses.len() < usize::from(self.world.size.losses) {
             self.planned.remove(&n);
-            self.world.with(n, Chain::leave);
+            self.world.with_chain(n, Chain::leave);
             self.losses.insert(n, Loss::Leaves { until: now + GRACE, again: None });
         }
     }
@@ -265,7 +265,8 @@
         let members = &view.members;
         // Whose seat it takes is the core's own affair, and a machine that came back may have been before it.
         let overdue = |(n, successor): (&u8, &Option<Millis>)| {
-            members.contains(node(*n)) && successor.is_some_and(|since| now >= since + self.world.terms.sync)
+            members.contains(node(*n))
+                && successor.is_some_and(|since| now >= since + self.world.settings.sync)
         };
         self.overdue = self.removed.iter().any(overdue);
         let takes =
@@ -289,7 +290,7 @@
 
     /// Within the time that makes losses of those that are new, or back, no losses any more.
     fn check_times(&self) {
-        let (now, sync) = (self.world.now, self.world.terms.sync);
+        let (now, sync) = (self.world.now, self.world.settings.sync);
         for (n, since) in self.waiting.iter().filter(|_| self.overdue).chain(&self.returning) {
             assert!(
                 now < since + sync,
@@ -334,7 +335,7 @@
                 );
             }
         }
-        self.told.changes = self.world.counts.changes;
+        self.told.changes = self.world.coverage.changes;
         self.told
     }
 }
@@ -346,8 +347,8 @@
     let slow = [10, 25, 50][rng.random_range(0..3)];
     // For what is not promised on these disks see the table of worst cases.
     let sync = rng.random_range(4..=6) * 1000;
-    let size = Size { losses, spare: 6 };
-    let terms = ChainSettings { sync, ..size.terms() };
+    let size = ClusterSize { losses, spare: 6 };
+    let terms = ChainSettings { sync, ..size.settings() };
     (losses, sync, Play::new(seed, size, terms, slow).run())
 }
 
@@ -400,7 +401,7 @@
 fn a_machine_that_comes_back_pushes_no_healthy_one_out_of_the_chain() {
     for losses in 1..=3 {
         for seed in 0..30 {
-            let size = Size { losses, spare: 0 };
+            let size = ClusterSize { losses, spare: 0 };
             let mut world = World::new(seed, size);
             let until = |world: &mut World, end: Millis| {
                 while world.now < end {
--- a/experiments/src/schedules.rs
+++ b/experiments/src/schedules.rs
@@ -5,7 +5,7 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use glenfall_control_plane_sim::{shrunk, Coverage, Schedule};
+use glenfall_control_plane_sim::{shrink, Coverage, Schedule, ShrunkSchedule};
 
 use crate::Failure;
 
@@ -42,7 +42,7 @@
 impl Wanted {
     fn schedule(&self, seed: u64) -> Schedule {
         match self.aimed {
-            true => Schedule::aimed(seed),
+            true => Schedule::targeted(seed),
             false => Schedule::generate(seed),
         }
     }
@@ -71,7 +71,7 @@
     let schedule: Schedule = serde_json::from_slice(&bytes).map_err(|e| wrong(&e))?;
     schedule.check().map_err(|e| wrong(&e))?;
     print!("{}", described(&schedule));
-    match schedule.play() {
+    match schedule.run() {
         Ok(played) => {
             println!("holds; {}", described_coverage(&played));
             Ok(true)
@@ -84,18 +84,27 @@
 }
 
 fn described_coverage(sum: &Coverage) -> String {
-    let Coverage { changes, reads, refusals, repeats, sessions, views, member_changes, seats } = sum;
+    let Coverage {
+        changes,
+        reads,
+        refusals,
+        repeats,
+        sessions,
+        views,
+        member_changes,
+        requested_voter_changes,
+    } = sum;
     format!(
         "{changes} changes acknowledged, {reads} reads, {refusals} refusals, {repeats} orders sent again, {sessions} sessions opened, {views} views, \
-         {member_changes} changes of who counts, {seats} asked for by operators"
+         {member_changes} changes of who counts, {requested_voter_changes} asked for by operators"
     )
 }
 
 fn described(schedule: &Schedule) -> String {
-    let Schedule { seed, size, troubles, events, .. } = schedule;
+    let Schedule { seed, size, faults_end_at, events, .. } = schedule;
     let (losses, spare) = (size.losses, size.spare);
     let mut lines = format!(
-        "seed {seed}: {} voters that outlive {losses} losses, {spare} standing by, troubles for {troubles} ms\n",
+        "seed {seed}: {} voters that outlive {losses} losses, {spare} standing by, troubles for {faults_end_at} ms\n",
         size.voters()
     );
     for event in events {
@@ -124,7 +133,7 @@
                 break;
             }
             let seed = self.wanted.first.wrapping_add(n);
-            match self.wanted.schedule(seed).play() {
+            match self.wanted.schedule(seed).run() {
                 Ok(coverage) => own += coverage,
                 Err(broken) => {
                     println!("seed {seed} failed at {} ms: {}", broken.at, broken.violation);
@@ -204,13 +213,13 @@
 
 fn cut_down(wanted: &Wanted, seed: u64) -> Result<(), Failure> {
     let whole = wanted.schedule(seed);
-    let Some((short, tries)) = shrunk(&whole) else { return Ok(()) };
-    let Err(broken) = short.play() else { return Ok(()) };
+    let Some(ShrunkSchedule { schedule: short, attempts }) = shrink(&whole) else { return Ok(()) };
+    let Err(broken) = short.run() else { return Ok(()) };
     std::fs::create_dir_all(&wanted.out)?;
     let file = wanted.out.join(format!("{}-{seed}.json", wanted.kind()));
     std::fs::write(&file, serde_json::to_string_pretty(&short)?)?;
     println!(
-        "\nseed {seed}, {} events cut down to {} in {tries} tries",
+        "\nseed {seed}, {} events cut down to {} in {attempts} tries",
         whole.events.len(),
         short.events.len()
     );
