--- /dev/null
+++ b/glenfall/src/edge/handler.rs
@@ -0,0 +1,116 @@
+//! The HTTP handlers of an edge: clients' requests, and the readiness endpoint.
+
+use std::rc::Rc;
+
+use glenfall_control_plane::config::RequestLimits;
+use glenfall_control_plane::invariant::Invariant;
+use hyper::http::request::Parts;
+use hyper::{Method, StatusCode};
+use tokio::time::Instant;
+
+use super::Edge;
+use crate::http::failure::Cause;
+use crate::http::headers::TRY_ID;
+use crate::http::response::{LocalResponse, ProxyResponse, SEAL};
+use crate::http_server::{plain_response, FullRequest, FullResponse, Handler};
+use crate::watch_client::WatchClient;
+
+/// The status under which a request is logged whose client has disconnected, as other proxies have it.
+const CLIENT_CLOSED_REQUEST: u16 = 499;
+
+/// Handles the requests of an edge's clients.
+pub struct EdgeHandler(pub Rc<Edge>);
+
+impl Handler for EdgeHandler {
+    async fn handle(&self, request: FullRequest) -> FullResponse {
+        let received = Instant::now();
+        let disconnect = DisconnectGuard { edge: &self.0, head: &request.head, received, is_answered: false };
+        let mut response = self.0.serve(&request).await;
+        disconnect.answered();
+        self.log_if_failed(&mut response, &request.head, received);
+        let counters = &self.0.counters;
+        let is_read = request.head.method == Method::GET;
+        let latency = if is_read { &counters.read_latency } else { &counters.write_latency };
+        latency.add(received.elapsed());
+        response.into()
+    }
+
+    fn limits(&self) -> RequestLimits {
+        self.0.watch_client.config().map(|config| config.req_limits).unwrap_or_default()
+    }
+
+    fn is_draining(&self) -> bool {
+        self.0.watch_client.leaving()
+    }
+
+    fn on_rejected(&self, head: &Parts, response: &LocalResponse, received: Instant) {
+        self.0.log_failure(response.failure(), head, response.status(), received);
+    }
+
+    fn on_slow_head(&self) {
+        let (head, _) = hyper::Request::new(()).into_parts();
+        let failure = Cause::HeadTooSlow.into();
+        self.0.log_failure(&failure, &head, StatusCode::REQUEST_TIMEOUT, Instant::now());
+    }
+}
+
+impl EdgeHandler {
+    fn log_if_failed(&self, response: &mut ProxyResponse, head: &Parts, received: Instant) {
+        if response.failure().is_none() {
+            return;
+        }
+        // It names the request that the response belongs to, for clients and in logs.
+        response.set_try_id(head.headers.get(TRY_ID));
+        let Some(failure) = response.failure() else { return };
+        let is_sealed = response.headers().contains_key(SEAL);
+        let is_from_server = failure.cause == Cause::ServerError;
+        Invariant::SealIsServers.check(!is_sealed || is_from_server, || format!("{failure:?}"));
+        self.0.log_failure(failure, head, response.status(), received);
+    }
+}
+
+/// Logs a request that is dropped without an answer: its client's connection has ended.
+struct DisconnectGuard<'a> {
+    edge: &'a Edge,
+    head: &'a Parts,
+    received: Instant,
+    is_answered: bool,
+}
+
+impl DisconnectGuard<'_> {
+    fn answered(mut self) {
+        self.is_answered = true;
+    }
+}
+
+impl Drop for DisconnectGuard<'_> {
+    fn drop(&mut self) {
+        if self.is_answered {
+            return;
+        }
+        let status = StatusCode::from_u16(CLIENT_CLOSED_REQUEST).unwrap_or_default();
+        self.edge.log_failure(&Cause::ClientGone.into(), self.head, status, self.received);
+    }
+}
+
+/// Handles the readiness endpoint, which says whether new clients should connect to this edge.
+pub struct ReadinessHandler(pub Rc<WatchClient>);
+
+impl Handler for ReadinessHandler {
+    async fn handle(&self, _request: FullRequest) -> FullResponse {
+        if self.0.ready() {
+            plain_response(StatusCode::OK, "ready")
+        } else {
+            plain_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+        }
+    }
+
+    fn limits(&self) -> RequestLimits {
+        RequestLimits::default()
+    }
+
+    /// The endpoint answers throughout draining, so that its callers see that the edge is not ready.
+    fn is_draining(&self) -> bool {
+        false
+    }
+}
--- /dev/null
+++ b/glenfall/src/edge/read/shield_request.rs
@@ -0,0 +1,82 @@
+//! One request to a shield, and how its end is classified.
+
+use std::net::SocketAddr;
+
+use bytes::Bytes;
+use glenfall_balancer::ServerId;
+use http_body_util::Full;
+use hyper::header::{HeaderMap, HeaderValue};
+use hyper::Request;
+use tokio::time::Instant;
+
+use super::attempt_log::AttemptOutcome;
+use crate::edge::routed_request::RoutedRequest;
+use crate::edge::Edge;
+use crate::http::headers::DEADLINE;
+use crate::http::response::{ServerResponse, ShieldSource};
+use crate::http::send_budget::{Allowance, SENDS};
+use crate::shield::{CONFIG_REV, REPEATED_REQUEST};
+use crate::upstream::pool::{ExchangeParams, SendError};
+
+/// A request for an object to one shield.
+pub(super) struct ShieldRequest<'a> {
+    pub routed: &'a RoutedRequest<'a>,
+    pub headers: &'a HeaderMap,
+    /// Servers that the shield may send the request to.
+    pub allowance: Allowance,
+    /// Another shield may have counted the request or sent it to a server.
+    pub is_retry: bool,
+}
+
+impl ShieldRequest<'_> {
+    fn to_http(&self) -> Request<Full<Bytes>> {
+        let mut request = Request::new(Full::new(Bytes::new()));
+        *request.uri_mut() = self.routed.request.head.uri.clone();
+        let remaining = self.routed.deadline.saturating_duration_since(Instant::now());
+        let headers = request.headers_mut();
+        *headers = self.headers.clone();
+        headers.insert(DEADLINE, HeaderValue::from((remaining.as_millis() as u64).max(1)));
+        headers.insert(CONFIG_REV, HeaderValue::from(self.routed.config.rev));
+        headers.insert(SENDS, self.allowance.encode());
+        if self.is_retry {
+            headers.insert(REPEATED_REQUEST, HeaderValue::from_static("1"));
+        }
+        request
+    }
+}
+
+impl Edge {
+    /// Sends a request to a shield and reads its response.
+    pub(super) async fn send_to_shield(
+        &self,
+        shield: &ServerId,
+        request: ShieldRequest<'_>,
+    ) -> Result<ServerResponse, SendError> {
+        let address: SocketAddr = shield.0.parse().map_err(|_| SendError::NotSent)?;
+        let _in_flight = self.shields.begin_request(shield);
+        let deadline = request.routed.deadline;
+        let pool = &self.forwarder.pool;
+        pool.exchange(ExchangeParams::internal(address, deadline), || request.to_http()).await
+    }
+
+    /// How an attempt at a shield ended, and its response where the response can be used.
+    pub(super) fn classify(
+        &self,
+        result: Result<ServerResponse, SendError>,
+    ) -> (AttemptOutcome, Option<ServerResponse>) {
+        let response = match result {
+            Ok(response) => response,
+            Err(SendError::NotSent) => return (AttemptOutcome::Unreachable, None),
+            Err(SendError::NoResponse | SendError::TimedOut) => {
+                return (AttemptOutcome::ConnectionLost, None);
+            }
+        };
+        match response.shield_source() {
+            None => (AttemptOutcome::ConnectionLost, None),
+            Some(ShieldSource::Behind) => (AttemptOutcome::ConfigOutdated, None),
+            // A purge may have been acknowledged to its sender on behalf of the lease holders, and be unknown there.
+            Some(ShieldSource::Unvouched) if self.watch_client.vouches() => (AttemptOutcome::NoLease, None),
+            Some(_) => (AttemptOutcome::Answered, Some(response)),
+        }
+    }
+}
--- a/glenfall/src/edge/read_plan.rs
+++ b/glenfall/src/edge/read_plan.rs
@@ -1,144 +1,152 @@
-//! Which way a read goes next at an edge: a pure state machine over its send budget. The edge carries out what it says
-//! and tells it what happened.
+//! The order of a read's attempts at an edge: a pure state machine over the read's send budget. The edge carries out the
+//! steps that it names and reports how they end.
 //!
-//! A read asks one shield after another, and in the end the servers themselves. A shield that is silent for a while may
-//! be dark: the next one is asked beside it, with what is left of the try's sends. The silent one is not given up: what
-//! it was lent may have reached a server whose answer is still to come.
+//! A read tries one shield after another, and in the end the servers themselves. A shield that does not respond for a
+//! while may be down: the next attempt is made in parallel (hedged), with the sends that are left of the request's
+//! budget. The unresponsive attempt is not cancelled: a server may have received what it was allowed to send, and may
+//! still answer.
 
 use crate::http::send_budget::{Allowance, Loan, SendBudget, SendReport, Usage};
 
-/// Shields that one read may ask, the same one again included.
+/// Bound on the attempts of one read at shields, repeated attempts at one shield included.
 pub const MOST_ASKS: usize = 3;
 
-/// What to do next.
+/// The next step of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Ask a shield, and call [`ReadPlan::asked`], or [`ReadPlan::no_shield`] where none is likely to answer.
+    /// Send the request to a shield and call [`ReadPlan::asked`], or call [`ReadPlan::no_shield`] where no shield is
+    /// likely to answer.
     AskShield {
-        /// What the shield may send for this try.
+        /// What the shield may send to servers.
         allowance: Allowance,
     },
-    /// Send to servers, and call [`ReadPlan::asked`].
+    /// Send the request to servers and call [`ReadPlan::asked`].
     AskServers {
-        /// What may be sent for this try.
+        /// What may be sent to servers.
         allowance: Allowance,
     },
-    /// Wait for what is under way.
+    /// Wait for the attempts in flight.
     Wait,
-    /// Nothing is under way and nothing is left to try.
+    /// No attempt is in flight and no further one can be made.
     GiveUp,
 }
 
-/// How an ask ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AskEnd {
-    /// No server was asked: the shield was not reached, or it lacks the version of the configuration.
+    /// No server has received the request: the shield was unreachable, or lacks the version of the configuration.
     NotAsked,
-    /// Nothing that can be used came back.
+    /// No usable response came back.
     Lost,
-    /// There is an answer.
+    /// There is a response.
     Answered(SendReport),
 }
 
-/// What an answer is to its read.
+/// What a response means for its read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is the client's.
+    /// It is the client's response.
     Final,
-    /// Another way may give a better one.
+    /// Another attempt may give a better one.
     TryOn,
 }
 
 #[derive(Debug)]
-enum AskState {
-    /// Under way.
-    Waiting(Loan),
-    /// Under way, and silent for long enough that another way is tried beside it.
-    Silent(Loan),
+enum AttemptState {
+    InFlight(Loan),
+    /// In flight, and without a response for so long that another attempt is made in parallel.
+    Unresponsive(Loan),
     Ended,
 }
 
-/// The ways that one read has taken, and what is left of its sends.
+/// The attempts of one read, and what is left of its sends.
 #[derive(Debug)]
 pub struct ReadPlan {
     budget: SendBudget,
-    asks: Vec<AskState>,
-    shields_asked: usize,
-    /// No more shields are asked.
+    attempts: Vec<AttemptState>,
+    shield_attempts: usize,
+    /// No further shield is likely to answer.
     shields_exhausted: bool,
-    /// A shield was asked with no sends left.
-    copies_asked: bool,
-    servers_asked: bool,
-    /// A server may have been asked, or the request has been counted.
+    /// A shield was tried with no sends left, for a stored response or a fetch in flight.
+    tried_without_sends: bool,
+    tried_servers: bool,
+    /// The request may have been counted, or sent to a server.
     may_be_counted: bool,
 }
 
 impl ReadPlan {
-    /// The plan of a read that may be sent to so many servers.
+    /// The plan of a read that may be sent to `tries` servers.
     pub fn new(tries: u32) -> Self {
         ReadPlan {
             budget: SendBudget::new(tries),
-            asks: Vec::new(),
-            shields_asked: 0,
+            attempts: Vec::new(),
+            shield_attempts: 0,
             shields_exhausted: false,
-            copies_asked: false,
-            servers_asked: false,
+            tried_without_sends: false,
+            tried_servers: false,
             may_be_counted: false,
         }
     }
 
-    /// Whether a shield may have counted the request, or a server run it: what is sent now draws on the retry budget.
+    /// Whether a shield may have counted the request, or a server run it: further sends are retries then, and draw on the
+    /// retry budget.
     pub fn may_be_counted(&self) -> bool {
         self.may_be_counted
     }
 
-    /// What to do, where so many shields could be asked beside those that were found unresponsive.
-    pub fn next(&self, shields: usize) -> Next {
-        if self.asks.iter().any(|ask| matches!(ask, AskState::Waiting(_))) {
+    /// The next step, where this many shields are available that have not been found unresponsive.
+    pub fn next(&self, available_shields: usize) -> Next {
+        if self.attempts.iter().any(|attempt| matches!(attempt, AttemptState::InFlight(_))) {
             return Next::Wait;
         }
-        if let Some(next) = self.next_way(shields) {
+        if let Some(next) = self.next_attempt(available_shields) {
             return next;
         }
-        match self.asks.iter().any(|ask| matches!(ask, AskState::Silent(_))) {
+        match self.attempts.iter().any(|attempt| matches!(attempt, AttemptState::Unresponsive(_))) {
             true => Next::Wait,
             false => Next::GiveUp,
         }
     }
 
-    /// Whether another way could be tried beside those under way, with so many shields that are not asked.
-    pub fn has_way_beside(&self, shields: usize) -> bool {
-        self.next_way(shields).is_some()
+    /// Whether another attempt could be made in parallel to those in flight, with this many other shields available.
+    pub fn has_way_beside(&self, other_shields: usize) -> bool {
+        self.next_attempt(other_shields).is_some()
     }
 
-    fn next_way(&self, shields: usize) -> Option<Next> {
+    fn next_attempt(&self, available_shields: usize) -> Option<Next> {
         let left = self.budget.left();
-        let may_ask_shield = !self.shields_exhausted && shields > 0 && self.shields_asked < MOST_ASKS;
-        if may_ask_shield && (left > 0 || !self.copies_asked) {
-            // One send is held back for another way: for the next shield, or the servers themselves.
-            let held_back = left.saturating_sub(1).min(1);
-            return Some(Next::AskShield { allowance: Allowance { sends: left - held_back, held_back } });
+        if self.may_try_shield(available_shields) {
+            // One send is reserved for the attempt that follows, at the next shield or at the servers.
+            let reserved = left.saturating_sub(1).min(1);
+            return Some(Next::AskShield {
+                allowance: Allowance { sends: left - reserved, held_back: reserved },
+            });
         }
-        let may_ask_servers = left > 0 && !self.servers_asked;
-        may_ask_servers.then_some(Next::AskServers { allowance: Allowance { sends: left, held_back: 0 } })
+        let may_try_servers = left > 0 && !self.tried_servers;
+        may_try_servers.then_some(Next::AskServers { allowance: Allowance { sends: left, held_back: 0 } })
+    }
+
+    fn may_try_shield(&self, available_shields: usize) -> bool {
+        let has_shield = !self.shields_exhausted && available_shields > 0 && self.shield_attempts < MOST_ASKS;
+        has_shield && (self.budget.left() > 0 || !self.tried_without_sends)
     }
 
-    /// A shield or the servers are asked, as [`ReadPlan::next`] has said. Returns the number of the ask.
+    /// Begins the attempt that [`ReadPlan::next`] has named. Returns the number by which its end is reported.
     pub fn asked(&mut self, next: Next) -> usize {
-        let allowance = match next {
+        let sends = match next {
             Next::AskShield { allowance } => {
-                self.shields_asked += 1;
-                self.copies_asked |= allowance.sends == 0;
-                allowance
+                self.shield_attempts += 1;
+                self.tried_without_sends |= allowance.sends == 0;
+                allowance.sends
             }
             Next::AskServers { allowance } => {
-                self.servers_asked = true;
-                allowance
+                self.tried_servers = true;
+                allowance.sends
             }
-            Next::Wait | Next::GiveUp => Allowance { sends: 0, held_back: 0 },
+            Next::Wait | Next::GiveUp => 0,
         };
-        self.asks.push(AskState::Waiting(self.budget.lend(allowance.sends)));
-        self.asks.len() - 1
+        self.attempts.push(AttemptState::InFlight(self.budget.lend(sends)));
+        self.attempts.len() - 1
     }
 
     /// No further shield is likely to answer.
@@ -146,19 +154,19 @@
         self.shields_exhausted = true;
     }
 
-    /// Nothing has come of the asks under way for a while.
+    /// The attempts in flight have been without a response for the hedge delay.
     pub fn silent(&mut self) {
-        for ask in &mut self.asks {
-            *ask = match std::mem::replace(ask, AskState::Ended) {
-                AskState::Waiting(loan) => AskState::Silent(loan),
+        for attempt in &mut self.attempts {
+            *attempt = match std::mem::replace(attempt, AttemptState::Ended) {
+                AttemptState::InFlight(loan) => AttemptState::Unresponsive(loan),
                 other => other,
             };
         }
         self.may_be_counted = true;
     }
 
-    /// An ask has ended.
-    pub fn ended(&mut self, ask: usize, end: AskEnd) -> Verdict {
+    /// Takes the end of an attempt, by its number, and the sends that it has not used.
+    pub fn ended(&mut self, number: usize, end: AskEnd) -> Verdict {
         let (usage, verdict) = match end {
             AskEnd::NotAsked => (Usage::Unused, Verdict::TryOn),
             AskEnd::Lost => (Usage::Unknown, Verdict::TryOn),
@@ -166,8 +174,8 @@
             AskEnd::Answered(report) => (Usage::Reported(report), Verdict::Final),
         };
         self.may_be_counted |= usage != Usage::Unused;
-        let state = self.asks.get_mut(ask).map(|state| std::mem::replace(state, AskState::Ended));
-        if let Some(AskState::Waiting(loan) | AskState::Silent(loan)) = state {
+        let state = self.attempts.get_mut(number).map(|state| std::mem::replace(state, AttemptState::Ended));
+        if let Some(AttemptState::InFlight(loan) | AttemptState::Unresponsive(loan)) = state {
             self.budget.settle(loan, usage);
         }
         verdict
--- /dev/null
+++ b/glenfall/src/edge/routed_request.rs
@@ -0,0 +1,68 @@
+//! A client's request with the route, service and deadline that the edge has chosen for it.
+
+use std::sync::Arc;
+
+use glenfall_control_plane::config::{Config, Route, RouteKind};
+use hyper::header::HeaderMap;
+use hyper::Method;
+use tokio::time::Instant;
+
+use crate::cache::ObjectKey;
+use crate::http_server::FullRequest;
+use crate::upstream::forward::UpstreamRequest;
+
+/// A request and the routing decision for it.
+pub(super) struct RoutedRequest<'a> {
+    pub config: &'a Arc<Config>,
+    pub route: &'a Route,
+    pub service: &'a str,
+    pub request: &'a FullRequest,
+    /// The client's headers without those of its connection.
+    pub headers: HeaderMap,
+    pub deadline: Instant,
+}
+
+/// Whether a request can be answered from a cache.
+pub(super) fn is_cacheable_read(route: &Route, request: &FullRequest) -> bool {
+    route.kind == RouteKind::Cacheable && request.head.method == Method::GET && request.body.is_empty()
+}
+
+impl RoutedRequest<'_> {
+    /// The key of the object that a read asks for.
+    pub fn object(&self) -> ObjectKey {
+        ObjectKey {
+            service: self.service.into(),
+            host: self.request.host().into(),
+            path: self.request.path_and_query().into(),
+        }
+    }
+
+    /// The request as it goes to servers with these headers. `is_retry` says that it may have reached a server before.
+    pub fn upstream_request(&self, headers: HeaderMap, is_retry: bool) -> UpstreamRequest<'_> {
+        UpstreamRequest {
+            service: self.service,
+            method: &self.request.head.method,
+            uri: &self.request.head.uri,
+            headers,
+            body: self.request.body.clone(),
+            repeatable: self.is_idempotent(),
+            tries: self.route.tries,
+            again: is_retry,
+            until: self.deadline,
+            aim: self.route.latency_target(),
+            rank: self.config.priority_rank(self.route),
+            per_s: self.config.backend(self.service).and_then(|backend| backend.rate_per_s),
+        }
+    }
+
+    /// Whether the request may run more than once. A method that writes is never repeated, whatever the route says of
+    /// its reads.
+    fn is_idempotent(&self) -> bool {
+        let method = &self.request.head.method;
+        match self.route.kind {
+            RouteKind::Mutating => false,
+            RouteKind::Idempotent => true,
+            RouteKind::Cacheable => method == Method::GET || method == Method::HEAD,
+        }
+    }
+}
--- /dev/null
+++ b/glenfall/src/edge/shield_selector.rs
@@ -0,0 +1,134 @@
+//! Selection of the shield for a read: RJ-CH over the ready shields, passing over those that failed a short time ago.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+
+use glenfall_balancer::{Key, Seconds, ServerId, Shields};
+use glenfall_control_plane::fleet::Fleet;
+use glenfall_control_plane::messages::{Member, ProxyRole};
+use tokio::time::Instant;
+
+/// The ready shields, and how they have answered this edge.
+pub(super) struct ShieldSelector {
+    shields: RefCell<Shields>,
+    /// The incarnation of each ready shield's process, as last received from control.
+    incarnations: RefCell<BTreeMap<ServerId, u64>>,
+    zone: String,
+    /// Shields in this edge's zone, ready or not.
+    same_zone: RefCell<Vec<ServerId>>,
+    /// The balancer's clock counts from here.
+    started: Instant,
+}
+
+impl ShieldSelector {
+    /// A selector of an edge in this zone, which knows no shield yet.
+    pub fn new(zone: &str) -> Self {
+        ShieldSelector {
+            shields: RefCell::default(),
+            incarnations: RefCell::default(),
+            zone: zone.to_owned(),
+            same_zone: RefCell::default(),
+            started: Instant::now(),
+        }
+    }
+
+    /// Takes the shields of a fleet.
+    pub fn update(&self, fleet: &Fleet) {
+        let same_zone = fleet.shields.iter().filter(|member| member.zone == self.zone);
+        self.same_zone.replace(same_zone.map(shield_id).collect());
+        let ready = fleet.shields.iter().filter(|member| member.ready && member.proxy == ProxyRole::Shield);
+        let incarnations: BTreeMap<ServerId, u64> =
+            ready.map(|member| (shield_id(member), member.incarnation)).collect();
+        let ready: Vec<ServerId> = incarnations.keys().cloned().collect();
+        self.shields.borrow_mut().update(&ready);
+        self.clear_failures_of_restarted(incarnations);
+    }
+
+    /// Clears the failures of shields whose process has restarted: they say nothing about the new process, which
+    /// control reports as ready.
+    fn clear_failures_of_restarted(&self, incarnations: BTreeMap<ServerId, u64>) {
+        let now = self.now();
+        let previous = self.incarnations.replace(incarnations);
+        let mut shields = self.shields.borrow_mut();
+        for (shield, incarnation) in self.incarnations.borrow().iter() {
+            if previous.get(shield).is_some_and(|previous| previous != incarnation) {
+                shields.heard(now, shield, now, false);
+            }
+        }
+    }
+
+    /// How many shields are ready.
+    pub fn count(&self) -> usize {
+        self.shields.borrow().count()
+    }
+
+    /// Whether a shield is ready, by what control says.
+    pub fn any_ready(&self) -> bool {
+        !self.incarnations.borrow().is_empty()
+    }
+
+    /// Whether there are shields, and each of them failed this edge a short time ago and has not answered since.
+    pub fn all_failing(&self) -> bool {
+        self.shields.borrow().all_fail(self.now())
+    }
+
+    /// Whether a shield is in this edge's zone.
+    pub fn is_same_zone(&self, shield: &ServerId) -> bool {
+        self.same_zone.borrow().contains(shield)
+    }
+
+    /// The shield for an object among those that are not `excluded`; `None` where none is likely to answer.
+    pub fn choose(&self, key: Key, excluded: &[ServerId]) -> Option<ServerId> {
+        self.shields.borrow_mut().choose(self.now(), key, excluded).cloned()
+    }
+
+    /// Counts a request at a shield until the guard is dropped, also where the request's client disconnects.
+    pub fn begin_request<'a>(&'a self, shield: &'a ServerId) -> InFlightGuard<'a> {
+        self.shields.borrow_mut().begin(shield);
+        InFlightGuard { shields: &self.shields, shield }
+    }
+
+    /// Records that a request sent at this time has got no usable answer from the shield.
+    pub fn record_failure(&self, shield: &ServerId, sent: Instant) {
+        self.shields.borrow_mut().heard(self.now(), shield, self.seconds(sent), true);
+    }
+
+    /// Records that a shield has answered a request sent at this time. Where all shields had failed, the others are
+    /// likely to be available again as well: if they stayed excluded, this one would receive the requests for all
+    /// their objects.
+    pub fn record_answer(&self, shield: &ServerId, sent: Instant) {
+        let now = self.now();
+        let mut shields = self.shields.borrow_mut();
+        if shields.all_fail(now) {
+            for other in self.incarnations.borrow().keys() {
+                shields.heard(now, other, now, false);
+            }
+        }
+        shields.heard(now, shield, self.seconds(sent), false);
+    }
+
+    fn now(&self) -> Seconds {
+        self.seconds(Instant::now())
+    }
+
+    fn seconds(&self, at: Instant) -> Seconds {
+        at.saturating_duration_since(self.started).as_secs_f64()
+    }
+}
+
+/// The balancer's name of a shield: the address where it takes reads.
+fn shield_id(member: &Member) -> ServerId {
+    ServerId(member.http.to_string().as_str().into())
+}
+
+/// A request counted as in flight at a shield.
+pub(super) struct InFlightGuard<'a> {
+    shields: &'a RefCell<Shields>,
+    shield: &'a ServerId,
+}
+
+impl Drop for InFlightGuard<'_> {
+    fn drop(&mut self) {
+        self.shields.borrow_mut().end(self.shield);
+    }
+}
--- a/glenfall/src/lib.rs
+++ b/glenfall/src/lib.rs
@@ -170,7 +170,8 @@
     let ready = boot.require_listener("readyAddr", |listeners| listeners.ready_addr)?;
     let descriptors = boot.req_limits.max_fds.saturating_sub(OTHER_DESCRIPTORS).max(16);
     let feed = WatchClient::new(Rc::clone(&boot), ProxyRole::Edge);
-    let pool = Pool::new(descriptors / 2, MemoryBudget::new(boot.memory_share(edge::COPIES + ANSWERS)));
+    let pool =
+        Pool::new(descriptors / 2, MemoryBudget::new(boot.memory_share(edge::CACHE_MEMORY_SHARE + ANSWERS)));
     let edge = edge::Edge::new(&boot, Rc::clone(&feed), Rc::clone(&pool));
     spawn_local(async move { pool.sweep().await });
     let stopping = stopping(&feed);
@@ -185,7 +186,7 @@
         grace: boot.grace(),
     };
     let readiness =
-        http_server::serve(readiness, Rc::new(edge::Readiness(Rc::clone(&feed))), stopping.clone());
+        http_server::serve(readiness, Rc::new(edge::ReadinessHandler(Rc::clone(&feed))), stopping.clone());
     let terms = http_server::ServerConfig {
         listen,
         max_connections: descriptors / 2,
@@ -193,7 +194,7 @@
         drain_accept_time: STILL_ACCEPTING.min(boot.grace()),
         grace: boot.grace(),
     };
-    let serving = http_server::serve(terms, Rc::new(edge::Serving(edge)), stopping);
+    let serving = http_server::serve(terms, Rc::new(edge::EdgeHandler(edge)), stopping);
     tokio::select! {
         served = serving => Ok(served?),
         failed = async { readiness.await.err().ok_or(()) } => match failed {
@@ -206,7 +207,10 @@
 async fn shield(boot: Rc<Settings>) -> Result<(), Failure> {
     let descriptors = boot.req_limits.max_fds.saturating_sub(OTHER_DESCRIPTORS).max(16);
     let feed = WatchClient::new(Rc::clone(&boot), ProxyRole::Shield);
-    let pool = Pool::new(descriptors / 2, MemoryBudget::new(boot.memory_share(shield::COPIES + ANSWERS)));
+    let pool = Pool::new(
+        descriptors / 2,
+        MemoryBudget::new(boot.memory_share(shield::CACHE_MEMORY_SHARE + ANSWERS)),
+    );
     let shield = shield::Shield::new(&boot, Rc::clone(&feed), Rc::clone(&pool));
     spawn_local(async move { pool.sweep().await });
     let stopping = stopping(&feed);
@@ -219,6 +223,6 @@
     };
     let follower = Rc::clone(&shield);
     spawn_local(async move { feed.run(&*follower).await });
-    http_server::serve(terms, Rc::new(shield::Serving(shield)), stopping).await?;
+    http_server::serve(terms, Rc::new(shield::ShieldHandler(shield)), stopping).await?;
     Ok(())
 }
--- a/glenfall/src/shield/fetch.rs
+++ b/glenfall/src/shield/fetch.rs
@@ -1,6 +1,6 @@
-//! Fetches of a shield. Reads of one object that miss while it is being fetched share one fetch (singleflight).
+//! Fetches of a shield from the servers, within the sends that the read's edge allows, and the revalidation of stale
+//! responses.
 
-use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,12 +8,13 @@
 use bytes::Bytes;
 use glenfall_control_plane::config::{Config, Route};
 use hyper::header::{self, HeaderMap};
+use hyper::http::request::Parts;
 use hyper::{Method, StatusCode, Uri};
-use tokio::sync::watch;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-use super::{Shield, AGAIN};
+use super::singleflight::{FetchReceiver, StartedFetch, TooManyFetches};
+use super::{Shield, REPEATED_REQUEST};
 use crate::cache::{Copy, ObjectKey};
 use crate::http::failure::Failure;
 use crate::http::headers::passed_on;
@@ -21,206 +22,168 @@
 use crate::http::send_budget::{Allowance, SendReport};
 use crate::upstream::forward::{Outcome, Refusal, UpstreamRequest};
 
-/// A fetch may outlive the read that began it by so long: what it brings serves the next read. Servers are handed no more
-/// time than that beyond what the client has left.
-const BEYOND_ITS_READ: Duration = Duration::from_millis(400);
-/// Fetches under way at most; what misses beyond is told to come back.
-const MOST_FETCHES: usize = 1024;
+/// How long a fetch may outlive the read that has started it: its response serves the next read. Servers are given no
+/// more time than this beyond what the client has left.
+const MAX_OVERRUN: Duration = Duration::from_millis(400);
 
-/// What came of a fetch, for all who wait for it.
+/// The result of a fetch, for all reads that wait for it.
 #[derive(Clone)]
 pub(super) enum Fetched {
+    /// A response that may be stored.
     Copy(Rc<Copy>),
+    /// A server's response that can't be stored.
     Other(ServerResponse),
-    Refused(Refusal),
+    /// No server has run the request.
+    Rejected(Refusal),
+    /// A server may have run the request, and there is no response.
     Unknown(Failure),
+    /// The same, and the deadline has passed.
     TimedOut(Failure),
 }
 
-/// The end of a fetch, and what it used of the allowance of the read that began it.
+/// The end of a fetch, and what it used of the allowance of the read that started it.
 #[derive(Clone)]
 pub(super) struct FetchEnd {
     pub fetched: Fetched,
     pub report: SendReport,
 }
 
-/// Tells of the end of a fetch once it is there.
-pub(super) type FetchDone = watch::Receiver<Option<FetchEnd>>;
-
-/// No more can be fetched now.
-pub(super) struct TooManyFetches;
-
-/// A fetch under way that reads may join.
-pub(super) struct Flight {
-    pub done: FetchDone,
-    purges: Rc<PurgesMeanwhile>,
-}
-
-/// Purges that came since a fetch began: what it brings may be older.
-#[derive(Default)]
-struct PurgesMeanwhile {
-    labels: RefCell<Vec<String>>,
-    /// The object itself was purged.
-    object: Cell<bool>,
-}
-
-impl Flight {
-    pub fn purge_label(&self, label: &str) {
-        self.purges.labels.borrow_mut().push(label.to_owned());
-    }
-
-    pub fn purge_object(&self) {
-        self.purges.object.set(true);
-    }
-}
-
-impl PurgesMeanwhile {
-    fn name(&self, copy: &Copy) -> bool {
-        self.object.get() || self.labels.borrow().iter().any(|label| copy.labelled(label))
-    }
-}
-
-/// What a fetch begins with.
+/// What a fetch sends, and for how long.
 pub(super) struct FetchRequest {
-    pub key: ObjectKey,
+    key: ObjectKey,
     uri: Uri,
     headers: HeaderMap,
-    /// The copy that is not fresh any more.
-    old: Option<Rc<Copy>>,
-    /// Another shield may have counted the request and asked a server.
-    again: bool,
+    /// The stored response, which is stale.
+    stale: Option<Rc<Copy>>,
+    /// Another shield may have counted the request and sent it to a server.
+    is_retry: bool,
     allowance: Allowance,
-    /// When the read that begins it is given up.
-    read_until: Instant,
+    /// The deadline of the read that starts the fetch.
+    read_deadline: Instant,
     terms: RouteTerms,
 }
 
-/// What the route of an object says of its fetches.
+/// What the route and the service of an object say of its fetches.
 struct RouteTerms {
-    tries: u32,
-    deadline: Duration,
-    aim: Duration,
-    rank: f64,
-    per_s: Option<f64>,
+    max_sends: u32,
+    timeout: Duration,
+    latency_target: Duration,
+    priority_rank: f64,
+    rate_per_s: Option<f64>,
 }
 
 impl RouteTerms {
-    fn of(config: &Config, route: &Route, service: &str) -> Self {
+    fn new(config: &Config, route: &Route, service: &str) -> Self {
         RouteTerms {
-            tries: route.tries,
-            deadline: Duration::from_millis(route.deadline_ms),
-            aim: route.latency_target(),
-            rank: config.priority_rank(route),
-            per_s: config.backend(service).and_then(|backend| backend.rate_per_s),
+            max_sends: route.tries,
+            timeout: Duration::from_millis(route.deadline_ms),
+            latency_target: route.latency_target(),
+            priority_rank: config.priority_rank(route),
+            rate_per_s: config.backend(service).and_then(|backend| backend.rate_per_s),
         }
     }
 }
 
 impl FetchRequest {
-    /// The fetch for a read that finds no fresh copy. Objects are fetched whole, whatever part of them is asked for.
+    /// The fetch for a read that finds no fresh response. Objects are always fetched completely, whatever range the read
+    /// asks for.
     pub fn new(
         config: &Arc<Config>,
         route: &Route,
         key: ObjectKey,
-        request: &hyper::http::request::Parts,
-        old: Option<Rc<Copy>>,
+        request: &Parts,
+        stale: Option<Rc<Copy>>,
         allowance: Allowance,
-        read_until: Instant,
+        read_deadline: Instant,
     ) -> Self {
         let mut headers = passed_on(&request.headers);
         for name in [header::RANGE, header::IF_RANGE, header::IF_NONE_MATCH, header::IF_MODIFIED_SINCE] {
             headers.remove(name);
         }
-        if let Some(etag) = old.as_ref().and_then(|old| old.headers.get(header::ETAG)) {
+        if let Some(etag) = stale.as_ref().and_then(|stale| stale.headers.get(header::ETAG)) {
             headers.insert(header::IF_NONE_MATCH, etag.clone());
         }
-        let again = request.headers.contains_key(AGAIN);
-        let terms = RouteTerms::of(config, route, &key.service);
-        FetchRequest { key, uri: request.uri.clone(), headers, old, again, allowance, read_until, terms }
+        let is_retry = request.headers.contains_key(REPEATED_REQUEST);
+        let terms = RouteTerms::new(config, route, &key.service);
+        let uri = request.uri.clone();
+        FetchRequest { key, uri, headers, stale, is_retry, allowance, read_deadline, terms }
+    }
+
+    fn upstream_request(&mut self, started: Instant) -> UpstreamRequest<'_> {
+        UpstreamRequest {
+            service: &self.key.service,
+            method: &Method::GET,
+            uri: &self.uri,
+            headers: std::mem::take(&mut self.headers),
+            body: Bytes::new(),
+            repeatable: true,
+            tries: self.terms.max_sends,
+            again: self.is_retry,
+            until: (started + self.terms.timeout).min(self.read_deadline + MAX_OVERRUN),
+            aim: self.terms.latency_target,
+            rank: self.terms.priority_rank,
+            per_s: self.terms.rate_per_s,
+        }
     }
 }
 
 impl Shield {
-    /// Begins a fetch; all who ask for the object meanwhile may wait for the same end.
-    pub(super) fn begin_fetch(self: &Rc<Self>, request: FetchRequest) -> Result<FetchDone, TooManyFetches> {
-        if self.fetches.get() >= MOST_FETCHES {
-            return Err(TooManyFetches);
-        }
+    /// Starts a fetch, which goes on also where the read that starts it ends before.
+    pub(super) fn start_fetch(
+        self: &Rc<Self>,
+        request: FetchRequest,
+    ) -> Result<FetchReceiver, TooManyFetches> {
+        let (started, receiver) = self.fetches.start(&request.key)?;
         self.counters.misses.add();
-        self.fetches.set(self.fetches.get() + 1);
-        let (tell, done) = watch::channel(None);
-        let purges = Rc::new(PurgesMeanwhile::default());
-        let flight = Flight { done: done.clone(), purges: Rc::clone(&purges) };
-        self.flights.borrow_mut().insert(request.key.clone(), flight);
         let shield = Rc::clone(self);
         spawn_local(async move {
-            let end = shield.fetch(request, &purges).await;
-            tell.send_replace(Some(end));
+            let end = shield.fetch(request, &started).await;
+            started.publish(end);
         });
-        Ok(done)
+        Ok(receiver)
     }
 
-    /// Fetches an object, and keeps what it brings unless a purge named it meanwhile.
-    async fn fetch(&self, request: FetchRequest, purges: &Rc<PurgesMeanwhile>) -> FetchEnd {
+    /// Fetches an object, and stores the response unless a purge received meanwhile names it.
+    async fn fetch(&self, mut request: FetchRequest, started: &StartedFetch) -> FetchEnd {
         let began = Instant::now();
-        let FetchRequest { key, uri, headers, old, again, allowance, read_until, terms } = request;
-        let job = UpstreamRequest {
-            service: &key.service,
-            method: &Method::GET,
-            uri: &uri,
-            headers,
-            body: Bytes::new(),
-            repeatable: true,
-            tries: terms.tries,
-            again,
-            until: (began + terms.deadline).min(read_until + BEYOND_ITS_READ),
-            aim: terms.aim,
-            rank: terms.rank,
-            per_s: terms.per_s,
-        };
-        let (outcome, report) = self.forwarder.send_within(job, allowance).await;
+        let allowance = request.allowance;
+        let (outcome, report) = self.forwarder.send_within(request.upstream_request(began), allowance).await;
+        let FetchRequest { key, stale, .. } = request;
         let fetched = match outcome {
-            Outcome::Answered(reply) => self.take_reply(&key, reply, began, old.clone()),
-            Outcome::NotRun(refusal) => Fetched::Refused(refusal),
+            Outcome::Answered(response) => self.take_response(&key, response, began, stale.as_ref()),
+            Outcome::NotRun(refusal) => Fetched::Rejected(refusal),
             Outcome::Unknown(failure) => Fetched::Unknown(failure),
             Outcome::TimedOut(failure) => Fetched::TimedOut(failure),
         };
-        self.counters.fetch.add(began.elapsed());
-        self.fetches.set(self.fetches.get() - 1);
-        self.end_flight(&key, purges);
+        self.counters.fetch_latency.add(began.elapsed());
+        self.fetches.finish(started);
         if let Fetched::Copy(copy) = &fetched {
-            let refreshed = old.is_some_and(|old| Rc::ptr_eq(&old, copy));
-            if !purges.name(copy) {
-                self.keep(key, copy, refreshed);
+            let is_revalidated = stale.is_some_and(|stale| Rc::ptr_eq(&stale, copy));
+            if !started.is_purged(copy) {
+                self.store(key, copy, is_revalidated);
             }
         }
         FetchEnd { fetched, report }
     }
 
-    /// Nobody joins it any more. It may have been taken off by a purge, and another begun under the same name.
-    fn end_flight(&self, key: &ObjectKey, purges: &Rc<PurgesMeanwhile>) {
-        let mut flights = self.flights.borrow_mut();
-        if flights.get(key).is_some_and(|flight| Rc::ptr_eq(&flight.purges, purges)) {
-            flights.remove(key);
-        }
-    }
-
-    fn take_reply(
+    /// The result of a server's response to a request sent at this time. A stale stored response that the server confirms
+    /// is as old as that request from now on.
+    fn take_response(
         &self,
         key: &ObjectKey,
-        reply: ServerResponse,
+        response: ServerResponse,
         sent: Instant,
-        old: Option<Rc<Copy>>,
+        stale: Option<&Rc<Copy>>,
     ) -> Fetched {
-        if let (StatusCode::NOT_MODIFIED, Some(old)) = (reply.status(), old) {
-            tracing::debug!(path = %key.path, "copy still good");
-            self.counters.refreshed.add();
-            old.born.set(sent);
-            return Fetched::Copy(old);
+        if let (StatusCode::NOT_MODIFIED, Some(stale)) = (response.status(), stale) {
+            tracing::debug!(path = %key.path, "stored response revalidated");
+            self.counters.revalidated.add();
+            stale.born.set(sent);
+            return Fetched::Copy(Rc::clone(stale));
         }
-        match Copy::of(&reply, sent) {
+        match Copy::of(&response, sent) {
             Some(copy) => Fetched::Copy(Rc::new(copy)),
-            None => Fetched::Other(reply),
+            None => Fetched::Other(response),
         }
     }
 }
--- /dev/null
+++ b/glenfall/src/shield/warm_start.rs
@@ -0,0 +1,76 @@
+//! Stored responses that lay on disk when the process started. They are used only once they have been read and control
+//! has published all purges from before the start; until then purges are applied to them here.
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+
+use glenfall_control_plane::messages::AgedPurge;
+use tokio::time::Instant;
+
+use crate::cache::disk::Row;
+use crate::cache::{Cache, Copy, ObjectKey};
+
+/// The stored responses found on disk, until they are taken into use.
+pub(super) struct WarmStart {
+    /// `None` without a disk cache, and once the responses are in use.
+    responses: RefCell<Option<Cache>>,
+    is_loaded: Cell<bool>,
+    /// Purges received while the disk was being read.
+    purges_while_loading: RefCell<Vec<AgedPurge>>,
+    /// Control has published all purges from before this process began.
+    is_caught_up: Cell<bool>,
+}
+
+impl WarmStart {
+    /// A warm start that keeps at most this many bytes of responses, where there is a disk to read them from.
+    pub fn new(has_disk: bool, max_bytes: usize) -> Self {
+        WarmStart {
+            responses: RefCell::new(has_disk.then(|| Cache::new(max_bytes))),
+            is_loaded: Cell::new(false),
+            purges_while_loading: RefCell::default(),
+            is_caught_up: Cell::new(false),
+        }
+    }
+
+    /// Takes what was read from disk.
+    pub fn load(&self, rows: Vec<Row>) {
+        let now = Instant::now();
+        let stored = rows.len();
+        if let Some(responses) = self.responses.borrow_mut().as_mut() {
+            for row in rows {
+                let Some(born) = now.checked_sub(row.age) else { continue };
+                let copy =
+                    Copy { headers: row.headers, body: row.body, born: Cell::new(born), labels: row.labels };
+                responses.insert(row.key, Rc::new(copy));
+            }
+            for purge in self.purges_while_loading.take() {
+                responses.purge(&purge);
+            }
+        }
+        tracing::info!(stored, "disk cache read: unused until all purges since are received");
+        self.is_loaded.set(true);
+    }
+
+    /// Control has published all purges from before this process began.
+    pub fn caught_up(&self) {
+        self.is_caught_up.set(true);
+    }
+
+    /// Removes what a purge names; returns which objects.
+    pub fn purge(&self, purge: &AgedPurge) -> Vec<ObjectKey> {
+        let mut responses = self.responses.borrow_mut();
+        let Some(responses) = responses.as_mut() else { return Vec::new() };
+        if !self.is_loaded.get() {
+            self.purges_while_loading.borrow_mut().push(purge.clone());
+        }
+        responses.purge(purge)
+    }
+
+    /// Takes the responses out, once they are loaded and control has published all purges; `None` before and afterwards.
+    pub fn take_ready(&self) -> Option<Cache> {
+        if !(self.is_loaded.get() && self.is_caught_up.get()) {
+            return None;
+        }
+        self.responses.borrow_mut().take()
+    }
+}
--- a/glenfall/tests/unit/deadlines.rs
+++ b/glenfall/tests/unit/deadlines.rs
@@ -59,7 +59,7 @@
             Request::Write => request("POST", "/w/x", "t"),
         };
         let began = Instant::now();
-        edge::Serving(edge).handle(whole).await;
+        edge::EdgeHandler(edge).handle(whole).await;
         began.elapsed()
     }
 }
--- a/glenfall/tests/unit/edge.rs
+++ b/glenfall/tests/unit/edge.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall::edge::{Edge, MOST_PURGED, PURGED};
+use glenfall::edge::{Edge, MAX_RECENT_PURGES, PURGE_BARRIER_TIME};
 use glenfall::http::response::ServerResponse;
 use glenfall::memory_budget::MemoryBudget;
 use glenfall::upstream::pool::Pool;
@@ -40,7 +40,7 @@
 }
 
 fn kept(edge: &Edge, path: &str) -> bool {
-    edge.copy(&object(path)).is_some()
+    edge.cached(&object(path)).is_some()
 }
 
 #[tokio::test(start_paused = true)]
@@ -48,20 +48,20 @@
     tokio::time::advance(Duration::from_secs(10)).await;
     let (edge, feed) = edge();
     in_touch(&edge, &feed, Duration::from_secs(600));
-    edge.keep(&object("/a"), &from_shield("t"), Instant::now());
-    edge.keep(&object("/b"), &from_shield("u"), Instant::now());
-    let age = edge.copy(&object("/a")).map(|copy| copy.age());
+    edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
+    edge.cache_response(&object("/b"), &from_shield("u"), Instant::now());
+    let age = edge.cached(&object("/a")).map(|copy| copy.age());
     assert_eq!(age, Some(Duration::from_millis(1500)));
     let now = |purge| AgedPurge { purge, age_ms: 0 };
     let one = Purge::Object { hostname: "h".into(), path: "/c".into() };
     edge.purge(&[now(Purge::Label("t".into())), now(one)]);
     assert!(!kept(&edge, "/a") && kept(&edge, "/b"));
     // A shield that has not heard yet hands out the old copies.
-    edge.keep(&object("/a"), &from_shield("t"), Instant::now());
-    edge.keep(&object("/c"), &from_shield("u"), Instant::now());
+    edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
+    edge.cache_response(&object("/c"), &from_shield("u"), Instant::now());
     assert!(!kept(&edge, "/a") && !kept(&edge, "/c"));
-    tokio::time::advance(PURGED).await;
-    edge.keep(&object("/a"), &from_shield("t"), Instant::now());
+    tokio::time::advance(PURGE_BARRIER_TIME).await;
+    edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
     assert!(kept(&edge, "/a"));
 }
 
@@ -69,15 +69,15 @@
 async fn out_of_touch_nothing_is_kept_and_a_stream_of_purges_is_bounded() {
     tokio::time::advance(Duration::from_secs(10)).await;
     let (edge, feed) = edge();
-    edge.keep(&object("/a"), &from_shield("t"), Instant::now());
+    edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
     assert!(!kept(&edge, "/a"));
     in_touch(&edge, &feed, Duration::from_secs(600));
-    let purges: Vec<Purge> = (0..2 * MOST_PURGED).map(|n| Purge::Label(n.to_string())).collect();
+    let purges: Vec<Purge> = (0..2 * MAX_RECENT_PURGES).map(|n| Purge::Label(n.to_string())).collect();
     for purge in purges {
         edge.purge(&[AgedPurge { purge, age_ms: 0 }]);
     }
-    assert!(edge.remembered_purges() <= MOST_PURGED);
-    edge.keep(&object("/a"), &from_shield("t"), Instant::now());
+    assert!(edge.recent_purge_count() <= MAX_RECENT_PURGES);
+    edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
     assert!(!kept(&edge, "/a"), "more were purged than are remembered");
 }
 
@@ -85,10 +85,10 @@
 async fn without_a_lease_nothing_is_kept_and_one_that_ended_comes_back_with_the_next_grant() {
     let (edge, feed) = edge();
     assert!(feed.hear(PublisherMessage::Push { number: 1, update: Update::Connected(true) }, &*edge));
-    edge.keep(&object("/a"), &from_shield("t"), Instant::now());
+    edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
     assert!(!kept(&edge, "/a") && !feed.vouches(), "in touch, and no lease");
     in_touch(&edge, &feed, Duration::from_millis(1200));
-    edge.keep(&object("/a"), &from_shield("t"), Instant::now());
+    edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
     assert!(kept(&edge, "/a") && feed.vouches());
     // A frozen process resumes: nothing has told it yet that its lease is over.
     tokio::time::advance(Duration::from_millis(1200)).await;
--- a/glenfall/tests/unit/gone.rs
+++ b/glenfall/tests/unit/gone.rs
@@ -78,7 +78,7 @@
         drain_accept_time: still_accepting,
         grace,
     };
-    spawn_local(serve_at(listener, terms, Rc::new(edge::Serving(edge)), stopping));
+    spawn_local(serve_at(listener, terms, Rc::new(edge::EdgeHandler(edge)), stopping));
     Path { edge: address, seen, _running: running }
 }
 
--- a/glenfall/tests/unit/handed.rs
+++ b/glenfall/tests/unit/handed.rs
@@ -81,7 +81,7 @@
     let edge = Rc::clone(edge);
     spawn_local(async move {
         let began = Instant::now();
-        let answer = edge::Serving(edge).handle(whole).await;
+        let answer = edge::EdgeHandler(edge).handle(whole).await;
         (answer.status(), began.elapsed())
     })
 }
--- a/glenfall/tests/unit/proxies.rs
+++ b/glenfall/tests/unit/proxies.rs
@@ -222,7 +222,7 @@
         drain_accept_time: still_accepting,
         grace,
     };
-    spawn_local(serve_at(listener, terms, Rc::new(shield::Serving(shield)), stopping.clone()));
+    spawn_local(serve_at(listener, terms, Rc::new(shield::ShieldHandler(shield)), stopping.clone()));
 }
 
 /// A shield that is down, and can be started at the address that it had.
--- a/glenfall/tests/unit/restarted.rs
+++ b/glenfall/tests/unit/restarted.rs
@@ -31,7 +31,7 @@
 }
 
 async fn read(edge: &Rc<Edge>, path: &str) -> StatusCode {
-    edge::Serving(Rc::clone(edge)).handle(request("GET", path, "t")).await.status()
+    edge::EdgeHandler(Rc::clone(edge)).handle(request("GET", path, "t")).await.status()
 }
 
 /// A path whose home is the second of two shields.
--- a/glenfall/tests/unit/tries.rs
+++ b/glenfall/tests/unit/tries.rs
@@ -58,7 +58,7 @@
         let edge = start_edge(servers, &shields, pool()).await;
         let began = Instant::now();
         let path = path_at_first(&shields, self.tries);
-        let answer = edge::Serving(edge).handle(request("GET", &path, id)).await;
+        let answer = edge::EdgeHandler(edge).handle(request("GET", &path, id)).await;
         sleep_until(began + ALL_SENT).await;
         answer.status()
     }
