--- a/glenfall/src/control/api/configuration.rs
+++ b/glenfall/src/control/api/configuration.rs
@@ -9,12 +9,12 @@
 
 use super::error::ApiError;
 use super::{encoded_response, json_response};
-use crate::control::Control;
+use crate::control::node::Control;
 use crate::http_server::{FullRequest, FullResponse};
 
 /// The committed configuration, with its version as the entity tag.
 pub(super) async fn read(control: &Control) -> Result<FullResponse, ApiError> {
-    let Outcome::Document(record) = control.call(Call::Read).await else {
+    let Outcome::Document(record) = control.chain.call(Call::Read).await else {
         return Err(ApiError::NoActiveView);
     };
     if record.rev == 0 {
@@ -33,7 +33,7 @@
 ) -> Result<FullResponse, ApiError> {
     let base = base_version(&request.head.headers).ok_or(ApiError::MissingBaseVersion)?;
     let change = new_change(request.body.to_vec());
-    match control.call(Call::Change { builds_on: base, change }).await {
+    match control.chain.call(Call::Change { builds_on: base, change }).await {
         Outcome::Done { rev } => Ok(json_response(StatusCode::OK, &json!({ "rev": rev }))),
         Outcome::Conflict { current } => Err(ApiError::VersionConflict { current, base }),
         Outcome::Invalid(error) => Err(ApiError::InvalidConfiguration(error)),
--- a/glenfall/src/control/api/mod.rs
+++ b/glenfall/src/control/api/mod.rs
@@ -23,7 +23,7 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-use super::Control;
+use super::node::Control;
 use crate::http_server::{FullRequest, FullResponse, Handler};
 use crate::metrics::log_limit::LogLimit;
 use error::ApiError;
@@ -71,7 +71,7 @@
             ("GET", "/api/core") => Ok(voters::list(control)),
             ("POST", "/api/core") => voters::change(control, &request.body).await,
             ("GET", "/api/status") => Ok(status::report(control)),
-            ("GET", "/api/ready") if control.cut_off() => Err(ApiError::NoQuorum),
+            ("GET", "/api/ready") if control.quorum.update() => Err(ApiError::NoQuorum),
             ("GET", "/api/ready") => Ok(empty_response()),
             (_, "/api/config" | "/api/core" | "/api/purge" | "/api/state" | "/api/status") => {
                 Err(ApiError::MethodNotAllowed)
@@ -129,7 +129,7 @@
     }
 
     fn is_draining(&self) -> bool {
-        *self.control.stop.borrow()
+        self.control.is_shutting_down()
     }
 }
 
--- a/glenfall/src/control/api/purge.rs
+++ b/glenfall/src/control/api/purge.rs
@@ -7,7 +7,7 @@
 
 use super::empty_response;
 use super::error::ApiError;
-use crate::control::Control;
+use crate::control::node::Control;
 use crate::http_server::FullResponse;
 
 /// Longest host, path or label in bytes.
@@ -42,7 +42,7 @@
 pub(super) async fn purge(control: &Rc<Control>, body: &[u8]) -> Result<FullResponse, ApiError> {
     let request: PurgeRequest = serde_json::from_slice(body).map_err(ApiError::InvalidBody)?;
     let target = request.target()?;
-    if control.in_majority() && control.purge(target).await {
+    if control.chain.has_quorum() && control.purges.purge(target).await.is_ok() {
         Ok(empty_response())
     } else {
         Err(ApiError::NoQuorum)
--- a/glenfall/src/control/api/servers.rs
+++ b/glenfall/src/control/api/servers.rs
@@ -4,33 +4,30 @@
 
 use super::empty_response;
 use super::error::ApiError;
-use crate::control::Control;
+use crate::control::node::Control;
 use crate::http_server::FullResponse;
 
 /// Takes a heartbeat. That a server is draining is acknowledged only once all control nodes know it.
 pub(super) async fn heartbeat(control: &Control, id: &str, body: &[u8]) -> Result<FullResponse, ApiError> {
     let request: HeartbeatRequest = serde_json::from_slice(body).map_err(ApiError::InvalidBody)?;
     let entry = ServerEntry::of(id, request).ok_or(ApiError::InvalidServerName)?;
-    if !control.in_majority() {
+    if !control.chain.has_quorum() {
         return Err(ApiError::NoQuorum);
     }
-    match control.heard(entry).await {
-        Some(HeartbeatOutcome::Changed | HeartbeatOutcome::Refreshed | HeartbeatOutcome::Stale) => {
+    match control.servers.heartbeat(entry).await {
+        Ok(HeartbeatOutcome::Changed | HeartbeatOutcome::Refreshed | HeartbeatOutcome::Stale) => {
             Ok(empty_response())
         }
-        Some(HeartbeatOutcome::RegistryFull) => Err(ApiError::RegistryFull),
-        None => Err(ApiError::NotReplicated),
+        Ok(HeartbeatOutcome::RegistryFull) => Err(ApiError::RegistryFull),
+        Err(_) => Err(ApiError::NotReplicated),
     }
 }
 
 /// Deregisters a server, and succeeds once all control nodes know it.
 pub(super) async fn deregister(control: &Control, id: &str) -> Result<FullResponse, ApiError> {
-    if !control.in_majority() {
+    if !control.chain.has_quorum() {
         return Err(ApiError::NoQuorum);
     }
-    if control.said_goodbye(id).await {
-        Ok(empty_response())
-    } else {
-        Err(ApiError::NotReplicated)
-    }
+    control.servers.deregister(id).await.map_err(|_| ApiError::NotReplicated)?;
+    Ok(empty_response())
 }
--- a/glenfall/src/control/api/status.rs
+++ b/glenfall/src/control/api/status.rs
@@ -6,34 +6,32 @@
 use serde_json::{json, Value};
 
 use super::json_response;
-use crate::control::Control;
+use crate::control::node::Control;
 use crate::http_server::FullResponse;
 use crate::session::link;
 use crate::session::publisher::SessionStatus;
 
 /// The state of this node, for people to read.
 pub(super) fn report(control: &Control) -> FullResponse {
-    let chain = control.chain.borrow();
+    let chain = control.chain.state();
     let sessions: Vec<Value> = control.sessions.seen().into_iter().map(session_report).collect();
-    let versioned_fleet = control.fleet.borrow();
-    let fleet = versioned_fleet.fleet();
+    let fleet = control.fleet.published();
     // While the registry is incomplete, the fleet that proxies get also names servers that were deregistered.
-    let registry = control.registry.borrow();
-    let is_registered = |id: &str| !registry.is_deregistered(id);
+    let is_registered = |id: &str| !control.registry.is_deregistered(id);
     let servers: Vec<_> = fleet.servers.iter().filter(|server| is_registered(&server.id)).collect();
     let report = json!({
-        "node": control.boot.node,
+        "node": control.settings.node,
         "rev": chain.committed().rev,
         "voters": chain.members().voters,
         "outlivesLosses": chain.tolerates_losses(),
         "view": chain.view().map(|view| json!({ "name": view.name(), "chain": view.chain })),
         "inMajority": chain.has_quorum(),
-        "peers": control.peers.up(),
+        "peers": control.peers.links.connected(),
         "servers": servers,
         "shields": fleet.shields,
         "sessions": sessions,
         "counters": by_name(link::report("")),
-        "upMs": control.began.elapsed().as_millis() as u64,
+        "upMs": control.clock.uptime().as_millis() as u64,
     });
     json_response(StatusCode::OK, &report)
 }
--- a/glenfall/src/control/api/voters.rs
+++ b/glenfall/src/control/api/voters.rs
@@ -11,7 +11,7 @@
 
 use super::error::ApiError;
 use super::json_response;
-use crate::control::{Control, TICK};
+use crate::control::node::{Control, TICK_INTERVAL};
 use crate::http_server::FullResponse;
 
 /// How long a quorum read for the newest set of voters may take: callers move on after a second.
@@ -39,7 +39,7 @@
 
 /// The voters and the standbys, and how many losses the voters tolerate.
 pub(super) fn list(control: &Control) -> FullResponse {
-    let chain = control.chain.borrow();
+    let chain = control.chain.state();
     let members = chain.members();
     let voters: Vec<_> = members
         .voters
@@ -50,14 +50,14 @@
         })
         .collect();
     let body = json!({
-        "node": control.boot.bind_ip,
+        "node": control.settings.bind_ip,
         "view": chain.view().map(|view| view.name()),
         "voters": voters,
         "outgoingVoters": members.outgoing,
         // The name before version 0.4.
         "lettingGoOf": members.outgoing,
         "standingBy": chain.standbys(),
-        "losses": control.boot.survive.hosts,
+        "losses": control.settings.survive.hosts,
         "outlivesLosses": chain.tolerates_losses(),
         "inMajority": chain.has_quorum(),
     });
@@ -69,13 +69,10 @@
     let request: VoterChangeRequest = serde_json::from_slice(body).map_err(ApiError::InvalidBody)?;
     let change = request.change()?;
     // The change is judged by the newest set of voters that a majority knows.
-    if timeout(QUORUM_READ_TIMEOUT, control.knows_newest()).await.is_err() {
+    if timeout(QUORUM_READ_TIMEOUT, control.quorum_reads.wait_for_newest()).await.is_err() {
         return Err(VoterChangeError::NoView.into());
     }
-    let voters = {
-        let now = control.now();
-        control.chain.borrow_mut().request_voter_change(now, change)?
-    };
+    let voters = control.chain.request_voter_change(change)?;
     // `seat` is the name before version 0.4.
     tracing::info!(?change, seat = ?change, ?voters, "voter change requested by an operator");
     if are_active(control, &voters).await {
@@ -89,8 +86,8 @@
 async fn are_active(control: &Control, voters: &[Ipv4Addr]) -> bool {
     let started = Instant::now();
     while started.elapsed() < VOTER_CHANGE_TIMEOUT {
-        sleep(TICK).await;
-        let chain = control.chain.borrow();
+        sleep(TICK_INTERVAL).await;
+        let chain = control.chain.state();
         let members = chain.members();
         if members.voters == voters && members.outgoing.is_empty() {
             return true;
--- /dev/null
+++ b/glenfall/src/control/chain_driver.rs
@@ -0,0 +1,208 @@
+//! Runs the replicated chain of a control node: feeds it with time, messages, calls and completed writes, and carries out
+//! what it asks for.
+
+use std::cell::{Cell, Ref, RefCell};
+use std::collections::BTreeMap;
+use std::net::Ipv4Addr;
+use std::rc::Rc;
+use std::sync::Arc;
+
+use glenfall_control_plane::chain::{
+    Call, Chain, Message, Outcome, Output, Record, VoterChange, VoterChangeError,
+};
+use glenfall_control_plane::invariant::Invariant;
+use glenfall_control_plane::messages::{PeerMessage, Update};
+use glenfall_control_plane::Millis;
+use tokio::sync::{mpsc, oneshot};
+
+use super::clock::Clock;
+use super::peers::links::PeerLinks;
+use super::store::writer::HardStateWriter;
+use crate::session::publisher::Sessions;
+
+/// Runs the chain.
+///
+/// It owns the chain, the queue of its writes, and the calls that wait for an outcome. Everything that the chain asks
+/// for is carried out, in its order, before the method that caused it returns.
+pub struct ChainDriver {
+    clock: Clock,
+    chain: RefCell<Chain>,
+    writes: HardStateWriter,
+    links: Rc<PeerLinks>,
+    sessions: Rc<Sessions>,
+    /// Calls that the chain has not answered yet, by their numbers.
+    pending_calls: RefCell<BTreeMap<u64, oneshot::Sender<Outcome>>>,
+    next_call: Cell<u64>,
+    /// Number of the view that was logged last; 0 if there was none.
+    logged_view: Cell<u64>,
+    /// The record that was published last, which later ones are checked against.
+    published: RefCell<Option<Arc<Record>>>,
+    /// Number of hosts whose loss the settings ask the chain to tolerate.
+    tolerated_losses: usize,
+}
+
+impl ChainDriver {
+    /// Runs `chain`, whose state is written through `writes`.
+    pub fn new(
+        clock: Clock,
+        chain: Chain,
+        writes: HardStateWriter,
+        links: Rc<PeerLinks>,
+        sessions: Rc<Sessions>,
+        tolerated_losses: usize,
+    ) -> Self {
+        ChainDriver {
+            clock,
+            chain: RefCell::new(chain),
+            writes,
+            links,
+            sessions,
+            pending_calls: RefCell::default(),
+            next_call: Cell::new(0),
+            logged_view: Cell::new(0),
+            published: RefCell::default(),
+            tolerated_losses,
+        }
+    }
+
+    /// The chain, to be read. The guard must not be held across an `await` or a call of another method.
+    pub fn state(&self) -> Ref<'_, Chain> {
+        self.chain.borrow()
+    }
+
+    /// Whether this node has heard from a majority of the voters within the last second. That is not enough for
+    /// anything that binds other nodes: it needs an acknowledgement of the very request by each node of a majority.
+    pub fn has_quorum(&self) -> bool {
+        let now = self.clock.now();
+        self.chain.borrow_mut().has_quorum_at(now)
+    }
+
+    /// Lets the chain act on the passage of time. `before_heartbeat` is called before heartbeats are sent, so that it can
+    /// send messages that the peers receive in the same packet.
+    pub fn tick(&self, before_heartbeat: impl FnOnce(Millis)) {
+        let now = self.clock.now();
+        let outputs = self.chain.borrow_mut().tick(now);
+        let is_heartbeat = |output: &Output| matches!(output, Output::Send(_, Message::Heartbeat(_)));
+        if outputs.iter().any(is_heartbeat) {
+            before_heartbeat(now);
+        }
+        self.carry_out(outputs);
+    }
+
+    /// Passes a message of a peer to the chain.
+    pub fn message_received(&self, from: Ipv4Addr, message: Message) {
+        self.step(|chain, now| chain.message(now, from, message));
+    }
+
+    /// Tells the chain that a peer is connected.
+    pub fn peer_connected(&self, peer: Ipv4Addr) {
+        self.step(|chain, now| chain.peer_up(now, peer));
+    }
+
+    /// Tells the chain that a peer is disconnected. The view that the chain forms in consequence makes up for messages
+    /// that were lost with the connection.
+    pub fn peer_disconnected(&self, peer: Ipv4Addr) {
+        self.step(|chain, now| chain.peer_down(now, peer));
+    }
+
+    /// Has the chain replace this node, which stops soon.
+    pub fn leave(&self) {
+        self.step(Chain::leave);
+    }
+
+    /// Tells the chain of each write that is on disk, for as long as the thread that writes runs.
+    pub async fn report_completed_writes(self: Rc<Self>, mut completed: mpsc::UnboundedReceiver<u64>) {
+        while let Some(number) = completed.recv().await {
+            self.step(|chain, now| chain.synced(now, number));
+        }
+    }
+
+    /// Has the chain decide a call, and waits for the outcome.
+    pub async fn call(&self, call: Call) -> Outcome {
+        let number = self.next_call.replace(self.next_call.get() + 1);
+        let (answer, outcome) = oneshot::channel();
+        self.pending_calls.borrow_mut().insert(number, answer);
+        self.step(|chain, now| chain.call(now, number, call));
+        outcome.await.unwrap_or(Outcome::Unavailable)
+    }
+
+    /// Requests a change of the voters; returns the voters that there will be once it is complete.
+    ///
+    /// # Errors
+    ///
+    /// When the chain rejects the change.
+    pub fn request_voter_change(&self, change: VoterChange) -> Result<Vec<Ipv4Addr>, VoterChangeError> {
+        let now = self.clock.now();
+        self.chain.borrow_mut().request_voter_change(now, change)
+    }
+
+    fn step(&self, event: impl FnOnce(&mut Chain, Millis) -> Vec<Output>) {
+        let now = self.clock.now();
+        // The chain is not borrowed while its outputs are carried out.
+        let outputs = event(&mut self.chain.borrow_mut(), now);
+        self.carry_out(outputs);
+    }
+
+    fn carry_out(&self, outputs: Vec<Output>) {
+        self.log_view_change();
+        for output in outputs {
+            match output {
+                Output::Send(peer, message) => self.links.send(peer, PeerMessage::Chain(message)),
+                Output::Persist(number, state) => self.writes.submit(number, state),
+                Output::Answer(call, outcome) => self.answer(call, outcome),
+                Output::Publish(record) => self.publish(&record),
+            }
+        }
+    }
+
+    fn answer(&self, call: u64, outcome: Outcome) {
+        if let Some(caller) = self.pending_calls.borrow_mut().remove(&call) {
+            // The caller may have stopped waiting.
+            let _ = caller.send(outcome);
+        }
+    }
+
+    fn publish(&self, record: &Arc<Record>) {
+        self.check_committed(record);
+        if record.rev > 0 {
+            tracing::info!(rev = record.rev, seq = record.seq, "configuration committed");
+            self.sessions.push(&config_update(record));
+        }
+    }
+
+    /// Checks that a committed record follows the one before it, whichever views were between them.
+    fn check_committed(&self, record: &Arc<Record>) {
+        let Some(before) = self.published.replace(Some(Arc::clone(record))) else { return };
+        let detail =
+            || format!("rev {}, seq {} after {}, {}", record.rev, record.seq, before.rev, before.seq);
+        let is_ordered = (before.rev, before.seq) <= (record.rev, record.seq);
+        Invariant::CommittedOrder.check(is_ordered, detail);
+        let is_same_document = before.rev != record.rev || before.document == record.document;
+        Invariant::OneDocument.check(is_same_document, detail);
+    }
+
+    fn log_view_change(&self) {
+        let chain = self.chain.borrow();
+        let number = chain.view().map_or(0, |view| view.number);
+        if self.logged_view.replace(number) == number {
+            return;
+        }
+        let Some(view) = chain.view() else {
+            tracing::warn!("no active view");
+            return;
+        };
+        let (members, voters) = (&view.chain, &view.members.voters);
+        tracing::info!(view = view.name(), chain = ?members, ?voters, "view active");
+        if !chain.tolerates_losses() {
+            tracing::warn!(
+                tolerated_losses = self.tolerated_losses,
+                "too few voters for the configured losses: no change is acknowledged"
+            );
+        }
+    }
+}
+
+/// The update that tells sessions of a committed configuration.
+pub fn config_update(record: &Record) -> Update {
+    Update::Config { rev: record.rev, document: Arc::new(record.document.clone()) }
+}
--- /dev/null
+++ b/glenfall/src/control/heartbeat_relay.rs
@@ -0,0 +1,51 @@
+//! Heartbeats of servers that change nothing, collected for the peers. Each keeps a server in the registry of every control
+//! node for four heartbeat intervals, so that a short delay does no harm. One message, which goes out with a heartbeat
+//! of the chain, carries those of many servers, and wakes a peer that is woken anyway.
+
+use std::cell::RefCell;
+
+use glenfall_control_plane::messages::PeerMessage;
+use glenfall_control_plane::registry::{ObservedServer, ServerEntry};
+use glenfall_control_plane::Millis;
+
+/// Limit on the heartbeats that wait to be sent. While no peer is connected, none are sent, and none need to be.
+pub const MAX_PENDING_HEARTBEATS: usize = 1024;
+
+/// A heartbeat that peers have not received.
+struct PendingHeartbeat {
+    entry: ServerEntry,
+    received_at: Millis,
+}
+
+/// The heartbeats that wait to be sent to peers.
+///
+/// It owns at most [`MAX_PENDING_HEARTBEATS`], in the order in which they were received, and one of each server.
+#[derive(Default)]
+pub struct HeartbeatRelay {
+    pending: RefCell<Vec<PendingHeartbeat>>,
+}
+
+impl HeartbeatRelay {
+    /// Adds a heartbeat, which replaces an earlier one of the same server. If there are too many, the oldest is dropped.
+    pub fn add(&self, now: Millis, entry: ServerEntry) {
+        let mut pending = self.pending.borrow_mut();
+        pending.retain(|earlier| earlier.entry.id != entry.id);
+        if pending.len() >= MAX_PENDING_HEARTBEATS {
+            pending.remove(0);
+        }
+        pending.push(PendingHeartbeat { entry, received_at: now });
+    }
+
+    /// Removes all heartbeats; returns the message that sends them, if there are any.
+    pub fn take(&self, now: Millis) -> Option<PeerMessage> {
+        let pending = self.pending.take();
+        if pending.is_empty() {
+            return None;
+        }
+        let with_age = |heartbeat: PendingHeartbeat| ObservedServer {
+            entry: heartbeat.entry,
+            age_ms: now.saturating_sub(heartbeat.received_at),
+        };
+        Some(PeerMessage::Servers(pending.into_iter().map(with_age).collect()))
+    }
+}
--- /dev/null
+++ b/glenfall/src/control/peers/requests.rs
@@ -0,0 +1,160 @@
+//! Requests to several peers at once, matched with their acknowledgements by correlation ids.
+
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::Ipv4Addr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use glenfall_control_plane::messages::{CallId, PeerMessage};
+use tokio::sync::Notify;
+use tokio::time::timeout;
+
+use super::links::PeerLinks;
+
+/// Why a request was not acknowledged by all peers that it was sent to.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RequestError {
+    /// One of the peers that had not acknowledged was disconnected: it may have sessions that were not notified.
+    #[error("{disconnected} disconnected; not acknowledged by {unacknowledged:?}")]
+    Disconnected {
+        /// That peer.
+        disconnected: Ipv4Addr,
+        /// All peers that had not acknowledged, in order.
+        unacknowledged: Vec<Ipv4Addr>,
+    },
+    /// The deadline has passed.
+    #[error("deadline passed; not acknowledged by {unacknowledged:?}")]
+    TimedOut {
+        /// The peers that had not acknowledged, in order.
+        unacknowledged: Vec<Ipv4Addr>,
+    },
+}
+
+/// A request that some peers have not acknowledged yet.
+struct PendingRequest {
+    unacknowledged: BTreeSet<Ipv4Addr>,
+    /// Peers whose acknowledgement covers every process that may use a lease of theirs.
+    complete: Vec<Ipv4Addr>,
+    /// The first of the unacknowledged peers that was disconnected.
+    disconnected: Option<Ipv4Addr>,
+}
+
+impl PendingRequest {
+    fn new(peers: &[Ipv4Addr]) -> Self {
+        PendingRequest {
+            unacknowledged: peers.iter().copied().collect(),
+            complete: Vec::new(),
+            disconnected: None,
+        }
+    }
+
+    fn is_decided(&self) -> bool {
+        self.unacknowledged.is_empty() || self.disconnected.is_some()
+    }
+
+    fn into_result(self) -> Result<Vec<Ipv4Addr>, RequestError> {
+        let unacknowledged = Vec::from_iter(self.unacknowledged);
+        match self.disconnected {
+            Some(disconnected) => Err(RequestError::Disconnected { disconnected, unacknowledged }),
+            None if unacknowledged.is_empty() => Ok(self.complete),
+            None => Err(RequestError::TimedOut { unacknowledged }),
+        }
+    }
+}
+
+/// Requests to several peers.
+///
+/// It owns the pending requests and the correlation ids. Each pending request belongs to one waiting caller and is
+/// removed when that caller stops waiting, for whatever reason. A request fails for good when a peer that has not
+/// acknowledged it is disconnected, also if that peer is connected again later.
+pub struct PeerRequests {
+    links: Rc<PeerLinks>,
+    pending: RefCell<BTreeMap<u64, PendingRequest>>,
+    next_id: Cell<u64>,
+    /// Some pending request may be decided.
+    progress: Notify,
+}
+
+/// Removes a pending request when its caller stops waiting, also if the caller's future is dropped.
+struct PendingGuard<'a> {
+    requests: &'a PeerRequests,
+    id: u64,
+}
+
+impl PendingGuard<'_> {
+    fn finish(&self) -> Option<PendingRequest> {
+        self.requests.pending.borrow_mut().remove(&self.id)
+    }
+}
+
+impl Drop for PendingGuard<'_> {
+    fn drop(&mut self) {
+        self.finish();
+    }
+}
+
+impl PeerRequests {
+    /// No requests yet; they are sent on `links`.
+    pub fn new(links: Rc<PeerLinks>) -> Self {
+        PeerRequests { links, pending: RefCell::default(), next_id: Cell::new(1), progress: Notify::new() }
+    }
+
+    /// Sends a request to these peers and waits until each has acknowledged it; returns those whose acknowledgement was
+    /// complete.
+    ///
+    /// # Errors
+    ///
+    /// When a peer is disconnected before it acknowledges, or the deadline passes.
+    pub async fn send_to_all(
+        &self,
+        peers: &[Ipv4Addr],
+        request: impl Fn(CallId) -> PeerMessage,
+        deadline: Duration,
+    ) -> Result<Vec<Ipv4Addr>, RequestError> {
+        let id = self.next_id.replace(self.next_id.get() + 1);
+        self.pending.borrow_mut().insert(id, PendingRequest::new(peers));
+        let guard = PendingGuard { requests: self, id };
+        let incarnation = self.links.local().incarnation;
+        for peer in peers {
+            self.links.send(*peer, request(CallId { incarnation, number: id }));
+        }
+        // The state of the request tells whether it was decided in time.
+        let _ = timeout(deadline, self.decided(id)).await;
+        guard.finish().map_or(Ok(Vec::new()), PendingRequest::into_result)
+    }
+
+    async fn decided(&self, id: u64) {
+        loop {
+            let progress = self.progress.notified();
+            if self.pending.borrow().get(&id).is_none_or(PendingRequest::is_decided) {
+                return;
+            }
+            progress.await;
+        }
+    }
+
+    /// Records an acknowledgement of a peer.
+    pub fn acknowledged(&self, peer: Ipv4Addr, id: CallId, complete: bool) {
+        if id.incarnation != self.links.local().incarnation {
+            tracing::debug!(%peer, "acknowledgement ignored: the request was sent by an earlier incarnation");
+            return;
+        }
+        if let Some(request) = self.pending.borrow_mut().get_mut(&id.number) {
+            if request.unacknowledged.remove(&peer) && complete {
+                request.complete.push(peer);
+            }
+        }
+        self.progress.notify_waiters();
+    }
+
+    /// Fails the requests that a peer has not acknowledged: it may have sessions, and has not confirmed that they know.
+    pub fn peer_disconnected(&self, peer: Ipv4Addr) {
+        for request in self.pending.borrow_mut().values_mut() {
+            if request.disconnected.is_none() && request.unacknowledged.contains(&peer) {
+                request.disconnected = Some(peer);
+            }
+        }
+        self.progress.notify_waiters();
+    }
+}
--- /dev/null
+++ b/glenfall/src/control/purge_coordinator.rs
@@ -0,0 +1,285 @@
+//! Purges at a control node: which it knows, to whom it sends them, and when it acknowledges one.
+
+use std::cell::{Cell, RefCell};
+use std::net::Ipv4Addr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use glenfall_control_plane::invariant::Invariant;
+use glenfall_control_plane::messages::{
+    AgedPurge, CallId, PeerMessage, ProcessId, Purge, PurgeRecord, Update,
+};
+use glenfall_control_plane::purge_history::PurgeHistory;
+use tokio::sync::oneshot;
+use tokio::task::spawn_local;
+
+use super::clock::{Clock, PROCESS_START};
+use super::peers::links::PeerLinks;
+use super::peers::requests::PeerRequests;
+use super::purge_durability::PurgeDurability;
+use super::purge_log::PurgeLog;
+use super::voter_leases::VoterLeaseManager;
+use crate::session::publisher::{Sessions, LONGEST_BEHIND};
+
+/// Time limit for a purge to reach every process that may serve from stored responses. After that it is refused, and the
+/// operator repeats it when the leases of those that were late are over. Operators give up a call after a second.
+const PURGE_TIMEOUT: Duration = Duration::from_millis(750);
+/// Time limit for a purge of a peer, here and at the peers that it is forwarded to. It is shorter than [`PURGE_TIMEOUT`],
+/// so that the acknowledgement still arrives in time at the origin.
+const PEER_PURGE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Time limit for a purge that another node than its origin has forwarded; shorter than [`PEER_PURGE_TIMEOUT`] for the same
+/// reason.
+const FORWARDED_PURGE_TIMEOUT: Duration = Duration::from_millis(450);
+
+/// Why a purge was not acknowledged.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum PurgeError {
+    /// Its record is not on one disk more than may be lost. Shields store responses on their disks, and if all other
+    /// machines lose power meanwhile, what is on disk is all that is known of the purge.
+    #[error("its record is durable on fewer than {required} disks")]
+    NotDurable {
+        /// The number of disks that it has to be on.
+        required: usize,
+    },
+    /// A process that may serve from stored responses has not applied it, and its lease is not over.
+    #[error("not all processes that may serve from stored responses have applied it")]
+    NotApplied,
+}
+
+/// What a coordinator sends and waits with.
+pub struct PurgeDependencies {
+    /// The clock of the process.
+    pub clock: Clock,
+    /// The links to peers.
+    pub links: Rc<PeerLinks>,
+    /// Requests to peers.
+    pub requests: Rc<PeerRequests>,
+    /// The sessions at this node.
+    pub sessions: Rc<Sessions>,
+    /// The leases that this node has granted.
+    pub leases: Rc<VoterLeaseManager>,
+}
+
+/// Coordinates purges.
+///
+/// It owns the purge history, its log on disk, and the numbers of the purges of this process. A purge that is new to the
+/// history is pushed to all sessions and written to disk in the same step, so that none of the three lacks it.
+pub struct PurgeCoordinator {
+    dependencies: PurgeDependencies,
+    history: RefCell<PurgeHistory>,
+    log: PurgeLog,
+    durability: Rc<PurgeDurability>,
+    next_number: Cell<u64>,
+    required_disks: usize,
+}
+
+impl PurgeCoordinator {
+    /// Continues with the purges that were read from the log. A purge is acknowledged once it is on `required_disks`.
+    pub fn new(
+        dependencies: PurgeDependencies,
+        log: PurgeLog,
+        logged: Vec<PurgeRecord>,
+        required_disks: usize,
+    ) -> Self {
+        let mut history = PurgeHistory::default();
+        history.record(PROCESS_START, logged);
+        PurgeCoordinator {
+            dependencies,
+            history: RefCell::new(history),
+            log,
+            durability: Rc::default(),
+            next_number: Cell::new(0),
+            required_disks,
+        }
+    }
+
+    /// The purges that a session that begins now may have missed.
+    pub fn missed(&self) -> Vec<AgedPurge> {
+        self.history.borrow().missed(self.dependencies.clock.now())
+    }
+
+    /// The message that sends a peer the whole history.
+    pub fn history_message(&self) -> PeerMessage {
+        let purges = self.history.borrow().snapshot(self.dependencies.clock.now());
+        PeerMessage::Purges { id: None, purges, already_asked: None }
+    }
+
+    /// Invalidates all stored responses that a purge names, at whatever process they are.
+    ///
+    /// # Errors
+    ///
+    /// When the purge is not durable on enough disks in time, or was neither applied by each process that may serve from
+    /// such responses nor outlasted by the leases of those processes.
+    pub async fn purge(&self, purge: Purge) -> Result<(), PurgeError> {
+        let PurgeDependencies { links, requests, sessions, leases, .. } = &self.dependencies;
+        let number = self.next_number.replace(self.next_number.get() + 1);
+        let ProcessId { ip: origin, incarnation } = links.local();
+        let record = PurgeRecord { origin, incarnation, number, age_ms: 0, purge };
+        let tracked = self.durability.track(number);
+        let written = self.record(vec![record.clone()]);
+        self.track_own_write(number, written);
+        let leased = sessions.leased();
+        let notified = links.connected_processes();
+        let request = |id| PeerMessage::Purges {
+            id: Some(id),
+            purges: vec![record.clone()],
+            already_asked: Some(notified.clone()),
+        };
+        let peers = addresses(&notified);
+        let (acknowledged, applied, other_leases_over, durable) = tokio::join!(
+            requests.send_to_all(&peers, request, PURGE_TIMEOUT),
+            self.apply_at_sessions(PURGE_TIMEOUT),
+            leases.wait_for_other_leases_to_end(&notified, PURGE_TIMEOUT),
+            tracked.wait_for_disks(self.required_disks, PURGE_TIMEOUT)
+        );
+        if !durable {
+            tracing::warn!(
+                number,
+                required_disks = self.required_disks,
+                "purge not acknowledged: its record is durable on too few disks"
+            );
+            return Err(PurgeError::NotDurable { required: self.required_disks });
+        }
+        let is_quorum = acknowledged.is_ok_and(|complete| leases.is_quorum_for_all_leases(&complete));
+        if !(other_leases_over && applied && is_quorum) {
+            return Err(PurgeError::NotApplied);
+        }
+        let behind = sessions.still_behind(&leased);
+        Invariant::PurgeIsApplied.check(behind.is_empty(), || format!("{behind:?} have a lease"));
+        Ok(())
+    }
+
+    /// Reports a purge of this node as durable once it is on the disk of this node.
+    fn track_own_write(&self, number: u64, written: Option<oneshot::Receiver<()>>) {
+        let Some(written) = written else { return };
+        let durability = Rc::clone(&self.durability);
+        let local = self.dependencies.links.local().ip;
+        spawn_local(async move {
+            if written.await.is_ok() {
+                durability.durable_on(local, number);
+            }
+        });
+    }
+
+    /// Records that a purge of a process at this address is on the disk of a peer.
+    pub fn durable_on(&self, peer: Ipv4Addr, incarnation: u64, number: u64) {
+        if incarnation == self.dependencies.links.local().incarnation {
+            self.durability.durable_on(peer, number);
+        }
+    }
+
+    /// Records purges that a peer has sent, and reports those of its own as durable once they are on the disk of this
+    /// node.
+    pub fn record_from_peer(&self, peer: Ipv4Addr, purges: &[PurgeRecord]) {
+        let Some(written) = self.record(purges.to_vec()) else { return };
+        let own = purges.iter().filter(|purge| purge.origin == peer);
+        let reports: Vec<PeerMessage> = own
+            .map(|purge| PeerMessage::PurgeDurable { incarnation: purge.incarnation, number: purge.number })
+            .collect();
+        if reports.is_empty() {
+            return;
+        }
+        let links = Rc::clone(&self.dependencies.links);
+        spawn_local(async move {
+            if written.await.is_ok() {
+                for report in reports {
+                    links.send(peer, report);
+                }
+            }
+        });
+    }
+
+    /// Records purges, and pushes those that are new to the sessions. The receiver, if any is new, completes once they are
+    /// on disk.
+    fn record(&self, purges: Vec<PurgeRecord>) -> Option<oneshot::Receiver<()>> {
+        let new = self.history.borrow_mut().record(self.dependencies.clock.now(), purges);
+        if new.is_empty() {
+            return None;
+        }
+        let update = Update::Purges(new.iter().map(PurgeRecord::aged).collect());
+        self.dependencies.sessions.push(&update);
+        Some(self.log.write(new))
+    }
+
+    /// Waits until no session that has a lease of this node can serve responses that a purge invalidated. False if that
+    /// takes longer than `deadline`.
+    async fn apply_at_sessions(&self, deadline: Duration) -> bool {
+        let applied = self.dependencies.sessions.purged(deadline).await;
+        self.dependencies.sessions.drop_behind(LONGEST_BEHIND);
+        applied
+    }
+
+    /// Acknowledges purges that a peer has sent, once no session that has heard of them from here can serve responses that
+    /// they invalidated. If the peer is their origin it names the processes that it has notified itself, and this node
+    /// forwards the purges to those that it reaches beyond them.
+    pub fn acknowledge(
+        self: &Rc<Self>,
+        peer: Ipv4Addr,
+        id: CallId,
+        purges: Vec<PurgeRecord>,
+        notified_by_origin: Option<Vec<ProcessId>>,
+    ) {
+        match notified_by_origin {
+            Some(notified) => {
+                let forward = self.plan_forward(peer, id, purges, notified);
+                spawn_local(Rc::clone(self).forward_and_acknowledge(forward));
+            }
+            None => {
+                spawn_local(Rc::clone(self).acknowledge_forwarded(peer, id));
+            }
+        }
+    }
+
+    async fn acknowledge_forwarded(self: Rc<Self>, peer: Ipv4Addr, id: CallId) {
+        if self.apply_at_sessions(FORWARDED_PURGE_TIMEOUT).await {
+            self.dependencies.links.send(peer, PeerMessage::Acknowledged { id, complete: false });
+        }
+    }
+
+    /// Chooses the peers that `origin` has not notified itself. They are those that are connected at this moment: whoever
+    /// connects later receives the whole history.
+    fn plan_forward(
+        &self,
+        origin: Ipv4Addr,
+        id: CallId,
+        purges: Vec<PurgeRecord>,
+        mut notified: Vec<ProcessId>,
+    ) -> Forward {
+        let links = &self.dependencies.links;
+        let is_missing = |process: &ProcessId| process.ip != origin && !notified.contains(process);
+        let missing: Vec<ProcessId> = links.connected_processes().into_iter().filter(is_missing).collect();
+        notified.extend(links.connected_process(origin));
+        notified.extend(&missing);
+        Forward { origin, id, purges, peers: addresses(&missing), notified }
+    }
+
+    async fn forward_and_acknowledge(self: Rc<Self>, forward: Forward) {
+        let PurgeDependencies { links, requests, leases, .. } = &self.dependencies;
+        let Forward { origin, id, purges, peers, notified } = forward;
+        let request = |id| PeerMessage::Purges { id: Some(id), purges: purges.clone(), already_asked: None };
+        let (forwarded, applied, complete) = tokio::join!(
+            requests.send_to_all(&peers, request, PEER_PURGE_TIMEOUT),
+            self.apply_at_sessions(PEER_PURGE_TIMEOUT),
+            leases.wait_for_other_leases_to_end(&notified, PEER_PURGE_TIMEOUT)
+        );
+        if forwarded.is_ok() && applied {
+            links.send(origin, PeerMessage::Acknowledged { id, complete });
+        }
+    }
+}
+
+/// Purges that are forwarded on behalf of their origin.
+struct Forward {
+    origin: Ipv4Addr,
+    /// The request of the origin that is acknowledged.
+    id: CallId,
+    purges: Vec<PurgeRecord>,
+    /// To whom they are forwarded.
+    peers: Vec<Ipv4Addr>,
+    /// The processes that were notified, by the origin or from here.
+    notified: Vec<ProcessId>,
+}
+
+fn addresses(processes: &[ProcessId]) -> Vec<Ipv4Addr> {
+    processes.iter().map(|process| process.ip).collect()
+}
--- /dev/null
+++ b/glenfall/src/control/purge_durability.rs
@@ -0,0 +1,67 @@
+//! On how many disks the record of a purge is.
+
+use std::cell::RefCell;
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::Ipv4Addr;
+use std::time::Duration;
+
+use tokio::sync::Notify;
+use tokio::time::timeout;
+
+/// The purges of this node that are being acknowledged, each with the control nodes whose disks have its record.
+///
+/// A purge is tracked from [`PurgeDurability::track`] until the value that this returns is dropped. Reports about other
+/// purges are ignored.
+#[derive(Default)]
+pub struct PurgeDurability {
+    durable_on: RefCell<BTreeMap<u64, BTreeSet<Ipv4Addr>>>,
+    reported: Notify,
+}
+
+/// A purge that is tracked until this is dropped, also if the future of its caller is.
+pub struct TrackedPurge<'a> {
+    durability: &'a PurgeDurability,
+    number: u64,
+}
+
+impl Drop for TrackedPurge<'_> {
+    fn drop(&mut self) {
+        self.durability.durable_on.borrow_mut().remove(&self.number);
+    }
+}
+
+impl PurgeDurability {
+    /// Begins to track a purge of this node, by its number.
+    pub fn track(&self, number: u64) -> TrackedPurge<'_> {
+        self.durable_on.borrow_mut().insert(number, BTreeSet::new());
+        TrackedPurge { durability: self, number }
+    }
+
+    /// Records that a purge of this node is on the disk of a node.
+    pub fn durable_on(&self, node: Ipv4Addr, number: u64) {
+        if let Some(nodes) = self.durable_on.borrow_mut().get_mut(&number) {
+            nodes.insert(node);
+            self.reported.notify_waiters();
+        }
+    }
+
+    fn disk_count(&self, number: u64) -> usize {
+        self.durable_on.borrow().get(&number).map_or(0, BTreeSet::len)
+    }
+}
+
+impl TrackedPurge<'_> {
+    /// Waits until the purge is on that many disks. False if that takes longer than `deadline`.
+    pub async fn wait_for_disks(&self, disks: usize, deadline: Duration) -> bool {
+        let durable = async {
+            loop {
+                let reported = self.durability.reported.notified();
+                if self.durability.disk_count(self.number) >= disks {
+                    return;
+                }
+                reported.await;
+            }
+        };
+        timeout(deadline, durable).await.is_ok()
+    }
+}
--- /dev/null
+++ b/glenfall/src/control/purge_log_completeness.rs
@@ -0,0 +1,67 @@
+//! Whether the purge history of a control node has every purge that was acknowledged.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeSet;
+use std::net::Ipv4Addr;
+use std::rc::Rc;
+
+use glenfall_control_plane::messages::Update;
+
+use super::chain_driver::ChainDriver;
+use crate::session::publisher::Sessions;
+
+/// Whether the purge history of this node is complete.
+///
+/// It owns the set of peers that have sent their whole history since they were connected last, and whether these and this
+/// node were a majority of the voters at the last look. While they are, this node knows every purge that was acknowledged,
+/// because each is known to a majority: a session that learns from it what it missed has missed nothing else.
+///
+/// Sessions that were told so rely on it until they are closed, also if the history is complete no more. So the
+/// replacement of a voter invalidates no stored responses.
+pub struct PurgeLogCompleteness {
+    local: Ipv4Addr,
+    chain: Rc<ChainDriver>,
+    sessions: Rc<Sessions>,
+    received_from: RefCell<BTreeSet<Ipv4Addr>>,
+    complete: Cell<bool>,
+}
+
+impl PurgeLogCompleteness {
+    /// Nothing was received yet. `local` is the address of this node.
+    pub fn new(local: Ipv4Addr, chain: Rc<ChainDriver>, sessions: Rc<Sessions>) -> Self {
+        PurgeLogCompleteness {
+            local,
+            chain,
+            sessions,
+            received_from: RefCell::default(),
+            complete: Cell::new(false),
+        }
+    }
+
+    /// Whether the history was complete at the last look.
+    pub fn is_complete(&self) -> bool {
+        self.complete.get()
+    }
+
+    /// Records that a peer has sent its whole history.
+    pub fn history_received(&self, peer: Ipv4Addr) {
+        self.received_from.borrow_mut().insert(peer);
+        self.update();
+    }
+
+    /// Records that a peer is disconnected: purges that it learns of meanwhile arrive with its next history.
+    pub fn peer_disconnected(&self, peer: Ipv4Addr) {
+        self.received_from.borrow_mut().remove(&peer);
+        self.update();
+    }
+
+    /// Looks again, as the voters may have changed, and tells sessions once the history is complete.
+    pub fn update(&self) {
+        let is_known = |node: &Ipv4Addr| *node == self.local || self.received_from.borrow().contains(node);
+        let complete = self.chain.state().members().majority(is_known);
+        let was_complete = self.complete.replace(complete);
+        if complete && !was_complete {
+            self.sessions.push(&Update::Connected(true));
+        }
+    }
+}
--- /dev/null
+++ b/glenfall/src/control/server_replication.rs
@@ -0,0 +1,252 @@
+//! Replicates registrations, draining and deregistration of servers to all control nodes, and acknowledges those of peers.
+
+use std::net::Ipv4Addr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use glenfall_control_plane::invariant::Invariant;
+use glenfall_control_plane::messages::{CallId, PeerMessage};
+use glenfall_control_plane::registry::{EntryStatus, HeartbeatOutcome, ObservedServer, ServerEntry};
+use glenfall_control_plane::Millis;
+use tokio::task::spawn_local;
+use tokio::time::timeout;
+
+use super::chain_driver::ChainDriver;
+use super::clock::Clock;
+use super::fleet_publisher::FleetPublisher;
+use super::heartbeat_relay::HeartbeatRelay;
+use super::peers::links::PeerLinks;
+use super::peers::requests::{PeerRequests, RequestError};
+use super::quorum_reads::QuorumReads;
+use super::server_registry::ServerRegistry;
+use crate::session::publisher::Sessions;
+
+/// Time limit for replicating a server's draining status to all connected peers, after which its heartbeat is answered
+/// with 503.
+const DRAIN_REPLICATION_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time limit for a status that a peer replicates, here and at the peers that it is forwarded to. It is shorter than
+/// [`DRAIN_REPLICATION_TIMEOUT`], so that the acknowledgement still arrives in time.
+const PEER_REPLICATION_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time limit for a status that a peer has forwarded; shorter than [`PEER_REPLICATION_TIMEOUT`] for the same reason.
+const FORWARDED_REPLICATION_TIMEOUT: Duration = Duration::from_millis(225);
+
+/// Why something is not known to all control nodes.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ReplicationError {
+    /// A peer did not acknowledge it. The error names all peers that did not.
+    #[error(transparent)]
+    Unacknowledged(#[from] RequestError),
+    /// All connected peers have acknowledged it, and are no quorum together with this node.
+    #[error("{connected:?} and this node are no quorum")]
+    NoQuorum {
+        /// The connected peers.
+        connected: Vec<Ipv4Addr>,
+    },
+    /// It was replicated before, and no quorum has confirmed in time that this node is still in contact.
+    #[error("no quorum has answered within the time limit")]
+    QuorumReadTimedOut,
+    /// There is no room to remember the deregistration of a server that is not known here.
+    #[error("the registry is full")]
+    RegistryFull,
+}
+
+/// What replication reads, sends and waits with.
+pub struct ReplicationDependencies {
+    /// The clock of the process.
+    pub clock: Clock,
+    /// The chain, which knows the voters and what its peers hear.
+    pub chain: Rc<ChainDriver>,
+    /// The links to peers.
+    pub links: Rc<PeerLinks>,
+    /// Requests to peers.
+    pub requests: Rc<PeerRequests>,
+    /// Quorum reads, which prove that this node is in contact with a quorum.
+    pub quorum_reads: Rc<QuorumReads>,
+    /// The servers that this node knows.
+    pub registry: Rc<ServerRegistry>,
+    /// The fleet that is published to sessions.
+    pub fleet: Rc<FleetPublisher>,
+    /// The sessions at this node.
+    pub sessions: Rc<Sessions>,
+}
+
+/// Replicates what servers report.
+///
+/// It owns the heartbeats that wait to be relayed. A server's draining or deregistration is acknowledged only once all
+/// connected peers, and the peers that only those reach, have acknowledged it: this node may fail the moment after.
+pub struct ServerReplication {
+    dependencies: ReplicationDependencies,
+    heartbeats: HeartbeatRelay,
+}
+
+impl ServerReplication {
+    /// Nothing to relay yet.
+    pub fn new(dependencies: ReplicationDependencies) -> Self {
+        ServerReplication { dependencies, heartbeats: HeartbeatRelay::default() }
+    }
+
+    /// Records a heartbeat that a server has sent to this node.
+    ///
+    /// # Errors
+    ///
+    /// When the server is draining or deregistered and not all control nodes have acknowledged that.
+    pub async fn heartbeat(&self, entry: ServerEntry) -> Result<HeartbeatOutcome, ReplicationError> {
+        let ReplicationDependencies { clock, registry, links, fleet, .. } = &self.dependencies;
+        let outcome = registry.observe(0, entry.clone());
+        if entry.status != EntryStatus::Ready {
+            // This heartbeat may be an old one. What is replicated is the latest status.
+            if let Some(latest) = registry.ending(&entry.id) {
+                self.replicate_ending(&latest).await?;
+                return Ok(outcome);
+            }
+        }
+        match outcome {
+            HeartbeatOutcome::Stale | HeartbeatOutcome::RegistryFull => {}
+            HeartbeatOutcome::Changed => {
+                links.broadcast(&PeerMessage::Servers(vec![ObservedServer::now(entry)]));
+                fleet.mark_changed();
+            }
+            HeartbeatOutcome::Refreshed => self.heartbeats.add(clock.now(), entry),
+        }
+        Ok(outcome)
+    }
+
+    /// Records that a server has deregistered itself at this node.
+    ///
+    /// # Errors
+    ///
+    /// When not all control nodes have acknowledged it, or there is no room to remember it.
+    pub async fn deregister(&self, id: &str) -> Result<(), ReplicationError> {
+        let entry = self.dependencies.registry.deregister(id).ok_or(ReplicationError::RegistryFull)?;
+        self.replicate_ending(&entry).await
+    }
+
+    /// Sends peers the heartbeats that were collected.
+    pub fn relay_heartbeats(&self, now: Millis) {
+        if let Some(message) = self.heartbeats.take(now) {
+            self.dependencies.links.broadcast(&message);
+        }
+    }
+
+    /// Sends a request to all connected peers, and by them to the peers that only those reach, and waits until each has
+    /// acknowledged this very request and they are a quorum with this node. A control node that is not among them, and has
+    /// sessions, hears from none of a quorum: it closes its sessions, or learns of the change when it hears from one again.
+    ///
+    /// # Errors
+    ///
+    /// When a peer does not acknowledge the request in time, or the peers are no quorum.
+    pub async fn replicate_to_all_peers(
+        &self,
+        request: impl Fn(CallId) -> PeerMessage,
+        deadline: Duration,
+    ) -> Result<(), ReplicationError> {
+        let connected = self.dependencies.links.connected();
+        self.dependencies.requests.send_to_all(&connected, request, deadline).await?;
+        if self.dependencies.chain.state().is_quorum(&connected) {
+            Ok(())
+        } else {
+            Err(ReplicationError::NoQuorum { connected })
+        }
+    }
+
+    /// Replicates to all control nodes and proxies that a server is draining or deregistered.
+    async fn replicate_ending(&self, entry: &ServerEntry) -> Result<(), ReplicationError> {
+        let ReplicationDependencies { registry, links, quorum_reads, fleet, sessions, .. } =
+            &self.dependencies;
+        if registry.is_replicated(&entry.id) {
+            links.broadcast(&PeerMessage::Servers(vec![ObservedServer::now(entry.clone())]));
+            // It is known to all for good, but only a node in contact with a quorum confirms that.
+            return timeout(DRAIN_REPLICATION_TIMEOUT, quorum_reads.wait_for_newest())
+                .await
+                .map_err(|_| ReplicationError::QuorumReadTimedOut);
+        }
+        fleet.publish_now();
+        let request = |id| PeerMessage::ReplicateServer { id, entry: entry.clone(), forward: true };
+        // A slow proxy may take longer: what was sent to it is not lost while its session lasts, and a proxy whose session
+        // ends turns to another node.
+        let (replicated, _applied) = tokio::join!(
+            self.replicate_to_all_peers(request, DRAIN_REPLICATION_TIMEOUT),
+            sessions.applied(DRAIN_REPLICATION_TIMEOUT)
+        );
+        match &replicated {
+            Ok(()) => {
+                let is_listed = fleet.published().servers.iter().any(|s| s.id == entry.id && s.ready);
+                Invariant::DrainIsTold.check(!is_listed, || entry.id.clone());
+                registry.mark_replicated(entry);
+            }
+            Err(error) => tracing::warn!(
+                server = %entry.id,
+                %error,
+                "server draining or deregistration not acknowledged: not replicated to all control nodes"
+            ),
+        }
+        replicated
+    }
+
+    /// Records entries that a peer has sent, and forwards those that are new to the peers that it does not reach: the
+    /// servers that send their heartbeats only to that peer would expire there.
+    pub fn entries_received(&self, from: Ipv4Addr, entries: Vec<ObservedServer>) {
+        let ReplicationDependencies { registry, links, fleet, .. } = &self.dependencies;
+        let forward_to = self.peers_not_reached_by(from);
+        let mut new = Vec::new();
+        let mut changed = false;
+        for server in entries {
+            if !forward_to.is_empty() && registry.is_newer(&server.entry) {
+                new.push(server.clone());
+            }
+            changed |= registry.observe(server.age_ms, server.entry) == HeartbeatOutcome::Changed;
+        }
+        if !new.is_empty() {
+            for peer in forward_to {
+                links.send(peer, PeerMessage::Servers(new.clone()));
+            }
+        }
+        if changed {
+            fleet.mark_changed();
+        }
+    }
+
+    /// Records a status that a peer replicates, and acknowledges it once all sessions here have applied it or have had the
+    /// time to; with `forward` also the peers that this node reaches and the other one does not.
+    pub fn replicate_for_peer(
+        self: &Rc<Self>,
+        from: Ipv4Addr,
+        id: CallId,
+        entry: ServerEntry,
+        forward: bool,
+    ) {
+        let ReplicationDependencies { registry, fleet, .. } = &self.dependencies;
+        if registry.observe(0, entry.clone()) == HeartbeatOutcome::Changed {
+            fleet.publish_now();
+        }
+        // Chosen by what the peer heard when it sent the request: it notifies those itself that it connects to later.
+        let forward_to = if forward { self.peers_not_reached_by(from) } else { Vec::new() };
+        let limit = if forward { PEER_REPLICATION_TIMEOUT } else { FORWARDED_REPLICATION_TIMEOUT };
+        let replication = Rc::clone(self);
+        spawn_local(async move {
+            let ReplicationDependencies { links, sessions, .. } = &replication.dependencies;
+            let (_applied, forwarded) =
+                tokio::join!(sessions.applied(limit), replication.forward(&forward_to, &entry));
+            if forwarded.is_ok() {
+                links.send(from, PeerMessage::Acknowledged { id, complete: true });
+            }
+        });
+    }
+
+    async fn forward(&self, peers: &[Ipv4Addr], entry: &ServerEntry) -> Result<(), RequestError> {
+        if peers.is_empty() {
+            return Ok(());
+        }
+        let request = |id| PeerMessage::ReplicateServer { id, entry: entry.clone(), forward: false };
+        self.dependencies.requests.send_to_all(peers, request, PEER_REPLICATION_TIMEOUT).await.map(drop)
+    }
+
+    /// The peers that are connected to this node and, as far as is known, not to another one.
+    fn peers_not_reached_by(&self, node: Ipv4Addr) -> Vec<Ipv4Addr> {
+        let chain = self.dependencies.chain.state();
+        let heard = chain.heard_by(node);
+        let mut peers = self.dependencies.links.connected();
+        peers.retain(|peer| *peer != node && !heard.contains(peer));
+        peers
+    }
+}
--- /dev/null
+++ b/glenfall/src/control/voter_leases.rs
@@ -0,0 +1,191 @@
+//! Leases between control nodes. A node requests leases of the voters, out of which its sessions have theirs, and records
+//! the leases that it has granted, so that a purge is acknowledged only once no process that was not notified can serve
+//! from stored responses.
+
+use std::cell::{Cell, RefCell};
+use std::net::Ipv4Addr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use glenfall_control_plane::chain::JointConfig;
+use glenfall_control_plane::lease::{granter_wait, Grants, VoterLeases, VOTER_LEASE, VOTER_RENEWAL};
+use glenfall_control_plane::messages::{CallId, PeerMessage, ProcessId};
+use glenfall_control_plane::Millis;
+use tokio::time::{sleep, timeout};
+
+use super::chain_driver::ChainDriver;
+use super::clock::{Clock, PROCESS_START};
+use super::peers::links::PeerLinks;
+use crate::session::publisher::Sessions;
+
+/// Limit on the remembered sets of former voters. A change of the voters takes longer than a tick, so that fewer than
+/// this fit into the time of a lease.
+const MAX_FORMER_VOTER_SETS: usize = 64;
+/// Pause between two looks at the leases that a caller waits for: a lease may be released before it ends.
+const LEASE_POLL_INTERVAL: Duration = Duration::from_millis(25);
+
+/// A set of voters that counted until recently.
+struct FormerVoters {
+    voters: JointConfig,
+    /// When the last lease that they may have granted is over.
+    leases_end: Millis,
+}
+
+/// The sets of voters whose leases may be valid.
+///
+/// It owns the present set and the former ones, each for as long as leases by it may be valid.
+#[derive(Default)]
+struct VoterHistory {
+    current: Option<JointConfig>,
+    former: Vec<FormerVoters>,
+}
+
+impl VoterHistory {
+    fn record(&mut self, now: Millis, voters: &JointConfig) {
+        self.former.retain(|former| now < former.leases_end);
+        if self.current.as_ref() == Some(voters) {
+            return;
+        }
+        let Some(replaced) = self.current.replace(voters.clone()) else { return };
+        self.former.push(FormerVoters { voters: replaced, leases_end: now + granter_wait(VOTER_LEASE) });
+        if self.former.len() > MAX_FORMER_VOTER_SETS {
+            self.former.remove(0);
+        }
+    }
+
+    fn former_with_leases(&self, now: Millis) -> impl Iterator<Item = &JointConfig> {
+        self.former.iter().filter(move |former| now < former.leases_end).map(|former| &former.voters)
+    }
+}
+
+/// The leases that this node holds and has granted.
+///
+/// It owns both, and the sets of voters whose leases may be valid. Sessions never have a lease that outlives the leases
+/// that a quorum of voters has granted to this node.
+pub struct VoterLeaseManager {
+    clock: Clock,
+    chain: Rc<ChainDriver>,
+    links: Rc<PeerLinks>,
+    sessions: Rc<Sessions>,
+    held: RefCell<VoterLeases>,
+    granted: RefCell<Grants<ProcessId>>,
+    /// Until then the process that ran here before may have granted leases that this one does not know of.
+    unknown_grants_end: Millis,
+    voters: RefCell<VoterHistory>,
+    last_renewal: Cell<Millis>,
+}
+
+impl VoterLeaseManager {
+    /// No leases yet. `is_first_start`: no process can have run here before.
+    pub fn new(
+        clock: Clock,
+        chain: Rc<ChainDriver>,
+        links: Rc<PeerLinks>,
+        sessions: Rc<Sessions>,
+        is_first_start: bool,
+    ) -> Self {
+        let unknown_grants_end = if is_first_start { 0 } else { PROCESS_START + granter_wait(VOTER_LEASE) };
+        VoterLeaseManager {
+            clock,
+            chain,
+            links,
+            sessions,
+            held: RefCell::default(),
+            granted: RefCell::default(),
+            unknown_grants_end,
+            voters: RefCell::default(),
+            last_renewal: Cell::new(0),
+        }
+    }
+
+    /// Requests leases of the voters when it is time to. While this node shuts down and no session has a lease of it, it
+    /// releases its leases instead.
+    pub fn renew(&self, shutting_down: bool) {
+        let now = self.clock.now();
+        self.voters.borrow_mut().record(now, self.chain.state().members());
+        if now < self.last_renewal.get() + VOTER_RENEWAL {
+            return;
+        }
+        self.last_renewal.set(now);
+        self.granted.borrow_mut().forget_ended(now);
+        let releases = shutting_down && self.sessions.last_lease_ends().is_none();
+        let incarnation = self.links.local().incarnation;
+        let message = if releases {
+            PeerMessage::LeaseReleased
+        } else {
+            PeerMessage::RenewLease { id: CallId { incarnation, number: now } }
+        };
+        for peer in self.links.connected() {
+            if self.chain.state().members().contains(peer) {
+                self.links.send(peer, message.clone());
+            }
+        }
+        self.extend_session_leases();
+    }
+
+    /// Grants a peer the lease that it requests, if it is still the process that is connected. Earlier purges were sent on
+    /// the same connection before.
+    pub fn grant(&self, peer: Ipv4Addr, id: CallId) {
+        let holder = ProcessId { ip: peer, incarnation: id.incarnation };
+        if self.links.connected_process(peer) == Some(holder) {
+            self.granted.borrow_mut().grant(holder, self.clock.now(), VOTER_LEASE);
+            self.links.send(peer, PeerMessage::LeaseGranted { id, duration: VOTER_LEASE });
+        }
+    }
+
+    /// Records a lease that a voter has granted, for `duration` from the moment of the request `id`.
+    pub fn granted_by(&self, voter: Ipv4Addr, id: CallId, duration: Millis) {
+        if id.incarnation == self.links.local().incarnation {
+            self.held.borrow_mut().renew(self.clock.now(), voter, id.number, duration);
+            self.extend_session_leases();
+        }
+    }
+
+    /// Records that a peer uses the lease of this node no more.
+    pub fn released_by(&self, peer: Ipv4Addr) {
+        if let Some(holder) = self.links.connected_process(peer) {
+            self.granted.borrow_mut().release(&holder);
+        }
+    }
+
+    fn extend_session_leases(&self) {
+        let chain = self.chain.state();
+        let until = self.held.borrow().until(self.clock.now(), |voters| chain.is_quorum(voters));
+        self.sessions.vouch_until(self.clock.instant_of(until));
+    }
+
+    /// Waits until only these processes may use a lease that a process at this address has granted. False if that takes
+    /// longer than `deadline`.
+    pub async fn wait_for_other_leases_to_end(&self, notified: &[ProcessId], deadline: Duration) -> bool {
+        if self.unknown_grants_end > self.clock.now() + deadline.as_millis() as Millis {
+            return false;
+        }
+        let other_leases_over = async {
+            loop {
+                let now = self.clock.now();
+                let end = self.last_lease_end(now, notified);
+                if end <= now {
+                    return;
+                }
+                sleep(Duration::from_millis(end - now).min(LEASE_POLL_INTERVAL)).await;
+            }
+        };
+        timeout(deadline, other_leases_over).await.is_ok()
+    }
+
+    /// When the last lease ends that this address has granted to another than these processes; 0 if there is none.
+    fn last_lease_end(&self, now: Millis, notified: &[ProcessId]) -> Millis {
+        let granted = self.granted.borrow().last_end(now, |holder| !notified.contains(holder));
+        granted.unwrap_or(0).max(self.unknown_grants_end)
+    }
+
+    /// Whether these nodes and this one are a quorum in each set of voters whose leases may be valid: then no node can
+    /// gain a lease without one of them.
+    pub fn is_quorum_for_all_leases(&self, nodes: &[Ipv4Addr]) -> bool {
+        let local = self.links.local().ip;
+        let is_majority =
+            |voters: &JointConfig| voters.majority(|node| *node == local || nodes.contains(node));
+        self.chain.state().is_quorum(nodes)
+            && self.voters.borrow().former_with_leases(self.clock.now()).all(is_majority)
+    }
+}
