--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -6,7 +6,6 @@
 #[allow(missing_docs)]
 pub mod config;
 pub mod deduplication;
-#[allow(missing_docs)]
 pub mod fleet;
 pub mod ids;
 pub mod invariant;
@@ -14,7 +13,6 @@
 pub mod lease;
 pub mod messages;
 pub mod nodes;
-#[allow(missing_docs)]
 pub mod purge_history;
 #[allow(missing_docs)]
 pub mod rate_limit;
--- a/control-plane/src/purge_history.rs
+++ b/control-plane/src/purge_history.rs
@@ -1,4 +1,4 @@
-//! The purges that a control node remembers, so that whoever was away for a while hears of all that it missed.
+//! History of purges at a control node, so that a session that was disconnected for a while receives all that it missed.
 
 use std::collections::{HashSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -6,17 +6,43 @@
 use crate::messages::{AgedPurge, Purge, PurgeRecord, MAX_FRAME_BYTES};
 use crate::Millis;
 
-/// Purges are remembered for so long: no route keeps copies longer without being asked for it, and a
-/// process that was out of touch for longer begins with an empty cache.
+/// How long purges are retained. No route stores responses for longer without revalidation, and a process that was
+/// disconnected for longer starts with an empty cache.
 pub const PURGE_RETENTION: Millis = 120_000;
-/// Most that are remembered; past that, who comes back is told to drop everything.
+/// Bound of the purges retained. Where it is exceeded, a session that connects is told to purge everything.
 pub const MAX_PURGES: usize = 4096;
-/// Bytes of their names at most: all of them go to a peer in one frame, with room for what stands beside each.
+/// Bound of the bytes of all hosts, paths and labels. The history is sent to a peer in one frame; the other half of the
+/// frame is for the remaining fields.
 pub const MAX_PURGE_BYTES: usize = MAX_FRAME_BYTES / 2;
 
-type Name = (Ipv4Addr, u64, u64);
+/// Identity of a purge at all control nodes.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct PurgeId {
+    origin: Ipv4Addr,
+    incarnation: u64,
+    number: u64,
+}
+
+struct RetainedPurge {
+    id: PurgeId,
+    accepted_at: Millis,
+    purge: Purge,
+}
 
-fn length(purge: &Purge) -> usize {
+impl RetainedPurge {
+    fn record(&self, now: Millis) -> PurgeRecord {
+        PurgeRecord {
+            origin: self.id.origin,
+            incarnation: self.id.incarnation,
+            number: self.id.number,
+            age_ms: now.saturating_sub(self.accepted_at),
+            purge: self.purge.clone(),
+        }
+    }
+}
+
+/// Length of the texts in a purge, in bytes.
+fn text_bytes(purge: &Purge) -> usize {
     match purge {
         Purge::Object { hostname, path } => hostname.len() + path.len(),
         Purge::Label(label) => label.len(),
@@ -24,64 +50,64 @@
     }
 }
 
-/// The purges of the last while, in the order in which this node heard of them.
+/// The purges of the last [`PURGE_RETENTION`], in the order in which this node received them.
 #[derive(Default)]
 pub struct PurgeHistory {
-    known: VecDeque<(Name, Millis, Purge)>,
-    names: HashSet<Name>,
-    /// Of what they name.
+    purges: VecDeque<RetainedPurge>,
+    ids: HashSet<PurgeId>,
+    /// Sum of [`text_bytes`] over all retained purges.
     bytes: usize,
-    /// Some were dropped for want of room, the last at this time.
-    overflowed: Option<Millis>,
+    /// When a purge was last evicted before the end of its retention, within the last [`PURGE_RETENTION`].
+    overflowed_at: Option<Millis>,
 }
 
 impl PurgeHistory {
-    /// Takes purges and returns those not heard of before.
+    /// Adds purges, and returns those that this node had not received before.
     pub fn record(&mut self, now: Millis, purges: Vec<PurgeRecord>) -> Vec<PurgeRecord> {
-        let mut fresh = Vec::new();
-        for stamped in purges {
-            let name = (stamped.origin, stamped.incarnation, stamped.number);
-            if self.names.insert(name) {
-                fresh.push(stamped.clone());
-                self.bytes += length(&stamped.purge);
-                self.known.push_back((name, now.saturating_sub(stamped.age_ms), stamped.purge));
+        let mut new = Vec::new();
+        for record in purges {
+            let id =
+                PurgeId { origin: record.origin, incarnation: record.incarnation, number: record.number };
+            if self.ids.insert(id) {
+                new.push(record.clone());
+                let accepted_at = now.saturating_sub(record.age_ms);
+                self.bytes += text_bytes(&record.purge);
+                self.purges.push_back(RetainedPurge { id, accepted_at, purge: record.purge });
             }
         }
-        while self.known.len() > MAX_PURGES || self.bytes > MAX_PURGE_BYTES {
-            self.overflowed = Some(now);
-            self.forget_first();
+        self.evict(now);
+        new
+    }
+
+    /// Removes the oldest purges while there are too many, and those at the end of their retention.
+    fn evict(&mut self, now: Millis) {
+        while self.purges.len() > MAX_PURGES || self.bytes > MAX_PURGE_BYTES {
+            self.overflowed_at = Some(now);
+            self.remove_oldest();
         }
-        while self.known.front().is_some_and(|(_, at, _)| now >= at + PURGE_RETENTION) {
-            self.forget_first();
+        while self.purges.front().is_some_and(|oldest| now >= oldest.accepted_at + PURGE_RETENTION) {
+            self.remove_oldest();
         }
-        if self.overflowed.is_some_and(|at| now >= at + PURGE_RETENTION) {
-            self.overflowed = None;
+        if self.overflowed_at.is_some_and(|at| now >= at + PURGE_RETENTION) {
+            self.overflowed_at = None;
         }
-        fresh
     }
 
-    fn forget_first(&mut self) {
-        if let Some((name, _, purge)) = self.known.pop_front() {
-            self.names.remove(&name);
-            self.bytes -= length(&purge);
+    fn remove_oldest(&mut self) {
+        if let Some(oldest) = self.purges.pop_front() {
+            self.ids.remove(&oldest.id);
+            self.bytes -= text_bytes(&oldest.purge);
         }
     }
 
-    /// All that is remembered, for a peer.
+    /// All retained purges, for a peer.
     pub fn snapshot(&self, now: Millis) -> Vec<PurgeRecord> {
-        let stamped = |((origin, life, number), at, purge): &(Name, Millis, Purge)| PurgeRecord {
-            origin: *origin,
-            incarnation: *life,
-            number: *number,
-            age_ms: now.saturating_sub(*at),
-            purge: purge.clone(),
-        };
-        self.known.iter().map(stamped).collect()
+        self.purges.iter().map(|retained| retained.record(now)).collect()
     }
 
-    /// What a session that has just begun has to drop.
+    /// The purges that a session which has just connected has to apply.
     pub fn missed(&self, now: Millis) -> Vec<AgedPurge> {
-        if self.overflowed.is_some() {
+        if self.overflowed_at.is_some() {
             return vec![AgedPurge { purge: Purge::Everything, age_ms: 0 }];
         }
         self.snapshot(now).iter().map(PurgeRecord::aged).collect()
--- a/control-plane/src/registry/mod.rs
+++ b/control-plane/src/registry/mod.rs
@@ -1,7 +1,7 @@
 //! Registry of the origin servers that one control node knows, built from their heartbeats.
 //!
 //! The registry is soft state: it is not stored, and a node that restarts rebuilds it from heartbeats. Each control node
-//! sends its peers what it receives. A server expires when no heartbeat of it arrived for [`MISSED_HEARTBEATS`] intervals;
+//! sends its peers what it receives. A server expires when no heartbeat of it arrived for `MISSED_HEARTBEATS` intervals;
 //! time during which this node could not accept heartbeats does not count (see `acceptance`). After a downtime of a
 //! heartbeat interval or more the registry is incomplete until this node has accepted heartbeats for as long as a server
 //! takes to expire.
--- a/control-plane/tests/unit/fleet.rs
+++ b/control-plane/tests/unit/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets and members, told by what has changed.
+//! Updates of the fleet and of members, by differences.
 
 use std::net::SocketAddrV4;
 
@@ -24,7 +24,7 @@
     Member { node: format!("m{n}"), zone: "z".into(), proxy: ProxyRole::Shield, http, ready, incarnation: 1 }
 }
 
-fn drawn(rng: &mut ChaCha8Rng) -> Fleet {
+fn random_fleet(rng: &mut ChaCha8Rng) -> Fleet {
     let mut fleet = Fleet { complete: rng.random(), cores: rng.random_range(3..5), ..Fleet::default() };
     for n in 0..8 {
         if rng.random() {
@@ -42,67 +42,67 @@
 }
 
 #[test]
-fn changes_make_the_fleet_that_was_meant_whatever_it_is() {
+fn differences_of_random_fleets_lead_a_receiver_to_each_version() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let (mut here, mut there) = (VersionedFleet::default(), VersionedFleet::default());
-    there.apply_update(here.snapshot()).unwrap();
+    let (mut publisher, mut receiver) = (VersionedFleet::default(), VersionedFleet::default());
+    receiver.apply_update(publisher.snapshot()).unwrap();
     let mut changes = 0;
     for _ in 0..5000 {
-        let next = drawn(&mut rng);
-        if let Some(told) = here.advance_to(next.clone()) {
-            there.apply_update(told).unwrap();
+        let next = random_fleet(&mut rng);
+        if let Some(update) = publisher.advance_to(next.clone()) {
+            receiver.apply_update(update).unwrap();
             changes += 1;
         }
-        assert_eq!(there.fleet(), &next);
-        assert_eq!(here.advance_to(next), None, "nothing has changed");
+        assert_eq!(receiver.fleet(), &next);
+        assert_eq!(publisher.advance_to(next), None, "nothing has changed");
     }
     assert!(changes > 4900);
 }
 
 #[test]
-fn a_change_that_builds_on_another_fleet_is_turned_away_and_changes_nothing() {
+fn a_difference_from_another_version_is_rejected_and_changes_nothing() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
-    let (mut here, mut there) = (VersionedFleet::default(), VersionedFleet::default());
-    let first = here.advance_to(drawn(&mut rng)).unwrap();
-    let missed = here.advance_to(drawn(&mut rng)).unwrap();
-    let third = here.advance_to(drawn(&mut rng)).unwrap();
-    there.apply_update(first).unwrap();
-    let before = there.fleet().clone();
-    assert_eq!(there.apply_update(third.clone()), Err(Gap { expected: 2, here: 1 }));
-    assert_eq!(there.fleet(), &before);
-    there.apply_update(missed).unwrap();
-    there.apply_update(third).unwrap();
-    assert_eq!(there.fleet(), here.fleet());
+    let (mut publisher, mut receiver) = (VersionedFleet::default(), VersionedFleet::default());
+    let first = publisher.advance_to(random_fleet(&mut rng)).unwrap();
+    let missed = publisher.advance_to(random_fleet(&mut rng)).unwrap();
+    let third = publisher.advance_to(random_fleet(&mut rng)).unwrap();
+    receiver.apply_update(first).unwrap();
+    let before = receiver.fleet().clone();
+    assert_eq!(receiver.apply_update(third.clone()), Err(Gap { base_version: 2, local_version: 1 }));
+    assert_eq!(receiver.fleet(), &before);
+    receiver.apply_update(missed).unwrap();
+    receiver.apply_update(third).unwrap();
+    assert_eq!(receiver.fleet(), publisher.fleet());
 }
 
 #[test]
-fn warmth_that_passes_is_no_change_and_comes_with_a_server() {
+fn the_remaining_slow_start_is_no_difference_and_is_sent_with_a_new_server() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    let cold = |left| Server { warmup_left_ms: left, ready: true, ..server(1, &mut rng.clone()) };
+    let warming_up = |left| Server { warmup_left_ms: left, ready: true, ..server(1, &mut rng.clone()) };
     let fleet = |servers| Fleet { servers, ..Fleet::default() };
-    let (mut here, mut there) = (VersionedFleet::default(), VersionedFleet::default());
-    there.apply_update(here.advance_to(fleet(vec![cold(3000)])).unwrap()).unwrap();
-    assert_eq!(there.fleet().servers[0].warmup_left_ms, 3000);
-    assert_eq!(here.advance_to(fleet(vec![cold(1000)])), None);
-    let next = fleet(vec![cold(500), server(2, &mut rng)]);
-    there.apply_update(here.advance_to(next).unwrap()).unwrap();
-    assert_eq!(there.fleet().servers.len(), 2);
+    let (mut publisher, mut receiver) = (VersionedFleet::default(), VersionedFleet::default());
+    receiver.apply_update(publisher.advance_to(fleet(vec![warming_up(3000)])).unwrap()).unwrap();
+    assert_eq!(receiver.fleet().servers[0].warmup_left_ms, 3000);
+    assert_eq!(publisher.advance_to(fleet(vec![warming_up(1000)])), None);
+    let next = fleet(vec![warming_up(500), server(2, &mut rng)]);
+    receiver.apply_update(publisher.advance_to(next).unwrap()).unwrap();
+    assert_eq!(receiver.fleet().servers.len(), 2);
 }
 
 #[test]
-fn members_are_told_by_what_has_changed() {
+fn differences_of_members_lead_a_receiver_to_each_list() {
     let mut rng = ChaCha8Rng::seed_from_u64(4);
-    let (mut told, mut known) = (Vec::new(), vec![member(99, true)]);
-    MembersUpdate::snapshot(&told).apply(&mut known);
+    let (mut sent, mut received) = (Vec::new(), vec![member(99, true)]);
+    MembersUpdate::snapshot(&sent).apply(&mut received);
     for _ in 0..2000 {
-        // One that moves has two sessions for a moment.
-        let drawn = (0..8).map(|_| member(rng.random_range(0..6), rng.random())).collect();
-        let next = MembersUpdate::listed(drawn);
-        match MembersUpdate::delta(&told, &next) {
-            Some(change) => change.apply(&mut known),
-            None => assert_eq!(told, next),
+        // A member that moves to another control node has two sessions for a moment.
+        let members = (0..8).map(|_| member(rng.random_range(0..6), rng.random())).collect();
+        let next = MembersUpdate::listed(members);
+        match MembersUpdate::delta(&sent, &next) {
+            Some(delta) => delta.apply(&mut received),
+            None => assert_eq!(sent, next),
         }
-        assert_eq!(known, next);
-        told = next;
+        assert_eq!(received, next);
+        sent = next;
     }
 }
