--- /dev/null
+++ b/glenfall/src/http/failure/description.rs
@@ -0,0 +1,68 @@
+//! A failure as it is passed from shield to edge and written to the log: its cause and the attempts before it.
+
+use std::borrow::Cow;
+
+use hyper::header::{HeaderName, HeaderValue};
+
+use super::cause::Cause;
+
+/// Carries a [`Failure`] from a shield to its edge. It is not forwarded to clients.
+pub const FAILURE_HEADER: HeaderName = HeaderName::from_static("x-glenfall-failure");
+/// Bounds the description of the attempts in the header and in the log.
+const MAX_ATTEMPTS_BYTES: usize = 400;
+
+/// Why a request failed, and the attempts that were made.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Failure {
+    /// What the request failed for.
+    pub cause: Cause,
+    /// The servers and shields that the request was sent to, in order, and how each attempt ended; empty where it was not
+    /// sent.
+    pub attempts: Cow<'static, str>,
+}
+
+impl From<Cause> for Failure {
+    fn from(cause: Cause) -> Self {
+        Failure { cause, attempts: Cow::Borrowed("") }
+    }
+}
+
+impl Failure {
+    /// A failure after these attempts.
+    pub fn after(cause: Cause, attempts: String) -> Self {
+        Failure { cause, attempts: Cow::Owned(attempts) }
+    }
+
+    /// Adds earlier attempts.
+    pub fn preceded_by(mut self, attempts: &str) -> Self {
+        if !attempts.is_empty() {
+            let separator = if self.attempts.is_empty() { "" } else { ", " };
+            self.attempts = Cow::Owned(format!("{attempts}{separator}{}", self.attempts));
+        }
+        self
+    }
+
+    /// The attempts, as much of them as the header and the log take.
+    pub(super) fn shortened_attempts(&self) -> &str {
+        shortened(&self.attempts, MAX_ATTEMPTS_BYTES)
+    }
+
+    /// The value of the header. Attempts that can't be part of a header are left out.
+    pub fn encode(&self) -> HeaderValue {
+        let text = format!("{} {}", self.cause.name(), self.shortened_attempts());
+        HeaderValue::from_str(text.trim_end()).unwrap_or_else(|_| HeaderValue::from_static(self.cause.name()))
+    }
+
+    /// Reads the header of a shield's response. A missing header, and a cause that this release does not know, become
+    /// [`Cause::Unstated`].
+    pub fn decode(value: Option<&HeaderValue>) -> Self {
+        let Some(text) = value.and_then(|value| value.to_str().ok()) else { return Cause::Unstated.into() };
+        let (cause, attempts) = text.split_once(' ').unwrap_or((text, ""));
+        Failure::after(Cause::parse(cause).unwrap_or(Cause::Unstated), attempts.to_owned())
+    }
+}
+
+/// The longest prefix of a text that has at most `max_bytes` bytes and ends at a character boundary.
+pub(super) fn shortened(text: &str, max_bytes: usize) -> &str {
+    &text[..text.floor_char_boundary(max_bytes)]
+}
--- a/glenfall/src/http/mod.rs
+++ b/glenfall/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP as the system speaks it, for servers and clients of it alike: header names, responses typed by their source, and
+//! HTTP between the processes of the system and with their clients: header names, responses typed by their source, and
 //! why a request failed.
 
 pub mod failure;
--- /dev/null
+++ b/glenfall/src/http/response/cached.rs
@@ -0,0 +1,57 @@
+//! A response from the cache.
+
+use bytes::Bytes;
+use hyper::header::{self, HeaderMap, HeaderValue};
+use hyper::StatusCode;
+
+use super::accessors::response_accessors;
+use super::proxy::ProxyResponse;
+use super::SEAL;
+
+/// A response made from a stored response, a server's 200. Its constructors determine the status: 200, 206, 304 or 416.
+#[derive(Clone, Debug)]
+pub struct CachedResponse {
+    status: StatusCode,
+    headers: HeaderMap,
+    body: Bytes,
+}
+
+response_accessors!(CachedResponse);
+
+impl CachedResponse {
+    /// 200: the complete object.
+    pub fn whole(headers: HeaderMap, body: Bytes) -> Self {
+        CachedResponse { status: StatusCode::OK, headers, body }
+    }
+
+    /// 206: a range of the object, from the byte `first` up to and including `last`. Both have to be within the body.
+    pub fn range(mut headers: HeaderMap, body: &Bytes, first: usize, last: usize) -> Self {
+        let range = format!("bytes {first}-{last}/{}", body.len());
+        if let Ok(range) = HeaderValue::from_str(&range) {
+            headers.insert(header::CONTENT_RANGE, range);
+        }
+        CachedResponse { status: StatusCode::PARTIAL_CONTENT, headers, body: body.slice(first..=last) }
+    }
+
+    /// 304: the client's stored response is still fresh. No server sent this status, so that it has no seal.
+    pub fn not_modified(mut headers: HeaderMap) -> Self {
+        headers.remove(SEAL);
+        CachedResponse { status: StatusCode::NOT_MODIFIED, headers, body: Bytes::new() }
+    }
+
+    /// 416: the range begins after the end of the object. No server sent this failure, so that it states nothing about the
+    /// object but its length.
+    pub fn range_not_satisfiable(length: usize) -> Self {
+        let mut headers = HeaderMap::new();
+        if let Ok(range) = HeaderValue::from_str(&format!("bytes */{length}")) {
+            headers.insert(header::CONTENT_RANGE, range);
+        }
+        CachedResponse { status: StatusCode::RANGE_NOT_SATISFIABLE, headers, body: Bytes::new() }
+    }
+}
+
+impl From<CachedResponse> for ProxyResponse {
+    fn from(cached: CachedResponse) -> Self {
+        ProxyResponse::new(cached.status, cached.headers, cached.body, None)
+    }
+}
--- /dev/null
+++ b/glenfall/src/http/response/forward.rs
@@ -0,0 +1,32 @@
+//! How a server's response becomes the response to a client.
+
+use hyper::{header, Method};
+
+use super::local::LocalResponse;
+use super::proxy::ProxyResponse;
+use super::server::ServerResponse;
+use super::shield_source::ShieldSource;
+use crate::http::headers::passed_on;
+
+impl ServerResponse {
+    /// The response to a request with this method, as the client receives it: without hop-by-hop headers.
+    pub fn forward(self, method: &Method) -> ProxyResponse {
+        let mut headers = passed_on(self.headers());
+        // The response to `HEAD` has no body, but the length of the body that `GET` would return.
+        if method == Method::HEAD {
+            if let Some(length) = self.headers().get(header::CONTENT_LENGTH) {
+                headers.insert(header::CONTENT_LENGTH, length.clone());
+            }
+        }
+        ProxyResponse::new(self.status(), headers, self.body().clone(), self.failure())
+    }
+
+    /// A shield's response as its edge returns it. One that the shield made itself gets no header of a server, and so no
+    /// seal.
+    pub fn forward_from_shield(self) -> ProxyResponse {
+        match self.shield_source() {
+            Some(ShieldSource::Local | ShieldSource::Behind) => LocalResponse::relayed(&self).into(),
+            _ => self.forward(&Method::GET),
+        }
+    }
+}
--- /dev/null
+++ b/glenfall/src/http/response/server.rs
@@ -0,0 +1,53 @@
+//! A response that was read from an upstream.
+
+use bytes::Bytes;
+use hyper::header::HeaderMap;
+use hyper::http::response::Parts;
+use hyper::StatusCode;
+
+use super::accessors::response_accessors;
+use super::shield_source::{ShieldSource, SHIELD_HEADER};
+use crate::http::failure::{Cause, Failure, FAILURE_HEADER};
+
+/// A complete response of an upstream: a server, or a shield that forwards one.
+#[derive(Clone, Debug)]
+pub struct ServerResponse {
+    status: StatusCode,
+    headers: HeaderMap,
+    body: Bytes,
+    /// The servers that the request was sent to, where the response is a failure.
+    attempts: String,
+}
+
+response_accessors!(ServerResponse);
+
+impl ServerResponse {
+    /// A response as it was read from one connection: its head and its complete body.
+    pub fn new(head: Parts, body: Bytes) -> Self {
+        ServerResponse { status: head.status, headers: head.headers, body, attempts: String::new() }
+    }
+
+    /// Records the servers that the request was sent to, for the log.
+    pub fn set_way(&mut self, attempts: String) {
+        self.attempts = attempts;
+    }
+
+    /// The servers that the request was sent to; empty unless it was recorded.
+    pub(super) fn attempts(&self) -> &str {
+        &self.attempts
+    }
+
+    /// Why the request failed, where a server responded with an error of its own or the shield reports a failure.
+    pub(super) fn failure(&self) -> Option<Failure> {
+        if self.shield_source().is_some() {
+            return self.headers.get(FAILURE_HEADER).map(|value| Failure::decode(Some(value)));
+        }
+        let is_failure = self.status.is_server_error();
+        is_failure.then(|| Failure::after(Cause::ServerError, self.attempts.clone()))
+    }
+
+    /// Where a shield has this response from; `None` where it was not sent by a shield.
+    pub fn shield_source(&self) -> Option<ShieldSource> {
+        ShieldSource::parse(self.headers.get(SHIELD_HEADER)?)
+    }
+}
--- /dev/null
+++ b/glenfall/src/http/response/shield_source.rs
@@ -0,0 +1,52 @@
+//! Where a shield has its response from, as it tells its edge.
+
+use hyper::header::{HeaderName, HeaderValue};
+
+/// Carries a [`ShieldSource`]. A response without it was not sent by a shield.
+pub(super) const SHIELD_HEADER: HeaderName = HeaderName::from_static("x-glenfall-shield");
+
+/// Where a shield's response comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ShieldSource {
+    /// A stored response.
+    Hit,
+    /// A response that the shield fetched and stored.
+    Miss,
+    /// A stored response, or the response to a fetch that began before the request, while the shield holds no lease: it
+    /// may have missed purges.
+    Unvouched,
+    /// A server's response that can't be stored.
+    Passed,
+    /// The shield itself.
+    Local,
+    /// The shield itself: it has not received the edge's configuration yet, and has sent the request to no server.
+    Behind,
+}
+
+impl ShieldSource {
+    const ALL: [ShieldSource; 6] = [
+        ShieldSource::Hit,
+        ShieldSource::Miss,
+        ShieldSource::Unvouched,
+        ShieldSource::Passed,
+        ShieldSource::Local,
+        ShieldSource::Behind,
+    ];
+
+    /// The value of the header.
+    pub(super) fn name(self) -> &'static str {
+        match self {
+            ShieldSource::Hit => "hit",
+            ShieldSource::Miss => "miss",
+            ShieldSource::Unvouched => "unvouched",
+            ShieldSource::Passed => "pass",
+            ShieldSource::Local => "own",
+            ShieldSource::Behind => "behind",
+        }
+    }
+
+    /// Reads the header; `None` for an unknown value.
+    pub(super) fn parse(value: &HeaderValue) -> Option<Self> {
+        Self::ALL.into_iter().find(|source| value.as_bytes() == source.name().as_bytes())
+    }
+}
--- a/glenfall/src/http/send_budget.rs
+++ b/glenfall/src/http/send_budget.rs
@@ -1,29 +1,30 @@
-//! The send budget of one try of a client: how many servers it may still reach, whoever sends.
+//! The send budget of one client request: how many servers it may still be sent to, by all processes together.
 //!
-//! A route's `tries` bounds the servers that one try may run on. An edge owns the budget of the tries it takes. It
-//! lends a part of it to each shield that it asks, as an [`Allowance`] in the request, and the shield's answer says in
-//! a [`SendReport`] what became of it. A part that comes back without a report counts as used, unless it is certain
-//! that no server was asked.
+//! A route's setting `tries` bounds the servers that one request may run on. The edge that receives a request owns its
+//! budget. It lends sends to each shield that it uses, as an [`Allowance`] in the request, and the shield's response
+//! reports in a [`SendReport`] how many of them it has used. Sends that are returned without a report count as used, unless
+//! it is certain that the request was sent to no server.
 //!
-//! A read that joins another try's fetch reaches no server: servers see the id of the try that began the fetch.
+//! A read that joins the fetch of another request uses no send: servers see the id of the request that began the fetch.
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 
 /// The header that carries an [`Allowance`] to a shield and a [`SendReport`] back.
 pub const SENDS: HeaderName = HeaderName::from_static("x-glenfall-sends");
 
-/// What a sender may do for a try.
+/// How many sends a process may use for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowance {
-    /// Servers that it may send the request to. With 0 only copies and fetches under way can answer.
+    /// The number of servers that it may send the request to. With 0 only stored responses and fetches in flight can
+    /// answer it.
     pub sends: u32,
-    /// Servers that whoever lent the allowance may still have the request sent to on another way. While there are any,
-    /// a silent server is not waited for until the deadline.
+    /// The number of servers that the lender of the allowance may still have the request sent to by another process. While
+    /// there are any, a server that does not respond is not waited for until the deadline.
     pub held_back: u32,
 }
 
 impl Allowance {
-    /// All that a route allows, with nothing held back.
+    /// All sends that a route allows, with none reserved by a lender.
     pub fn all(tries: u32) -> Self {
         Allowance { sends: tries.max(1), held_back: 0 }
     }
@@ -33,7 +34,8 @@
         header_value(&format!("allowed={}, held-back={}", self.sends, self.held_back))
     }
 
-    /// Reads the allowance of a request, bounded by the route's `tries`. An edge of an earlier release states none.
+    /// Reads the allowance of a request, bounded by the route's `tries`. A request without one comes from an edge of an
+    /// earlier release, and may use all of them.
     pub fn of_request(headers: &HeaderMap, tries: u32) -> Self {
         let all = Allowance::all(tries);
         let Some(text) = text(headers) else { return all };
@@ -45,12 +47,12 @@
     }
 }
 
-/// What became of an allowance.
+/// How an allowance was used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SendReport {
-    /// Servers that the request was sent to under this try's id.
+    /// The number of servers that the request was sent to under its own id.
     pub used: u32,
-    /// It ended without a good answer for want of further sends.
+    /// Whether it got no successful response because the allowance was used up.
     pub short: bool,
 }
 
@@ -61,7 +63,7 @@
         header_value(&format!("used={}{short}", self.used))
     }
 
-    /// Reads the report of an answer; `None` where it has none that can be read.
+    /// Reads the report of a response; `None` where it has no valid one.
     pub fn of_answer(headers: &HeaderMap) -> Option<Self> {
         let text = text(headers)?;
         let used = member(text, "used=")?.parse().ok()?;
@@ -69,63 +71,67 @@
     }
 }
 
+/// A header value; the fallback can't occur, as the texts above are ASCII.
 fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static("used=0"))
 }
 
+/// The text of the header.
 fn text(headers: &HeaderMap) -> Option<&str> {
     headers.get(SENDS)?.to_str().ok()
 }
 
-/// What follows a name in a list that is separated by commas.
+/// The text after a name in a comma-separated list.
 fn member<'a>(list: &'a str, name: &str) -> Option<&'a str> {
     list.split(',').find_map(|member| member.trim().strip_prefix(name))
 }
 
-/// What is known of an allowance once the shield that had it has answered, or will not.
+/// What is known about the use of an allowance once the shield has responded, or will not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Usage {
-    /// It is certain that no server was asked.
+    /// The request was certainly sent to no server.
     Unused,
-    /// The shield's own word.
+    /// As the shield reported it.
     Reported(SendReport),
-    /// Nobody knows.
+    /// There is no report: all of the allowance may be used.
     Unknown,
 }
 
-/// What is left of a try's sends.
+/// The sends that a request has left.
 #[derive(Debug)]
 pub struct SendBudget {
     left: u32,
 }
 
-/// A part of a [`SendBudget`] that is lent out. Dropped without being settled, it counts as used.
+/// Sends that were lent from a [`SendBudget`]. They count as used if this is dropped without being settled.
 #[derive(Debug)]
-pub struct Loan(u32);
+pub struct Loan {
+    sends: u32,
+}
 
 impl SendBudget {
-    /// The budget of a try that may be sent to so many servers.
+    /// The budget of a request that may be sent to this many servers, at least one.
     pub fn new(tries: u32) -> Self {
         SendBudget { left: tries.max(1) }
     }
 
-    /// Sends that are neither used nor lent out.
+    /// The number of sends that are neither used nor lent.
     pub fn left(&self) -> u32 {
         self.left
     }
 
-    /// Lends out as many sends, or what is left.
+    /// Lends this many sends, or all that are left.
     pub fn lend(&mut self, sends: u32) -> Loan {
         let lent = sends.min(self.left);
         self.left -= lent;
-        Loan(lent)
+        Loan { sends: lent }
     }
 
-    /// Takes back what of a loan was certainly not used.
+    /// Adds the sends of a loan that were certainly not used to the budget again.
     pub fn settle(&mut self, loan: Loan, usage: Usage) {
         self.left += match usage {
-            Usage::Unused => loan.0,
-            Usage::Reported(report) => loan.0.saturating_sub(report.used),
+            Usage::Unused => loan.sends,
+            Usage::Reported(report) => loan.sends.saturating_sub(report.used),
             Usage::Unknown => 0,
         };
     }
--- a/glenfall/src/http_server/body_memory.rs
+++ b/glenfall/src/http_server/body_memory.rs
@@ -19,7 +19,7 @@
         BodyMemory { capacity, reserved: Cell::new(0) }
     }
 
-    /// The whole budget in bytes: no body can be larger.
+    /// The budget in bytes: no body can be larger.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
--- a/glenfall/src/http_server/connection.rs
+++ b/glenfall/src/http_server/connection.rs
@@ -100,9 +100,9 @@
     /// Reads a request completely and responds to it.
     async fn respond(&self, request: Request<Incoming>) -> Result<FullResponse, Infallible> {
         let _responding = self.deadlines.begin_response();
-        self.slot.mark_busy();
+        self.slot.set_busy();
         let response = self.response_to(request).await;
-        self.slot.mark_idle();
+        self.slot.set_idle();
         Ok(response)
     }
 
--- a/glenfall/src/http_server/connection_limit.rs
+++ b/glenfall/src/http_server/connection_limit.rs
@@ -78,14 +78,14 @@
     }
 
     /// A request has arrived: the connection can't be evicted until it is idle again.
-    pub fn mark_busy(&self) {
+    pub fn set_busy(&self) {
         if let Some(idle_number) = self.idle_number.take() {
             self.limit.idle.borrow_mut().remove(&idle_number);
         }
     }
 
     /// The response is ready: the connection can be evicted from now on.
-    pub fn mark_idle(&self) {
+    pub fn set_idle(&self) {
         let idle_number = self.limit.last_idle_number.get() + 1;
         self.limit.last_idle_number.set(idle_number);
         self.idle_number.set(Some(idle_number));
@@ -100,7 +100,7 @@
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.mark_busy();
+        self.set_busy();
         self.limit.open.set(self.limit.open.get() - 1);
         self.limit.connection_closed.notify_waiters();
     }
--- a/glenfall/src/http_server/deadlines.rs
+++ b/glenfall/src/http_server/deadlines.rs
@@ -1,4 +1,4 @@
-//! The deadlines of a client's connection: for the rest of a head that has begun, and for staying idle between requests
+//! The deadlines of a client's connection: for completing a head that has begun, and for staying idle between requests
 //! or while it reads a response.
 
 use std::cell::Cell;
@@ -19,7 +19,7 @@
 enum Phase {
     /// For the next request, or for the client to read the last response.
     Idle,
-    /// For the rest of a head.
+    /// For the remaining bytes of a head.
     ReadingHead,
     /// For the handler.
     Responding,
@@ -153,7 +153,7 @@
     }
 
     /// Applies the current timeouts where they are longer. They are never shortened before the next request: a response
-    /// may be on its way, and an idle client relies on the timeouts of when it was answered.
+    /// may still be in transit, and an idle client relies on the timeouts of when it was answered.
     fn extend_timeouts(&self) {
         self.timeouts.set(self.timeouts.get().max((self.current_timeouts)()));
     }
--- a/glenfall/src/http_server/request_body.rs
+++ b/glenfall/src/http_server/request_body.rs
@@ -64,7 +64,7 @@
 pub struct ReservedBody<'a> {
     /// The complete body.
     pub bytes: Bytes,
-    /// Held until the request is answered.
+    /// To be dropped once the request is answered.
     pub reservation: BodyReservation<'a>,
 }
 
@@ -140,7 +140,7 @@
             return Err(RequestError::BodyTooLarge);
         }
         if buffer.is_empty() && body.is_end_stream() {
-            // The whole body is in one frame, and needs no copy.
+            // The complete body is in one frame, and needs no copy.
             reservation.resize(length)?;
             return Ok(data);
         }
--- a/glenfall/src/http_server/shutdown.rs
+++ b/glenfall/src/http_server/shutdown.rs
@@ -30,7 +30,7 @@
 }
 
 /// Closes a connection because the process stops. A connection that has carried no request is first given
-/// `first_request_timeout`, as its request may be on its way.
+/// `first_request_timeout`, as its request may be in transit.
 pub async fn drain<S>(
     connection: &mut ServerConnection<S>,
     deadlines: &Deadlines,
