--- a/glenfall/src/memory_budget.rs
+++ b/glenfall/src/memory_budget.rs
@@ -1,94 +1,102 @@
-//! MemoryBudget for answers. A proxy holds answers whole, in its copies and until their clients have taken them; a few slow
-//! clients of large objects would otherwise take all its memory. What is held counts from before it is read until the
-//! last piece of it is dropped, wherever it has gone meanwhile.
+//! A memory budget for responses. A proxy holds complete responses in memory, in its cache and until its clients have
+//! received them, and a few slow clients of large objects would otherwise use up all memory. A response counts from before
+//! it is read until the last slice of its body is dropped, wherever that has been passed on to.
 
 use std::sync::Arc;
 
 use bytes::Bytes;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// MemoryBudget is counted in pieces of this size.
-pub const UNIT: usize = 1024;
-/// While less than this part of the room is left, nothing new is asked for: what is under way needs it.
-const RESERVED: usize = 8;
+/// Memory is reserved in multiples of this many bytes.
+pub const UNIT_BYTES: usize = 1024;
+/// The fraction of the budget, as its divisor, that is reserved for responses in flight: while less than an eighth is
+/// left, no new request is sent.
+const RESERVE_DIVISOR: usize = 8;
 
-/// All the room that one process has for answers.
+/// The memory that one process has for responses.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
-    left: Arc<Semaphore>,
-    all: usize,
+    /// A permit for each unit that is not reserved.
+    free_units: Arc<Semaphore>,
+    total_units: usize,
 }
 
-/// MemoryBudget taken for one answer.
+/// The memory reserved for one response. Dropping it returns the memory to the budget.
 #[derive(Debug)]
 pub struct Reservation {
     permit: OwnedSemaphorePermit,
-    left: Arc<Semaphore>,
+    free_units: Arc<Semaphore>,
 }
 
-struct Owner {
+/// A body together with its reservation, which is dropped with the last slice of the body.
+struct AccountedBody {
     body: Bytes,
-    _held: Reservation,
+    _reservation: Reservation,
 }
 
-impl AsRef<[u8]> for Owner {
+impl AsRef<[u8]> for AccountedBody {
     fn as_ref(&self) -> &[u8] {
         &self.body
     }
 }
 
+/// The number of units that this many bytes need.
 fn units(bytes: usize) -> u32 {
-    bytes.div_ceil(UNIT).try_into().unwrap_or(u32::MAX)
+    bytes.div_ceil(UNIT_BYTES).try_into().unwrap_or(u32::MAX)
 }
 
 impl MemoryBudget {
-    /// A budget of so many bytes.
+    /// A budget of this many bytes, at least one unit.
     pub fn new(bytes: usize) -> Self {
-        let all = (bytes / UNIT).clamp(1, Semaphore::MAX_PERMITS);
-        MemoryBudget { left: Arc::new(Semaphore::new(all)), all }
+        let total_units = (bytes / UNIT_BYTES).clamp(1, Semaphore::MAX_PERMITS);
+        MemoryBudget { free_units: Arc::new(Semaphore::new(total_units)), total_units }
     }
 
-    /// Whether there is room for more than what is under way.
+    /// Whether there is memory for new requests, beyond the reserve for responses in flight.
     pub fn is_free(&self) -> bool {
-        self.left.available_permits() > self.all / RESERVED
+        self.free_units.available_permits() > self.total_units / RESERVE_DIVISOR
     }
 
-    /// Bytes that are held.
+    /// How many bytes are reserved.
     pub fn held(&self) -> usize {
-        (self.all - self.left.available_permits().min(self.all)) * UNIT
+        let free_units = self.free_units.available_permits().min(self.total_units);
+        (self.total_units - free_units) * UNIT_BYTES
     }
 
-    /// Waits until there is room for so much, those who came first before others. `None` where there is not as much
-    /// at all.
+    /// Waits until this many bytes are free, in the order of the calls, and reserves them. `None` where the budget is
+    /// smaller.
     pub async fn hold(&self, bytes: usize) -> Option<Reservation> {
         let units = units(bytes);
-        if units as usize > self.all {
+        if units as usize > self.total_units {
             return None;
         }
-        let left = Arc::clone(&self.left);
-        let permit = Arc::clone(&self.left).acquire_many_owned(units).await.ok()?;
-        Some(Reservation { permit, left })
+        let free_units = Arc::clone(&self.free_units);
+        let permit = Arc::clone(&free_units).acquire_many_owned(units).await.ok()?;
+        Some(Reservation { permit, free_units })
     }
 }
 
 impl Reservation {
-    /// How much is reserved.
+    /// How many bytes are reserved.
     pub fn bytes(&self) -> usize {
-        self.permit.num_permits() * UNIT
+        self.permit.num_permits() * UNIT_BYTES
     }
 
-    /// Waits for room for so much in all.
+    /// Waits until the reservation can grow to this many bytes in total. Where the budget is smaller this never ends: the
+    /// caller bounds the time. `None` only if the budget was closed, which does not happen.
     pub async fn grow(&mut self, bytes: usize) -> Option<()> {
-        let more = units(bytes).saturating_sub(units(self.bytes()));
-        self.permit.merge(Arc::clone(&self.left).acquire_many_owned(more).await.ok()?);
+        let additional_units = units(bytes).saturating_sub(units(self.bytes()));
+        let additional = Arc::clone(&self.free_units).acquire_many_owned(additional_units).await.ok()?;
+        self.permit.merge(additional);
         Some(())
     }
 
-    /// The body that the room was taken for; the room is free again once nobody holds any of it.
+    /// The body for which the memory was reserved. The memory is returned once the last slice of the body is dropped; at
+    /// once where the body is empty.
     pub fn keeping(self, body: Bytes) -> Bytes {
         if body.is_empty() {
             return body;
         }
-        Bytes::from_owner(Owner { body, _held: self })
+        Bytes::from_owner(AccountedBody { body, _reservation: self })
     }
 }
--- a/glenfall/src/metrics/counter.rs
+++ b/glenfall/src/metrics/counter.rs
@@ -1,23 +1,23 @@
-//! Counters for `status`; one thread adds to them.
+//! Counters for `status`. A counter is used by one thread only.
 
 use std::cell::Cell;
 
-/// Counts something since the start of the process.
+/// Counts events since the start of the process.
 #[derive(Debug, Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Counts one.
+    /// Counts one event.
     pub fn add(&self) {
-        self.0.set(self.0.get() + 1);
+        self.add_all(1);
     }
 
-    /// Counts so many.
+    /// Counts this many events.
     pub fn add_all(&self, count: usize) {
         self.0.set(self.0.get() + count as u64);
     }
 
-    /// How many were counted.
+    /// The number of events so far.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
--- a/glenfall/src/metrics/latency.rs
+++ b/glenfall/src/metrics/latency.rs
@@ -1,4 +1,5 @@
-//! Latencies for `status`: quantiles over the last minute or two, as those since the start hide what is wrong now.
+//! Latencies for `status`: quantiles over the last one to two minutes, as those since the start of the process would hide a
+//! present problem.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -6,56 +7,68 @@
 use hdrhistogram::Histogram;
 use tokio::time::Instant;
 
-/// How long one histogram is filled; what is told covers it and the one before.
-pub const TURN: Duration = Duration::from_secs(60);
-/// In microseconds; beyond it nothing is waited for.
-pub const LONGEST: u64 = 120_000_000;
-/// Two figures that hold are enough to see by, in some 10 KB.
-const FIGURES: u8 = 2;
-const TOLD: [(&str, f64); 4] = [("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("max", 1.0)];
-
-struct Filled {
-    now: Histogram<u32>,
-    before: Histogram<u32>,
+/// How long one histogram is filled. A report covers the current histogram and the one before.
+pub const WINDOW_DURATION: Duration = Duration::from_secs(60);
+/// The longest latency that is distinguished, in microseconds: 2 minutes, longer than any deadline. Longer ones count as
+/// this.
+pub const MAX_LATENCY_US: u64 = 120_000_000;
+/// The precision of the histograms. Two digits suffice for an operator, and take some 10 KB for each histogram.
+const SIGNIFICANT_DIGITS: u8 = 2;
+/// What is reported, by its name in `status` and its quantile.
+const REPORTED_QUANTILES: [(&str, f64); 4] = [("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("max", 1.0)];
+
+struct Histograms {
+    current: Histogram<u32>,
+    previous: Histogram<u32>,
 }
 
 /// The latencies of one kind of work.
 pub struct Latency {
-    /// `None` only where the bounds above could not be met.
-    filled: RefCell<Option<Filled>>,
-    turned: Cell<Instant>,
+    /// `None` only if the bounds above were invalid.
+    histograms: RefCell<Option<Histograms>>,
+    window_started: Cell<Instant>,
 }
 
 impl Default for Latency {
     fn default() -> Self {
-        let empty = || Histogram::new_with_bounds(1, LONGEST, FIGURES).ok();
-        let filled = empty().zip(empty()).map(|(now, before)| Filled { now, before });
-        Latency { filled: RefCell::new(filled), turned: Cell::new(Instant::now()) }
+        let empty = || Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).ok();
+        let histograms = empty().zip(empty()).map(|(current, previous)| Histograms { current, previous });
+        Latency { histograms: RefCell::new(histograms), window_started: Cell::new(Instant::now()) }
     }
 }
 
 impl Latency {
-    /// Counts work that took so long.
-    pub fn add(&self, took: Duration) {
-        if let Some(filled) = self.filled.borrow_mut().as_mut() {
-            filled.now.saturating_record((took.as_micros() as u64).clamp(1, LONGEST));
+    /// Records one latency.
+    pub fn add(&self, latency: Duration) {
+        if let Some(histograms) = self.histograms.borrow_mut().as_mut() {
+            let microseconds = (latency.as_micros() as u64).clamp(1, MAX_LATENCY_US);
+            histograms.current.saturating_record(microseconds);
         }
     }
 
-    /// `NAME_count`, and `NAME_p50_us` and the like, of the last minute or two.
+    /// The counters `NAME_count`, `NAME_p50_us` and so on, over the last one to two minutes.
     pub fn report(&self, name: &str) -> Vec<(String, u64)> {
-        let mut filled = self.filled.borrow_mut();
-        let Some(filled) = filled.as_mut() else { return Vec::new() };
-        if self.turned.get().elapsed() >= TURN {
-            self.turned.set(Instant::now());
-            std::mem::swap(&mut filled.now, &mut filled.before);
-            filled.now.reset();
+        let mut histograms = self.histograms.borrow_mut();
+        let Some(histograms) = histograms.as_mut() else { return Vec::new() };
+        self.rotate(histograms);
+        let mut combined = histograms.previous.clone();
+        // This can't fail, as both have the same bounds.
+        let _ = combined.add(&histograms.current);
+        let mut report = vec![(format!("{name}_count"), combined.len())];
+        report.extend(
+            REPORTED_QUANTILES.map(|(label, quantile)| {
+                (format!("{name}_{label}_us"), combined.value_at_quantile(quantile))
+            }),
+        );
+        report
+    }
+
+    /// Starts a new window where the current one is over.
+    fn rotate(&self, histograms: &mut Histograms) {
+        if self.window_started.get().elapsed() >= WINDOW_DURATION {
+            self.window_started.set(Instant::now());
+            std::mem::swap(&mut histograms.current, &mut histograms.previous);
+            histograms.current.reset();
         }
-        let mut both = filled.before.clone();
-        // They have the same bounds.
-        let _ = both.add(&filled.now);
-        let mut told = vec![(format!("{name}_count"), both.len())];
-        told.extend(TOLD.map(|(what, q)| (format!("{name}_{what}_us"), both.value_at_quantile(q))));
-        told
     }
 }
--- a/glenfall/src/metrics/log_limit.rs
+++ b/glenfall/src/metrics/log_limit.rs
@@ -1,34 +1,39 @@
-//! A token bucket for log lines: what comes in a flood is counted, and only some of it is written.
+//! A token bucket for log lines: in a flood all lines are counted, but only some are written.
 
 use tokio::time::Instant;
 
 /// Bounds how many lines of one kind are written.
 #[derive(Debug)]
 pub struct LogLimit {
-    at_once: f64,
-    per_s: f64,
-    left: f64,
-    filled: Option<Instant>,
-    /// Lines left out since the last one that was written.
-    left_out: u64,
+    /// The capacity of the bucket.
+    burst: f64,
+    lines_per_s: f64,
+    tokens: f64,
+    last_refill: Option<Instant>,
+    /// Lines that were not written since the last one that was.
+    suppressed: u64,
 }
 
 impl LogLimit {
-    /// So many lines at once, and so many in a second from then on.
-    pub fn new(at_once: f64, per_s: f64) -> Self {
-        LogLimit { at_once, per_s, left: at_once, filled: None, left_out: 0 }
+    /// Allows `burst` lines at once, and `lines_per_s` lines per second from then on.
+    pub fn new(burst: f64, lines_per_s: f64) -> Self {
+        LogLimit { burst, lines_per_s, tokens: burst, last_refill: None, suppressed: 0 }
     }
 
-    /// Whether a line may be written now: then how many were left out before it.
+    /// Asks to write a line now. If it may be written, returns how many lines were suppressed before it.
     pub fn admit(&mut self, now: Instant) -> Option<u64> {
-        let passed = self.filled.map_or(0.0, |filled| now.saturating_duration_since(filled).as_secs_f64());
-        self.filled = Some(now);
-        self.left = (self.left + passed * self.per_s).min(self.at_once);
-        if self.left < 1.0 {
-            self.left_out += 1;
+        self.refill(now);
+        if self.tokens < 1.0 {
+            self.suppressed += 1;
             return None;
         }
-        self.left -= 1.0;
-        Some(std::mem::take(&mut self.left_out))
+        self.tokens -= 1.0;
+        Some(std::mem::take(&mut self.suppressed))
+    }
+
+    fn refill(&mut self, now: Instant) {
+        let elapsed = self.last_refill.map_or(0.0, |last| now.saturating_duration_since(last).as_secs_f64());
+        self.last_refill = Some(now);
+        self.tokens = (self.tokens + elapsed * self.lines_per_s).min(self.burst);
     }
 }
--- a/glenfall/src/metrics/mod.rs
+++ b/glenfall/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! What proxies count and time, for `status`.
+//! Counters and latencies for `status`, and a rate limit for log lines.
 
 pub mod counter;
 pub mod latency;
--- a/glenfall/tests/unit/http_server.rs
+++ b/glenfall/tests/unit/http_server.rs
@@ -44,7 +44,7 @@
     }
 }
 
-const LIMITS: RequestLimits = RequestLimits {
+const TEST_LIMITS: RequestLimits = RequestLimits {
     max_header_bytes: 8 << 10,
     max_body_bytes: 4000,
     header_timeout_ms: 150,
@@ -79,7 +79,7 @@
 
 /// Like `send_chunks`, while the body of another request uses this many of the 5000 bytes.
 async fn send_chunks_with_memory_in_use(bytes_in_use: usize, chunks: &[(&str, u64)]) -> (String, Duration) {
-    let (handler, addr, _stop) = start_server(LIMITS).await;
+    let (handler, addr, _stop) = start_server(TEST_LIMITS).await;
     let mut other = TcpStream::connect(addr).await.expect("a connection");
     if bytes_in_use > 0 {
         let body = post("/pending", &format!("Content-Length: {bytes_in_use}"), &"b".repeat(bytes_in_use));
@@ -225,7 +225,7 @@
 #[test]
 fn a_new_connection_evicts_the_longest_idle_one_and_never_one_with_a_request_in_flight() {
     run_local(async {
-        let limits = RequestLimits { idle_timeout_ms: 60_000, ..LIMITS };
+        let limits = RequestLimits { idle_timeout_ms: 60_000, ..TEST_LIMITS };
         let (handler, addr, _stop) = start_server(limits).await;
         let connect = || async { TcpStream::connect(addr).await.expect("a connection") };
         let ok = Some("HTTP/1.1 200 OK".to_owned());
--- a/glenfall/tests/unit/memory_budget.rs
+++ b/glenfall/tests/unit/memory_budget.rs
@@ -1,35 +1,36 @@
-//! MemoryBudget for answers: held until the last piece of an answer is dropped.
+//! The memory budget: memory is reserved until the last slice of a response is dropped.
 
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall::memory_budget::{MemoryBudget, UNIT};
+use glenfall::memory_budget::{MemoryBudget, UNIT_BYTES};
 use tokio::time::timeout;
 
 #[tokio::test(start_paused = true)]
-async fn room_is_held_until_the_last_piece_of_an_answer_is_dropped() {
-    let room = MemoryBudget::new(100 * UNIT);
-    let body = room.hold(90 * UNIT).await.expect("room").keeping(Bytes::from(vec![7; 90 * UNIT]));
-    assert_eq!((room.held(), room.is_free()), (90 * UNIT, false));
-    let piece = body.slice(5..9);
+async fn memory_is_reserved_until_the_last_slice_of_a_body_is_dropped() {
+    let budget = MemoryBudget::new(100 * UNIT_BYTES);
+    let body =
+        budget.hold(90 * UNIT_BYTES).await.expect("memory").keeping(Bytes::from(vec![7; 90 * UNIT_BYTES]));
+    assert_eq!((budget.held(), budget.is_free()), (90 * UNIT_BYTES, false));
+    let slice = body.slice(5..9);
     drop(body);
-    assert_eq!((&piece[..], room.held()), (&[7; 4][..], 90 * UNIT));
-    // Who comes meanwhile waits, and gets it when the piece goes.
-    let wait = timeout(Duration::from_secs(1), room.hold(20 * UNIT));
-    assert!(wait.await.is_err());
-    let (held, ()) = tokio::join!(room.hold(20 * UNIT), async { drop(piece) });
-    assert_eq!(held.expect("room").bytes(), 20 * UNIT);
-    assert_eq!((room.held(), room.is_free()), (0, true));
+    assert_eq!((&slice[..], budget.held()), (&[7; 4][..], 90 * UNIT_BYTES));
+    // A reservation made meanwhile waits until the slice is dropped.
+    let waiting = timeout(Duration::from_secs(1), budget.hold(20 * UNIT_BYTES));
+    assert!(waiting.await.is_err());
+    let (reservation, ()) = tokio::join!(budget.hold(20 * UNIT_BYTES), async { drop(slice) });
+    assert_eq!(reservation.expect("memory").bytes(), 20 * UNIT_BYTES);
+    assert_eq!((budget.held(), budget.is_free()), (0, true));
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_has_no_stated_length_grows_and_more_than_all_is_refused_at_once() {
-    let room = MemoryBudget::new(10 * UNIT);
-    assert!(room.hold(10 * UNIT + 1).await.is_none());
-    let mut held = room.hold(1).await.expect("room");
-    held.grow(3 * UNIT + 1).await.expect("room");
-    assert_eq!((held.bytes(), room.held()), (4 * UNIT, 4 * UNIT));
-    assert!(timeout(Duration::from_secs(1), held.grow(11 * UNIT)).await.is_err());
-    drop(held.keeping(Bytes::new()));
-    assert_eq!(room.held(), 0);
+async fn a_reservation_grows_and_more_than_the_budget_is_rejected_at_once() {
+    let budget = MemoryBudget::new(10 * UNIT_BYTES);
+    assert!(budget.hold(10 * UNIT_BYTES + 1).await.is_none());
+    let mut reservation = budget.hold(1).await.expect("memory");
+    reservation.grow(3 * UNIT_BYTES + 1).await.expect("memory");
+    assert_eq!((reservation.bytes(), budget.held()), (4 * UNIT_BYTES, 4 * UNIT_BYTES));
+    assert!(timeout(Duration::from_secs(1), reservation.grow(11 * UNIT_BYTES)).await.is_err());
+    drop(reservation.keeping(Bytes::new()));
+    assert_eq!(budget.held(), 0);
 }
--- a/glenfall/tests/unit/support.rs
+++ b/glenfall/tests/unit/support.rs
@@ -1,4 +1,4 @@
-//! What several of these tests need: a runtime, stand-in servers, and small records of the system.
+//! Shared by several of these tests: a runtime, stand-in servers, temporary folders, and small values of the system's types.
 
 use std::future::Future;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -11,13 +11,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, LocalSet};
 
-/// Runs a test with tasks of its own, in real time.
+/// Runs a test that spawns local tasks, in real time, and checks that no invariant is broken.
 pub fn run_local<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let ended = LocalSet::new().block_on(&runtime, test);
-    // Of all tests of this process so far.
+    let result = LocalSet::new().block_on(&runtime, test);
+    // The count is that of the process: it covers all its tests so far.
     assert_eq!(glenfall_control_plane::invariant::violations(), 0);
-    ended
+    result
 }
 
 /// A listener on a free port, and its address.
@@ -29,7 +29,7 @@
     }
 }
 
-/// A stand-in server: every connection is given to `connection`, in a task of its own.
+/// A stand-in server, which handles each connection with `connection` in a task of its own.
 pub async fn stand_in<F>(mut connection: impl FnMut(TcpStream) -> F + 'static) -> SocketAddrV4
 where
     F: Future<Output = ()> + 'static,
@@ -43,7 +43,7 @@
     address
 }
 
-/// A folder that is not there yet, and is removed when this is dropped.
+/// A folder for one test, which does not exist yet and is removed when this is dropped.
 pub struct Folder(PathBuf);
 
 impl Folder {
@@ -68,7 +68,7 @@
     }
 }
 
-/// Copies the files of a folder as they are now into another one, which is emptied before.
+/// Copies the files of a folder into another one, which is emptied before.
 pub fn copy_files(from: &Path, to: &Path) {
     let _ = std::fs::remove_dir_all(to);
     std::fs::create_dir_all(to).expect("a folder");
@@ -77,14 +77,14 @@
     }
 }
 
-/// Settings of a node, with more lines at their end.
+/// The settings of a node, with more lines at their end.
 pub fn settings(more: &str) -> Settings {
     let text = "node = \"n\"\nzone = \"z\"\nbindIp = \"127.0.0.1\"\nportRange = [1, 9]\n\
                 seedNodes = [\"127.0.0.1:1\"]\n[listeners]\n";
     Settings::parse(&format!("{text}{more}")).expect("settings")
 }
 
-/// A server of the service `s`, ready and warm.
+/// A server of the service `s`, which is ready and needs no slow start.
 pub fn server(id: &str, port: u16) -> Server {
     Server {
         id: id.into(),
@@ -97,7 +97,7 @@
     }
 }
 
-/// An object of the service `s`.
+/// The cache key of an object of the service `s`.
 pub fn object(path: &str) -> ObjectKey {
     ObjectKey { service: "s".into(), host: "h".into(), path: path.into() }
 }
