--- a/glenfall/src/cache/backlog.rs
+++ b/glenfall/src/cache/backlog.rs
@@ -1,17 +1,16 @@
-//! What waits in a queue between two threads, bounded in bytes or entries. Whoever queues something reserves its units
-//! first, and the reservation travels with it: they are free again when the other thread drops it, never before they were
-//! taken.
+//! Bounds on a queue between two threads, in bytes or entries. The sender reserves units before it queues something, and
+//! the reservation travels with it: the units are free again when the receiver drops it, never before it was received.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
 /// The count of a backlog's units, which threads share.
 pub trait SharedCount {
-    /// The count as it is now.
+    /// Returns the current count.
     fn load(&self) -> usize;
-    /// Replaces a count that is still what it was when it was read; else gives the count as it is now.
-    fn replace(&self, read: usize, by: usize) -> Result<(), usize>;
-    /// Takes units off.
+    /// Replaces the count if it still is `current`; otherwise returns the actual count.
+    fn compare_exchange(&self, current: usize, new: usize) -> Result<(), usize>;
+    /// Subtracts units.
     fn subtract(&self, units: usize);
 }
 
@@ -20,8 +19,8 @@
         AtomicUsize::load(self, Ordering::Acquire)
     }
 
-    fn replace(&self, read: usize, by: usize) -> Result<(), usize> {
-        self.compare_exchange(read, by, Ordering::AcqRel, Ordering::Acquire).map(drop)
+    fn compare_exchange(&self, current: usize, new: usize) -> Result<(), usize> {
+        AtomicUsize::compare_exchange(self, current, new, Ordering::AcqRel, Ordering::Acquire).map(drop)
     }
 
     fn subtract(&self, units: usize) {
@@ -29,57 +28,57 @@
     }
 }
 
-/// The units that wait, and how many may.
+/// The units that are queued, and how many may be.
 pub struct Backlog<C: SharedCount = AtomicUsize> {
-    waiting: Arc<C>,
-    most: usize,
+    queued: Arc<C>,
+    capacity: usize,
 }
 
 impl Backlog {
-    /// An empty one in which so many units may wait.
-    pub fn new(most: usize) -> Backlog {
-        Backlog::counted_by(Arc::default(), most)
+    /// An empty backlog of at most `capacity` units.
+    pub fn new(capacity: usize) -> Backlog {
+        Backlog::with_count(Arc::default(), capacity)
     }
 }
 
 impl<C: SharedCount> Clone for Backlog<C> {
     fn clone(&self) -> Self {
-        Backlog { waiting: Arc::clone(&self.waiting), most: self.most }
+        Backlog { queued: Arc::clone(&self.queued), capacity: self.capacity }
     }
 }
 
 impl<C: SharedCount> Backlog<C> {
-    /// The same with a count of another kind.
-    pub fn counted_by(waiting: Arc<C>, most: usize) -> Self {
-        Backlog { waiting, most }
+    /// A backlog that is counted by the caller's implementation of the count.
+    pub fn with_count(queued: Arc<C>, capacity: usize) -> Self {
+        Backlog { queued, capacity }
     }
 
-    /// Units that wait.
-    pub fn waiting(&self) -> usize {
-        self.waiting.load()
+    /// Number of units that are queued.
+    pub fn queued(&self) -> usize {
+        self.queued.load()
     }
 
-    /// Reserves units; `None` where more would wait than may.
-    pub fn reserve(&self, units: usize) -> Option<Reserved<C>> {
-        let mut waiting = self.waiting.load();
+    /// Reserves units; `None` if the capacity would be exceeded.
+    pub fn reserve(&self, units: usize) -> Option<Reservation<C>> {
+        let mut queued = self.queued.load();
         loop {
-            let more = waiting.checked_add(units).filter(|more| *more <= self.most)?;
-            match self.waiting.replace(waiting, more) {
-                Ok(()) => return Some(Reserved { units, waiting: Arc::clone(&self.waiting) }),
-                Err(now) => waiting = now,
+            let sum = queued.checked_add(units).filter(|sum| *sum <= self.capacity)?;
+            match self.queued.compare_exchange(queued, sum) {
+                Ok(()) => return Some(Reservation { units, queued: Arc::clone(&self.queued) }),
+                Err(actual) => queued = actual,
             }
         }
     }
 }
 
-/// Units of a backlog, until this is dropped.
-pub struct Reserved<C: SharedCount = AtomicUsize> {
+/// Reserved units of a backlog, which are free again when this is dropped.
+pub struct Reservation<C: SharedCount = AtomicUsize> {
     units: usize,
-    waiting: Arc<C>,
+    queued: Arc<C>,
 }
 
-impl<C: SharedCount> Drop for Reserved<C> {
+impl<C: SharedCount> Drop for Reservation<C> {
     fn drop(&mut self) {
-        self.waiting.subtract(self.units);
+        self.queued.subtract(self.units);
     }
 }
--- /dev/null
+++ b/glenfall/src/cache/disk/cache_file.rs
@@ -0,0 +1,179 @@
+//! The SQLite file of stored responses.
+
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use rusqlite::{Connection, OptionalExtension, Transaction};
+
+use super::change::{Change, QueuedChange};
+use super::clock::Timestamp;
+use super::row::{checksum, Row, RowHead};
+use crate::disk;
+
+/// The file's name in its folder.
+pub const FILE_NAME: &str = "copies.sqlite";
+/// Page size of the file and of its write-ahead log, in bytes: a stored response takes few of them.
+const PAGE_BYTES: usize = 16 << 10;
+/// The write-ahead log is checkpointed when it has this many pages, and truncated to that size where it was longer.
+const WAL_PAGES: usize = 512;
+/// Fraction of the disk that the file may take: rows for all responses in memory, and free pages among them.
+const MAX_FRACTION_OF_DISK: f64 = 0.55;
+const BYTES_PER_MB: u32 = 1 << 20;
+
+const CREATE_TABLES: &str = "\
+    CREATE TABLE IF NOT EXISTS copies (id TEXT PRIMARY KEY, head BLOB NOT NULL, body BLOB NOT NULL, \
+    born INTEGER NOT NULL, crc INTEGER NOT NULL) WITHOUT ROWID; \
+    CREATE TABLE IF NOT EXISTS written \
+    (id INTEGER PRIMARY KEY, at INTEGER NOT NULL, steady INTEGER NOT NULL)";
+const PUT: &str = "INSERT OR REPLACE INTO copies (id, head, body, born, crc) VALUES (?1, ?2, ?3, ?4, ?5)";
+const REVALIDATE: &str = "UPDATE copies SET born = ?2 WHERE id = ?1";
+const REMOVE: &str = "DELETE FROM copies WHERE id = ?1";
+const SELECT_ALL: &str = "SELECT head, body, born, crc FROM copies";
+const SET_WRITTEN: &str = "INSERT OR REPLACE INTO written (id, at, steady) VALUES (1, ?1, ?2)";
+const SELECT_WRITTEN: &str = "SELECT at, steady FROM written";
+
+/// The file, and the connection to it while it is open.
+pub struct CacheFile {
+    path: PathBuf,
+    max_pages: usize,
+    connection: Option<Connection>,
+}
+
+impl CacheFile {
+    /// The file in a folder, on a disk of which this system may use `disk_mb` megabytes. It is opened when it is first
+    /// used.
+    pub fn new(folder: &Path, disk_mb: u64) -> Self {
+        let max_bytes = disk_mb as f64 * MAX_FRACTION_OF_DISK * f64::from(BYTES_PER_MB);
+        CacheFile {
+            path: folder.join(FILE_NAME),
+            max_pages: max_bytes as usize / PAGE_BYTES,
+            connection: None,
+        }
+    }
+
+    /// Reads all rows that are intact and recent enough. A file that can't be read is discarded.
+    pub fn read_all(&mut self) -> Vec<Row> {
+        let Some(connection) = self.connection() else { return Vec::new() };
+        match read_rows(connection) {
+            Ok(rows) => rows,
+            Err(error) => {
+                tracing::warn!(%error, "disk cache discarded: reading failed");
+                self.discard();
+                Vec::new()
+            }
+        }
+    }
+
+    /// Writes changes in one transaction. Without a file that can be opened, the changes are dropped.
+    pub fn write(&mut self, changes: &[QueuedChange]) -> rusqlite::Result<()> {
+        let Some(connection) = self.connection() else { return Ok(()) };
+        let transaction = connection.transaction()?;
+        for queued in changes {
+            apply(&transaction, queued.change())?;
+        }
+        // The contents are as of the last change: a removal that was queued since is still to come, however long this
+        // write takes.
+        if let Some(last) = changes.last() {
+            let Timestamp { wall_ms, monotonic_ms } = last.queued_at();
+            transaction.execute(SET_WRITTEN, [wall_ms, monotonic_ms])?;
+        }
+        transaction.commit()
+    }
+
+    /// Closes and removes the file; the next use creates a new one.
+    pub fn discard(&mut self) {
+        self.close();
+        disk::throw_away(&self.path);
+    }
+
+    /// Closes the file.
+    pub fn close(&mut self) {
+        self.connection = None;
+    }
+
+    /// The connection to the file, or to a new one if it can't be opened. `None` if that can't be opened either.
+    fn connection(&mut self) -> Option<&mut Connection> {
+        if self.connection.is_none() {
+            self.connection = match self.open() {
+                Ok(connection) => Some(connection),
+                Err(error) => {
+                    tracing::warn!(%error, "disk cache discarded: the file can't be opened");
+                    disk::throw_away(&self.path);
+                    self.open().ok()
+                }
+            };
+        }
+        self.connection.as_mut()
+    }
+
+    fn open(&self) -> rusqlite::Result<Connection> {
+        if let Some(folder) = self.path.parent() {
+            // If this fails, so does the next step.
+            let _ = std::fs::create_dir_all(folder);
+        }
+        let connection = disk::open(&self.path, PAGE_BYTES)?;
+        connection.pragma_update(None, "wal_autocheckpoint", WAL_PAGES)?;
+        connection.pragma_update(None, "journal_size_limit", WAL_PAGES * PAGE_BYTES)?;
+        connection.pragma_update(None, "max_page_count", self.max_pages)?;
+        connection.execute_batch(CREATE_TABLES)?;
+        Ok(connection)
+    }
+}
+
+fn apply(transaction: &Transaction, change: &Change) -> rusqlite::Result<()> {
+    match change {
+        Change::Put { id, head, body, born_ms } => {
+            let mut put = transaction.prepare_cached(PUT)?;
+            put.execute((id, head, &body[..], born_ms, checksum(head, body)))?;
+        }
+        Change::Revalidate { id, born_ms } => {
+            transaction.prepare_cached(REVALIDATE)?.execute((id, born_ms))?;
+        }
+        Change::Remove(ids) => {
+            let mut remove = transaction.prepare_cached(REMOVE)?;
+            for id in ids {
+                remove.execute([id])?;
+            }
+        }
+    }
+    Ok(())
+}
+
+/// A row as the file has it.
+struct RawRow {
+    head: Vec<u8>,
+    body: Vec<u8>,
+    born_ms: i64,
+    checksum: i64,
+}
+
+impl RawRow {
+    fn read(row: &rusqlite::Row) -> rusqlite::Result<Self> {
+        Ok(RawRow { head: row.get(0)?, body: row.get(1)?, born_ms: row.get(2)?, checksum: row.get(3)? })
+    }
+
+    /// Decodes the row; `None` if it is corrupt.
+    fn decode(self, written_at: Timestamp, since_write: Duration) -> Option<Row> {
+        let age_when_written_ms = u64::try_from(written_at.monotonic_ms - self.born_ms).ok()?;
+        if self.checksum != checksum(&self.head, &self.body) {
+            return None;
+        }
+        let head = RowHead::decode(&self.head).ok()?;
+        Some(head.into_row(self.body, Duration::from_millis(age_when_written_ms) + since_write))
+    }
+}
+
+fn read_rows(connection: &Connection) -> rusqlite::Result<Vec<Row>> {
+    let read_timestamp =
+        |row: &rusqlite::Row| Ok(Timestamp { wall_ms: row.get(0)?, monotonic_ms: row.get(1)? });
+    let written_at = connection.query_row(SELECT_WRITTEN, [], read_timestamp).optional()?;
+    let Some(written_at) = written_at else { return Ok(Vec::new()) };
+    let since_write = Timestamp::now().since(written_at).resolve();
+    let Some(since_write) = since_write else { return Ok(Vec::new()) };
+    let mut select = connection.prepare(SELECT_ALL)?;
+    let mut rows = Vec::new();
+    for raw in select.query_map([], RawRow::read)? {
+        rows.extend(raw?.decode(written_at, since_write));
+    }
+    Ok(rows)
+}
--- /dev/null
+++ b/glenfall/src/cache/disk/change.rs
@@ -0,0 +1,69 @@
+//! Changes of the file, on their way to the thread that writes it.
+
+use bytes::Bytes;
+
+use super::clock::Timestamp;
+use crate::cache::backlog::Reservation;
+
+/// A change of one or several rows.
+pub enum Change {
+    /// Writes a row, in place of that with the same id.
+    Put {
+        /// The row's primary key.
+        id: String,
+        /// The encoded head.
+        head: Vec<u8>,
+        /// The complete object.
+        body: Bytes,
+        /// When its request was sent, by the monotonic clock.
+        born_ms: i64,
+    },
+    /// Sets when the request was sent that revalidated an unchanged response.
+    Revalidate {
+        /// The row's primary key.
+        id: String,
+        /// When the request was sent, by the monotonic clock.
+        born_ms: i64,
+    },
+    /// Removes rows.
+    Remove(Vec<String>),
+}
+
+impl Change {
+    fn row_count(&self) -> usize {
+        match self {
+            Change::Put { .. } | Change::Revalidate { .. } => 1,
+            Change::Remove(ids) => ids.len(),
+        }
+    }
+}
+
+/// A change in the queue. It holds its reservations in the backlogs until it is dropped.
+pub struct QueuedChange {
+    change: Change,
+    queued_at: Timestamp,
+    _rows: Reservation,
+    _body: Option<Reservation>,
+}
+
+impl QueuedChange {
+    /// A change that is queued now.
+    pub fn new(change: Change, rows: Reservation, body: Option<Reservation>) -> Self {
+        QueuedChange { change, queued_at: Timestamp::now(), _rows: rows, _body: body }
+    }
+
+    /// The change.
+    pub fn change(&self) -> &Change {
+        &self.change
+    }
+
+    /// When it was queued.
+    pub fn queued_at(&self) -> Timestamp {
+        self.queued_at
+    }
+}
+
+/// Number of rows that changes touch.
+pub fn row_count(changes: &[QueuedChange]) -> usize {
+    changes.iter().map(|queued| queued.change.row_count()).sum()
+}
--- /dev/null
+++ b/glenfall/src/cache/disk/writer.rs
@@ -0,0 +1,102 @@
+//! The thread that reads the file at the start and writes changes to it.
+
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{mpsc, Arc};
+use std::time::Duration;
+
+use tokio::sync::oneshot;
+
+use super::cache_file::CacheFile;
+use super::change::{row_count, QueuedChange};
+use super::row::Row;
+use crate::cache::backlog::Backlog;
+
+/// Changes within this time are written in one transaction, with one sync.
+const BATCH_DELAY: Duration = Duration::from_millis(300);
+/// Rows that are written in one transaction: each may take a page of the write-ahead log, which then has at most twice
+/// the pages at which it is checkpointed, and those of the bodies in the queue.
+pub const MAX_BATCH_ROWS: usize = 256;
+/// Pause after the disk refused a write.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+
+/// The side of the disk tier that reads and writes the file.
+pub struct Writer {
+    file: CacheFile,
+    changes: mpsc::Receiver<QueuedChange>,
+    queued_bodies: Backlog,
+    removal_lost: Arc<AtomicBool>,
+    rows_found: Option<oneshot::Sender<Vec<Row>>>,
+}
+
+impl Writer {
+    /// A writer that sends the rows of the file to `rows_found` and then writes `changes`. `removal_lost` is set by a
+    /// sender whose removal did not fit in the queue.
+    pub(super) fn new(
+        file: CacheFile,
+        changes: mpsc::Receiver<QueuedChange>,
+        queued_bodies: Backlog,
+        removal_lost: Arc<AtomicBool>,
+        rows_found: oneshot::Sender<Vec<Row>>,
+    ) -> Self {
+        Writer { file, changes, queued_bodies, removal_lost, rows_found: Some(rows_found) }
+    }
+
+    /// Bytes of bodies in the queue.
+    pub fn queued_bytes(&self) -> usize {
+        self.queued_bodies.queued()
+    }
+
+    /// Reads the file, then writes changes until all senders are dropped.
+    pub fn run(&mut self) {
+        self.send_rows_found();
+        let mut is_behind = false;
+        while let Ok(first) = self.changes.recv() {
+            if !is_behind {
+                std::thread::sleep(BATCH_DELAY);
+            }
+            let batch = self.next_batch(first);
+            is_behind = row_count(&batch) >= MAX_BATCH_ROWS;
+            // Read after the batch was received: a removal that was lost before one of its changes shows here.
+            if self.removal_lost.swap(false, Ordering::AcqRel) {
+                self.discard_all();
+                continue;
+            }
+            let written = self.file.write(&batch);
+            // The reservations are free before a pause.
+            drop(batch);
+            if let Err(error) = written {
+                // The disk is full or refuses writes: what should have been removed may still be in the file, so that
+                // all of it is discarded.
+                tracing::warn!(%error, "disk cache discarded: writing failed");
+                self.file.discard();
+                std::thread::sleep(RETRY_DELAY);
+            }
+        }
+        self.file.close();
+    }
+
+    fn send_rows_found(&mut self) {
+        let rows = self.file.read_all();
+        if let Some(rows_found) = self.rows_found.take() {
+            // The receiver may be gone.
+            let _ = rows_found.send(rows);
+        }
+    }
+
+    /// The changes that are written in one transaction.
+    fn next_batch(&self, first: QueuedChange) -> Vec<QueuedChange> {
+        let mut batch = vec![first];
+        while row_count(&batch) < MAX_BATCH_ROWS {
+            let Ok(next) = self.changes.try_recv() else { break };
+            batch.push(next);
+        }
+        batch
+    }
+
+    /// Drops all queued changes and discards the file, as a removal among them was lost.
+    fn discard_all(&mut self) {
+        tracing::warn!("disk cache discarded: the write queue was full and a removal was lost");
+        while self.changes.try_recv().is_ok() {}
+        self.file.discard();
+    }
+}
--- /dev/null
+++ b/glenfall/src/cache/memory_cache.rs
@@ -0,0 +1,135 @@
+//! The cache in memory: least recently used responses are evicted first; an index by label serves purges.
+
+use std::collections::{HashMap, HashSet};
+use std::rc::Rc;
+use std::time::Duration;
+
+use glenfall_control_plane::messages::{AgedPurge, Purge};
+use lru::LruCache;
+
+use super::object_key::ObjectKey;
+use super::stored_response::StoredResponse;
+
+/// A purge also ends responses whose request was sent up to this long after it. The age of a purge is not corrected for
+/// the time that its message took, so that purge and request can't be ordered more precisely.
+const PURGE_ORDER_TOLERANCE: Duration = Duration::from_secs(1);
+/// No response takes more than the capacity divided by this.
+const MAX_ENTRY_DIVISOR: usize = 8;
+
+/// Stored responses, by object and by label.
+pub struct Cache {
+    entries: LruCache<ObjectKey, Rc<StoredResponse>>,
+    /// The keys of the entries that have a label. No set is empty.
+    keys_by_label: HashMap<Box<str>, HashSet<ObjectKey>>,
+    bytes: usize,
+    max_bytes: usize,
+}
+
+impl Cache {
+    /// An empty cache that holds no more than `max_bytes`.
+    pub fn new(max_bytes: usize) -> Self {
+        Cache { entries: LruCache::unbounded(), keys_by_label: HashMap::new(), bytes: 0, max_bytes }
+    }
+
+    /// Returns a stored response and marks it as the most recently used.
+    pub fn get(&mut self, key: &ObjectKey) -> Option<Rc<StoredResponse>> {
+        self.entries.get(key).cloned()
+    }
+
+    /// Stores a response in place of that of the same object. Returns the keys that have no response any more: those
+    /// that were evicted for it, or its own if it is too large.
+    pub fn insert(&mut self, key: ObjectKey, copy: Rc<StoredResponse>) -> Vec<ObjectKey> {
+        self.remove(&key);
+        if copy.size() > self.max_bytes / MAX_ENTRY_DIVISOR {
+            return vec![key];
+        }
+        self.bytes += copy.size();
+        for label in &copy.labels {
+            self.keys_by_label.entry(label.clone()).or_default().insert(key.clone());
+        }
+        self.entries.put(key, copy);
+        self.evict()
+    }
+
+    /// Evicts the least recently used responses until the rest fits.
+    fn evict(&mut self) -> Vec<ObjectKey> {
+        let mut evicted = Vec::new();
+        while self.bytes > self.max_bytes {
+            let Some((key, copy)) = self.entries.pop_lru() else { break };
+            self.entry_removed(&key, &copy);
+            evicted.push(key);
+        }
+        evicted
+    }
+
+    /// All entries, the least recently used first.
+    pub fn into_all(self) -> impl Iterator<Item = (ObjectKey, Rc<StoredResponse>)> {
+        self.entries.into_iter()
+    }
+
+    fn remove(&mut self, key: &ObjectKey) {
+        if let Some(copy) = self.entries.pop(key) {
+            self.entry_removed(key, &copy);
+        }
+    }
+
+    /// Updates size and index for an entry that was removed.
+    fn entry_removed(&mut self, key: &ObjectKey, copy: &StoredResponse) {
+        self.bytes -= copy.size();
+        for label in &copy.labels {
+            let Some(keys) = self.keys_by_label.get_mut(label) else { continue };
+            keys.remove(key);
+            if keys.is_empty() {
+                self.keys_by_label.remove(label);
+            }
+        }
+    }
+
+    /// Removes all responses that a purge names, except those whose request was sent after the purge. Returns their
+    /// keys.
+    pub fn purge(&mut self, aged: &AgedPurge) -> Vec<ObjectKey> {
+        let purge_age = Duration::from_millis(aged.age_ms);
+        let mut keys = self.keys_named_by(&aged.purge);
+        keys.retain(|key| {
+            let copy = self.entries.peek(key);
+            copy.is_none_or(|copy| copy.age() + PURGE_ORDER_TOLERANCE >= purge_age)
+        });
+        for key in &keys {
+            self.remove(key);
+        }
+        keys
+    }
+
+    fn keys_named_by(&self, purge: &Purge) -> Vec<ObjectKey> {
+        let all_keys = self.entries.iter().map(|(key, _)| key);
+        match purge {
+            Purge::Everything => all_keys.cloned().collect(),
+            Purge::Label(label) => {
+                self.keys_by_label.get(label.as_str()).into_iter().flatten().cloned().collect()
+            }
+            Purge::Object { hostname, path } => {
+                all_keys.filter(|key| key.at(hostname, path)).cloned().collect()
+            }
+        }
+    }
+
+    /// Number of stored responses.
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Whether it stores no response.
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+
+    /// Number of labels that some stored response has.
+    pub fn label_count(&self) -> usize {
+        self.keys_by_label.len()
+    }
+
+    /// The size of all stored responses, with their overhead.
+    pub fn bytes(&self) -> usize {
+        self.bytes
+    }
+}
--- /dev/null
+++ b/glenfall/src/cache/object_key.rs
@@ -0,0 +1,22 @@
+//! The cache key.
+
+use std::sync::Arc;
+
+/// The cache key of an object: service, host, path and query.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct ObjectKey {
+    /// The service whose servers have the object.
+    pub service: Arc<str>,
+    /// The host, as the client named it.
+    pub host: Arc<str>,
+    /// Path and query.
+    pub path: Arc<str>,
+}
+
+impl ObjectKey {
+    /// Whether a purge of this host and path names the object, whatever its query.
+    pub fn at(&self, hostname: &str, path: &str) -> bool {
+        let own_path = self.path.split_once('?').map_or(&*self.path, |(path, _)| path);
+        own_path == path && self.host.eq_ignore_ascii_case(hostname)
+    }
+}
--- /dev/null
+++ b/glenfall/src/cache/stored_response.rs
@@ -0,0 +1,128 @@
+//! A response that may be sent again, and which responses may be stored.
+
+use std::cell::Cell;
+use std::time::Duration;
+
+use bytes::Bytes;
+use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
+use hyper::StatusCode;
+use tokio::time::Instant;
+
+use super::byte_range::ByteRange;
+use crate::http::headers::{passed_on, TRY_ID};
+use crate::http::response::{CachedResponse, ProxyResponse, ServerResponse, AGE_MS, SEAL, TAGS};
+
+/// What a stored response costs in addition to its body: headers, names, slots in the tables.
+pub const ENTRY_OVERHEAD_BYTES: usize = 1024;
+/// `Cache-Control` directives that forbid to store a response.
+const NOT_STORABLE_DIRECTIVES: [&str; 2] = ["no-store", "private"];
+
+/// A complete response that may be sent again.
+#[derive(Debug)]
+pub struct StoredResponse {
+    /// The server's headers, without those of one connection.
+    pub headers: HeaderMap,
+    /// The complete object.
+    pub body: Bytes,
+    /// When the request was sent that fetched or last revalidated it: its content is no older than that.
+    pub born: Cell<Instant>,
+    /// The labels by which it can be purged.
+    pub labels: Vec<Box<str>>,
+}
+
+impl StoredResponse {
+    /// Stores a response whose request was sent at `born`; `None` if it must not be stored.
+    pub fn of(response: &ServerResponse, born: Instant) -> Option<StoredResponse> {
+        if !is_storable(response) {
+            return None;
+        }
+        let labels = response.headers().get_all(TAGS).iter().filter_map(|value| value.to_str().ok());
+        let labels = labels.flat_map(str::split_whitespace).map(Box::from).collect();
+        let mut headers = passed_on(response.headers());
+        headers.remove(TRY_ID);
+        headers.remove(header::AGE);
+        Some(StoredResponse { headers, body: response.body().clone(), born: Cell::new(born), labels })
+    }
+
+    /// Adds to a response what an edge needs to store it as well: its age and its labels.
+    pub fn hand_on(&self, response: &mut ProxyResponse) {
+        response.set_copy_details(self.age(), &self.labels.join(" "));
+    }
+
+    /// When the response was fetched that a shield sent from its cache, in answer to a request sent at `asked`. `None`
+    /// if the shield did not state its age.
+    pub fn handed_on(response: &ServerResponse, asked: Instant) -> Option<Instant> {
+        let age_ms = response.headers().get(AGE_MS)?.to_str().ok()?.parse().ok()?;
+        asked.checked_sub(Duration::from_millis(age_ms))
+    }
+
+    /// What it costs in bytes.
+    pub(super) fn size(&self) -> usize {
+        self.body.len() + ENTRY_OVERHEAD_BYTES
+    }
+
+    /// How long ago its request was sent.
+    pub fn age(&self) -> Duration {
+        self.born.get().elapsed()
+    }
+
+    /// Whether it has a label.
+    pub fn labelled(&self, label: &str) -> bool {
+        self.labels.iter().any(|own| **own == *label)
+    }
+
+    /// The response to a request with these headers: the complete object, the range that the request names, or that the
+    /// object is not modified.
+    pub fn answer(&self, request: &HeaderMap) -> CachedResponse {
+        let headers = self.response_headers(request);
+        let etag = self.headers.get(header::ETAG);
+        if etag.is_some() && request.get(header::IF_NONE_MATCH) == etag {
+            return CachedResponse::not_modified(headers);
+        }
+        match self.requested_range(request) {
+            ByteRange::Complete => CachedResponse::whole(headers, self.body.clone()),
+            ByteRange::NotSatisfiable => CachedResponse::range_not_satisfiable(self.body.len()),
+            ByteRange::Part { first, last } => CachedResponse::range(headers, &self.body, first, last),
+        }
+    }
+
+    fn response_headers(&self, request: &HeaderMap) -> HeaderMap {
+        let mut headers = self.headers.clone();
+        headers.insert(header::AGE, HeaderValue::from(self.age().as_secs()));
+        if let Some(id) = request.get(TRY_ID) {
+            headers.insert(TRY_ID, id.clone());
+        }
+        headers
+    }
+
+    fn requested_range(&self, request: &HeaderMap) -> ByteRange {
+        let etag = self.headers.get(header::ETAG);
+        let is_same_version = request.get(header::IF_RANGE).is_none_or(|given| Some(given) == etag);
+        match text(request, header::RANGE) {
+            Some(range) if is_same_version => ByteRange::parse(range, self.body.len()),
+            _ => ByteRange::Complete,
+        }
+    }
+}
+
+fn text(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
+    headers.get(name)?.to_str().ok()
+}
+
+/// Whether a response may be stored: it is complete and successful, has the server's seal, and is not excluded by its
+/// `Cache-Control`.
+fn is_storable(response: &ServerResponse) -> bool {
+    let headers = response.headers();
+    let is_complete = response.status() == StatusCode::OK
+        && headers.contains_key(SEAL)
+        && !headers.contains_key(header::CONTENT_ENCODING)
+        && !headers.contains_key(header::CONTENT_RANGE);
+    is_complete && !headers.get_all(header::CACHE_CONTROL).iter().any(forbids_storing)
+}
+
+fn forbids_storing(cache_control: &HeaderValue) -> bool {
+    // A value that is no text may forbid it.
+    let Ok(text) = cache_control.to_str() else { return true };
+    let text = text.to_ascii_lowercase();
+    NOT_STORABLE_DIRECTIVES.iter().any(|directive| text.contains(directive))
+}
--- a/glenfall/src/upstream/forward/attempts.rs
+++ b/glenfall/src/upstream/forward/attempts.rs
@@ -4,7 +4,7 @@
 use glenfall_http_client::send::{ExecutionStatus, SendEvent, SendSequence, SendStage};
 use hyper::StatusCode;
 
-use super::outcome::{Outcome, Refusal, AT_CAPACITY_RETRY_AFTER, NONE};
+use super::outcome::{Outcome, Rejection, AT_CAPACITY_RETRY_AFTER, UNAVAILABLE_RETRY_AFTER};
 use super::response_event::{response_event, states_not_run};
 use crate::http::failure::{Cause, Failure};
 use crate::http::response::ServerResponse;
@@ -36,7 +36,7 @@
             trace: Trace::default(),
             may_have_run: false,
             has_rate_limit_token: false,
-            outcome_so_far: Outcome::NotRun(Refusal::new(Cause::NoConnection, NONE)),
+            outcome_so_far: Outcome::NotRun(Rejection::new(Cause::NoConnection, UNAVAILABLE_RETRY_AFTER)),
         }
     }
 
@@ -79,9 +79,9 @@
     pub fn stop(&mut self, cause: Cause) {
         self.sends.settle();
         self.trace.stopped_by = Some(cause);
-        if let Outcome::NotRun(refusal) = &mut self.outcome_so_far {
+        if let Outcome::NotRun(rejection) = &mut self.outcome_so_far {
             if self.trace.ends.is_empty() {
-                refusal.failure = cause.into();
+                rejection.failure = cause.into();
             }
         }
     }
@@ -140,8 +140,8 @@
             return;
         }
         self.outcome_so_far = Outcome::NotRun(match is_rate_limit {
-            true => Refusal::new(Cause::ServerRateLimit, NONE),
-            false => Refusal::new(Cause::ServersFull, AT_CAPACITY_RETRY_AFTER),
+            true => Rejection::new(Cause::ServerRateLimit, UNAVAILABLE_RETRY_AFTER),
+            false => Rejection::new(Cause::ServersFull, AT_CAPACITY_RETRY_AFTER),
         });
     }
 
@@ -165,8 +165,8 @@
                 response.set_way(trace.describe());
                 Outcome::Answered(response)
             }
-            Outcome::NotRun(refusal) => {
-                Outcome::NotRun(Refusal { failure: with_trace(refusal.failure), ..refusal })
+            Outcome::NotRun(rejection) => {
+                Outcome::NotRun(Rejection { failure: with_trace(rejection.failure), ..rejection })
             }
             Outcome::Unknown(failure) => Outcome::Unknown(with_trace(failure)),
             Outcome::TimedOut(failure) => Outcome::TimedOut(with_trace(failure)),
--- a/glenfall/src/upstream/forward/forwarder.rs
+++ b/glenfall/src/upstream/forward/forwarder.rs
@@ -18,7 +18,7 @@
 
 use super::attempts::Attempts;
 use super::counters::ForwarderCounters;
-use super::outcome::{Outcome, Refusal, AT_CAPACITY_RETRY_AFTER};
+use super::outcome::{Outcome, Rejection, AT_CAPACITY_RETRY_AFTER};
 use super::rate_limit_queue::{RateLimitExceeded, RateLimitQueue};
 use super::request::UpstreamRequest;
 use crate::http::failure::Cause;
@@ -183,7 +183,7 @@
         let (outcome, report) = self.send_admitted(job, allowance).await;
         match &outcome {
             Outcome::Answered(_) => permit.record_response(),
-            Outcome::NotRun(refusal) if refusal.failure.cause == Cause::ServersFull => {
+            Outcome::NotRun(rejection) if rejection.failure.cause == Cause::ServersFull => {
                 permit.record_overload();
             }
             Outcome::TimedOut(_) => permit.record_overload(),
@@ -270,7 +270,7 @@
 }
 
 fn rejected_as_overloaded(cause: Cause) -> (Outcome, SendReport) {
-    (Outcome::NotRun(Refusal::new(cause, AT_CAPACITY_RETRY_AFTER)), SendReport::default())
+    (Outcome::NotRun(Rejection::new(cause, AT_CAPACITY_RETRY_AFTER)), SendReport::default())
 }
 
 /// The request as it is written now, with the time that the server has for it.
--- a/glenfall/src/upstream/forward/outcome.rs
+++ b/glenfall/src/upstream/forward/outcome.rs
@@ -8,14 +8,14 @@
 /// When a client may retry at a service whose servers are at capacity: about when one of their requests ends.
 pub(super) const AT_CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// When a client may retry at a service that has no server, or whose rate limit is exceeded.
-pub const NONE: Duration = Duration::from_millis(400);
+pub const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// How a forwarded request ended.
 pub enum Outcome {
     /// With a response, which is passed on.
     Answered(ServerResponse),
     /// The request has not run at any server and will not.
-    NotRun(Refusal),
+    NotRun(Rejection),
     /// It may have run.
     Unknown(Failure),
     /// It may have run, and its deadline has passed.
@@ -24,16 +24,16 @@
 
 /// Why a request was sent to no server, or has run at none of them.
 #[derive(Clone, Debug)]
-pub struct Refusal {
+pub struct Rejection {
     /// The failure that ended it.
     pub failure: Failure,
     /// The time after which its client may retry.
     pub retry_after: Duration,
 }
 
-impl Refusal {
+impl Rejection {
     /// The rejection of a request that was sent to no server.
     pub fn new(cause: Cause, retry_after: Duration) -> Self {
-        Refusal { failure: cause.into(), retry_after }
+        Rejection { failure: cause.into(), retry_after }
     }
 }
--- a/glenfall/tests/unit/backlog.rs
+++ b/glenfall/tests/unit/backlog.rs
@@ -1,23 +1,23 @@
-//! Backlogs between threads, where one of them is stopped between any two steps of the other.
+//! Backlogs between threads, where another thread runs between any two steps of the first.
 
 use std::sync::atomic::AtomicUsize;
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-use glenfall::cache::backlog::{Backlog, Reserved, SharedCount};
+use glenfall::cache::backlog::{Backlog, Reservation, SharedCount};
 
-const MOST: usize = 100;
+const CAPACITY: usize = 100;
 
 type Step = Box<dyn FnOnce() + Send>;
 
-/// A count whose reader is stopped after it has read, while the other side does something.
+/// A count whose reader is interrupted after it has read, while the other thread does something.
 #[derive(Default)]
-struct Stopped {
+struct InterruptedCount {
     count: AtomicUsize,
     meanwhile: Mutex<Option<Step>>,
 }
 
-impl SharedCount for Stopped {
+impl SharedCount for InterruptedCount {
     fn load(&self) -> usize {
         let read = SharedCount::load(&self.count);
         let step = self.meanwhile.lock().expect("no panic in between").take();
@@ -27,8 +27,8 @@
         read
     }
 
-    fn replace(&self, read: usize, by: usize) -> Result<(), usize> {
-        SharedCount::replace(&self.count, read, by)
+    fn compare_exchange(&self, current: usize, new: usize) -> Result<(), usize> {
+        SharedCount::compare_exchange(&self.count, current, new)
     }
 
     fn subtract(&self, units: usize) {
@@ -36,50 +36,50 @@
     }
 }
 
-/// Reserves units while the other side, in the middle of it, does something.
-fn reserve_beside(
-    backlog: &Backlog<Stopped>,
-    count: &Stopped,
+/// Reserves units while the other thread, in the middle of it, does something.
+fn reserve_interrupted(
+    backlog: &Backlog<InterruptedCount>,
+    count: &InterruptedCount,
     units: usize,
     step: Step,
-) -> Option<Reserved<Stopped>> {
+) -> Option<Reservation<InterruptedCount>> {
     *count.meanwhile.lock().expect("no panic in between") = Some(step);
     let reserved = backlog.reserve(units);
-    assert!(count.meanwhile.lock().expect("no panic in between").is_none(), "it was not stopped");
+    assert!(count.meanwhile.lock().expect("no panic in between").is_none(), "it was not interrupted");
     reserved
 }
 
-fn stopped() -> (Backlog<Stopped>, Arc<Stopped>) {
-    let count = Arc::new(Stopped::default());
-    (Backlog::counted_by(Arc::clone(&count), MOST), count)
+fn interrupted_backlog() -> (Backlog<InterruptedCount>, Arc<InterruptedCount>) {
+    let count = Arc::new(InterruptedCount::default());
+    (Backlog::with_count(Arc::clone(&count), CAPACITY), count)
 }
 
 #[test]
-fn what_another_thread_reserves_in_between_is_not_overlooked() {
-    let (backlog, count) = stopped();
+fn a_concurrent_reservation_is_not_overlooked() {
+    let (backlog, count) = interrupted_backlog();
     let others = Arc::new(Mutex::new(None));
-    // Each alone has room, both together have not.
+    // Each of the two fits, both together do not.
     let (other, held) = (backlog.clone(), Arc::clone(&others));
     let step = move || *held.lock().expect("no panic in between") = other.reserve(60);
-    let reserved = reserve_beside(&backlog, &count, 60, Box::new(step));
+    let reserved = reserve_interrupted(&backlog, &count, 60, Box::new(step));
     let others = others.lock().expect("no panic in between");
-    assert!(reserved.is_none() && others.is_some(), "who came first alone");
-    assert_eq!(backlog.waiting(), 60);
+    assert!(reserved.is_none() && others.is_some(), "only the one that came first");
+    assert_eq!(backlog.queued(), 60);
 }
 
 #[test]
-fn what_another_thread_frees_in_between_is_not_forgotten() {
-    let (backlog, count) = stopped();
-    let waiting = backlog.reserve(40).expect("room");
-    let reserved = reserve_beside(&backlog, &count, 60, Box::new(move || drop(waiting)));
-    assert_eq!(backlog.waiting(), 60);
-    drop(reserved.expect("room"));
-    assert_eq!(backlog.waiting(), 0);
+fn a_concurrent_release_is_not_lost() {
+    let (backlog, count) = interrupted_backlog();
+    let first = backlog.reserve(40).expect("it fits");
+    let reserved = reserve_interrupted(&backlog, &count, 60, Box::new(move || drop(first)));
+    assert_eq!(backlog.queued(), 60);
+    drop(reserved.expect("it fits"));
+    assert_eq!(backlog.queued(), 0);
 }
 
 #[test]
-fn threads_that_take_turns_at_any_point_never_exceed_it_and_leave_nothing_behind() {
-    let backlog = Backlog::new(MOST);
+fn concurrent_threads_never_exceed_the_capacity_and_release_everything() {
+    let backlog = Backlog::new(CAPACITY);
     thread::scope(|scope| {
         for number in 0..4 {
             let backlog = backlog.clone();
@@ -87,12 +87,12 @@
                 for turn in 0..5000 {
                     let reserved = backlog.reserve(30 + (turn + number) % 30);
                     thread::yield_now();
-                    assert!(backlog.waiting() <= MOST);
+                    assert!(backlog.queued() <= CAPACITY);
                     drop(reserved);
                     thread::yield_now();
                 }
             });
         }
     });
-    assert_eq!(backlog.waiting(), 0);
+    assert_eq!(backlog.queued(), 0);
 }
--- a/glenfall/tests/unit/stored_data.rs
+++ b/glenfall/tests/unit/stored_data.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use bytes::Bytes;
-use glenfall::cache::disk::{DiskCache, FILE as COPIES};
+use glenfall::cache::disk::{DiskCache, FILE_NAME as COPIES};
 use glenfall::control::backup::Backup;
 use glenfall::control::purge_log::{PurgeLog, MAX_CLOCK_ERROR_MS};
 use glenfall::control::store::{self, Found, Store};
