--- /dev/null
+++ b/glenfall/src/agent/control_link.rs
@@ -0,0 +1,108 @@
+//! Keeps a session with one of the control nodes.
+
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
+use glenfall_control_plane::messages::{ConnectionOpening, SubscriberMessage};
+use tokio::time::sleep;
+
+use super::relay::Relay;
+use crate::session::link::{self, FrameReader, Outbox};
+use crate::session::subscriber;
+use crate::settings::Settings;
+
+/// Pause before control nodes are tried again; it doubles with each time that none of them could be reached.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// The longest of these pauses.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(800);
+
+/// A connection to a control node.
+struct ControlConnection {
+    addr: SocketAddrV4,
+    frames: FrameReader,
+    outbox: Outbox<SubscriberMessage>,
+}
+
+/// The session of the agent with control, moved from one node to the next when it is lost.
+pub(super) struct ControlLink<'a> {
+    relay: &'a Relay,
+    /// Where in the list of control nodes the next attempt begins. Agents begin at different nodes.
+    next_node: usize,
+}
+
+impl<'a> ControlLink<'a> {
+    pub(super) fn new(relay: &'a Relay) -> Self {
+        let name_sum = relay.settings().node.bytes().map(usize::from).sum();
+        ControlLink { relay, next_node: name_sum }
+    }
+
+    /// Runs sessions with control for as long as the process runs.
+    pub(super) async fn run(&mut self) {
+        let mut pause = MIN_RETRY_PAUSE;
+        loop {
+            match self.connect().await {
+                Some(connection) => {
+                    self.run_session(connection).await;
+                    pause = MIN_RETRY_PAUSE;
+                }
+                None => pause = (pause * 2).min(MAX_RETRY_PAUSE),
+            }
+            sleep(pause).await;
+        }
+    }
+
+    /// Connects to the first node that can be reached; `None` where there is none. The next call begins with the node after
+    /// that one.
+    async fn connect(&mut self) -> Option<ControlConnection> {
+        let addrs = self.control_addrs();
+        for step in 0..addrs.len() {
+            let addr = addrs[(self.next_node + step) % addrs.len()];
+            if let Ok((read, write)) = link::open(addr, &ConnectionOpening::Session).await {
+                self.next_node += step + 1;
+                let (frames, outbox) = (FrameReader::new(read), Outbox::start(write));
+                return Some(ControlConnection { addr, frames, outbox });
+            }
+        }
+        None
+    }
+
+    /// The nodes that control itself has named, then the seeds as the settings file has them now.
+    fn control_addrs(&self) -> Vec<SocketAddrV4> {
+        let settings = self.relay.settings();
+        let reread = Settings::load();
+        let seeds = reread.as_ref().map_or(&settings.seed_nodes, |reread| &reread.seed_nodes);
+        let known = self.relay.known().borrow();
+        let seed_ips = seeds.iter().map(|seed| *seed.ip());
+        let mut addrs: Vec<SocketAddrV4> = Vec::new();
+        for ip in known.control_nodes().iter().copied().chain(seed_ips) {
+            let addr = settings.link_address(ip);
+            if !addrs.contains(&addr) {
+                addrs.push(addr);
+            }
+        }
+        addrs
+    }
+
+    /// Runs a session until it is lost, and ends the leases that came from it.
+    async fn run_session(&self, connection: ControlConnection) {
+        let ControlConnection { addr, frames, outbox } = connection;
+        let relay = self.relay;
+        tracing::info!(control = %addr, "connected to control");
+        tokio::select! {
+            () = subscriber::follow(
+                frames,
+                outbox.clone(),
+                || relay.hello(),
+                || relay.clock(),
+                relay.members_changed(),
+                async |message| relay.handle(message).await,
+            ) => {}
+            () = subscriber::send_reports(&outbox, || relay.counters()) => {}
+        }
+        tracing::warn!(control = %addr, "connection to control lost");
+        if relay.release_leases().await {
+            // A control node that can't be reached any more waits for the end of the lease instead.
+            let _ = outbox.send(SubscriberMessage::LeaseReleased);
+        }
+    }
+}
--- a/glenfall/src/control/api/status.rs
+++ b/glenfall/src/control/api/status.rs
@@ -43,10 +43,10 @@
         "pushed": session.sent,
         "applied": session.applied,
         "leased": session.leased,
-        "counters": by_name(session.report),
+        "counters": by_name(session.counters.into_iter().map(|counter| (counter.name, counter.value))),
     })
 }
 
-fn by_name(counters: Vec<(String, u64)>) -> BTreeMap<String, u64> {
+fn by_name(counters: impl IntoIterator<Item = (String, u64)>) -> BTreeMap<String, u64> {
     counters.into_iter().collect()
 }
--- a/glenfall/src/control/inbound.rs
+++ b/glenfall/src/control/inbound.rs
@@ -1,24 +1,19 @@
 //! Connections to a control node: sessions of agents and shields, and links of peers.
 
 use std::rc::Rc;
-use std::sync::Arc;
 use std::time::Duration;
 
-use glenfall_control_plane::messages::{ConnectionOpening, PublisherMessage, Update};
+use glenfall_control_plane::messages::ConnectionOpening;
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
-use tokio::time::{sleep, timeout};
+use tokio::time::sleep;
 
-use super::chain_driver::config_update;
 use super::node::{Control, TICK_INTERVAL};
+use super::session_publisher::SessionPublisher;
 use crate::session::link::{self, FrameReader, Outbox};
-use crate::session::publisher::Reach;
+use crate::session::publisher::{Reach, SubscriberConnection};
 
-/// How long an agent waits until the configuration for it is proved to be the newest. The first view after the loss of all
-/// control nodes takes 0.2 to 0.7 s, and the replacement of a node in the chain 1.2 s. An agent that waits longer had better
-/// try another node.
-const SESSION_OPENING_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Pause after a connection could not be accepted.
 const ACCEPT_RETRY_PAUSE: Duration = TICK_INTERVAL;
 
@@ -59,14 +54,9 @@
     if control.is_shutting_down() || !is_local && control.quorum.update() {
         return;
     }
-    let serving = control.sessions.serve(
-        reach,
-        frames,
-        Outbox::start(write),
-        || greeting(control),
-        newest_config(control, reach),
-        || control.local_members.update(),
-    );
+    let connection = SubscriberConnection { reach, frames, outbox: Outbox::start(write) };
+    let publisher = SessionPublisher::new(control, reach);
+    let serving = control.sessions.serve(connection, &publisher);
     let isolated = async {
         control.quorum.isolated().await;
         if is_local {
@@ -78,22 +68,3 @@
         () = isolated => tracing::warn!("session closed: this node is not in contact with a quorum"),
     }
 }
-
-/// What a session is sent first.
-fn greeting(control: &Control) -> (Vec<PublisherMessage>, Vec<Update>) {
-    let updates = vec![
-        Update::Purges(control.purges.missed()),
-        control.fleet.snapshot(),
-        Update::Connected(control.purge_log_completeness.is_complete()),
-    ];
-    (vec![PublisherMessage::ControlNodes(control.peers.links.control_nodes())], updates)
-}
-
-/// The newest configuration, if there is one, proved by a quorum read that begins after the session has. `None` if that
-/// takes too long for an agent, which can turn to another node.
-async fn newest_config(control: &Control, reach: Reach) -> Option<Vec<Update>> {
-    let limit = if reach == Reach::SameMachine { Duration::MAX } else { SESSION_OPENING_TIMEOUT };
-    timeout(limit, control.quorum_reads.wait_for_newest()).await.ok()?;
-    let record = Arc::clone(control.chain.state().committed());
-    Some((record.rev > 0).then(|| config_update(&record)).into_iter().collect())
-}
--- a/glenfall/src/control/mod.rs
+++ b/glenfall/src/control/mod.rs
@@ -23,6 +23,7 @@
 //! | `server_replication` | no state but the relay: how draining and deregistration reach all control nodes |
 //! | `node` | one value of each of these, and whether the node is shutting down |
 //! | `peer_events` | no state: which module handles which message of a peer |
+//! | `session_publisher` | no state: what sessions are sent first |
 //! | `inbound` | no state: connections of sessions and peers to this node |
 //! | `api` | the limit on log lines about rejected calls of servers and operators |
 
@@ -45,6 +46,7 @@
 mod quorum_reads;
 mod server_registry;
 mod server_replication;
+mod session_publisher;
 pub mod store;
 mod voter_leases;
 
--- /dev/null
+++ b/glenfall/src/control/session_publisher.rs
@@ -0,0 +1,64 @@
+//! What a control node provides for the sessions of agents and of the shield on its machine.
+
+use std::time::Duration;
+
+use glenfall_control_plane::messages::{PublisherMessage, Update};
+use tokio::time::timeout;
+
+use super::chain_driver::config_update;
+use super::node::Control;
+use crate::session::publisher::{Greeting, Publisher, Reach};
+
+/// How long an agent waits until the configuration for it is proved to be the newest. The first view after the loss of all
+/// control nodes takes 0.2 to 0.7 s, and the replacement of a node in the chain 1.2 s. An agent that waits longer had better
+/// try another node.
+const SESSION_OPENING_TIMEOUT: Duration = Duration::from_millis(1500);
+
+/// A control node as the publisher of one session.
+pub struct SessionPublisher<'a> {
+    control: &'a Control,
+    reach: Reach,
+}
+
+impl<'a> SessionPublisher<'a> {
+    /// The publisher of a session whose subscriber is at `reach`.
+    pub fn new(control: &'a Control, reach: Reach) -> Self {
+        SessionPublisher { control, reach }
+    }
+
+    /// The shield on the same machine knows no other control node, and waits for as long as it takes.
+    fn opening_timeout(&self) -> Duration {
+        match self.reach {
+            Reach::SameMachine => Duration::MAX,
+            Reach::Network => SESSION_OPENING_TIMEOUT,
+        }
+    }
+}
+
+impl Publisher for SessionPublisher<'_> {
+    fn greeting(&self) -> Greeting {
+        let control = self.control;
+        Greeting {
+            messages: vec![PublisherMessage::ControlNodes(control.peers.links.control_nodes())],
+            updates: vec![
+                Update::Purges(control.purges.missed()),
+                control.fleet.snapshot(),
+                Update::Connected(control.purge_log_completeness.is_complete()),
+            ],
+        }
+    }
+
+    /// The newest configuration, proved by a quorum read that begins after the session has. `None` if that takes too long
+    /// for an agent, which can turn to another node.
+    async fn newest_config(&self) -> Option<Vec<Update>> {
+        timeout(self.opening_timeout(), self.control.quorum_reads.wait_for_newest()).await.ok()?;
+        let chain = self.control.chain.state();
+        let record = chain.committed();
+        let update = (record.rev > 0).then(|| config_update(record));
+        Some(update.into_iter().collect())
+    }
+
+    fn members_changed(&self) {
+        self.control.local_members.update();
+    }
+}
--- a/glenfall/src/session/lease.rs
+++ b/glenfall/src/session/lease.rs
@@ -1,4 +1,5 @@
-//! The lease that a process holds on copies: by its own steady clock, and looked at whenever a copy is served.
+//! The lease that lets a process serve stored responses, as its holder has it: by the holder's own monotonic clock, and
+//! checked whenever a stored response is served.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -7,43 +8,43 @@
 use glenfall_control_plane::Millis;
 use tokio::time::Instant;
 
-/// A lease as its holder has it.
+/// A lease, and the clock of its holder.
 pub struct HeldLease {
-    began: Instant,
+    clock_start: Instant,
     lease: Cell<Lease>,
 }
 
 impl Default for HeldLease {
     fn default() -> Self {
-        HeldLease { began: Instant::now(), lease: Cell::default() }
+        HeldLease { clock_start: Instant::now(), lease: Cell::default() }
     }
 }
 
 impl HeldLease {
-    /// What a request for a renewal has to name.
+    /// The reading of the holder's clock, which a request for a renewal has to name.
     pub fn now(&self) -> Millis {
-        self.began.elapsed().as_millis() as Millis
+        self.clock_start.elapsed().as_millis() as Millis
     }
 
-    /// A lease was granted in answer to a request that was sent at this reading of the clock.
-    pub fn renew(&self, sent: Millis, lasts: Millis) {
+    /// Takes a lease of `duration` that was granted upon a request sent at the reading `sent_at` of the clock.
+    pub fn renew(&self, sent_at: Millis, duration: Millis) {
         let mut lease = self.lease.get();
-        lease.renew(self.now(), sent, lasts);
+        lease.renew(self.now(), sent_at, duration);
         self.lease.set(lease);
     }
 
-    /// It is given back, or void.
+    /// Gives up the lease.
     pub fn end(&self) {
         self.lease.set(Lease::default());
     }
 
-    /// Until when it stands.
+    /// The end of the lease; not later than now where there is none.
     pub fn until(&self) -> Instant {
-        self.began + Duration::from_millis(self.lease.get().until())
+        self.clock_start + Duration::from_millis(self.lease.get().until())
     }
 
-    /// Whether it stands now.
-    pub fn stands(&self) -> bool {
+    /// Whether the lease is valid now.
+    pub fn is_valid(&self) -> bool {
         self.lease.get().is_valid(self.now())
     }
 }
--- /dev/null
+++ b/glenfall/src/session/link/mod.rs
@@ -0,0 +1,13 @@
+//! Long-lived connections between the system's processes: `postcard` messages in frames with a length in front.
+
+mod connect;
+mod frames;
+mod liveness;
+mod outbox;
+mod traffic;
+
+pub use connect::{open, tune};
+pub use frames::FrameReader;
+pub use liveness::{KEEPALIVE_INTERVAL, LINK_TIMEOUT};
+pub use outbox::Outbox;
+pub use traffic::{report, traffic};
--- /dev/null
+++ b/glenfall/src/session/link/outbox.rs
@@ -0,0 +1,95 @@
+//! The sending side of a link.
+
+use serde::Serialize;
+use tokio::io::AsyncWriteExt;
+use tokio::net::tcp::OwnedWriteHalf;
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+use tokio::time::timeout;
+
+use super::frames::encode;
+use super::liveness::LINK_TIMEOUT;
+use super::traffic::SENT;
+
+/// Most messages that wait to be written. A receiver that is further behind is disconnected, and catches up on a new
+/// link.
+const MAX_QUEUED_MESSAGES: usize = 1024;
+/// Messages that wait are written together, until a batch has so many bytes.
+const MIN_FULL_BATCH_BYTES: usize = 64 << 10;
+
+/// The sending side of a link, for any number of senders. The link is closed once all of them are dropped.
+pub struct Outbox<T>(mpsc::Sender<T>);
+
+impl<T> Clone for Outbox<T> {
+    fn clone(&self) -> Self {
+        Outbox(self.0.clone())
+    }
+}
+
+impl<T: Serialize + 'static> Outbox<T> {
+    /// Starts the task that writes to a link.
+    pub fn start(write: OwnedWriteHalf) -> Self {
+        let (sender, queue) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        spawn_local(send_all(write, queue));
+        Outbox(sender)
+    }
+
+    /// Queues a message. False where the link is lost or the queue is full: the caller has to give up the link.
+    #[must_use]
+    pub fn send(&self, message: T) -> bool {
+        self.0.try_send(message).is_ok()
+    }
+
+    /// Resolves once the link accepts no more messages.
+    pub async fn closed(&self) {
+        self.0.closed().await;
+    }
+}
+
+/// Messages that are written together.
+#[derive(Default)]
+struct Batch {
+    bytes: Vec<u8>,
+    messages: u64,
+}
+
+impl Batch {
+    fn clear(&mut self) {
+        self.bytes.clear();
+        self.messages = 0;
+    }
+
+    fn is_full(&self) -> bool {
+        self.bytes.len() >= MIN_FULL_BATCH_BYTES
+    }
+
+    fn add(&mut self, message: &impl Serialize) -> std::io::Result<()> {
+        encode(message, &mut self.bytes)?;
+        self.messages += 1;
+        Ok(())
+    }
+
+    /// Adds messages that are queued, until the batch is full.
+    fn fill<T: Serialize>(&mut self, queue: &mut mpsc::Receiver<T>) -> std::io::Result<()> {
+        while !self.is_full() {
+            let Ok(message) = queue.try_recv() else { break };
+            self.add(&message)?;
+        }
+        Ok(())
+    }
+}
+
+async fn send_all<T: Serialize>(mut write: OwnedWriteHalf, mut queue: mpsc::Receiver<T>) {
+    let mut batch = Batch::default();
+    while let Some(first) = queue.recv().await {
+        batch.clear();
+        if batch.add(&first).and_then(|()| batch.fill(&mut queue)).is_err() {
+            return;
+        }
+        SENT.add(batch.messages, batch.bytes.len());
+        // A receiver that does not read what it is sent within this time is lost.
+        if !matches!(timeout(LINK_TIMEOUT, write.write_all(&batch.bytes)).await, Ok(Ok(()))) {
+            return;
+        }
+    }
+}
--- a/glenfall/src/session/mod.rs
+++ b/glenfall/src/session/mod.rs
@@ -1,13 +1,17 @@
-//! Watch streams between control, agents and proxies: numbered changes pushed over a held connection and acknowledged.
+//! Watch streams between control, agents and proxies: numbered updates that a publisher pushes over a long-lived connection
+//! and a subscriber acknowledges.
 
 pub mod lease;
 pub mod link;
 pub mod publisher;
 pub mod subscriber;
 
-/// Anything that differs from one process to the next one at the same address.
+use std::hash::{BuildHasher, RandomState};
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// A number that differs between one process and the next one at the same address.
 pub fn incarnation() -> u64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    let random = std::hash::BuildHasher::hash_one(&std::hash::RandomState::new(), since.as_nanos());
-    random ^ since.as_nanos() as u64
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let random = RandomState::new().hash_one(since_epoch.as_nanos());
+    random ^ since_epoch.as_nanos() as u64
 }
--- /dev/null
+++ b/glenfall/src/session/publisher/leases.rs
@@ -0,0 +1,67 @@
+//! The leases of sessions, as parts of the lease that the publisher itself holds.
+
+use std::cell::{Cell, RefCell};
+
+use glenfall_control_plane::lease::Grants;
+use glenfall_control_plane::Millis;
+use tokio::time::Instant;
+
+use super::session::SessionId;
+
+/// The leases that were granted, by the publisher's own clock.
+pub(super) struct SessionLeases {
+    clock_start: Instant,
+    own_end: Cell<Millis>,
+    /// Leases by session, also of sessions that have ended.
+    grants: RefCell<Grants<SessionId>>,
+}
+
+impl Default for SessionLeases {
+    fn default() -> Self {
+        SessionLeases { clock_start: Instant::now(), own_end: Cell::new(0), grants: RefCell::default() }
+    }
+}
+
+impl SessionLeases {
+    pub(super) fn now(&self) -> Millis {
+        self.clock_start.elapsed().as_millis() as Millis
+    }
+
+    /// Whether the publisher itself holds a lease.
+    pub(super) fn has_own(&self) -> bool {
+        self.now() < self.own_end.get()
+    }
+
+    /// Sets the end of the publisher's own lease.
+    pub(super) fn set_own_end(&self, end: Instant) {
+        self.own_end.set(end.saturating_duration_since(self.clock_start).as_millis() as Millis);
+    }
+
+    /// Grants a lease upon a request that was received at this reading of the clock. Returns its duration from the request
+    /// on, or nothing where the publisher has no lease itself.
+    pub(super) fn grant(&self, holder: SessionId, received: Millis) -> Option<Millis> {
+        self.grants.borrow_mut().grant_part(self.now(), holder, received, self.own_end.get())
+    }
+
+    pub(super) fn release(&self, holder: SessionId) {
+        self.grants.borrow_mut().release(&holder);
+    }
+
+    /// The end of a session's lease; `None` where it has none.
+    pub(super) fn end(&self, now: Millis, holder: SessionId) -> Option<Millis> {
+        self.grants.borrow().ends(now, &holder)
+    }
+
+    /// The end of the last lease; `None` where there is none.
+    pub(super) fn last_end(&self, now: Millis) -> Option<Millis> {
+        self.grants.borrow().last_end(now, |_| true)
+    }
+
+    /// The sessions that hold leases, also those that have ended.
+    pub(super) fn holders(&self) -> Vec<SessionId> {
+        let now = self.now();
+        let mut grants = self.grants.borrow_mut();
+        grants.forget_ended(now);
+        grants.holders(now).collect()
+    }
+}
--- a/glenfall/src/watch_client.rs
+++ b/glenfall/src/watch_client.rs
@@ -88,7 +88,7 @@
 
     /// Whether no purge can have been acknowledged that this process has not taken: looked at whenever a copy is served.
     pub fn vouches(&self) -> bool {
-        self.in_touch.get() && self.lease.stands()
+        self.in_touch.get() && self.lease.is_valid()
     }
 
     /// The process has been told to stop.
@@ -128,10 +128,10 @@
         match down {
             PublisherMessage::Push { update: news, .. } => self.take(news, follower),
             PublisherMessage::LeaseGranted { sent_at, duration: lasts } => {
-                let stood = self.lease.stands();
+                let stood = self.lease.is_valid();
                 self.lease.renew(sent_at, lasts);
-                if !stood && self.lease.stands() {
-                    tracing::info!("lease on copies begins");
+                if !stood && self.lease.is_valid() {
+                    tracing::info!("lease acquired: stored responses may be served");
                 }
                 true
             }
@@ -173,7 +173,7 @@
             Ok(None) => return true,
             Ok(Some(_)) => {}
             Err(gap) => {
-                tracing::warn!(%gap, "the session with whoever feeds this proxy begins anew");
+                tracing::warn!(%gap, "fleet update out of order: restarting the watch stream");
                 return false;
             }
         }
@@ -194,9 +194,9 @@
                 follower.config(&config);
                 self.config.replace(Some(config));
                 self.rev.send_replace(rev);
-                tracing::info!(rev, "configuration in force");
+                tracing::info!(rev, "configuration applied");
             }
-            Err(e) => tracing::error!(rev, error = %e, "configuration can't be used"),
+            Err(e) => tracing::error!(rev, error = %e, "configuration rejected"),
         }
     }
 
@@ -216,7 +216,7 @@
                 }
                 // Before anything else runs in this process: that the connection is closed says that no copy is served.
                 self.touch(false, follower);
-                tracing::warn!("agent lost");
+                tracing::warn!("watch stream lost");
             }
             sleep(AGAIN).await;
         }
--- a/glenfall/tests/sessions.rs
+++ b/glenfall/tests/sessions.rs
@@ -1,11 +1,10 @@
 //! Sessions over real sockets: who is behind is let go of, and nobody else.
 
-use std::future::ready;
 use std::rc::Rc;
 use std::time::Duration;
 
 use glenfall::session::link::{self, FrameReader, Outbox};
-use glenfall::session::publisher::{Reach, Sessions};
+use glenfall::session::publisher::{Greeting, Publisher, Reach, Sessions, SubscriberConnection};
 use glenfall_control_plane::messages::{
     ConnectionOpening, Counter, PublisherMessage, SubscriberMessage, Update,
 };
@@ -18,6 +17,21 @@
 /// Something that is waited for in vain.
 const VAIN: Duration = Duration::from_millis(50);
 
+/// A publisher that has nothing to tell at first.
+struct EmptyPublisher;
+
+impl Publisher for EmptyPublisher {
+    fn greeting(&self) -> Greeting {
+        Greeting::default()
+    }
+
+    async fn newest_config(&self) -> Option<Vec<Update>> {
+        Some(Vec::new())
+    }
+
+    fn members_changed(&self) {}
+}
+
 /// A follower that says hello, and takes and acknowledges nothing by itself.
 async fn follower(sessions: &Rc<Sessions>, node: &str) -> (FrameReader, Outbox<SubscriberMessage>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -28,10 +42,9 @@
         let (read, write) = stream.into_split();
         let mut frames = FrameReader::new(read);
         frames.next::<ConnectionOpening>().await.unwrap();
-        let greet = || (Vec::new(), Vec::new());
-        serving
-            .serve(Reach::Network, frames, Outbox::start(write), greet, ready(Some(Vec::new())), || {})
-            .await;
+        let outbox = Outbox::start(write);
+        let connection = SubscriberConnection { reach: Reach::Network, frames, outbox };
+        serving.serve(connection, &EmptyPublisher).await;
     });
     let (read, write) = link::open(addr, &ConnectionOpening::Session).await.unwrap();
     let outbox = Outbox::start(write);
@@ -131,7 +144,7 @@
         assert!(says.send(SubscriberMessage::RenewLease { sent_at: 7 }));
         // What follows on the same connection has been taken after it.
         assert!(says.send(SubscriberMessage::Counters(vec![Counter { name: "marker".into(), value: 1 }])));
-        until(|| sessions.seen().iter().any(|seen| !seen.report.is_empty())).await;
+        until(|| sessions.seen().iter().any(|seen| !seen.counters.is_empty())).await;
         sessions.vouch_until(Instant::now() + PATIENCE);
         // It asks no second time. Something is said on a link again and again, so that these waits end.
         for _ in 0..3 {
