--- /dev/null
+++ b/control-plane/src/config/document.rs
@@ -0,0 +1,145 @@
+//! The items of a configuration document, as the operator writes them in JSON.
+
+use std::time::Duration;
+
+use serde::{Deserialize, Serialize};
+
+/// Upper bound of a latency target, whatever a document says: one hour. It keeps the conversion to [`Duration`] in range.
+const MAX_LATENCY_TARGET_MS: f64 = 3_600_000.0;
+/// Attempts of a request whose route does not say a number.
+const DEFAULT_TRIES: u32 = 1;
+
+/// Which requests of a route may be sent more than once, and whether their responses may be stored.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
+#[serde(rename_all = "camelCase")]
+pub enum RouteKind {
+    /// Object reads: requests may be retried, and responses may be stored.
+    Cacheable,
+    /// Requests may be retried.
+    Idempotent,
+    /// Requests are sent at most once. A kind that this version does not know is handled as this one.
+    #[default]
+    #[serde(other)]
+    Mutating,
+}
+
+/// A service among several that share the requests of a route.
+#[derive(Clone, Debug, Deserialize)]
+pub struct WeightedBackend {
+    /// Name of the service.
+    pub backend: String,
+    /// Weight of the service: its share of the requests is its weight divided by the sum of all weights.
+    pub weight: f64,
+}
+
+/// A route: which requests it matches, and where and how they are sent.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub struct Route {
+    /// Name of the route, unique in the document.
+    pub name: String,
+    /// Host that the route matches, without a port and in any case.
+    pub hostname: String,
+    /// Prefix that the route matches paths by, with a slash at both ends.
+    pub path_prefix: String,
+    /// Whether requests may be retried, and responses stored.
+    #[serde(rename = "type", default)]
+    pub kind: RouteKind,
+    /// Deadline of a request, in milliseconds.
+    pub deadline_ms: u64,
+    /// Latency target in milliseconds; the deadline where it is missing.
+    #[serde(default)]
+    pub target_ms: Option<f64>,
+    /// Priority of the route's requests: 0 is the highest.
+    #[serde(default)]
+    pub prio: u32,
+    /// The service; `None` where `split` names several.
+    #[serde(default)]
+    pub backend: Option<String>,
+    /// The services that share the requests; empty where `backend` names one.
+    #[serde(default)]
+    pub split: Vec<WeightedBackend>,
+    /// Attempts of a request at most, the first included.
+    #[serde(default = "default_tries")]
+    pub tries: u32,
+    /// How long a stored response is fresh, in seconds.
+    #[serde(default)]
+    pub max_age_s: f64,
+}
+
+fn default_tries() -> u32 {
+    DEFAULT_TRIES
+}
+
+impl Route {
+    /// The service for a request. `draw` is a number from 0 to 1 that the caller draws for the request; equal numbers give
+    /// the same service.
+    pub fn service(&self, draw: f64) -> Option<&str> {
+        if let Some(backend) = &self.backend {
+            return Some(backend);
+        }
+        let mut remaining = draw.clamp(0.0, 1.0) * self.split_weight();
+        let mut chosen = None;
+        for share in self.split.iter().filter(|share| share.weight > 0.0) {
+            chosen = Some(share.backend.as_str());
+            if remaining < share.weight {
+                break;
+            }
+            remaining -= share.weight;
+        }
+        chosen
+    }
+
+    /// Sum of the weights of the split; negative weights count as 0.
+    pub(super) fn split_weight(&self) -> f64 {
+        self.split.iter().map(|share| share.weight.max(0.0)).sum()
+    }
+
+    /// The time within which a response has its full value to the client.
+    pub fn latency_target(&self) -> Duration {
+        let ms = self.target_ms.unwrap_or(self.deadline_ms as f64);
+        Duration::from_secs_f64(ms.clamp(1.0, MAX_LATENCY_TARGET_MS) / 1000.0)
+    }
+}
+
+/// A service.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub struct Backend {
+    /// Name of the service, unique in the document.
+    pub name: String,
+    /// Path of health checks, as the operator writes it. No process reads it at present.
+    #[serde(default)]
+    pub health_path: Option<String>,
+    /// Bound of the connections to one server, as the operator writes it. No process reads it at present.
+    #[serde(default)]
+    pub max_conns: Option<u32>,
+    /// Rate limit of the service over all proxies, in requests per second; `None` for no limit.
+    #[serde(default)]
+    pub rate_per_s: Option<f64>,
+}
+
+/// What clients may send, and how long they may take for it.
+#[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
+#[serde(rename_all = "camelCase", default)]
+pub struct RequestLimits {
+    /// Bytes of a request line and its headers at most.
+    pub max_header_bytes: usize,
+    /// Bytes of a request body at most.
+    pub max_body_bytes: usize,
+    /// Time for the headers of a request, in milliseconds.
+    pub header_timeout_ms: u64,
+    /// How long a connection may be idle between requests, and how long a body may make no progress, in milliseconds.
+    pub idle_timeout_ms: u64,
+}
+
+impl Default for RequestLimits {
+    fn default() -> Self {
+        RequestLimits {
+            max_header_bytes: 16 << 10,
+            max_body_bytes: 64 << 20,
+            header_timeout_ms: 3000,
+            idle_timeout_ms: 15_000,
+        }
+    }
+}
--- /dev/null
+++ b/control-plane/src/config/mod.rs
@@ -0,0 +1,86 @@
+//! Configuration documents: parsing, checking and changing them, and finding the route of a request.
+//!
+//! A document is stored as the JSON that the operator sent, with the fields that this version does not know, so that it
+//! reads back unchanged. [`Config`] is the form that the data plane uses.
+
+mod change;
+mod document;
+mod routing;
+mod validation;
+
+use serde::Deserialize;
+
+use routing::RouteTable;
+
+pub use change::{ConfigChange, NewDocument};
+pub use document::{Backend, RequestLimits, Route, RouteKind, WeightedBackend};
+pub use validation::InvalidConfig;
+
+/// Largest document, also of one that grows by patches. With the deduplication table and a view it fits into a frame
+/// ([`MAX_FRAME_BYTES`](crate::messages::MAX_FRAME_BYTES)); a larger one could not be sent to another member of the chain.
+pub const MAX_DOCUMENT_BYTES: usize = 3 << 20;
+
+/// A document in the form that the data plane uses.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub struct Config {
+    /// Version of the document.
+    pub rev: u64,
+    /// The routes.
+    #[serde(default)]
+    pub paths: Vec<Route>,
+    /// The services.
+    #[serde(default)]
+    pub backends: Vec<Backend>,
+    /// Limits of client requests.
+    #[serde(default)]
+    pub req_limits: RequestLimits,
+    /// Index of `paths`.
+    #[serde(skip)]
+    route_table: RouteTable,
+    /// The distinct priorities of all routes, the highest first, which is the lowest number.
+    #[serde(skip)]
+    priorities: Vec<u32>,
+}
+
+impl Config {
+    /// Parses a document and checks it.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidConfig`] says what is wrong with the document.
+    pub fn read(document: &[u8]) -> Result<Config, InvalidConfig> {
+        let mut config: Config =
+            serde_json::from_slice(document).map_err(|error| InvalidConfig::Unreadable(error.to_string()))?;
+        validation::check(&config.paths, &config.backends)?;
+        config.route_table = RouteTable::new(&config.paths);
+        config.priorities = distinct_priorities(&config.paths);
+        Ok(config)
+    }
+
+    /// The route of a request: among the routes of its host, the one with the longest prefix of the path. `host` may have
+    /// a port, which is ignored.
+    pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
+        let index = self.route_table.find(host, path)?;
+        self.paths.get(index)
+    }
+
+    /// Rank of a route's priority among all routes, from 0 for the highest priority to 1 for the lowest.
+    pub fn priority_rank(&self, route: &Route) -> f64 {
+        let higher = self.priorities.iter().filter(|priority| **priority < route.prio).count();
+        let lowest_rank = self.priorities.len().saturating_sub(1).max(1);
+        higher as f64 / lowest_rank as f64
+    }
+
+    /// The service with this name.
+    pub fn backend(&self, name: &str) -> Option<&Backend> {
+        self.backends.iter().find(|backend| backend.name == name)
+    }
+}
+
+fn distinct_priorities(routes: &[Route]) -> Vec<u32> {
+    let mut priorities: Vec<u32> = routes.iter().map(|route| route.prio).collect();
+    priorities.sort_unstable();
+    priorities.dedup();
+    priorities
+}
--- /dev/null
+++ b/control-plane/src/config/routing.rs
@@ -0,0 +1,53 @@
+//! Lookup of the route that matches a request.
+
+use std::collections::HashMap;
+
+use crate::config::document::Route;
+
+/// Indexes of routes, by path prefix.
+type RoutesByPrefix = HashMap<String, usize>;
+
+/// Index of the routes of a document, by host and path prefix.
+#[derive(Clone, Debug, Default)]
+pub(super) struct RouteTable {
+    /// By host in lower case.
+    by_host: HashMap<String, RoutesByPrefix>,
+}
+
+impl RouteTable {
+    /// The index of these routes. Each pair of host and prefix is expected once.
+    pub(super) fn new(routes: &[Route]) -> Self {
+        let mut table = RouteTable::default();
+        for (index, route) in routes.iter().enumerate() {
+            let prefixes = table.by_host.entry(route.hostname.to_ascii_lowercase()).or_default();
+            prefixes.insert(route.path_prefix.clone(), index);
+        }
+        table
+    }
+
+    /// Index of the route with the longest prefix of the path, among the routes of the host. `host` may have a port.
+    pub(super) fn find(&self, host: &str, path: &str) -> Option<usize> {
+        let prefixes = self.prefixes_of(without_port(host))?;
+        // Prefixes end with a slash, so that only the parts of the path up to one of its slashes are candidates.
+        let mut end = path.len();
+        while let Some(slash) = path[..end].rfind('/') {
+            if let Some(index) = prefixes.get(&path[..=slash]) {
+                return Some(*index);
+            }
+            end = slash;
+        }
+        None
+    }
+
+    /// Most clients send hosts in lower case: the copy in lower case is made only where the host as sent is unknown.
+    fn prefixes_of(&self, host: &str) -> Option<&RoutesByPrefix> {
+        self.by_host.get(host).or_else(|| self.by_host.get(&host.to_ascii_lowercase()))
+    }
+}
+
+fn without_port(host: &str) -> &str {
+    match host.rsplit_once(':') {
+        Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
+        _ => host,
+    }
+}
--- a/control-plane/src/invariant.rs
+++ b/control-plane/src/invariant.rs
@@ -1,24 +1,26 @@
-//! Promises that are checked where they could break, in every build. A violation is counted and logged; the process goes
-//! on, as what it serves otherwise may be sound. `status` shows the counts, and tests fail where there is one.
+//! Invariants that are checked at run time, in every build.
 //!
-//! A check looks at what follows from a promise by another way than the mechanism that is to keep it, costs no more than a few
-//! comparisons, and does not depend on how fast the process runs.
+//! A violation is counted and logged, and the process goes on, as the rest of what it serves may be correct. `status` shows
+//! the counts, and a test over processes fails where there is a violation in a log.
+//!
+//! A check tests a consequence of the invariant that does not depend on the mechanism which maintains it. It costs no more
+//! than a few comparisons, and its result does not depend on the speed of the process.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 macro_rules! invariants {
     ($($(#[$doc:meta])* $invariant:ident = $name:literal,)+) => {
-        /// A promise that is checked while the system runs.
+        /// An invariant of the system that is checked at run time.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Invariant {
             $($(#[$doc])* $invariant,)+
         }
 
         impl Invariant {
-            /// All of them, in the order of their numbers.
+            /// All invariants, in the order of their discriminants.
             pub const ALL: &[Invariant] = &[$(Invariant::$invariant),+];
 
-            /// As logs and counters have it.
+            /// The name in logs and counters.
             pub fn name(self) -> &'static str {
                 match self {
                     $(Invariant::$invariant => $name,)+
@@ -31,38 +33,38 @@
 }
 
 invariants! {
-    /// A process decides no request by an older configuration than it has decided one by before.
+    /// A process handles no request by an older configuration than an earlier request.
     ConfigOrder = "config_order",
-    /// What a control node commits rises in version and sequence.
+    /// The records that a control node commits rise in version and log index.
     CommittedOrder = "committed_order",
-    /// One version has one document.
+    /// All processes have the same document under the same version.
     OneDocument = "one_document",
-    /// A request that may run once is sent to no server after one at which it may have run.
+    /// A request that may run at most once is sent to no other server after one where it may have run.
     SingleRun = "single_run",
-    /// A request that may run once is refused with a promise only if it has run at no server.
+    /// A request that may run at most once is answered as not run only if no server has run it.
     RefusedNotRun = "refused_not_run",
-    /// A try is sent to no more servers than it is allowed.
+    /// A request is sent to no more servers than its number of attempts allows.
     SendsAllowed = "sends_allowed",
-    /// An answer of the system's own bears no server's seal.
+    /// A response that a proxy makes itself does not carry the seal of a server.
     SealIsServers = "seal_is_servers",
-    /// A server that has been told of as leaving is never told of as ready again.
+    /// A server that was published as draining is never published as ready again.
     DrainIsFinal = "drain_is_final",
-    /// A server whose leaving is acknowledged is not among the ready ones that proxies are told of.
+    /// A server whose drain is acknowledged is not published as ready.
     DrainIsTold = "drain_is_told",
-    /// An edge serves no copy of its own that a purge of the last moments names.
+    /// An edge serves no stored response that a recent purge selects.
     CopyNotPurged = "copy_not_purged",
-    /// A purge is acknowledged only once each session that held a lease has applied it, or that lease is over.
+    /// A purge is acknowledged only once each session with a lease has applied it, or its lease has expired.
     PurgeIsApplied = "purge_is_applied",
-    /// No lease stands for longer than leases last.
+    /// No lease is valid for longer than the length of leases.
     LeaseIsBounded = "lease_is_bounded",
-    /// The changes pushed on a session are numbered without a gap.
+    /// The updates pushed on a session are numbered without a gap.
     PushesInOrder = "pushes_in_order",
-    /// A session has applied no more than it was sent.
+    /// A session acknowledges no update that it was not sent.
     AppliedWasSent = "applied_was_sent",
 }
 
 impl Invariant {
-    /// Counts and logs a violation where the promise does not hold; `details` is asked for only then.
+    /// Counts and logs a violation if the invariant does not hold. `details` is called only then.
     pub fn check(self, holds: bool, details: impl FnOnce() -> String) {
         if !holds {
             VIOLATIONS[self as usize].fetch_add(1, Ordering::Relaxed);
@@ -70,23 +72,23 @@
         }
     }
 
-    /// Violations in this process.
+    /// Number of violations in this process.
     pub fn violations(self) -> u64 {
         VIOLATIONS[self as usize].load(Ordering::Relaxed)
     }
 }
 
-/// What the log line of a violation says.
+/// Message of the log line of a violation. Tests and the soak search logs for it.
 pub const BROKEN: &str = "invariant broken";
-/// What the names of counters of violations begin with.
+/// Prefix of the names of violation counters in `status`.
 pub const COUNTER: &str = "broken_";
 
-/// Violations of all invariants in this process.
+/// Number of violations of all invariants in this process.
 pub fn violations() -> u64 {
     Invariant::ALL.iter().map(|invariant| invariant.violations()).sum()
 }
 
-/// Counters of the invariants that were broken, for `status`.
+/// Counters of the invariants with violations, for `status`.
 pub fn report() -> impl Iterator<Item = (String, u64)> {
     let counts = Invariant::ALL.iter().map(|invariant| (invariant.name(), invariant.violations()));
     counts.filter(|(_, count)| *count > 0).map(|(name, count)| (format!("{COUNTER}{name}"), count))
--- a/control-plane/src/lease.rs
+++ b/control-plane/src/lease.rs
@@ -1,140 +1,158 @@
-//! Leases on copies. Whoever serves from copies holds a lease, and whoever acknowledges a purge without having heard from
-//! a holder first waits until that holder's lease has run out.
+//! Leases on stored responses (Gray and Cheriton, 1989).
 //!
-//! Leases are nested. Each voter grants every control node [`VOTER_LEASE`]; a control node that holds leases of a quorum
-//! of the voters grants its sessions a part of what is left; an agent grants its proxies a part of what is left of its
-//! own. So the copies that depend on a control node, over however many hops, are unused once the voters' grants to that
-//! node have run out.
+//! A proxy serves a stored response only while it holds a lease. A process that acknowledges a purge without an
+//! acknowledgement from a lease holder first waits until that holder's lease has expired.
 //!
-//! No clock is compared with another. A holder counts from the moment when it *sent* its request, the granter from the
-//! moment when it *received* it, which is later; the granter adds `CLOCK_RATE_SHARE` for clocks that run at different
-//! rates. A grant names the request by the holder's own clock reading, so that neither side remembers requests.
+//! Leases are nested. Each voter grants every control node a lease of [`VOTER_LEASE`]. A control node that holds leases of a
+//! quorum of the voters grants its sessions a part of the time that is left, and an agent does the same for its proxies. So
+//! the stored responses that depend on a control node, over any number of hops, are no longer served once the voters' grants
+//! to that node have expired.
+//!
+//! Clocks of two processes are never compared. A holder counts from the moment when it *sent* its request, and the granter
+//! from the moment when it *received* it, which is later; the granter adds a margin for clocks that run at different rates.
+//! A grant repeats the reading of the holder's clock from the request, so that neither side has to store requests.
 
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
 use crate::Millis;
 
-/// What a voter grants a control node.
+/// Length of the lease that a voter grants a control node.
 pub const VOTER_LEASE: Millis = 1500;
-/// How often control nodes ask voters for it.
+/// Interval at which control nodes renew the leases of voters.
 pub const VOTER_RENEWAL: Millis = 250;
-/// Longest lease that a session is granted; sessions ask with each ping.
+/// Longest lease that a session is granted. Sessions renew it with each ping.
 pub const SESSION_LEASE: Millis = 1200;
-/// A granter waits longer by one part in so many: two clocks may differ by 1 % in rate.
+/// Two clocks may differ by 1 % in rate: a granter waits longer by one part in so many.
 const CLOCK_RATE_SHARE: Millis = 100;
-/// Readings are cut to whole milliseconds at each hop.
+/// Readings are truncated to whole milliseconds at each hop.
 const ROUNDING: Millis = 10;
 
-/// How long a granter waits for a lease of this length to be over at its holder.
-pub const fn granter_wait(lasts: Millis) -> Millis {
-    lasts + lasts.div_ceil(CLOCK_RATE_SHARE) + ROUNDING
+/// How long a granter waits until a lease of this length has expired at its holder.
+pub const fn granter_wait(duration: Millis) -> Millis {
+    duration + duration.div_ceil(CLOCK_RATE_SHARE) + ROUNDING
 }
 
-/// A lease at its holder, none at first, by the holder's clock.
+/// A lease at its holder, by the holder's clock. A new one has expired already.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lease {
-    until: Millis,
+    expires_at: Millis,
 }
 
 impl Lease {
-    /// Takes a grant of a request that was sent at `sent`.
-    pub fn renew(&mut self, now: Millis, sent: Millis, lasts: Millis) {
-        // A later reading than the present one is none of this clock.
-        if sent <= now {
-            self.until = self.until.max(sent.saturating_add(lasts));
+    /// Applies the grant of a request that was sent at `sent_at`.
+    pub fn renew(&mut self, now: Millis, sent_at: Millis, duration: Millis) {
+        // A reading above the present one is not from this clock, and the grant is ignored.
+        if sent_at <= now {
+            self.expires_at = self.expires_at.max(sent_at.saturating_add(duration));
         }
     }
 
-    /// When it is over.
+    /// When the lease expires.
     pub fn until(&self) -> Millis {
-        self.until
+        self.expires_at
     }
 
-    /// Whether copies may be served: the answer holds for this moment only.
+    /// Whether stored responses may be served at this moment.
     pub fn is_valid(&self, now: Millis) -> bool {
-        now < self.until
+        now < self.expires_at
     }
 }
 
 /// The leases that a granter may have to wait for, by its own clock.
 #[derive(Debug)]
 pub struct Grants<K> {
-    until: BTreeMap<K, Millis>,
+    /// When the granter may rely on the expiry of each holder's lease.
+    expiries: BTreeMap<K, Millis>,
 }
 
 impl<K> Default for Grants<K> {
     fn default() -> Self {
-        Grants { until: BTreeMap::new() }
+        Grants { expiries: BTreeMap::new() }
     }
 }
 
 impl<K: Ord + Copy> Grants<K> {
-    /// Notes a lease that was granted upon a request received at `received`.
-    pub fn grant(&mut self, holder: K, received: Millis, lasts: Millis) {
-        let until = self.until.entry(holder).or_default();
-        *until = (*until).max(received + granter_wait(lasts));
+    /// Records a lease that is granted for a request received at `received_at`.
+    pub fn grant(&mut self, holder: K, received_at: Millis, duration: Millis) {
+        let expires_at = self.expiries.entry(holder).or_default();
+        *expires_at = (*expires_at).max(received_at + granter_wait(duration));
     }
 
-    /// Grants a part of a lease that the granter itself holds until `until`; gives how long it lasts from the moment of
-    /// the request, or nothing where none is left.
-    pub fn grant_part(&mut self, now: Millis, holder: K, received: Millis, until: Millis) -> Option<Millis> {
-        let until = until.min(now + SESSION_LEASE);
-        let lasts = until.checked_sub(received).filter(|_| now < until)?;
-        self.grant(holder, received, lasts);
-        Some(lasts)
+    /// Grants a part of a lease that the granter itself holds until `own_expiry`. Returns its length from the moment of the
+    /// request; `None` where nothing is left to grant.
+    pub fn grant_part(
+        &mut self,
+        now: Millis,
+        holder: K,
+        received_at: Millis,
+        own_expiry: Millis,
+    ) -> Option<Millis> {
+        if now >= own_expiry {
+            return None;
+        }
+        let expires_at = own_expiry.min(now + SESSION_LEASE);
+        let duration = expires_at.checked_sub(received_at)?;
+        self.grant(holder, received_at, duration);
+        Some(duration)
     }
 
-    /// The holder has said, or shown, that it uses its lease no more.
+    /// Records that a holder no longer uses its lease.
     pub fn release(&mut self, holder: &K) {
-        self.until.remove(holder);
+        self.expiries.remove(holder);
     }
 
-    /// When a holder's lease is over; `None` where it has none.
+    /// When a holder's lease expires; `None` where it has none.
     pub fn ends(&self, now: Millis, holder: &K) -> Option<Millis> {
-        self.until.get(holder).copied().filter(|until| now < *until)
+        self.expiries.get(holder).copied().filter(|expires_at| now < *expires_at)
     }
 
-    /// When the last lease is over among the holders that `counts` names; `None` where none of them has one.
-    pub fn last_end(&self, now: Millis, counts: impl Fn(&K) -> bool) -> Option<Millis> {
-        let standing = self.until.iter().filter(|(holder, until)| now < **until && counts(holder));
-        standing.map(|(_, until)| *until).max()
+    /// When the last lease expires among the holders that `includes` selects; `None` where none of them has a lease.
+    pub fn last_end(&self, now: Millis, includes: impl Fn(&K) -> bool) -> Option<Millis> {
+        let valid = self.expiries.iter().filter(|(_, expires_at)| now < **expires_at);
+        valid.filter(|(holder, _)| includes(holder)).map(|(_, expires_at)| *expires_at).max()
     }
 
-    /// Whose leases are not over.
+    /// The holders of valid leases.
     pub fn holders(&self, now: Millis) -> impl Iterator<Item = K> + '_ {
-        self.until.iter().filter(move |(_, until)| now < **until).map(|(holder, _)| *holder)
+        self.expiries.iter().filter(move |(_, expires_at)| now < **expires_at).map(|(holder, _)| *holder)
     }
 
-    /// Forgets leases that are over.
+    /// Removes leases that have expired.
     pub fn forget_ended(&mut self, now: Millis) {
-        self.until.retain(|_, until| now < *until);
+        self.expiries.retain(|_, expires_at| now < *expires_at);
     }
 }
 
 /// The leases that a control node holds from voters, by its own clock.
 #[derive(Debug, Default)]
 pub struct VoterLeases {
-    held: BTreeMap<Ipv4Addr, Lease>,
+    by_voter: BTreeMap<Ipv4Addr, Lease>,
 }
 
 impl VoterLeases {
-    /// Takes a voter's grant.
-    pub fn renew(&mut self, now: Millis, voter: Ipv4Addr, sent: Millis, lasts: Millis) {
-        self.held.entry(voter).or_default().renew(now, sent, lasts);
+    /// Applies a voter's grant.
+    pub fn renew(&mut self, now: Millis, voter: Ipv4Addr, sent_at: Millis, duration: Millis) {
+        self.by_voter.entry(voter).or_default().renew(now, sent_at, duration);
     }
 
-    /// Until when voters that are a quorum together with this node have granted it a lease; `now` or before where they
-    /// have not. A node that is a quorum by itself grants itself.
+    /// The latest time until which this node holds leases of a quorum of the voters, itself included; `now` or earlier
+    /// where it holds none. `is_quorum` says whether voters form a quorum together with this node. A node that is a quorum
+    /// by itself grants itself a lease.
     pub fn until(&self, now: Millis, is_quorum: impl Fn(&[Ipv4Addr]) -> bool) -> Millis {
         if is_quorum(&[]) {
             return now + VOTER_LEASE;
         }
-        let mut by_end: Vec<(Millis, Ipv4Addr)> =
-            self.held.iter().map(|(voter, lease)| (lease.until, *voter)).collect();
-        by_end.sort_unstable_by(|a, b| b.cmp(a));
-        let voters: Vec<Ipv4Addr> = by_end.iter().map(|(_, voter)| *voter).collect();
-        let quorum = (1..=voters.len()).find(|count| is_quorum(&voters[..*count]));
-        quorum.map_or(0, |count| by_end[count - 1].0)
+        let mut latest_first: Vec<(&Ipv4Addr, &Lease)> = self.by_voter.iter().collect();
+        latest_first.sort_unstable_by_key(|(voter, lease)| Reverse((lease.expires_at, **voter)));
+        let mut voters = Vec::new();
+        for (voter, lease) in latest_first {
+            voters.push(*voter);
+            if is_quorum(&voters) {
+                return lease.expires_at;
+            }
+        }
+        0
     }
 }
--- a/control-plane/src/rate_limit.rs
+++ b/control-plane/src/rate_limit.rs
@@ -1,163 +1,205 @@
-//! The ceiling of a service: how many requests all machines together may send to its servers.
+//! Rate limit of a service, which bounds the requests that all machines together send to its servers.
 //!
-//! The operator's bound holds for the sum over all machines, in any window. Each machine holds a part of the
-//! rate and spends it as it comes in, so that parts which sum to one keep the bound without a word between
-//! machines. What may be saved up counts on top, for each holder: it is a set time of the holder's rate, and no
-//! more however small the rate is. A holder whose rate gives less than one request in that time gets one at
-//! moments of its own, and loses it again unless it is used in time. So the sum of what is saved does not grow
-//! with the number of holders.
+//! The operator's limit holds for the sum over all machines, in any window. Each machine has a *quota*, a share of the
+//! rate, and a token bucket that is filled at that rate. The quotas sum to one, so that the limit holds without
+//! coordination.
 //!
-//! A process begins with nothing saved, as its last life may have spent it just now; from then on it saves for
-//! services that it has not asked yet as well.
+//! Saved tokens count on top, for each machine. Their number is bounded by what the machine's quota yields in a set time, so
+//! that the sum over all machines does not grow with their number. A quota that yields less than one token in that time gets
+//! single tokens, at other moments on each machine, and a token that is not used in that time expires.
+//!
+//! A process starts without saved tokens, as the previous process on the machine may have just spent them. From then on it
+//! also saves tokens for services that it has sent no request to.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::Millis;
 
-/// Part of the bound that is handed out. The rest is for what is saved up, for requests that arrive later than
-/// they were sent, and for the moments in which machines don't agree on how many they are.
-const USED: f64 = 0.91;
-/// Part of a window that may be saved up.
-const SAVED: f64 = 0.05;
-/// Part of what is handed out that edges hold while shields do the asking.
-const EDGES: f64 = 0.03;
-/// Part of what may be saved up that is left to ranks above the lowest.
-const RESERVED: f64 = 0.3;
-/// Services counted at most; one more gets nothing.
-const MOST: usize = 1024;
-/// Nobody is told to wait longer, in milliseconds.
-const LONGEST: f64 = 60_000.0;
-
-/// Part of its aim that a request may wait for its turn: it then still comes in time.
-const PATIENCE: u32 = 5;
-/// A refusal is an early one within this part of the aim, as the client sees it.
-const EARLY: u32 = 4;
-/// What the request and its refusal spend on their ways between client and server's proxy: twice 3 ms to the client, twice
-/// 1.4 ms between zones, and what machines take to wake up.
-const WAYS: Duration = Duration::from_millis(12);
-
-/// How long a request may wait for its turn under a ceiling: a refusal after that is still an early one.
-pub fn max_queue_time(aim: Duration) -> Duration {
-    (aim / PATIENCE).min((aim / EARLY).saturating_sub(WAYS))
+/// Share of the limit that is handed out as quotas. The rest is for saved tokens, for requests that arrive later than they
+/// were sent, and for moments in which the machines do not agree on their number.
+const UTILIZATION: f64 = 0.91;
+/// Share of a window whose tokens may be saved.
+const BURST_WINDOW_SHARE: f64 = 0.05;
+/// Share of the quotas that edges have while shields send the requests.
+const EDGE_QUOTA: f64 = 0.03;
+/// Share of the saved tokens that requests of the lowest priority leave to the others.
+const RESERVED_FOR_PRIORITY: f64 = 0.3;
+/// Bound of the services counted; requests to a further one are rejected.
+const MAX_SERVICES: usize = 1024;
+/// Longest wait that a rejection reports, in milliseconds.
+const MAX_RETRY_AFTER_MS: f64 = 60_000.0;
+/// Lower bound of a rate in tokens per millisecond, where a wait is computed from it.
+const MIN_RATE_PER_MS: f64 = 1e-9;
+
+/// A request may wait for a token for this part of its latency target, one in so many: its response is in time then.
+const QUEUE_TIME_DIVISOR: u32 = 5;
+/// A rejection is early if the client has it within this part of the latency target, one in so many.
+const EARLY_REJECTION_DIVISOR: u32 = 4;
+/// Time of a request and its rejection between the client and the proxy of the server: two times 3 ms to the client, two
+/// times 1.4 ms between zones, and the time that machines take to wake up.
+const NETWORK_TIME: Duration = Duration::from_millis(12);
+
+/// How long a request may wait for a token. A rejection after that is still an early one.
+pub fn max_queue_time(latency_target: Duration) -> Duration {
+    let in_time = latency_target / QUEUE_TIME_DIVISOR;
+    let early_rejection = (latency_target / EARLY_REJECTION_DIVISOR).saturating_sub(NETWORK_TIME);
+    in_time.min(early_rejection)
 }
 
-/// The operator's bound: over any window no more than `over` times the rate.
+/// The operator's limit: in any window, the requests are at most `over` times what the rate yields.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimitSettings {
+    /// Length of the window in milliseconds.
     pub window: Millis,
+    /// Tolerated factor over the rate.
     pub over: f64,
 }
 
-/// What a machine is among those that ask servers.
+impl RateLimitSettings {
+    /// Tokens per millisecond for a quota of a rate in requests per second.
+    fn tokens_per_ms(&self, quota: f64, rate_per_s: f64) -> f64 {
+        rate_per_s.max(0.0) * self.over * UTILIZATION * quota / 1000.0
+    }
+
+    /// Time whose tokens may be saved, in milliseconds.
+    fn burst_ms(&self) -> f64 {
+        self.window as f64 * BURST_WINDOW_SHARE
+    }
+
+    /// Capacity of a token bucket that is filled at this rate.
+    fn burst(&self, tokens_per_ms: f64) -> f64 {
+        (tokens_per_ms * self.burst_ms()).max(1.0)
+    }
+}
+
+/// The role of a machine among those that send requests to servers, which determines its quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum QuotaHolder {
-    /// One of so many shields.
-    Shield { of: usize },
-    /// One of so many edges. `alone`: no shield asks for them.
-    Edge { of: usize, alone: bool },
+    /// A shield.
+    Shield {
+        /// Number of shields.
+        of: usize,
+    },
+    /// An edge.
+    Edge {
+        /// Number of edges.
+        of: usize,
+        /// Whether there is no shield, so that edges have the quotas of shields.
+        alone: bool,
+    },
 }
 
 impl QuotaHolder {
-    fn part(self) -> f64 {
+    /// The machine's share of the rate.
+    fn quota(self) -> f64 {
         match self {
-            QuotaHolder::Shield { of } => (1.0 - EDGES) / of.max(1) as f64,
-            QuotaHolder::Edge { of, alone: false } => EDGES / of.max(1) as f64,
-            QuotaHolder::Edge { of, alone: true } => (1.0 - EDGES) / of.max(1) as f64,
+            QuotaHolder::Shield { of } => (1.0 - EDGE_QUOTA) / of.max(1) as f64,
+            QuotaHolder::Edge { of, alone: false } => EDGE_QUOTA / of.max(1) as f64,
+            QuotaHolder::Edge { of, alone: true } => (1.0 - EDGE_QUOTA) / of.max(1) as f64,
         }
     }
 }
 
-struct Share {
-    per_s: f64,
-    saved: f64,
-    at: Millis,
+/// Tokens of one service.
+struct TokenBucket {
+    rate_per_s: f64,
+    tokens: f64,
+    filled_at: Millis,
+}
+
+impl TokenBucket {
+    /// Adds the tokens since the last call.
+    fn fill(&mut self, now: Millis, settings: RateLimitSettings, quota: f64) {
+        let tokens_per_ms = settings.tokens_per_ms(quota, self.rate_per_s);
+        let tokens = self.tokens + tokens_per_ms * now.saturating_sub(self.filled_at) as f64;
+        let burst = settings.burst(tokens_per_ms);
+        self.filled_at = now;
+        self.tokens = if burst > 1.0 {
+            tokens.min(burst)
+        } else {
+            // A whole token expires after the burst time. What has come in since counts towards the next token.
+            let usable_fraction = tokens_per_ms * settings.burst_ms();
+            let expired = (tokens - usable_fraction).floor().max(0.0);
+            (tokens - expired).min(1.0 + usable_fraction)
+        };
+    }
 }
 
-/// One machine's part of every ceiling.
+/// One machine's part of the rate limits of all services.
 pub struct RateLimiter {
-    bound: RateLimitSettings,
-    part: f64,
-    /// From 0 to 1, another at each machine: when small parts come in.
+    settings: RateLimitSettings,
+    /// This machine's share of each rate.
+    quota: f64,
+    /// Number from 0 to 1 that differs between machines: the fraction of the first token of a small quota that is there at
+    /// the start, so that machines get their single tokens at different moments.
     phase: f64,
-    shares: BTreeMap<String, Share>,
-    /// When this process first held a part.
-    since: Option<Millis>,
+    buckets: BTreeMap<String, TokenBucket>,
+    /// When this process first had a quota.
+    started_at: Option<Millis>,
 }
 
 impl RateLimiter {
-    pub fn new(bound: RateLimitSettings, phase: f64) -> Self {
-        RateLimiter { bound, part: 0.0, phase: phase.clamp(0.0, 1.0), shares: BTreeMap::new(), since: None }
+    /// Creates a limiter without a quota. `phase` is a number from 0 to 1 that the caller draws at random.
+    pub fn new(settings: RateLimitSettings, phase: f64) -> Self {
+        let phase = phase.clamp(0.0, 1.0);
+        RateLimiter { settings, quota: 0.0, phase, buckets: BTreeMap::new(), started_at: None }
     }
 
-    /// What this machine is from now on.
+    /// Sets the role of this machine, and with it the quota.
     pub fn set_holder(&mut self, now: Millis, holder: QuotaHolder) {
-        let part = holder.part();
-        self.since.get_or_insert(now);
-        if part == self.part {
+        let quota = holder.quota();
+        self.started_at.get_or_insert(now);
+        if quota == self.quota {
             return;
         }
-        // What has come in so far came in by the old part.
-        let (bound, old) = (self.bound, self.part);
-        for share in self.shares.values_mut() {
-            share.fill(now, bound, old);
+        // The time so far counts by the old quota.
+        let (settings, old_quota) = (self.settings, self.quota);
+        for bucket in self.buckets.values_mut() {
+            bucket.fill(now, settings, old_quota);
         }
-        self.part = part;
+        self.quota = quota;
     }
 
-    /// Takes one request of a rank from 0, the highest, to 1 to a service with this ceiling. Otherwise says when
-    /// the next one comes in.
-    pub fn try_acquire(&mut self, now: Millis, service: &str, per_s: f64, rank: f64) -> Result<(), Millis> {
-        if !self.shares.contains_key(service) {
-            if self.shares.len() >= MOST {
-                return Err(self.bound.window);
-            }
-            // Where requests come in one by one, the first comes at another time at each machine.
-            let one_by_one = most(per_ms(self.bound, self.part, per_s), self.bound) <= 1.0;
-            let saved = if one_by_one { self.phase } else { 0.0 };
-            self.shares.insert(service.to_owned(), Share { per_s, saved, at: self.since.unwrap_or(now) });
-        }
-        let (bound, part) = (self.bound, self.part);
-        let Some(share) = self.shares.get_mut(service) else { return Err(bound.window) };
-        share.fill(now, bound, part);
-        share.per_s = per_s;
-        let rate = per_ms(bound, part, per_s);
-        let due = 1.0 + rank * RESERVED * (most(rate, bound) - 1.0);
-        if share.saved >= due {
-            share.saved -= 1.0;
+    /// Takes a token for a request to a service with this rate limit. `rank` is the priority of the request, from 0, the
+    /// highest, to 1.
+    ///
+    /// # Errors
+    ///
+    /// Where no token is left, the time in milliseconds until the next one.
+    pub fn try_acquire(
+        &mut self,
+        now: Millis,
+        service: &str,
+        rate_per_s: f64,
+        rank: f64,
+    ) -> Result<(), Millis> {
+        let (settings, quota) = (self.settings, self.quota);
+        let Some(bucket) = self.bucket(now, service, rate_per_s) else { return Err(settings.window) };
+        bucket.fill(now, settings, quota);
+        bucket.rate_per_s = rate_per_s;
+        let tokens_per_ms = settings.tokens_per_ms(quota, rate_per_s);
+        let needed = 1.0 + rank * RESERVED_FOR_PRIORITY * (settings.burst(tokens_per_ms) - 1.0);
+        if bucket.tokens >= needed {
+            bucket.tokens -= 1.0;
             return Ok(());
         }
-        Err(((due - share.saved) / rate.max(1e-9)).ceil().min(LONGEST) as Millis)
+        let wait_ms = (needed - bucket.tokens) / tokens_per_ms.max(MIN_RATE_PER_MS);
+        Err(wait_ms.ceil().min(MAX_RETRY_AFTER_MS) as Millis)
     }
-}
 
-impl Share {
-    /// Adds what has come in since it was last looked at.
-    fn fill(&mut self, now: Millis, bound: RateLimitSettings, part: f64) {
-        let rate = per_ms(bound, part, self.per_s);
-        let saved = self.saved + rate * now.saturating_sub(self.at) as f64;
-        let most = most(rate, bound);
-        self.at = now;
-        self.saved = if most > 1.0 {
-            saved.min(most)
-        } else {
-            // A whole one lasts for a set time; after that the next one is on its way.
-            let lost = (saved - rate * lasts(bound)).floor().max(0.0);
-            (saved - lost).min(1.0 + rate * lasts(bound))
-        };
+    /// The bucket of a service; `None` where too many services are counted.
+    fn bucket(&mut self, now: Millis, service: &str, rate_per_s: f64) -> Option<&mut TokenBucket> {
+        if !self.buckets.contains_key(service) {
+            if self.buckets.len() >= MAX_SERVICES {
+                return None;
+            }
+            let tokens_per_ms = self.settings.tokens_per_ms(self.quota, rate_per_s);
+            let has_single_tokens = self.settings.burst(tokens_per_ms) <= 1.0;
+            let tokens = if has_single_tokens { self.phase } else { 0.0 };
+            let filled_at = self.started_at.unwrap_or(now);
+            self.buckets.insert(service.to_owned(), TokenBucket { rate_per_s, tokens, filled_at });
+        }
+        self.buckets.get_mut(service)
     }
 }
-
-/// Requests that come in in a millisecond.
-fn per_ms(bound: RateLimitSettings, part: f64, per_s: f64) -> f64 {
-    per_s.max(0.0) * bound.over * USED * part / 1000.0
-}
-
-/// How long what comes in may be saved.
-fn lasts(bound: RateLimitSettings) -> f64 {
-    bound.window as f64 * SAVED
-}
-
-fn most(rate: f64, bound: RateLimitSettings) -> f64 {
-    (rate * lasts(bound)).max(1.0)
-}
--- a/control-plane/src/record.rs
+++ b/control-plane/src/record.rs
@@ -1,86 +1,92 @@
-//! The replicated state, and what one order does to it. Pure: an order is judged by the record alone.
+//! The replicated state, and the decision on an order by that state.
+//!
+//! The decision depends on the record and the order alone, so that every head decides the same order in the same way.
 
 use serde::{Deserialize, Serialize};
 
-use crate::config::{ConfigChange, InvalidConfig};
+use crate::config::{ConfigChange, InvalidConfig, NewDocument};
 use crate::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey, LogEntry};
 
-/// The state that the chain replicates: the newest configuration document with the table of orders that led to it.
+/// The state that the chain replicates: the newest configuration document, and the deduplication table of the orders that
+/// made it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Log index: the number of changes so far.
+    /// Log index, which is the number of orders applied so far.
     pub seq: u64,
-    /// Version of the document; 0 before the first.
+    /// Version of the document; 0 before the first one.
     pub rev: u64,
-    /// The configuration document; empty before the first.
+    /// The configuration document; empty before the first one.
     pub document: Vec<u8>,
-    /// Idempotency keys of the newest orders, by which a repeated order is recognised.
+    /// Idempotency keys of the newest orders, by which a retried order is recognised.
     pub applied_orders: DeduplicationTable,
 }
 
-/// How an order relates to a record.
+/// The decision on an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It builds on the current version: this is the next log entry.
+    /// The order builds on the current version, and adds this log entry.
     New(LogEntry),
-    /// It was applied before, however many others were applied since.
+    /// The order was applied before, possibly with other orders after it.
     AlreadyApplied {
-        /// The version that it made.
+        /// The version that the order made.
         rev: u64,
     },
-    /// It may have been applied so long ago that its key was evicted: neither confirmed nor refused.
+    /// The order may have been applied so long ago that its key was evicted: it is neither confirmed nor rejected.
     Expired {
         /// Highest version whose key may have been evicted.
         up_to: u64,
     },
-    /// It was not applied, and another version is current.
+    /// The order was not applied, and builds on a version that is not the current one.
     Stale {
         /// The current version.
         current: u64,
     },
-    /// The change does not give a valid configuration.
+    /// The change does not make a valid configuration.
     Invalid(InvalidConfig),
 }
 
 impl Record {
-    /// Judges an order by what the record holds, and by nothing else.
+    /// Decides on an order, which is a change together with the version that it builds on.
     pub fn decide(&self, builds_on: u64, change: &ConfigChange) -> Decision {
         let key = IdempotencyKey::of(builds_on, change);
         if let Some(order) = self.applied_orders.find(key) {
             return Decision::AlreadyApplied { rev: order.rev };
         }
-        // An order makes a version above the one that it builds on: one that does not was never applied.
-        let up_to = self.applied_orders.forgotten_up_to();
-        if change.rev().is_some_and(|rev| builds_on < rev && rev <= up_to) {
-            return Decision::Expired { up_to };
+        let horizon = self.applied_orders.forgotten_up_to();
+        // An order that makes no version above the one that it builds on was never applied.
+        let may_be_evicted = |rev: u64| builds_on < rev && rev <= horizon;
+        if change.rev().is_some_and(may_be_evicted) {
+            return Decision::Expired { up_to: horizon };
         }
         if builds_on != self.rev {
             return Decision::Stale { current: self.rev };
         }
         match change.apply(&self.document, self.rev) {
             Err(invalid) => Decision::Invalid(invalid),
-            Ok((rev, document)) => {
-                Decision::New(LogEntry { seq: self.seq + 1, document, order: AppliedOrder { rev, key } })
+            Ok(NewDocument { rev, document }) => {
+                let order = AppliedOrder { rev, key };
+                Decision::New(LogEntry { seq: self.seq + 1, document, order })
             }
         }
     }
 
-    /// The record after one more entry.
+    /// The record with one more log entry applied.
     pub fn after(&self, entry: &LogEntry) -> Record {
-        let mut taken = self.applied_orders.clone();
-        taken.push(entry.order);
-        Record {
-            seq: entry.seq,
-            rev: entry.order.rev,
-            document: entry.document.clone(),
-            applied_orders: taken,
-        }
+        let mut applied_orders = self.applied_orders.clone();
+        applied_orders.push(entry.order);
+        Record { seq: entry.seq, rev: entry.order.rev, document: entry.document.clone(), applied_orders }
     }
 
-    /// The same document without the table of orders, for nodes that only distribute it. Mistaking it for the whole
-    /// record is safe: an empty table answers [`Decision::Expired`] for every version that it may have held.
+    /// The record with an empty deduplication table, for nodes that only distribute the document. A node that mistakes it
+    /// for the complete record is safe: its table decides [`Decision::Expired`] on every order whose key the complete table
+    /// may contain.
     pub fn without_table(&self) -> Record {
-        let taken = DeduplicationTable::forgotten(self.rev.max(self.applied_orders.forgotten_up_to()));
-        Record { seq: self.seq, rev: self.rev, document: self.document.clone(), applied_orders: taken }
+        let horizon = self.rev.max(self.applied_orders.forgotten_up_to());
+        Record {
+            seq: self.seq,
+            rev: self.rev,
+            document: self.document.clone(),
+            applied_orders: DeduplicationTable::forgotten(horizon),
+        }
     }
 }
--- a/control-plane/src/retry_budget.rs
+++ b/control-plane/src/retry_budget.rs
@@ -1,125 +1,169 @@
-//! The budget for further tries: what one machine may send to a service beyond the first try of each request.
+//! Retry budget, which bounds the attempts that one machine may send to a service beyond the first one of each request.
 //!
-//! The operator's bound holds for the sum over all machines: in any window, `ratio` times the requests, and some
-//! slack. The first part needs no word between machines: where each keeps to `ratio` times the requests that it
-//! counts itself, and none is counted by two, the sum keeps to it. The slack is shared out by control, which
-//! knows how many machines there are. A part that grows does so only when a window has passed: whoever had it
-//! before may have spent it just now, a machine's own last life included. A machine that has lost touch spends
-//! what it was given last, and hears of no more.
+//! The operator's bound holds for the sum over all machines: in any window, the retries are at most `ratio` times the
+//! requests, plus `slack`. The first part needs no coordination. Each machine keeps to `ratio` times the requests that it
+//! counts itself, and no request is counted by two machines, so that the sum keeps to the bound. The slack is divided by
+//! the number of machines, which control publishes.
+//!
+//! A share of the slack that grows takes effect a window later, as the machine that had it before may have just spent it;
+//! that includes the previous process on the same machine. A machine that is disconnected from control goes on with the
+//! share that it has, and cannot learn of a larger one.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::Millis;
 
-/// Parts of a window that are counted apart.
-const PARTS: u64 = 10;
-/// Part of the operator's bound that is used: a request counts a little later where it arrives, and machines
-/// hear at different moments that another has come or gone.
-const USED: f64 = 0.85;
-/// Services counted at most; one more is as one that was never asked for, and gets first tries only.
+/// Buckets that a window is counted in.
+const BUCKETS: u64 = 10;
+/// Share of the operator's bound that is used. The rest is for requests that are counted where they arrive a little later
+/// than where they were sent, and for machines that learn at different moments that another one has come or gone.
+const UTILIZATION: f64 = 0.85;
+/// Bound of the services counted. A further one is treated as one without requests, and gets first attempts only.
 pub const MAX_SERVICES: usize = 1024;
 
 /// The operator's bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetSettings {
+    /// Retries for each request.
     pub ratio: f64,
+    /// Length of the window in milliseconds.
     pub window: Millis,
+    /// Retries in a window beyond the ratio, for all machines together.
     pub slack: f64,
 }
 
+/// Counts of one bucket of a window.
 #[derive(Clone, Copy, Default)]
-struct Part {
+struct Bucket {
+    /// Number of the bucket since the start of the clock.
     number: u64,
     requests: u32,
-    further: u32,
+    retries: u32,
+}
+
+impl Bucket {
+    /// Whether a part of the bucket lies in the window that ends in the bucket `current`.
+    fn overlaps_window(&self, current: u64) -> bool {
+        self.number + BUCKETS >= current
+    }
+
+    /// Whether all of the bucket lies in the window that ends in the bucket `current`.
+    fn is_within_window(&self, current: u64) -> bool {
+        self.number + BUCKETS > current
+    }
 }
 
-/// What one machine has sent.
+/// A share of the slack that takes effect later.
+#[derive(Clone, Copy)]
+struct PendingShare {
+    share: f64,
+    effective_at: Millis,
+}
+
+/// The retry budget of one machine, for each service.
 pub struct RetryBudget {
-    bound: RetryBudgetSettings,
-    /// This machine's part of the slack, and what it becomes when.
+    settings: RetryBudgetSettings,
+    /// This machine's share of the slack.
     share: f64,
-    next: Option<(f64, Millis)>,
-    services: BTreeMap<String, VecDeque<Part>>,
+    /// A larger share, until it takes effect.
+    pending_share: Option<PendingShare>,
+    /// Buckets of the window by service, the newest last.
+    services: BTreeMap<String, VecDeque<Bucket>>,
 }
 
 impl RetryBudget {
-    pub fn new(bound: RetryBudgetSettings) -> Self {
-        RetryBudget { bound, share: 0.0, next: None, services: BTreeMap::new() }
+    /// Creates a budget without a share of the slack.
+    pub fn new(settings: RetryBudgetSettings) -> Self {
+        RetryBudget { settings, share: 0.0, pending_share: None, services: BTreeMap::new() }
     }
 
-    /// Services that are counted.
+    /// Number of services that are counted.
     pub fn services(&self) -> usize {
         self.services.len()
     }
 
-    /// The slack is shared by so many machines.
+    /// Sets the number of machines that share the slack. A smaller share takes effect at once, a larger one after a window.
     pub fn set_machine_count(&mut self, now: Millis, machines: usize) {
-        self.grow(now);
-        let share = self.bound.slack / machines.max(1) as f64;
+        self.apply_pending_share(now);
+        let share = self.settings.slack / machines.max(1) as f64;
         if share <= self.share {
-            (self.share, self.next) = (share, None);
-        } else if self.next.is_none_or(|(next, _)| share != next) {
-            // Less than was promised may come as early as that would have.
-            let sooner = self.next.filter(|(next, _)| share < *next).map(|(_, at)| at);
-            let at = sooner.unwrap_or(now + self.bound.window);
-            self.next = Some((share, at));
+            self.share = share;
+            self.pending_share = None;
+            return;
+        }
+        if self.pending_share.is_some_and(|pending| pending.share == share) {
+            return;
         }
+        // A share below the pending one is part of it, and so takes effect as early as that would have.
+        let larger_pending = self.pending_share.filter(|pending| share < pending.share);
+        let effective_at = larger_pending.map_or(now + self.settings.window, |pending| pending.effective_at);
+        self.pending_share = Some(PendingShare { share, effective_at });
     }
 
-    fn grow(&mut self, now: Millis) {
-        if let Some((share, _)) = self.next.filter(|(_, at)| *at <= now) {
-            (self.share, self.next) = (share, None);
+    fn apply_pending_share(&mut self, now: Millis) {
+        if let Some(pending) = self.pending_share.take_if(|pending| pending.effective_at <= now) {
+            self.share = pending.share;
         }
     }
 
-    fn part_length(&self) -> Millis {
-        (self.bound.window / PARTS).max(1)
+    fn bucket_number(&self, now: Millis) -> u64 {
+        let bucket_length = (self.settings.window / BUCKETS).max(1);
+        now / bucket_length
     }
 
-    /// The part of the window that it is now, of a service that is counted. What no window reaches any more goes.
-    fn now(&mut self, now: Millis, service: &str) -> Option<&mut VecDeque<Part>> {
-        let number = now / self.part_length();
+    /// The buckets of a service, of which the last one is the present. `None` where too many services are counted.
+    fn buckets(&mut self, now: Millis, service: &str) -> Option<&mut VecDeque<Bucket>> {
+        let current = self.bucket_number(now);
         if !self.services.contains_key(service) {
-            if self.services.len() >= MAX_SERVICES {
-                self.services.retain(|_, parts| parts.back().is_some_and(|p| p.number + PARTS >= number));
-            }
-            if self.services.len() >= MAX_SERVICES {
-                return None;
-            }
-            self.services.insert(service.to_owned(), VecDeque::new());
+            self.insert_service(current, service)?;
         }
-        let parts = self.services.get_mut(service)?;
-        while parts.front().is_some_and(|part| part.number + PARTS < number) {
-            parts.pop_front();
+        let buckets = self.services.get_mut(service)?;
+        while buckets.front().is_some_and(|oldest| !oldest.overlaps_window(current)) {
+            buckets.pop_front();
         }
-        if parts.back().is_none_or(|part| part.number < number) {
-            parts.push_back(Part { number, ..Part::default() });
+        if buckets.back().is_none_or(|newest| newest.number < current) {
+            buckets.push_back(Bucket { number: current, ..Bucket::default() });
         }
-        Some(parts)
+        Some(buckets)
     }
 
-    /// A request for the service has come to this machine.
+    /// Begins to count a service. Services without a bucket in the window are removed where there are too many.
+    fn insert_service(&mut self, current: u64, service: &str) -> Option<()> {
+        if self.services.len() >= MAX_SERVICES {
+            self.services
+                .retain(|_, buckets| buckets.back().is_some_and(|newest| newest.overlaps_window(current)));
+        }
+        if self.services.len() >= MAX_SERVICES {
+            return None;
+        }
+        self.services.insert(service.to_owned(), VecDeque::new());
+        Some(())
+    }
+
+    /// Counts a request for a service that has arrived at this machine.
     pub fn record_request(&mut self, now: Millis, service: &str) {
-        if let Some(part) = self.now(now, service).and_then(VecDeque::back_mut) {
-            part.requests += 1;
+        if let Some(bucket) = self.buckets(now, service).and_then(VecDeque::back_mut) {
+            bucket.requests += 1;
         }
     }
 
-    /// Whether a request may be sent to the service once more; takes it out of the budget if so.
+    /// Takes one retry to a service out of the budget. Returns false where the budget is exhausted.
     pub fn try_spend(&mut self, now: Millis, service: &str) -> bool {
-        self.grow(now);
-        let (ratio, share) = (self.bound.ratio, self.share);
-        let oldest = now / self.part_length();
-        let Some(parts) = self.now(now, service) else { return false };
-        // Further tries over the whole window and the part that it cuts; requests without that part.
-        let further: u32 = parts.iter().map(|part| part.further).sum();
-        let whole = parts.iter().filter(|part| part.number + PARTS > oldest);
-        let requests: u32 = whole.map(|part| part.requests).sum();
-        let may = f64::from(further + 1) <= (ratio * f64::from(requests) + share) * USED;
-        if let Some(part) = parts.back_mut().filter(|_| may) {
-            part.further += 1;
+        self.apply_pending_share(now);
+        let (ratio, share) = (self.settings.ratio, self.share);
+        let current = self.bucket_number(now);
+        let Some(buckets) = self.buckets(now, service) else { return false };
+        // The window begins within a bucket: its retries count in full, its requests do not count.
+        let retries: u32 = buckets.iter().map(|bucket| bucket.retries).sum();
+        let counted = buckets.iter().filter(|bucket| bucket.is_within_window(current));
+        let requests: u32 = counted.map(|bucket| bucket.requests).sum();
+        let budget = (ratio * f64::from(requests) + share) * UTILIZATION;
+        if f64::from(retries + 1) > budget {
+            return false;
+        }
+        if let Some(bucket) = buckets.back_mut() {
+            bucket.retries += 1;
         }
-        may
+        true
     }
 }
--- a/control-plane/tests/deduplication.rs
+++ b/control-plane/tests/deduplication.rs
@@ -156,10 +156,10 @@
     let mut next = record.clone();
     further(&mut next, 1);
     let shared = |(one, other): (&Arc<_>, &Arc<_>)| Arc::ptr_eq(one, other);
-    assert!(record.applied_orders.chunks().0.iter().zip(next.applied_orders.chunks().0).all(shared));
+    assert!(record.applied_orders.full_chunks().iter().zip(next.applied_orders.full_chunks()).all(shared));
     let order = |rev| AppliedOrder { rev, key: IdempotencyKey([0; 32]) };
     let falling = DeduplicationTable::listed(0, &[order(4), order(6), order(6)]);
-    assert_eq!(falling, Err(InvalidTable::NotRising(6, 6)));
+    assert_eq!(falling, Err(InvalidTable::NotRising { previous: 6, next: 6 }));
     let many: Vec<AppliedOrder> = (0..=MAX_APPLIED_ORDERS as u64).map(order).collect();
     assert_eq!(DeduplicationTable::listed(0, &many), Err(InvalidTable::TooMany(MAX_APPLIED_ORDERS + 1)));
     let spoilt = postcard::to_stdvec(&(0u64, many)).unwrap();
--- a/control-plane/tests/documents.rs
+++ b/control-plane/tests/documents.rs
@@ -2,7 +2,7 @@
 //! routes and services as lists of its own and judges them by looking at every pair; it shares no code with the
 //! library. `DOCUMENTS_SEED` and `DOCUMENTS_RUNS` choose other runs.
 
-use glenfall_control_plane::config::{Config, ConfigChange};
+use glenfall_control_plane::config::{Config, ConfigChange, NewDocument};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -161,7 +161,7 @@
             let (change, next) = change(&mut rng, &now);
             let good = next.filter(|next| next.is_valid() && next.rev > now.rev);
             match (change.apply(&document, now.rev), good) {
-                (Ok((rev, made)), Some(next)) => {
+                (Ok(NewDocument { rev, document: made }), Some(next)) => {
                     assert_eq!(rev, next.rev, "{at}");
                     let value: Value = serde_json::from_slice(&made).unwrap();
                     assert_eq!(value, next.json(), "{at}");
--- a/control-plane/tests/unit/config.rs
+++ b/control-plane/tests/unit/config.rs
@@ -1,6 +1,6 @@
 //! Configuration documents.
 
-use glenfall_control_plane::config::{Config, ConfigChange, InvalidConfig};
+use glenfall_control_plane::config::{Config, ConfigChange, InvalidConfig, NewDocument};
 use serde_json::Value;
 
 fn document() -> Value {
@@ -84,7 +84,7 @@
     });
     let current = document().to_string().into_bytes();
     let change = ConfigChange::Patch(patch.to_string().into_bytes());
-    let (rev, made) = change.apply(&current, 5).unwrap();
+    let NewDocument { rev, document: made } = change.apply(&current, 5).unwrap();
     let made_value: Value = serde_json::from_slice(&made).unwrap();
     assert_eq!((rev, &made_value["extra"]["kept"]), (8, &Value::from(1.5)));
     let config = Config::read(&made).unwrap();
--- a/control-plane/tests/unit/subset.rs
+++ b/control-plane/tests/unit/subset.rs
@@ -3,19 +3,19 @@
 use std::collections::BTreeMap;
 
 use glenfall_control_plane::fleet::edge_hash;
-use glenfall_control_plane::subset::{size, subsets, MIN_EDGES_PER_SERVER};
+use glenfall_control_plane::subset::{size, subsets, SubsetServer, MIN_EDGES_PER_SERVER};
 
 fn edges(count: usize) -> Vec<u64> {
-    (0..count).map(|n| edge_hash(&format!("edge-{n}"))).collect()
+    (0..count).map(|number| edge_hash(&format!("edge-{number}"))).collect()
 }
 
 fn names(count: usize) -> Vec<String> {
-    (0..count).map(|n| format!("i-{n}")).collect()
+    (0..count).map(|number| format!("i-{number}")).collect()
 }
 
 fn subsets_of(edges: &[u64], names: &[String]) -> BTreeMap<u64, Vec<String>> {
-    let servers: Vec<(&str, u32)> = names.iter().map(|name| (name.as_str(), 2)).collect();
-    let named = |subset: Vec<usize>| subset.into_iter().map(|at| names[at].clone()).collect();
+    let servers: Vec<SubsetServer> = names.iter().map(|id| SubsetServer { id, capacity: 2 }).collect();
+    let named = |subset: Vec<usize>| subset.into_iter().map(|index| names[index].clone()).collect();
     subsets(edges, &servers).into_iter().map(|(edge, subset)| (edge, named(subset))).collect()
 }
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn every_server_is_in_about_equally_many_subsets_and_every_edge_has_a_whole_one() {
+fn every_server_is_in_about_equally_many_subsets_and_every_edge_has_a_full_one() {
     for (edge_count, server_count) in [(90, 49), (62, 25), (900, 510), (10, 100), (1000, 10), (7, 6)] {
         let names = names(server_count);
         let subsets = subsets_of(&edges(edge_count), &names);
@@ -48,37 +48,39 @@
 #[test]
 fn a_server_with_twice_the_capacity_is_in_about_twice_as_many() {
     let names = names(40);
-    let servers: Vec<(&str, u32)> =
-        names.iter().enumerate().map(|(n, name)| (name.as_str(), if n < 20 { 4 } else { 2 })).collect();
+    let mut servers: Vec<SubsetServer> = names.iter().map(|id| SubsetServer { id, capacity: 2 }).collect();
+    servers[..20].iter_mut().for_each(|server| server.capacity = 4);
     let subsets = subsets(&edges(90), &servers);
-    let places = |at: std::ops::Range<usize>| {
-        subsets.values().flatten().filter(|place| at.contains(place)).count() as f64
+    let slots_of = |servers: std::ops::Range<usize>| {
+        subsets.values().flatten().filter(|server| servers.contains(server)).count() as f64
     };
-    let times = places(0..20) / places(20..40);
-    assert!((1.7..2.4).contains(&times), "{times}");
+    let ratio = slots_of(0..20) / slots_of(20..40);
+    assert!((1.7..2.4).contains(&ratio), "{ratio}");
 }
 
 #[test]
-fn whoever_comes_or_goes_changes_few_subsets() {
+fn a_server_or_edge_that_is_removed_changes_few_subsets() {
     let (edges, names) = (edges(90), names(49));
     let before = subsets_of(&edges, &names);
-    let places: usize = before.values().map(Vec::len).sum();
-    let moved = |after: &BTreeMap<u64, Vec<String>>| {
-        let stays = |edge: &u64, server: &String| after.get(edge).is_some_and(|s| s.contains(server));
-        let gone = before.iter().flat_map(|(edge, subset)| subset.iter().filter(move |s| !stays(edge, s)));
-        gone.count() as f64 / places as f64
+    let total_slots: usize = before.values().map(Vec::len).sum();
+    let moved_share = |after: &BTreeMap<u64, Vec<String>>| {
+        let stays =
+            |edge: &u64, server: &String| after.get(edge).is_some_and(|subset| subset.contains(server));
+        let removed =
+            before.iter().flat_map(|(edge, subset)| subset.iter().filter(move |server| !stays(edge, server)));
+        removed.count() as f64 / total_slots as f64
     };
     let (mut by_server, mut by_edge) = (Vec::new(), Vec::new());
-    for at in 0..20 {
+    for index in 0..20 {
         let mut fewer = names.clone();
-        fewer.remove(at);
-        by_server.push(moved(&subsets_of(&edges, &fewer)));
+        fewer.remove(index);
+        by_server.push(moved_share(&subsets_of(&edges, &fewer)));
         let mut fewer = edges.clone();
-        fewer.remove(at);
-        by_edge.push(moved(&subsets_of(&fewer, &names)));
+        fewer.remove(index);
+        by_edge.push(moved_share(&subsets_of(&fewer, &names)));
     }
-    // One of 49 servers has a forty-ninth of all places, one of 90 edges a ninetieth.
-    let mean = |parts: &[f64]| parts.iter().sum::<f64>() / parts.len() as f64;
+    // One of 49 servers has a forty-ninth of all slots, one of 90 edges a ninetieth.
+    let mean = |shares: &[f64]| shares.iter().sum::<f64>() / shares.len() as f64;
     assert!(mean(&by_server) < 0.15, "{by_server:?}");
     assert!(mean(&by_edge) < 0.10, "{by_edge:?}");
 }
--- a/experiments/src/fleet/writes.rs
+++ b/experiments/src/fleet/writes.rs
@@ -9,7 +9,7 @@
 use glenfall::upstream::origins::{OriginBalancer, SendOutcome};
 use glenfall_control_plane::fleet::edge_hash;
 use glenfall_control_plane::messages::Server;
-use glenfall_control_plane::subset;
+use glenfall_control_plane::subset::{self, SubsetServer};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -252,7 +252,8 @@
     fn found(&self, servers: &[Server], marks: &[u64]) -> Writes {
         let served = self.servers.iter().map(|server| server.served);
         let (most, all) = (served.clone().max().unwrap_or(0), served.sum::<u64>());
-        let places = servers.iter().map(|server| (&server.id[..], server.capacity)).collect::<Vec<_>>();
+        let places: Vec<_> =
+            servers.iter().map(|server| SubsetServer { id: &server.id, capacity: server.capacity }).collect();
         let mut holders = vec![0u32; servers.len()];
         subset::subsets(marks, &places).values().flatten().for_each(|at| holders[*at] += 1);
         let mean = |sum: f64| sum / servers.len() as f64;
--- a/glenfall/src/control/store/idempotency_keys.rs
+++ b/glenfall/src/control/store/idempotency_keys.rs
@@ -58,7 +58,7 @@
     written: &[Chunk],
     table: &DeduplicationTable,
 ) -> Result<StoredTable, StoreError> {
-    let (full, open) = table.chunks();
+    let (full, open) = (table.full_chunks(), table.open_chunk());
     for evicted in written.iter().filter(|chunk| !contains(full, chunk)) {
         db.execute("DELETE FROM taken WHERE first = ?1", [row_key(evicted)])?;
     }
--- a/glenfall/src/control/store/mod.rs
+++ b/glenfall/src/control/store/mod.rs
@@ -139,7 +139,7 @@
 }
 
 fn full_chunks(state: &HardState) -> Vec<Chunk> {
-    state.record.applied_orders.chunks().0.to_vec()
+    state.record.applied_orders.full_chunks().to_vec()
 }
 
 fn found_in(folder: &StateFolder, state: Option<HardState>) -> Found {
--- a/glenfall/src/upstream/origins/local_subsets.rs
+++ b/glenfall/src/upstream/origins/local_subsets.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenfall_control_plane::subset;
+use glenfall_control_plane::subset::{self, SubsetServer};
 use tokio::time::Instant;
 
 /// Minimum time between two computations of the subset of one service.
@@ -96,12 +96,15 @@
     }
 
     fn compute(&self, input: &SubsetInput) -> Option<HashSet<String>> {
-        let servers: Vec<(&str, u32)> =
-            input.servers.iter().map(|server| (&server.id[..], server.capacity)).collect();
+        let servers: Vec<SubsetServer> = input
+            .servers
+            .iter()
+            .map(|server| SubsetServer { id: &server.id, capacity: server.capacity })
+            .collect();
         if subset::size(input.edges.len(), servers.len()) == servers.len() {
             return None;
         }
         let indices = subset::subsets(&input.edges, &servers).remove(&self.node_hash)?;
-        Some(indices.into_iter().map(|index| servers[index].0.to_owned()).collect())
+        Some(indices.into_iter().map(|index| servers[index].id.to_owned()).collect())
     }
 }
