--- a/glenfall/src/cache/disk/cache_file.rs
+++ b/glenfall/src/cache/disk/cache_file.rs
@@ -25,12 +25,13 @@
     born INTEGER NOT NULL, crc INTEGER NOT NULL) WITHOUT ROWID; \
     CREATE TABLE IF NOT EXISTS written \
     (id INTEGER PRIMARY KEY, at INTEGER NOT NULL, steady INTEGER NOT NULL)";
-const PUT: &str = "INSERT OR REPLACE INTO copies (id, head, body, born, crc) VALUES (?1, ?2, ?3, ?4, ?5)";
-const REVALIDATE: &str = "UPDATE copies SET born = ?2 WHERE id = ?1";
-const REMOVE: &str = "DELETE FROM copies WHERE id = ?1";
-const SELECT_ALL: &str = "SELECT head, body, born, crc FROM copies";
-const SET_WRITTEN: &str = "INSERT OR REPLACE INTO written (id, at, steady) VALUES (1, ?1, ?2)";
-const SELECT_WRITTEN: &str = "SELECT at, steady FROM written";
+const UPSERT_ROW: &str =
+    "INSERT OR REPLACE INTO copies (id, head, body, born, crc) VALUES (?1, ?2, ?3, ?4, ?5)";
+const UPDATE_ROW_BORN: &str = "UPDATE copies SET born = ?2 WHERE id = ?1";
+const DELETE_ROW: &str = "DELETE FROM copies WHERE id = ?1";
+const SELECT_ROWS: &str = "SELECT head, body, born, crc FROM copies";
+const UPSERT_WRITE_TIME: &str = "INSERT OR REPLACE INTO written (id, at, steady) VALUES (1, ?1, ?2)";
+const SELECT_WRITE_TIME: &str = "SELECT at, steady FROM written";
 
 /// The file, and the connection to it while it is open.
 pub struct CacheFile {
@@ -75,7 +76,7 @@
         // write takes.
         if let Some(last) = changes.last() {
             let Timestamp { wall_ms, monotonic_ms } = last.queued_at();
-            transaction.execute(SET_WRITTEN, [wall_ms, monotonic_ms])?;
+            transaction.execute(UPSERT_WRITE_TIME, [wall_ms, monotonic_ms])?;
         }
         transaction.commit()
     }
@@ -123,14 +124,14 @@
 fn apply(transaction: &Transaction, change: &Change) -> rusqlite::Result<()> {
     match change {
         Change::Put { id, head, body, born_ms } => {
-            let mut put = transaction.prepare_cached(PUT)?;
+            let mut put = transaction.prepare_cached(UPSERT_ROW)?;
             put.execute((id, head, &body[..], born_ms, checksum(head, body)))?;
         }
         Change::Revalidate { id, born_ms } => {
-            transaction.prepare_cached(REVALIDATE)?.execute((id, born_ms))?;
+            transaction.prepare_cached(UPDATE_ROW_BORN)?.execute((id, born_ms))?;
         }
         Change::Remove(ids) => {
-            let mut remove = transaction.prepare_cached(REMOVE)?;
+            let mut remove = transaction.prepare_cached(DELETE_ROW)?;
             for id in ids {
                 remove.execute([id])?;
             }
@@ -166,11 +167,11 @@
 fn read_rows(connection: &Connection) -> rusqlite::Result<Vec<Row>> {
     let read_timestamp =
         |row: &rusqlite::Row| Ok(Timestamp { wall_ms: row.get(0)?, monotonic_ms: row.get(1)? });
-    let written_at = connection.query_row(SELECT_WRITTEN, [], read_timestamp).optional()?;
+    let written_at = connection.query_row(SELECT_WRITE_TIME, [], read_timestamp).optional()?;
     let Some(written_at) = written_at else { return Ok(Vec::new()) };
     let since_write = Timestamp::now().since(written_at).resolve();
     let Some(since_write) = since_write else { return Ok(Vec::new()) };
-    let mut select = connection.prepare(SELECT_ALL)?;
+    let mut select = connection.prepare(SELECT_ROWS)?;
     let mut rows = Vec::new();
     for raw in select.query_map([], RawRow::read)? {
         rows.extend(raw?.decode(written_at, since_write));
--- a/glenfall/src/cache/disk/change.rs
+++ b/glenfall/src/cache/disk/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the file, on their way to the thread that writes it.
+//! Changes of the file, queued for the thread that writes it.
 
 use bytes::Bytes;
 
@@ -7,7 +7,7 @@
 
 /// A change of one or several rows.
 pub enum Change {
-    /// Writes a row, in place of that with the same id.
+    /// Writes a row, replacing the one with the same id.
     Put {
         /// The row's primary key.
         id: String,
--- a/glenfall/src/cache/disk/disk_cache.rs
+++ b/glenfall/src/cache/disk/disk_cache.rs
@@ -67,7 +67,7 @@
         self.queued_bodies.queued()
     }
 
-    /// Writes a response, in place of that of the same object. If the queue is full, only removes the one before.
+    /// Writes a response, replacing the one of the same object. If the queue is full, only removes the one before.
     pub fn put(
         &self,
         key: &ObjectKey,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Removes stored responses. If the queue is full, the whole file will be discarded.
+    /// Removes stored responses. If the queue is full, the complete file will be discarded.
     pub fn remove(&self, keys: &[ObjectKey]) {
         for chunk in keys.chunks(MAX_BATCH_ROWS) {
             match self.queued_rows.reserve(chunk.len()) {
--- a/glenfall/src/cache/memory_cache.rs
+++ b/glenfall/src/cache/memory_cache.rs
@@ -36,7 +36,7 @@
         self.entries.get(key).cloned()
     }
 
-    /// Stores a response in place of that of the same object. Returns the keys that have no response any more: those
+    /// Stores a response, replacing the one of the same object. Returns the keys that have no response any more: those
     /// that were evicted for it, or its own if it is too large.
     pub fn insert(&mut self, key: ObjectKey, copy: Rc<StoredResponse>) -> Vec<ObjectKey> {
         self.remove(&key);
@@ -51,7 +51,7 @@
         self.evict()
     }
 
-    /// Evicts the least recently used responses until the rest fits.
+    /// Evicts the least recently used responses until the remaining ones fit.
     fn evict(&mut self) -> Vec<ObjectKey> {
         let mut evicted = Vec::new();
         while self.bytes > self.max_bytes {
--- a/glenfall/tests/unit/deadlines.rs
+++ b/glenfall/tests/unit/deadlines.rs
@@ -1,5 +1,5 @@
-//! Nothing holds a request past its route's deadline, whatever it waits for. Time is paused and goes on by itself
-//! whenever all wait, so that only the waits count.
+//! No request is delayed past the deadline of its route, whatever it waits for. Time is paused and advances by itself
+//! whenever all tasks wait, so that only the waits count.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -20,20 +20,20 @@
 };
 
 /// What the users' page allows beyond `deadlineMs`.
-const ALLOWED_BEYOND: Duration = Duration::from_millis(250);
+const MAX_OVERRUN: Duration = Duration::from_millis(250);
 
-/// What a request meets at its edge.
+/// A request, and the bound that it reaches at its edge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Request {
     Read,
-    /// The same, while there is no room for its answer.
-    ReadWithoutRoom,
-    ReadUnderCeiling,
+    /// A read while there is no memory for its response.
+    ReadWithoutMemory,
+    RateLimitedRead,
     Write,
 }
 
 const REQUESTS: [Request; 4] =
-    [Request::Read, Request::ReadWithoutRoom, Request::ReadUnderCeiling, Request::Write];
+    [Request::Read, Request::ReadWithoutMemory, Request::RateLimitedRead, Request::Write];
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
@@ -43,24 +43,24 @@
 }
 
 impl Case {
-    /// Plays a request, and says how long its client waited.
-    async fn play(&self, servers: &[Server], stopping: &watch::Receiver<bool>) -> Duration {
+    /// Sends the request, and returns how long its client waited.
+    async fn run(&self, servers: &[Server], stopping: &watch::Receiver<bool>) -> Duration {
         let shields = start_shields(&self.shields, servers, stopping).await;
-        let room = MemoryBudget::new(BODY + 2048);
-        let _other_answer = room.hold(BODY).await;
+        let memory = MemoryBudget::new(BODY + 2048);
+        let _other_response = memory.hold(BODY).await;
         let pool = match self.request {
-            Request::ReadWithoutRoom => Pool::new(64, room),
+            Request::ReadWithoutMemory => Pool::new(64, memory),
             _ => pool(),
         };
         let edge = start_edge(servers, &shields, Rc::clone(&pool)).await;
-        let whole = match self.request {
-            Request::Read | Request::ReadWithoutRoom => request("GET", "/2/x", "t"),
-            Request::ReadUnderCeiling => request("GET", "/c/x", "t"),
+        let request = match self.request {
+            Request::Read | Request::ReadWithoutMemory => request("GET", "/2/x", "t"),
+            Request::RateLimitedRead => request("GET", "/c/x", "t"),
             Request::Write => request("POST", "/w/x", "t"),
         };
-        let began = Instant::now();
-        edge::EdgeHandler(edge).handle(whole).await;
-        began.elapsed()
+        let started_at = Instant::now();
+        edge::EdgeHandler(edge).handle(request).await;
+        started_at.elapsed()
     }
 }
 
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_request_is_answered_by_its_deadline_whatever_it_waits_for() {
+fn a_request_ends_by_its_deadline_whatever_it_waits_for() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let (_running, stopping) = watch::channel(false);
@@ -85,18 +85,18 @@
         for acts in SERVER_ACTS {
             servers.insert(acts, start_servers(acts, &Reached::default()).await);
         }
-        let mut plays = JoinSet::new();
+        let mut runs = JoinSet::new();
         for case in all_cases() {
             let (servers, stopping) = (servers[&case.servers].clone(), stopping.clone());
-            plays.spawn_local(async move { (case, case.play(&servers, &stopping).await) });
+            runs.spawn_local(async move { (case, case.run(&servers, &stopping).await) });
         }
         let mut longest = Duration::ZERO;
-        while let Some(played) = plays.join_next().await {
-            let (case, took) = played.expect("no panic");
-            assert!(took <= DEADLINE + ALLOWED_BEYOND, "{case:?} took {took:?}");
-            longest = longest.max(took);
+        while let Some(finished) = runs.join_next().await {
+            let (case, elapsed) = finished.expect("no panic");
+            assert!(elapsed <= DEADLINE + MAX_OVERRUN, "{case:?} took {elapsed:?}");
+            longest = longest.max(elapsed);
         }
         println!("the longest took {longest:?}");
-        assert!(longest >= DEADLINE / 2, "nothing hung: {longest:?}");
+        assert!(longest >= DEADLINE / 2, "no request waited: {longest:?}");
     });
 }
--- a/glenfall/tests/unit/origins.rs
+++ b/glenfall/tests/unit/origins.rs
@@ -137,13 +137,13 @@
 async fn slow_start_is_not_restarted_by_later_fleet_updates() {
     let origins = OriginBalancer::new("z", false, "edge-7");
     let warming_up = Server { warmup_left_ms: 3000, ..server(1) };
-    let warm_at_after_update = |origins: &OriginBalancer, others: &[Server]| {
+    let slow_start_end_after_update = |origins: &OriginBalancer, others: &[Server]| {
         origins.update(Instant::now(), &[std::slice::from_ref(&warming_up), others].concat(), &[]);
         origins.slow_start_ends_at("i-1").expect("it is known")
     };
-    let slow_start_ends_at = warm_at_after_update(&origins, &[]);
+    let slow_start_ends_at = slow_start_end_after_update(&origins, &[]);
     tokio::time::advance(Duration::from_secs(2)).await;
-    assert_eq!(warm_at_after_update(&origins, &[server(2)]), slow_start_ends_at);
+    assert_eq!(slow_start_end_after_update(&origins, &[server(2)]), slow_start_ends_at);
 }
 
 #[tokio::test(start_paused = true)]
--- a/glenfall/tests/unit/restarted.rs
+++ b/glenfall/tests/unit/restarted.rs
@@ -18,7 +18,7 @@
     fleet_of, pool, request, start_edge_with, start_servers, DownShield, Reached, ServerActs,
 };
 use crate::support::run_local;
-use crate::tries::path_at_first;
+use crate::tries::path_at_first_shield;
 
 /// An edge asks one shield now and then while all have failed; longer than the pause between.
 const TRIAL: Duration = Duration::from_millis(600);
@@ -36,7 +36,7 @@
 
 /// A path whose home is the second of two shields.
 fn path_at_second(shields: [SocketAddrV4; 2]) -> String {
-    path_at_first(&[shields[1], shields[0]], 2)
+    path_at_first_shield(&[shields[1], shields[0]], 2)
 }
 
 #[test]
@@ -48,7 +48,7 @@
         let shields = [first.address, second.address];
         let second = second.start(&servers, &stopping);
         let (edge, feed) = start_edge_with("", &servers, &shields, pool()).await;
-        let path = path_at_first(&shields, 2);
+        let path = path_at_first_shield(&shields, 2);
         assert_eq!(read(&edge, &path).await, StatusCode::OK, "by the second one");
         let first = first.start(&servers, &stopping);
         assert_eq!(read(&edge, &path).await, StatusCode::OK);
@@ -68,7 +68,7 @@
         let down = [DownShield::new(), DownShield::new()];
         let shields = [down[0].address, down[1].address];
         let (edge, _feed) = start_edge_with("", &servers, &shields, pool()).await;
-        let paths = [path_at_first(&shields, 2), path_at_second(shields)];
+        let paths = [path_at_first_shield(&shields, 2), path_at_second(shields)];
         assert_eq!(read(&edge, &paths[0]).await, StatusCode::OK, "by the servers");
         let started = down.map(|shield| shield.start(&servers, &stopping));
         sleep(TRIAL).await;
@@ -91,7 +91,7 @@
         let [(first, fed), (second, _)] = down.map(|shield| shield.start_fed(&servers, &stopping));
         // An edge that keeps no copies itself.
         let (edge, _feed) = start_edge_with("[reqLimits]\nmemMb = 0\n", &servers, &shields, pool()).await;
-        let path = path_at_first(&shields, 2);
+        let path = path_at_first_shield(&shields, 2);
         assert_eq!(read(&edge, &path).await, StatusCode::OK);
         assert!(fed.take(Update::Connected(false), &*first));
         assert_eq!(read(&edge, &path).await, StatusCode::OK);
