--- a/balancer/src/balancer/observation.rs
+++ b/balancer/src/balancer/observation.rs
@@ -229,7 +229,8 @@
         }
     }
 
-    /// A write invalidates what is cached; a read that ends in an error was no hit and must not pass as known.
+    /// A write invalidates what is cached; a read that ends in an error was no hit and must not pass as
+    /// known.
     fn update_cached_keys(&mut self, attempt: &EndedAttempt) {
         let was_served = attempt.status == Status::Success;
         if attempt.status == Status::Error || (was_served && attempt.write) {
--- a/balancer/src/balancer/outcomes.rs
+++ b/balancer/src/balancer/outcomes.rs
@@ -3,7 +3,7 @@
 use super::observation::EndedAttempt;
 use super::Balancer;
 use crate::cached_keys::CacheLocation;
-use crate::interface::{Action, Outcome, RequestId, ServerId, Status};
+use crate::interface::{Action, Outcome, ServerId, Status};
 
 /// What a request may work on a slow core, against its hint: heavy requests must not pass for overload.
 const SLOW_CORE_FACTOR: f64 = 1.5;
