--- a/balancer-node/src/config.rs
+++ b/balancer-node/src/config.rs
@@ -1,189 +1,186 @@
-//! What the node is told at its start: a few environment variables and a JSON file.
+//! The node's configuration: a few environment variables and a JSON file.
 
-use std::fmt;
 use std::net::SocketAddr;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::num::ParseIntError;
 
-use glenfall_balancer::{RosterEntry, Seconds, ServerId, ServerState, Settings};
+use glenfall_balancer::Settings;
+use glenfall_balancer_settings::ParseError;
 use serde_json::Value;
 
-/// Descriptors kept for all but clients and upstreams: standard streams, the reactor, signals, the listener,
-/// peers, discovery.
-const RESERVED_SOCKETS: usize = 24;
-/// Held to be allowed where the configuration names no limit.
-const DEFAULT_SOCKETS: usize = 1024;
-/// Fewer can't carry a few clients and a few upstreams.
-const LEAST_SOCKETS: usize = 64;
-
-/// Why a configuration can't be used.
-#[derive(Debug)]
-pub struct ConfigError(String);
-
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "configuration: {}", self.0)
-    }
-}
-
-impl std::error::Error for ConfigError {}
+use crate::server_list::ServerList;
 
-fn wrong(what: impl fmt::Display) -> ConfigError {
-    ConfigError(what.to_string())
+/// Descriptors reserved for all but clients and upstreams: standard streams, the reactor, signals, the
+/// listener, peers, discovery.
+const RESERVED_SOCKETS: usize = 24;
+/// The limit on descriptors where the configuration names none.
+const DEFAULT_MAX_SOCKETS: usize = 1024;
+/// Fewer descriptors cannot carry a few clients and a few upstreams.
+const MIN_SOCKETS: usize = 64;
+/// A larger limit on descriptors counts as this one.
+const MAX_SOCKETS: u64 = 1 << 20;
+/// The environment variable with the path of the file.
+const CONFIG_PATH_VARIABLE: &str = "LB_CONFIG";
+
+/// Why a configuration cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// No file is named.
+    #[error("configuration: LB_CONFIG is not set")]
+    NoPath,
+    /// The file cannot be read.
+    #[error("configuration: {path}: {cause}")]
+    UnreadableFile {
+        /// Path of the file.
+        path: String,
+        /// The error of the system.
+        cause: std::io::Error,
+    },
+    /// The file is not JSON.
+    #[error("configuration: {path}: {cause}")]
+    NotJson {
+        /// Path of the file.
+        path: String,
+        /// Where and why it is not JSON.
+        cause: serde_json::Error,
+    },
+    /// A required value is missing.
+    #[error("configuration: {0} is missing")]
+    Missing(&'static str),
+    /// A value is not an address.
+    #[error("configuration: {name}: an address with a port expected, got `{found}`")]
+    Address {
+        /// The value's name.
+        name: &'static str,
+        /// The value.
+        found: String,
+    },
+    /// The limit on descriptors is too low or no number.
+    #[error("configuration: limits.sockets: {MIN_SOCKETS} or more expected, got {0}")]
+    SocketLimit(Value),
+    /// The list that the node starts with cannot be read.
+    #[error("configuration: known: a list of servers expected")]
+    KnownServers,
+    /// The seed is not a hexadecimal number.
+    #[error("configuration: seed: {0}")]
+    Seed(ParseIntError),
+    /// The balancer's settings cannot be read.
+    #[error("configuration: {0}")]
+    Settings(ParseError),
 }
 
-/// All that the node is told.
+/// The node's configuration.
 pub struct Config {
     /// The node's own name among its peers.
     pub name: String,
-    /// Where it takes clients.
+    /// The address at which it accepts clients.
     pub listen: SocketAddr,
-    /// Where lists of servers come from.
+    /// The address that lists of servers come from.
     pub discovery: SocketAddr,
-    /// What its random numbers follow from.
+    /// The seed of its random numbers.
     pub seed: u64,
-    /// Connections that upstreams may hold.
+    /// Connections that upstreams may use.
     pub upstream_sockets: usize,
-    /// Connections that clients may hold.
+    /// Connections that clients may use.
     pub client_sockets: usize,
-    /// Where it hears its peers, by datagrams.
+    /// The address at which it receives datagrams of its peers.
     pub peer_listen: Option<SocketAddr>,
-    /// By node number.
+    /// The peers' addresses by node number.
     pub peers: Vec<SocketAddr>,
-    /// Where what is sent reaches all peers at once.
+    /// An address that reaches all peers at once.
     pub peers_all: Option<SocketAddr>,
-    /// The list that it begins with.
-    pub known: Option<List>,
-    /// What the balancer goes by.
+    /// The list of servers that it starts with.
+    pub known: Option<ServerList>,
+    /// The balancer's settings.
     pub settings: Settings,
 }
 
 impl Config {
     /// Reads the environment and the file that `LB_CONFIG` names.
+    ///
+    /// # Errors
+    ///
+    /// The first value that is missing or cannot be used.
     pub fn load() -> Result<Self, ConfigError> {
-        let var = |name| std::env::var(name).ok();
-        let json = file()?;
-        let told = |name: &str, variable| {
-            let text = var(variable).or_else(|| json[name].as_str().map(str::to_owned));
-            text.ok_or_else(|| wrong(format!("{name} is missing")))
-        };
-        let settings = glenfall_balancer_settings::parse(&json["settings"]).map_err(wrong)?;
-        let listed = |name: &str| match &json[name] {
-            Value::Null => Ok(None),
-            value => address(name, value.as_str().unwrap_or_default()).map(Some),
-        };
-        let peers = json["peers"].as_array().map_or(&[][..], Vec::as_slice);
-        let sockets = match &json["limits"]["sockets"] {
-            Value::Null => DEFAULT_SOCKETS,
-            value => {
-                value.as_u64().map(|n| n.min(1 << 20) as usize).filter(|&n| n >= LEAST_SOCKETS).ok_or_else(
-                    || wrong(format!("limits.sockets: {LEAST_SOCKETS} or more expected, got {value}")),
-                )?
-            }
-        };
-        let upstream_sockets = (sockets - RESERVED_SOCKETS) / 2;
-        let known = match &json["known"] {
-            Value::Null => None,
-            value => Some(List::read(value).ok_or_else(|| wrong("known: a list of servers expected"))?),
-        };
-        let seed = json["seed"].as_str().unwrap_or("0");
+        let json = read_file()?;
+        let settings = glenfall_balancer_settings::parse(&json["settings"]).map_err(ConfigError::Settings)?;
+        let max_sockets = max_sockets(&json["limits"]["sockets"])?;
+        let upstream_sockets = (max_sockets - RESERVED_SOCKETS) / 2;
+        let known = known_servers(&json["known"])?;
         Ok(Config {
-            name: told("name", "LB_NAME")?,
-            listen: address("listen", &told("listen", "LB_LISTEN")?)?,
-            discovery: address("discovery", &told("discovery", "LB_DISCOVERY")?)?,
-            seed: u64::from_str_radix(seed, 16).map_err(|e| wrong(format!("seed: {e}")))?,
+            name: setting(&json, "name", "LB_NAME")?,
+            listen: address("listen", &setting(&json, "listen", "LB_LISTEN")?)?,
+            discovery: address("discovery", &setting(&json, "discovery", "LB_DISCOVERY")?)?,
+            seed: seed(&json["seed"])?,
             upstream_sockets,
-            client_sockets: sockets - RESERVED_SOCKETS - upstream_sockets,
-            peer_listen: listed("peer_listen")?,
-            peers: peers
-                .iter()
-                .map(|peer| address("peers", peer.as_str().unwrap_or_default()))
-                .collect::<Result<_, _>>()?,
-            peers_all: listed("peers_all")?,
+            client_sockets: max_sockets - RESERVED_SOCKETS - upstream_sockets,
+            peer_listen: optional_address(&json, "peer_listen")?,
+            peers: peer_addresses(&json["peers"])?,
+            peers_all: optional_address(&json, "peers_all")?,
             known,
             settings,
         })
     }
 }
 
-/// Where discovery is by the file as it is now. The environment is that of the start and stays as it was, so
-/// the file, which may have been replaced since, wins over it.
-pub fn discovery() -> Result<SocketAddr, ConfigError> {
-    let json = file()?;
-    address("discovery", json["discovery"].as_str().ok_or_else(|| wrong("discovery is missing"))?)
+/// The address of discovery in the file as it is now. The environment is that of the start and stays as it
+/// was, so the file, which may have been replaced since, wins over it.
+///
+/// # Errors
+///
+/// The file cannot be read, or does not state the address.
+pub fn reload_discovery_address() -> Result<SocketAddr, ConfigError> {
+    let json = read_file()?;
+    let text = json["discovery"].as_str().ok_or(ConfigError::Missing("discovery"))?;
+    address("discovery", text)
 }
 
 /// The file that `LB_CONFIG` names.
-fn file() -> Result<Value, ConfigError> {
-    let path = std::env::var("LB_CONFIG").map_err(|_| wrong("LB_CONFIG is not set"))?;
-    let text = std::fs::read_to_string(&path).map_err(|e| wrong(format!("{path}: {e}")))?;
-    serde_json::from_str(&text).map_err(|e| wrong(format!("{path}: {e}")))
+fn read_file() -> Result<Value, ConfigError> {
+    let path = std::env::var(CONFIG_PATH_VARIABLE).map_err(|_| ConfigError::NoPath)?;
+    let text = match std::fs::read_to_string(&path) {
+        Ok(text) => text,
+        Err(cause) => return Err(ConfigError::UnreadableFile { path, cause }),
+    };
+    serde_json::from_str(&text).map_err(|cause| ConfigError::NotJson { path, cause })
 }
 
-fn address(name: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| wrong(format!("{name}: an address with a port expected, got `{text}`")))
+/// A required value: that of the environment variable, or else of the file.
+fn setting(json: &Value, name: &'static str, variable: &str) -> Result<String, ConfigError> {
+    let text = std::env::var(variable).ok().or_else(|| json[name].as_str().map(str::to_owned));
+    text.ok_or(ConfigError::Missing(name))
 }
 
-/// The module's clock: Unix seconds at the node's start, and from then on monotonic.
-///
-/// The start of servers is told in Unix time. One fixed relation between the two clocks makes an unchanged
-/// start time stay unchanged for the module, which takes a later one for a new process.
-#[derive(Clone, Copy)]
-pub struct Clock {
-    started: Instant,
-    unix: Seconds,
+fn address(name: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|_| ConfigError::Address { name, found: text.to_owned() })
 }
 
-impl Clock {
-    /// A clock that shows the time of day from now on, and is never set back.
-    pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
-        Clock { started: Instant::now(), unix: unix.as_secs_f64() }
+fn optional_address(json: &Value, name: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
+    match &json[name] {
+        Value::Null => Ok(None),
+        value => address(name, value.as_str().unwrap_or_default()).map(Some),
     }
+}
 
-    /// Seconds since 1970.
-    pub fn now(&self) -> Seconds {
-        self.unix + self.started.elapsed().as_secs_f64()
-    }
+fn peer_addresses(json: &Value) -> Result<Vec<SocketAddr>, ConfigError> {
+    let peers = json.as_array().map_or(&[][..], Vec::as_slice);
+    peers.iter().map(|peer| address("peers", peer.as_str().unwrap_or_default())).collect()
 }
 
-/// A list of servers in discovery's form.
-#[derive(Debug)]
-pub struct List {
-    /// Rises with each change of the list.
-    pub version: u64,
-    /// The whole list, or the changed entries only.
-    pub full: bool,
-    /// Each entry with the address at which this node reaches the server.
-    pub servers: Vec<(RosterEntry, SocketAddr)>,
+fn max_sockets(json: &Value) -> Result<usize, ConfigError> {
+    if json.is_null() {
+        return Ok(DEFAULT_MAX_SOCKETS);
+    }
+    let stated = json.as_u64().map(|sockets| sockets.min(MAX_SOCKETS) as usize);
+    stated.filter(|&sockets| sockets >= MIN_SOCKETS).ok_or_else(|| ConfigError::SocketLimit(json.clone()))
 }
 
-impl List {
-    /// `None` if it can't be read whole: half of a list taken for the whole would end servers that run.
-    pub fn read(json: &Value) -> Option<List> {
-        Some(List {
-            version: json["version"].as_u64()?,
-            full: json["full"].as_bool()?,
-            servers: json["servers"].as_array()?.iter().map(entry).collect::<Option<_>>()?,
-        })
+fn known_servers(json: &Value) -> Result<Option<ServerList>, ConfigError> {
+    if json.is_null() {
+        return Ok(None);
     }
+    ServerList::read(json).map(Some).ok_or(ConfigError::KnownServers)
 }
 
-fn entry(json: &Value) -> Option<(RosterEntry, SocketAddr)> {
-    let text = |name: &str| json[name].as_str();
-    // Unix time on the clock that `Clock` starts from; 0 is long ago.
-    let started = json["started_ms"].as_f64().filter(|&ms| ms > 0.0).map(|ms| ms / 1000.0);
-    let entry = RosterEntry {
-        server: ServerId(text("id")?.into()),
-        state: match text("state") {
-            Some("active") => ServerState::Ready,
-            Some("left") => ServerState::Gone,
-            _ => ServerState::Draining,
-        },
-        zone: text("zone").unwrap_or_default().to_owned(),
-        weight: json["weight"].as_f64().unwrap_or(1.0),
-        kind: text("kind").unwrap_or_default().to_owned(),
-        started,
-        cell: json["cell"].as_u64().unwrap_or(0),
-    };
-    Some((entry, text("addr")?.parse().ok()?))
+fn seed(json: &Value) -> Result<u64, ConfigError> {
+    u64::from_str_radix(json.as_str().unwrap_or("0"), 16).map_err(ConfigError::Seed)
 }
--- a/balancer-node/src/discovery.rs
+++ b/balancer-node/src/discovery.rs
@@ -1,7 +1,6 @@
-//! The list of servers: one call for all of it, or a watch on its changes.
+//! The list of servers: one call for the complete list, or a watch on its changes.
 
 use std::cell::{Cell, RefCell};
-use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,63 +13,52 @@
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, JoinHandle};
 
-use crate::config::List;
-use crate::host::Host;
 use crate::log::log;
-
-/// The first call of a watch is short, as the module counts one that has no answer after some seconds as lost.
-const FIRST_HOLD: Duration = Duration::from_secs(1);
-/// Every later call may wait so long: each costs discovery work.
-const HOLD: Duration = Duration::from_secs(20);
-/// Discovery works through calls in turn; beyond this its answer is not coming any more.
-const ANSWER_TIME: Duration = Duration::from_millis(3500);
+use crate::server_list::ServerList;
+
+/// How long discovery may delay the answer to the first call of a watch. It is short, as the balancer counts
+/// a call that has no answer after some seconds as lost.
+const FIRST_LONG_POLL: Duration = Duration::from_secs(1);
+/// The same for every later call: each costs discovery work.
+const LONG_POLL: Duration = Duration::from_secs(20);
+/// Discovery works through calls in turn; beyond this time no answer can be expected any more.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(3500);
 /// Pause before the next call when one has ended early and empty. A watch lasts while gaps stay under 200 ms.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Far above any list; what is longer is not one.
-const LONGEST_LIST: usize = 4 << 20;
+const EMPTY_ANSWER_PAUSE: Duration = Duration::from_millis(100);
+/// Far above the size of any list, in bytes; what is larger is not one.
+const MAX_LIST_SIZE: usize = 4 << 20;
 
-/// Why a call brought no list. The module is told only that it failed.
-#[derive(Debug)]
+/// Why a call brought no list. The balancer learns only that it failed.
+#[derive(Debug, thiserror::Error)]
 enum CallError {
-    Io(std::io::Error),
-    Http(hyper::Error),
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    #[error(transparent)]
+    Http(#[from] hyper::Error),
+    #[error("answered {0}")]
     Status(StatusCode),
-    Rotten,
-    TooLate,
+    #[error("the answer is not a list of servers")]
+    NotAList,
+    #[error("time-out")]
+    TimedOut,
 }
 
-impl fmt::Display for CallError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            CallError::Io(e) => write!(f, "{e}"),
-            CallError::Http(e) => write!(f, "{e}"),
-            CallError::Status(status) => write!(f, "answered {status}"),
-            CallError::Rotten => write!(f, "answered what is no list"),
-            CallError::TooLate => write!(f, "no answer in time"),
-        }
-    }
-}
-
-impl From<std::io::Error> for CallError {
-    fn from(e: std::io::Error) -> Self {
-        CallError::Io(e)
-    }
-}
-
-impl From<hyper::Error> for CallError {
-    fn from(e: hyper::Error) -> Self {
-        CallError::Http(e)
-    }
+/// Receives what discovery brings.
+pub trait ServerListObserver {
+    /// A list, or changes of one, has arrived.
+    fn on_list(self: Rc<Self>, list: ServerList);
+    /// A call has failed, which ends the watch that made it.
+    fn on_call_failed(self: Rc<Self>);
 }
 
 /// One address of discovery. Its versions count for itself alone: another address may count otherwise.
 struct Source {
     addr: SocketAddr,
-    /// That of the newest list from here; `None` before the first one.
+    /// The version of the newest list from here; `None` before the first one.
     version: Cell<Option<u64>>,
 }
 
-/// A watch that is under way at a source.
+/// A watch in progress at a source.
 struct Watch {
     source: Rc<Source>,
     task: JoinHandle<()>,
@@ -82,105 +70,115 @@
     }
 }
 
+/// The calls of this node to discovery.
 pub struct Discovery {
     source: RefCell<Rc<Source>>,
-    /// That of the source and, until it has brought its first list, those of the sources before it.
+    /// The watch at the source and, until it has brought its first list, those at the sources before it.
     watches: RefCell<Vec<Watch>>,
 }
 
 impl Discovery {
-    pub fn new(addr: SocketAddr, known: Option<&List>) -> Self {
+    /// No call is made yet. `known` is the list that the node starts with.
+    pub fn new(addr: SocketAddr, known: Option<&ServerList>) -> Self {
         let source = Source { addr, version: Cell::new(known.map(|list| list.version)) };
         Discovery { source: RefCell::new(Rc::new(source)), watches: RefCell::default() }
     }
 
-    /// Watches for changes, and tells the host each until the watch breaks. It replaces an older watch.
-    pub fn subscribe(&self, host: &Rc<Host>) {
-        let source = Rc::clone(&self.source.borrow());
+    /// Watches for changes, and hands the observer each until the watch fails. It replaces an older watch.
+    pub fn subscribe(self: &Rc<Self>, observer: Rc<dyn ServerListObserver>) {
+        let source = self.current_source();
         let mut watches = self.watches.borrow_mut();
         watches.retain(|watch| !Rc::ptr_eq(&watch.source, &source) && !watch.task.is_finished());
-        let task = spawn_local(watch(Rc::clone(host), Rc::clone(&source)));
+        let task = spawn_local(watch(Rc::clone(self), observer, Rc::clone(&source)));
         watches.push(Watch { source, task });
     }
 
-    /// Asks once for the whole list.
-    pub fn fetch(&self, host: &Rc<Host>) {
-        let (host, source) = (Rc::clone(host), Rc::clone(&self.source.borrow()));
+    /// Calls once for the complete list.
+    pub fn fetch(self: &Rc<Self>, observer: Rc<dyn ServerListObserver>) {
+        let (discovery, source) = (Rc::clone(self), self.current_source());
         spawn_local(async move {
             let answer = source.call(None).await;
-            host.discovery().hand_over(&host, &source, answer);
+            discovery.deliver(observer, &source, answer);
         });
     }
 
-    /// Goes on at another address, from the whole list there. The watch at the old one goes on until that
-    /// list has come, so that nothing is missed between the two.
-    pub fn move_to(&self, addr: SocketAddr, host: &Rc<Host>) {
+    /// Continues at another address, from the complete list there. The watch at the old one continues until
+    /// that list has arrived, so that nothing is missed between the two.
+    pub fn move_to(self: &Rc<Self>, addr: SocketAddr, observer: Rc<dyn ServerListObserver>) {
         if self.source.borrow().addr == addr {
             return;
         }
         self.source.replace(Rc::new(Source { addr, version: Cell::default() }));
-        self.subscribe(host);
+        self.subscribe(observer);
+    }
+
+    fn current_source(&self) -> Rc<Source> {
+        Rc::clone(&self.source.borrow())
     }
 
-    /// Tells the host what a call brought, and whether the watch can go on.
-    fn hand_over(&self, host: &Rc<Host>, source: &Rc<Source>, answer: Result<List, CallError>) -> bool {
-        let current = Rc::clone(&self.source.borrow());
-        let moved = !Rc::ptr_eq(&current, source);
-        // A late answer of an old address must not overwrite what the new one has told, and its end is
+    /// Hands the observer what a call brought. Returns whether the watch can continue.
+    fn deliver(
+        &self,
+        observer: Rc<dyn ServerListObserver>,
+        source: &Rc<Source>,
+        answer: Result<ServerList, CallError>,
+    ) -> bool {
+        let current = self.current_source();
+        let has_moved = !Rc::ptr_eq(&current, source);
+        // A delayed answer of an old address must not overwrite a list of the new one, and its end is
         // expected.
-        if moved && (answer.is_err() || current.version.get().is_some()) {
+        if has_moved && (answer.is_err() || current.version.get().is_some()) {
             return false;
         }
         match answer {
             Ok(list) => {
                 source.version.set(Some(list.version));
-                if !moved {
+                if !has_moved {
                     self.watches.borrow_mut().retain(|watch| Rc::ptr_eq(&watch.source, source));
                 }
-                host.on_list(list, false);
+                observer.on_list(list);
                 true
             }
-            Err(what) => {
-                log(format_args!("discovery at {}: {what}", source.addr));
-                host.on_list_failed();
+            Err(error) => {
+                log(format_args!("discovery at {}: {error}", source.addr));
+                observer.on_call_failed();
                 false
             }
         }
     }
 }
 
+/// What a call of a watch requests: changes after a version, and the time for which the answer may be
+/// delayed.
+#[derive(Clone, Copy)]
+struct LongPoll {
+    after_version: u64,
+    max_delay: Duration,
+}
+
 impl Source {
-    /// One call: the whole list, or what is newer than a version once there is something.
-    async fn call(&self, watch: Option<(u64, Duration)>) -> Result<List, CallError> {
-        let hold = watch.map_or(Duration::ZERO, |(_, hold)| hold);
-        tokio::time::timeout(hold + ANSWER_TIME, self.ask(watch)).await.unwrap_or(Err(CallError::TooLate))
+    /// One call: for the complete list, or for what is newer than a version as soon as there is something.
+    async fn call(&self, long_poll: Option<LongPoll>) -> Result<ServerList, CallError> {
+        let max_delay = long_poll.map_or(Duration::ZERO, |poll| poll.max_delay);
+        let answer = tokio::time::timeout(max_delay + ANSWER_TIMEOUT, self.exchange(long_poll)).await;
+        answer.unwrap_or(Err(CallError::TimedOut))
     }
 
     /// Calls are rare, so each has a connection of its own: none can turn out stale.
-    async fn ask(&self, watch: Option<(u64, Duration)>) -> Result<List, CallError> {
+    async fn exchange(&self, long_poll: Option<LongPoll>) -> Result<ServerList, CallError> {
         let stream = TcpStream::connect(self.addr).await?;
         stream.set_nodelay(true)?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-        let uri = match watch {
-            Some((version, hold)) => {
-                format!("/registry/instances?from={version}&hold_ms={}", hold.as_millis())
-            }
-            None => "/registry/instances".to_owned(),
-        };
-        let request = Request::get(uri)
-            .header(header::HOST, self.addr.to_string())
-            .header(header::CONNECTION, "close")
-            .body(Empty::<Bytes>::new())
-            .map_err(|_| CallError::Rotten)?;
+        let request = self.request(long_poll)?;
         let exchange = async {
             let response = sender.send_request(request).await?;
             if response.status() != StatusCode::OK {
                 return Err(CallError::Status(response.status()));
             }
-            let body = Limited::new(response.into_body(), LONGEST_LIST).collect().await;
-            let body = body.map_err(|_| CallError::Rotten)?.to_bytes();
-            let json = serde_json::from_slice(&body).map_err(|_| CallError::Rotten)?;
-            List::read(&json).ok_or(CallError::Rotten)
+            let body = Limited::new(response.into_body(), MAX_LIST_SIZE).collect().await;
+            let body = body.map_err(|_| CallError::NotAList)?.to_bytes();
+            let json = serde_json::from_slice(&body).map_err(|_| CallError::NotAList)?;
+            ServerList::read(&json).ok_or(CallError::NotAList)
         };
         // Driven here, not in a task of its own, so that dropping the call closes its connection.
         let mut exchange = std::pin::pin!(exchange);
@@ -189,21 +187,36 @@
             _ = connection => exchange.await,
         }
     }
+
+    fn request(&self, long_poll: Option<LongPoll>) -> Result<Request<Empty<Bytes>>, CallError> {
+        let uri = match long_poll {
+            Some(LongPoll { after_version, max_delay }) => {
+                format!("/registry/instances?from={after_version}&hold_ms={}", max_delay.as_millis())
+            }
+            None => "/registry/instances".to_owned(),
+        };
+        Request::get(uri)
+            .header(header::HOST, self.addr.to_string())
+            .header(header::CONNECTION, "close")
+            .body(Empty::new())
+            .map_err(|_| CallError::NotAList)
+    }
 }
 
-async fn watch(host: Rc<Host>, source: Rc<Source>) {
-    let mut hold = FIRST_HOLD;
+async fn watch(discovery: Rc<Discovery>, observer: Rc<dyn ServerListObserver>, source: Rc<Source>) {
+    let mut max_delay = FIRST_LONG_POLL;
     loop {
-        let asked = Instant::now();
-        let watched = source.version.get().map(|version| (version, hold));
-        let answer = source.call(watched).await;
-        let early = answer.as_ref().is_ok_and(|list| list.servers.is_empty()) && asked.elapsed() < hold / 2;
-        if !host.discovery().hand_over(&host, &source, answer) {
+        let called = Instant::now();
+        let long_poll = source.version.get().map(|after_version| LongPoll { after_version, max_delay });
+        let answer = source.call(long_poll).await;
+        let is_empty = answer.as_ref().is_ok_and(|list| list.servers.is_empty());
+        let is_early = called.elapsed() < max_delay / 2;
+        if !discovery.deliver(Rc::clone(&observer), &source, answer) {
             return;
         }
-        if early {
-            tokio::time::sleep(PAUSE).await;
+        if is_empty && is_early {
+            tokio::time::sleep(EMPTY_ANSWER_PAUSE).await;
         }
-        hold = HOLD;
+        max_delay = LONG_POLL;
     }
 }
--- a/balancer-node/src/host.rs
+++ b/balancer-node/src/host.rs
@@ -1,114 +1,118 @@
 //! Owns the one balancer: turns what happens on sockets into its events and carries out its actions.
 //!
-//! Everything runs on one thread. A call into the module never awaits, and carrying out its actions never calls
-//! the module again: what follows from an action happens in a task of its own.
+//! Everything runs on one thread. A call into the balancer never awaits, and carrying out its actions never
+//! calls the balancer again: what follows from an action happens in a task of its own.
 
-use std::cell::{Cell, RefCell};
-use std::collections::{HashMap, HashSet};
+use std::cell::RefCell;
+use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 use glenfall_balancer::{
-    Action, AttemptId, Balancer, ClassId, Event, Key, NewRequest, Outcome, RequestId, RosterUpdate, Seconds,
-    ServerId, Status, TenantId, TimerToken,
+    Action, AttemptId, Balancer, Event, NewRequest, Outcome, RequestId, RosterEntry, RosterUpdate, Seconds,
+    ServerId, SettingsError, Status, TimerToken,
 };
-use hyper::header::HeaderValue;
+use glenfall_http_client::RequestProgress;
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::config::{Clock, Config, List};
-use crate::discovery::Discovery;
+use crate::clock::Clock;
+use crate::config::Config;
+use crate::discovery::{Discovery, ServerListObserver};
 use crate::log::log;
-use crate::peers::Peers;
-use crate::reply::{Ended, Reply};
-use crate::upstream::{Payload, Upstreams};
-use glenfall_http_client::RequestProgress;
-
-/// The final answer to a request.
-pub enum Answer {
-    Served(Reply),
-    Refused(Option<Seconds>),
-    Failed,
-    /// The host's own answer where the module gave none.
-    Overdue,
+use crate::open_requests::{Accepted, Answer, NextAttempt, OpenRequests};
+use crate::peers::PeerSocket;
+use crate::request::ClientRequest;
+use crate::response::AttemptResult;
+use crate::server_list::{ListedServer, ServerList};
+use crate::upstream::Upstreams;
+
+/// Longest time that is waited for where the balancer states more than can be represented.
+const MAX_DURATION: Duration = Duration::from_secs(u64::MAX / 4);
+
+/// Why a host cannot start.
+#[derive(Debug, thiserror::Error)]
+pub enum HostError {
+    /// The settings make no sense.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The socket for peers cannot be opened.
+    #[error("listen for peers: {0}")]
+    PeerSocket(std::io::Error),
 }
 
-/// A client's request as the module is told of it.
-pub struct Arrival {
-    pub left: Duration,
-    pub class: Option<ClassId>,
-    pub tenant: Option<TenantId>,
-    pub key: Key,
-    pub write: bool,
-    pub work: Option<Seconds>,
-    pub payload: Payload,
-}
-
-/// A request without its final answer yet.
-struct Open {
-    payload: Rc<Payload>,
-    answer: oneshot::Sender<Answer>,
-    attempts: u32,
-    deadline: Instant,
+/// One attempt of one request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct AttemptKey {
+    request: RequestId,
+    index: u32,
 }
 
+/// The balancer of this node and all that it acts on.
 pub struct Host {
     clock: Clock,
     balancer: RefCell<Balancer>,
-    next_id: Cell<u64>,
-    open: RefCell<HashMap<RequestId, Open>>,
-    /// What the clients call the open ones.
-    ids: RefCell<HashSet<HeaderValue>>,
-    /// Attempts that are out, and what calls each off. They may outlive their request.
-    attempts: RefCell<HashMap<(RequestId, u32), oneshot::Sender<()>>>,
+    requests: OpenRequests,
+    /// Attempts in flight, and what cancels each. They may outlive their request.
+    attempts: RefCell<HashMap<AttemptKey, oneshot::Sender<()>>>,
     upstreams: Rc<Upstreams>,
-    discovery: Discovery,
-    peers: Option<Peers>,
+    discovery: Rc<Discovery>,
+    peers: Option<PeerSocket>,
 }
 
 impl Host {
-    pub async fn start(config: &Config) -> Result<Rc<Self>, Box<dyn std::error::Error>> {
+    /// Starts the balancer with the list of servers that the configuration names.
+    ///
+    /// # Errors
+    ///
+    /// The settings make no sense, or the socket for peers cannot be opened.
+    pub async fn start(config: &Config) -> Result<Rc<Self>, HostError> {
+        let settings = &config.settings;
         let host = Rc::new(Host {
             clock: Clock::start(),
-            balancer: RefCell::new(Balancer::new(config.settings.clone(), config.seed)?),
-            next_id: Cell::new(0),
-            open: RefCell::default(),
-            ids: RefCell::default(),
+            balancer: RefCell::new(Balancer::new(settings.clone(), config.seed)?),
+            requests: OpenRequests::default(),
             attempts: RefCell::default(),
-            upstreams: Upstreams::start(
-                &config.settings.limits,
-                config.settings.nodes,
-                config.upstream_sockets,
-            ),
-            discovery: Discovery::new(config.discovery, config.known.as_ref()),
-            peers: Peers::bind(config).await.map_err(|e| format!("listen for peers: {e}"))?,
+            upstreams: Upstreams::start(&settings.limits, settings.nodes, config.upstream_sockets),
+            discovery: Rc::new(Discovery::new(config.discovery, config.known.as_ref())),
+            peers: PeerSocket::bind(config).await.map_err(HostError::PeerSocket)?,
         });
         if host.peers.is_some() {
-            let host = Rc::clone(&host);
-            spawn_local(async move {
-                if let Some(peers) = &host.peers {
-                    peers.listen(&host).await;
-                }
-            });
+            spawn_local(Rc::clone(&host).receive_peer_messages());
         }
-        // The module starts with its first event, so there is one even where nothing is known.
-        let known = config.known.as_ref().map_or(&[][..], |list| &list.servers);
-        host.on_list(List { version: 0, full: true, servers: known.to_vec() }, true);
+        // The balancer starts with its first event, so there is one even where no server is known.
+        let servers = config.known.as_ref().map_or(Vec::new(), |list| list.servers.clone());
+        let known = ServerList { version: 0, is_complete: true, servers };
+        host.upstreams.update(&known);
+        host.handle_event(Event::Roster(RosterUpdate::Cached(entries(known.servers))));
         Ok(host)
     }
 
-    pub fn discovery(&self) -> &Discovery {
-        &self.discovery
+    /// Follows discovery at another address.
+    pub fn move_discovery_to(self: &Rc<Self>, addr: std::net::SocketAddr) {
+        self.discovery.move_to(addr, self.as_observer());
     }
 
-    /// Some server can be asked.
-    pub fn ready(&self) -> bool {
+    /// Whether some server takes requests.
+    pub fn is_ready(&self) -> bool {
         self.upstreams.any_ready()
     }
 
-    /// Tells the module of an event and carries out its answer.
-    pub fn tell(self: &Rc<Self>, event: Event) {
+    fn as_observer(self: &Rc<Self>) -> Rc<dyn ServerListObserver> {
+        Rc::<Host>::clone(self)
+    }
+
+    async fn receive_peer_messages(self: Rc<Self>) {
+        let Some(peers) = &self.peers else { return };
+        loop {
+            let message = peers.receive().await;
+            self.handle_event(Event::Message { from: message.from, bytes: message.bytes });
+        }
+    }
+
+    /// Hands the balancer an event and carries out its actions.
+    fn handle_event(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
         self.balancer.borrow_mut().handle(self.clock.now(), event, &mut actions);
         for action in actions {
@@ -118,24 +122,18 @@
 
     fn carry_out(self: &Rc<Self>, action: Action) {
         match action {
-            Action::Send { request, server, timeout } => self.launch(request, server, timeout),
-            Action::Cancel { request, attempt } => {
-                if let Some(cancel) = self.attempts.borrow_mut().remove(&(request, attempt.0)) {
-                    let _ = cancel.send(());
-                }
+            Action::Send { request, server, timeout } => self.start_attempt(request, server, timeout),
+            Action::Cancel { request, attempt } => self.cancel_attempt(request, attempt),
+            Action::Refuse { request, retry_after } => {
+                self.requests.answer(request, Answer::Refused(retry_after));
             }
-            Action::Refuse { request, retry_after } => self.answer(request, Answer::Refused(retry_after)),
-            Action::Fail(request) => self.answer(request, Answer::Failed),
+            Action::Fail(request) => self.requests.answer(request, Answer::Failed),
             Action::SetTimer { token, after } => self.set_timer(token, after),
-            Action::HealthCheck(server) => self.probe(server),
+            Action::HealthCheck(server) => self.check_health(server),
             Action::CloseIdle(server) => self.upstreams.close_idle(&server),
-            Action::NotifyPeers(bytes) => {
-                if let Some(peers) = &self.peers {
-                    peers.tell(&bytes);
-                }
-            }
-            Action::Subscribe => self.discovery.subscribe(self),
-            Action::FetchRoster => self.discovery.fetch(self),
+            Action::NotifyPeers(bytes) => self.notify_peers(&bytes),
+            Action::Subscribe => self.discovery.subscribe(self.as_observer()),
+            Action::FetchRoster => self.discovery.fetch(self.as_observer()),
             Action::Log(text) => log(format_args!("{text}")),
         }
     }
@@ -143,183 +141,168 @@
     fn set_timer(self: &Rc<Self>, token: TimerToken, after: Seconds) {
         let host = Rc::clone(self);
         spawn_local(async move {
-            sleep(duration(after)).await;
-            host.tell(Event::Timer(token));
+            sleep(to_duration(after)).await;
+            host.handle_event(Event::Timer(token));
         });
     }
 
-    fn probe(self: &Rc<Self>, server: ServerId) {
+    fn check_health(self: &Rc<Self>, server: ServerId) {
         let host = Rc::clone(self);
         spawn_local(async move {
-            let status = host.upstreams.probe(&server).await;
-            host.tell(Event::HealthChecked { server, status });
+            let status = host.upstreams.check_health(&server).await;
+            host.handle_event(Event::HealthChecked { server, status });
         });
     }
 
-    // ---- Servers --------------------------------------------------------------------------------------
-
-    /// A list has come. Addresses and drains count at once, before the module acts on them.
-    pub fn on_list(self: &Rc<Self>, list: List, cached: bool) {
-        self.upstreams.update(&list);
-        let entries = list.servers.into_iter().map(|(entry, _)| entry).collect();
-        self.tell(Event::Roster(match (list.full, cached) {
-            (_, true) => RosterUpdate::Cached(entries),
-            (true, false) => RosterUpdate::Complete(entries),
-            (false, false) => RosterUpdate::Delta(entries),
-        }));
-    }
-
-    pub fn on_list_failed(self: &Rc<Self>) {
-        self.tell(Event::Roster(RosterUpdate::Failed));
+    fn notify_peers(&self, message: &[u8]) {
+        if let Some(peers) = &self.peers {
+            peers.broadcast(message);
+        }
     }
 
-    // ---- Requests -------------------------------------------------------------------------------------
-
-    /// Takes a request. The ticket brings its one final answer. `None` if one of this id is open: servers
-    /// could not tell the two apart, and one of the clients might get the other's answer.
-    pub fn take(self: &Rc<Self>, arrival: Arrival) -> Option<Ticket> {
-        if !self.ids.borrow_mut().insert(arrival.payload.id.clone()) {
-            return None;
-        }
-        let id = RequestId(self.next_id.get());
-        self.next_id.set(id.0 + 1);
-        let (answer, answered) = oneshot::channel();
-        let deadline = Instant::now() + arrival.left;
-        let payload = Rc::new(arrival.payload);
-        self.open.borrow_mut().insert(id, Open { payload, answer, attempts: 0, deadline });
-        let ticket = Ticket { id, host: Rc::clone(self), answered, deadline };
-        self.tell(Event::Request(NewRequest {
+    /// Accepts a request, whose final answer is then pending. `None` if one with the client's id is open.
+    pub fn accept(self: &Rc<Self>, request: ClientRequest) -> Option<PendingAnswer> {
+        let deadline = Instant::now() + request.time_left;
+        let Accepted { id, answer } = self.requests.accept(request.payload, deadline)?;
+        let pending = PendingAnswer { id, host: Rc::clone(self), answer, deadline };
+        self.handle_event(Event::Request(NewRequest {
             id,
-            time_left: arrival.left.as_secs_f64(),
-            class: arrival.class,
-            tenant: arrival.tenant,
-            key: Some(arrival.key),
-            write: arrival.write,
-            work_hint: arrival.work,
+            time_left: request.time_left.as_secs_f64(),
+            class: Some(request.class),
+            tenant: request.tenant,
+            key: Some(request.key),
+            write: request.is_write,
+            work_hint: request.work_hint,
         }));
-        Some(ticket)
+        Some(pending)
     }
 
-    /// Takes a request off the open ones, if it still is one.
-    fn close(&self, request: RequestId) -> Option<Open> {
-        let open = self.open.borrow_mut().remove(&request)?;
-        self.ids.borrow_mut().remove(&open.payload.id);
-        Some(open)
-    }
-
-    fn answer(&self, request: RequestId, answer: Answer) {
-        if let Some(open) = self.close(request) {
-            // A client that has left hears nothing; its ticket tells the module.
-            let _ = open.answer.send(answer);
-        }
-    }
-
-    /// Nobody waits for this request any more, if it was still open.
-    fn withdraw(self: &Rc<Self>, request: RequestId) {
-        if self.close(request).is_some() {
-            self.tell(Event::RequestCancelled(request));
+    /// The client has disconnected; the balancer is notified if the request had no final answer.
+    fn cancel_request(self: &Rc<Self>, request: RequestId) {
+        if self.requests.cancel(request) {
+            self.handle_event(Event::RequestCancelled(request));
         }
     }
 
-    // ---- Attempts -------------------------------------------------------------------------------------
-
-    fn launch(self: &Rc<Self>, request: RequestId, server: ServerId, timeout: Option<Seconds>) {
-        let mut requests = self.open.borrow_mut();
-        // The module ends what the host has ended before it sends anything more.
-        let Some(open) = requests.get_mut(&request) else {
-            debug_assert!(false, "an attempt for a request that is over");
+    fn start_attempt(self: &Rc<Self>, request: RequestId, server: ServerId, timeout: Option<Seconds>) {
+        // The balancer ends what the host has ended before it sends anything more.
+        let Some(NextAttempt { index, payload, deadline }) = self.requests.begin_attempt(request) else {
+            debug_assert!(false, "an attempt for a request that has ended");
             return;
         };
-        let number = open.attempts;
-        open.attempts += 1;
-        let left = open.deadline.saturating_duration_since(Instant::now());
-        let wait = timeout.map_or(left, |timeout| duration(timeout).min(left));
-        let payload = Rc::clone(&open.payload);
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        let timeout = timeout.map_or(time_left, |timeout| to_duration(timeout).min(time_left));
+        let key = AttemptKey { request, index };
         let (cancel, cancelled) = oneshot::channel::<()>();
-        self.attempts.borrow_mut().insert((request, number), cancel);
+        self.attempts.borrow_mut().insert(key, cancel);
         let attempt = Attempt {
             host: Rc::clone(self),
-            request,
-            number,
-            launched: Instant::now(),
-            sent: RequestProgress::default(),
-            reported: false,
+            key,
+            started: Instant::now(),
+            progress: RequestProgress::default(),
+            is_reported: false,
         };
         spawn_local(async move {
-            let ended = tokio::select! {
+            let upstreams = &attempt.host.upstreams;
+            let result = tokio::select! {
                 biased;
-                ended = attempt.host.upstreams.exchange(&server, &payload, wait, &attempt.sent) => ended,
-                _ = sleep(wait) => attempt.stopped(Status::TimedOut, Status::Unreachable),
-                _ = cancelled => attempt.stopped(Status::Cancelled, Status::NotSent),
+                result = upstreams.exchange(&server, &payload, timeout, &attempt.progress) => result,
+                _ = sleep(timeout) => attempt.aborted(Status::TimedOut, Status::Unreachable),
+                _ = cancelled => attempt.aborted(Status::Cancelled, Status::NotSent),
             };
-            attempt.end(ended);
+            attempt.report(result);
         });
     }
 
-    fn on_ended(self: &Rc<Self>, attempt: &Attempt, ended: Ended) {
-        self.attempts.borrow_mut().remove(&(attempt.request, attempt.number));
-        let status = ended.status;
-        if let Some(reply) = ended.reply {
-            self.answer(attempt.request, Answer::Served(reply));
+    fn cancel_attempt(&self, request: RequestId, attempt: AttemptId) {
+        let key = AttemptKey { request, index: attempt.0 };
+        if let Some(cancel) = self.attempts.borrow_mut().remove(&key) {
+            let _ = cancel.send(());
+        }
+    }
+
+    fn on_attempt_ended(self: &Rc<Self>, attempt: &Attempt, result: AttemptResult) {
+        let AttemptKey { request, index } = attempt.key;
+        self.attempts.borrow_mut().remove(&attempt.key);
+        if let Some(response) = result.response {
+            self.requests.answer(request, Answer::Served(response));
         }
-        let finished = !self.open.borrow().contains_key(&attempt.request);
-        self.tell(Event::Outcome(Outcome {
-            request: attempt.request,
-            attempt: AttemptId(attempt.number),
-            status,
-            elapsed: attempt.launched.elapsed().as_secs_f64(),
-            finished,
-            cache_status: ended.note,
-            load: ended.load,
+        self.handle_event(Event::Outcome(Outcome {
+            request,
+            attempt: AttemptId(index),
+            status: result.status,
+            elapsed: attempt.started.elapsed().as_secs_f64(),
+            finished: !self.requests.contains(request),
+            cache_status: result.cache_status,
+            load: result.load,
         }));
     }
 }
 
-/// An attempt that is out. It reports exactly one outcome, also when its task panics.
+impl ServerListObserver for Host {
+    /// Addresses and drains take effect at once, before the balancer acts on them.
+    fn on_list(self: Rc<Self>, list: ServerList) {
+        self.upstreams.update(&list);
+        let is_complete = list.is_complete;
+        let entries = entries(list.servers);
+        let update = if is_complete { RosterUpdate::Complete(entries) } else { RosterUpdate::Delta(entries) };
+        self.handle_event(Event::Roster(update));
+    }
+
+    fn on_call_failed(self: Rc<Self>) {
+        self.handle_event(Event::Roster(RosterUpdate::Failed));
+    }
+}
+
+fn entries(servers: Vec<ListedServer>) -> Vec<RosterEntry> {
+    servers.into_iter().map(|server| server.entry).collect()
+}
+
+/// An attempt in flight. It reports exactly one outcome, also when its task panics.
 struct Attempt {
     host: Rc<Host>,
-    request: RequestId,
-    number: u32,
-    launched: Instant,
-    sent: RequestProgress,
-    reported: bool,
+    key: AttemptKey,
+    started: Instant,
+    progress: RequestProgress,
+    is_reported: bool,
 }
 
 impl Attempt {
-    /// The node has stopped waiting. What was not written whole can't have run.
-    fn stopped(&self, written: Status, unwritten: Status) -> Ended {
-        Ended::without_reply(if self.sent.whole() { written } else { unwritten })
+    /// The result where the node has stopped waiting. What was not written completely cannot have run.
+    fn aborted(&self, if_written: Status, if_not_written: Status) -> AttemptResult {
+        let status = if self.progress.whole() { if_written } else { if_not_written };
+        AttemptResult::without_response(status)
     }
 
-    fn end(mut self, ended: Ended) {
-        self.reported = true;
+    fn report(mut self, result: AttemptResult) {
+        self.is_reported = true;
         let host = Rc::clone(&self.host);
-        host.on_ended(&self, ended);
+        host.on_attempt_ended(&self, result);
     }
 }
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        if !self.reported {
+        if !self.is_reported {
             let host = Rc::clone(&self.host);
-            host.on_ended(self, self.stopped(Status::Broken, Status::NotSent));
+            host.on_attempt_ended(self, self.aborted(Status::Broken, Status::NotSent));
         }
     }
 }
 
-/// A client's claim to one final answer. Dropped before that, the client has gone away.
-pub struct Ticket {
+/// A client's claim to one final answer. If it is dropped before that, the client has disconnected.
+pub struct PendingAnswer {
     id: RequestId,
     host: Rc<Host>,
-    answered: oneshot::Receiver<Answer>,
+    answer: oneshot::Receiver<Answer>,
     deadline: Instant,
 }
 
-impl Ticket {
-    /// Waits for the module's answer, but not past the deadline: a silent module must not lose a request.
-    pub async fn answer(mut self) -> Answer {
-        let answer = tokio::time::timeout_at(self.deadline.into(), &mut self.answered).await;
-        match answer {
+impl PendingAnswer {
+    /// Waits for the balancer's answer, but not past the deadline: a balancer that does not answer must not
+    /// lose a request.
+    pub async fn wait(mut self) -> Answer {
+        match tokio::time::timeout_at(self.deadline.into(), &mut self.answer).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(_)) => Answer::Failed,
             Err(_) => Answer::Overdue,
@@ -327,13 +310,13 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for PendingAnswer {
     fn drop(&mut self) {
-        self.host.withdraw(self.id);
+        self.host.cancel_request(self.id);
     }
 }
 
-/// What the module gives as a time; never a panic on odd ones.
-fn duration(seconds: Seconds) -> Duration {
-    Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::MAX / 4)
+/// A time that the balancer states; never a panic on unusual values.
+fn to_duration(seconds: Seconds) -> Duration {
+    Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(MAX_DURATION)
 }
--- a/balancer-node/src/lib.rs
+++ b/balancer-node/src/lib.rs
@@ -1,54 +1,90 @@
-//! glenfall-node: one load balancer node on real sockets. It starts, serves until a signal, answers what it has
-//! taken and exits.
+//! glenfall-node: one load balancer node on real sockets. It starts, serves until a signal, answers the
+//! requests that it has accepted and exits.
 
-pub mod config;
+mod client_connections;
+mod clock;
+mod config;
 mod discovery;
 mod host;
 mod log;
+mod open_requests;
+pub mod payload;
 mod peers;
-pub mod reply;
+pub mod protocol;
 mod request;
+pub mod response;
 mod server;
+pub mod server_list;
 pub mod upstream;
 
 use std::io::Write;
+use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::rc::Rc;
 
 use tokio::net::TcpListener;
-use tokio::signal::unix::{signal, SignalKind};
+use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
-use config::Config;
-use host::Host;
+use config::{Config, ConfigError};
+use host::{Host, HostError};
 use log::log;
 
+/// Why a node cannot start.
+#[derive(Debug, thiserror::Error)]
+enum StartError {
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error("listen on {addr}: {cause}")]
+    Listen { addr: SocketAddr, cause: std::io::Error },
+    #[error(transparent)]
+    Host(#[from] HostError),
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+}
+
+/// The signals that the node handles.
+struct Signals {
+    terminate: Signal,
+    interrupt: Signal,
+    hangup: Signal,
+}
+
+impl Signals {
+    fn install() -> std::io::Result<Self> {
+        Ok(Signals {
+            terminate: signal(SignalKind::terminate())?,
+            interrupt: signal(SignalKind::interrupt())?,
+            hangup: signal(SignalKind::hangup())?,
+        })
+    }
+}
+
 /// Runs a node until a signal ends it.
 pub fn main() -> ExitCode {
     match start() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            // One line, whatever the cause was worded like.
-            log(format_args!("glenfall-node: {}", what.to_string().replace('\n', " ")));
+        Err(error) => {
+            log(format_args!("glenfall-node: {}", on_one_line(&error)));
             ExitCode::FAILURE
         }
     }
 }
 
-fn start() -> Result<(), Box<dyn std::error::Error>> {
+fn start() -> Result<(), StartError> {
     let config = Config::load()?;
-    // One core is all that a node has, so one thread and no locks.
+    // A node has one core, so it needs one thread and no locks.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, run(config))
 }
 
-async fn run(config: Config) -> Result<(), Box<dyn std::error::Error>> {
+async fn run(config: Config) -> Result<(), StartError> {
     // Before anything else: until a signal has its handler, it ends the process.
-    let (mut terminate, mut interrupt) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
-    let mut hangup = signal(SignalKind::hangup())?;
-    let listener =
-        TcpListener::bind(config.listen).await.map_err(|e| format!("listen on {}: {e}", config.listen))?;
+    let Signals { mut terminate, mut interrupt, mut hangup } = Signals::install()?;
+    let listener = TcpListener::bind(config.listen)
+        .await
+        .map_err(|cause| StartError::Listen { addr: config.listen, cause })?;
     // Whoever started the node may not read this.
     let _ = writeln!(std::io::stdout(), "{} listens on {}", config.name, listener.local_addr()?);
     let (stop, stopping) = watch::channel(false);
@@ -69,17 +105,22 @@
     };
     tokio::select! {
         _ = async { tokio::join!(serving, stopped) } => {}
-        // Goes on for as long as the node serves, also after the signal to stop.
+        // Continues for as long as the node serves, also after the signal to stop.
         () = reloading => {}
     }
     Ok(())
 }
 
-/// Takes up a new configuration. Of what it tells, only discovery's address may change while the node runs;
-/// one that can't be read changes nothing.
+/// Applies a new configuration. Only discovery's address in it may change while the node runs; a
+/// configuration that cannot be read changes nothing.
 fn reload(host: &Rc<Host>) {
-    match config::discovery() {
-        Ok(addr) => host.discovery().move_to(addr, host),
-        Err(what) => log(format_args!("{}", what.to_string().replace('\n', " "))),
+    match config::reload_discovery_address() {
+        Ok(addr) => host.move_discovery_to(addr),
+        Err(error) => log(format_args!("{}", on_one_line(&error))),
     }
 }
+
+/// The text of an error without line ends, whatever its cause contains.
+fn on_one_line(error: &dyn std::error::Error) -> String {
+    error.to_string().replace('\n', " ")
+}
--- a/balancer-node/src/peers.rs
+++ b/balancer-node/src/peers.rs
@@ -1,64 +1,78 @@
-//! Datagrams between nodes. They may be lost, so nobody waits for one.
+//! Datagrams between nodes. They may be lost, so nothing waits for one.
 
 use std::net::SocketAddr;
-use std::rc::Rc;
 
-use glenfall_balancer::Event;
 use tokio::net::UdpSocket;
 
 use crate::config::Config;
-use crate::host::Host;
 
-/// Longest message that nodes may send.
-const LONGEST: usize = 256;
+/// Largest message that nodes may send, in bytes.
+const MAX_MESSAGE_SIZE: usize = 256;
 
-pub struct Peers {
+/// A message of another node.
+pub struct Datagram {
+    /// The number of the sending node.
+    pub from: u32,
+    /// The content.
+    pub bytes: Vec<u8>,
+}
+
+/// The socket on which this node exchanges messages with its peers.
+pub struct PeerSocket {
     socket: UdpSocket,
-    own: SocketAddr,
-    /// By node number, this node among them.
+    own_addr: SocketAddr,
+    /// Addresses by node number, this node's among them.
     peers: Vec<SocketAddr>,
-    /// What reaches every node at once, where there is such an address.
-    all: Option<SocketAddr>,
+    /// An address that reaches every node at once, where there is one.
+    broadcast_addr: Option<SocketAddr>,
 }
 
-impl Peers {
-    /// `None` where the deployment lets nodes not talk.
+impl PeerSocket {
+    /// Opens the socket; `None` where the deployment does not let nodes exchange messages.
+    ///
+    /// # Errors
+    ///
+    /// The address cannot be bound.
     pub async fn bind(config: &Config) -> std::io::Result<Option<Self>> {
         let Some(listen) = config.peer_listen.filter(|_| config.settings.limits.peer_messages) else {
             return Ok(None);
         };
         let socket = UdpSocket::bind(listen).await?;
-        let own = socket.local_addr()?;
-        Ok(Some(Peers { socket, own, peers: config.peers.clone(), all: config.peers_all }))
+        let own_addr = socket.local_addr()?;
+        let peers = config.peers.clone();
+        Ok(Some(PeerSocket { socket, own_addr, peers, broadcast_addr: config.peers_all }))
     }
 
-    /// Sends to all nodes. What the socket does not take at once is lost, as it may be on the way.
-    pub fn tell(&self, bytes: &[u8]) {
-        if bytes.len() > LONGEST {
+    /// Sends to all other nodes. What the socket does not take at once is lost, as it may be in transit.
+    pub fn broadcast(&self, bytes: &[u8]) {
+        if bytes.len() > MAX_MESSAGE_SIZE {
             return;
         }
-        let each = if self.all.is_some() { &[][..] } else { &self.peers };
-        for addr in self.all.iter().chain(each).filter(|addr| **addr != self.own) {
+        let receivers = match &self.broadcast_addr {
+            Some(addr) => std::slice::from_ref(addr),
+            None => &self.peers,
+        };
+        for addr in receivers.iter().filter(|addr| **addr != self.own_addr) {
             let _ = self.socket.try_send_to(bytes, *addr);
         }
     }
 
-    /// Hands on what other nodes send; drops what comes from elsewhere or is too long.
-    pub async fn listen(&self, host: &Rc<Host>) {
-        let mut buffer = [0; LONGEST + 1];
+    /// The next message of another node. What comes from elsewhere or is too long is dropped.
+    pub async fn receive(&self) -> Datagram {
+        let mut buffer = [0; MAX_MESSAGE_SIZE + 1];
         loop {
             // An error here reports an earlier send that reached nobody.
             let Ok((length, sender)) = self.socket.recv_from(&mut buffer).await else {
                 tokio::task::yield_now().await;
                 continue;
             };
-            // An own message that comes back must not pass for a second node's finding.
-            if sender == self.own {
+            // An own message that comes back must not count as the observation of a second node.
+            if sender == self.own_addr {
                 continue;
             }
             let Some(from) = self.peers.iter().position(|peer| *peer == sender) else { continue };
-            if length <= LONGEST {
-                host.tell(Event::Message { from: from as u32, bytes: buffer[..length].to_vec() });
+            if length <= MAX_MESSAGE_SIZE {
+                return Datagram { from: from as u32, bytes: buffer[..length].to_vec() };
             }
         }
     }
--- a/balancer-node/src/request.rs
+++ b/balancer-node/src/request.rs
@@ -1,90 +1,99 @@
-//! Reads clients' requests and turns away what can't be one.
+//! Reads clients' requests and rejects what cannot be one.
 
 use std::time::Duration;
 
-use glenfall_balancer::{Key, Seconds, Settings};
+use glenfall_balancer::{ClassId, Key, Seconds, Settings, TenantId};
 use glenfall_balancer_settings::Names;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
+use hyper::http::request::Parts;
 use hyper::{header, Method, Request, StatusCode};
 use tokio::time::timeout;
 
-use crate::host::Arrival;
-use crate::upstream::{Payload, DEADLINE_MS, IDEMPOTENCY_KEY, LONGEST_BODY, REQUEST_ID};
+use crate::payload::Payload;
+use crate::protocol::{CLASS, COST_HINT, DEADLINE_MS, IDEMPOTENCY_KEY, MAX_BODY_SIZE, REQUEST_ID, TENANT};
 
-const CLASS: HeaderName = HeaderName::from_static("x-class");
-const TENANT: HeaderName = HeaderName::from_static("x-tenant");
-const COST_HINT: HeaderName = HeaderName::from_static("x-cost-hint");
+/// Time that a request may have spent in transit, in the kernel and in this node's queue, since the client's
+/// clock started, and that its response needs back.
+const TRANSIT_TIME: Duration = Duration::from_millis(10);
+/// Longest wait that a request gets, whatever its client states: each request has a timer.
+const MAX_WAIT: Duration = Duration::from_secs(100);
+/// A stated wait beyond this is an error, in milliseconds.
+const MAX_STATED_WAIT_MS: u64 = 3_600_000;
+/// Longest path with its query, in bytes.
+const MAX_PATH_LENGTH: usize = 2 << 10;
+/// Longest id of a request, in bytes.
+const MAX_ID_LENGTH: usize = 64;
+/// Microseconds in a second.
+const MICROSECONDS_PER_SECOND: Seconds = 1e6;
 
-/// What a request may have spent on its way here, in the kernel and in this node's queue, since the client's
-/// clock started; and what its answer needs back.
-const TRANSIT: Duration = Duration::from_millis(10);
-/// Longest wait that is believed of a client, as a timer stands for each; and from when it is taken for none,
-/// in milliseconds.
-const LONGEST_WAIT: Duration = Duration::from_secs(100);
-const ABSURD_WAIT: u64 = 3_600_000;
-const LONGEST_PATH: usize = 2 << 10;
-const LONGEST_ID: usize = 64;
+/// A client's request that can be forwarded.
+pub struct ClientRequest {
+    /// Time until the client gives up.
+    pub time_left: Duration,
+    /// Its class.
+    pub class: ClassId,
+    /// Its tenant, if it has one that the settings know.
+    pub tenant: Option<TenantId>,
+    /// What it concerns.
+    pub key: Key,
+    /// Whether it writes.
+    pub is_write: bool,
+    /// The client's estimate of its work.
+    pub work_hint: Option<Seconds>,
+    /// The part that is forwarded.
+    pub payload: Payload,
+}
 
-/// A request that is not taken, and why.
+/// A request that is not accepted, with the status that the client is answered.
 pub struct Rejected(pub StatusCode);
 
-const BAD: Rejected = Rejected(StatusCode::BAD_REQUEST);
+const BAD_REQUEST: Rejected = Rejected(StatusCode::BAD_REQUEST);
+const NOT_FOUND: Rejected = Rejected(StatusCode::NOT_FOUND);
 
-/// What requests are read with.
-pub struct Reader {
+/// Reads requests by the classes and tenants of the settings.
+pub struct RequestReader {
     names: Names,
     settings: Settings,
 }
 
-impl Reader {
+impl RequestReader {
+    /// A reader for these settings.
     pub fn new(settings: &Settings) -> Self {
-        Reader { names: Names::of(settings), settings: settings.clone() }
+        RequestReader { names: Names::of(settings), settings: settings.clone() }
     }
 
-    /// Reads a request whole, its body within `body_time`. Turns away what no client that keeps to the
-    /// protocol sends, before the module hears of it: servers close on what they can't read, whatever else
-    /// waits there, and neither they nor a tenant's quota shall bear for it.
-    pub async fn read(&self, request: Request<Incoming>, body_time: Duration) -> Result<Arrival, Rejected> {
+    /// Reads a complete request, its body within `body_timeout`. Rejects what no client that follows the
+    /// protocol sends, before the balancer gets it: servers close on what they cannot read, whatever else
+    /// waits there, and neither they nor a tenant's quota shall suffer from it.
+    ///
+    /// # Errors
+    ///
+    /// The status with which the request is rejected.
+    pub async fn read(
+        &self,
+        request: Request<Incoming>,
+        body_timeout: Duration,
+    ) -> Result<ClientRequest, Rejected> {
         let (head, body) = request.into_parts();
-        // hyper hides a `Content-Length` beside this, in either order, and the two may disagree on where the
-        // next request begins. Clients state lengths, so that nothing is lost by taking none of these.
-        if head.headers.contains_key(header::TRANSFER_ENCODING) || head.uri.authority().is_some() {
-            return Err(BAD);
-        }
-        if head.uri.path_and_query().is_none_or(|path| path.as_str().len() > LONGEST_PATH) {
-            return Err(Rejected(StatusCode::URI_TOO_LONG));
-        }
-        let (first, key) = split_path(head.uri.path()).ok_or(Rejected(StatusCode::NOT_FOUND))?;
-        let class = self.names.class(first).ok_or(Rejected(StatusCode::NOT_FOUND))?;
-        let write = match head.method {
-            Method::GET => false,
-            Method::PUT => true,
-            _ => return Err(Rejected(StatusCode::METHOD_NOT_ALLOWED)),
-        };
-        // It stands in the path as well, and both say the same.
-        if text(&head.headers, &CLASS)?.is_some_and(|name| name != first) {
-            return Err(BAD);
+        check_framing(&head)?;
+        let target = Target::of(head.uri.path()).ok_or(NOT_FOUND)?;
+        let class = self.names.class(target.class).ok_or(NOT_FOUND)?;
+        let key = target.key;
+        let is_write = is_write(&head.method)?;
+        // The class is in the path as well, and both must agree.
+        if text(&head.headers, &CLASS)?.is_some_and(|name| name != target.class) {
+            return Err(BAD_REQUEST);
         }
-        // Servers answer nothing without an id, so the request can't be served.
-        let id = single(&head.headers, &REQUEST_ID)?.filter(|id| is_id(id.as_bytes())).ok_or(BAD)?.clone();
+        let id = request_id(&head.headers)?;
         let tenant = text(&head.headers, &TENANT)?.and_then(|name| self.names.tenant(name));
-        let wait = match number(&head.headers, &DEADLINE_MS)? {
-            Some(ms) if ms > ABSURD_WAIT => return Err(BAD),
-            Some(ms) => Duration::from_millis(ms).min(LONGEST_WAIT),
-            None => Duration::from_secs_f64(self.settings.classes[class.0].deadline),
-        };
-        let work = number(&head.headers, &COST_HINT)?.map(|us| us as Seconds / 1e6);
-        // A length that is stated too long is answered at once, not when the client has sent it all.
-        if body.size_hint().lower() > LONGEST_BODY as u64 {
-            return Err(Rejected(StatusCode::PAYLOAD_TOO_LARGE));
-        }
-        if !write && !body.is_end_stream() {
-            return Err(BAD);
-        }
-        let body = timeout(wait.min(body_time), Limited::new(body, LONGEST_BODY).collect()).await;
-        let body = body.map_err(|_| Rejected(StatusCode::REQUEST_TIMEOUT))?.map_err(|_| BAD)?;
+        let wait = self.wait_of(&head.headers, class)?;
+        let work_hint =
+            number(&head.headers, &COST_HINT)?.map(|work| work as Seconds / MICROSECONDS_PER_SECOND);
+        check_body(&body, is_write)?;
+        let body = timeout(wait.min(body_timeout), Limited::new(body, MAX_BODY_SIZE).collect()).await;
+        let body = body.map_err(|_| Rejected(StatusCode::REQUEST_TIMEOUT))?.map_err(|_| BAD_REQUEST)?;
         let payload = Payload {
             method: head.method,
             uri: head.uri,
@@ -92,40 +101,102 @@
             idempotency_key: single(&head.headers, &IDEMPOTENCY_KEY)?.cloned(),
             body: body.to_bytes(),
         };
-        // The client's time runs from its last byte, which has just come.
-        let left = wait.saturating_sub(TRANSIT);
-        Ok(Arrival { left, class: Some(class), tenant, key, write, work, payload })
+        // The client's time runs from its last byte, which has just arrived.
+        let time_left = wait.saturating_sub(TRANSIT_TIME);
+        Ok(ClientRequest { time_left, class, tenant, key, is_write, work_hint, payload })
+    }
+
+    /// How long the client waits: as it states, else as its class states.
+    fn wait_of(&self, headers: &HeaderMap, class: ClassId) -> Result<Duration, Rejected> {
+        match number(headers, &DEADLINE_MS)? {
+            Some(ms) if ms > MAX_STATED_WAIT_MS => Err(BAD_REQUEST),
+            Some(ms) => Ok(Duration::from_millis(ms).min(MAX_WAIT)),
+            None => Ok(Duration::from_secs_f64(self.settings.classes[class.0].deadline)),
+        }
+    }
+}
+
+/// hyper hides a `Content-Length` that comes with `Transfer-Encoding`, in either order, and the two may
+/// disagree on where the next request begins. Clients state lengths, so that nothing is lost by accepting
+/// none of these.
+fn check_framing(head: &Parts) -> Result<(), Rejected> {
+    if head.headers.contains_key(header::TRANSFER_ENCODING) || head.uri.authority().is_some() {
+        return Err(BAD_REQUEST);
+    }
+    if head.uri.path_and_query().is_none_or(|path| path.as_str().len() > MAX_PATH_LENGTH) {
+        return Err(Rejected(StatusCode::URI_TOO_LONG));
     }
+    Ok(())
+}
+
+fn is_write(method: &Method) -> Result<bool, Rejected> {
+    match *method {
+        Method::GET => Ok(false),
+        Method::PUT => Ok(true),
+        _ => Err(Rejected(StatusCode::METHOD_NOT_ALLOWED)),
+    }
+}
+
+/// A length that is stated too long is answered at once, not when the client has sent everything.
+fn check_body(body: &Incoming, is_write: bool) -> Result<(), Rejected> {
+    if body.size_hint().lower() > MAX_BODY_SIZE as u64 {
+        return Err(Rejected(StatusCode::PAYLOAD_TOO_LARGE));
+    }
+    if !is_write && !body.is_end_stream() {
+        return Err(BAD_REQUEST);
+    }
+    Ok(())
+}
+
+/// What a path says of its request.
+struct Target<'a> {
+    /// The first part, which names the class.
+    class: &'a str,
+    /// A number for the last part, which is what the request concerns.
+    key: Key,
+}
+
+impl<'a> Target<'a> {
+    fn of(path: &'a str) -> Option<Self> {
+        let (class, rest) = path.strip_prefix('/')?.split_once('/')?;
+        let name = rest.rsplit('/').next().filter(|name| !name.is_empty())?;
+        Some(Target { class, key: Key(fnv1a(name)) })
+    }
+}
+
+/// FNV-1a: the same at every node and in every version, which the standard hashers do not promise.
+fn fnv1a(text: &str) -> u64 {
+    const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
+    text.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
 }
 
-/// The first part of a path, which names the class, and a number for the last, which is what it is about.
-fn split_path(path: &str) -> Option<(&str, Key)> {
-    let (first, rest) = path.strip_prefix('/')?.split_once('/')?;
-    let key = rest.rsplit('/').next().filter(|key| !key.is_empty())?;
-    // FNV-1a: the same at every node and in every version, which the standard hashers don't promise.
-    let hash = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
-    Some((first, Key(key.bytes().fold(0xcbf2_9ce4_8422_2325, hash))))
+/// Servers answer nothing without an id, so that a request without one cannot be served.
+fn request_id(headers: &HeaderMap) -> Result<HeaderValue, Rejected> {
+    let id = single(headers, &REQUEST_ID)?.filter(|id| is_id(id.as_bytes()));
+    id.cloned().ok_or(BAD_REQUEST)
 }
 
-/// Ids are short words; what else may stand in a header is nobody's id.
+/// Ids are short words; what else may be in a header is not an id.
 fn is_id(id: &[u8]) -> bool {
-    (1..=LONGEST_ID).contains(&id.len()) && id.iter().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(b))
+    let is_allowed = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.".contains(byte);
+    (1..=MAX_ID_LENGTH).contains(&id.len()) && id.iter().all(is_allowed)
 }
 
-/// A header that stands once or not at all: of two, node and server may go by different ones.
+/// A header that appears once or not at all: of two, node and server may use different ones.
 fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a HeaderValue>, Rejected> {
     let mut values = headers.get_all(name).iter();
     let first = values.next();
     if values.next().is_some() {
-        return Err(BAD);
+        return Err(BAD_REQUEST);
     }
     Ok(first)
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Rejected> {
-    single(headers, name)?.map(|v| v.to_str().map_err(|_| BAD)).transpose()
+    single(headers, name)?.map(|value| value.to_str().map_err(|_| BAD_REQUEST)).transpose()
 }
 
 fn number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Rejected> {
-    text(headers, name)?.map(|v| v.parse().map_err(|_| BAD)).transpose()
+    text(headers, name)?.map(|value| value.parse().map_err(|_| BAD_REQUEST)).transpose()
 }
--- /dev/null
+++ b/balancer-node/src/response.rs
@@ -0,0 +1,105 @@
+//! Reads the responses of servers: complete, or malformed.
+
+use bytes::Bytes;
+use glenfall_balancer::{CacheStatus, Load, Status};
+use glenfall_http_client::BodyEnd;
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::header::{HeaderMap, HeaderValue};
+use hyper::{header, Response, StatusCode};
+
+use crate::protocol::{CACHE, LOAD, MAX_BODY_SIZE, NOT_RUN};
+
+/// A complete response of a server that served the request.
+pub struct ServerResponse {
+    /// The content type that the server stated.
+    pub content_type: Option<HeaderValue>,
+    /// The complete body.
+    pub body: Bytes,
+}
+
+/// How an attempt ended.
+pub struct AttemptResult {
+    /// The status for the balancer.
+    pub status: Status,
+    /// Whether a cache had the object.
+    pub cache_status: Option<CacheStatus>,
+    /// The load that the server reported.
+    pub load: Option<Load>,
+    /// The response; only with a success.
+    pub response: Option<ServerResponse>,
+}
+
+impl AttemptResult {
+    /// An end without a complete response, or with one that is no success.
+    pub fn without_response(status: Status) -> Self {
+        AttemptResult { status, cache_status: None, load: None, response: None }
+    }
+}
+
+/// Reads a response. The status is `Malformed` where it is none that the protocol knows, or where the end of
+/// the response cannot be recognised by what follows on the connection.
+pub async fn read(response: Response<Incoming>) -> AttemptResult {
+    let (head, body) = response.into_parts();
+    let Some(status) = status_of(head.status, &head.headers) else {
+        return AttemptResult::without_response(Status::Malformed);
+    };
+    // A length beyond any response is not waited for.
+    let is_too_large = body.size_hint().lower() > MAX_BODY_SIZE as u64;
+    if BodyEnd::of(&head.headers) != BodyEnd::Stated || is_too_large {
+        return AttemptResult::without_response(Status::Malformed);
+    }
+    let body = match Limited::new(body, MAX_BODY_SIZE).collect().await {
+        Ok(body) => body.to_bytes(),
+        Err(error) => {
+            let is_too_large = error.is::<LengthLimitError>();
+            let status = if is_too_large { Status::Malformed } else { status_of_error(error.downcast_ref()) };
+            return AttemptResult::without_response(status);
+        }
+    };
+    let content_type = head.headers.get(header::CONTENT_TYPE).cloned();
+    AttemptResult {
+        status,
+        cache_status: cache_status_of(&head.headers),
+        load: load_of(&head.headers),
+        response: (status == Status::Success).then_some(ServerResponse { content_type, body }),
+    }
+}
+
+/// How an exchange ended whose request was written completely: the connection is gone, or what arrived on it
+/// is no response. The first tells of the server's process, the second does not.
+pub fn status_of_error(error: Option<&hyper::Error>) -> Status {
+    if error.is_some_and(glenfall_http_client::is_unreadable) {
+        Status::Malformed
+    } else {
+        Status::Broken
+    }
+}
+
+fn status_of(status: StatusCode, headers: &HeaderMap) -> Option<Status> {
+    let has_not_run = headers.get(NOT_RUN).is_some_and(|value| value == "1");
+    match status {
+        StatusCode::OK => Some(Status::Success),
+        StatusCode::NOT_FOUND => Some(Status::NotCached),
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if has_not_run => {
+            Some(Status::Overloaded)
+        }
+        StatusCode::SWITCHING_PROTOCOLS => None,
+        status if status.is_success() => None,
+        _ => Some(Status::Error),
+    }
+}
+
+fn cache_status_of(headers: &HeaderMap) -> Option<CacheStatus> {
+    match headers.get(CACHE)?.as_bytes() {
+        b"hit" => Some(CacheStatus::Hit),
+        b"miss" => Some(CacheStatus::Miss),
+        b"pending" => Some(CacheStatus::MissInProgress),
+        _ => None,
+    }
+}
+
+fn load_of(headers: &HeaderMap) -> Option<Load> {
+    let report = headers.get(LOAD)?.to_str().ok()?;
+    glenfall_balancer_settings::load(report, '=')
+}
--- a/balancer-node/tests/upstream.rs
+++ b/balancer-node/tests/upstream.rs
@@ -7,8 +7,9 @@
 
 use bytes::Bytes;
 use glenfall_balancer::{CacheStatus, Limits, RosterEntry, ServerId, ServerState, Status};
-use glenfall_balancer_node::config::List;
-use glenfall_balancer_node::upstream::{Payload, Upstreams};
+use glenfall_balancer_node::payload::Payload;
+use glenfall_balancer_node::server_list::{ListedServer, ServerList};
+use glenfall_balancer_node::upstream::{IdleTimeouts, Upstreams};
 use glenfall_http_client::RequestProgress;
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
@@ -24,10 +25,10 @@
 }
 
 /// A list of servers, `s-1` and so on, in one state.
-fn list(addrs: &[SocketAddr], state: ServerState) -> List {
+fn list(addrs: &[SocketAddr], state: ServerState) -> ServerList {
     let entry = |number| RosterEntry { server: server(number), state, ..RosterEntry::default() };
-    let servers = (1..).map(entry).zip(addrs.iter().copied()).collect();
-    List { version: 1, full: true, servers }
+    let listed = |(number, &addr)| ListedServer { entry: entry(number), addr };
+    ServerList { version: 1, is_complete: true, servers: (1..).zip(addrs).map(listed).collect() }
 }
 
 fn payload(body: &str) -> Payload {
@@ -45,9 +46,9 @@
 }
 
 /// One server, `s-1`, at a listener.
-fn upstreams(listener: &TcpListener, nodes: u32, most_open: usize) -> Rc<Upstreams> {
+fn upstreams(listener: &TcpListener, nodes: u32, max_open: usize) -> Rc<Upstreams> {
     // At 100 nodes the surplus is closed after a tenth of the time.
-    let upstreams = Upstreams::start(&Limits { idle_timeout: 15.0, ..limits() }, nodes, most_open);
+    let upstreams = Upstreams::start(&Limits { idle_timeout: 15.0, ..limits() }, nodes, max_open);
     upstreams.update(&list(&[listener.local_addr().unwrap()], ServerState::Ready));
     upstreams
 }
@@ -159,7 +160,7 @@
             upstreams.exchange(&server, &payload, WAIT, &sent),
             serve("two"),
         };
-        assert_eq!(ended.reply.map(|reply| reply.body), Some(Bytes::from("two")));
+        assert_eq!(ended.response.map(|response| response.body), Some(Bytes::from("two")));
     });
 }
 
@@ -179,7 +180,7 @@
                 let ended = exchange(1).await;
                 // However slowly the test runs, the server has no room.
                 assert!(upstreams.must_wait(&server));
-                upstreams.no_room_until(&server, Instant::now() + WAIT);
+                upstreams.set_full_until(&server, Instant::now() + WAIT);
                 turned_away.notify_one();
                 ended
             },
@@ -207,8 +208,8 @@
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 100, 8);
         let (server, payload, sent) = (server(1), payload(""), RequestProgress::default());
-        upstreams.no_room_until(&server, Instant::now() + WAIT);
-        let other = upstreams.claim_place(&server);
+        upstreams.set_full_until(&server, Instant::now() + WAIT);
+        let other = upstreams.claim_slot(&server);
         let (ended, _, ()) = tokio::join! {
             biased;
             upstreams.exchange(&server, &payload, WAIT, &sent),
@@ -224,8 +225,8 @@
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 100, 8);
         let server = server(1);
-        upstreams.no_room_until(&server, Instant::now() + WAIT);
-        let open = upstreams.claim_place(&server);
+        upstreams.set_full_until(&server, Instant::now() + WAIT);
+        let open = upstreams.claim_slot(&server);
         let (reads, write) = ([payload(""), payload("")], payload("body"));
         let sent = [RequestProgress::default(), RequestProgress::default(), RequestProgress::default()];
         let served = async {
@@ -257,9 +258,9 @@
 #[test]
 fn the_more_nodes_the_sooner_a_surplus_connection_is_closed() {
     let times = |nodes| {
-        let (idle, surplus) =
-            on_loopback(|listener| async move { upstreams(&listener, nodes, 8).idle_times() });
-        (surplus.as_secs_f64(), idle.as_secs_f64())
+        let IdleTimeouts { last_used, surplus } =
+            on_loopback(|listener| async move { upstreams(&listener, nodes, 8).idle_timeouts() });
+        (surplus.as_secs_f64(), last_used.as_secs_f64())
     };
     assert_eq!(times(3), (12.0, 12.0));
     assert_eq!(times(100), (1.2, 12.0));
@@ -284,14 +285,14 @@
         };
         let used = Instant::now();
         upstreams.close_unused(used);
-        assert_eq!(upstreams.idle(&server), 2);
+        assert_eq!(upstreams.idle_connections(&server), 2);
         upstreams.close_unused(used + Duration::from_secs(2));
         let (mut a, mut b) = ([0], [0]);
         tokio::select! {
             end = one.read(&mut a) => assert_eq!(end.unwrap(), 0),
             end = two.read(&mut b) => assert_eq!(end.unwrap(), 0),
         }
-        assert_eq!(upstreams.idle(&server), 1);
+        assert_eq!(upstreams.idle_connections(&server), 1);
     });
 }
 
@@ -302,7 +303,7 @@
         let (server, payload, sent) = (server(1), payload(""), RequestProgress::default());
         let (ended, _) =
             tokio::join!(upstreams.exchange(&server, &payload, WAIT, &sent), serve_one(&listener, status));
-        (ended.status, ended.note)
+        (ended.status, ended.cache_status)
     })
 }
 
