--- /dev/null
+++ b/experiments/src/experiment/mod.rs
@@ -0,0 +1,108 @@
+//! One experiment from start to end: the system runs as processes, the servers and clients in this one.
+
+mod faults;
+mod setup;
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::path::Path;
+use std::rc::Rc;
+use std::time::Duration;
+
+use glenfall::operator::commands::ControlAddresses;
+use glenfall::operator::local_system::{LocalSystem, SystemLayout};
+use tokio::task::spawn_local;
+use tokio::time::{sleep, Instant};
+
+use crate::error::LabError;
+use crate::ledger::Ledger;
+use crate::load::LoadGenerator;
+use crate::origin::{Origin, HEARTBEAT_INTERVAL};
+use crate::plan::Plan;
+use crate::report::{Measurements, Report, ServiceReport};
+use setup::status;
+pub use setup::{put_config, start_servers, wait_until_ready};
+
+/// Third byte of the addresses of the machines.
+const MACHINE_NET: u8 = 9;
+/// Processes report their counters to control at intervals; the last ones have arrived after this time.
+const COUNTERS_DELAY: Duration = Duration::from_secs(11);
+
+/// Runs a plan with this program.
+///
+/// # Errors
+///
+/// Returns an error where the system can't be started, a call to control fails, or a process has logged a violated
+/// invariant of the code.
+pub async fn run(plan: &Plan, program: &Path) -> Result<Report, LabError> {
+    let local = LocalSystem::start(layout(plan), program).await?;
+    let controls = local.controls();
+    let ledger = Rc::new(Ledger::default());
+    let origins = start_servers(plan, &local, &ledger).await?;
+    put_config(plan.document().to_string(), &controls, HEARTBEAT_INTERVAL).await?;
+    wait_until_ready(plan, &controls, origins.len()).await?;
+    let measurements = Rc::new(RefCell::new(Measurements::new(plan)?));
+    let load = LoadGenerator::new(plan, local.edges(), &ledger, &measurements);
+    let changes = spawn_local(Rc::clone(&load).change_objects(controls.clone()));
+    let local = Rc::new(RefCell::new(local));
+    let began_at = Instant::now();
+    for fault in &plan.faults {
+        spawn_local(faults::inject(fault.clone(), began_at, Rc::clone(&local), origins.clone()));
+    }
+    load.run().await;
+    changes.abort();
+    sleep(COUNTERS_DELAY).await;
+    let counters = sum_counters(&controls).await?;
+    check_invariants(&local.borrow())?;
+    let services = service_reports(&origins);
+    let measurements = measurements.borrow();
+    Ok(Report::new(plan, &measurements, services, counters, &ledger.violations()))
+}
+
+fn layout(plan: &Plan) -> SystemLayout {
+    let system = plan.system;
+    SystemLayout {
+        net: MACHINE_NET,
+        cores: system.cores,
+        seeds: system.cores,
+        edges: system.edges,
+        zones: system.zones,
+        beat_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
+        mem_mb: system.mem_mb,
+        losses: 0,
+        relayed: false,
+    }
+}
+
+fn check_invariants(local: &LocalSystem) -> Result<(), LabError> {
+    let violations = local.broken_invariants();
+    match violations.first() {
+        Some(first) => Err(LabError::InvariantViolated { count: violations.len(), first: first.clone() }),
+        None => Ok(()),
+    }
+}
+
+fn service_reports(origins: &[Rc<Origin>]) -> BTreeMap<String, ServiceReport> {
+    let mut services: BTreeMap<String, ServiceReport> = BTreeMap::new();
+    for origin in origins {
+        let service = services.entry(origin.plan.name.clone()).or_default();
+        service.arrivals += origin.arrivals();
+        service.rejections += origin.rejections();
+    }
+    services
+}
+
+/// Sums the counters of all sessions, without quantiles, which can't be summed.
+async fn sum_counters(controls: &ControlAddresses) -> Result<BTreeMap<String, u64>, LabError> {
+    let mut sums = BTreeMap::new();
+    for node in status(controls).await? {
+        for session in node["sessions"].as_array().into_iter().flatten() {
+            for (name, value) in session["counters"].as_object().into_iter().flatten() {
+                if !name.ends_with("_us") {
+                    *sums.entry(name.clone()).or_insert(0) += value.as_u64().unwrap_or(0);
+                }
+            }
+        }
+    }
+    Ok(sums)
+}
--- /dev/null
+++ b/experiments/src/experiment/setup.rs
@@ -0,0 +1,116 @@
+//! Brings a system up: servers, the first configuration, and the wait until all processes have applied it.
+
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+use std::time::Duration;
+
+use glenfall::operator::commands::{self, ControlAddresses, OperatorError};
+use glenfall::operator::local_system::LocalSystem;
+use hyper::Method;
+use serde_json::Value;
+use tokio::net::TcpListener;
+use tokio::task::spawn_local;
+use tokio::time::{sleep, Instant};
+
+use crate::error::LabError;
+use crate::ledger::Ledger;
+use crate::origin::Origin;
+use crate::plan::Plan;
+
+/// The system is up within this time, also on a busy machine.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// The machine number of the first server.
+const FIRST_SERVER_MACHINE: u8 = 100;
+/// How often it is looked whether the system is ready.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Starts the servers of a plan in this process.
+///
+/// # Errors
+///
+/// Returns an error where no address can be bound.
+pub async fn start_servers(
+    plan: &Plan,
+    local: &LocalSystem,
+    ledger: &Rc<Ledger>,
+) -> std::io::Result<Vec<Rc<Origin>>> {
+    let mut origins = Vec::new();
+    for service in &plan.services {
+        for number in 0..service.servers {
+            let machine = FIRST_SERVER_MACHINE + origins.len() as u8;
+            let ip = local.machine(machine);
+            let port = TcpListener::bind((ip, 0)).await?.local_addr()?.port();
+            let seed = plan.seed ^ u64::from(machine);
+            let origin = Origin::new(number, service, &plan.classes, ledger, seed);
+            let address = SocketAddrV4::new(ip, port);
+            let zone = local.zone(machine);
+            spawn_local(Rc::clone(&origin).run(address, address, zone, local.controls()));
+            origins.push(origin);
+        }
+    }
+    Ok(origins)
+}
+
+/// Puts the first configuration, and retries with a pause until a control node answers.
+///
+/// # Errors
+///
+/// Returns an error where control rejects it, or does not answer within [`START_TIMEOUT`].
+pub async fn put_config(
+    document: String,
+    controls: &ControlAddresses,
+    retry_pause: Duration,
+) -> Result<(), LabError> {
+    let began_at = Instant::now();
+    loop {
+        let body = document.clone().into();
+        match commands::call_control(controls, Method::PUT, "/api/config", Some(0), body).await {
+            Ok(_) => return Ok(()),
+            Err(OperatorError::NoAnswer) if began_at.elapsed() < START_TIMEOUT => sleep(retry_pause).await,
+            Err(error) => return Err(error.into()),
+        }
+    }
+}
+
+/// Returns the status of each control node.
+pub(super) async fn status(controls: &ControlAddresses) -> Result<Vec<Value>, LabError> {
+    let status = commands::status(controls).await?;
+    Ok(serde_json::from_str(&status).unwrap_or_default())
+}
+
+/// Waits until all control nodes know all servers and shields, and all sessions have applied what they were pushed.
+///
+/// # Errors
+///
+/// Returns an error where a call to control fails, or this takes longer than [`START_TIMEOUT`].
+pub async fn wait_until_ready(
+    plan: &Plan,
+    controls: &ControlAddresses,
+    servers: usize,
+) -> Result<(), LabError> {
+    let began_at = Instant::now();
+    while began_at.elapsed() < START_TIMEOUT {
+        if is_ready(&status(controls).await?, plan, servers) {
+            return Ok(());
+        }
+        sleep(POLL_INTERVAL).await;
+    }
+    Err(LabError::NotUp(START_TIMEOUT))
+}
+
+fn is_ready(nodes: &[Value], plan: &Plan, servers: usize) -> bool {
+    let machines = usize::from(plan.system.cores) + usize::from(plan.system.edges);
+    let knows_all = |node: &Value| {
+        count_ready(node, "servers") == servers
+            && count_ready(node, "shields") == usize::from(plan.system.cores)
+    };
+    let sessions = nodes.iter().flat_map(|node| node["sessions"].as_array().into_iter().flatten());
+    let sessions: Vec<&Value> = sessions.collect();
+    let all_applied = sessions.iter().all(|session| session["applied"] == session["pushed"]);
+    nodes.iter().all(knows_all) && all_applied && sessions.len() == machines
+}
+
+fn count_ready(node: &Value, list: &str) -> usize {
+    let items = node[list].as_array().into_iter().flatten();
+    items.filter(|item| item["ready"] == true).count()
+}
--- a/experiments/src/fleet/reads.rs
+++ b/experiments/src/fleet/reads.rs
@@ -1,5 +1,5 @@
-//! What reaches an origin under its ceiling: edges' choice among shields, shields' copies, and each shield's part of
-//! the rate, all from cold.
+//! What reaches an origin under its rate limit: how edges choose shields, the stored responses of shields, and each
+//! shield's share of the rate. All shields begin empty.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,97 +12,151 @@
 
 use super::FleetPlan;
 
-/// The users' bound: in any window no more than so many times the rate, and a few.
-const BOUND: RateLimitSettings = RateLimitSettings { window: 5000, over: 1.1 };
-const FEW: f64 = 5.0;
+/// The bound that users are given: in any window, not more than the rate times `over`, and [`EXTRA_REQUESTS`].
+const RATE_LIMIT: RateLimitSettings = RateLimitSettings { window: 5000, over: 1.1 };
+/// Requests that are permitted in a window beyond that.
+const EXTRA_REQUESTS: f64 = 5.0;
+/// Separates the random stream of reads from that of writes.
+const READ_STREAM: u64 = 1;
 
+/// The figures of the reads of a size.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Reads {
+pub struct ReadReport {
+    /// All reads.
     pub reads: u64,
-    /// Parts of the reads that were refused, and that reached the origin.
-    pub refused: f64,
-    pub fetched: f64,
-    pub most_over_allowed: f64,
-    pub busiest: f64,
+    /// The share of reads that were rejected under the rate limit.
+    #[serde(rename = "refused")]
+    pub rejected_share: f64,
+    /// The share of reads that reached the origin.
+    #[serde(rename = "fetched")]
+    pub fetched_share: f64,
+    /// The most requests in a window, divided by those that are permitted.
+    #[serde(rename = "most_over_allowed")]
+    pub max_over_limit: f64,
+    /// The reads of the busiest shield, divided by the mean.
+    #[serde(rename = "busiest")]
+    pub busiest_over_mean: f64,
 }
 
 struct Shield {
-    ceiling: RateLimiter,
-    /// Until when an object's copy is fresh; who asks while it is on its way joins.
-    copies: HashMap<u32, u64>,
+    limiter: RateLimiter,
+    /// When the stored response of each object is stale, in milliseconds. A read while it is fetched joins the fetch.
+    fresh_until: HashMap<u32, u64>,
     reads: u64,
 }
 
 impl Shield {
-    /// An empty one of so many.
-    fn one_of(count: usize, rng: &mut ChaCha8Rng) -> Shield {
-        let mut ceiling = RateLimiter::new(BOUND, rng.random());
-        ceiling.set_holder(0, QuotaHolder::Shield { of: count });
-        Shield { ceiling, copies: HashMap::new(), reads: 0 }
+    /// Creates an empty shield, one of `count`.
+    fn new(count: usize, rng: &mut ChaCha8Rng) -> Shield {
+        let mut limiter = RateLimiter::new(RATE_LIMIT, rng.random());
+        limiter.set_holder(0, QuotaHolder::Shield { of: count });
+        Shield { limiter, fresh_until: HashMap::new(), reads: 0 }
     }
 }
 
-/// An edge's choice among these shields.
-fn chooser(ids: &[ServerId]) -> Shields {
-    let mut shields = Shields::default();
-    shields.update(ids);
-    shields
+/// The reads of a fleet.
+struct ReadRun<'a> {
+    plan: &'a FleetPlan,
+    /// The rate limit of the origin, in requests a second.
+    rate: f64,
+    ids: Vec<ServerId>,
+    shields: Vec<Shield>,
+    /// How each edge chooses a shield.
+    choosers: Vec<Shields>,
+    /// When the last requests reached the origin, in milliseconds.
+    window: VecDeque<u64>,
+    max_in_window: usize,
+    reads: u64,
+    rejected: u64,
+    fetched: u64,
 }
 
-pub fn play(plan: &FleetPlan, edges: u32) -> Reads {
-    let mut rng = ChaCha8Rng::seed_from_u64(plan.seed ^ 1);
-    let laws = (
-        Exp::new(plan.reads.per_s * f64::from(edges)),
-        Zipf::new(f64::from(plan.reads.objects), plan.reads.skew),
-    );
-    let (Ok(pause), Ok(objects)) = laws else { return Reads::default() };
-    let ids: Vec<ServerId> =
-        (0..plan.cores).map(|n| ServerId(format!("10.3.0.{n}:1").as_str().into())).collect();
-    let mut shields: Vec<Shield> = ids.iter().map(|_| Shield::one_of(ids.len(), &mut rng)).collect();
-    let mut choosers: Vec<Shields> = (0..edges).map(|_| chooser(&ids)).collect();
-    let rate = plan.reads.rate_per_s * f64::from(edges);
-    let allowed = rate * BOUND.over * BOUND.window as f64 / 1000.0 + FEW;
-    let mut window: VecDeque<u64> = VecDeque::new();
-    let (mut found, mut refused, mut fetched, mut most) = (Reads::default(), 0u64, 0u64, 0usize);
+/// Runs the reads of a fleet with this number of edges.
+pub fn run(plan: &FleetPlan, edges: u32) -> ReadReport {
+    let mut rng = ChaCha8Rng::seed_from_u64(plan.seed ^ READ_STREAM);
+    // A plan that was checked has valid distributions.
+    let Ok(pauses) = Exp::new(plan.reads.per_s * f64::from(edges)) else { return ReadReport::default() };
+    let Ok(objects) = Zipf::new(f64::from(plan.reads.objects), plan.reads.skew) else {
+        return ReadReport::default();
+    };
+    let mut run = ReadRun::new(plan, edges, &mut rng);
     let mut now = 0.0;
     loop {
-        now += pause.sample(&mut rng);
+        now += pauses.sample(&mut rng);
         if now >= plan.seconds {
-            break;
+            return run.report();
         }
-        let ms = (now * 1000.0) as u64;
         let object = objects.sample(&mut rng) as u32;
-        let edge = &mut choosers[rng.random_range(0..edges as usize)];
+        let edge = rng.random_range(0..edges as usize);
+        run.read(now, edge, object);
+    }
+}
+
+impl ReadRun<'_> {
+    fn new<'a>(plan: &'a FleetPlan, edges: u32, rng: &mut ChaCha8Rng) -> ReadRun<'a> {
+        let id = |number| ServerId(format!("10.3.0.{number}:1").as_str().into());
+        let ids: Vec<ServerId> = (0..plan.cores).map(id).collect();
+        let chooser = |_| {
+            let mut shields = Shields::default();
+            shields.update(&ids);
+            shields
+        };
+        ReadRun {
+            plan,
+            rate: plan.reads.rate_per_s * f64::from(edges),
+            shields: ids.iter().map(|_| Shield::new(ids.len(), rng)).collect(),
+            choosers: (0..edges).map(chooser).collect(),
+            window: VecDeque::new(),
+            max_in_window: 0,
+            reads: 0,
+            rejected: 0,
+            fetched: 0,
+            ids,
+        }
+    }
+
+    /// An edge reads an object at a time in seconds. A read is over before the next one where it finds a stored response;
+    /// misses are few.
+    fn read(&mut self, now: f64, edge: usize, object: u32) {
         let key = Key(mix(u64::from(object) + 1));
-        // A read is over before the next one where it finds a copy; misses are few.
-        let Some(chosen) = edge.choose(now, key, &[]) else { continue };
-        let Some(at) = ids.iter().position(|id| id == chosen) else { continue };
-        let shield = &mut shields[at];
-        found.reads += 1;
+        let Some(chosen) = self.choosers[edge].choose(now, key, &[]) else { return };
+        let Some(index) = self.ids.iter().position(|id| id == chosen) else { return };
+        let now_ms = (now * 1000.0) as u64;
+        self.reads += 1;
+        let shield = &mut self.shields[index];
         shield.reads += 1;
-        if shield.copies.get(&object).is_some_and(|until| ms < *until) {
-            continue;
+        if shield.fresh_until.get(&object).is_some_and(|until| now_ms < *until) {
+            return;
         }
         // In the system a miss may wait a little for its turn; here it does not.
-        if shield.ceiling.try_acquire(ms, "origin", rate, 0.0).is_err() {
-            refused += 1;
-            continue;
+        if shield.limiter.try_acquire(now_ms, "origin", self.rate, 0.0).is_err() {
+            self.rejected += 1;
+            return;
         }
-        fetched += 1;
-        window.push_back(ms);
-        while window.front().is_some_and(|first| *first + BOUND.window <= ms) {
-            window.pop_front();
+        let max_age_ms = (self.plan.reads.max_age_s * 1000.0) as u64;
+        shield.fresh_until.insert(object, now_ms + max_age_ms);
+        self.note_fetch(now_ms);
+    }
+
+    fn note_fetch(&mut self, now_ms: u64) {
+        self.fetched += 1;
+        self.window.push_back(now_ms);
+        while self.window.front().is_some_and(|first| *first + RATE_LIMIT.window <= now_ms) {
+            self.window.pop_front();
         }
-        most = most.max(window.len());
-        shield.copies.insert(object, ms + (plan.reads.max_age_s * 1000.0) as u64);
+        self.max_in_window = self.max_in_window.max(self.window.len());
     }
-    let of_all = |part: u64| part as f64 / found.reads.max(1) as f64;
-    let busiest = shields.iter().map(|shield| shield.reads).max().unwrap_or(0) as f64;
-    Reads {
-        refused: of_all(refused),
-        fetched: of_all(fetched),
-        most_over_allowed: most as f64 / allowed,
-        busiest: busiest * shields.len() as f64 / found.reads.max(1) as f64,
-        ..found
+
+    fn report(&self) -> ReadReport {
+        let share = |part: u64| part as f64 / self.reads.max(1) as f64;
+        let permitted = self.rate * RATE_LIMIT.over * RATE_LIMIT.window as f64 / 1000.0 + EXTRA_REQUESTS;
+        let busiest = self.shields.iter().map(|shield| shield.reads).max().unwrap_or(0) as f64;
+        ReadReport {
+            reads: self.reads,
+            rejected_share: share(self.rejected),
+            fetched_share: share(self.fetched),
+            max_over_limit: self.max_in_window as f64 / permitted,
+            busiest_over_mean: busiest * self.shields.len() as f64 / self.reads.max(1) as f64,
+        }
     }
 }
--- /dev/null
+++ b/experiments/src/fleet/report.rs
@@ -0,0 +1,128 @@
+//! The report of a fleet: tables, and a plot of growth with the number of edges.
+
+use std::path::Path;
+
+use plotters::style::{RGBColor, BLACK, BLUE, GREEN, RED};
+use serde::{Deserialize, Serialize};
+
+use super::control_traffic::PhaseTraffic;
+use super::reads::ReadReport;
+use super::writes::WriteReport;
+use crate::plot::{draw_growth, Line, PlotError};
+
+/// Figures are divided by those of the smallest size, and by this where those are 0.
+const MIN_DIVISOR: f64 = 1e-9;
+/// The least figure in the plot, whose scales are logarithmic.
+const MIN_GROWTH: f64 = 1e-3;
+
+/// The figures of one size.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct SizeReport {
+    /// Edges.
+    pub edges: u32,
+    /// Servers of writes.
+    pub servers: u32,
+    /// The traffic of control, by phase.
+    #[serde(rename = "telling")]
+    pub control_traffic: Vec<PhaseTraffic>,
+    /// The writes.
+    pub writes: WriteReport,
+    /// The reads.
+    pub reads: ReadReport,
+}
+
+/// The figures of all sizes.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct FleetReport {
+    /// The sizes, as the plan has them.
+    pub sizes: Vec<SizeReport>,
+}
+
+/// A row of the table: its name, and its figure at a size.
+struct Row {
+    name: &'static str,
+    figure: fn(&SizeReport) -> f64,
+}
+
+const fn row(name: &'static str, figure: fn(&SizeReport) -> f64) -> Row {
+    Row { name, figure }
+}
+
+const ROWS: [Row; 11] = [
+    row("connections opened for each write", |size| size.writes.opened_per_write),
+    row("connections at a server at once, most", |size| f64::from(size.writes.max_connections)),
+    row("beyond what a server accepts", |size| size.writes.connections_over_limit as f64),
+    row("writes a server has, busiest over mean", |size| size.writes.busiest_over_mean),
+    row("writes turned away by a server, part", |size| size.writes.rejected_share),
+    row("writes not served, part", |size| size.writes.failed_share),
+    row("subsets, most over mean servers", |size| size.writes.subsets_max_over_mean),
+    row("reads refused under the ceiling, part", |size| size.reads.rejected_share),
+    row("origin requests for each read", |size| size.reads.fetched_share),
+    row("most in a window over what is allowed", |size| size.reads.max_over_limit),
+    row("reads a shield has, busiest over mean", |size| size.reads.busiest_over_mean),
+];
+
+fn table_line(name: &str, cells: Vec<String>) -> String {
+    format!("| {name} | {} |\n", cells.join(" | "))
+}
+
+impl FleetReport {
+    /// Returns a table with all figures.
+    pub fn markdown(&self) -> String {
+        let mut text = self.line("edges", |size| size.edges.to_string());
+        text += &table_line("---", vec!["---".to_owned(); self.sizes.len()]);
+        text += &self.line("servers", |size| size.servers.to_string());
+        for Row { name, figure } in ROWS {
+            text += &self.line(name, |size| format!("{:.3}", figure(size)));
+        }
+        let phases = self.sizes.first().map_or(0, |size| size.control_traffic.len());
+        for index in 0..phases {
+            text += &self.phase_lines(index);
+        }
+        text
+    }
+
+    fn line(&self, name: &str, cell: impl Fn(&SizeReport) -> String) -> String {
+        table_line(name, self.sizes.iter().map(cell).collect())
+    }
+
+    fn phase_lines(&self, index: usize) -> String {
+        let name = &self.sizes[0].control_traffic[index].name;
+        let line = |what: &str, cell: fn(&PhaseTraffic) -> String| {
+            self.line(&format!("{name}: {what}"), |size| cell(&size.control_traffic[index]))
+        };
+        [
+            line("messages to each edge", |phase| format!("{:.1}", phase.messages_to_edge)),
+            line("bytes to each edge", |phase| format!("{:.0}", phase.bytes_to_edge)),
+            line("the same, told whole each time", |phase| format!("{:.0}", phase.snapshot_bytes_to_edge)),
+            line("bytes between control nodes", |phase| phase.bytes_between_controls.to_string()),
+        ]
+        .concat()
+    }
+
+    /// Draws how figures grow with the number of edges, each divided by its value at the smallest size.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error where the file can't be written.
+    pub fn draw(&self, path: &Path) -> Result<(), PlotError> {
+        let lines = vec![
+            self.growth("connections for each write", BLACK, |size| size.writes.opened_per_write),
+            self.growth("most connections at a server", BLUE, |size| f64::from(size.writes.max_connections)),
+            self.growth("bytes to an edge at a roll", GREEN, |size| {
+                size.control_traffic.last().map_or(0.0, |phase| phase.bytes_to_edge)
+            }),
+            self.growth("the same, told whole", RED, |size| {
+                size.control_traffic.last().map_or(0.0, |phase| phase.snapshot_bytes_to_edge)
+            }),
+        ];
+        let caption = "growth with the number of edges, smallest size = 1";
+        draw_growth(path, caption, "edges", lines)
+    }
+
+    fn growth(&self, name: &'static str, color: RGBColor, figure: fn(&SizeReport) -> f64) -> Line {
+        let first = self.sizes.first().map_or(1.0, figure).max(MIN_DIVISOR);
+        let point = |size: &SizeReport| (f64::from(size.edges), (figure(size) / first).max(MIN_GROWTH));
+        Line { name, color, points: self.sizes.iter().map(point).collect() }
+    }
+}
--- a/experiments/src/fleet/writes.rs
+++ b/experiments/src/fleet/writes.rs
@@ -1,5 +1,4 @@
-//! How edges go to the servers of a service of writes: the real choice among servers, with connections and servers
-//! emulated.
+//! How edges choose the servers of a service of writes: the real load balancer, with emulated connections and servers.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -18,254 +17,343 @@
 
 use super::FleetPlan;
 
-const SERVICE: &str = "orders";
+/// The service.
+const SERVICE_NAME: &str = "orders";
 /// Servers that one write may be sent to.
-const TRIES: usize = 2;
+const MAX_SERVERS_TRIED: usize = 2;
+/// The address of the first server; the others follow it.
+const FIRST_SERVER_ADDRESS: u32 = 0x0a02_0000;
+/// The port of all servers.
+const SERVER_PORT: u16 = 8080;
+/// The zone of all servers and edges.
+const ZONE_NAME: &str = "z";
+/// The least divisor of a share.
+const MIN_DIVISOR: f64 = 1e-9;
 
+/// The figures of the writes of a size.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Writes {
+pub struct WriteReport {
+    /// All writes.
     pub writes: u64,
+    /// Connections that were opened, for each write.
     pub opened_per_write: f64,
-    pub most_at_a_server: u32,
-    /// Connections opened to a server that had as many as it accepts.
-    pub over_cap: u64,
-    pub busiest: f64,
-    pub turned_away: f64,
-    pub not_served: f64,
-    /// Of how many subsets the server in most of them is one, over the mean.
-    pub subset_most: f64,
+    /// The most connections of a server at the same time.
+    #[serde(rename = "most_at_a_server")]
+    pub max_connections: u32,
+    /// Connections that were opened to a server which had as many as it accepts.
+    #[serde(rename = "over_cap")]
+    pub connections_over_limit: u64,
+    /// The writes of the busiest server, divided by the mean.
+    #[serde(rename = "busiest")]
+    pub busiest_over_mean: f64,
+    /// The share of writes that a server rejected.
+    #[serde(rename = "turned_away")]
+    pub rejected_share: f64,
+    /// The share of writes that no server ran.
+    #[serde(rename = "not_served")]
+    pub failed_share: f64,
+    /// How many subsets the server is in that is in most of them, divided by the mean.
+    #[serde(rename = "subset_most")]
+    pub subsets_max_over_mean: f64,
 }
 
 /// Microseconds since the start.
 type Micros = u64;
 
+const MICROS_PER_S: f64 = 1e6;
+
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Comes { edge: usize },
-    Ends { server: usize, write: usize },
-    Closes { edge: usize, server: usize, since: Micros },
+    /// A write arrives at an edge.
+    Arrives { edge: usize },
+    /// A server has run a write.
+    Completes { server: usize, write: usize },
+    /// An idle connection closes, unless it was used since.
+    IdleTimeout { edge: usize, server: usize, idle_since: Micros },
+}
+
+/// An event and its time. Of those at the same time the one that was scheduled first comes first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledEvent {
+    at: Micros,
+    number: u64,
+    event: Event,
 }
 
-struct Emulated {
-    working: u32,
-    waiting: VecDeque<usize>,
+#[derive(Default)]
+struct EmulatedServer {
+    running: u32,
+    queue: VecDeque<usize>,
     connections: u32,
     served: u64,
 }
 
 struct Write {
     edge: usize,
+    /// The ids of the servers that it was sent to.
     tried: Vec<String>,
-    began: Micros,
+    /// When it was sent last.
+    sent_at: Micros,
+}
+
+/// The connections between an edge and a server.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct ConnectionKey {
+    edge: usize,
+    server: usize,
 }
 
-struct Play<'a> {
+struct WriteRun<'a> {
     plan: &'a FleetPlan,
-    began: Instant,
+    began_at: Instant,
     now: Micros,
     rng: ChaCha8Rng,
-    work: LogNormal<f64>,
-    events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
-    number: u64,
-    origins: Vec<OriginBalancer>,
-    names: HashMap<String, usize>,
-    servers: Vec<Emulated>,
-    /// Idle connections, by edge and server: since when.
-    idle: HashMap<(usize, usize), Vec<Micros>>,
+    work_ms: LogNormal<f64>,
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
+    scheduled: u64,
+    balancers: Vec<OriginBalancer>,
+    /// The indices of servers by their ids.
+    server_index: HashMap<String, usize>,
+    servers: Vec<EmulatedServer>,
+    /// Since when each idle connection is idle.
+    idle: HashMap<ConnectionKey, Vec<Micros>>,
     writes: HashMap<usize, Write>,
-    found: Writes,
+    arrived: u64,
     opened: u64,
-    turned_away: u64,
-    lost: u64,
+    max_connections: u32,
+    connections_over_limit: u64,
+    rejected: u64,
+    failed: u64,
+}
+
+fn server_address(number: u32) -> SocketAddrV4 {
+    SocketAddrV4::new(Ipv4Addr::from(FIRST_SERVER_ADDRESS + number), SERVER_PORT)
 }
 
-fn addr(n: u32) -> SocketAddrV4 {
-    SocketAddrV4::new(Ipv4Addr::from(0x0a02_0000 + n), 8080)
+/// Returns the index of a server by its address.
+fn index_of_address(address: SocketAddr) -> usize {
+    match address {
+        SocketAddr::V4(address) => (u32::from(*address.ip()) - FIRST_SERVER_ADDRESS) as usize,
+        SocketAddr::V6(_) => usize::MAX,
+    }
 }
 
-impl Play<'_> {
-    fn moment(&self) -> Instant {
-        self.began + Duration::from_micros(self.now)
+impl WriteRun<'_> {
+    fn instant(&self) -> Instant {
+        self.began_at + Duration::from_micros(self.now)
     }
 
-    fn at(&mut self, when: Micros, event: Event) {
-        self.number += 1;
-        self.events.push(Reverse((when, self.number, event)));
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.scheduled += 1;
+        self.events.push(Reverse(ScheduledEvent { at, number: self.scheduled, event }));
+    }
+
+    /// Runs all events.
+    fn run(&mut self) {
+        while let Some(Reverse(scheduled)) = self.events.pop() {
+            self.now = scheduled.at;
+            self.handle(scheduled.event);
+        }
     }
 
-    /// Sends a write to a server: the connection it goes on, and what the server does with it.
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Arrives { edge } => {
+                let number = self.arrived as usize;
+                self.arrived += 1;
+                self.writes.insert(number, Write { edge, tried: Vec::new(), sent_at: self.now });
+                self.send(number);
+            }
+            Event::Completes { server, write } => self.complete(server, write),
+            Event::IdleTimeout { edge, server, idle_since } => {
+                self.close_idle(ConnectionKey { edge, server }, idle_since);
+            }
+        }
+    }
+
+    /// Sends a write to a server that its edge chooses.
     fn send(&mut self, number: usize) {
-        let Some(write) = self.writes.get(&number) else { return };
-        let edge = write.edge;
-        let (idle, names) = (&self.idle, &self.names);
-        let place = |addr: SocketAddr| match addr {
-            SocketAddr::V4(addr) => (u32::from(*addr.ip()) - 0x0a02_0000) as usize,
-            SocketAddr::V6(_) => usize::MAX,
-        };
-        let warm = |addr| idle.get(&(edge, place(addr))).is_some_and(|idle| !idle.is_empty());
-        let chosen = (write.tried.len() < TRIES)
-            .then(|| self.origins[edge].choose(self.moment(), SERVICE, &write.tried, warm))
-            .flatten();
-        let Some(chosen) = chosen else {
-            self.lost += 1;
+        let Some(chosen) = self.choose(number) else {
+            self.failed += 1;
             self.writes.remove(&number);
             return;
         };
-        let at = names[&chosen.id];
-        if self.idle.get_mut(&(edge, at)).and_then(Vec::pop).is_none() {
-            self.opened += 1;
-            let server = &mut self.servers[at];
-            self.found.over_cap += u64::from(server.connections >= self.plan.writes.max_conns);
-            server.connections += 1;
-            self.found.most_at_a_server = self.found.most_at_a_server.max(server.connections);
-        }
-        self.origins[edge].enter(&chosen.id);
-        if let Some(write) = self.writes.get_mut(&number) {
-            (write.began, write.tried) =
-                (self.now, [&write.tried[..], std::slice::from_ref(&chosen.id)].concat());
-        }
-        let server = &mut self.servers[at];
-        if server.working < self.plan.writes.slots {
-            server.working += 1;
-            self.work_on(at, number);
-        } else if server.waiting.len() < self.plan.writes.queue as usize {
-            server.waiting.push_back(number);
+        let Some(write) = self.writes.get_mut(&number) else { return };
+        let edge = write.edge;
+        write.sent_at = self.now;
+        write.tried.push(chosen.clone());
+        let index = self.server_index[&chosen];
+        self.take_connection(ConnectionKey { edge, server: index });
+        self.balancers[edge].enter(&chosen);
+        let server = &mut self.servers[index];
+        if server.running < self.plan.writes.slots {
+            server.running += 1;
+            self.start_work(index, number);
+        } else if server.queue.len() < self.plan.writes.queue as usize {
+            server.queue.push_back(number);
         } else {
-            self.turned_away += 1;
-            self.leave(at, number, SendOutcome::Rejected);
+            self.rejected += 1;
+            self.respond(index, number, SendOutcome::Rejected);
             self.send(number);
         }
     }
 
-    fn work_on(&mut self, server: usize, write: usize) {
-        let work = Duration::from_secs_f64(self.work.sample(&mut self.rng) / 1000.0);
-        self.at(self.now + work.as_micros() as Micros, Event::Ends { server, write });
+    /// Returns the id of the server that a write is sent to next; `None` where it was sent to enough, or there is none.
+    fn choose(&self, number: usize) -> Option<String> {
+        let write = self.writes.get(&number)?;
+        if write.tried.len() >= MAX_SERVERS_TRIED {
+            return None;
+        }
+        let has_idle_connection = |address| {
+            let key = ConnectionKey { edge: write.edge, server: index_of_address(address) };
+            self.idle.get(&key).is_some_and(|idle| !idle.is_empty())
+        };
+        let balancer = &self.balancers[write.edge];
+        let chosen = balancer.choose(self.instant(), SERVICE_NAME, &write.tried, has_idle_connection)?;
+        Some(chosen.id.to_string())
+    }
+
+    /// Takes the connection that was used last, or opens another.
+    fn take_connection(&mut self, key: ConnectionKey) {
+        if self.idle.get_mut(&key).and_then(Vec::pop).is_some() {
+            return;
+        }
+        self.opened += 1;
+        let server = &mut self.servers[key.server];
+        self.connections_over_limit += u64::from(server.connections >= self.plan.writes.max_connections);
+        server.connections += 1;
+        self.max_connections = self.max_connections.max(server.connections);
+    }
+
+    fn start_work(&mut self, server: usize, write: usize) {
+        let work = Duration::from_secs_f64(self.work_ms.sample(&mut self.rng) / 1000.0);
+        self.schedule(self.now + work.as_micros() as Micros, Event::Completes { server, write });
     }
 
-    /// A write has its answer, and its connection lies idle.
-    fn leave(&mut self, at: usize, number: usize, end: SendOutcome) {
+    fn complete(&mut self, server: usize, write: usize) {
+        self.servers[server].served += 1;
+        self.respond(server, write, SendOutcome::Success);
+        self.writes.remove(&write);
+        match self.servers[server].queue.pop_front() {
+            Some(next) => self.start_work(server, next),
+            None => self.servers[server].running -= 1,
+        }
+    }
+
+    /// The edge receives the response of a write, and its connection is idle.
+    fn respond(&mut self, server: usize, number: usize, outcome: SendOutcome) {
         let Some(write) = self.writes.get(&number) else { return };
-        let (edge, took) = (write.edge, Duration::from_micros(self.now - write.began));
+        let (edge, latency) = (write.edge, Duration::from_micros(self.now - write.sent_at));
         if let Some(id) = write.tried.last() {
-            self.origins[edge].heard(self.moment(), id, end, took);
-            self.origins[edge].exit(id);
+            let now = self.instant();
+            self.balancers[edge].heard(now, id, outcome, latency);
+            self.balancers[edge].exit(id);
         }
-        self.idle.entry((edge, at)).or_default().push(self.now);
-        let keep = (self.plan.writes.keep_s * 1e6) as Micros;
-        self.at(self.now + keep, Event::Closes { edge, server: at, since: self.now });
+        let idle_since = self.now;
+        self.idle.entry(ConnectionKey { edge, server }).or_default().push(idle_since);
+        let idle_timeout = (self.plan.writes.idle_timeout_s * MICROS_PER_S) as Micros;
+        self.schedule(idle_since + idle_timeout, Event::IdleTimeout { edge, server, idle_since });
     }
 
-    fn event(&mut self, event: Event) {
-        match event {
-            Event::Comes { edge } => {
-                let number = self.found.writes as usize;
-                self.found.writes += 1;
-                self.writes.insert(number, Write { edge, tried: Vec::new(), began: self.now });
-                self.send(number);
-            }
-            Event::Ends { server, write } => {
-                self.servers[server].served += 1;
-                self.leave(server, write, SendOutcome::Success);
-                self.writes.remove(&write);
-                match self.servers[server].waiting.pop_front() {
-                    Some(next) => self.work_on(server, next),
-                    None => self.servers[server].working -= 1,
-                }
-            }
-            Event::Closes { edge, server, since } => {
-                let Some(idle) = self.idle.get_mut(&(edge, server)) else { return };
-                if let Some(place) = idle.iter().position(|at| *at == since) {
-                    idle.remove(place);
-                    self.servers[server].connections -= 1;
-                }
-            }
+    fn close_idle(&mut self, key: ConnectionKey, idle_since: Micros) {
+        let Some(idle) = self.idle.get_mut(&key) else { return };
+        if let Some(index) = idle.iter().position(|since| *since == idle_since) {
+            idle.remove(index);
+            self.servers[key.server].connections -= 1;
+        }
+    }
+
+    fn report(&self, servers: &[Server], edge_hashes: &[u64]) -> WriteReport {
+        let served = || self.servers.iter().map(|server| server.served);
+        let mean = |sum: f64| (sum / servers.len() as f64).max(MIN_DIVISOR);
+        let share = |part: u64| part as f64 / self.arrived.max(1) as f64;
+        let busiest = served().max().unwrap_or(0) as f64;
+        let memberships = subset_memberships(servers, edge_hashes);
+        let most_subsets = memberships.iter().copied().max().unwrap_or(0);
+        let all_subsets: f64 = memberships.iter().map(|count| f64::from(*count)).sum();
+        WriteReport {
+            writes: self.arrived,
+            opened_per_write: share(self.opened),
+            max_connections: self.max_connections,
+            connections_over_limit: self.connections_over_limit,
+            busiest_over_mean: busiest / mean(served().sum::<u64>() as f64),
+            rejected_share: share(self.rejected),
+            failed_share: share(self.failed),
+            subsets_max_over_mean: f64::from(most_subsets) / mean(all_subsets),
         }
     }
 }
 
-fn server(plan: &FleetPlan, n: u32) -> Server {
+/// Returns how many subsets each server is in.
+fn subset_memberships(servers: &[Server], edge_hashes: &[u64]) -> Vec<u32> {
+    let subset_servers: Vec<_> =
+        servers.iter().map(|server| SubsetServer { id: &server.id, capacity: server.capacity }).collect();
+    let mut memberships = vec![0u32; servers.len()];
+    for server in subset::subsets(edge_hashes, &subset_servers).values().flatten() {
+        memberships[*server] += 1;
+    }
+    memberships
+}
+
+fn server(plan: &FleetPlan, number: u32) -> Server {
     Server {
-        id: format!("i-{n}"),
-        backend: SERVICE.into(),
-        addr: addr(n),
-        zone: "z".into(),
+        id: format!("i-{number}"),
+        backend: SERVICE_NAME.into(),
+        addr: server_address(number),
+        zone: ZONE_NAME.into(),
         capacity: plan.writes.slots,
         ready: true,
         warmup_left_ms: 0,
     }
 }
 
-pub fn play(plan: &FleetPlan, edges: u32) -> Writes {
-    // Any moment: the play only adds to it.
-    let began = Instant::now();
-    let servers: Vec<Server> = (0..plan.servers(edges)).map(|n| server(plan, n)).collect();
-    let names: Vec<String> = (0..edges).map(|n| format!("edge-{n}")).collect();
-    let mut marks: Vec<u64> = names.iter().map(|name| edge_hash(name)).collect();
-    marks.sort_unstable();
-    let origin = |name: &String| {
-        let origins = OriginBalancer::new("z", false, name);
-        origins.update(began, &servers, &marks);
-        origins
+/// Runs the writes of a fleet with this number of edges.
+pub fn run(plan: &FleetPlan, edges: u32) -> WriteReport {
+    let servers: Vec<Server> = (0..plan.servers(edges)).map(|number| server(plan, number)).collect();
+    let edge_names: Vec<String> = (0..edges).map(|number| format!("edge-{number}")).collect();
+    let mut edge_hashes: Vec<u64> = edge_names.iter().map(|name| edge_hash(name)).collect();
+    edge_hashes.sort_unstable();
+    // Any instant: virtual time is only added to it.
+    let began_at = Instant::now();
+    let balancer = |name: &String| {
+        let balancer = OriginBalancer::new(ZONE_NAME, false, name);
+        balancer.update(began_at, &servers, &edge_hashes);
+        balancer
     };
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
-    // `check` has seen to it that these laws exist.
-    let mean = plan.writes.work_ms.ln() - plan.writes.spread.powi(2) / 2.0;
-    let (Ok(work), Ok(pause)) = (LogNormal::new(mean, plan.writes.spread), Exp::new(plan.writes.per_s))
-    else {
-        return Writes::default();
+    // A plan that was checked has valid distributions.
+    let log_mean = plan.writes.work_ms.ln() - plan.writes.work_log_deviation.powi(2) / 2.0;
+    let Ok(work_ms) = LogNormal::new(log_mean, plan.writes.work_log_deviation) else {
+        return WriteReport::default();
     };
-    let emulated = |_: &Server| Emulated { working: 0, waiting: VecDeque::new(), connections: 0, served: 0 };
-    let mut play = Play {
+    let Ok(pauses) = Exp::new(plan.writes.per_s) else { return WriteReport::default() };
+    let mut run = WriteRun {
         plan,
-        began,
+        began_at,
         now: 0,
-        work,
+        rng: ChaCha8Rng::seed_from_u64(rng.random()),
+        work_ms,
         events: BinaryHeap::new(),
-        number: 0,
-        origins: names.iter().map(origin).collect(),
-        names: servers.iter().enumerate().map(|(at, server)| (server.id.clone(), at)).collect(),
-        servers: servers.iter().map(emulated).collect(),
+        scheduled: 0,
+        balancers: edge_names.iter().map(balancer).collect(),
+        server_index: servers.iter().zip(0..).map(|(server, index)| (server.id.clone(), index)).collect(),
+        servers: servers.iter().map(|_| EmulatedServer::default()).collect(),
         idle: HashMap::new(),
         writes: HashMap::new(),
-        found: Writes::default(),
+        arrived: 0,
         opened: 0,
-        turned_away: 0,
-        lost: 0,
-        rng: ChaCha8Rng::seed_from_u64(rng.random()),
+        max_connections: 0,
+        connections_over_limit: 0,
+        rejected: 0,
+        failed: 0,
     };
     for edge in 0..edges as usize {
-        let mut at = pause.sample(&mut rng);
-        while at < plan.seconds {
-            play.at((at * 1e6) as Micros, Event::Comes { edge });
-            at += pause.sample(&mut rng);
-        }
-    }
-    while let Some(Reverse((when, _, event))) = play.events.pop() {
-        play.now = when;
-        play.event(event);
-    }
-    play.found(&servers, &marks)
-}
-
-impl Play<'_> {
-    /// What the play came to.
-    fn found(&self, servers: &[Server], marks: &[u64]) -> Writes {
-        let served = self.servers.iter().map(|server| server.served);
-        let (most, all) = (served.clone().max().unwrap_or(0), served.sum::<u64>());
-        let places: Vec<_> =
-            servers.iter().map(|server| SubsetServer { id: &server.id, capacity: server.capacity }).collect();
-        let mut holders = vec![0u32; servers.len()];
-        subset::subsets(marks, &places).values().flatten().for_each(|at| holders[*at] += 1);
-        let mean = |sum: f64| sum / servers.len() as f64;
-        let of_all = |part: u64| part as f64 / self.found.writes.max(1) as f64;
-        Writes {
-            opened_per_write: of_all(self.opened),
-            turned_away: of_all(self.turned_away),
-            not_served: of_all(self.lost),
-            busiest: most as f64 / mean(all as f64).max(1e-9),
-            subset_most: f64::from(holders.iter().copied().max().unwrap_or(0))
-                / mean(holders.iter().map(|holders| f64::from(*holders)).sum()).max(1e-9),
-            ..self.found.clone()
+        let mut at_s = pauses.sample(&mut rng);
+        while at_s < plan.seconds {
+            run.schedule((at_s * MICROS_PER_S) as Micros, Event::Arrives { edge });
+            at_s += pauses.sample(&mut rng);
         }
     }
+    run.run();
+    run.report(&servers, &edge_hashes)
 }
--- a/experiments/src/hollow/nodes.rs
+++ b/experiments/src/hollow/nodes.rs
@@ -1,167 +1,149 @@
-//! Hollow nodes: what an agent and its edge are to control, and nothing else. Each has a real session, takes what it is
-//! pushed, says what it has applied, and turns to another control node when its own is lost. Many to a thread.
+//! Hollow nodes: what an agent and its edge are to control, and nothing else. Each has a real session, applies what it is
+//! pushed, acknowledges it, and connects to another control node when its session is lost. Many share a thread.
 
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
-use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::Arc;
+use std::thread::JoinHandle;
+use std::time::Duration;
 
 use glenfall::session::lease::HeldLease;
 use glenfall::session::link::{self, Outbox};
 use glenfall::session::subscriber;
 use glenfall_control_plane::fleet::{edge_hash, VersionedFleet};
 use glenfall_control_plane::messages::{
-    AgedPurge, ConnectionOpening, Member, ProxyRole, PublisherMessage, Purge, SubscriberMessage, Update,
+    ConnectionOpening, Member, ProxyRole, PublisherMessage, SubscriberMessage, Update,
 };
 use tokio::sync::{mpsc, Notify};
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::sleep;
 
-/// Pauses before control is called again, as an agent has them.
-const PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// Counters of an edge and its agent, about so many.
-const COUNTERS: usize = 40;
-/// Nodes that share themselves out move within this time.
-pub const MOVES: Duration = Duration::from_secs(5);
-/// A node that is started again is away for so long.
-const AWAY: Duration = Duration::from_millis(300);
-/// What labels of purges begin with; a number follows.
-pub const LABEL: &str = "hollow-";
-/// Numbers of purges that are counted.
-const MOST_PURGES: usize = 1 << 16;
-
-/// What all nodes of a run have seen.
-pub struct Seen {
-    began: Instant,
-    /// Nodes that have heard all they need to serve, and those of them that know every server and every edge.
-    pub in_touch: AtomicU32,
-    pub know_all: AtomicU32,
-    /// Sessions lost since the start.
-    pub lost: AtomicU32,
-    /// Which nodes have taken each purge: a bit for each.
-    purges: Vec<Vec<AtomicU64>>,
-    contacts: Vec<Contact>,
-    /// Versions as they were taken, and when, in seconds of the run.
-    applied: Mutex<Vec<(u64, f64)>>,
-    servers: usize,
-    edges: usize,
-}
+use super::observations::Observations;
 
-/// What a node knows of its own contact.
-#[derive(Default)]
-struct Contact {
-    /// It takes its session for alive.
-    in_touch: AtomicBool,
-    /// Until when it may serve from copies, in microseconds of the run.
-    lease_until: AtomicU64,
+/// Threads that the nodes are distributed over: a quarter of the cores that the largest runs are meant for, less the one
+/// of this process's main thread.
+const NODE_THREADS: u32 = 3;
+/// The first pause before control is called again, as agents have it.
+const RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
+/// The longest pause before control is called again, as agents have it.
+const MAX_RECONNECT_BACKOFF: Duration = Duration::from_millis(800);
+/// Counters of an edge and its agent, about this many.
+const COUNTERS_PER_NODE: usize = 40;
+/// The value of each counter.
+const COUNTER_VALUE: u64 = 100_000;
+/// Nodes that distribute themselves move to their control node within this time.
+pub const MAX_MOVE_DELAY: Duration = Duration::from_secs(5);
+/// A node that is restarted is away for this time.
+const RESTART_TIME: Duration = Duration::from_millis(300);
+
+/// Where control is, and how nodes choose a control node.
+#[derive(Clone)]
+pub struct ControlAccess {
+    /// The control nodes that settings name.
+    pub seeds: Vec<Ipv4Addr>,
+    /// The port of sessions.
+    pub port: u16,
+    /// The zones of the nodes.
+    pub zones: u8,
+    /// Whether nodes distribute themselves over all control nodes that they know: a trial of what agents do not do yet.
+    pub distributed: bool,
 }
 
-/// Nodes that had not taken a purge when it was acknowledged.
-#[derive(Clone, Copy, Default)]
-pub struct Early {
-    /// They could serve from copies.
-    pub leased: u32,
-    /// They took their sessions for alive, whatever their leases.
-    pub in_touch: u32,
+/// The numbers of the nodes of one thread.
+#[derive(Clone, Copy)]
+struct NodeNumbers {
+    first: u32,
+    /// All nodes of the run.
+    all: u32,
 }
 
-impl Seen {
-    pub fn new(servers: u32, nodes: u32, edges: u32) -> Arc<Seen> {
-        let words = nodes.div_ceil(u64::BITS);
-        Arc::new(Seen {
-            began: Instant::now(),
-            in_touch: AtomicU32::new(0),
-            know_all: AtomicU32::new(0),
-            lost: AtomicU32::new(0),
-            purges: (0..MOST_PURGES).map(|_| (0..words).map(|_| AtomicU64::new(0)).collect()).collect(),
-            contacts: (0..nodes).map(|_| Contact::default()).collect(),
-            applied: Mutex::default(),
-            servers: servers as usize,
-            edges: edges as usize,
-        })
+impl NodeNumbers {
+    fn iter(self) -> impl Iterator<Item = u32> {
+        (self.first..self.all).step_by(NODE_THREADS as usize)
     }
 
-    /// Seconds of the run.
-    pub fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64()
+    /// Returns the index of a node among those of the thread.
+    fn index_of(self, number: u32) -> usize {
+        (number.saturating_sub(self.first) / NODE_THREADS) as usize
     }
+}
 
-    fn microseconds(&self, at: Instant) -> u64 {
-        at.saturating_duration_since(self.began).as_micros() as u64
-    }
+/// Threads of hollow nodes, which end when this is dropped.
+pub struct NodeThreads {
+    access: ControlAccess,
+    observations: Arc<Observations>,
+    nodes: u32,
+    running: RefCell<RunningThreads>,
+}
 
-    /// Counts nodes that have not taken a purge that has just been acknowledged. Contact is read before what was taken,
-    /// as nodes write it after.
-    pub fn early(&self, number: usize) -> Early {
-        let mut early = Early::default();
-        let now = self.microseconds(Instant::now());
-        for (node, contact) in self.contacts.iter().enumerate() {
-            let in_touch = contact.in_touch.load(Ordering::SeqCst);
-            let leased = in_touch && now < contact.lease_until.load(Ordering::SeqCst);
-            if in_touch && !self.took_purge(number, node) {
-                early.in_touch += 1;
-                early.leased += u32::from(leased);
-            }
+#[derive(Default)]
+struct RunningThreads {
+    restarts: Vec<mpsc::UnboundedSender<u32>>,
+    threads: Vec<JoinHandle<std::io::Result<()>>>,
+}
+
+impl NodeThreads {
+    /// Prepares the threads of a number of nodes; none runs yet.
+    pub fn new(access: &ControlAccess, observations: &Arc<Observations>, nodes: u32) -> NodeThreads {
+        NodeThreads {
+            access: access.clone(),
+            observations: Arc::clone(observations),
+            nodes,
+            running: RefCell::default(),
         }
-        early
     }
 
-    fn took_purge(&self, number: usize, node: usize) -> bool {
-        let taken = self.purges.get(number).and_then(|nodes| nodes.get(node / u64::BITS as usize));
-        taken.is_some_and(|word| word.load(Ordering::SeqCst) >> (node % u64::BITS as usize) & 1 == 1)
+    /// Starts all nodes.
+    pub fn start(&self) {
+        let mut running = self.running.borrow_mut();
+        for first in 0..NODE_THREADS {
+            let (restart, restarts) = mpsc::unbounded_channel();
+            let (access, observations) = (self.access.clone(), Arc::clone(&self.observations));
+            let numbers = NodeNumbers { first, all: self.nodes };
+            let run = move || run_nodes(&access, &observations, numbers, restarts);
+            running.threads.push(std::thread::spawn(run));
+            running.restarts.push(restart);
+        }
     }
 
-    /// When nodes took a version.
-    pub fn took_version(&self, rev: u64) -> Vec<f64> {
-        let applied = self.applied.lock().unwrap_or_else(|broken| broken.into_inner());
-        applied.iter().filter(|(taken, _)| *taken == rev).map(|(_, at)| *at).collect()
+    /// Restarts a node.
+    pub fn restart(&self, number: u32) {
+        let thread = (number % NODE_THREADS) as usize;
+        // A thread that has ended shows in the number of nodes in contact.
+        let _ = self.running.borrow().restarts[thread].send(number);
     }
+}
 
-    /// Notes what a node takes.
-    fn purged(&self, purges: &[AgedPurge], node: usize) {
-        for aged in purges {
-            let Purge::Label(label) = &aged.purge else { continue };
-            let number = label.strip_prefix(LABEL).and_then(|number| number.parse::<usize>().ok());
-            let nodes = number.and_then(|number| self.purges.get(number));
-            if let Some(word) = nodes.and_then(|nodes| nodes.get(node / u64::BITS as usize)) {
-                word.fetch_or(1 << (node % u64::BITS as usize), Ordering::SeqCst);
+impl Drop for NodeThreads {
+    fn drop(&mut self) {
+        let running = self.running.get_mut();
+        running.restarts.clear();
+        for thread in running.threads.drain(..) {
+            if !matches!(thread.join(), Ok(Ok(()))) {
+                eprintln!("a thread of hollow nodes broke");
             }
         }
     }
 }
 
-/// Where control is.
-#[derive(Clone)]
-pub struct Control {
-    pub seeds: Vec<Ipv4Addr>,
-    pub port: u16,
-    pub zones: u8,
-    /// Nodes share themselves out over all control nodes that they have heard of: a trial of what agents don't do yet.
-    pub spread: bool,
-}
-
-/// Nodes of one thread: those whose numbers are `first`, `first + step` and so on below `all`. Ends when `restarts` does;
-/// it names nodes that start again.
-pub fn run(
-    control: Control,
-    seen: Arc<Seen>,
-    (first, step, all): (u32, u32, u32),
+/// Runs the nodes of one thread until `restarts` ends, which names nodes to restart.
+fn run_nodes(
+    access: &ControlAccess,
+    observations: &Arc<Observations>,
+    numbers: NodeNumbers,
     mut restarts: mpsc::UnboundedReceiver<u32>,
 ) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
-        let nodes: Vec<Rc<Node>> = (first..all)
-            .step_by(step as usize)
-            .map(|number| Rc::new(Node::new(number, control.clone(), Arc::clone(&seen))))
-            .collect();
+        let node = |number| Rc::new(HollowNode::new(number, access.clone(), Arc::clone(observations)));
+        let nodes: Vec<Rc<HollowNode>> = numbers.iter().map(node).collect();
         for node in &nodes {
             spawn_local(Rc::clone(node).run());
         }
         while let Some(number) = restarts.recv().await {
-            if let Some(node) = nodes.get(((number.saturating_sub(first)) / step) as usize) {
+            if let Some(node) = nodes.get(numbers.index_of(number)) {
                 node.restart.notify_one();
             }
         }
@@ -169,43 +151,57 @@
     Ok(())
 }
 
+/// What a node knows from its session.
 #[derive(Default)]
-struct Known {
+struct Knowledge {
     rev: u64,
     fleet: VersionedFleet,
     fleet_known: bool,
     controls: Vec<Ipv4Addr>,
-    in_touch: bool,
-    /// As they are counted in `Seen`.
-    counted: (bool, bool),
+    in_contact: bool,
+    counted: CountedAs,
+}
+
+impl Knowledge {
+    fn is_ready(&self) -> bool {
+        self.rev > 0 && self.fleet_known
+    }
 }
 
-struct Node {
+/// How a node is counted in the observations.
+#[derive(Clone, Copy, Default)]
+struct CountedAs {
+    in_contact: bool,
+    knows_everything: bool,
+}
+
+struct HollowNode {
     number: usize,
     name: String,
     zone: String,
-    control: Control,
-    seen: Arc<Seen>,
-    known: RefCell<Known>,
+    access: ControlAccess,
+    observations: Arc<Observations>,
+    knowledge: RefCell<Knowledge>,
     lease: HeldLease,
-    changed: Notify,
+    /// Notified when the node becomes ready, which its session reports.
+    became_ready: Notify,
     restart: Notify,
-    moved: Cell<bool>,
+    has_moved: Cell<bool>,
 }
 
-impl Node {
-    fn new(number: u32, control: Control, seen: Arc<Seen>) -> Node {
-        Node {
+impl HollowNode {
+    fn new(number: u32, access: ControlAccess, observations: Arc<Observations>) -> HollowNode {
+        HollowNode {
             number: number as usize,
             name: format!("hollow-{number:04}"),
-            zone: format!("zone-{}", number % u32::from(control.zones.max(1)) + 1),
-            control,
-            seen,
-            known: RefCell::default(),
+            zone: format!("zone-{}", number % u32::from(access.zones.max(1)) + 1),
+            access,
+            observations,
+            knowledge: RefCell::default(),
             lease: HeldLease::default(),
-            changed: Notify::new(),
+            became_ready: Notify::new(),
             restart: Notify::new(),
-            moved: Cell::new(false),
+            has_moved: Cell::new(false),
         }
     }
 
@@ -214,152 +210,181 @@
             tokio::select! {
                 () = self.follow_control() => {}
                 () = self.restart.notified() => {
-                    self.count_lost();
-                    self.known.take();
-                    self.moved.set(false);
-                    sleep(AWAY).await;
+                    self.lose_contact();
+                    self.knowledge.take();
+                    self.has_moved.set(false);
+                    sleep(RESTART_TIME).await;
                 }
             }
         }
     }
 
-    /// Calls control nodes in the order in which an agent does.
+    // ---- Sessions ----
+
+    /// Calls control nodes in the order in which an agent does, and follows the one that answers.
     async fn follow_control(&self) {
-        let mut pause = PAUSE;
-        let mut turn = match self.control.spread {
+        let mut pause = RECONNECT_BACKOFF;
+        let mut first = match self.access.distributed {
             true => 0,
             false => self.name.bytes().map(usize::from).sum::<usize>(),
         };
         loop {
             let controls = self.controls();
-            let mut met = false;
-            for step in 0..controls.len() {
-                let addr = controls[(turn + step) % controls.len()];
-                let Ok((read, write)) = link::open(addr, &ConnectionOpening::Session).await else { continue };
-                met = true;
-                let outbox = Outbox::start(write);
-                let take = async |down| self.take(down);
-                let frames = link::FrameReader::new(read);
-                let (hello, now) = (|| self.hello(), || self.lease.now());
-                tokio::select! {
-                    () = self.moves(addr) => {}
-                    () = subscriber::follow(frames, outbox.clone(), hello, now, &self.changed, take) => {}
-                    () = subscriber::send_reports(&outbox, report) => {}
+            let mut was_connected = false;
+            for offset in 0..controls.len() {
+                let control = controls[(first + offset) % controls.len()];
+                if self.follow(control).await {
+                    was_connected = true;
+                    first = if self.access.distributed { 0 } else { first + offset + 1 };
+                    break;
                 }
-                self.seen.lost.fetch_add(1, Ordering::Relaxed);
-                self.count_lost();
-                // Nothing below it serves from copies.
-                let _ = outbox.send(SubscriberMessage::LeaseReleased);
-                turn = if self.control.spread { 0 } else { turn + step + 1 };
-                break;
             }
-            pause = if met { PAUSE } else { (pause * 2).min(LONGEST_PAUSE) };
+            pause = if was_connected { RECONNECT_BACKOFF } else { (pause * 2).min(MAX_RECONNECT_BACKOFF) };
             sleep(pause).await;
         }
     }
 
+    /// Connects to a control node, and follows it until the session is lost; false where it can't be connected to.
+    async fn follow(&self, control: SocketAddrV4) -> bool {
+        let Ok((read, write)) = link::open(control, &ConnectionOpening::Session).await else { return false };
+        let outbox = Outbox::start(write);
+        let apply = async |message| self.apply(message);
+        let frames = link::FrameReader::new(read);
+        let (hello, now) = (|| self.hello(), || self.lease.now());
+        tokio::select! {
+            () = self.wait_for_move(control) => {}
+            () = subscriber::follow(frames, outbox.clone(), hello, now, &self.became_ready, apply) => {}
+            () = subscriber::send_reports(&outbox, counters) => {}
+        }
+        self.observations.lost_sessions.fetch_add(1, Ordering::Relaxed);
+        self.lose_contact();
+        // A hollow node serves no stored responses: its lease may be released at once.
+        let _ = outbox.send(SubscriberMessage::LeaseReleased);
+        true
+    }
+
+    /// Returns the control nodes in the order in which the node calls them.
     fn controls(&self) -> Vec<SocketAddrV4> {
-        let known = self.known.borrow();
-        let mut addrs: Vec<SocketAddrV4> = Vec::new();
-        for ip in known.controls.iter().chain(&self.control.seeds) {
-            let addr = SocketAddrV4::new(*ip, self.control.port);
-            if !addrs.contains(&addr) {
-                addrs.push(addr);
+        let knowledge = self.knowledge.borrow();
+        let mut controls: Vec<SocketAddrV4> = Vec::new();
+        for ip in knowledge.controls.iter().chain(&self.access.seeds) {
+            let address = SocketAddrV4::new(*ip, self.access.port);
+            if !controls.contains(&address) {
+                controls.push(address);
             }
         }
-        if self.control.spread {
-            // By the highest of what names make together: each node has an order of its own.
-            addrs.sort_by_key(|addr| edge_hash(&format!("{}{}", self.name, addr.ip())));
+        if self.access.distributed {
+            // Rendezvous hashing: each node has an order of its own.
+            controls.sort_by_key(|address| edge_hash(&format!("{}{}", self.name, address.ip())));
         }
-        addrs
+        controls
     }
 
-    /// Ends once this node should be elsewhere, at a moment of its own.
-    async fn moves(&self, here: SocketAddrV4) {
-        // Once: whoever would go back to a node that is gone again and again brings no session to rest.
-        if !self.control.spread || self.moved.get() {
+    /// Waits until the node should move to another control node than `current`, after a delay of its own.
+    async fn wait_for_move(&self, current: SocketAddrV4) {
+        // A node moves once: if it returned to a control node that fails repeatedly, its session would never be stable.
+        if !self.access.distributed || self.has_moved.get() {
             return std::future::pending().await;
         }
-        while self.known.borrow().controls.is_empty() || self.controls().first() == Some(&here) {
-            sleep(LONGEST_PAUSE).await;
+        while self.knowledge.borrow().controls.is_empty() || self.controls().first() == Some(&current) {
+            sleep(MAX_RECONNECT_BACKOFF).await;
         }
-        let part = (edge_hash(&self.name) >> 11) as f64 / (1u64 << 53) as f64;
-        sleep(MOVES.mul_f64(part)).await;
-        self.moved.set(true);
+        // The highest 53 bits of a hash are a fraction that an f64 holds exactly.
+        let fraction = (edge_hash(&self.name) >> 11) as f64 / (1u64 << 53) as f64;
+        sleep(MAX_MOVE_DELAY.mul_f64(fraction)).await;
+        self.has_moved.set(true);
     }
 
     fn hello(&self) -> SubscriberMessage {
-        let known = self.known.borrow();
         let member = Member {
             node: self.name.clone(),
             zone: self.zone.clone(),
             proxy: ProxyRole::Edge,
-            // Nobody calls it.
+            // No request is sent to it.
             http: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1),
-            ready: known.rev > 0 && known.fleet_known,
+            ready: self.knowledge.borrow().is_ready(),
             incarnation: 1,
         };
         SubscriberMessage::Hello { node: self.name.clone(), member: Some(member) }
     }
 
-    fn take(&self, down: PublisherMessage) -> bool {
-        let mut known = self.known.borrow_mut();
-        let was_ready = known.rev > 0 && known.fleet_known;
-        match down {
-            PublisherMessage::ControlNodes(controls) => known.controls = controls,
-            PublisherMessage::Push { update: Update::Config { rev, .. }, .. } if rev > known.rev => {
-                known.rev = rev;
-                let at = self.seen.now();
-                self.seen.applied.lock().unwrap_or_else(|broken| broken.into_inner()).push((rev, at));
-            }
-            PublisherMessage::Push { update: Update::Fleet(told), .. } => {
-                if known.fleet.apply_update(told).is_err() {
+    // ---- Messages ----
+
+    /// Applies a message of control; false where it can't be applied.
+    fn apply(&self, message: PublisherMessage) -> bool {
+        let mut knowledge = self.knowledge.borrow_mut();
+        let was_ready = knowledge.is_ready();
+        match message {
+            PublisherMessage::ControlNodes(controls) => knowledge.controls = controls,
+            PublisherMessage::Push { update, .. } => {
+                if !self.apply_update(&mut knowledge, update) {
                     return false;
                 }
-                known.fleet_known = true;
             }
-            PublisherMessage::Push { update: Update::Purges(purges), .. } => {
-                self.seen.purged(&purges, self.number);
-            }
-            PublisherMessage::Push { update: Update::Connected(yes), .. } => known.in_touch = yes,
-            PublisherMessage::LeaseGranted { sent_at, duration: lasts } => self.lease.renew(sent_at, lasts),
-            PublisherMessage::Push { .. } | PublisherMessage::Draining | PublisherMessage::Ping => {}
+            PublisherMessage::LeaseGranted { sent_at, duration } => self.lease.renew(sent_at, duration),
+            PublisherMessage::Draining | PublisherMessage::Ping => {}
         }
-        if !was_ready && known.rev > 0 && known.fleet_known {
-            self.changed.notify_one();
+        if !was_ready && knowledge.is_ready() {
+            self.became_ready.notify_one();
         }
-        self.count(&mut known);
+        self.count(&mut knowledge);
         true
     }
 
-    fn count(&self, known: &mut Known) {
-        let fleet = known.fleet.fleet();
-        let in_touch = known.in_touch && known.rev > 0 && known.fleet_known;
-        let whole = fleet.complete && fleet.servers.len() >= self.seen.servers;
-        let know_all = in_touch && whole && fleet.edges.len() >= self.seen.edges;
-        let set = |count: &AtomicU32, was: bool, is: bool| match (was, is) {
-            (false, true) => drop(count.fetch_add(1, Ordering::Relaxed)),
-            (true, false) => drop(count.fetch_sub(1, Ordering::Relaxed)),
+    fn apply_update(&self, knowledge: &mut Knowledge, update: Update) -> bool {
+        match update {
+            Update::Config { rev, .. } if rev > knowledge.rev => {
+                knowledge.rev = rev;
+                self.observations.add_applied(rev);
+            }
+            Update::Fleet(update) => {
+                if knowledge.fleet.apply_update(update).is_err() {
+                    return false;
+                }
+                knowledge.fleet_known = true;
+            }
+            Update::Purges(purges) => self.observations.add_purges(&purges, self.number),
+            Update::Connected(connected) => knowledge.in_contact = connected,
             _ => {}
-        };
-        set(&self.seen.in_touch, known.counted.0, in_touch);
-        set(&self.seen.know_all, known.counted.1, know_all);
-        known.counted = (in_touch, know_all);
-        if let Some(contact) = self.seen.contacts.get(self.number) {
-            let until = self.seen.microseconds(self.lease.until().into_std());
-            contact.lease_until.store(until, Ordering::SeqCst);
-            contact.in_touch.store(in_touch, Ordering::SeqCst);
         }
+        true
+    }
+
+    // ---- Observations ----
+
+    fn count(&self, knowledge: &mut Knowledge) {
+        let fleet = knowledge.fleet.fleet();
+        let in_contact = knowledge.in_contact && knowledge.is_ready();
+        let fleet_is_complete =
+            fleet.complete && self.observations.is_everything(fleet.servers.len(), fleet.edges.len());
+        let counted = CountedAs { in_contact, knows_everything: in_contact && fleet_is_complete };
+        let before = std::mem::replace(&mut knowledge.counted, counted);
+        update_count(&self.observations.in_contact, before.in_contact, counted.in_contact);
+        update_count(&self.observations.know_everything, before.knows_everything, counted.knows_everything);
+        self.observations.set_contact(self.number, in_contact, self.lease.until().into_std());
     }
 
-    fn count_lost(&self) {
-        let mut known = self.known.borrow_mut();
-        known.in_touch = false;
+    fn lose_contact(&self) {
+        let mut knowledge = self.knowledge.borrow_mut();
+        knowledge.in_contact = false;
         self.lease.end();
-        self.count(&mut known);
+        self.count(&mut knowledge);
+    }
+}
+
+fn update_count(count: &AtomicU32, was_counted: bool, is_counted: bool) {
+    match (was_counted, is_counted) {
+        (false, true) => {
+            count.fetch_add(1, Ordering::Relaxed);
+        }
+        (true, false) => {
+            count.fetch_sub(1, Ordering::Relaxed);
+        }
+        _ => {}
     }
 }
 
-fn report() -> Vec<(String, u64)> {
-    (0..COUNTERS).map(|n| (format!("hollow_counter_{n:02}"), 100_000)).collect()
+/// Returns the counters that a node reports.
+fn counters() -> Vec<(String, u64)> {
+    (0..COUNTERS_PER_NODE).map(|number| (format!("hollow_counter_{number:02}"), COUNTER_VALUE)).collect()
 }
--- /dev/null
+++ b/experiments/src/hollow/observations.rs
@@ -0,0 +1,150 @@
+//! What all hollow nodes of a run observe: contact, versions and purges. Nodes of several threads write it.
+
+use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Instant;
+
+use glenfall_control_plane::messages::{AgedPurge, Purge};
+
+/// What the labels of purges begin with; a number follows.
+pub const PURGE_LABEL_PREFIX: &str = "hollow-";
+/// Purges with higher numbers are not counted.
+const MAX_PURGES: usize = 1 << 16;
+const BITS: usize = u64::BITS as usize;
+
+/// What a node knows of its own contact.
+#[derive(Default)]
+struct Contact {
+    /// Whether it takes its session for alive.
+    in_contact: AtomicBool,
+    /// When its lease ends, by which it may serve stored responses, in microseconds of the run.
+    lease_until: AtomicU64,
+}
+
+/// A version that a node applied.
+#[derive(Clone, Copy)]
+struct AppliedVersion {
+    rev: u64,
+    /// Seconds of the run.
+    at: f64,
+}
+
+/// How many nodes had not applied a purge when it was acknowledged.
+#[derive(Clone, Copy, Default)]
+pub struct EarlyAcknowledgement {
+    /// Nodes that could serve stored responses.
+    pub leased: u32,
+    /// Nodes that took their sessions for alive, whatever their leases.
+    pub in_contact: u32,
+}
+
+/// What all nodes of a run have observed.
+pub struct Observations {
+    began_at: Instant,
+    /// Nodes that have received all that they need to serve.
+    pub in_contact: AtomicU32,
+    /// Those of them that know every server and every edge.
+    pub know_everything: AtomicU32,
+    /// Sessions that were lost since the start.
+    pub lost_sessions: AtomicU32,
+    /// Which nodes have applied each purge: a bit for each node.
+    purges: Vec<Vec<AtomicU64>>,
+    contacts: Vec<Contact>,
+    applied: Mutex<Vec<AppliedVersion>>,
+    servers: usize,
+    edges: usize,
+}
+
+impl Observations {
+    /// Begins a run with this number of servers, hollow nodes, and edges, hollow and real ones.
+    pub fn new(servers: u32, nodes: u32, edges: u32) -> Arc<Observations> {
+        let words = nodes.div_ceil(u64::BITS);
+        let no_nodes = || (0..words).map(|_| AtomicU64::new(0)).collect();
+        Arc::new(Observations {
+            began_at: Instant::now(),
+            in_contact: AtomicU32::new(0),
+            know_everything: AtomicU32::new(0),
+            lost_sessions: AtomicU32::new(0),
+            purges: (0..MAX_PURGES).map(|_| no_nodes()).collect(),
+            contacts: (0..nodes).map(|_| Contact::default()).collect(),
+            applied: Mutex::default(),
+            servers: servers as usize,
+            edges: edges as usize,
+        })
+    }
+
+    /// Returns the seconds of the run.
+    pub fn now(&self) -> f64 {
+        self.began_at.elapsed().as_secs_f64()
+    }
+
+    /// Whether these are all servers and edges.
+    pub fn is_everything(&self, servers: usize, edges: usize) -> bool {
+        servers >= self.servers && edges >= self.edges
+    }
+
+    // ---- Contact ----
+
+    fn microseconds(&self, at: Instant) -> u64 {
+        at.saturating_duration_since(self.began_at).as_micros() as u64
+    }
+
+    /// Notes the contact of a node, and when its lease ends.
+    pub fn set_contact(&self, node: usize, in_contact: bool, lease_until: Instant) {
+        let Some(contact) = self.contacts.get(node) else { return };
+        contact.lease_until.store(self.microseconds(lease_until), Ordering::SeqCst);
+        contact.in_contact.store(in_contact, Ordering::SeqCst);
+    }
+
+    // ---- Versions ----
+
+    /// Notes that a node has applied a version.
+    pub fn add_applied(&self, rev: u64) {
+        let applied = AppliedVersion { rev, at: self.now() };
+        self.applied.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push(applied);
+    }
+
+    /// Returns when nodes applied a version, in seconds of the run.
+    pub fn applied_at(&self, rev: u64) -> Vec<f64> {
+        let applied = self.applied.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        applied.iter().filter(|version| version.rev == rev).map(|version| version.at).collect()
+    }
+
+    // ---- Purges ----
+
+    /// Notes the purges that a node applies.
+    pub fn add_purges(&self, purges: &[AgedPurge], node: usize) {
+        for purge in purges {
+            let Purge::Label(label) = &purge.purge else { continue };
+            let number = label.strip_prefix(PURGE_LABEL_PREFIX).and_then(|number| number.parse().ok());
+            if let Some(word) = number.and_then(|number| self.purge_word(number, node)) {
+                word.fetch_or(1 << (node % BITS), Ordering::SeqCst);
+            }
+        }
+    }
+
+    fn purge_word(&self, number: usize, node: usize) -> Option<&AtomicU64> {
+        self.purges.get(number)?.get(node / BITS)
+    }
+
+    fn has_purged(&self, number: usize, node: usize) -> bool {
+        let word = self.purge_word(number, node);
+        word.is_some_and(|word| word.load(Ordering::SeqCst) >> (node % BITS) & 1 == 1)
+    }
+
+    /// Counts the nodes that have not applied a purge which has just been acknowledged. Contact is read before the purges,
+    /// as nodes write it after them.
+    pub fn early_acknowledgement(&self, number: usize) -> EarlyAcknowledgement {
+        let mut early = EarlyAcknowledgement::default();
+        let now = self.microseconds(Instant::now());
+        for (node, contact) in self.contacts.iter().enumerate() {
+            let in_contact = contact.in_contact.load(Ordering::SeqCst);
+            let leased = in_contact && now < contact.lease_until.load(Ordering::SeqCst);
+            if in_contact && !self.has_purged(number, node) {
+                early.in_contact += 1;
+                early.leased += u32::from(leased);
+            }
+        }
+        early
+    }
+}
--- /dev/null
+++ b/experiments/src/hollow/phases.rs
@@ -0,0 +1,223 @@
+//! The phases of a size: start, rest, changes, purges, restarts, and the loss of a control process.
+
+use std::cell::Cell;
+use std::future::Future;
+use std::rc::Rc;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::Duration;
+
+use glenfall::operator::commands::{self, ControlAddresses};
+use glenfall::operator::local_system::LocalSystem;
+use nix::sys::signal::{kill, Signal};
+use nix::unistd::Pid;
+use serde_json::Value;
+use tokio::time::{sleep, Instant};
+
+use super::measurement::{LinkBytes, Sample};
+use super::nodes::NodeThreads;
+use super::observations::Observations;
+use super::report::PhaseReport;
+use super::usage::Usage;
+use super::waiting::{milliseconds_since, wait_until, READY_TIMEOUT};
+use super::workload::{change_config, purge, OperatorMeasurements, HEARTBEAT_INTERVAL};
+
+/// Pause between phases, so that one does not run into the next.
+const PHASE_PAUSE: Duration = Duration::from_secs(2);
+/// The machine whose control process is killed: the first seed, which is the head of the chain as a rule, and where
+/// sessions would concentrate if they did.
+pub const LOST_MACHINE: &str = "core-1";
+/// Every node with a number that is a multiple of this is restarted, so that restarts are distributed over all nodes.
+const RESTART_STEP: usize = 7;
+
+/// A system with hollow nodes.
+pub struct HollowRun {
+    /// The system.
+    pub local: LocalSystem,
+    /// Its control nodes.
+    pub controls: ControlAddresses,
+    /// What the hollow nodes observe.
+    pub observations: Arc<Observations>,
+    /// How many hollow nodes there are.
+    pub nodes: u32,
+    /// Heartbeats of servers that no control node accepted.
+    pub failed_heartbeats: Rc<Cell<u32>>,
+}
+
+/// How sessions are distributed over the control nodes.
+pub struct SessionDistribution {
+    /// The most sessions of a control node.
+    pub max: usize,
+    /// The least sessions of a control node.
+    pub min: usize,
+}
+
+impl HollowRun {
+    // ---- Phases ----
+
+    /// Starts all nodes at once, and waits until each knows everything.
+    pub async fn start(&self, threads: &NodeThreads) -> PhaseReport {
+        let before = self.sample();
+        let links_before = self.link_bytes().await;
+        let began_at = Instant::now();
+        threads.start();
+        let in_contact_ms = wait_until(READY_TIMEOUT, || self.all_in_contact()).await;
+        wait_until(READY_TIMEOUT, || self.all_know_everything()).await;
+        let measurements = OperatorMeasurements {
+            acknowledged: in_contact_ms.into_iter().collect(),
+            applied: vec![milliseconds_since(began_at)],
+            failed: u32::from(!self.all_know_everything()),
+            ..OperatorMeasurements::default()
+        };
+        self.report("start", &before, links_before, measurements).await
+    }
+
+    /// Does nothing.
+    pub async fn rest(&self, duration: Duration) -> OperatorMeasurements {
+        sleep(duration).await;
+        OperatorMeasurements::default()
+    }
+
+    /// Changes the configuration, beginning with the version after `first_rev`.
+    pub async fn change(&self, first_rev: u64, per_s: f64, duration: Duration) -> OperatorMeasurements {
+        let changes =
+            change_config(&self.controls, &self.observations, self.nodes, first_rev, per_s, duration);
+        changes.await.unwrap_or_else(|error| {
+            eprintln!("{} nodes: a change failed: {error}", self.nodes);
+            OperatorMeasurements { failed: 1, ..OperatorMeasurements::default() }
+        })
+    }
+
+    /// Purges; `next` is the number of the next purge.
+    pub async fn purge(&self, next: &Cell<usize>, per_s: f64, duration: Duration) -> OperatorMeasurements {
+        purge(&self.controls, &self.observations, next, per_s, duration).await
+    }
+
+    /// Restarts nodes, and waits until all are in contact.
+    pub async fn restart(
+        &self,
+        threads: &NodeThreads,
+        per_s: f64,
+        duration: Duration,
+    ) -> OperatorMeasurements {
+        let pause = Duration::from_secs_f64(1.0 / per_s);
+        let began_at = Instant::now();
+        for number in (0..self.nodes).step_by(RESTART_STEP) {
+            if began_at.elapsed() >= duration {
+                break;
+            }
+            threads.restart(number);
+            sleep(pause).await;
+        }
+        let in_contact_ms = wait_until(READY_TIMEOUT, || self.all_in_contact()).await;
+        OperatorMeasurements {
+            acknowledged: in_contact_ms.into_iter().collect(),
+            ..OperatorMeasurements::default()
+        }
+    }
+
+    /// Kills a control process while purges go on, and waits until its sessions are at other nodes.
+    pub async fn lose_control(
+        &self,
+        next_purge: &Cell<usize>,
+        purges_per_s: f64,
+        duration: Duration,
+    ) -> OperatorMeasurements {
+        let purges = self.purge(next_purge, purges_per_s, duration);
+        let (measurements, moved_ms) = tokio::join!(purges, self.kill_control());
+        OperatorMeasurements { applied: moved_ms.into_iter().collect(), ..measurements }
+    }
+
+    /// Kills a control process, and returns how many milliseconds it takes until all nodes are in contact.
+    async fn kill_control(&self) -> Option<f64> {
+        let lost_sessions = || self.observations.lost_sessions.load(Ordering::Relaxed);
+        let lost_before = lost_sessions();
+        for pid in self.local.pids(LOST_MACHINE, Some("control")) {
+            // One that has exited already needs no signal.
+            let _ = kill(Pid::from_raw(pid as i32), Signal::SIGKILL);
+        }
+        let began_at = Instant::now();
+        wait_until(HEARTBEAT_INTERVAL, || lost_sessions() > lost_before).await;
+        wait_until(READY_TIMEOUT, || self.all_in_contact()).await?;
+        Some(milliseconds_since(began_at))
+    }
+
+    // ---- States ----
+
+    /// Whether all nodes are in contact.
+    pub fn all_in_contact(&self) -> bool {
+        self.observations.in_contact.load(Ordering::Relaxed) == self.nodes
+    }
+
+    /// Whether all nodes know every server and every edge.
+    pub fn all_know_everything(&self) -> bool {
+        self.observations.know_everything.load(Ordering::Relaxed) == self.nodes
+    }
+
+    async fn status(&self) -> Vec<Value> {
+        let status = commands::status(&self.controls).await.unwrap_or_default();
+        serde_json::from_str(&status).unwrap_or_default()
+    }
+
+    /// Returns how sessions are distributed over the control nodes.
+    pub async fn session_distribution(&self) -> SessionDistribution {
+        let nodes = self.status().await;
+        let counts = || nodes.iter().filter_map(|node| node["sessions"].as_array().map(Vec::len));
+        SessionDistribution { max: counts().max().unwrap_or(0), min: counts().min().unwrap_or(usize::MAX) }
+    }
+
+    // ---- Measurements ----
+
+    /// Measures a phase, after a pause.
+    pub async fn measure(
+        &self,
+        name: &'static str,
+        work: impl Future<Output = OperatorMeasurements>,
+    ) -> PhaseReport {
+        sleep(PHASE_PAUSE).await;
+        // Counters are read before the sample, as reading them costs control time.
+        let links_before = self.link_bytes().await;
+        let before = self.sample();
+        let measurements = work.await;
+        self.report(name, &before, links_before, measurements).await
+    }
+
+    async fn report(
+        &self,
+        name: &'static str,
+        before: &Sample,
+        links_before: LinkBytes,
+        measurements: OperatorMeasurements,
+    ) -> PhaseReport {
+        let after = self.sample();
+        let links_after = self.link_bytes().await;
+        let usage = before.until(&after);
+        let links = links_after.since(links_before);
+        PhaseReport::new(name, &usage, links, self.nodes, measurements)
+    }
+
+    fn sample(&self) -> Sample {
+        let usage_of = |machine: &str, role| {
+            let pids = self.local.pids(machine, Some(role));
+            pids.into_iter().next().map(Usage::of).unwrap_or_default()
+        };
+        let controls = 1..=self.controls.controls.len();
+        Sample {
+            at: Instant::now(),
+            controls: controls.map(|number| usage_of(&format!("core-{number}"), "control")).collect(),
+            agent: usage_of("edge-1", "agent"),
+            edge: usage_of("edge-1", "edge"),
+            lab: Usage::of(std::process::id()),
+            sessions: super::measurement::SessionTraffic::read(),
+            lost_sessions: self.observations.lost_sessions.load(Ordering::Relaxed),
+            failed_heartbeats: self.failed_heartbeats.get(),
+        }
+    }
+
+    /// Returns the bytes on the links of all control processes.
+    async fn link_bytes(&self) -> LinkBytes {
+        let nodes = self.status().await;
+        let sum = |name: &str| nodes.iter().filter_map(|node| node["counters"][name].as_u64()).sum();
+        LinkBytes { sent: sum("message_bytes_said"), received: sum("message_bytes_heard") }
+    }
+}
--- a/experiments/src/hollow/usage.rs
+++ b/experiments/src/hollow/usage.rs
@@ -1,25 +1,40 @@
-//! What a process has used, as the kernel tells.
+//! What a process has used, from `/proc`.
 
 use std::fs::read_to_string;
 
-/// Ticks of processor time in a second, as Linux tells it on all machines.
-const TICKS: f64 = 100.0;
+/// Ticks of processor time in a second, as Linux counts them on all machines.
+const TICKS_PER_S: f64 = 100.0;
+/// The index of user time among the fields of `/proc/PID/stat` after the name; system time follows it.
+const USER_TIME_FIELD: usize = 11;
 
-/// Processor time in seconds and memory in MB, at its peak.
+/// What a process has used since its start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
+    /// Processor time, in seconds.
     pub cpu_s: f64,
+    /// Memory at its peak, in MB.
     pub peak_mb: f64,
 }
 
-/// Nothing for a process that is gone.
-pub fn of(pid: u32) -> Usage {
-    let stat = read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    // The name stands in brackets and may hold anything; user and system time are the 12th and 13th after it.
-    let after = stat.rsplit_once(')').map_or("", |(_, after)| after);
-    let ticks: f64 = after.split_whitespace().skip(11).take(2).filter_map(|t| t.parse::<f64>().ok()).sum();
-    let status = read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
+impl Usage {
+    /// Reads the usage of a process; zeros for one that has exited.
+    pub fn of(pid: u32) -> Usage {
+        let stat = read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
+        let status = read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
+        Usage { cpu_s: cpu_seconds(&stat), peak_mb: peak_megabytes(&status) }
+    }
+}
+
+fn cpu_seconds(stat: &str) -> f64 {
+    // The name is in brackets and may hold anything.
+    let after_name = stat.rsplit_once(')').map_or("", |(_, after)| after);
+    let fields = after_name.split_whitespace().skip(USER_TIME_FIELD).take(2);
+    let ticks: f64 = fields.filter_map(|ticks| ticks.parse::<f64>().ok()).sum();
+    ticks / TICKS_PER_S
+}
+
+fn peak_megabytes(status: &str) -> f64 {
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
-    let peak = peak.and_then(|kb| kb.trim().trim_end_matches(" kB").parse::<f64>().ok());
-    Usage { cpu_s: ticks / TICKS, peak_mb: peak.unwrap_or(0.0) / 1024.0 }
+    let kilobytes = peak.and_then(|peak| peak.trim().trim_end_matches(" kB").parse::<f64>().ok());
+    kilobytes.unwrap_or(0.0) / 1024.0
 }
--- a/experiments/src/load.rs
+++ b/experiments/src/load.rs
@@ -1,5 +1,5 @@
-//! The clients: requests come whether or not those before were answered, and are tried again as the protocol
-//! allows.
+//! The load generator: requests arrive whether or not those before were answered, and clients retry them as the protocol
+//! permits.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
@@ -10,6 +10,7 @@
 use glenfall::http::headers::{DEADLINE, TRY_ID};
 use glenfall::http::response::ServerResponse;
 use glenfall::memory_budget::MemoryBudget;
+use glenfall::operator::commands::{call_control, ControlAddresses};
 use glenfall::upstream::pool::{ExchangeParams, Pool, SendError};
 use glenfall_balancer::mix;
 use http_body_util::Full;
@@ -22,203 +23,281 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 use crate::ledger::Ledger;
-use crate::plan::{ClassPlan, Kind, Plan};
-use crate::report::{Ended, Seen};
+use crate::plan::{ClassPlan, Plan, RouteKind, ROUTE_HOST};
+use crate::report::{Measurements, RequestOutcome};
 
-/// Clients of an experiment; each keeps to an edge for its first tries.
-const CLIENTS: u64 = 200;
-/// Requests under way at most: beyond it the tool itself would be what is slow, and says so.
-const MOST: u32 = 20_000;
+/// Clients of an experiment; each prefers one edge for its first attempts.
+const CLIENT_COUNT: u64 = 200;
+/// Requests in flight at most: beyond it the generator itself would be the bottleneck, and reports that.
+const MAX_IN_FLIGHT: u32 = 20_000;
 /// Connections that the clients hold together.
-const CONNECTIONS: usize = 2000;
-/// All clients' answers.
-const ROOM: usize = 512 << 20;
+const MAX_CONNECTIONS: usize = 2000;
+/// Bytes of responses that the clients hold at the same time.
+const RESPONSE_MEMORY: usize = 512 << 20;
+/// A pause between arrivals is at most this long, in seconds, as a phase of the load may end within a longer one.
+const MAX_PAUSE_S: f64 = 1.0;
+/// The lowest rate of arrivals that is drawn from, in requests a second.
+const MIN_RATE_PER_S: f64 = 0.01;
+/// How often it is looked whether requests are still in flight.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Only this many objects of a class change: those that are requested most.
+const MAX_CHANGED_OBJECTS: u32 = 20;
+/// Separates the random stream of changes from those of the classes.
+const CHANGE_STREAM: u64 = 0xc4a6;
+/// A client waits at least this long, in seconds, after a response 503 that names no time.
+const MIN_OVERLOAD_WAIT_S: f64 = 0.02;
+/// A client waits at most this long, in seconds, whatever a response names.
+const MAX_WAIT_S: f64 = 60.0;
 
-pub struct Load {
+/// Generates the load of a plan.
+pub struct LoadGenerator {
     plan: Plan,
     edges: Vec<SocketAddrV4>,
     pool: Rc<Pool>,
     ledger: Rc<Ledger>,
-    seen: Rc<RefCell<Seen>>,
-    under_way: Cell<u32>,
-    next: Cell<u64>,
+    measurements: Rc<RefCell<Measurements>>,
+    in_flight: Cell<u32>,
+    next_id: Cell<u64>,
 }
 
-impl Load {
+/// An arrival of a request.
+struct Arrival {
+    /// The index of its class.
+    class: usize,
+    /// The second of the experiment in which it arrives.
+    second: usize,
+    object: u64,
+    client: u64,
+}
+
+/// One attempt of a client.
+struct Attempt<'a> {
+    class: &'a ClassPlan,
+    edge: SocketAddrV4,
+    path: &'a str,
+    id: String,
+    /// The deadline of the request.
+    until: Instant,
+}
+
+impl Attempt<'_> {
+    fn to_http(&self) -> Request<Full<Bytes>> {
+        let mut request = Request::new(Full::new(Bytes::new()));
+        if self.class.kind == RouteKind::Mutating {
+            *request.method_mut() = Method::POST;
+        }
+        *request.uri_mut() = self.path.parse().unwrap_or_default();
+        let remaining_ms = self.until.saturating_duration_since(Instant::now()).as_millis() as u64;
+        let headers = request.headers_mut();
+        headers.insert(header::HOST, HeaderValue::from_static(ROUTE_HOST));
+        headers.insert(DEADLINE, HeaderValue::from(remaining_ms.max(1)));
+        if let Ok(id) = HeaderValue::from_str(&self.id) {
+            headers.insert(TRY_ID, id);
+        }
+        request
+    }
+}
+
+/// What an attempt has led to.
+struct AttemptResult {
+    outcome: RequestOutcome,
+    /// How long to wait before the next attempt; `None` where no further attempt is permitted.
+    retry_after: Option<Duration>,
+}
+
+impl LoadGenerator {
+    /// Creates a generator that sends to these edges.
     pub fn new(
         plan: &Plan,
         edges: Vec<SocketAddrV4>,
         ledger: &Rc<Ledger>,
-        seen: &Rc<RefCell<Seen>>,
-    ) -> Rc<Load> {
-        Rc::new(Load {
+        measurements: &Rc<RefCell<Measurements>>,
+    ) -> Rc<LoadGenerator> {
+        Rc::new(LoadGenerator {
             plan: plan.clone(),
             edges,
-            pool: Pool::new(CONNECTIONS, MemoryBudget::new(ROOM)),
+            pool: Pool::new(MAX_CONNECTIONS, MemoryBudget::new(RESPONSE_MEMORY)),
             ledger: Rc::clone(ledger),
-            seen: Rc::clone(seen),
-            under_way: Cell::new(0),
-            next: Cell::new(0),
+            measurements: Rc::clone(measurements),
+            in_flight: Cell::new(0),
+            next_id: Cell::new(0),
         })
     }
 
-    /// Offers the plan's load, and waits for what is under way at the end.
+    /// Generates the load, and waits until no request is in flight.
     pub async fn run(self: &Rc<Self>) {
-        let began = Instant::now();
-        let end = began + Duration::from_secs_f64(self.plan.seconds);
-        let mut arriving = Vec::new();
-        for number in 0..self.plan.classes.len() {
-            arriving.push(spawn_local(Rc::clone(self).arrive(number, began, end)));
+        let began_at = Instant::now();
+        let ends_at = began_at + Duration::from_secs_f64(self.plan.seconds);
+        let mut classes = Vec::new();
+        for class in 0..self.plan.classes.len() {
+            classes.push(spawn_local(Rc::clone(self).generate_class(class, began_at, ends_at)));
         }
-        for task in arriving {
-            // It ends with the time.
-            let _ = task.await;
+        for class in classes {
+            // One that panicked has printed its message.
+            let _ = class.await;
         }
-        while self.under_way.get() > 0 {
-            sleep(Duration::from_millis(10)).await;
+        while self.in_flight.get() > 0 {
+            sleep(IDLE_POLL_INTERVAL).await;
         }
     }
 
-    async fn arrive(self: Rc<Self>, number: usize, began: Instant, end: Instant) {
+    /// Generates the requests of a class: their arrivals are a Poisson process, their objects follow a Zipf law.
+    async fn generate_class(self: Rc<Self>, number: usize, began_at: Instant, ends_at: Instant) {
         let class = self.plan.classes[number].clone();
         let mut rng = ChaCha8Rng::seed_from_u64(mix(self.plan.seed ^ mix(number as u64)));
-        let Ok(law) = Zipf::new(f64::from(class.objects), class.skew) else { return };
-        let mut at = began;
+        let Ok(objects) = Zipf::new(f64::from(class.objects), class.skew) else { return };
+        let mut at = began_at;
         loop {
-            let rate = class.per_s * self.plan.factor((at - began).as_secs_f64());
-            let pause = Exp::new(rate.max(0.01)).map_or(1.0, |law| law.sample(&mut rng));
-            // A phase may end within a long pause.
-            at += Duration::from_secs_f64(pause.min(1.0));
-            if at >= end {
+            let rate = class.per_s * self.plan.load_factor((at - began_at).as_secs_f64());
+            let pause_s = Exp::new(rate.max(MIN_RATE_PER_S)).map_or(1.0, |pauses| pauses.sample(&mut rng));
+            at += Duration::from_secs_f64(pause_s.min(MAX_PAUSE_S));
+            if at >= ends_at {
                 return;
             }
             sleep_until(at).await;
-            if pause > 1.0 {
+            if pause_s > MAX_PAUSE_S {
                 continue;
             }
-            let (object, client) = (law.sample(&mut rng) as u64, rng.random_range(0..CLIENTS));
-            let second = (at - began).as_secs() as usize;
-            if self.under_way.get() >= MOST {
-                self.seen.borrow_mut().overrun += 1;
-                continue;
-            }
-            self.under_way.set(self.under_way.get() + 1);
-            let load = Rc::clone(&self);
-            spawn_local(async move {
-                load.client(number, second, object, client).await;
-                load.under_way.set(load.under_way.get() - 1);
-            });
+            let object = objects.sample(&mut rng) as u64;
+            let client = rng.random_range(0..CLIENT_COUNT);
+            let second = (at - began_at).as_secs() as usize;
+            self.start_request(Arrival { class: number, second, object, client });
         }
     }
 
-    /// One request of a client, with the tries that it adds.
-    async fn client(&self, number: usize, second: usize, object: u64, client: u64) {
-        let class = &self.plan.classes[number];
-        let path = format!("/{}/{object}", class.name);
-        let began = Instant::now();
-        let until = began + Duration::from_millis(class.deadline_ms);
-        let mut ended = Ended::Failed;
-        for turn in 0..=u64::from(class.retries) {
-            let edge = self.edges[((client + turn) % self.edges.len() as u64) as usize];
-            let id = format!("{:016x}", mix(self.plan.seed ^ mix(self.next.replace(self.next.get() + 1))));
-            let sent = Instant::now();
-            let reply = self.try_once(class, edge, &path, &id, until).await;
-            let again = match &reply {
-                Ok(reply) if reply.status().is_success() => {
-                    let sealed = reply.headers().contains_key("x-glenfall-seal");
-                    self.ledger.got(&path, sent, sealed, reply.body(), class.bytes);
-                    let aim = Duration::from_millis(class.aim_ms);
-                    ended = if began.elapsed() <= aim { Ended::InAim } else { Ended::Late };
-                    None
-                }
-                Ok(reply) => {
-                    let promised = matches!(reply.status().as_u16(), 408 | 421 | 429 | 503);
-                    if promised && class.kind == Kind::Mutating {
-                        self.ledger.told_not_run(&id);
-                    }
-                    ended = if promised { Ended::Refused } else { Ended::Failed };
-                    let may = promised || class.kind != Kind::Mutating;
-                    let never = matches!(reply.status().as_u16(), 400 | 401 | 404 | 413 | 431);
-                    (may && !never).then(|| wait_of(reply))
-                }
-                Err(trouble) => {
-                    ended = Ended::Failed;
-                    let may = *trouble == SendError::NotSent || class.kind != Kind::Mutating;
-                    may.then_some(Duration::ZERO)
-                }
-            };
-            let Some(wait) = again.filter(|wait| Instant::now() + *wait < until) else { break };
+    fn start_request(self: &Rc<Self>, arrival: Arrival) {
+        if self.in_flight.get() >= MAX_IN_FLIGHT {
+            self.measurements.borrow_mut().not_sent += 1;
+            return;
+        }
+        self.in_flight.set(self.in_flight.get() + 1);
+        let generator = Rc::clone(self);
+        spawn_local(async move {
+            generator.request(arrival).await;
+            generator.in_flight.set(generator.in_flight.get() - 1);
+        });
+    }
+
+    /// Sends a request of a client, with its retries.
+    async fn request(&self, arrival: Arrival) {
+        let class = &self.plan.classes[arrival.class];
+        let path = format!("/{}/{}", class.name, arrival.object);
+        let began_at = Instant::now();
+        let until = began_at + Duration::from_millis(class.deadline_ms);
+        let mut outcome = RequestOutcome::Failed;
+        for retry in 0..=u64::from(class.retries) {
+            let edge_index = (arrival.client + retry) % self.edges.len() as u64;
+            let edge = self.edges[edge_index as usize];
+            let attempt = Attempt { class, edge, path: &path, id: self.next_id(), until };
+            let result = self.attempt(&attempt, began_at).await;
+            outcome = result.outcome;
+            let is_in_time = |wait: &Duration| Instant::now() + *wait < until;
+            let Some(wait) = result.retry_after.filter(is_in_time) else { break };
             sleep(wait).await;
         }
-        self.seen.borrow_mut().add(number, second, ended, began.elapsed());
+        let mut measurements = self.measurements.borrow_mut();
+        measurements.add(arrival.class, arrival.second, outcome, began_at.elapsed());
     }
 
-    async fn try_once(
-        &self,
-        class: &ClassPlan,
-        edge: SocketAddrV4,
-        path: &str,
-        id: &str,
-        until: Instant,
-    ) -> Result<ServerResponse, SendError> {
-        let request = || {
-            let mut request = Request::new(Full::new(Bytes::new()));
-            if class.kind == Kind::Mutating {
-                *request.method_mut() = Method::POST;
+    fn next_id(&self) -> String {
+        let number = self.next_id.replace(self.next_id.get() + 1);
+        format!("{:016x}", mix(self.plan.seed ^ mix(number)))
+    }
+
+    async fn attempt(&self, attempt: &Attempt<'_>, began_at: Instant) -> AttemptResult {
+        let sent_at = Instant::now();
+        let params = ExchangeParams::internal(attempt.edge, attempt.until);
+        let response = self.pool.exchange(params, || attempt.to_http()).await;
+        match response {
+            Ok(response) if response.status().is_success() => {
+                self.succeeded(attempt, &response, sent_at, began_at)
             }
-            *request.uri_mut() = path.parse().unwrap_or_default();
-            let left = until.saturating_duration_since(Instant::now()).as_millis() as u64;
-            let headers = request.headers_mut();
-            headers.insert(header::HOST, HeaderValue::from_static(crate::HOST));
-            headers.insert(DEADLINE, HeaderValue::from(left.max(1)));
-            if let Ok(id) = HeaderValue::from_str(id) {
-                headers.insert(TRY_ID, id);
+            Ok(response) => self.failed(attempt, &response),
+            Err(error) => {
+                let may_retry = error == SendError::NotSent || attempt.class.kind != RouteKind::Mutating;
+                let retry_after = may_retry.then_some(Duration::ZERO);
+                AttemptResult { outcome: RequestOutcome::Failed, retry_after }
             }
-            request
+        }
+    }
+
+    fn succeeded(
+        &self,
+        attempt: &Attempt<'_>,
+        response: &ServerResponse,
+        sent_at: Instant,
+        began_at: Instant,
+    ) -> AttemptResult {
+        let sealed = response.headers().contains_key("x-glenfall-seal");
+        let length = attempt.class.bytes;
+        self.ledger.check_and_count(attempt.path, sent_at, sealed, response.body(), length);
+        let target = Duration::from_millis(attempt.class.latency_target_ms);
+        let outcome = match began_at.elapsed() <= target {
+            true => RequestOutcome::WithinTarget,
+            false => RequestOutcome::Late,
         };
-        self.pool.exchange(ExchangeParams::internal(edge, until), request).await
+        AttemptResult { outcome, retry_after: None }
+    }
+
+    fn failed(&self, attempt: &Attempt<'_>, response: &ServerResponse) -> AttemptResult {
+        let status = response.status().as_u16();
+        let is_mutating = attempt.class.kind == RouteKind::Mutating;
+        let not_executed = matches!(status, 408 | 421 | 429 | 503);
+        if not_executed && is_mutating {
+            self.ledger.rejected(&attempt.id);
+        }
+        let is_final = matches!(status, 400 | 401 | 404 | 413 | 431);
+        let may_retry = (not_executed || !is_mutating) && !is_final;
+        AttemptResult {
+            outcome: if not_executed { RequestOutcome::Rejected } else { RequestOutcome::Failed },
+            retry_after: may_retry.then(|| requested_wait(response)),
+        }
     }
 
-    /// Objects that change, each with its purge.
-    pub async fn change_objects(self: Rc<Self>, controls: glenfall::operator::commands::ControlAddresses) {
-        let mut rng = ChaCha8Rng::seed_from_u64(mix(self.plan.seed ^ 0xc4a6));
+    // ---- Changes of objects ----
+
+    /// Changes objects and purges them, until it is aborted.
+    pub async fn change_objects(self: Rc<Self>, controls: ControlAddresses) {
+        let mut rng = ChaCha8Rng::seed_from_u64(mix(self.plan.seed ^ CHANGE_STREAM));
         let rate: f64 = self.plan.classes.iter().map(|class| class.changes_per_s).sum();
         if rate <= 0.0 {
             return;
         }
         loop {
             sleep(Duration::from_secs_f64(1.0 / rate)).await;
-            let mut left = rng.random_range(0.0..rate);
-            let class = self.plan.classes.iter().find(|class| {
-                left -= class.changes_per_s;
-                left < 0.0
-            });
-            let Some(class) = class else { continue };
-            // Those that are asked for most.
-            let path = format!("/{}/{}", class.name, rng.random_range(1..=class.objects.min(20)));
-            let old = self.ledger.change(&path);
-            let purge = serde_json::json!({ "hostname": crate::HOST, "urlPath": path }).to_string();
-            let told = glenfall::operator::commands::call_control(
-                &controls,
-                Method::POST,
-                "/api/purge",
-                None,
-                purge.into(),
-            )
-            .await;
-            let mut seen = self.seen.borrow_mut();
-            seen.purges += 1;
-            match told {
-                Ok(_) => self.ledger.purged(&path, old),
-                Err(_) => seen.purges_failed += 1,
-            }
+            let Some(class) = self.class_at(rng.random_range(0.0..rate)) else { continue };
+            let object = rng.random_range(1..=class.objects.min(MAX_CHANGED_OBJECTS));
+            self.change_object(&format!("/{}/{object}", class.name), &controls).await;
+        }
+    }
+
+    /// Returns the class at a point of all rates of changes, put one after the other.
+    fn class_at(&self, point: f64) -> Option<&ClassPlan> {
+        let mut remaining = point;
+        self.plan.classes.iter().find(|class| {
+            remaining -= class.changes_per_s;
+            remaining < 0.0
+        })
+    }
+
+    async fn change_object(&self, path: &str, controls: &ControlAddresses) {
+        let old_version = self.ledger.change(path);
+        let purge = serde_json::json!({ "hostname": ROUTE_HOST, "urlPath": path }).to_string();
+        let result = call_control(controls, Method::POST, "/api/purge", None, purge.into()).await;
+        let mut measurements = self.measurements.borrow_mut();
+        measurements.purges += 1;
+        match result {
+            Ok(_) => self.ledger.purged(path, old_version),
+            Err(_) => measurements.failed_purges += 1,
         }
     }
 }
 
-/// How long an answer asks to wait.
-fn wait_of(reply: &ServerResponse) -> Duration {
-    let stated = reply.headers().get(header::RETRY_AFTER).and_then(|value| value.to_str().ok()?.parse().ok());
-    let least = if reply.status() == StatusCode::SERVICE_UNAVAILABLE { 0.02 } else { 0.0 };
-    Duration::from_secs_f64(f64::clamp(stated.unwrap_or(least), 0.0, 60.0))
+/// Returns how long a response asks clients to wait.
+fn requested_wait(response: &ServerResponse) -> Duration {
+    let value = response.headers().get(header::RETRY_AFTER);
+    let stated_s = value.and_then(|value| value.to_str().ok()?.parse().ok());
+    let is_overload = response.status() == StatusCode::SERVICE_UNAVAILABLE;
+    let min_s = if is_overload { MIN_OVERLOAD_WAIT_S } else { 0.0 };
+    Duration::from_secs_f64(f64::clamp(stated_s.unwrap_or(min_s), 0.0, MAX_WAIT_S))
 }
--- a/experiments/src/plot.rs
+++ b/experiments/src/plot.rs
@@ -1,5 +1,7 @@
-//! The answers of each second as a plot.
+//! Plots of reports, as SVG.
 
+use std::fmt::Display;
+use std::ops::Range;
 use std::path::Path;
 
 use plotters::coord::ranged1d::Ranged;
@@ -7,56 +9,76 @@
 
 use crate::report::{Counts, Report};
 
-pub const SIZE: (u32, u32) = (960, 420);
+/// Width and height of a plot, in pixels.
+const PLOT_SIZE: (u32, u32) = (960, 420);
+/// On logarithmic scales, figures of 0 are drawn here.
+const MIN_LOGARITHMIC: f64 = 1e-3;
 
+/// Why a plot can't be drawn.
 #[derive(Debug, thiserror::Error)]
 #[error("plot: {0}")]
 pub struct PlotError(String);
 
 impl PlotError {
-    pub fn new(what: &dyn std::fmt::Display) -> Self {
-        PlotError(what.to_string().replace('\n', " "))
+    /// Creates an error with a message of one line.
+    fn new(reason: impl Display) -> Self {
+        PlotError(reason.to_string().replace('\n', " "))
     }
 }
 
-/// Draws what clients were owed and got in each second, all classes together.
-pub fn draw(report: &Report, path: &Path) -> Result<(), PlotError> {
+/// A line of a plot.
+pub struct Line {
+    /// What the legend names it.
+    pub name: &'static str,
+    /// Its color.
+    pub color: RGBColor,
+    /// Its points, as plotters takes them: horizontal and vertical coordinate.
+    pub points: Vec<(f64, f64)>,
+}
+
+/// Draws the outcomes of the requests of all classes in each second.
+///
+/// # Errors
+///
+/// Returns an error where the file can't be written.
+pub fn draw_outcomes(report: &Report, path: &Path) -> Result<(), PlotError> {
     let seconds = report.classes.iter().map(|class| class.seconds.len()).max().unwrap_or(0);
-    let sum = |pick: fn(&Counts) -> u64| -> Vec<(f64, f64)> {
-        let at = |second: usize| {
-            let counts = report.classes.iter().filter_map(|class| class.seconds.get(second));
-            (second as f64, counts.map(pick).sum::<u64>() as f64)
-        };
-        (0..seconds).map(at).collect()
-    };
-    let lines = [
-        ("asked", BLACK, sum(|counts| counts.asked)),
-        ("in aim", GREEN, sum(|counts| counts.in_aim)),
-        ("late", BLUE, sum(|counts| counts.late)),
-        ("refused", MAGENTA, sum(|counts| counts.refused)),
-        ("failed", RED, sum(|counts| counts.failed)),
-    ];
-    let most = lines.iter().flat_map(|(_, _, line)| line).map(|point| point.1).fold(1.0, f64::max);
-    let wrong = |e: &dyn std::fmt::Display| PlotError::new(e);
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
-    area.fill(&WHITE).map_err(|e| wrong(&e))?;
+    let lines = outcome_lines(report, seconds);
+    let points = lines.iter().flat_map(|line| &line.points);
+    let highest = points.map(|point| point.1).fold(1.0, f64::max);
+    let area = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
+    area.fill(&WHITE).map_err(PlotError::new)?;
     let mut chart = ChartBuilder::on(&area)
         .caption("requests a second", ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(30)
         .y_label_area_size(50)
-        .build_cartesian_2d(0.0..seconds.max(2) as f64 - 1.0, 0.0..most * 1.05)
-        .map_err(|e| wrong(&e))?;
-    chart.configure_mesh().x_desc("s").draw().map_err(|e| wrong(&e))?;
-    draw_lines(&mut chart, lines.into())?;
-    area.present().map_err(|e| wrong(&e))
+        .build_cartesian_2d(0.0..seconds.max(2) as f64 - 1.0, 0.0..highest * 1.05)
+        .map_err(PlotError::new)?;
+    chart.configure_mesh().x_desc("s").draw().map_err(PlotError::new)?;
+    draw_lines(&mut chart, lines)?;
+    area.present().map_err(PlotError::new)
 }
 
-/// A line of a plot: its name, its color and its points.
-pub type Line = (&'static str, RGBColor, Vec<(f64, f64)>);
+fn outcome_lines(report: &Report, seconds: usize) -> Vec<Line> {
+    let line = |name, color, count: fn(&Counts) -> u64| {
+        let sum = |second: usize| -> u64 {
+            report.classes.iter().filter_map(|class| class.seconds.get(second)).map(count).sum()
+        };
+        let points = (0..seconds).map(|second| (second as f64, sum(second) as f64)).collect();
+        Line { name, color, points }
+    };
+    vec![
+        line("asked", BLACK, |counts| counts.requests),
+        line("in aim", GREEN, |counts| counts.within_target),
+        line("late", BLUE, |counts| counts.late),
+        line("refused", MAGENTA, |counts| counts.rejected),
+        line("failed", RED, |counts| counts.failed),
+    ]
+}
 
-/// Draws lines into a chart, and what they are called beside them.
-pub fn draw_lines<'a, X, Y>(
+/// Draws lines into a chart, and their legend.
+fn draw_lines<'a, X, Y>(
     chart: &mut ChartContext<'a, SVGBackend<'a>, Cartesian2d<X, Y>>,
     lines: Vec<Line>,
 ) -> Result<(), PlotError>
@@ -64,40 +86,52 @@
     X: Ranged<ValueType = f64>,
     Y: Ranged<ValueType = f64>,
 {
-    let wrong = |e: &dyn std::fmt::Display| PlotError::new(e);
-    for (name, color, line) in lines {
+    for Line { name, color, points } in lines {
         chart
-            .draw_series(LineSeries::new(line, &color))
-            .map_err(|e| wrong(&e))?
+            .draw_series(LineSeries::new(points, &color))
+            .map_err(PlotError::new)?
             .label(name)
             .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 18, y)], color));
     }
     let mut labels = chart.configure_series_labels();
     let labels = labels.position(SeriesLabelPosition::UpperLeft).background_style(WHITE).border_style(BLACK);
-    labels.draw().map_err(|e| wrong(&e))
+    labels.draw().map_err(PlotError::new)
 }
 
-/// Draws lines over sizes, both on logarithmic scales; what is 0 stands at the lower edge.
-pub fn draw_growth(path: &Path, caption: &str, sizes: &str, lines: Vec<Line>) -> Result<(), PlotError> {
-    let wrong = |e: &dyn std::fmt::Display| PlotError::new(e);
-    let raised = |(name, color, points): Line| -> Line {
-        (name, color, points.into_iter().map(|(x, y)| (x, y.max(1e-3))).collect())
-    };
-    let lines: Vec<Line> = lines.into_iter().map(raised).collect();
-    let all: Vec<(f64, f64)> = lines.iter().flat_map(|(.., points)| points.clone()).collect();
-    let most = |pick: fn(&(f64, f64)) -> f64| all.iter().map(pick).fold(1e-3, f64::max);
-    let least = |pick: fn(&(f64, f64)) -> f64| all.iter().map(pick).fold(f64::MAX, f64::min);
-    let (xs, ys) = (least(|p| p.0)..most(|p| p.0) * 1.2, least(|p| p.1) * 0.8..most(|p| p.1) * 1.2);
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
-    area.fill(&WHITE).map_err(|e| wrong(&e))?;
+/// Draws lines over sizes, both on logarithmic scales; figures of 0 are drawn at the lower edge.
+///
+/// # Errors
+///
+/// Returns an error where the file can't be written.
+pub fn draw_growth(
+    path: &Path,
+    caption: &str,
+    size_label: &str,
+    mut lines: Vec<Line>,
+) -> Result<(), PlotError> {
+    for point in lines.iter_mut().flat_map(|line| &mut line.points) {
+        point.1 = point.1.max(MIN_LOGARITHMIC);
+    }
+    let horizontal = coordinate_range(&lines, |point| point.0);
+    let vertical = coordinate_range(&lines, |point| point.1);
+    let (horizontal, vertical) =
+        (horizontal.start..horizontal.end * 1.2, vertical.start * 0.8..vertical.end * 1.2);
+    let area = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
+    area.fill(&WHITE).map_err(PlotError::new)?;
     let mut chart = ChartBuilder::on(&area)
         .caption(caption, ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(30)
         .y_label_area_size(60)
-        .build_cartesian_2d(xs.log_scale(), ys.log_scale())
-        .map_err(|e| wrong(&e))?;
-    chart.configure_mesh().x_desc(sizes).draw().map_err(|e| wrong(&e))?;
+        .build_cartesian_2d(horizontal.log_scale(), vertical.log_scale())
+        .map_err(PlotError::new)?;
+    chart.configure_mesh().x_desc(size_label).draw().map_err(PlotError::new)?;
     draw_lines(&mut chart, lines)?;
-    area.present().map_err(|e| wrong(&e))
+    area.present().map_err(PlotError::new)
+}
+
+/// Returns the range of a coordinate of all points.
+fn coordinate_range(lines: &[Line], coordinate: fn(&(f64, f64)) -> f64) -> Range<f64> {
+    let coordinates = || lines.iter().flat_map(|line| &line.points).map(coordinate);
+    coordinates().fold(f64::MAX, f64::min)..coordinates().fold(MIN_LOGARITHMIC, f64::max)
 }
--- a/experiments/src/processor/report.rs
+++ b/experiments/src/processor/report.rs
@@ -1,69 +1,58 @@
-//! The report of processor costs: a table for each figure, and the system calls by name.
+//! The report of processor costs: a table, and the system calls by name.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use serde::Serialize;
 
-use super::ROLES;
+use super::cost::Cost;
+use super::MEASURED_ROLES;
 
-/// What one request, or one second without requests, costs the processes of a role.
-#[derive(Clone, Debug, Default, Serialize)]
-pub struct Cost {
-    pub wakeups: f64,
-    pub processor_us: f64,
-    /// System calls by name; empty where they were not traced.
-    pub calls: BTreeMap<String, f64>,
-    pub kilobytes: f64,
-}
-
-impl Cost {
-    fn all_calls(&self) -> f64 {
-        self.calls.values().sum()
-    }
-}
+/// System calls that are made less often for each request are not listed.
+const MIN_LISTED_CALLS: f64 = 0.05;
 
 /// What one case costs, by role.
 #[derive(Clone, Debug, Serialize)]
 pub struct CaseReport {
+    /// The name of the case.
     pub name: &'static str,
+    /// The costs by role.
     pub costs: BTreeMap<&'static str, Cost>,
 }
 
+/// The costs of all cases.
 #[derive(Clone, Debug, Serialize)]
 pub struct ProcessorReport {
-    /// Requests of each case, and seconds without any.
+    /// Requests of each case.
     pub requests: u32,
+    /// Seconds without requests.
     pub idle_s: f64,
+    /// Whether system calls were counted.
     pub traced: bool,
     /// Threads of a process of each role after all requests, the most of any.
     pub threads: BTreeMap<&'static str, usize>,
+    /// The cases.
     pub cases: Vec<CaseReport>,
 }
 
 impl ProcessorReport {
-    /// Tables of wake-ups, system calls, kilobytes and processor time, and the calls by name.
+    /// Returns a table of wake-ups, system calls, kilobytes and processor time, and the calls by name.
     pub fn markdown(&self) -> String {
         let mut text = format!(
             "Each cell: wake-ups, system calls, kB through the kernel, processor µs; {} requests, {} s at rest.\n\n",
             self.requests, self.idle_s
         );
-        let _ = writeln!(text, "| | {} |", ROLES.join(" | "));
-        let _ = writeln!(text, "| --- |{}", " --- |".repeat(ROLES.len()));
+        let _ = writeln!(text, "| | {} |", MEASURED_ROLES.join(" | "));
+        let _ = writeln!(text, "| --- |{}", " --- |".repeat(MEASURED_ROLES.len()));
         for case in &self.cases {
-            let cells: Vec<String> = ROLES.iter().map(|role| self.cell(&case.costs[role])).collect();
+            let cells: Vec<String> = MEASURED_ROLES.iter().map(|role| self.cell(&case.costs[role])).collect();
             let _ = writeln!(text, "| {} | {} |", case.name, cells.join(" | "));
         }
         let threads: Vec<String> =
             self.threads.iter().map(|(role, count)| format!("{role} {count}")).collect();
         let _ = writeln!(text, "\nThreads of a process: {}.", threads.join(", "));
         if self.traced {
-            text.push_str("\nSystem calls by name:\n\n");
-            for case in &self.cases {
-                for (role, cost) in &case.costs {
-                    let _ = writeln!(text, "- {}, {role}: {}", case.name, by_name(cost));
-                }
-            }
+            self.list_calls(&mut text);
         }
         text
     }
@@ -77,10 +66,19 @@
             format!("{wakeups:.1}, -, -, {processor:.0}")
         }
     }
+
+    fn list_calls(&self, text: &mut String) {
+        text.push_str("\nSystem calls by name:\n\n");
+        for case in &self.cases {
+            for (role, cost) in &case.costs {
+                let _ = writeln!(text, "- {}, {role}: {}", case.name, calls_by_name(cost));
+            }
+        }
+    }
 }
 
-fn by_name(cost: &Cost) -> String {
-    let mut calls: Vec<_> = cost.calls.iter().filter(|(_, count)| **count >= 0.05).collect();
+fn calls_by_name(cost: &Cost) -> String {
+    let mut calls: Vec<_> = cost.calls.iter().filter(|(_, count)| **count >= MIN_LISTED_CALLS).collect();
     calls.sort_by(|a, b| b.1.total_cmp(a.1));
     calls.iter().map(|(name, count)| format!("{name} {count:.1}")).collect::<Vec<_>>().join(", ")
 }
--- a/experiments/src/report.rs
+++ b/experiments/src/report.rs
@@ -1,4 +1,4 @@
-//! What came of an experiment: figures as JSON, a page as Markdown.
+//! The report of an experiment: figures as JSON, and a page as Markdown.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -7,167 +7,228 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::ledger::Broken;
+use crate::ledger::ViolationCounts;
 use crate::plan::Plan;
 
-/// In microseconds; beyond it nothing is waited for.
-const LONGEST: u64 = 120_000_000;
+/// The longest latency that is measured, in microseconds: no request waits for longer.
+const MAX_LATENCY_US: u64 = 120_000_000;
+/// Significant digits of latencies.
+const LATENCY_DIGITS: u8 = 3;
 
-/// How a client's request ended.
+/// How a request of a client ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    InAim,
+pub enum RequestOutcome {
+    /// It succeeded within its latency target.
+    WithinTarget,
+    /// It succeeded later.
     Late,
-    /// Told that it has not run, also after the tries that the client added.
-    Refused,
+    /// It was rejected as not executed, also after the client's retries.
+    Rejected,
+    /// It failed otherwise.
     Failed,
 }
 
-/// Counts of one second, or of all.
+/// Counts of requests in one second, or in all.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counts {
-    pub asked: u64,
-    pub in_aim: u64,
+    /// All requests.
+    #[serde(rename = "asked")]
+    pub requests: u64,
+    /// Those that succeeded within their latency target.
+    #[serde(rename = "in_aim")]
+    pub within_target: u64,
+    /// Those that succeeded later.
     pub late: u64,
-    pub refused: u64,
+    /// Those that were rejected as not executed.
+    #[serde(rename = "refused")]
+    pub rejected: u64,
+    /// Those that failed otherwise.
     pub failed: u64,
 }
 
 impl Counts {
-    fn add(&mut self, ended: Ended) {
-        self.asked += 1;
-        *match ended {
-            Ended::InAim => &mut self.in_aim,
-            Ended::Late => &mut self.late,
-            Ended::Refused => &mut self.refused,
-            Ended::Failed => &mut self.failed,
-        } += 1;
+    fn add(&mut self, outcome: RequestOutcome) {
+        self.requests += 1;
+        match outcome {
+            RequestOutcome::WithinTarget => self.within_target += 1,
+            RequestOutcome::Late => self.late += 1,
+            RequestOutcome::Rejected => self.rejected += 1,
+            RequestOutcome::Failed => self.failed += 1,
+        }
     }
 }
 
-struct Class {
-    all: Counts,
+struct ClassMeasurements {
+    total: Counts,
     seconds: Vec<Counts>,
-    /// Of those that were answered, in microseconds.
-    took: Histogram<u64>,
+    /// Latencies of successful requests, in microseconds.
+    latencies: Histogram<u64>,
 }
 
-/// What clients have seen so far.
-pub struct Seen {
-    classes: Vec<Class>,
-    /// Requests that were not sent, as too many were under way in the tool itself.
-    pub overrun: u64,
+/// What clients have measured so far.
+pub struct Measurements {
+    classes: Vec<ClassMeasurements>,
+    /// Requests that were not sent, as too many were in flight in the load generator itself.
+    pub not_sent: u64,
+    /// Purges that were sent.
     pub purges: u64,
-    pub purges_failed: u64,
+    /// Purges that were not acknowledged.
+    pub failed_purges: u64,
 }
 
-impl Seen {
-    pub fn new(plan: &Plan) -> Result<Seen, hdrhistogram::CreationError> {
+impl Measurements {
+    /// Creates empty measurements of the classes of a plan.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error where a histogram can't be made.
+    pub fn new(plan: &Plan) -> Result<Measurements, hdrhistogram::CreationError> {
         let mut classes = Vec::new();
         for _ in &plan.classes {
             let seconds = vec![Counts::default(); plan.seconds.ceil() as usize];
-            let took = Histogram::new_with_bounds(1, LONGEST, 3)?;
-            classes.push(Class { all: Counts::default(), seconds, took });
+            let latencies = Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS)?;
+            classes.push(ClassMeasurements { total: Counts::default(), seconds, latencies });
         }
-        Ok(Seen { classes, overrun: 0, purges: 0, purges_failed: 0 })
+        Ok(Measurements { classes, not_sent: 0, purges: 0, failed_purges: 0 })
     }
 
-    pub fn add(&mut self, class: usize, second: usize, ended: Ended, took: Duration) {
+    /// Adds a request of a class that arrived in a second of the experiment.
+    pub fn add(&mut self, class: usize, second: usize, outcome: RequestOutcome, latency: Duration) {
         let class = &mut self.classes[class];
-        class.all.add(ended);
+        class.total.add(outcome);
         if let Some(counts) = class.seconds.get_mut(second) {
-            counts.add(ended);
+            counts.add(outcome);
         }
-        if matches!(ended, Ended::InAim | Ended::Late) {
-            class.took.saturating_record(took.as_micros() as u64);
+        if matches!(outcome, RequestOutcome::WithinTarget | RequestOutcome::Late) {
+            class.latencies.saturating_record(latency.as_micros() as u64);
         }
     }
 }
 
+/// The figures of a class.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ClassReport {
+    /// The name of the class.
     pub name: String,
+    /// Counts of all its requests.
     pub counts: Counts,
-    /// Worth earned over worth owed.
-    pub worth: f64,
+    /// The value of its served requests, as a share of the value of all.
+    #[serde(rename = "worth")]
+    pub value_share: f64,
+    /// The median latency of successful requests, in milliseconds.
     pub p50_ms: f64,
+    /// The 99th percentile of the latencies of successful requests, in milliseconds.
     pub p99_ms: f64,
+    /// Counts of each second.
     pub seconds: Vec<Counts>,
 }
 
+/// The figures of a service.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ServiceReport {
+    /// Requests that arrived at its servers.
     pub arrivals: u64,
-    pub turned_away: u64,
+    /// Requests that its servers rejected.
+    #[serde(rename = "turned_away")]
+    pub rejections: u64,
 }
 
+/// The figures of an experiment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
-    /// Worth earned over worth owed, of all classes.
-    pub worth: f64,
+    /// The value of served requests, as a share of the value of all, over all classes.
+    #[serde(rename = "worth")]
+    pub value_share: f64,
+    /// The classes, in the order of the plan.
     pub classes: Vec<ClassReport>,
+    /// The services by name.
     pub services: BTreeMap<String, ServiceReport>,
-    /// The system's own counters, summed over its machines.
+    /// The counters of the system, summed over its machines.
     pub counters: BTreeMap<String, u64>,
-    pub broken: BTreeMap<String, u64>,
+    /// How often each guarantee was violated.
+    #[serde(rename = "broken")]
+    pub violations: BTreeMap<String, u64>,
+    /// Purges that were sent.
     pub purges: u64,
-    pub purges_failed: u64,
-    pub overrun: u64,
+    /// Purges that were not acknowledged.
+    #[serde(rename = "purges_failed")]
+    pub failed_purges: u64,
+    /// Requests that the load generator could not send.
+    #[serde(rename = "overrun")]
+    pub not_sent: u64,
+    /// The plan.
     pub plan: serde_json::Value,
 }
 
+/// The values of requests: what was earned by serving them, and what could have been earned.
+#[derive(Clone, Copy, Default)]
+struct Value {
+    earned: f64,
+    possible: f64,
+}
+
+impl Value {
+    fn add(&mut self, other: Value) {
+        self.earned += other.earned;
+        self.possible += other.possible;
+    }
+
+    fn share(self) -> f64 {
+        if self.possible > 0.0 {
+            self.earned / self.possible
+        } else {
+            1.0
+        }
+    }
+}
+
 impl Report {
+    /// Creates the report of an experiment.
     pub fn new(
         plan: &Plan,
-        seen: &Seen,
+        measurements: &Measurements,
         services: BTreeMap<String, ServiceReport>,
         counters: BTreeMap<String, u64>,
-        broken: &Broken,
+        violations: &ViolationCounts,
     ) -> Report {
-        let (mut owed, mut earned) = (0.0, 0.0);
-        let classes = plan.classes.iter().zip(&seen.classes).map(|(class, seen)| {
-            let counts = seen.all.clone();
-            let got = counts.in_aim as f64 * class.worth + counts.late as f64 * class.late_worth;
-            let due = counts.asked as f64 * class.worth;
-            owed += due;
-            earned += got;
-            let ms = |q| seen.took.value_at_quantile(q) as f64 / 1000.0;
-            ClassReport {
+        let mut total_value = Value::default();
+        let mut classes = Vec::new();
+        for (class, measured) in plan.classes.iter().zip(&measurements.classes) {
+            let counts = measured.total.clone();
+            let earned = counts.within_target as f64 * class.value + counts.late as f64 * class.late_value;
+            let value = Value { earned, possible: counts.requests as f64 * class.value };
+            total_value.add(value);
+            let quantile_ms = |quantile| measured.latencies.value_at_quantile(quantile) as f64 / 1000.0;
+            classes.push(ClassReport {
                 name: class.name.clone(),
-                worth: if due > 0.0 { got / due } else { 1.0 },
-                p50_ms: ms(0.5),
-                p99_ms: ms(0.99),
+                value_share: value.share(),
+                p50_ms: quantile_ms(0.5),
+                p99_ms: quantile_ms(0.99),
                 counts,
-                seconds: seen.seconds.clone(),
-            }
-        });
-        let classes: Vec<ClassReport> = classes.collect();
-        let broken = [
-            ("twice", broken.twice),
-            ("refused", broken.refused),
-            ("mixed", broken.mixed),
-            ("stale", broken.stale),
-        ];
+                seconds: measured.seconds.clone(),
+            });
+        }
         Report {
-            worth: if owed > 0.0 { earned / owed } else { 1.0 },
+            value_share: total_value.share(),
             classes,
             services,
             counters,
-            broken: broken.map(|(name, count)| (name.to_owned(), count)).into(),
-            purges: seen.purges,
-            purges_failed: seen.purges_failed,
-            overrun: seen.overrun,
+            violations: violations_by_name(violations),
+            purges: measurements.purges,
+            failed_purges: measurements.failed_purges,
+            not_sent: measurements.not_sent,
             plan: serde_json::to_value(plan).unwrap_or_default(),
         }
     }
 
-    pub fn any_broken(&self) -> bool {
-        self.broken.values().any(|count| *count > 0)
+    /// Whether any guarantee was violated.
+    pub fn has_violations(&self) -> bool {
+        self.violations.values().any(|count| *count > 0)
     }
 
-    /// A page to read.
+    /// Returns a page with all figures.
     pub fn markdown(&self) -> String {
-        let mut text = format!("# Experiment\n\nWorth earned over worth owed: {:.3}.\n\n", self.worth);
+        let mut text = format!("# Experiment\n\nWorth earned over worth owed: {:.3}.\n\n", self.value_share);
         // Writing to a string does not fail.
         let mut line = |what: std::fmt::Arguments| {
             let _ = writeln!(text, "{what}");
@@ -175,22 +236,22 @@
         line(format_args!("| class | asked | in aim | late | refused | failed | worth | p50 ms | p99 ms |"));
         line(format_args!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |"));
         for class in &self.classes {
-            let Counts { asked, in_aim, late, refused, failed } = class.counts;
+            let Counts { requests, within_target, late, rejected, failed } = class.counts;
             line(format_args!(
-                "| {} | {asked} | {in_aim} | {late} | {refused} | {failed} | {:.3} | {:.1} | {:.1} |",
-                class.name, class.worth, class.p50_ms, class.p99_ms
+                "| {} | {requests} | {within_target} | {late} | {rejected} | {failed} | {:.3} | {:.1} | {:.1} |",
+                class.name, class.value_share, class.p50_ms, class.p99_ms
             ));
         }
         line(format_args!("\n| service | arrivals | turned away |\n| --- | --- | --- |"));
         for (name, service) in &self.services {
-            line(format_args!("| {name} | {} | {} |", service.arrivals, service.turned_away));
+            line(format_args!("| {name} | {} | {} |", service.arrivals, service.rejections));
         }
-        line(format_args!("\nPurges: {}, not acknowledged: {}.", self.purges, self.purges_failed));
-        for (name, count) in self.broken.iter().filter(|(_, count)| **count > 0) {
+        line(format_args!("\nPurges: {}, not acknowledged: {}.", self.purges, self.failed_purges));
+        for (name, count) in self.violations.iter().filter(|(_, count)| **count > 0) {
             line(format_args!("\n**Broken promise** `{name}`: {count} times."));
         }
-        if self.overrun > 0 {
-            line(format_args!("\nThe tool could not keep up: {} requests were not sent.", self.overrun));
+        if self.not_sent > 0 {
+            line(format_args!("\nThe tool could not keep up: {} requests were not sent.", self.not_sent));
         }
         line(format_args!("\n| counter | sum over machines |\n| --- | --- |"));
         for (name, value) in &self.counters {
@@ -200,25 +261,36 @@
         text
     }
 
-    /// One line for each class: what changed from an earlier report to this one.
+    /// Returns a line for each class, with what changed from an earlier report to this one.
     pub fn compared(&self, before: &Report) -> String {
-        let mut text = format!("all: worth {:.3} -> {:.3}\n", before.worth, self.worth);
+        let mut text = format!("all: worth {:.3} -> {:.3}\n", before.value_share, self.value_share);
         for class in &self.classes {
             let Some(old) = before.classes.iter().find(|old| old.name == class.name) else { continue };
             let _ = writeln!(
                 text,
                 "{}: worth {:.3} -> {:.3}, p50 {:.1} -> {:.1} ms, p99 {:.1} -> {:.1} ms, refused {} -> {}",
                 class.name,
-                old.worth,
-                class.worth,
+                old.value_share,
+                class.value_share,
                 old.p50_ms,
                 class.p50_ms,
                 old.p99_ms,
                 class.p99_ms,
-                old.counts.refused,
-                class.counts.refused
+                old.counts.rejected,
+                class.counts.rejected
             );
         }
         text
     }
 }
+
+/// Returns the violations by their names in reports.
+fn violations_by_name(violations: &ViolationCounts) -> BTreeMap<String, u64> {
+    let named = [
+        ("twice", violations.ran_twice),
+        ("refused", violations.rejected_after_run),
+        ("mixed", violations.incomplete),
+        ("stale", violations.stale),
+    ];
+    named.map(|(name, count)| (name.to_owned(), count)).into()
+}
--- a/experiments/src/schedules.rs
+++ b/experiments/src/schedules.rs
@@ -1,45 +1,48 @@
-//! Plays random schedules of the core in parallel, names those that fail, and cuts them down.
+//! Runs random schedules of the replicated chain in parallel, names those that fail, and shrinks them.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use glenfall_control_plane_sim::{shrink, Coverage, Schedule, ShrunkSchedule};
+use glenfall_control_plane_sim::{shrink, Coverage, FailedRun, Schedule, ShrunkSchedule};
 
-use crate::Failure;
+use crate::error::{FileError, LabError};
 
-/// How often progress is told.
-const PROGRESS: Duration = Duration::from_secs(10);
-/// A machine whose every schedule fails fills no disk: so many are named and cut down.
-const MOST_FAILED: usize = 20;
+/// How often progress is printed.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(10);
+/// How often it is looked whether all schedules have run.
+const END_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How many failing schedules are shrunk and written, so that a machine whose every schedule fails fills no disk.
+const MAX_SHRUNK: usize = 20;
 
+/// The options of the schedules.
 #[derive(clap::Args)]
-pub struct Wanted {
+pub struct ScheduleOptions {
     /// How many schedules
     #[arg(long, default_value_t = 10_000)]
     count: u64,
     /// Seed of the first; the others follow it
     #[arg(long, default_value_t = 0)]
     first: u64,
-    /// Aimed at rare moments of views, in a seed space of their own
+    /// Targeted at rare situations of views, in a seed space of their own
     #[arg(long)]
     aimed: bool,
     /// In so many threads; one for each processor if not given
     #[arg(long)]
     threads: Option<usize>,
-    /// Cut failing schedules down, and write each as a file
+    /// Shrink failing schedules, and write each as a file
     #[arg(long)]
     shrink: bool,
     /// Folder of the files; it is made
     #[arg(long, default_value = "target/schedules")]
     out: PathBuf,
-    /// Play one schedule from its file, exactly as it was
+    /// Run one schedule from its file, exactly as it was
     #[arg(long, conflicts_with_all = ["count", "first", "shrink", "aimed"])]
     replay: Option<PathBuf>,
 }
 
-impl Wanted {
+impl ScheduleOptions {
     fn schedule(&self, seed: u64) -> Schedule {
         match self.aimed {
             true => Schedule::targeted(seed),
@@ -47,43 +50,52 @@
         }
     }
 
+    /// Returns the name of the kind of schedules, as files and summaries have it.
     fn kind(&self) -> &'static str {
         match self.aimed {
             true => "aimed",
             false => "random",
         }
     }
+
+    fn threads(&self) -> usize {
+        let available = || std::thread::available_parallelism().map_or(1, Into::into);
+        self.threads.unwrap_or_else(available)
+    }
 }
 
-/// False where a schedule failed.
-pub fn play(wanted: &Wanted) -> Result<bool, Failure> {
-    // A node that panics is a property broken, and told as one.
+/// Runs schedules; false where one failed.
+///
+/// # Errors
+///
+/// Returns an error where a file can't be read or written, or a schedule file is invalid.
+pub fn run(options: &ScheduleOptions) -> Result<bool, LabError> {
+    // A node that panics violates an invariant, and is reported as such.
     std::panic::set_hook(Box::new(|_| {}));
-    match &wanted.replay {
+    match &options.replay {
         Some(file) => replay(file),
-        None => play_many(wanted),
+        None => run_many(options),
     }
 }
 
-fn replay(file: &Path) -> Result<bool, Failure> {
-    let wrong = |what: &dyn std::fmt::Display| format!("{}: {what}", file.display());
-    let bytes = std::fs::read(file).map_err(|e| wrong(&e))?;
-    let schedule: Schedule = serde_json::from_slice(&bytes).map_err(|e| wrong(&e))?;
-    schedule.check().map_err(|e| wrong(&e))?;
-    print!("{}", described(&schedule));
+fn replay(file: &Path) -> Result<bool, LabError> {
+    let bytes = std::fs::read(file).map_err(|error| FileError::new(file, error))?;
+    let schedule: Schedule = serde_json::from_slice(&bytes).map_err(|error| FileError::new(file, error))?;
+    schedule.check().map_err(|error| FileError::new(file, error))?;
+    print!("{}", describe(&schedule));
     match schedule.run() {
-        Ok(played) => {
-            println!("holds; {}", described_coverage(&played));
+        Ok(coverage) => {
+            println!("holds; {}", describe_coverage(&coverage));
             Ok(true)
         }
-        Err(broken) => {
-            print!("{} ms: {}\n{}", broken.at, broken.violation, broken.nodes);
+        Err(failed) => {
+            print!("{}", describe_failure(&failed));
             Ok(false)
         }
     }
 }
 
-fn described_coverage(sum: &Coverage) -> String {
+fn describe_coverage(coverage: &Coverage) -> String {
     let Coverage {
         changes,
         reads,
@@ -93,19 +105,18 @@
         views,
         member_changes,
         requested_voter_changes,
-    } = sum;
+    } = coverage;
     format!(
         "{changes} changes acknowledged, {reads} reads, {refusals} refusals, {repeats} orders sent again, {sessions} sessions opened, {views} views, \
          {member_changes} changes of who counts, {requested_voter_changes} asked for by operators"
     )
 }
 
-fn described(schedule: &Schedule) -> String {
+fn describe(schedule: &Schedule) -> String {
     let Schedule { seed, size, faults_end_at, events, .. } = schedule;
-    let (losses, spare) = (size.losses, size.spare);
+    let (voters, losses, spare) = (size.voters(), size.losses, size.spare);
     let mut lines = format!(
-        "seed {seed}: {} voters that outlive {losses} losses, {spare} standing by, troubles for {faults_end_at} ms\n",
-        size.voters()
+        "seed {seed}: {voters} voters that outlive {losses} losses, {spare} standing by, troubles for {faults_end_at} ms\n"
     );
     for event in events {
         lines += &format!("{:>7} {:?}\n", event.at, event.action);
@@ -113,117 +124,124 @@
     lines
 }
 
-/// Schedules that are played by several threads.
+fn describe_failure(failed: &FailedRun) -> String {
+    format!("{} ms: {}\n{}", failed.at, failed.violation, failed.nodes)
+}
+
+/// Schedules that several threads run.
 struct Batch<'a> {
-    wanted: &'a Wanted,
-    next: AtomicU64,
+    options: &'a ScheduleOptions,
+    /// How many schedules have been started.
+    started: AtomicU64,
     ended: AtomicBool,
     coverage: Mutex<Coverage>,
-    failed: Mutex<Vec<u64>>,
-    began: Instant,
+    failed_seeds: Mutex<Vec<u64>>,
+    began_at: Instant,
 }
 
-impl Batch<'_> {
-    /// Plays one schedule after the other until all have been taken.
-    fn work(&self) {
-        let mut own = Coverage::default();
+impl<'a> Batch<'a> {
+    fn new(options: &'a ScheduleOptions) -> Self {
+        Batch {
+            options,
+            started: AtomicU64::new(0),
+            ended: AtomicBool::new(false),
+            coverage: Mutex::default(),
+            failed_seeds: Mutex::default(),
+            began_at: Instant::now(),
+        }
+    }
+
+    fn run(&self, threads: usize) {
+        std::thread::scope(|scope| {
+            let workers: Vec<_> = (0..threads.max(1)).map(|_| scope.spawn(|| self.run_worker())).collect();
+            scope.spawn(|| self.report_progress());
+            for worker in workers {
+                // A panic of a node is caught in its schedule: this is one of the worker itself.
+                if worker.join().is_err() {
+                    eprintln!("a thread ended early");
+                }
+            }
+            self.ended.store(true, Ordering::Relaxed);
+        });
+    }
+
+    /// Runs one schedule after the other until all have been started.
+    fn run_worker(&self) {
+        let mut worker_coverage = Coverage::default();
         loop {
-            let n = self.next.fetch_add(1, Ordering::Relaxed);
-            if n >= self.wanted.count {
+            let number = self.started.fetch_add(1, Ordering::Relaxed);
+            if number >= self.options.count {
                 break;
             }
-            let seed = self.wanted.first.wrapping_add(n);
-            match self.wanted.schedule(seed).run() {
-                Ok(coverage) => own += coverage,
-                Err(broken) => {
-                    println!("seed {seed} failed at {} ms: {}", broken.at, broken.violation);
-                    if let Ok(mut failed) = self.failed.lock() {
-                        failed.push(seed);
-                    }
-                }
+            let seed = self.options.first.wrapping_add(number);
+            match self.options.schedule(seed).run() {
+                Ok(coverage) => worker_coverage += coverage,
+                Err(failed) => self.add_failure(seed, &failed),
             }
         }
         if let Ok(mut coverage) = self.coverage.lock() {
-            *coverage += own;
+            *coverage += worker_coverage;
         }
     }
 
-    fn report_progress(&self) {
-        let mut reported = Instant::now();
-        while !self.ended.load(Ordering::Relaxed) {
-            std::thread::sleep(Duration::from_millis(50));
-            if reported.elapsed() >= PROGRESS {
-                reported = Instant::now();
-                let played = self.next.load(Ordering::Relaxed).min(self.wanted.count);
-                eprintln!(
-                    "{played} of {} schedules, {} s",
-                    self.wanted.count,
-                    self.began.elapsed().as_secs()
-                );
-            }
+    fn add_failure(&self, seed: u64, failed: &FailedRun) {
+        println!("seed {seed} failed at {} ms: {}", failed.at, failed.violation);
+        if let Ok(mut failed_seeds) = self.failed_seeds.lock() {
+            failed_seeds.push(seed);
         }
     }
 
-    fn play(&self, threads: usize) {
-        std::thread::scope(|scope| {
-            let workers: Vec<_> = (0..threads.max(1)).map(|_| scope.spawn(|| self.work())).collect();
-            scope.spawn(|| self.report_progress());
-            for worker in workers {
-                // What panicked is not a schedule, which would have been caught.
-                if worker.join().is_err() {
-                    eprintln!("a thread ended early");
-                }
+    fn report_progress(&self) {
+        let mut reported_at = Instant::now();
+        while !self.ended.load(Ordering::Relaxed) {
+            std::thread::sleep(END_POLL_INTERVAL);
+            if reported_at.elapsed() >= PROGRESS_INTERVAL {
+                reported_at = Instant::now();
+                let count = self.options.count;
+                let started = self.started.load(Ordering::Relaxed).min(count);
+                eprintln!("{started} of {count} schedules, {} s", self.began_at.elapsed().as_secs());
             }
-            self.ended.store(true, Ordering::Relaxed);
-        });
+        }
     }
 }
 
-fn play_many(wanted: &Wanted) -> Result<bool, Failure> {
-    let threads =
-        wanted.threads.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, Into::into));
-    let batch = Batch {
-        wanted,
-        next: AtomicU64::new(0),
-        ended: AtomicBool::new(false),
-        coverage: Mutex::default(),
-        failed: Mutex::default(),
-        began: Instant::now(),
-    };
-    batch.play(threads);
-    let took = batch.began.elapsed().as_secs_f64();
+fn run_many(options: &ScheduleOptions) -> Result<bool, LabError> {
+    let threads = options.threads();
+    let batch = Batch::new(options);
+    batch.run(threads);
+    let seconds = batch.began_at.elapsed().as_secs_f64();
     let coverage = batch.coverage.into_inner().unwrap_or_default();
-    let mut failed = batch.failed.into_inner().unwrap_or_default();
-    failed.sort();
+    let mut failed_seeds = batch.failed_seeds.into_inner().unwrap_or_default();
+    failed_seeds.sort();
     println!(
-        "{} {} schedules from seed {} in {took:.1} s with {threads} threads: {} failed; {}",
-        wanted.count,
-        wanted.kind(),
-        wanted.first,
-        failed.len(),
-        described_coverage(&coverage)
+        "{} {} schedules from seed {} in {seconds:.1} s with {threads} threads: {} failed; {}",
+        options.count,
+        options.kind(),
+        options.first,
+        failed_seeds.len(),
+        describe_coverage(&coverage)
     );
-    for seed in failed.iter().take(MOST_FAILED) {
-        if wanted.shrink {
-            cut_down(wanted, *seed)?;
+    if options.shrink {
+        for seed in failed_seeds.iter().take(MAX_SHRUNK) {
+            shrink_and_write(options, *seed)?;
         }
     }
-    Ok(failed.is_empty())
+    Ok(failed_seeds.is_empty())
 }
 
-fn cut_down(wanted: &Wanted, seed: u64) -> Result<(), Failure> {
-    let whole = wanted.schedule(seed);
-    let Some(ShrunkSchedule { schedule: short, attempts }) = shrink(&whole) else { return Ok(()) };
-    let Err(broken) = short.run() else { return Ok(()) };
-    std::fs::create_dir_all(&wanted.out)?;
-    let file = wanted.out.join(format!("{}-{seed}.json", wanted.kind()));
+fn shrink_and_write(options: &ScheduleOptions, seed: u64) -> Result<(), LabError> {
+    let complete = options.schedule(seed);
+    let Some(ShrunkSchedule { schedule: short, attempts }) = shrink(&complete) else { return Ok(()) };
+    let Err(failed) = short.run() else { return Ok(()) };
+    std::fs::create_dir_all(&options.out)?;
+    let file = options.out.join(format!("{}-{seed}.json", options.kind()));
     std::fs::write(&file, serde_json::to_string_pretty(&short)?)?;
     println!(
         "\nseed {seed}, {} events cut down to {} in {attempts} tries",
-        whole.events.len(),
+        complete.events.len(),
         short.events.len()
     );
-    print!("{}{} ms: {}\n{}", described(&short), broken.at, broken.violation, broken.nodes);
+    print!("{}{}", describe(&short), describe_failure(&failed));
     println!("replay with: glenfall-lab schedules --replay {}", file.display());
     Ok(())
 }
--- /dev/null
+++ b/experiments/src/soak/clients/mod.rs
@@ -0,0 +1,351 @@
+//! The clients of a run: reads, and writes that may run at most once. Their responses are checked against what servers ran
+//! and which objects were purged.
+
+mod edges;
+mod version_probes;
+
+use std::cell::{Cell, RefCell};
+use std::ops::Range;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use glenfall::http::headers::{DEADLINE, TRY_ID};
+use glenfall::http::response::{ServerResponse, SEAL};
+use glenfall::memory_budget::MemoryBudget;
+use glenfall::upstream::pool::{ExchangeParams, Pool, SendError};
+use http_body_util::Full;
+use hyper::header::{self, HeaderValue};
+use hyper::{Method, Request, StatusCode};
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use tokio::task::spawn_local;
+use tokio::time::{sleep, timeout, Instant};
+
+use super::active_faults::{ActiveFault, ActiveFaults};
+use super::fault_history::{FaultHistory, FaultKind};
+use super::operators::Operators;
+use super::oracle::{Invariant, Oracle};
+use crate::ledger::{Ledger, ResponseCheck, PURGE_TIMEOUT};
+use crate::plan::{ClassPlan, Plan, RouteKind};
+pub use edges::Edge;
+
+/// Connections that the clients hold together.
+const MAX_CONNECTIONS: usize = 256;
+/// Bytes of responses that the clients hold at the same time.
+const RESPONSE_MEMORY: usize = 64 << 20;
+/// A response may arrive this long after its deadline, on a machine that is busy with several runs.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(1200);
+/// A client abandons a request this long after its deadline.
+const ABANDONED_AFTER_DEADLINE: Duration = Duration::from_millis(2500);
+/// While clients disconnect, this share of them does.
+const DISCONNECT_SHARE: f64 = 0.4;
+/// They disconnect within this time, in milliseconds.
+const DISCONNECT_WITHIN_MS: Range<u64> = 1..250;
+/// How often it is looked whether requests are still in flight.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(10);
+
+/// A request whose connection ended without a response.
+pub struct UnansweredRequest {
+    /// Its try id.
+    pub id: String,
+    /// The index of the edge.
+    pub edge: usize,
+    /// Milliseconds until the connection ended.
+    pub after_ms: u64,
+}
+
+/// What a client sends to an edge.
+struct ClientRequest<'a> {
+    method: Method,
+    host: &'a str,
+    path: &'a str,
+    id: &'a str,
+    deadline: Duration,
+}
+
+impl ClientRequest<'_> {
+    fn to_http(&self) -> Request<Full<Bytes>> {
+        let mut request = Request::new(Full::new(Bytes::new()));
+        *request.method_mut() = self.method.clone();
+        *request.uri_mut() = self.path.parse().unwrap_or_default();
+        let headers = request.headers_mut();
+        headers.insert(DEADLINE, HeaderValue::from(self.deadline.as_millis() as u64));
+        for (name, value) in [(header::HOST, self.host), (TRY_ID, self.id)] {
+            if let Ok(value) = HeaderValue::from_str(value) {
+                headers.insert(name, value);
+            }
+        }
+        request
+    }
+}
+
+/// A request that a client has sent.
+struct SentRequest<'a> {
+    class: &'a ClassPlan,
+    edge: usize,
+    path: String,
+    id: String,
+    sent_at: Instant,
+}
+
+/// All clients of a run.
+pub struct Clients {
+    plan: Plan,
+    edges: Vec<Edge>,
+    pool: Rc<Pool>,
+    ledger: Rc<Ledger>,
+    oracle: Rc<Oracle>,
+    history: Rc<FaultHistory>,
+    operators: Rc<Operators>,
+    rng: RefCell<ChaCha8Rng>,
+    next_number: Cell<u64>,
+    in_flight: Cell<u32>,
+    disconnects: ActiveFaults,
+    /// The ids of writes that were rejected as not executed.
+    rejected_writes: RefCell<Vec<String>>,
+    /// Requests whose connections ended without a response, at edges without faults but planned work.
+    unanswered: RefCell<Vec<UnansweredRequest>>,
+    /// Whether all requests have to be served, as all faults have ended.
+    expects_success: Cell<bool>,
+}
+
+impl Clients {
+    /// Creates the clients of these edges.
+    pub fn new(
+        plan: &Plan,
+        edges: Vec<Edge>,
+        ledger: &Rc<Ledger>,
+        oracle: &Rc<Oracle>,
+        history: &Rc<FaultHistory>,
+        operators: &Rc<Operators>,
+        seed: u64,
+    ) -> Rc<Self> {
+        Rc::new(Clients {
+            plan: plan.clone(),
+            edges,
+            pool: Pool::new(MAX_CONNECTIONS, MemoryBudget::new(RESPONSE_MEMORY)),
+            ledger: Rc::clone(ledger),
+            oracle: Rc::clone(oracle),
+            history: Rc::clone(history),
+            operators: Rc::clone(operators),
+            rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
+            next_number: Cell::new(0),
+            in_flight: Cell::new(0),
+            disconnects: ActiveFaults::default(),
+            rejected_writes: RefCell::default(),
+            unanswered: RefCell::default(),
+            expects_success: Cell::new(false),
+        })
+    }
+
+    /// Returns how many edges there are.
+    pub fn edge_count(&self) -> usize {
+        self.edges.len()
+    }
+
+    /// Notes that a process of a machine ends or starts, if that machine has an edge.
+    pub fn edge_restarts(&self, machine: u8) {
+        self.edges.iter().filter(|edge| edge.machine == machine).for_each(Edge::restarts);
+    }
+
+    /// Begins a fault in which clients disconnect while their requests are in flight.
+    pub fn begin_disconnects(&self) -> ActiveFault {
+        self.disconnects.begin()
+    }
+
+    /// Sets whether all requests have to be served.
+    pub fn expect_success(&self, expects_success: bool) {
+        self.expects_success.set(expects_success);
+    }
+
+    // ---- Load ----
+
+    /// Sends requests of one class until it is aborted.
+    pub async fn generate_load(self: Rc<Self>, class: usize) {
+        let per_s = self.plan.classes[class].per_s;
+        loop {
+            let pause = self.rng.borrow_mut().random_range(0.0..2.0 / per_s);
+            sleep(Duration::from_secs_f64(pause)).await;
+            let clients = Rc::clone(&self);
+            self.in_flight.set(self.in_flight.get() + 1);
+            spawn_local(async move {
+                clients.request(class).await;
+                clients.in_flight.set(clients.in_flight.get() - 1);
+            });
+        }
+    }
+
+    /// Waits until no request is in flight.
+    pub async fn wait_until_idle(&self) {
+        while self.in_flight.get() > 0 {
+            sleep(IDLE_POLL_INTERVAL).await;
+        }
+    }
+
+    /// Draws after which time the client of the next request disconnects, if it does.
+    fn draw_disconnect(&self) -> Option<Duration> {
+        let mut rng = self.rng.borrow_mut();
+        let disconnects = self.disconnects.any() && rng.random_bool(DISCONNECT_SHARE);
+        disconnects.then(|| Duration::from_millis(rng.random_range(DISCONNECT_WITHIN_MS)))
+    }
+
+    fn next_number(&self) -> u64 {
+        self.next_number.replace(self.next_number.get() + 1)
+    }
+
+    fn draw_request(&self, class: usize) -> SentRequest<'_> {
+        let class = &self.plan.classes[class];
+        let edge = self.rng.borrow_mut().random_range(0..self.edges.len());
+        let object = self.rng.borrow_mut().random_range(1..=class.objects);
+        let id = format!("{}-{:x}", class.name, self.next_number());
+        let path = format!("/{}/{object}", class.name);
+        SentRequest { class, edge, path, id, sent_at: Instant::now() }
+    }
+
+    async fn request(&self, class: usize) {
+        let disconnects_after = self.draw_disconnect();
+        let sent = self.draw_request(class);
+        let method = if sent.class.kind == RouteKind::Mutating { Method::POST } else { Method::GET };
+        let deadline = Duration::from_millis(sent.class.deadline_ms);
+        let request =
+            ClientRequest { method, host: crate::plan::ROUTE_HOST, path: &sent.path, id: &sent.id, deadline };
+        let exchange = self.exchange(sent.edge, &request);
+        let result = match disconnects_after {
+            // The connection ends as the exchange is dropped.
+            Some(after) => match timeout(after, exchange).await {
+                Ok(result) => result,
+                Err(_) => return self.oracle.count("client left"),
+            },
+            None => exchange.await,
+        };
+        let elapsed = sent.sent_at.elapsed();
+        match result {
+            Ok(response) => self.check_response(&sent, &response, elapsed),
+            Err(error) => self.check_unanswered(&sent, error, elapsed),
+        }
+    }
+
+    async fn exchange(&self, edge: usize, request: &ClientRequest<'_>) -> Result<ServerResponse, SendError> {
+        let until = Instant::now() + request.deadline + ABANDONED_AFTER_DEADLINE;
+        let params = ExchangeParams::internal(self.edges[edge].address, until);
+        let params = ExchangeParams { completion_timeout: None, ..params };
+        self.pool.exchange(params, || request.to_http()).await
+    }
+
+    // ---- Checks ----
+
+    fn check_response(&self, sent: &SentRequest, response: &ServerResponse, elapsed: Duration) {
+        let SentRequest { class, edge, id, sent_at, .. } = sent;
+        let status = response.status();
+        let latest = Duration::from_millis(class.deadline_ms) + DEADLINE_TOLERANCE;
+        if elapsed > latest && self.in_contact_since(*edge, *sent_at) {
+            let details = format!("{id}: {status} after {} ms", elapsed.as_millis());
+            self.oracle.violated(Invariant::AnsweredByDeadline, details);
+        }
+        if status.is_success() {
+            self.check_success(sent, response);
+        } else {
+            self.check_failure(sent, response);
+        }
+    }
+
+    fn in_contact_since(&self, edge: usize, since: Instant) -> bool {
+        self.history.in_contact_since(self.edges[edge].machine, since)
+    }
+
+    fn check_success(&self, sent: &SentRequest, response: &ServerResponse) {
+        let SentRequest { class, edge, path, id, sent_at } = sent;
+        self.oracle.count("served");
+        let sealed = response.headers().contains_key(SEAL);
+        match self.ledger.check(path, *sent_at, sealed, response.body(), class.bytes) {
+            ResponseCheck::Valid => {}
+            ResponseCheck::Incomplete => {
+                self.oracle.violated(Invariant::ResponseComplete, format!("{id} {path}"));
+            }
+            ResponseCheck::Stale if self.in_contact_since(*edge, *sent_at - PURGE_TIMEOUT) => {
+                self.oracle.violated(Invariant::NoStaleAfterPurge, format!("{id} {path}"));
+            }
+            ResponseCheck::Stale => self.oracle.count("old version, out of touch"),
+        }
+    }
+
+    fn check_failure(&self, sent: &SentRequest, response: &ServerResponse) {
+        let SentRequest { class, edge, path, id, .. } = sent;
+        let status = response.status();
+        self.oracle.count(match status.as_u16() {
+            503 => "refused (503)",
+            502 => "no promise (502)",
+            504 => "no answer in time (504)",
+            500 => "failed (500)",
+            _ => "other failures",
+        });
+        if status == StatusCode::NOT_FOUND {
+            self.oracle.violated(Invariant::RouteKnown, format!("{id} {path} at edge {edge}"));
+        }
+        if is_not_executed(status) && class.kind == RouteKind::Mutating {
+            self.rejected_writes.borrow_mut().push(id.clone());
+        }
+        if !response.headers().contains_key(SEAL) {
+            self.oracle.request_failed(id, *edge, status.as_u16());
+        }
+        // Servers fail some requests themselves.
+        if self.expects_success.get() && status != StatusCode::INTERNAL_SERVER_ERROR {
+            let details = format!("{id}: {status} at edge {edge}");
+            self.oracle.violated(Invariant::ServedAfterRecovery, details);
+        }
+    }
+
+    fn check_unanswered(&self, sent: &SentRequest, error: SendError, elapsed: Duration) {
+        let SentRequest { edge, id, sent_at, .. } = sent;
+        match error {
+            SendError::NotSent => self.oracle.count("not read"),
+            SendError::NoResponse => self.note_unanswered(sent, elapsed),
+            SendError::TimedOut => {
+                self.oracle.count("no answer");
+                if self.in_contact_since(*edge, *sent_at) {
+                    let details = format!("{id}: none at edge {edge}");
+                    self.oracle.violated(Invariant::AnsweredByDeadline, details);
+                }
+            }
+        }
+        if self.expects_success.get() {
+            let details = format!("{id}: {error:?} at edge {edge}");
+            self.oracle.violated(Invariant::ServedAfterRecovery, details);
+        }
+    }
+
+    fn note_unanswered(&self, sent: &SentRequest, elapsed: Duration) {
+        let SentRequest { edge, id, sent_at, .. } = sent;
+        self.oracle.count("cut off");
+        let machine = self.edges[*edge].machine;
+        if self.history.is_free_of(FaultKind::Unplanned, machine, *sent_at) {
+            // A request that crosses the close of a connection was not read; whether this one was is checked after the run.
+            let after_ms = elapsed.as_millis() as u64;
+            self.unanswered.borrow_mut().push(UnansweredRequest { id: id.clone(), edge: *edge, after_ms });
+        }
+    }
+
+    /// Checks what can only be checked after the run: no rejected write has run, and no unanswered request had been read.
+    pub fn check_after_run(&self, was_read: impl Fn(&UnansweredRequest) -> bool) {
+        for request in self.unanswered.borrow().iter() {
+            if was_read(request) || self.ledger.has_run(&request.id) {
+                let UnansweredRequest { id, edge, after_ms } = request;
+                let details = format!("{id} at edge {edge}, after {after_ms} ms");
+                self.oracle.violated(Invariant::ReadRequestAnswered, details);
+            }
+        }
+        for id in self.rejected_writes.borrow().iter().filter(|id| self.ledger.has_run(id)) {
+            self.oracle.violated(Invariant::RejectedNotExecuted, id.clone());
+        }
+        let ran_twice = self.ledger.violations().ran_twice;
+        if ran_twice > 0 {
+            self.oracle.violated(Invariant::AtMostOnce, format!("{ran_twice} requests"));
+        }
+    }
+}
+
+/// Whether a status says that a request has not been executed.
+fn is_not_executed(status: StatusCode) -> bool {
+    matches!(status.as_u16(), 408 | 421 | 429 | 503)
+}
--- a/experiments/src/soak/logs.rs
+++ b/experiments/src/soak/logs.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use super::observed::Failed;
+use super::oracle::FailedRequest;
 
 /// The cause that an edge logs where a connection ends before its request is answered.
 const CLIENT_GONE: &str = "cause=\"client-gone\"";
@@ -48,9 +48,10 @@
     }
 
     /// Failed requests that the log of their edge does not name, though it has left no line out.
-    pub fn unexplained(&self, failed: &[Failed]) -> Vec<String> {
-        let is_missing = |request: &&Failed| {
-            self.line(&request.id, request.edge).is_none() && !leaves_out(self.of_edge(request.edge))
+    pub fn unexplained(&self, failed: &[FailedRequest]) -> Vec<String> {
+        let is_missing = |request: &&FailedRequest| {
+            self.line(&request.id, request.edge).is_none()
+                && !has_suppressed_lines(self.of_edge(request.edge))
         };
         let missing = failed.iter().filter(is_missing);
         missing
@@ -73,6 +74,6 @@
 }
 
 /// Whether lines of some cause were left out of a log.
-fn leaves_out(log: &str) -> bool {
+fn has_suppressed_lines(log: &str) -> bool {
     log.lines().any(|line| line.contains("not_logged=") && !line.contains("not_logged=0"))
 }
--- /dev/null
+++ b/experiments/src/soak/network/mod.rs
@@ -0,0 +1,12 @@
+//! The network between the processes of a run, with fault injection and without any privilege: TCP relays stand between
+//! machines, and in front of servers.
+
+mod partitions;
+mod relay;
+mod server_faults;
+mod socket_owner;
+
+pub use partitions::{MachineDirection, Partitions};
+pub use relay::{relay_to_machine, relay_to_server};
+pub use server_faults::{ServerNetwork, ServerNetworkFault};
+pub use socket_owner::MachineProcess;
--- /dev/null
+++ b/experiments/src/soak/operators/changes.rs
@@ -0,0 +1,122 @@
+//! The configuration changes that operators send, and the documents that they contain.
+
+use serde_json::{json, Value};
+
+use crate::plan::Plan;
+
+/// How many versions before a version still have their route in it.
+const MAX_PARENTS: usize = 2;
+/// The host of the routes that tell changes of the same version apart.
+const MARKER_HOST: &str = "mark.example";
+/// What the name of such a route begins with; the number of the change follows.
+const MARKER_NAME_PREFIX: &str = "mark-";
+
+/// Returns the host of the route that a version adds.
+pub fn host_of_version(rev: u64) -> String {
+    format!("v{rev}.example")
+}
+
+/// A change to a complete configuration.
+#[derive(Clone, Debug)]
+pub struct ConfigChange {
+    /// Tells the change apart from others of the same version.
+    pub number: u64,
+    /// The version that it changes.
+    pub builds_on: u64,
+    /// The version that it makes.
+    pub rev: u64,
+    /// The versions before it that it was made from, the newest last.
+    parents: Vec<u64>,
+}
+
+impl ConfigChange {
+    /// Returns the state before the first change.
+    pub fn none() -> ConfigChange {
+        ConfigChange { number: 0, builds_on: 0, rev: 0, parents: Vec::new() }
+    }
+
+    /// Returns a change of this version to one that is higher by `version_step`.
+    pub fn next(&self, number: u64, version_step: u64) -> ConfigChange {
+        let mut parents = self.parents.clone();
+        if self.rev > 0 {
+            parents.push(self.rev);
+        }
+        let parents = parents.split_off(parents.len().saturating_sub(MAX_PARENTS));
+        ConfigChange { number, builds_on: self.rev, rev: self.rev + version_step, parents }
+    }
+
+    /// Returns the configuration: that of the plan, with a route for this version and its parents, and one that marks the
+    /// change.
+    pub fn document(&self, plan: &Plan) -> Value {
+        let mut document = plan.document();
+        document["rev"] = self.rev.into();
+        let backend = &plan.classes[0].service;
+        let class = &plan.classes[0].name;
+        if let Some(routes) = document["paths"].as_array_mut() {
+            for rev in self.parents.iter().chain([&self.rev]) {
+                let (host, prefix) = (host_of_version(*rev), format!("/{class}/"));
+                routes.push(route(&host, &prefix, &format!("version-{rev}"), backend));
+            }
+            let (prefix, name) =
+                (format!("/{}/", self.number), format!("{MARKER_NAME_PREFIX}{}", self.number));
+            routes.push(route(MARKER_HOST, &prefix, &name, backend));
+        }
+        document
+    }
+}
+
+fn route(host: &str, prefix: &str, name: &str, backend: &str) -> Value {
+    json!({
+        "name": name, "hostname": host, "pathPrefix": prefix, "type": "cacheable", "deadlineMs": 1200,
+        "targetMs": 300, "prio": 2, "backend": backend, "tries": 2, "maxAgeS": 5,
+    })
+}
+
+/// Returns the number of the change that made a document, if its marker is there.
+pub fn change_number(document: &Value) -> Option<u64> {
+    let routes = document["paths"].as_array()?;
+    let mut names = routes.iter().filter_map(|route| route["name"].as_str());
+    names.find_map(|name| name.strip_prefix(MARKER_NAME_PREFIX)?.parse().ok())
+}
+
+/// A kind of invalid document.
+#[derive(Clone, Copy, Debug)]
+pub enum InvalidDocument {
+    /// A route names a backend that does not exist.
+    UnknownBackend,
+    /// A route has a deadline of zero.
+    ZeroDeadline,
+    /// Two routes are the same.
+    DuplicateRoute,
+    /// The version is the one that it builds on.
+    SameVersion,
+    /// The document is cut off in the middle.
+    Truncated,
+}
+
+impl InvalidDocument {
+    /// All kinds.
+    pub const ALL: [InvalidDocument; 5] = [
+        InvalidDocument::UnknownBackend,
+        InvalidDocument::ZeroDeadline,
+        InvalidDocument::DuplicateRoute,
+        InvalidDocument::SameVersion,
+        InvalidDocument::Truncated,
+    ];
+
+    /// Returns the document of a change, made invalid.
+    pub fn of(self, change: &ConfigChange, plan: &Plan) -> String {
+        let mut document = change.document(plan);
+        match self {
+            InvalidDocument::UnknownBackend => document["paths"][0]["backend"] = "nobody".into(),
+            InvalidDocument::ZeroDeadline => document["paths"][0]["deadlineMs"] = 0.into(),
+            InvalidDocument::DuplicateRoute => document["paths"][1] = document["paths"][0].clone(),
+            InvalidDocument::SameVersion => document["rev"] = change.builds_on.into(),
+            InvalidDocument::Truncated => {
+                let text = document.to_string();
+                return text[..text.len() / 2].to_owned();
+            }
+        }
+        document.to_string()
+    }
+}
--- /dev/null
+++ b/experiments/src/soak/run.rs
@@ -0,0 +1,280 @@
+//! One run of the soak: a system of real processes, its servers, clients and operators, and the faults of a schedule.
+
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::Duration;
+
+use glenfall::operator::commands::ControlAddresses;
+use glenfall::operator::local_system::{LocalSystem, SystemLayout};
+use serde::Serialize;
+use tokio::task::{spawn_local, JoinHandle};
+use tokio::time::{sleep, sleep_until, Instant};
+
+use super::clients::{Clients, Edge};
+use super::fault_history::FaultHistory;
+use super::faults::FaultInjector;
+use super::logs::Logs;
+use super::machines::Machines;
+use super::network::{relay_to_machine, Partitions};
+use super::operators::Operators;
+use super::oracle::{Invariant, Oracle, Violation};
+use super::readiness::{missing, POLL_INTERVAL};
+use super::schedule::Schedule;
+use super::servers::Servers;
+use crate::error::LabError;
+use crate::ledger::Ledger;
+use crate::origin::HEARTBEAT_INTERVAL;
+use crate::plan::Plan;
+
+/// The system is up within this time.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// The system has recovered within this time after the last fault: `recoverS`.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
+/// After the recovery ejected servers are used again within this time; then all requests are served for as long.
+const CALM_TIME: Duration = Duration::from_secs(2);
+/// The newest configuration is read back within this time.
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(4);
+/// Core machines whose disks may be lost at the same time.
+const TOLERATED_LOSSES: usize = 1;
+/// Core machines that the settings name and that vote.
+const SEED_COUNT: u8 = 3;
+
+/// Two services: reads that may be cached, and writes that may run at most once.
+const SOAK_PLAN: &str = include_str!("../../plans/soak.toml");
+/// Machines with an edge.
+pub const EDGE_COUNT: u8 = 3;
+/// Services of the plan.
+pub const SERVICE_COUNT: usize = 2;
+
+/// What a run has shown.
+#[derive(Debug, Serialize)]
+pub struct Outcome {
+    /// The schedule that was run.
+    pub schedule: Schedule,
+    /// The invariants that were violated.
+    pub violations: Vec<Violation>,
+    /// Requests, configuration changes and purges by how they ended.
+    pub counts: BTreeMap<&'static str, u64>,
+    /// Failed requests by the causes that edges have logged.
+    pub causes: BTreeMap<String, u64>,
+    /// The folder of the logs, if any invariant was violated.
+    pub logs: Option<PathBuf>,
+}
+
+/// Runs a schedule on the addresses 127.0.`net`.x and 127.1.`net`.x.
+///
+/// # Errors
+///
+/// Returns an error where the system can't be started. A violated invariant is part of the outcome.
+pub async fn run(schedule: Schedule, net: u8, program: &Path) -> Result<Outcome, LabError> {
+    let size = schedule.size;
+    let mut plan = Plan::read(SOAK_PLAN).unwrap_or_else(|error| unreachable!("{error}"));
+    plan.seed = schedule.seed;
+    plan.system.cores = size.cores;
+    let layout = SystemLayout {
+        net,
+        cores: size.cores,
+        seeds: SEED_COUNT,
+        edges: size.edges,
+        zones: plan.system.zones,
+        beat_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
+        mem_mb: plan.system.mem_mb,
+        losses: TOLERATED_LOSSES,
+        relayed: true,
+    };
+    let local = LocalSystem::start(layout, program).await?;
+    SoakRun::prepare(schedule, plan, net, local).await?.run().await
+}
+
+struct SoakRun {
+    schedule: Schedule,
+    plan: Plan,
+    controls: ControlAddresses,
+    oracle: Rc<Oracle>,
+    history: Rc<FaultHistory>,
+    ledger: Rc<Ledger>,
+    servers: Rc<Servers>,
+    operators: Rc<Operators>,
+    clients: Rc<Clients>,
+    machines: Rc<Machines>,
+}
+
+/// The tasks of a run that go on until they are aborted.
+struct BackgroundTasks {
+    /// Clients and version probes.
+    load: Vec<JoinHandle<()>>,
+    /// Operators, and the watch over what should not happen.
+    operations: Vec<JoinHandle<()>>,
+}
+
+impl BackgroundTasks {
+    fn abort(self) {
+        self.operations.into_iter().for_each(|task| task.abort());
+        self.load.into_iter().for_each(|task| task.abort());
+    }
+}
+
+impl SoakRun {
+    async fn prepare(schedule: Schedule, plan: Plan, net: u8, local: LocalSystem) -> Result<Self, LabError> {
+        let partitions = Partitions::new();
+        for (machine, pairs) in local.relayed() {
+            for (announced, target) in pairs {
+                relay_to_machine(Rc::clone(&partitions), announced, target, &local.node(machine)).await?;
+            }
+        }
+        let controls = local.controls();
+        let edges = local.edges().into_iter().zip(schedule.size.cores + 1..);
+        let edges = edges.map(|(address, machine)| Edge::new(address, machine)).collect();
+        let oracle = Rc::new(Oracle::new());
+        let history = FaultHistory::new(schedule.size.cores);
+        let ledger = Rc::new(Ledger::default());
+        let servers = Servers::start(&plan, net, controls.clone(), &ledger).await?;
+        let operators = Operators::new(&plan, controls.clone(), &oracle, schedule.seed);
+        let clients = Clients::new(&plan, edges, &ledger, &oracle, &history, &operators, schedule.seed);
+        let machines = Machines::new(local, partitions, Rc::clone(&oracle));
+        Ok(SoakRun {
+            schedule,
+            plan,
+            controls,
+            oracle,
+            history,
+            ledger,
+            servers,
+            operators,
+            clients,
+            machines,
+        })
+    }
+
+    async fn run(self) -> Result<Outcome, LabError> {
+        if !self.operators.put_first_config().await || !self.is_ready_within(START_TIMEOUT).await {
+            return Err(LabError::NotUp(START_TIMEOUT));
+        }
+        let background = self.start_background_tasks();
+        self.inject_faults().await;
+        self.recover().await?;
+        background.abort();
+        self.clients.wait_until_idle().await;
+        self.operators.read_back(READ_BACK_TIMEOUT).await;
+        self.check_logs();
+        Ok(self.outcome())
+    }
+
+    fn start_background_tasks(&self) -> BackgroundTasks {
+        let mut load = Vec::new();
+        for class in 0..self.plan.classes.len() {
+            load.push(spawn_local(Rc::clone(&self.clients).generate_load(class)));
+        }
+        for edge in 0..self.clients.edge_count() {
+            load.push(spawn_local(Rc::clone(&self.clients).probe_versions(edge)));
+        }
+        let last_machine = self.schedule.size.cores + self.schedule.size.edges;
+        let operations = vec![
+            spawn_local(Rc::clone(&self.operators).change_config()),
+            spawn_local(Rc::clone(&self.operators).read_config()),
+            spawn_local(Rc::clone(&self.operators).purge_objects(Rc::clone(&self.ledger))),
+            spawn_local(Rc::clone(&self.machines).watch_exits()),
+            spawn_local(watch_arrivals_after_drain(
+                Rc::clone(&self.servers),
+                Rc::clone(&self.oracle),
+                Rc::clone(&self.history),
+                last_machine,
+            )),
+        ];
+        BackgroundTasks { load, operations }
+    }
+
+    /// Injects all faults, and waits until they have ended.
+    async fn inject_faults(&self) {
+        let injector = FaultInjector {
+            machines: Rc::clone(&self.machines),
+            servers: Rc::clone(&self.servers),
+            clients: Rc::clone(&self.clients),
+            operators: Rc::clone(&self.operators),
+            history: Rc::clone(&self.history),
+        };
+        let load_began_at = Instant::now();
+        let mut active = Vec::new();
+        for scheduled in self.schedule.faults.clone() {
+            active.push(spawn_local(injector.clone().inject(scheduled, load_began_at)));
+        }
+        sleep_until(load_began_at + Duration::from_secs_f64(self.schedule.seconds)).await;
+        for fault in active {
+            // One that panicked has printed its message.
+            let _ = fault.await;
+        }
+    }
+
+    /// Waits until the system has recovered, and then for a time in which all requests are served.
+    async fn recover(&self) -> Result<(), LabError> {
+        self.machines.restart_all()?;
+        if !self.is_ready_within(RECOVERY_TIMEOUT).await {
+            self.oracle.violated(Invariant::SystemRecovers, self.missing().await);
+            return Ok(());
+        }
+        sleep(CALM_TIME).await;
+        self.clients.expect_success(true);
+        sleep(CALM_TIME).await;
+        self.clients.expect_success(false);
+        Ok(())
+    }
+
+    async fn is_ready_within(&self, timeout: Duration) -> bool {
+        let began_at = Instant::now();
+        while !self.missing().await.is_empty() {
+            if began_at.elapsed() > timeout {
+                return false;
+            }
+            sleep(POLL_INTERVAL).await;
+        }
+        true
+    }
+
+    async fn missing(&self) -> String {
+        missing(&self.controls, &self.plan, self.schedule.size).await
+    }
+
+    fn check_logs(&self) {
+        let local = self.machines.local_system();
+        for line in local.broken_invariants() {
+            self.oracle.violated(Invariant::RuntimeAssertion, line);
+        }
+        let logs = Logs::read(&local.folder);
+        self.clients.check_after_run(|request| logs.has_read(&request.id, request.edge));
+        for line in logs.panics() {
+            self.oracle.violated(Invariant::NoUnexpectedExit, line);
+        }
+        for line in logs.unexplained(&self.oracle.take_failed_requests()) {
+            self.oracle.violated(Invariant::FailureLogged, line);
+        }
+        self.oracle.set_logged_causes(logs.causes());
+    }
+
+    fn outcome(self) -> Outcome {
+        let violations = self.oracle.violations();
+        let logs = (!violations.is_empty()).then(|| self.machines.retain_logs());
+        let (counts, causes) = (self.oracle.counts(), self.oracle.logged_causes());
+        Outcome { schedule: self.schedule, violations, counts, causes, logs }
+    }
+}
+
+/// Checks requests that reach servers which have deregistered, while all machines are in contact.
+async fn watch_arrivals_after_drain(
+    servers: Rc<Servers>,
+    oracle: Rc<Oracle>,
+    history: Rc<FaultHistory>,
+    last_machine: u8,
+) {
+    loop {
+        sleep(POLL_INTERVAL).await;
+        for late in servers.take_arrivals_after_drain() {
+            // What an edge sent before its fault ended may still be in flight.
+            if history.all_in_contact_since(last_machine, Instant::now()) {
+                oracle.violated(Invariant::NoRequestAfterDeregistration, late);
+            } else {
+                oracle.count("late at a server that left, out of touch");
+            }
+        }
+    }
+}
--- a/experiments/src/soak/schedule.rs
+++ b/experiments/src/soak/schedule.rs
@@ -1,21 +1,26 @@
-//! What troubles a play of the soak has, and when: drawn from its seed alone, so that the same seed gives the same
-//! troubles. The processes, the sockets and this machine are real, and what follows may differ from run to run.
+//! The faults of a soak run and their times, drawn from a seed alone: the same seed gives the same schedule. The
+//! processes, the sockets and this machine are real, and what follows from a schedule may differ from run to run.
 
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-/// The first trouble begins so long after the start of the load, in seconds.
-const FIRST: f64 = 1.0;
-/// Troubles a second of the time that has any, and how long one lasts: two or three overlap most of the time.
-const PER_S: f64 = 0.7;
-const SHORTEST: f64 = 0.3;
-const LONGEST: f64 = 5.0;
+/// The first fault begins at this time, in seconds from the start of the load.
+const FIRST_FAULT_AT_S: f64 = 1.0;
+/// Faults in a second: with the durations below, two or three overlap most of the time.
+const FAULTS_PER_S: f64 = 0.7;
+/// The shortest fault, in seconds.
+const MIN_DURATION_S: f64 = 0.3;
+/// The longest fault, in seconds.
+const MAX_DURATION_S: f64 = 5.0;
+/// How often a run has four core machines in place of three.
+const FOUR_CORES_PROBABILITY: f64 = 0.3;
 
-/// Which processes of a machine.
+/// Which processes of a machine a fault concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Part {
+pub enum ProcessSet {
+    /// Both processes.
     Both,
     /// The edge or the shield.
     Proxy,
@@ -23,128 +28,237 @@
     Control,
 }
 
-/// Whom a machine is cut off from.
+/// The direction in which a partition blocks a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum CutKind {
+pub enum PartitionDirection {
+    /// Both directions.
     Both,
-    /// Only what it says is lost.
-    Says,
-    /// Only what it hears is lost.
-    Hears,
+    /// What the machine sends is lost.
+    #[serde(rename = "Says")]
+    Outgoing,
+    /// What the machine receives is lost.
+    #[serde(rename = "Hears")]
+    Incoming,
 }
 
-/// One trouble. Machines are numbered from 1, those of the core first; servers are numbered within their service.
+/// A fault. Machines are numbered from 1, those of the core first; services are numbered as in the plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Trouble {
-    /// SIGKILL, and started again at the end.
-    Kill { machine: u8, part: Part },
-    /// The same for one role on all machines of the core.
-    KillCore { part: Part },
-    /// SIGSTOP, and SIGCONT at the end.
-    Freeze { machine: u8, part: Part },
-    /// SIGTERM, and started again once it has ended.
-    Leave { machine: u8, part: Part },
-    /// SIGHUP, several times.
-    Hangup { machine: u8 },
-    /// Killed, and its disk lost.
-    Wipe { machine: u8 },
-    /// Cut off from all core machines but itself.
-    Cut { machine: u8, kind: CutKind },
-    /// Two core machines are cut off from each other.
-    CutPair { first: u8, second: u8, kind: CutKind },
-    /// A server says that it drains, and a new one comes.
-    Drain { service: usize },
-    /// The same, but it says goodbye at once, and serves on.
-    Goodbye { service: usize },
-    /// It crashes, and a new one comes.
-    Crash { service: usize },
-    /// It takes so many times as long.
-    Slow { service: usize, times: f64 },
-    /// It says nothing.
-    Silent { service: usize },
-    /// It runs requests, and its connections are reset in place of answers.
-    LosesAnswers { service: usize },
-    /// It resets connections.
-    Refuses { service: usize },
-    /// Clients go away in the middle of requests.
-    ClientsLeave,
-    /// The operators' answers are lost, and they send again.
-    AnswersLost,
+pub enum Fault {
+    /// Processes of a machine are killed, and started again at the end.
+    Kill {
+        /// The machine.
+        machine: u8,
+        /// Which of its processes.
+        #[serde(rename = "part")]
+        processes: ProcessSet,
+    },
+    /// Processes of all core machines are killed, and started again at the end.
+    KillCore {
+        /// Which processes of each machine.
+        #[serde(rename = "part")]
+        processes: ProcessSet,
+    },
+    /// Processes are paused by SIGSTOP, and go on by SIGCONT at the end.
+    #[serde(rename = "Freeze")]
+    Pause {
+        /// The machine.
+        machine: u8,
+        /// Which of its processes.
+        #[serde(rename = "part")]
+        processes: ProcessSet,
+    },
+    /// Processes are ended by SIGTERM, and started again once they have ended.
+    #[serde(rename = "Leave")]
+    Terminate {
+        /// The machine.
+        machine: u8,
+        /// Which of its processes.
+        #[serde(rename = "part")]
+        processes: ProcessSet,
+    },
+    /// Processes receive SIGHUP several times.
+    Hangup {
+        /// The machine.
+        machine: u8,
+    },
+    /// The processes of a machine are killed, and its disk is lost.
+    Wipe {
+        /// The machine.
+        machine: u8,
+    },
+    /// A machine is partitioned from all core machines but itself.
+    #[serde(rename = "Cut")]
+    Partition {
+        /// The machine.
+        machine: u8,
+        /// In which direction.
+        #[serde(rename = "kind")]
+        direction: PartitionDirection,
+    },
+    /// Two core machines are partitioned from each other.
+    #[serde(rename = "CutPair")]
+    PartitionPair {
+        /// The machine that the direction is seen from.
+        first: u8,
+        /// The other machine.
+        second: u8,
+        /// In which direction.
+        #[serde(rename = "kind")]
+        direction: PartitionDirection,
+    },
+    /// A server drains, and a new one starts.
+    Drain {
+        /// The service of the server.
+        service: usize,
+    },
+    /// A server deregisters without draining first and serves on for a while, and a new one starts.
+    #[serde(rename = "Goodbye")]
+    Deregister {
+        /// The service of the server.
+        service: usize,
+    },
+    /// A server crashes, and a new one starts.
+    Crash {
+        /// The service of the server.
+        service: usize,
+    },
+    /// A server is slower.
+    Slow {
+        /// The service of the server.
+        service: usize,
+        /// How many times as long its work takes.
+        #[serde(rename = "times")]
+        factor: f64,
+    },
+    /// Nothing reaches a server or comes from it.
+    #[serde(rename = "Silent")]
+    Unresponsive {
+        /// The service of the server.
+        service: usize,
+    },
+    /// A server runs requests, and its connections are reset in place of responses.
+    #[serde(rename = "LosesAnswers")]
+    LosesResponses {
+        /// The service of the server.
+        service: usize,
+    },
+    /// A server resets connections.
+    #[serde(rename = "Refuses")]
+    ResetsConnections {
+        /// The service of the server.
+        service: usize,
+    },
+    /// Clients disconnect while their requests are in flight.
+    #[serde(rename = "ClientsLeave")]
+    ClientsDisconnect,
+    /// Responses to operators are lost, and the operators retry.
+    #[serde(rename = "AnswersLost")]
+    OperatorResponsesLost,
 }
 
-/// A trouble and its time, in seconds from the start of the load.
+/// A fault and its time, in seconds from the start of the load.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Timed {
+pub struct ScheduledFault {
+    /// When it begins.
     pub at: f64,
-    pub for_s: f64,
-    pub trouble: Trouble,
+    /// How long it lasts.
+    #[serde(rename = "for_s")]
+    pub duration_s: f64,
+    /// The fault.
+    #[serde(rename = "trouble")]
+    pub fault: Fault,
 }
 
-/// The size of what is played.
+/// The size of the system under test.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Size {
+pub struct SystemSize {
+    /// Core machines.
     pub cores: u8,
+    /// Machines with an edge.
     pub edges: u8,
+    /// Services.
     pub services: usize,
 }
 
-/// All troubles of a play.
+/// All faults of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Schedule {
+    /// The seed of the faults and of the load.
     pub seed: u64,
-    pub size: Size,
+    /// The size of the system.
+    pub size: SystemSize,
+    /// Seconds of load in which there are faults.
     pub seconds: f64,
-    pub troubles: Vec<Timed>,
+    /// The faults, by time.
+    #[serde(rename = "troubles")]
+    pub faults: Vec<ScheduledFault>,
 }
 
 impl Schedule {
-    /// The troubles of a seed, all over after so many seconds.
+    /// Draws the faults of a seed; all end within `seconds`.
     pub fn draw(seed: u64, seconds: f64, edges: u8, services: usize) -> Schedule {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let size = Size { cores: if rng.random_bool(0.3) { 4 } else { 3 }, edges, services };
-        let mut troubles = Vec::new();
-        let mut wiped = false;
-        for _ in 0..((seconds - FIRST) * PER_S).ceil() as usize {
-            let at = rng.random_range(FIRST..(seconds - SHORTEST).max(FIRST + SHORTEST));
-            let for_s = rng.random_range(SHORTEST..LONGEST).min(seconds - at);
-            let mut trouble = draw_trouble(&mut rng, size);
-            // As many disks are lost as may be.
-            if matches!(trouble, Trouble::Wipe { .. }) && std::mem::replace(&mut wiped, true) {
-                trouble = Trouble::AnswersLost;
+        let cores = if rng.random_bool(FOUR_CORES_PROBABILITY) { 4 } else { 3 };
+        let size = SystemSize { cores, edges, services };
+        let mut faults = Vec::new();
+        let mut has_wiped = false;
+        for _ in 0..((seconds - FIRST_FAULT_AT_S) * FAULTS_PER_S).ceil() as usize {
+            let last_start = (seconds - MIN_DURATION_S).max(FIRST_FAULT_AT_S + MIN_DURATION_S);
+            let at = rng.random_range(FIRST_FAULT_AT_S..last_start);
+            let duration_s = rng.random_range(MIN_DURATION_S..MAX_DURATION_S).min(seconds - at);
+            let mut fault = draw_fault(&mut rng, size);
+            // The system tolerates the loss of one disk.
+            if matches!(fault, Fault::Wipe { .. }) && std::mem::replace(&mut has_wiped, true) {
+                fault = Fault::OperatorResponsesLost;
             }
-            troubles.push(Timed { at, for_s, trouble });
+            faults.push(ScheduledFault { at, duration_s, fault });
         }
-        troubles.sort_by(|a, b| a.at.total_cmp(&b.at));
-        Schedule { seed, size, seconds, troubles }
+        faults.sort_by(|a, b| a.at.total_cmp(&b.at));
+        Schedule { seed, size, seconds, faults }
     }
 }
 
-fn draw_trouble(rng: &mut ChaCha8Rng, size: Size) -> Trouble {
-    let any = rng.random_range(1..=size.cores + size.edges);
+fn draw_processes(rng: &mut ChaCha8Rng) -> ProcessSet {
+    let weighted = [ProcessSet::Both, ProcessSet::Both, ProcessSet::Proxy, ProcessSet::Control];
+    *weighted.choose(rng).unwrap_or(&ProcessSet::Both)
+}
+
+fn draw_direction(rng: &mut ChaCha8Rng) -> PartitionDirection {
+    let weighted = [
+        PartitionDirection::Both,
+        PartitionDirection::Both,
+        PartitionDirection::Outgoing,
+        PartitionDirection::Incoming,
+    ];
+    *weighted.choose(rng).unwrap_or(&PartitionDirection::Both)
+}
+
+/// Draws a fault. All parts are drawn in the same order whatever the kind, so that a seed keeps its faults.
+fn draw_fault(rng: &mut ChaCha8Rng, size: SystemSize) -> Fault {
+    let machine = rng.random_range(1..=size.cores + size.edges);
     let core = rng.random_range(1..=size.cores);
-    let other = core % size.cores + 1;
+    let other_core = core % size.cores + 1;
     let service = rng.random_range(0..size.services);
-    let part = *[Part::Both, Part::Both, Part::Proxy, Part::Control].choose(rng).unwrap_or(&Part::Both);
-    let kind =
-        *[CutKind::Both, CutKind::Both, CutKind::Says, CutKind::Hears].choose(rng).unwrap_or(&CutKind::Both);
+    let processes = draw_processes(rng);
+    let direction = draw_direction(rng);
     match rng.random_range(0..24) {
-        0..=2 => Trouble::Kill { machine: any, part },
-        3 => Trouble::KillCore { part: Part::Control },
-        4 => Trouble::KillCore { part },
-        5..=7 => Trouble::Freeze { machine: any, part },
-        8 | 9 => Trouble::Leave { machine: any, part },
-        10 => Trouble::Hangup { machine: any },
-        11 => Trouble::Wipe { machine: core },
-        12 | 13 => Trouble::Cut { machine: any, kind },
-        14 | 15 => Trouble::CutPair { first: core, second: other, kind },
-        16 => Trouble::Drain { service },
-        17 => Trouble::Goodbye { service },
-        18 => Trouble::Crash { service },
-        19 => Trouble::Slow { service, times: rng.random_range(2.0..8.0) },
-        20 => Trouble::Silent { service },
-        21 => Trouble::LosesAnswers { service },
-        22 => Trouble::Refuses { service },
-        _ if rng.random_bool(0.5) => Trouble::ClientsLeave,
-        _ => Trouble::AnswersLost,
+        0..=2 => Fault::Kill { machine, processes },
+        3 => Fault::KillCore { processes: ProcessSet::Control },
+        4 => Fault::KillCore { processes },
+        5..=7 => Fault::Pause { machine, processes },
+        8 | 9 => Fault::Terminate { machine, processes },
+        10 => Fault::Hangup { machine },
+        11 => Fault::Wipe { machine: core },
+        12 | 13 => Fault::Partition { machine, direction },
+        14 | 15 => Fault::PartitionPair { first: core, second: other_core, direction },
+        16 => Fault::Drain { service },
+        17 => Fault::Deregister { service },
+        18 => Fault::Crash { service },
+        19 => Fault::Slow { service, factor: rng.random_range(2.0..8.0) },
+        20 => Fault::Unresponsive { service },
+        21 => Fault::LosesResponses { service },
+        22 => Fault::ResetsConnections { service },
+        _ if rng.random_bool(0.5) => Fault::ClientsDisconnect,
+        _ => Fault::OperatorResponsesLost,
     }
 }
