--- a/experiments/src/soak/servers.rs
+++ b/experiments/src/soak/servers.rs
@@ -1,4 +1,5 @@
-//! The servers of a play, each behind a relay that can spoil what it says; those that leave or crash are replaced.
+//! The servers of a run, each behind a relay that can inject faults into its network. Those that drain or crash are
+//! replaced.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -9,22 +10,28 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-use super::relay::{relay_server, Conduct, ConductSwitch};
+use super::network::{relay_to_server, ServerNetwork, ServerNetworkFault};
 use crate::ledger::Ledger;
 use crate::origin::Origin;
 use crate::plan::Plan;
 
 /// Where servers listen behind their relays, each at an address of its own.
-const HIDDEN_PORT: u16 = 8000;
+const LISTEN_PORT: u16 = 8000;
+/// Last byte of the address where all relays in front of servers listen.
+const RELAY_HOST: u8 = 100;
 
 /// A server and its network.
 pub struct Server {
+    /// The server.
     pub origin: Rc<Origin>,
-    pub conduct: ConductSwitch,
+    /// The network in front of it.
+    pub network: ServerNetwork,
 }
 
+/// All servers of a run.
 pub struct Servers {
     plan: Plan,
+    /// Third byte of their addresses.
     net: u8,
     controls: ControlAddresses,
     ledger: Rc<Ledger>,
@@ -34,6 +41,10 @@
 
 impl Servers {
     /// Starts all servers of a plan.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error where an address can't be bound.
     pub async fn start(
         plan: &Plan,
         net: u8,
@@ -48,8 +59,8 @@
             all: RefCell::default(),
             started: Cell::new(0),
         });
-        for service in 0..plan.services.len() {
-            for _ in 0..plan.services[service].servers {
+        for (service, service_plan) in plan.services.iter().enumerate() {
+            for _ in 0..service_plan.servers {
                 servers.add(service).await?;
             }
         }
@@ -57,39 +68,44 @@
     }
 
     /// Starts one more server of a service.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error where no address can be bound.
     pub async fn add(&self, service: usize) -> io::Result<()> {
         let number = self.started.replace(self.started.get() + 1);
         let plan = &self.plan.services[service];
-        let announced = TcpListener::bind((Ipv4Addr::new(127, 0, self.net, 100), 0)).await?;
-        let port = announced.local_addr()?.port();
-        let announced_at = SocketAddrV4::new(Ipv4Addr::new(127, 0, self.net, 100), port);
-        let target = SocketAddrV4::new(Ipv4Addr::new(127, 2, self.net, number), HIDDEN_PORT);
+        let relay_ip = Ipv4Addr::new(127, 0, self.net, RELAY_HOST);
+        let listener = TcpListener::bind((relay_ip, 0)).await?;
+        let announced = SocketAddrV4::new(relay_ip, listener.local_addr()?.port());
+        let target = SocketAddrV4::new(Ipv4Addr::new(127, 2, self.net, number), LISTEN_PORT);
         let seed = self.plan.seed ^ u64::from(number);
         let origin = Origin::new(number, plan, &self.plan.classes, &self.ledger, seed);
-        let conduct = ConductSwitch::new();
-        relay_server(announced, target, conduct.clone());
+        let network = ServerNetwork::new();
+        relay_to_server(listener, target, network.clone());
         let zone = format!("zone-{}", number % self.plan.system.zones + 1);
-        spawn_local(Rc::clone(&origin).run(target, announced_at, zone, self.controls.clone()));
-        self.all.borrow_mut().push(Rc::new(Server { origin, conduct }));
+        spawn_local(Rc::clone(&origin).run(target, announced, zone, self.controls.clone()));
+        self.all.borrow_mut().push(Rc::new(Server { origin, network }));
         Ok(())
     }
 
-    /// A server of a service that is in its usual state.
-    pub fn any_well(&self, service: usize) -> Option<Rc<Server>> {
+    /// Returns a server of a service that has no fault, if there is one.
+    pub fn any_healthy(&self, service: usize) -> Option<Rc<Server>> {
         let name = &self.plan.services[service].name;
+        let is_healthy = |server: &&Rc<Server>| {
+            server.origin.is_healthy() && server.network.fault() == ServerNetworkFault::None
+        };
         let all = self.all.borrow();
-        let is_well = |server: &&Rc<Server>| server.origin.is_well() && server.conduct.get() == Conduct::Well;
-        all.iter().filter(|server| server.origin.plan.name == *name).find(is_well).cloned()
+        all.iter().filter(|server| server.origin.plan.name == *name).find(is_healthy).cloned()
     }
 
-    /// Requests that came to servers that had left, since the last look.
-    pub fn take_late_arrivals(&self) -> Vec<String> {
+    /// Returns which servers received requests after they had deregistered, and how many, since the last call.
+    pub fn take_arrivals_after_drain(&self) -> Vec<String> {
         let all = self.all.borrow();
-        let late = all.iter().filter(|server| !server.origin.late_arrivals.borrow().is_empty());
-        late.map(|server| {
-            let count = server.origin.late_arrivals.take().len();
-            format!("{count} at {}", server.origin.id)
-        })
-        .collect()
+        let describe = |server: &Rc<Server>| match server.origin.take_arrivals_after_drain() {
+            0 => None,
+            count => Some(format!("{count} at {}", server.origin.id)),
+        };
+        all.iter().filter_map(describe).collect()
     }
 }
--- a/experiments/tests/hollow.rs
+++ b/experiments/tests/hollow.rs
@@ -1,24 +1,24 @@
-//! A few hollow nodes at real control processes, as `glenfall-lab hollow` runs them: all come, all hear what they have to,
-//! and all come back when a control process is killed. What is measured is not judged here.
+//! A few hollow nodes at real control processes, as `glenfall-lab hollow` runs them: all connect, all receive what they
+//! need, and all reconnect when a control process is killed. The measured figures are not checked.
 
 use std::process::Command;
 
 #[test]
-fn hollow_nodes_take_all_that_is_acknowledged_and_outlive_a_control_process() {
+fn hollow_nodes_apply_acknowledged_changes_and_tolerate_the_loss_of_a_control_process() {
     let program = env!("CARGO_BIN_EXE_glenfall-lab");
     assert!(
         std::path::Path::new(program).with_file_name("glenfall").exists(),
         "the program under test is missing: build the whole workspace"
     );
     let out = std::env::temp_dir().join(format!("glenfall-hollow-{}", std::process::id()));
-    let ended = Command::new(program)
+    let output = Command::new(program)
         .args(["hollow", "--sessions", "6,12", "--controls", "3", "--seeds", "3", "--servers", "9"])
         .args(["--routes", "30", "--seconds", "2", "--out"])
         .arg(&out)
         .output()
         .unwrap();
-    let told = String::from_utf8_lossy(&ended.stderr);
-    assert!(ended.status.success(), "not all were in touch at the end: {told}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.success(), "not all were in contact at the end: {stderr}");
     let report = std::fs::read_to_string(out.join("hollow.json")).unwrap();
     let report: serde_json::Value = serde_json::from_str(&report).unwrap();
     for (size, nodes) in report["sizes"].as_array().unwrap().iter().zip([6, 12]) {
@@ -30,7 +30,7 @@
         let (start, purges, loss) = (phase("start"), phase("purges"), phase("loss"));
         assert_eq!((&start["failed"], &start["acknowledged"]["count"]), (&0.into(), &1.into()), "{start}");
         assert!(purges["acknowledged"]["count"].as_u64() > Some(0), "{purges}");
-        assert_eq!(purges["early"], 0, "acknowledged before a node in touch had taken it: {purges}");
+        assert_eq!(purges["early"], 0, "acknowledged before a node in contact had applied it: {purges}");
         assert_eq!(loss["in_force"]["count"], 1, "not all moved: {loss}");
         assert!(loss["node_messages_s"].as_f64() > Some(0.0), "{loss}");
     }
--- a/experiments/tests/processor.rs
+++ b/experiments/tests/processor.rs
@@ -1,26 +1,26 @@
-//! A few requests of each kind at a small real system, as `glenfall-lab processor` counts them. What is measured is not
-//! judged here, only that it is whole.
+//! A few requests of each kind at a small real system, as `glenfall-lab processor` measures them. The figures are not
+//! checked, only that they are complete.
 
 use std::path::Path;
 use std::process::Command;
 
 const ROLES: [&str; 4] = ["edge", "agent", "shield", "control"];
 
-fn measured(out: &Path, extra: &[&str]) -> serde_json::Value {
+fn measure(out: &Path, extra: &[&str]) -> serde_json::Value {
     let program = env!("CARGO_BIN_EXE_glenfall-lab");
     assert!(
         Path::new(program).with_file_name("glenfall").exists(),
         "the program under test is missing: build the whole workspace"
     );
-    let ended = Command::new(program)
+    let output = Command::new(program)
         .args(["processor", "--requests", "10", "--idle-s", "0.5", "--out"])
         .arg(out)
         .args(extra)
         .output()
         .unwrap();
-    let told = String::from_utf8_lossy(&ended.stderr);
-    assert!(ended.status.success(), "{told}");
-    assert!(!told.contains("ended with"), "a request was not answered with success: {told}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.success(), "{stderr}");
+    assert!(!stderr.contains("ended with"), "a request was not answered with success: {stderr}");
     serde_json::from_str(&std::fs::read_to_string(out.join("processor.json")).unwrap()).unwrap()
 }
 
@@ -31,10 +31,10 @@
 }
 
 #[test]
-fn each_case_has_figures_for_each_role_and_its_requests_go_the_way_that_it_names() {
+fn each_case_is_measured_for_each_role_and_served_where_its_name_says() {
     let out = std::env::temp_dir().join(format!("glenfall-processor-{}", std::process::id()));
     let has_strace = Command::new("strace").arg("-V").output().is_ok();
-    let report = measured(&out, if has_strace { &[] } else { &["--no-trace"] });
+    let report = measure(&out, if has_strace { &[] } else { &["--no-trace"] });
     // Whatever the number of cores: the runtime's, and one for each file that is written (docs/threads.md).
     assert_eq!(report["threads"], serde_json::json!({ "edge": 1, "agent": 1, "shield": 2, "control": 3 }));
     let cases = report["cases"].as_array().unwrap();
@@ -49,7 +49,8 @@
             let case = cases.iter().find(|case| case["name"] == name).unwrap();
             case["costs"][role]["kilobytes"].as_f64().unwrap()
         };
-        // 6 kB go through a shield for a copy that it has, twice for one that it fetches, and not for an edge's own.
+        // 6 kB pass a shield for a response that it has stored, twice as much for one that it fetches, and none for one that
+        // the edge has stored.
         assert!((5.0..9.0).contains(&reads("shield's copy", "shield")));
         assert!(reads("miss", "shield") > 11.0);
         assert!(reads("edge's copy", "shield") < 3.0);
--- a/experiments/tests/unit/ledger.rs
+++ b/experiments/tests/unit/ledger.rs
@@ -1,26 +1,29 @@
-//! What breaks a promise, and what does not.
+//! Which responses and runs violate a guarantee, and which do not.
 
 use std::time::Duration;
 
-use glenfall_experiments::ledger::{body, Broken, Ledger, PURGED};
+use glenfall_experiments::ledger::{body, Ledger, ViolationCounts, PURGE_TIMEOUT};
 use tokio::time::Instant;
 
 #[tokio::test(start_paused = true)]
-async fn each_broken_promise_is_found_and_kept_ones_are_not() {
+async fn each_violated_guarantee_is_counted_and_no_other() {
     let ledger = Ledger::default();
     let good = body("/a/1", 0, 100);
-    ledger.got("/a/1", Instant::now(), true, &good, 100);
+    ledger.check_and_count("/a/1", Instant::now(), true, &good, 100);
     ledger.ran("x");
-    ledger.told_not_run("y");
+    ledger.rejected("y");
     let old = ledger.change("/a/1");
     ledger.purged("/a/1", old);
-    ledger.got("/a/1", Instant::now() + Duration::from_millis(1999), true, &good, 100);
-    assert_eq!(ledger.broken(), Broken::default());
-    ledger.got("/a/1", Instant::now() + PURGED, true, &good, 100);
-    ledger.got("/a/1", Instant::now(), false, &good, 100);
-    ledger.got("/a/1", Instant::now(), true, &good[..99], 100);
-    ledger.got("/a/2", Instant::now(), true, &good, 100);
+    ledger.check_and_count("/a/1", Instant::now() + Duration::from_millis(1999), true, &good, 100);
+    assert_eq!(ledger.violations(), ViolationCounts::default());
+    ledger.check_and_count("/a/1", Instant::now() + PURGE_TIMEOUT, true, &good, 100);
+    ledger.check_and_count("/a/1", Instant::now(), false, &good, 100);
+    ledger.check_and_count("/a/1", Instant::now(), true, &good[..99], 100);
+    ledger.check_and_count("/a/2", Instant::now(), true, &good, 100);
     ledger.ran("x");
-    ledger.told_not_run("x");
-    assert_eq!(ledger.broken(), Broken { twice: 1, refused: 1, mixed: 3, stale: 1 });
+    ledger.rejected("x");
+    assert_eq!(
+        ledger.violations(),
+        ViolationCounts { ran_twice: 1, rejected_after_run: 1, incomplete: 3, stale: 1 }
+    );
 }
--- a/experiments/tests/unit/main.rs
+++ b/experiments/tests/unit/main.rs
@@ -1,4 +1,4 @@
-//! Plans, reports and what is worked out without processes.
+//! Plans, reports and simulations that need no processes.
 
 mod fleet;
 mod ledger;
--- a/experiments/tests/unit/plan.rs
+++ b/experiments/tests/unit/plan.rs
@@ -3,15 +3,15 @@
 use glenfall_experiments::plan::Plan;
 
 #[test]
-fn the_plans_that_come_along_are_good_and_mistakes_are_told() {
+fn the_included_plans_are_valid_and_mistakes_are_named() {
     let text = include_str!("../../plans/overload.toml");
     for text in [text, include_str!("../../plans/losses.toml"), include_str!("../../plans/small.toml")] {
         let plan = Plan::read(text).unwrap();
         let document = plan.document().to_string();
         glenfall_control_plane::config::Config::read(document.as_bytes()).unwrap();
     }
-    assert_eq!(Plan::read(text).unwrap().factor(11.0), 6.0);
-    assert_eq!(Plan::read(text).unwrap().factor(1.0), 1.0);
+    assert_eq!(Plan::read(text).unwrap().load_factor(11.0), 6.0);
+    assert_eq!(Plan::read(text).unwrap().load_factor(1.0), 1.0);
     for (from, to, told) in [
         ("seconds = ", "second = ", "line"),
         ("servers = 6", "servers = 0", "servers: 1 to 40 expected, got 0"),
@@ -19,7 +19,7 @@
         ("aim_ms = 250", "aim_ms = 2500", "aim_ms: 1 to 1000 expected"),
     ] {
         assert!(text.contains(from), "{from}");
-        let why = Plan::read(&text.replacen(from, to, 1)).expect_err(from);
+        let why = Plan::read(&text.replacen(from, to, 1)).expect_err(from).to_string();
         assert!(why.contains(told) && !why.contains('\n'), "{from}: {why}");
     }
 }
