--- a/glenfall/src/http_server/connection.rs
+++ b/glenfall/src/http_server/connection.rs
@@ -2,7 +2,6 @@
 
 use std::cell::Cell;
 use std::convert::Infallible;
-use std::error::Error;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -82,8 +81,7 @@
         first_request_timeout: Duration,
     ) -> ConnectionEnd
     where
-        S: HttpService<Incoming, ResBody = Full<Bytes>>,
-        S::Error: Into<Box<dyn Error + Send + Sync>>,
+        S: HttpService<Incoming, ResBody = Full<Bytes>, Error = Infallible>,
     {
         loop {
             tokio::select! {
--- a/glenfall/src/http_server/shutdown.rs
+++ b/glenfall/src/http_server/shutdown.rs
@@ -1,7 +1,7 @@
 //! The stop signal of the process, and what an open connection does then.
 
 use std::cell::Cell;
-use std::error::Error;
+use std::convert::Infallible;
 use std::pin::Pin;
 use std::time::Duration;
 
@@ -38,8 +38,7 @@
     first_request_timeout: Duration,
 ) -> ConnectionEnd
 where
-    S: HttpService<Incoming, ResBody = Full<Bytes>>,
-    S::Error: Into<Box<dyn Error + Send + Sync>>,
+    S: HttpService<Incoming, ResBody = Full<Bytes>, Error = Infallible>,
 {
     if !has_received_request.get() {
         tokio::select! {
@@ -54,8 +53,7 @@
 /// Closes a connection: at once between requests, else with the response in progress.
 pub async fn close<S>(connection: &mut ServerConnection<S>, deadlines: &Deadlines) -> ConnectionEnd
 where
-    S: HttpService<Incoming, ResBody = Full<Bytes>>,
-    S::Error: Into<Box<dyn Error + Send + Sync>>,
+    S: HttpService<Incoming, ResBody = Full<Bytes>, Error = Infallible>,
 {
     Pin::new(&mut *connection).graceful_shutdown();
     deadlines.drive(connection).await
