--- a/glenfall/src/main.rs
+++ b/glenfall/src/main.rs
@@ -1,4 +1,4 @@
-//! The program; what it does is in the library.
+//! The program `glenfall`; its code is in the library, where tests reach it.
 
 use std::process::ExitCode;
 
--- /dev/null
+++ b/glenfall/src/operator/commands/control_client.rs
@@ -0,0 +1,127 @@
+//! HTTP calls to control, with retries over its nodes.
+
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
+use bytes::Bytes;
+use clap::Args;
+use http_body_util::Full;
+use hyper::header::{self, HeaderValue};
+use hyper::{Method, Request, Uri};
+use serde_json::{json, Value};
+use tokio::time::{sleep, Instant};
+
+use super::error::OperatorError;
+use crate::http::response::ServerResponse;
+use crate::memory_budget::MemoryBudget;
+use crate::upstream::pool::{ExchangeParams, Pool};
+
+/// Bound on one call to a control node, which answers within a second or not at all.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How often each node is called before the command gives up.
+const ATTEMPTS_PER_NODE: usize = 3;
+/// The pause after a call without a definite response.
+const RETRY_BACKOFF: Duration = Duration::from_millis(100);
+/// Bound on the connections that a command opens.
+const MAX_CONNECTIONS: usize = 8;
+/// Bound on the bytes of control's responses in memory. It is above the largest of them, a complete state.
+pub const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// The field by which control says that a change builds on a version whose outcome it no longer knows.
+const FORGOTTEN_UP_TO: &str = "forgottenUpTo";
+
+/// Where control is.
+#[derive(Args, Clone)]
+pub struct ControlAddresses {
+    /// `controlAddr` of a control node; may be repeated
+    #[arg(long = "control", required = true)]
+    pub controls: Vec<SocketAddrV4>,
+}
+
+/// A request to control.
+pub(super) struct ControlRequest {
+    pub method: Method,
+    pub path: &'static str,
+    /// The version of the configuration that the request builds on.
+    pub if_match: Option<u64>,
+    pub body: Bytes,
+    /// Bound on one call to one node.
+    pub timeout: Duration,
+}
+
+/// Calls control nodes in turn until one gives a definite response: one of success, or a rejection that no other node
+/// would decide otherwise. `if_match` is the version of the configuration that the request builds on.
+pub async fn call_control(
+    at: &ControlAddresses,
+    method: Method,
+    path: &'static str,
+    if_match: Option<u64>,
+    body: Bytes,
+) -> Result<ServerResponse, OperatorError> {
+    ControlRequest { method, path, if_match, body, timeout: CALL_TIMEOUT }.send(at).await
+}
+
+/// Reads a document of control.
+pub(super) async fn get(at: &ControlAddresses, path: &'static str) -> Result<ServerResponse, OperatorError> {
+    call_control(at, Method::GET, path, None, Bytes::new()).await
+}
+
+impl ControlRequest {
+    /// Sends the request to control nodes in turn until one gives a definite response. A repeated request is safe:
+    /// control recognizes changes and purges that it has received before.
+    pub async fn send(&self, at: &ControlAddresses) -> Result<ServerResponse, OperatorError> {
+        let pool = Pool::new(MAX_CONNECTIONS, MemoryBudget::new(MAX_RESPONSE_BYTES));
+        for address in at.controls.iter().cycle().take(at.controls.len() * ATTEMPTS_PER_NODE) {
+            let params = ExchangeParams::internal(*address, Instant::now() + self.timeout);
+            match pool.exchange(params, || self.to_http(*address)).await {
+                Ok(response) if response.status().is_success() => return Ok(response),
+                Ok(response) if response.status().is_client_error() || is_final(&response) => {
+                    let status = response.status().as_u16();
+                    return Err(OperatorError::Refused { status, body: text(&response) });
+                }
+                Ok(_) | Err(_) => sleep(RETRY_BACKOFF).await,
+            }
+        }
+        Err(OperatorError::NoAnswer)
+    }
+
+    fn to_http(&self, address: SocketAddrV4) -> Request<Full<Bytes>> {
+        let mut request = Request::new(Full::new(self.body.clone()));
+        *request.method_mut() = self.method.clone();
+        *request.uri_mut() = Uri::from_static(self.path);
+        if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
+            request.headers_mut().insert(header::HOST, host);
+        }
+        if let Some(version) = self.if_match {
+            request.headers_mut().insert(header::IF_MATCH, HeaderValue::from(version));
+        }
+        request
+    }
+}
+
+/// Whether no other node and no later call gives another response, whatever the status: the request is older than what
+/// control remembers.
+fn is_final(response: &ServerResponse) -> bool {
+    let body = serde_json::from_slice::<Value>(response.body());
+    body.is_ok_and(|body| body.get(FORGOTTEN_UP_TO).is_some())
+}
+
+/// The body of a response as text.
+pub(super) fn text(response: &ServerResponse) -> String {
+    String::from_utf8_lossy(response.body()).into_owned()
+}
+
+/// A list of what each control node says, as indented JSON; an entry with `error` stands for a node that can't be asked.
+pub(super) async fn get_from_each(
+    at: &ControlAddresses,
+    path: &'static str,
+) -> Result<String, OperatorError> {
+    let mut documents = Vec::new();
+    for control in &at.controls {
+        let one_node = ControlAddresses { controls: vec![*control] };
+        documents.push(match get(&one_node, path).await {
+            Ok(response) => serde_json::from_slice(response.body()).unwrap_or(Value::Null),
+            Err(error) => json!({ "control": control, "error": error.to_string() }),
+        });
+    }
+    Ok(serde_json::to_string_pretty(&documents).unwrap_or_default())
+}
--- /dev/null
+++ b/glenfall/src/operator/commands/core.rs
@@ -0,0 +1,58 @@
+//! `core`: shows, adds and removes the voters of the core.
+
+use std::net::Ipv4Addr;
+use std::time::Duration;
+
+use clap::Subcommand;
+use hyper::Method;
+use serde_json::{json, Value};
+
+use super::control_client::{get_from_each, text, ControlAddresses, ControlRequest};
+use super::error::OperatorError;
+
+const CORE_PATH: &str = "/api/core";
+/// Bound on one call that changes the voters. The node waits for three views.
+const VOTER_CHANGE_TIMEOUT: Duration = Duration::from_millis(4500);
+
+#[derive(Subcommand)]
+pub(crate) enum CoreCommand {
+    /// Show who votes, who stands by, and what may be lost, as each control node sees it
+    List {
+        #[command(flatten)]
+        at: ControlAddresses,
+    },
+    /// Make a control node that stands by a voter
+    Add {
+        #[command(flatten)]
+        at: ControlAddresses,
+        /// Address of the machine
+        node: Ipv4Addr,
+    },
+    /// Take a voter out; one that stands by takes its place
+    Remove {
+        #[command(flatten)]
+        at: ControlAddresses,
+        /// Address of the machine
+        node: Ipv4Addr,
+    },
+}
+
+/// Runs the command; returns what it prints.
+pub(crate) async fn run(command: &CoreCommand) -> Result<String, OperatorError> {
+    match command {
+        CoreCommand::List { at } => get_from_each(at, CORE_PATH).await,
+        CoreCommand::Add { at, node } => change_voters(at, &json!({ "add": node })).await,
+        CoreCommand::Remove { at, node } => change_voters(at, &json!({ "remove": node })).await,
+    }
+}
+
+async fn change_voters(at: &ControlAddresses, change: &Value) -> Result<String, OperatorError> {
+    let request = ControlRequest {
+        method: Method::POST,
+        path: CORE_PATH,
+        if_match: None,
+        body: change.to_string().into(),
+        timeout: VOTER_CHANGE_TIMEOUT,
+    };
+    request.send(at).await.map(|response| text(&response))
+}
--- /dev/null
+++ b/glenfall/src/operator/commands/declared.rs
@@ -0,0 +1,123 @@
+//! `declared`: keeps the configuration as files under version control.
+
+use std::path::{Path, PathBuf};
+
+use bytes::Bytes;
+use clap::Subcommand;
+use hyper::Method;
+use serde_json::Value;
+
+use super::config::CONFIG_PATH;
+use super::control_client::{call_control, get, ControlAddresses};
+use super::error::OperatorError;
+use crate::operator::declarative_config::{self, DeclareError, Declared, Difference, ItemCounts};
+
+#[derive(Subcommand)]
+pub(crate) enum DeclaredCommand {
+    /// Check the files of a folder, and what they make together
+    Check { folder: PathBuf },
+    /// Show what would change
+    Plan {
+        #[command(flatten)]
+        at: ControlAddresses,
+        folder: PathBuf,
+    },
+    /// Put what a folder declares in force
+    Apply {
+        #[command(flatten)]
+        at: ControlAddresses,
+        /// Only where this version is in force, as it was when the change was looked at
+        #[arg(long)]
+        if_rev: Option<u64>,
+        folder: PathBuf,
+    },
+    /// Write what is in force as files into a folder
+    Export {
+        #[command(flatten)]
+        at: ControlAddresses,
+        folder: PathBuf,
+    },
+}
+
+/// Runs the command; returns what it prints.
+pub(crate) async fn run(command: DeclaredCommand) -> Result<String, OperatorError> {
+    match command {
+        DeclaredCommand::Check { folder } => check(&folder),
+        DeclaredCommand::Plan { at, folder } => plan(&at, &folder).await,
+        DeclaredCommand::Apply { at, if_rev, folder } => apply(&at, if_rev, &folder).await,
+        DeclaredCommand::Export { at, folder } => export(&at, &folder).await,
+    }
+}
+
+fn check(folder: &Path) -> Result<String, OperatorError> {
+    let ItemCounts { routes, services } = Declared::read(folder)?.counts();
+    Ok(format!("{routes} routes, {services} services"))
+}
+
+async fn plan(at: &ControlAddresses, folder: &Path) -> Result<String, OperatorError> {
+    let declared = Declared::read(folder)?;
+    let active = ActiveConfig::get(at).await?;
+    let differences = declared.differences(&active.document)?;
+    Ok(match &differences[..] {
+        [] => active.is_declared(),
+        differences => format!("to version {}:\n{}", active.rev, lines(differences)),
+    })
+}
+
+async fn apply(at: &ControlAddresses, if_rev: Option<u64>, folder: &Path) -> Result<String, OperatorError> {
+    let declared = Declared::read(folder)?;
+    let active = ActiveConfig::get(at).await?;
+    if let Some(expected) = if_rev.filter(|expected| *expected != active.rev) {
+        return Err(OperatorError::Moved { expected, current: active.rev });
+    }
+    let differences = declared.differences(&active.document)?;
+    if differences.is_empty() && active.rev > 0 {
+        return Ok(active.is_declared());
+    }
+    let next_rev = active.rev + 1;
+    // A concurrent change makes this fail with 412, and nothing is lost.
+    let document = declared.document(next_rev);
+    call_control(at, Method::PUT, CONFIG_PATH, Some(active.rev), document.into()).await?;
+    Ok(format!("version {next_rev} is in force:\n{}", lines(&differences)))
+}
+
+async fn export(at: &ControlAddresses, folder: &Path) -> Result<String, OperatorError> {
+    let active = ActiveConfig::get(at).await?;
+    let left_out = match active.rev {
+        0 => Vec::new(),
+        _ => declarative_config::write(&active.document, folder)?,
+    };
+    let left_out: String = left_out.iter().map(|field| format!("\nleft out: {field}")).collect();
+    Ok(format!("version {} written{left_out}", active.rev))
+}
+
+fn lines(differences: &[Difference]) -> String {
+    differences.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
+}
+
+/// The active configuration.
+struct ActiveConfig {
+    /// 0 before the first.
+    rev: u64,
+    /// Empty before the first.
+    document: Bytes,
+}
+
+impl ActiveConfig {
+    async fn get(at: &ControlAddresses) -> Result<ActiveConfig, OperatorError> {
+        let response = match get(at, CONFIG_PATH).await {
+            Err(OperatorError::Refused { status: 404, .. }) => {
+                return Ok(ActiveConfig { rev: 0, document: Bytes::new() });
+            }
+            response => response?,
+        };
+        let document: Value = serde_json::from_slice(response.body()).map_err(DeclareError::from)?;
+        let rev = document["rev"].as_u64().unwrap_or(0);
+        Ok(ActiveConfig { rev, document: response.body().clone() })
+    }
+
+    /// The message that nothing differs from it.
+    fn is_declared(&self) -> String {
+        format!("version {} is what is declared", self.rev)
+    }
+}
--- /dev/null
+++ b/glenfall/src/operator/commands/state.rs
@@ -0,0 +1,102 @@
+//! `state`: backs up, restores and checks the state of control.
+
+use std::io::Write;
+use std::net::Ipv4Addr;
+use std::path::{Path, PathBuf};
+
+use clap::Subcommand;
+
+use super::check::read_file;
+use super::control_client::{get, ControlAddresses};
+use super::error::OperatorError;
+use crate::control::backup::Backup;
+use crate::control::store;
+use crate::disk;
+
+#[derive(Subcommand)]
+pub(crate) enum StateCommand {
+    /// Write the newest acknowledged state of a running core to a file
+    Export {
+        #[command(flatten)]
+        at: ControlAddresses,
+        /// A new file; one that exists is not written over
+        file: PathBuf,
+    },
+    /// Put an exported state into an empty state folder, before control starts there
+    Import {
+        file: PathBuf,
+        /// `stateDir` of the control node
+        #[arg(long)]
+        into: PathBuf,
+        /// Addresses of the control nodes that vote, if others than in the file; may be repeated
+        #[arg(long = "voter")]
+        voters: Vec<Ipv4Addr>,
+        /// The highest version that may have been acknowledged since the export: none up to it is taken again
+        #[arg(long, default_value_t = 0)]
+        acknowledged: u64,
+    },
+    /// Check an exported file, or the state folder of a control node that is stopped
+    Verify { path: PathBuf },
+}
+
+/// Runs the command; returns what it prints.
+pub(crate) async fn run(command: StateCommand) -> Result<String, OperatorError> {
+    match command {
+        StateCommand::Export { at, file } => export(&at, &file).await,
+        StateCommand::Import { file, into, voters, acknowledged } => {
+            import(&file, &into, voters, acknowledged)
+        }
+        StateCommand::Verify { path } if path.is_dir() => verify_folder(&path),
+        StateCommand::Verify { path } => verify_backup(&path),
+    }
+}
+
+async fn export(at: &ControlAddresses, file: &Path) -> Result<String, OperatorError> {
+    let response = get(at, "/api/state").await?;
+    // An incomplete backup would be of no use when it is needed.
+    let backup = Backup::read(response.body()).map_err(OperatorError::backup(file))?;
+    write_durably(file, response.body()).map_err(OperatorError::file(file))?;
+    Ok(format!("configuration {}, change {}, exported", backup.rev, backup.seq))
+}
+
+/// Writes a new file, and waits until it is on disk together with its directory entry.
+fn write_durably(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
+    let mut file = std::fs::File::create_new(path)?;
+    file.write_all(bytes)?;
+    file.sync_all()?;
+    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty());
+    disk::sync_folder(folder.unwrap_or(Path::new(".")))
+}
+
+fn import(
+    file: &Path,
+    into: &Path,
+    voters: Vec<Ipv4Addr>,
+    acknowledged: u64,
+) -> Result<String, OperatorError> {
+    let backup = read_backup(file)?;
+    let imported = format!("configuration {}, change {}, imported", backup.rev, backup.seq);
+    let voters = if voters.is_empty() { backup.voters.clone() } else { voters };
+    let state = backup.state(voters, acknowledged).map_err(OperatorError::backup(file))?;
+    store::create(into, &state).map_err(OperatorError::store(into))?;
+    Ok(imported)
+}
+
+fn verify_folder(folder: &Path) -> Result<String, OperatorError> {
+    let Some(state) = store::verify(folder).map_err(OperatorError::store(folder))? else {
+        return Ok("a store without state: nothing was promised or accepted yet".into());
+    };
+    let (record, view) = (&state.record, state.accepted);
+    let (rev, seq, voters) = (record.rev, record.seq, state.members.voters.len());
+    Ok(format!("configuration {rev}, change {seq}, accepted in view {view}, {voters} voters"))
+}
+
+fn verify_backup(path: &Path) -> Result<String, OperatorError> {
+    let backup = read_backup(path)?;
+    let (rev, seq, voters) = (backup.rev, backup.seq, backup.voters.len());
+    Ok(format!("backup of configuration {rev}, change {seq}, {voters} voters"))
+}
+
+fn read_backup(path: &Path) -> Result<Backup, OperatorError> {
+    Backup::read(&read_file(path)?).map_err(OperatorError::backup(path))
+}
--- /dev/null
+++ b/glenfall/src/operator/declarative_config/difference.rs
@@ -0,0 +1,129 @@
+//! Differences between a declared configuration and the active one, item by item.
+
+use std::collections::BTreeMap;
+use std::fmt;
+
+use serde_json::{Map, Value};
+
+use super::schema::{ItemList, BACKENDS, LIMITS, PATHS};
+
+/// The change of one field; `null` stands for a field that is not set.
+#[derive(Debug, PartialEq)]
+pub struct FieldChange {
+    /// The active value.
+    pub old: Value,
+    /// The declared value.
+    pub new: Value,
+}
+
+/// The difference of one item. Its text is what operators are shown.
+#[derive(Debug, PartialEq)]
+pub enum Difference {
+    /// The item is declared and not active.
+    Added {
+        /// The list that it is in.
+        list: &'static str,
+        /// Its name.
+        name: String,
+    },
+    /// The item is active and not declared.
+    Removed {
+        /// The list that it is in.
+        list: &'static str,
+        /// Its name.
+        name: String,
+    },
+    /// The item has other fields.
+    Changed {
+        /// The list or section that it is in.
+        list: &'static str,
+        /// Its name; empty for a section.
+        name: String,
+        /// The fields that differ.
+        fields: BTreeMap<String, FieldChange>,
+    },
+}
+
+impl fmt::Display for Difference {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Difference::Added { list, name } => write!(f, "+ {list} {name}"),
+            Difference::Removed { list, name } => write!(f, "- {list} {name}"),
+            Difference::Changed { list, name, fields } => {
+                write!(f, "~ {list} {name}")?;
+                for (field, FieldChange { old, new }) in fields {
+                    write!(f, "\n    {field}: {old} -> {new}")?;
+                }
+                Ok(())
+            }
+        }
+    }
+}
+
+/// All differences between the active document and a declared one.
+pub(super) fn between(active: &Value, declared: &Map<String, Value>) -> Vec<Difference> {
+    let declared = |section: &str| declared.get(section).unwrap_or(&Value::Null);
+    let mut differences = Vec::new();
+    for list in [&PATHS, &BACKENDS] {
+        differences.extend(in_list(list, &active[list.section], declared(list.section)));
+    }
+    let limits = changed_fields(&active[LIMITS.section], declared(LIMITS.section));
+    differences.extend(changed(LIMITS.section, String::new(), limits));
+    differences
+}
+
+fn in_list(list: &ItemList, active: &Value, declared: &Value) -> Vec<Difference> {
+    let (active, declared) = (by_name(active), by_name(declared));
+    let list = list.section;
+    let mut differences = Vec::new();
+    for (name, item) in &declared {
+        let name = name.clone();
+        match active.get(&name) {
+            None => differences.push(Difference::Added { list, name }),
+            Some(active) => differences.extend(changed(list, name, changed_fields(active, item))),
+        }
+    }
+    let removed = active.into_keys().filter(|name| !declared.contains_key(name));
+    differences.extend(removed.map(|name| Difference::Removed { list, name }));
+    differences
+}
+
+fn changed(list: &'static str, name: String, fields: BTreeMap<String, FieldChange>) -> Option<Difference> {
+    (!fields.is_empty()).then_some(Difference::Changed { list, name, fields })
+}
+
+/// The items of a list by their names.
+pub(super) fn by_name(list: &Value) -> BTreeMap<String, &Value> {
+    let items = list.as_array().into_iter().flatten();
+    items.filter_map(|item| Some((item["name"].as_str()?.to_owned(), item))).collect()
+}
+
+fn changed_fields(old: &Value, new: &Value) -> BTreeMap<String, FieldChange> {
+    let empty = Map::new();
+    let (old, new) = (old.as_object().unwrap_or(&empty), new.as_object().unwrap_or(&empty));
+    let value = |item: &Map<String, Value>, name: &str| item.get(name).cloned().unwrap_or(Value::Null);
+    let mut changes = BTreeMap::new();
+    for name in old.keys().chain(new.keys()) {
+        let change = FieldChange { old: value(old, name), new: value(new, name) };
+        if !is_same(&change.old, &change.new) {
+            changes.insert(name.clone(), change);
+        }
+    }
+    changes
+}
+
+/// Whether two values are equal, however their numbers are written: 40 equals 40.0.
+fn is_same(left: &Value, right: &Value) -> bool {
+    match (left, right) {
+        (Value::Number(left), Value::Number(right)) => left == right || left.as_f64() == right.as_f64(),
+        (Value::Array(left), Value::Array(right)) => {
+            left.len() == right.len() && left.iter().zip(right).all(|(left, right)| is_same(left, right))
+        }
+        (Value::Object(left), Value::Object(right)) => {
+            let has_same =
+                |(name, left): (&String, &Value)| right.get(name).is_some_and(|right| is_same(left, right));
+            left.len() == right.len() && left.iter().all(has_same)
+        }
+        (left, right) => left == right,
+    }
+}
--- /dev/null
+++ b/glenfall/src/operator/declarative_config/files.rs
@@ -0,0 +1,130 @@
+//! Reading and writing the files of a declared configuration.
+
+use std::io::Write;
+use std::path::{Path, PathBuf};
+
+use serde_json::{Map, Value};
+
+use super::difference::by_name;
+use super::schema::{BACKENDS, LIMITS, PATHS};
+use super::{DeclareError, InvalidItem};
+
+/// Bound on the length of an item's name, so that it makes a file name on every file system.
+const MAX_NAME_LENGTH: usize = 200;
+/// The field that is the name of an item's file.
+const NAME: &str = "name";
+
+/// Reads all items of a folder. A folder that does not exist has none.
+pub(super) fn read_items(folder: &Path, fields: &[&str]) -> Result<Vec<Value>, DeclareError> {
+    let mut items = Vec::new();
+    for path in toml_files(folder)? {
+        let mut item = read_item(&path, fields)?;
+        if item.contains_key(NAME) {
+            return Err(DeclareError::Wrong { path, what: InvalidItem::OwnName });
+        }
+        let name = path.file_stem().map(|stem| stem.to_string_lossy().into_owned()).unwrap_or_default();
+        item.insert(NAME.into(), name.into());
+        items.push(Value::Object(item));
+    }
+    Ok(items)
+}
+
+fn toml_files(folder: &Path) -> Result<Vec<PathBuf>, DeclareError> {
+    let failed = |what| DeclareError::File { path: folder.to_owned(), what };
+    let entries = match std::fs::read_dir(folder) {
+        Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(Vec::new()),
+        entries => entries.map_err(failed)?,
+    };
+    let paths: Result<Vec<PathBuf>, _> = entries.map(|entry| entry.map(|entry| entry.path())).collect();
+    let mut paths = paths.map_err(failed)?;
+    paths.retain(|path| path.extension().is_some_and(|extension| extension == "toml"));
+    // The order of directory entries is arbitrary.
+    paths.sort();
+    Ok(paths)
+}
+
+/// Reads a file that may have these fields.
+pub(super) fn read_item(path: &Path, fields: &[&str]) -> Result<Map<String, Value>, DeclareError> {
+    let text =
+        std::fs::read_to_string(path).map_err(|what| DeclareError::File { path: path.to_owned(), what })?;
+    parse_item(&text, fields).map_err(|what| DeclareError::Wrong { path: path.to_owned(), what })
+}
+
+fn parse_item(text: &str, fields: &[&str]) -> Result<Map<String, Value>, InvalidItem> {
+    let item: Map<String, Value> = toml::from_str(text).map_err(|error| InvalidItem::Toml {
+        line: error.span().map(|span| line_of(text, span.start)),
+        message: error.message().replace('\n', " "),
+    })?;
+    match item.keys().find(|field| !fields.contains(&field.as_str())) {
+        Some(field) => Err(InvalidItem::UnknownField(field.clone())),
+        None => Ok(item),
+    }
+}
+
+/// The line of a byte offset, counted from 1.
+fn line_of(text: &str, offset: usize) -> usize {
+    text[..offset.min(text.len())].matches('\n').count() + 1
+}
+
+struct NewFile {
+    path: PathBuf,
+    text: String,
+}
+
+/// The files that a document makes, and the fields that files can't have.
+#[derive(Default)]
+struct FilesOfDocument {
+    files: Vec<NewFile>,
+    left_out: Vec<String>,
+}
+
+impl FilesOfDocument {
+    fn add(&mut self, path: PathBuf, item: &Value, fields: &[&str]) {
+        let mut table = toml::Table::new();
+        for (field, value) in item.as_object().into_iter().flatten().filter(|(field, _)| *field != NAME) {
+            match toml::Value::try_from(value) {
+                Ok(value) if fields.contains(&field.as_str()) => {
+                    table.insert(field.clone(), value);
+                }
+                _ => self.left_out.push(format!("{}: {field}", path.display())),
+            }
+        }
+        self.files.push(NewFile { path, text: table.to_string() });
+    }
+}
+
+/// Writes a document as files into a folder; files that exist are not overwritten. Fields that files can't have are left
+/// out and returned.
+pub fn write(document: &[u8], folder: &Path) -> Result<Vec<String>, DeclareError> {
+    let document: Value = serde_json::from_slice(document)?;
+    let mut output = FilesOfDocument::default();
+    for list in [&PATHS, &BACKENDS] {
+        for (name, item) in by_name(&document[list.section]) {
+            let file = file_name(&name).ok_or(DeclareError::Name(name))?;
+            output.add(folder.join(list.folder).join(file), item, list.fields);
+        }
+    }
+    if document[LIMITS.section].is_object() {
+        output.add(folder.join(LIMITS.file), &document[LIMITS.section], LIMITS.fields);
+    }
+    for file in output.files {
+        create(&file).map_err(|what| DeclareError::File { path: file.path.clone(), what })?;
+    }
+    Ok(output.left_out)
+}
+
+/// The name of an item's file; `None` where its name would be no single, visible file.
+fn file_name(item: &str) -> Option<String> {
+    let is_valid = !item.is_empty()
+        && item.len() <= MAX_NAME_LENGTH
+        && !item.starts_with('.')
+        && !item.contains(['/', '\0']);
+    is_valid.then(|| format!("{item}.toml"))
+}
+
+fn create(file: &NewFile) -> std::io::Result<()> {
+    if let Some(parent) = file.path.parent() {
+        std::fs::create_dir_all(parent)?;
+    }
+    std::fs::File::create_new(&file.path)?.write_all(file.text.as_bytes())
+}
--- /dev/null
+++ b/glenfall/src/operator/declarative_config/mod.rs
@@ -0,0 +1,118 @@
+//! A configuration as files, one for each route and service, which suits version control: read, compared with the active
+//! configuration, and written from it.
+
+mod difference;
+mod files;
+mod schema;
+
+use std::path::{Path, PathBuf};
+
+use glenfall_control_plane::config::{Config, InvalidConfig};
+use serde_json::{Map, Value};
+
+pub use self::difference::{Difference, FieldChange};
+pub use self::files::write;
+use self::files::{read_item, read_items};
+use self::schema::{BACKENDS, LIMITS, PATHS};
+
+/// Why a configuration as files can't be read or written; its text is one line.
+#[derive(Debug, thiserror::Error)]
+pub enum DeclareError {
+    /// A file or folder can't be read or written.
+    #[error("{}: {what}", path.display())]
+    File {
+        /// The file or folder.
+        path: PathBuf,
+        /// What the operating system says.
+        what: std::io::Error,
+    },
+    /// A file is not valid.
+    #[error("{}: {what}", path.display())]
+    Wrong {
+        /// The file.
+        path: PathBuf,
+        /// What is invalid in it.
+        what: InvalidItem,
+    },
+    /// The files do not make a valid configuration together.
+    #[error("the declared configuration is invalid: {0}")]
+    Invalid(#[from] InvalidConfig),
+    /// An item of the active configuration has a name that no file can have.
+    #[error("{0:?} can't be the name of a file")]
+    Name(String),
+    /// The active configuration is no JSON.
+    #[error("what is in force can't be read: {0}")]
+    Current(#[from] serde_json::Error),
+}
+
+/// Why a file is not a valid route, service or limits file.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidItem {
+    /// It is no valid TOML.
+    #[error("{}{message}", line.map(|line| format!("line {line}: ")).unwrap_or_default())]
+    Toml {
+        /// The line of the mistake, counted from 1, where it is known.
+        line: Option<usize>,
+        /// What the parser says, on one line.
+        message: String,
+    },
+    /// It has a field that no such item has.
+    #[error("no such field: {0}")]
+    UnknownField(String),
+    /// It states a name. An item has the name of its file, so that no two files can describe one item.
+    #[error("name: the file's name is the item's")]
+    OwnName,
+}
+
+/// The numbers of items that a folder declares.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ItemCounts {
+    /// Files in `routes`.
+    pub routes: usize,
+    /// Files in `services`.
+    pub services: usize,
+}
+
+/// The configuration that the files of a folder declare, without a version.
+#[derive(Debug)]
+pub struct Declared(Map<String, Value>);
+
+impl Declared {
+    /// Reads `routes/*.toml`, `services/*.toml` and `limits.toml`, and checks that they make a valid configuration
+    /// together.
+    pub fn read(folder: &Path) -> Result<Declared, DeclareError> {
+        let mut document = Map::new();
+        for list in [&PATHS, &BACKENDS] {
+            let items = read_items(&folder.join(list.folder), list.fields)?;
+            document.insert(list.section.to_owned(), Value::Array(items));
+        }
+        let path = folder.join(LIMITS.file);
+        if path.exists() {
+            let limits = read_item(&path, LIMITS.fields)?;
+            document.insert(LIMITS.section.to_owned(), Value::Object(limits));
+        }
+        let declared = Declared(document);
+        Config::read(&declared.document(1))?;
+        Ok(declared)
+    }
+
+    /// The configuration as the JSON document of this version.
+    pub fn document(&self, rev: u64) -> Vec<u8> {
+        let mut document = Map::new();
+        document.insert("rev".into(), rev.into());
+        document.extend(self.0.clone());
+        Value::Object(document).to_string().into_bytes()
+    }
+
+    /// How many routes and services there are.
+    pub fn counts(&self) -> ItemCounts {
+        let count = |section: &str| self.0.get(section).and_then(Value::as_array).map_or(0, Vec::len);
+        ItemCounts { routes: count(PATHS.section), services: count(BACKENDS.section) }
+    }
+
+    /// What changes if this replaces the JSON document `current`; empty bytes stand for no configuration yet.
+    pub fn differences(&self, current: &[u8]) -> Result<Vec<Difference>, DeclareError> {
+        let current = if current.is_empty() { Value::Null } else { serde_json::from_slice(current)? };
+        Ok(difference::between(&current, &self.0))
+    }
+}
--- /dev/null
+++ b/glenfall/src/operator/demo/stand_in_server.rs
@@ -0,0 +1,139 @@
+//! A server that stands in for a user's: it answers requests and sends heartbeats to control.
+
+use std::cell::Cell;
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use glenfall_control_plane::config::RequestLimits;
+use http_body_util::Full;
+use hyper::header::{self, HeaderValue};
+use hyper::{Method, Request, StatusCode};
+use serde_json::json;
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+use tokio::time::{sleep, Instant};
+
+use super::HEARTBEAT_INTERVAL;
+use crate::http::headers::TRY_ID;
+use crate::http::response::{SEAL, TAGS};
+use crate::http_server::{self, plain_response, FullRequest, FullResponse, Handler, ServerConfig};
+use crate::memory_budget::MemoryBudget;
+use crate::operator::commands::{ControlAddresses, MAX_RESPONSE_BYTES};
+use crate::operator::local_system::LocalSystem;
+use crate::upstream::pool::{ExchangeParams, Pool};
+
+/// The number of the first server's machine.
+const FIRST_MACHINE: u8 = 100;
+/// Bound on the connections from proxies.
+const MAX_CONNECTIONS: usize = 64;
+/// Bound on the bytes of request bodies in memory.
+const MAX_BODY_BYTES: usize = 1 << 20;
+/// Bound on the connections to control.
+const MAX_CONTROL_CONNECTIONS: usize = 8;
+/// Bound on one heartbeat to one control node.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The header by which a proxy names the server that it means.
+const WANT_SERVER: &str = "x-glenfall-want-server";
+
+struct StandInServer {
+    id: String,
+    /// Requests that it has run.
+    runs: Cell<u64>,
+}
+
+impl Handler for StandInServer {
+    async fn handle(&self, request: FullRequest) -> FullResponse {
+        let wanted = request.head.headers.get(WANT_SERVER).and_then(|value| value.to_str().ok());
+        if wanted.is_some_and(|wanted| wanted != self.id) {
+            return plain_response(StatusCode::MISDIRECTED_REQUEST, "another server");
+        }
+        self.runs.set(self.runs.get() + 1);
+        let (method, uri, runs) = (&request.head.method, &request.head.uri, self.runs.get());
+        let body = format!("{method} {uri} run {runs} at {}\n", self.id);
+        let mut response = FullResponse::new(Full::new(Bytes::from(body)));
+        let headers = response.headers_mut();
+        headers.insert(SEAL, HeaderValue::from_static("demo"));
+        headers.insert(TAGS, HeaderValue::from_static("demo-label"));
+        if let Some(id) = request.head.headers.get(TRY_ID) {
+            headers.insert(TRY_ID, id.clone());
+        }
+        response
+    }
+
+    fn limits(&self) -> RequestLimits {
+        RequestLimits::default()
+    }
+
+    fn is_draining(&self) -> bool {
+        false
+    }
+}
+
+/// Starts a server and its heartbeats.
+pub(super) async fn start(
+    number: u8,
+    system: &LocalSystem,
+    stopping: watch::Receiver<bool>,
+) -> std::io::Result<()> {
+    let ip = system.machine(FIRST_MACHINE + number);
+    let listener = TcpListener::bind((ip, 0)).await?;
+    let address = SocketAddrV4::new(ip, listener.local_addr()?.port());
+    let id = format!("demo-{number}");
+    let config = ServerConfig {
+        listen: address,
+        max_connections: MAX_CONNECTIONS,
+        max_body_bytes: MAX_BODY_BYTES,
+        drain_accept_time: Duration::ZERO,
+        grace: Duration::ZERO,
+    };
+    let server = Rc::new(StandInServer { id: id.clone(), runs: Cell::new(0) });
+    spawn_local(http_server::serve_at(listener, config, server, stopping));
+    let heartbeats = Heartbeats { id, address, zone: system.zone(number), controls: system.controls() };
+    spawn_local(heartbeats.send_all());
+    Ok(())
+}
+
+/// The heartbeats of one server.
+struct Heartbeats {
+    id: String,
+    address: SocketAddrV4,
+    zone: String,
+    controls: ControlAddresses,
+}
+
+impl Heartbeats {
+    /// Sends heartbeats for as long as the process runs, each to the first control node that acknowledges it.
+    async fn send_all(self) {
+        let pool = Pool::new(MAX_CONTROL_CONNECTIONS, MemoryBudget::new(MAX_RESPONSE_BYTES));
+        for sequence in 1u64.. {
+            let body = self.body(sequence);
+            for control in &self.controls.controls {
+                let params = ExchangeParams::internal(*control, Instant::now() + HEARTBEAT_TIMEOUT);
+                let response = pool.exchange(params, || self.request(&body)).await;
+                if response.is_ok_and(|response| response.status().is_success()) {
+                    break;
+                }
+            }
+            sleep(HEARTBEAT_INTERVAL).await;
+        }
+    }
+
+    fn body(&self, sequence: u64) -> Bytes {
+        let heartbeat = json!({
+            "backend": "demo", "addr": self.address, "zone": self.zone, "rev": "v1", "capacity": 8,
+            "status": "ready", "warmupLeftMs": 0, "callSeq": sequence,
+        });
+        Bytes::from(heartbeat.to_string())
+    }
+
+    fn request(&self, body: &Bytes) -> Request<Full<Bytes>> {
+        let mut request = Request::new(Full::new(body.clone()));
+        *request.method_mut() = Method::PUT;
+        *request.uri_mut() = format!("/api/servers/{}", self.id).parse().unwrap_or_default();
+        request.headers_mut().insert(header::HOST, HeaderValue::from_static("control"));
+        request
+    }
+}
--- a/glenfall/src/operator/local_system.rs
+++ b/glenfall/src/operator/local_system.rs
@@ -1,10 +1,10 @@
-//! A whole system on loopback: each machine an address of its own, each role a process. For the demo and for
-//! experiments.
+//! A complete system on loopback, for the demo and for experiments: each machine is an address of its own, each role a
+//! process.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, ExitStatus};
+use std::process::{Child, Command, ExitStatus, Stdio};
 
 use glenfall_control_plane::invariant::BROKEN;
 use tokio::net::TcpListener;
@@ -12,46 +12,86 @@
 use crate::operator::commands::ControlAddresses;
 use crate::settings::VARIABLE;
 
-/// Ports that a machine needs, next to each other.
-const PORTS: u16 = 6;
-const CONTROL: u16 = 3;
-const HTTP: u16 = 4;
-const READY: u16 = 5;
+/// Number of ports that a machine needs, next to each other.
+const PORT_COUNT: u16 = 6;
+// Ports, counted from the first one of a machine.
+const SESSION_PORT: u16 = 0;
+const SHIELD_PORT: u16 = 1;
+const WATCH_PORT: u16 = 2;
+const CONTROL_PORT: u16 = 3;
+const HTTP_PORT: u16 = 4;
+const READY_PORT: u16 = 5;
 
-/// What is started.
+/// Bound on the file descriptors of a process.
+const MAX_DESCRIPTORS: usize = 4096;
+
+/// The machines of a local system, and their settings.
 #[derive(Clone, Copy, Debug)]
 pub struct SystemLayout {
-    /// Third byte of the machines' addresses, 127.0.N.x: several systems may run beside each other.
+    /// Third byte of the machines' addresses, 127.0.N.x. Several systems can run at once with different ones.
     pub net: u8,
-    /// Machines with control and a shield; those with an edge and its agent.
+    /// Number of machines with control and a shield.
     pub cores: u8,
-    /// Core machines that the settings name: they vote at the first start.
+    /// Number of core machines that the settings name: they vote at the first start.
     pub seeds: u8,
+    /// Number of machines with an edge and its agent.
     pub edges: u8,
+    /// Number of zones that the machines are spread over.
     pub zones: u8,
+    /// Interval of servers' heartbeats, in milliseconds.
     pub beat_ms: u64,
+    /// Memory of each process, in MiB.
     pub mem_mb: u64,
-    /// Core machines that may be lost at once with their disks; all may vote then.
+    /// Number of core machines that may be lost at once with their disks. Above 0, all core machines may vote.
     pub losses: usize,
-    /// Core processes listen at hidden addresses, so that relays can stand at those that they announce.
+    /// Core processes listen at other addresses than they announce, so that relays can listen at the announced ones.
     pub relayed: bool,
 }
 
+impl SystemLayout {
+    /// A layout whose core machines all vote, in three zones, without relays, with 256 MiB for each process and
+    /// heartbeats every 500 ms.
+    pub fn new(net: u8, cores: u8, edges: u8) -> Self {
+        SystemLayout {
+            net,
+            cores,
+            seeds: cores,
+            edges,
+            zones: 3,
+            beat_ms: 500,
+            mem_mb: 256,
+            losses: 0,
+            relayed: false,
+        }
+    }
+
+    fn machine_count(&self) -> u8 {
+        self.cores + self.edges
+    }
+
+    fn is_core(&self, number: u8) -> bool {
+        number <= self.cores
+    }
+}
+
 struct Process {
     node: String,
     role: &'static str,
     child: Child,
 }
 
-/// The processes end, and their folder goes, when this is dropped; unless it is to be kept.
+/// A running local system. When it is dropped, its processes are killed and its folder is removed, unless
+/// [`LocalSystem::keep_folder`] was called.
 pub struct LocalSystem {
     layout: SystemLayout,
     program: PathBuf,
-    base: u16,
+    /// The first port of every machine.
+    first_port: u16,
+    /// The folder of settings, logs and state.
     pub folder: PathBuf,
     processes: Vec<Process>,
     keeps_folder: bool,
-    /// Machines that have lost their disks, and do not start for the first time.
+    /// Machines that have lost their disks: their next start is not the first one of the system.
     wiped: BTreeSet<String>,
 }
 
@@ -67,69 +107,54 @@
     }
 }
 
-/// Free ports, next to each other.
-async fn free_ports() -> std::io::Result<u16> {
-    loop {
-        let port = TcpListener::bind("127.0.0.1:0").await?.local_addr()?.port();
-        let mut held = Vec::new();
-        for offset in 0..PORTS {
-            let Some(port) = port.checked_add(offset) else { break };
-            match TcpListener::bind((Ipv4Addr::UNSPECIFIED, port)).await {
-                Ok(listener) => held.push(listener),
-                Err(_) => break,
-            }
-        }
-        if held.len() == usize::from(PORTS) {
-            return Ok(port);
-        }
-    }
-}
-
 impl LocalSystem {
-    /// Starts all processes; they find each other by themselves.
+    /// Starts all processes of `program`; they find each other by themselves.
     pub async fn start(layout: SystemLayout, program: &Path) -> std::io::Result<LocalSystem> {
-        let base = free_ports().await?;
-        let folder = std::env::temp_dir().join(format!("glenfall-local-{}-{base}", std::process::id()));
+        let first_port = free_ports().await?;
+        let name = format!("glenfall-local-{}-{first_port}", std::process::id());
+        let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder)?;
-        let program = program.to_owned();
-        let mut local = LocalSystem {
+        let mut system = LocalSystem {
             layout,
-            program,
-            base,
+            program: program.to_owned(),
+            first_port,
             folder,
             processes: Vec::new(),
             keeps_folder: false,
             wiped: BTreeSet::new(),
         };
-        for number in 1..=layout.cores + layout.edges {
-            let (node, roles) = (local.node(number), local.roles(number));
-            std::fs::write(local.settings_file(&node), local.settings(&node, number))?;
-            for role in roles {
-                let child = local.spawn(&node, role)?;
-                local.processes.push(Process { node: node.clone(), role, child });
-            }
+        for number in system.machine_numbers() {
+            system.start_machine(number)?;
         }
-        Ok(local)
+        Ok(system)
     }
 
-    /// What the logs tell of invariants that were broken, of processes that have ended as well.
-    pub fn broken_invariants(&self) -> Vec<String> {
-        let entries =
-            std::fs::read_dir(&self.folder).into_iter().flatten().flatten().map(|entry| entry.path());
-        let logs = entries.filter(|path| path.extension().is_some_and(|extension| extension == "log"));
-        let texts = logs.filter_map(|path| std::fs::read_to_string(path).ok());
-        let broken =
-            |text: String| text.lines().filter(|l| l.contains(BROKEN)).map(str::to_owned).collect::<Vec<_>>();
-        texts.flat_map(broken).collect()
+    fn start_machine(&mut self, number: u8) -> std::io::Result<()> {
+        let node = self.node(number);
+        self.write_settings(&node, number)?;
+        for role in self.roles(number) {
+            let child = self.spawn(&node, role)?;
+            self.processes.push(Process { node: node.clone(), role, child });
+        }
+        Ok(())
     }
 
-    /// Leaves the folder with its logs and state where it is, for whoever looks into what went wrong.
-    pub fn keep_folder(&mut self) -> &Path {
-        self.keeps_folder = true;
-        &self.folder
+    fn spawn(&self, node: &str, role: &str) -> std::io::Result<Child> {
+        let log = self.folder.join(format!("{node}-{role}.log"));
+        let log = std::fs::File::options().create(true).append(true).open(log)?;
+        Command::new(&self.program)
+            .arg(role)
+            .env(VARIABLE, self.settings_file(node))
+            .stdin(Stdio::null())
+            .stderr(log)
+            .spawn()
     }
 
-    /// The name of a machine.
+    fn machine_numbers(&self) -> std::ops::RangeInclusive<u8> {
+        1..=self.layout.machine_count()
+    }
+
+    /// The name of a machine. Core machines have the first numbers, from 1 on.
     pub fn node(&self, number: u8) -> String {
         match number.checked_sub(self.layout.cores + 1) {
             None => format!("core-{number}"),
@@ -138,111 +163,73 @@
     }
 
     fn roles(&self, number: u8) -> [&'static str; 2] {
-        if number <= self.layout.cores {
+        if self.layout.is_core(number) {
             ["shield", "control"]
         } else {
             ["edge", "agent"]
         }
     }
 
-    /// The address of a machine; those beyond the last are free for servers.
+    /// The zone of a machine.
+    pub fn zone(&self, number: u8) -> String {
+        format!("zone-{}", number % self.layout.zones.max(1) + 1)
+    }
+
+    /// The address of a machine. Numbers after the last machine are free for servers.
     pub fn machine(&self, number: u8) -> Ipv4Addr {
         Ipv4Addr::new(127, 0, self.layout.net, number)
     }
 
     /// Where the processes of a machine listen.
-    fn listens(&self, number: u8) -> Ipv4Addr {
-        match self.layout.relayed && number <= self.layout.cores {
+    fn listen_ip(&self, number: u8) -> Ipv4Addr {
+        match self.layout.relayed && self.layout.is_core(number) {
             true => Ipv4Addr::new(127, 1, self.layout.net, number),
             false => self.machine(number),
         }
     }
 
-    /// For each core machine, the addresses that it announces with those where it listens: links, reads, calls.
+    /// For each core machine, the addresses that it announces with those where it listens, for sessions, reads and calls
+    /// of control.
     pub fn relayed(&self) -> Vec<(u8, [(SocketAddrV4, SocketAddrV4); 3])> {
         let pair = |number, offset| {
-            let port = self.base + offset;
+            let port = self.first_port + offset;
             let announced = SocketAddrV4::new(self.machine(number), port);
-            (announced, SocketAddrV4::new(self.listens(number), port))
+            (announced, SocketAddrV4::new(self.listen_ip(number), port))
         };
+        let ports = [SESSION_PORT, SHIELD_PORT, CONTROL_PORT];
         let cores = 1..=self.layout.cores;
-        cores.map(|number| (number, [0, 1, CONTROL].map(|offset| pair(number, offset)))).collect()
-    }
-
-    /// The zone of a machine.
-    pub fn zone(&self, number: u8) -> String {
-        format!("zone-{}", number % self.layout.zones.max(1) + 1)
+        cores.map(|number| (number, ports.map(|offset| pair(number, offset)))).collect()
     }
 
-    fn settings_file(&self, node: &str) -> PathBuf {
-        self.folder.join(format!("{node}.toml"))
-    }
-
-    fn settings(&self, node: &str, number: u8) -> String {
-        let (ip, base) = (self.machine(number), self.base);
-        let listens = self.listens(number);
-        let bootstrap = !self.wiped.contains(node);
-        let voter = self.layout.losses > 0 && number <= self.layout.cores;
-        let seeds: Vec<String> = self.seeds().iter().map(|control| format!("\"{control}\"")).collect();
-        format!(
-            "node = \"{node}\"\nzone = \"{}\"\nbindIp = \"{ip}\"\nlistenIp = \"{listens}\"\nfeedIp = \"{listens}\"\n\
-             portRange = [{base}, {}]\nseedNodes = [{}]\nbootstrap = {bootstrap}\nvoter = {voter}\nstateDir = \"{}\"\n\
-             beatMs = {}\n[survive]\nhosts = {}\n\
-             [listeners]\ncontrolAddr = \"{listens}:{}\"\nhttp = \"{ip}:{}\"\nreadyAddr = \"{ip}:{}\"\n\
-             [reqLimits]\nmemMb = {}\nmaxFds = 4096\n",
-            self.zone(number),
-            base + CONTROL - 1,
-            seeds.join(", "),
-            self.folder.join(node).display(),
-            self.layout.beat_ms,
-            self.layout.losses,
-            base + CONTROL,
-            base + HTTP,
-            base + READY,
-            self.layout.mem_mb,
-        )
-    }
-
-    fn spawn(&self, node: &str, role: &str) -> std::io::Result<Child> {
-        let log = self.folder.join(format!("{node}-{role}.log"));
-        let log = std::fs::File::options().create(true).append(true).open(log)?;
-        Command::new(&self.program)
-            .arg(role)
-            .env(VARIABLE, self.settings_file(node))
-            .stdin(std::process::Stdio::null())
-            .stderr(log)
-            .spawn()
-    }
-
-    /// Where control is called.
+    /// The addresses where control takes calls.
     pub fn controls(&self) -> ControlAddresses {
         ControlAddresses { controls: (1..=self.layout.cores).map(|number| self.control(number)).collect() }
     }
 
     fn control(&self, number: u8) -> SocketAddrV4 {
-        SocketAddrV4::new(self.machine(number), self.base + CONTROL)
+        SocketAddrV4::new(self.machine(number), self.first_port + CONTROL_PORT)
     }
 
     fn seeds(&self) -> Vec<SocketAddrV4> {
         (1..=self.layout.seeds.min(self.layout.cores)).map(|number| self.control(number)).collect()
     }
 
-    /// Where the control nodes that the settings name take sessions, and the port that all take them at.
+    /// The control nodes that the settings name, and the port where all of them take sessions.
     pub fn links(&self) -> (Vec<Ipv4Addr>, u16) {
-        (self.seeds().iter().map(|seed| *seed.ip()).collect(), self.base)
+        (self.seeds().iter().map(|seed| *seed.ip()).collect(), self.first_port + SESSION_PORT)
     }
 
-    /// Where edges take clients.
+    /// The addresses where edges take clients.
     pub fn edges(&self) -> Vec<SocketAddrV4> {
-        let last = self.layout.cores + self.layout.edges;
-        let addr = |number| SocketAddrV4::new(self.machine(number), self.base + HTTP);
-        (self.layout.cores + 1..=last).map(addr).collect()
+        let address = |number| SocketAddrV4::new(self.machine(number), self.first_port + HTTP_PORT);
+        self.machine_numbers().filter(|number| !self.layout.is_core(*number)).map(address).collect()
     }
 
-    /// The ids of the processes of a machine, of one role or of all.
+    /// The process ids of a machine, of one role or of all roles.
     pub fn pids(&self, node: &str, role: Option<&str>) -> Vec<u32> {
-        let named = |process: &&Process| process.node == node && role.is_none_or(|role| role == process.role);
-        self.processes.iter().filter(named).map(|process| process.child.id()).collect()
+        let is_named =
+            |process: &&Process| process.node == node && role.is_none_or(|role| role == process.role);
+        self.processes.iter().filter(is_named).map(|process| process.child.id()).collect()
     }
 
     /// The ids of all processes, with the names of their machines.
@@ -250,7 +237,7 @@
         self.processes.iter().map(|process| (process.child.id(), &process.node[..])).collect()
     }
 
-    /// Processes that have ended: machine, role, and how.
+    /// Processes that have ended: machine, role, and exit status.
     pub fn ended(&mut self) -> std::io::Result<Vec<(String, &'static str, ExitStatus)>> {
         let mut ended = Vec::new();
         for process in &mut self.processes {
@@ -261,26 +248,103 @@
         Ok(ended)
     }
 
-    /// Removes what the processes of a machine have on disk; they must have ended.
+    /// Removes the state of a machine from disk. Its processes must have ended.
     pub fn wipe(&mut self, node: &str) -> std::io::Result<()> {
         self.wiped.insert(node.to_owned());
-        let last = self.layout.cores + self.layout.edges;
-        if let Some(number) = (1..=last).find(|number| self.node(*number) == node) {
-            std::fs::write(self.settings_file(node), self.settings(node, number))?;
+        if let Some(number) = self.machine_numbers().find(|number| self.node(*number) == node) {
+            self.write_settings(node, number)?;
         }
-        match std::fs::remove_dir_all(self.folder.join(node)) {
+        match std::fs::remove_dir_all(self.state_folder(node)) {
             Err(error) if error.kind() != std::io::ErrorKind::NotFound => Err(error),
             _ => Ok(()),
         }
     }
 
-    /// Starts the processes of a machine again that have ended.
+    /// Restarts the processes of a machine that have ended.
     pub fn start_again(&mut self, node: &str) -> std::io::Result<()> {
-        for at in 0..self.processes.len() {
-            if self.processes[at].node == node && self.processes[at].child.try_wait()?.is_some() {
-                self.processes[at].child = self.spawn(node, self.processes[at].role)?;
+        for index in 0..self.processes.len() {
+            let process = &mut self.processes[index];
+            if process.node == node && process.child.try_wait()?.is_some() {
+                let role = process.role;
+                self.processes[index].child = self.spawn(node, role)?;
             }
         }
         Ok(())
     }
+
+    /// Log lines about violated invariants, of processes that have ended as well.
+    pub fn broken_invariants(&self) -> Vec<String> {
+        let entries = std::fs::read_dir(&self.folder).into_iter().flatten().flatten();
+        let paths = entries.map(|entry| entry.path());
+        let logs = paths.filter(|path| path.extension().is_some_and(|extension| extension == "log"));
+        let mut violations = Vec::new();
+        for text in logs.filter_map(|path| std::fs::read_to_string(path).ok()) {
+            violations.extend(text.lines().filter(|line| line.contains(BROKEN)).map(str::to_owned));
+        }
+        violations
+    }
+
+    /// Keeps the folder with its logs and state when this is dropped, so that a failure can be examined.
+    pub fn keep_folder(&mut self) -> &Path {
+        self.keeps_folder = true;
+        &self.folder
+    }
+
+    fn settings_file(&self, node: &str) -> PathBuf {
+        self.folder.join(format!("{node}.toml"))
+    }
+
+    fn state_folder(&self, node: &str) -> PathBuf {
+        self.folder.join(node)
+    }
+
+    fn write_settings(&self, node: &str, number: u8) -> std::io::Result<()> {
+        std::fs::write(self.settings_file(node), self.settings(node, number))
+    }
+
+    fn settings(&self, node: &str, number: u8) -> String {
+        let layout = &self.layout;
+        let (zone, ip, listen_ip) = (self.zone(number), self.machine(number), self.listen_ip(number));
+        let (first_port, last_port) = (self.first_port, self.first_port + WATCH_PORT);
+        let seeds: Vec<String> = self.seeds().iter().map(|control| format!("\"{control}\"")).collect();
+        let seeds = seeds.join(", ");
+        let bootstrap = !self.wiped.contains(node);
+        let voter = layout.losses > 0 && layout.is_core(number);
+        let state_folder = self.state_folder(node);
+        let [control, http, ready] =
+            [CONTROL_PORT, HTTP_PORT, READY_PORT].map(|offset| self.first_port + offset);
+        format!(
+            "node = \"{node}\"\nzone = \"{zone}\"\nbindIp = \"{ip}\"\nlistenIp = \"{listen_ip}\"\n\
+             feedIp = \"{listen_ip}\"\nportRange = [{first_port}, {last_port}]\nseedNodes = [{seeds}]\n\
+             bootstrap = {bootstrap}\nvoter = {voter}\nstateDir = \"{}\"\nbeatMs = {}\n[survive]\nhosts = {}\n\
+             [listeners]\ncontrolAddr = \"{listen_ip}:{control}\"\nhttp = \"{ip}:{http}\"\n\
+             readyAddr = \"{ip}:{ready}\"\n[reqLimits]\nmemMb = {}\nmaxFds = {MAX_DESCRIPTORS}\n",
+            state_folder.display(),
+            layout.beat_ms,
+            layout.losses,
+            layout.mem_mb,
+        )
+    }
+}
+
+/// The first of [`PORT_COUNT`] free ports next to each other.
+async fn free_ports() -> std::io::Result<u16> {
+    loop {
+        let first = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?.local_addr()?.port();
+        if are_free(first).await {
+            return Ok(first);
+        }
+    }
+}
+
+async fn are_free(first: u16) -> bool {
+    let mut listeners = Vec::new();
+    for offset in 0..PORT_COUNT {
+        let Some(port) = first.checked_add(offset) else { return false };
+        match TcpListener::bind((Ipv4Addr::UNSPECIFIED, port)).await {
+            Ok(listener) => listeners.push(listener),
+            Err(_) => return false,
+        }
+    }
+    true
 }
--- a/glenfall/src/operator/mod.rs
+++ b/glenfall/src/operator/mod.rs
@@ -1,4 +1,5 @@
-//! The operator's side: commands that call control, configuration under version control, and the demo.
+//! The operator's side: commands that call control, the configuration as files under version control, and a complete
+//! system on this machine for the demo and for experiments.
 
 pub mod commands;
 pub mod declarative_config;
--- a/glenfall/tests/unit/declare.rs
+++ b/glenfall/tests/unit/declare.rs
@@ -1,6 +1,6 @@
 //! The configuration as files.
 
-use glenfall::operator::declarative_config::{write, DeclareError, Declared};
+use glenfall::operator::declarative_config::{write, DeclareError, Declared, ItemCounts};
 
 use crate::support::Folder;
 
@@ -27,7 +27,7 @@
     assert_eq!(left_out.len(), 1, "{left_out:?}");
     assert!(write(DOCUMENT.as_bytes(), &folder).is_err(), "files are not written over");
     let declared = Declared::read(&folder).unwrap();
-    assert_eq!(declared.counts(), [2, 2]);
+    assert_eq!(declared.counts(), ItemCounts { routes: 2, services: 2 });
     let differences = declared.differences(DOCUMENT.as_bytes()).unwrap();
     let told: Vec<String> = differences.iter().map(ToString::to_string).collect();
     assert_eq!(told, ["~ paths r-a\n    later: 1 -> null"], "what can't be kept is told");
