--- a/balancer-adapter/tests/wire.rs
+++ b/balancer-adapter/tests/wire.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn prices_reach_the_module_and_closing_connections_the_wire() {
+fn prices_reach_the_balancer_and_closed_connections_the_wire() {
     let priced = SETUP
         .replace("\"balancers\":2", "\"balancers\":500,\"prices\":{\"connection\":0.1,\"handshake\":0.1}");
     let input = format!("sync 9\n{}go\n", attach(3, 1).replace(SETUP, &priced))
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn the_budget_and_the_time_to_close_on_drains_reach_the_module() {
+fn the_retry_budget_and_the_close_on_drain_time_reach_the_balancer() {
     let rules = SETUP.replace(
         "\"fall-s\":1",
         r#""fall-s":1,"budget-span-s":5,"extra-free":0,"resend-ratio":0,"close-on-drain-within-s":1"#,
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn nodes_tell_each_other_of_a_silent_server_over_the_wire() {
+fn nodes_notify_each_other_of_an_unresponsive_server_over_the_wire() {
     let peers = SETUP.replace("\"probes\":true", "\"probes\":true,\"peers\":true");
     let one = attach(3, 1).replace(SETUP, &peers).replace("2\nm Ready 10.0.0.1:80 here 1 box - 0", "1");
     let mut input = format!("sync 9\n{one}go\n");
--- a/balancer-node/tests/clients.rs
+++ b/balancer-node/tests/clients.rs
@@ -7,7 +7,7 @@
 use common::*;
 use serde_json::json;
 
-/// Far less than what silent connections once had, far more than they have.
+/// Far less than what unused connections once had, far more than they have.
 const SOON: Duration = Duration::from_secs(15);
 
 fn id(id: &str) -> String {
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn silent_and_half_sent_clients_are_ended_soon() {
+fn clients_that_send_nothing_or_half_a_request_are_disconnected_soon() {
     let node = Node::start(&config(refusing(), &[entry("s-1", refusing(), "active")]));
     let start = Instant::now();
     let texts = [
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn at_the_client_limit_those_that_never_sent_a_request_give_way() {
+fn at_the_client_limit_connections_that_never_sent_a_request_are_closed_first() {
     let cache = Server::start(|_| hit("value"));
     let mut config = config(refusing(), &[entry("s-1", cache.addr, "active")]);
     config["limits"]["sockets"] = json!(64);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_length_beside_a_transfer_encoding_is_turned_away_and_nothing_of_it_goes_on() {
+fn a_length_with_a_transfer_encoding_is_rejected_and_not_forwarded() {
     let cache = Server::start(|_| hit("value"));
     let node = Node::start(&config(refusing(), &[entry("origin", cache.addr, "active")]));
     let hidden = format!("GET /read/hidden HTTP/1.1\r\n{}\r\n", id("2"));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_id_of_an_open_request_is_turned_away_and_may_come_again_after_it() {
+fn the_id_of_an_open_request_is_rejected_and_may_be_used_after_it() {
     let (release, gate) = std::sync::mpsc::channel::<()>();
     let gate = std::sync::Mutex::new(gate);
     let cache = Server::start(move |_| {
@@ -112,7 +112,7 @@
     }
     let start = Instant::now();
     for client in &mut clients[..2] {
-        assert!(client.read().is_none(), "an answer that nobody asked for");
+        assert!(client.read().is_none(), "an unsolicited answer");
     }
     assert!(start.elapsed() < SOON, "{:?}", start.elapsed());
     for client in &mut clients[2..] {
--- a/balancer-node/tests/common/mod.rs
+++ b/balancer-node/tests/common/mod.rs
@@ -208,7 +208,7 @@
     }
 
     /// Waits for a call that shows that this version has been read.
-    pub fn heard(&self, version: u64) {
+    pub fn wait_for_call(&self, version: u64) {
         while !self.server.next().path().contains(&format!("from={version}&")) {}
     }
 }
--- a/balancer-node/tests/spoilt.rs
+++ b/balancer-node/tests/malformed_responses.rs
@@ -30,11 +30,11 @@
 }
 
 #[test]
-fn a_spoilt_answer_is_dropped_early_and_its_server_asked_again() {
+fn a_malformed_response_is_dropped_early_and_its_server_retried() {
     for text in spoilt() {
-        let asked = AtomicUsize::new(0);
+        let requests = AtomicUsize::new(0);
         let spoil = text.clone();
-        let cache = Server::start(move |_| match asked.fetch_add(1, Ordering::SeqCst) {
+        let cache = Server::start(move |_| match requests.fetch_add(1, Ordering::SeqCst) {
             0 => Reply::Keep(spoil.clone()),
             _ => hit("value"),
         });
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_spoilt_answer_may_have_run() {
+fn a_request_with_a_malformed_response_may_have_run() {
     let cache = Server::start(|_| Reply::Keep("HTTP/1.1 200 OK\r\n\r\nno length".into()));
     let discovery = Discovery::start();
     let node = Node::start(&config(discovery.server.addr, &[entry("s-1", cache.addr, "active")]));
@@ -59,9 +59,9 @@
 }
 
 #[test]
-fn spoilt_answers_do_not_close_a_server() {
-    let asked = AtomicUsize::new(0);
-    let cache = Server::start(move |_| match asked.fetch_add(1, Ordering::SeqCst) % 2 {
+fn malformed_responses_do_not_eject_a_server() {
+    let requests = AtomicUsize::new(0);
+    let cache = Server::start(move |_| match requests.fetch_add(1, Ordering::SeqCst) % 2 {
         0 => Reply::Keep("noise\r\n\r\n".into()),
         _ => hit("value"),
     });
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn what_follows_a_good_answer_is_not_the_answer_to_the_next_request() {
+fn bytes_after_a_valid_response_are_not_the_next_response() {
     let second = answer("200 OK", "X-Cache: hit\r\n", "/read/a");
     for behind in [second.as_str(), "noise", "noise\r\n\r\n"] {
         let behind = behind.to_owned();
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_goes_ahead_of_a_good_answer_is_skipped() {
+fn informational_responses_before_a_valid_one_are_skipped() {
     let cache = Server::start(|request| {
         let ahead = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
         Reply::Late(
--- a/balancer-node/tests/node.rs
+++ b/balancer-node/tests/node.rs
@@ -16,7 +16,7 @@
 // ---- Passing on -----------------------------------------------------------------------------------------
 
 #[test]
-fn a_hit_is_served_unchanged_and_the_request_goes_on_as_it_came() {
+fn a_hit_is_served_unchanged_and_the_request_is_forwarded_unchanged() {
     let cache = Server::start(|_| hit("value"));
     let (node, _discovery) = start(&[entry("s-1", cache.addr, "active")]);
     let mut client = node.client();
@@ -63,7 +63,7 @@
 // ---- Connections ----------------------------------------------------------------------------------------
 
 #[test]
-fn connections_are_kept_and_one_that_its_server_closed_is_no_failure() {
+fn connections_are_reused_and_one_that_its_server_closed_is_no_failure() {
     // One attempt for a request, so that a failure could not be hidden by another try.
     let cache = Server::start(|request| match request.path() {
         // Says nothing of closing, as a server that has waited long enough.
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_client_that_goes_away_ends_its_attempt() {
+fn a_client_that_disconnects_ends_its_attempt() {
     let cache = Server::start(|_| Reply::Silence);
     let (node, _discovery) = start(&[entry("s-1", cache.addr, "active")]);
     let mut client = node.client();
@@ -105,7 +105,7 @@
 
 // ---- Outcomes -------------------------------------------------------------------------------------------
 
-/// Two servers of which the first one asked does as given and the other serves; returns the client's answer
+/// Two servers of which the first one that gets a request does as given and the other serves; returns the client's answer
 /// and how many requests came to both.
 fn after(
     first: impl Fn() -> Reply + Send + Sync + 'static,
@@ -113,11 +113,11 @@
     path: &str,
     body: &str,
 ) -> (Message, usize) {
-    let asked = std::sync::Mutex::new(0);
+    let requests = std::sync::Mutex::new(0);
     let shared = std::sync::Arc::new(move || {
-        let mut asked = asked.lock().unwrap();
-        *asked += 1;
-        if *asked == 1 {
+        let mut requests = requests.lock().unwrap();
+        *requests += 1;
+        if *requests == 1 {
             first()
         } else {
             hit("second")
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn an_unsafe_request_is_tried_again_only_when_it_never_ran() {
+fn an_unsafe_request_is_retried_only_if_it_never_ran() {
     let turned_away = || Reply::Keep(answer("503 Service Unavailable", "X-Not-Run: 1\r\n", ""));
     let (answer, tries) = after(turned_away, "GET", "/order/a", "");
     assert_eq!((answer.status(), tries), (200, 2));
@@ -166,23 +166,23 @@
 }
 
 #[test]
-fn a_silent_server_loses_no_request() {
+fn an_unresponsive_server_loses_no_request() {
     let cache = Server::start(|_| Reply::Silence);
     let (node, _discovery) = start(&[entry("s-1", cache.addr, "active")]);
-    let asked = Instant::now();
+    let started = Instant::now();
     let answer = node.client().get("/order/a", "X-Deadline-Ms: 700\r\n");
     assert_eq!(answer.status(), 502);
-    assert!(asked.elapsed() < PATIENCE);
+    assert!(started.elapsed() < PATIENCE);
     cache.ended.recv_timeout(PATIENCE).expect("a time-out closes its connection");
 }
 
 #[test]
-fn a_request_given_up_is_refused_with_advice_and_not_held_back() {
+fn a_request_that_is_given_up_is_refused_with_advice_at_once() {
     let (node, _discovery) = start(&[entry("s-1", refusing(), "leaving")]);
-    let asked = Instant::now();
+    let started = Instant::now();
     let answer = node.client().get("/read/a", "X-Deadline-Ms: 100000\r\n");
     assert_eq!(answer.status(), 503);
-    assert!(asked.elapsed() < PATIENCE);
+    assert!(started.elapsed() < PATIENCE);
     let advice: f64 = answer.header("retry-after").expect("advice").parse().unwrap();
     assert!(advice > 0.0 && advice <= 0.75, "{advice}");
 }
@@ -201,18 +201,18 @@
     discovery.publish(2, &list(2, true, &[entry("s-1", old.addr, "active")]).to_string());
     wait_until("ready", || (node.get("/health/ready").status() == 200).then_some(()));
     assert_eq!(node.get("/read/a").body, "old");
-    // The same server at another address: its kept connection is of no more use.
+    // The same server at another address: its idle connection is of no more use.
     discovery.publish(3, &list(3, false, &[entry("s-1", new.addr, "active")]).to_string());
-    discovery.heard(3);
+    discovery.wait_for_call(3);
     assert_eq!(node.get("/read/a").body, "new");
     discovery.publish(4, &list(4, false, &[entry("s-1", new.addr, "left")]).to_string());
-    discovery.heard(4);
+    discovery.wait_for_call(4);
     assert_eq!(node.get("/health/ready").status(), 503);
     assert_eq!(node.get("/read/a").status(), 503);
 }
 
 #[test]
-fn a_rotten_list_is_a_failed_call_and_the_old_list_stands() {
+fn an_unreadable_list_is_a_failed_call_and_the_old_list_remains_valid() {
     let cache = Server::start(|_| hit("value"));
     let (node, discovery) = start(&[entry("s-1", cache.addr, "active")]);
     for rotten in
@@ -220,18 +220,21 @@
     {
         discovery.publish(2, rotten);
         while discovery.server.requests.try_recv().is_ok() {}
-        assert!(discovery.server.next().path().contains("from=1&"), "asked again from the last good version");
+        assert!(
+            discovery.server.next().path().contains("from=1&"),
+            "called again from the last valid version"
+        );
         assert_eq!(node.get("/read/a").status(), 200);
     }
     discovery.publish(2, &list(2, true, &[]).to_string());
-    discovery.heard(2);
+    discovery.wait_for_call(2);
     assert_eq!(node.get("/health/ready").status(), 503);
 }
 
 // ---- Bad input ------------------------------------------------------------------------------------------
 
 #[test]
-fn what_makes_no_sense_is_answered_and_harms_nobody() {
+fn invalid_requests_are_answered_and_affect_no_others() {
     let cache = Server::start(|_| hit("value"));
     let (node, _discovery) = start(&[entry("s-1", cache.addr, "active")]);
     let status = |text: &str| {
@@ -278,7 +281,7 @@
 }
 
 #[test]
-fn a_half_sent_body_is_given_up_in_time() {
+fn a_half_sent_body_is_abandoned_in_time() {
     let (node, _discovery) = start(&[entry("s-1", refusing(), "active")]);
     let mut client = node.client();
     client.write("PUT /store/a HTTP/1.1\r\nHost: a\r\nX-Request-Id: 1\r\nX-Deadline-Ms: 300\r\nContent-Length: 9\r\n\r\nhalf");
@@ -320,7 +323,7 @@
 // ---- Start and stop -------------------------------------------------------------------------------------
 
 #[test]
-fn on_sigterm_the_node_answers_all_it_took_and_what_still_comes_then_exits() {
+fn on_sigterm_the_node_answers_accepted_and_arriving_requests_then_exits() {
     let (release, gate) = std::sync::mpsc::channel::<()>();
     let gate = std::sync::Mutex::new(gate);
     let cache = Server::start(move |request| {
@@ -343,7 +346,7 @@
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
     release.send(()).unwrap();
-    let answer = slow.read().expect("what was taken is answered");
+    let answer = slow.read().expect("an accepted request is answered");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert_eq!(node.exit().code(), Some(0));
     assert!(TcpListener::bind(node.addr).is_ok(), "nobody listens there any more");
--- a/balancer-node/tests/origin.rs
+++ b/balancer-node/tests/origin.rs
@@ -78,7 +78,7 @@
 
 /// The node let one read at a time through for good: no answer of the origin counted for its limit.
 #[test]
-fn an_origin_that_turned_reads_away_is_sent_more_again_once_it_answers() {
+fn an_origin_that_rejected_reads_gets_more_again_once_it_answers() {
     let full = Arc::new(Mutex::new(true));
     let is_full = Arc::clone(&full);
     let fleet = Fleet::start(8, true, move |_| {
@@ -99,9 +99,9 @@
     assert_eq!(fleet.served_at_once(2), 2);
 }
 
-/// Each silent connection cut the limit of an origin that answered all that came later.
+/// Each dead connection lowered the limit of an origin that answered all later requests.
 #[test]
-fn silent_connections_to_an_origin_that_answers_others_leave_its_limit_as_it_is() {
+fn dead_connections_to_an_origin_that_answers_others_do_not_change_its_limit() {
     let fleet = Fleet::start(4, false, |request| {
         let silent = request.path().starts_with("/read/silent-");
         if silent {
@@ -124,7 +124,7 @@
 
 /// Times of an origin vary: at any load some answers took over half an aim, and each of them cut its limit.
 #[test]
-fn single_slow_answers_of_an_origin_that_is_quick_by_the_mean_leave_its_limit_as_it_is() {
+fn single_slow_answers_of_an_origin_that_is_quick_on_average_do_not_change_its_limit() {
     let fleet = Fleet::start(4, false, |request| {
         let body = answer("200 OK", "X-Cache: miss\r\n", "value");
         let slow = request.path().starts_with("/read/slow-");
@@ -136,9 +136,9 @@
     assert_eq!(fleet.served_at_once(4), 4);
 }
 
-/// A read on a connection that had fallen silent waited there until its time was up.
+/// A read on a connection that had died waited there until its time-out.
 #[test]
-fn a_read_that_later_ones_have_overtaken_is_sent_again_beside_the_first() {
+fn a_read_that_later_ones_have_overtaken_is_hedged() {
     let first = Mutex::new(true);
     let fleet = Fleet::start(1, true, move |request| {
         let silent = request.path() == "/read/silent" && std::mem::take(&mut *first.lock().unwrap());
--- a/balancer-node/tests/reload.rs
+++ b/balancer-node/tests/reload.rs
@@ -18,46 +18,46 @@
 }
 
 #[test]
-fn on_sighup_discovery_is_followed_at_the_address_in_the_file_from_its_whole_list_on() {
+fn on_sighup_discovery_is_followed_at_the_address_in_the_file_from_its_complete_list_on() {
     let (old, new) = (Server::start(|_| hit("old")), Server::start(|_| hit("new")));
     let (first, second) = (Discovery::start(), Discovery::start());
     let (node, config) = start(&first, &[entry("s-1", old.addr, "active")]);
     first.publish(50, &list(50, true, &[entry("s-1", old.addr, "active")]).to_string());
-    first.heard(50);
+    first.wait_for_call(50);
     assert_eq!(node.get("/read/a").body, "old");
     // The other address counts from the start again: by the old version its list would never come.
     second.publish(2, &list(2, true, &[entry("s-1", new.addr, "active")]).to_string());
     node.reload(&at(&config, &second));
     assert_eq!(second.server.next().path(), "/registry/instances");
-    second.heard(2);
+    second.wait_for_call(2);
     assert_eq!(node.get("/read/a").body, "new");
     // What the old address still has to tell is out of date.
     first.publish(51, &list(51, true, &[]).to_string());
     second.publish(3, &list(3, false, &[]).to_string());
-    second.heard(3);
+    second.wait_for_call(3);
     assert_eq!(node.get("/read/a").body, "new");
     // And back: reloads may follow one another.
     first.publish(52, &list(52, true, &[entry("s-1", old.addr, "active")]).to_string());
     node.reload(&at(&config, &first));
-    first.heard(52);
+    first.wait_for_call(52);
     assert_eq!(node.get("/read/a").body, "old");
 }
 
 #[test]
-fn the_old_address_is_followed_until_the_new_one_has_told_its_list() {
+fn the_old_address_is_followed_until_the_new_one_has_sent_its_list() {
     let cache = Server::start(|_| hit("value"));
-    let (first, silent) = (Discovery::start(), Server::start(|_| Reply::Silence));
+    let (first, unresponsive) = (Discovery::start(), Server::start(|_| Reply::Silence));
     let (node, mut config) = start(&first, &[]);
-    first.heard(1);
-    config["discovery"] = silent.addr.to_string().into();
+    first.wait_for_call(1);
+    config["discovery"] = unresponsive.addr.to_string().into();
     node.reload(&config.to_string());
-    silent.next();
+    unresponsive.next();
     first.publish(2, &list(2, true, &[entry("s-1", cache.addr, "active")]).to_string());
     wait_until("a list by the old address", || (node.get("/health/ready").status() == 200).then_some(()));
 }
 
 #[test]
-fn a_file_that_cannot_be_read_changes_nothing_and_is_told_in_one_line() {
+fn an_unreadable_file_changes_nothing_and_is_logged_in_one_line() {
     let cache = Server::start(|_| hit("value"));
     let discovery = Discovery::start();
     let (node, _) = start(&discovery, &[entry("s-1", cache.addr, "active")]);
@@ -67,7 +67,7 @@
         assert!(line.starts_with("configuration: "), "{line}");
     }
     discovery.publish(2, &list(2, true, &[entry("s-1", cache.addr, "active")]).to_string());
-    discovery.heard(2);
+    discovery.wait_for_call(2);
     assert_eq!(node.get("/read/a").status(), 200);
     assert!(node.log.try_recv().is_err());
 }
--- a/balancer-node/tests/upstream.rs
+++ b/balancer-node/tests/upstream.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn nothing_that_waits_for_a_connect_goes_to_a_server_that_drains_meanwhile() {
+fn a_request_that_waits_for_a_connect_is_not_sent_to_a_server_that_drains_meanwhile() {
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 1, 8);
         let (server, payload, sent) = (server(1), payload(""), RequestProgress::default());
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_request_is_known_to_be_written_whole_once_its_last_byte_is() {
+fn a_request_counts_as_completely_written_once_its_last_byte_is() {
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 1, 8);
         let (server, payload, sent) = (server(1), payload("body"), RequestProgress::default());
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn at_the_limit_the_idlest_connection_makes_room_and_none_is_opened_beyond() {
+fn at_the_limit_the_longest_idle_connection_is_closed_and_none_is_opened_beyond() {
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 1, 1);
         let second = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn what_came_on_an_idle_connection_is_not_read_as_the_next_answer() {
+fn bytes_received_on_an_idle_connection_are_not_read_as_the_next_response() {
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 1, 8);
         let (server, payload) = (server(1), payload(""));
@@ -153,7 +153,7 @@
         };
         let sent = RequestProgress::default();
         let (_, stream) = tokio::join!(upstreams.exchange(&server, &payload, WAIT, &sent), serve("one"));
-        // A second copy comes behind, of which the reactor has not told when the next request begins.
+        // A second response follows, which the reactor has not reported when the next request begins.
         assert!(stream.try_write(answer("one").as_bytes()).is_ok());
         let (ended, _) = tokio::join! {
             biased;
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn where_a_server_turns_connections_away_a_request_waits_for_the_one_that_is_open() {
+fn where_a_server_rejects_connections_a_request_waits_for_the_open_one() {
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 100, 8);
         let (server, payload) = (server(1), payload(""));
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn of_those_that_wait_for_a_connection_writes_go_first() {
+fn writes_get_a_free_connection_before_reads() {
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 100, 8);
         let server = server(1);
@@ -308,8 +308,8 @@
 }
 
 #[test]
-fn answers_are_told_as_the_protocol_has_them() {
-    for (head, told) in [
+fn responses_have_the_status_that_the_protocol_gives_them() {
+    for (head, status) in [
         ("200 OK", Status::Success),
         ("404 Absent", Status::NotCached),
         ("500 Error", Status::Error),
@@ -321,7 +321,7 @@
         ("204 Empty", Status::Malformed),
         ("206 Part", Status::Malformed),
     ] {
-        assert_eq!(answered(head).0, told, "{head}");
+        assert_eq!(answered(head).0, status, "{head}");
     }
     for (word, note) in [
         ("hit", Some(CacheStatus::Hit)),
--- a/balancer-settings/tests/load.rs
+++ b/balancer-settings/tests/load.rs
@@ -4,7 +4,7 @@
 use glenfall_balancer_settings::load;
 
 #[test]
-fn a_load_report_is_read_whole_or_not_at_all() {
+fn a_load_report_is_read_completely_or_not_at_all() {
     let read = Some(Load { in_flight: 7.0, served_per_second: 140.5 });
     assert_eq!(load("x0:0.4,x1:1.25,served_ps:140.5,busy_reqs:7", ':'), read);
     assert_eq!(load("busy_reqs=7, served_ps=140.5", '='), read);
--- a/balancer/tests/balance.rs
+++ b/balancer/tests/balancer.rs
@@ -1,16 +1,16 @@
-//! The module without any bench, a file to each topic.
+//! The balancer without sockets, a file for each topic.
 
 mod common;
 
-mod balance {
-    mod cold;
+mod balancer {
     mod connections;
-    mod crowded;
-    mod discovery;
-    mod failures;
-    mod origin;
+    mod origin_fetches;
+    mod overload;
     mod placement;
+    mod roster;
     mod rules;
+    mod server_health;
+    mod slow_start;
 }
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,7 +22,7 @@
     (1..=n).map(entry).collect()
 }
 
-/// The keys of server 1 among so many, asked for 100 to a step of housekeeping, so that allowances refill.
+/// The keys of server 1 among so many, requested 100 in each housekeeping interval, so that allowances refill.
 fn at_once(node: &mut Node, from: u64, keys: u64) -> Vec<u64> {
     let mut owned = Vec::new();
     for n in 0..keys {
@@ -36,8 +36,8 @@
     owned
 }
 
-/// Reads answered in 50 ms each, so that the node has a usual answer time to rest by.
-fn warm_up(node: &mut Node) {
+/// Reads answered in 50 ms each, so that the node has a usual answer time to pause by.
+fn record_usual_latency(node: &mut Node) {
     for n in 500_000..500_100 {
         node.request(read(n, n));
         node.now += 0.05;
@@ -45,7 +45,7 @@
     }
 }
 
-/// A node among 100, with an origin, that may talk to the others.
+/// A node among 100, with an origin, that may notify its peers.
 fn one_of_many(entries: Vec<RosterEntry>) -> Node {
     let limits = Limits { peer_messages: true, ..settings().limits };
     let cache = at_origin();
@@ -66,7 +66,7 @@
     CacheMode::Aside { origin_kind: "origin".into() }
 }
 
-/// Settings with caches beside the way to the origin.
+/// Settings of cache-aside mode.
 fn aside() -> Settings {
     Settings { cache: at_origin(), ..settings() }
 }
@@ -75,7 +75,7 @@
     fleet(n).into_iter().chain([origin()]).collect()
 }
 
-/// What nodes tell of a server that fails.
+/// The message of nodes about a server that fails.
 fn failing(server: &ServerId) -> Vec<u8> {
     server.0.as_bytes().to_vec()
 }
--- a/balancer/tests/balance/connections.rs
+++ b/balancer/tests/balancer/connections.rs
@@ -1,15 +1,15 @@
-//! Connections that die unseen, second copies of reads, and connections kept unused.
+//! Connections that die unnoticed, hedged reads, and idle connections.
 
 use crate::*;
 
-/// Connections reset one by one, as by a box on the way, took healthy servers out at all nodes in turn, and each
-/// retry asked a server that lacks the key.
+/// Connections reset one by one, as by a middlebox, ejected healthy servers at all nodes in turn, and each
+/// retry went to a server that lacks the key.
 #[test]
-fn resets_between_answers_do_not_close_a_server_and_are_tried_again_there() {
+fn resets_between_answers_do_not_eject_a_server_and_are_retried_there() {
     for status in [Status::Broken, Status::Unreachable] {
         let mut node = Node::with(settings(), 1, fleet(6));
         let keys = keys_of_one(&mut node, 800, usize::MAX);
-        warm_up(&mut node);
+        record_usual_latency(&mut node);
         for (n, &key) in (1000..1012).zip(&keys) {
             assert_eq!(sent(&node.request(read(n, key))), [id(1)], "{status:?} {n}");
             node.now += 0.01;
@@ -25,8 +25,8 @@
     }
 }
 
-/// Idle connections dropped unseen: nearly each send of a node that uses a server every few seconds met a dead
-/// one; resets took healthy servers out and sent their keys to servers that lack them.
+/// Idle connections dropped unnoticed: nearly each send of a node that uses a server every few seconds met a dead
+/// one; resets ejected healthy servers and sent their keys to servers that lack them.
 #[test]
 fn a_connection_that_lay_idle_as_long_as_a_dead_one_is_closed_before_the_next_send() {
     let mut node = Node::with(settings(), 1, fleet(6));
@@ -36,10 +36,10 @@
     assert!(!closes(&node.request(read(1000, key))), "nothing is suspected yet");
     node.now += 0.01;
     let again = node.outcome(1000, Status::Broken, None);
-    assert_eq!(sent(&again), [id(1)], "the server did not fail: the same one is asked again");
+    assert_eq!(sent(&again), [id(1)], "the server did not fail: the same one is used again");
     node.serve(1000);
     node.pass(0.3);
-    assert!(!closes(&node.request(read(1001, key))), "a short rest is harmless");
+    assert!(!closes(&node.request(read(1001, key))), "a short idle time is harmless");
     node.serve(1001);
     node.pass(3.0);
     let actions = node.request(read(1002, key));
@@ -53,7 +53,7 @@
 
 /// The same where nothing says so: an attempt on a connection that lay idle got no answer, later ones did.
 #[test]
-fn silence_on_an_idle_connection_of_a_server_that_answers_others_is_the_connection_s() {
+fn a_time_out_on_an_idle_connection_of_a_server_that_answers_others_is_the_connection_s_fault() {
     let mut node = Node::with(settings(), 1, fleet(1));
     node.home(1, 1);
     node.pass(1.0);
@@ -66,9 +66,9 @@
     assert!(actions.contains(&Action::CloseIdle(id(1))), "{actions:?}");
 }
 
-/// A read waited out its time on a silent connection of a server that answered all that came later.
+/// A read waited until its time-out on a dead connection of a server that answered all later requests.
 #[test]
-fn a_read_that_was_overtaken_has_one_second_copy_and_what_may_not_run_twice_none() {
+fn an_overtaken_read_is_hedged_once_and_an_unsafe_request_never() {
     let aside = aside();
     let mut node = Node::with(aside, 1, vec![entry(1), origin()]);
     let later = |node: &mut Node, n| {
@@ -79,19 +79,19 @@
     };
     node.request(read(1, 1));
     node.request(NewRequest { class: Some(UNSAFE), ..read(2, 2) });
-    assert_eq!(later(&mut node, 3), [], "not by half an aim yet");
+    assert_eq!(later(&mut node, 3), [], "not by half a latency target yet");
     assert_eq!(later(&mut node, 4), [id(1)]);
     assert_eq!(later(&mut node, 5), [], "one copy is enough");
-    // What the copy finds lacking the first would, too: it is called off, and then the origin is asked.
+    // What the copy finds lacking the first would, too: it is cancelled, and then the request goes to the origin.
     let actions = node.outcome(1, Status::NotCached, Some(CacheStatus::Miss));
-    let call_off = Action::Cancel { request: RequestId(1), attempt: AttemptId(0) };
-    assert!(actions.contains(&call_off) && sent(&actions).is_empty(), "{actions:?}");
+    let cancel = Action::Cancel { request: RequestId(1), attempt: AttemptId(0) };
+    assert!(actions.contains(&cancel) && sent(&actions).is_empty(), "{actions:?}");
     assert_eq!(sent(&node.event(first_ended(1, Status::Cancelled, 0.7))), [origin().server]);
 }
 
-/// Retries after resets found the budget used up by second copies.
+/// Retries after resets found the budget used up by hedged requests.
 #[test]
-fn second_copies_leave_half_of_the_budget_to_retries() {
+fn hedged_requests_use_at_most_half_of_the_retry_budget() {
     let mut settings = settings();
     settings.guarantees.retry_budget =
         Some(RetryBudgetRule { window: 10.0, min_retries: 4.0, retry_ratio: 0.0 });
@@ -105,9 +105,9 @@
     assert_eq!(sent(&node.pass(0.1)).len(), 2);
 }
 
-/// Heavy reads are overtaken everywhere on a slow server: more copies would make it slower.
+/// Heavy reads are overtaken everywhere on a slow server: more attempts would make it slower.
 #[test]
-fn a_server_that_is_slow_by_the_mean_is_sent_no_second_copies() {
+fn a_server_that_is_slow_on_average_gets_no_hedged_requests() {
     let mut node = Node::with(settings(), 1, vec![entry(1)]);
     for n in 100..140 {
         node.request(read(n, n));
@@ -123,9 +123,9 @@
     assert!(sent(&node.pass(0.1)).is_empty());
 }
 
-/// Two thirds of all attempts got no connection while each node held one that it seldom used.
+/// Two thirds of all attempts got no connection while each node kept one open that it seldom used.
 #[test]
-fn where_connections_are_scarce_none_is_kept_unused() {
+fn where_connections_are_scarce_none_is_left_idle() {
     let mut node = Node::with(settings(), 1, fleet(6));
     let closed = |node: &mut Node, n| {
         node.request(read(n, n));
@@ -138,15 +138,15 @@
         node.serve(n);
     }
     assert!(closed(&mut node, 2));
-    assert!(!(200..260).all(|n| closed(&mut node, n)), "and kept again when there is room");
+    assert!(!(200..260).all(|n| closed(&mut node, n)), "and retained again when there is capacity");
 }
 
 /// Where open connections of all nodes cost more than new ones, they are closed; with few nodes they stay.
 #[test]
 fn idle_connections_are_closed_where_they_cost_more_than_new_ones() {
-    let closes = |balancers| {
+    let closes = |nodes| {
         let prices = Prices { connection: 0.1, handshake: 0.1 };
-        let mut node = Node::with(Settings { nodes: balancers, prices, ..settings() }, 1, fleet(4));
+        let mut node = Node::with(Settings { nodes, prices, ..settings() }, 1, fleet(4));
         node.request(read(1, 1));
         node.serve(1).contains(&Action::CloseIdle(node.sends[&RequestId(1)][0].0.clone()))
     };
--- a/balancer/tests/balance/origin.rs
+++ b/balancer/tests/balancer/origin_fetches.rs
@@ -1,20 +1,20 @@
-//! The way to the origin: fetches that are shared, and their limit.
+//! Fetches from the origin: how they are shared, and their limit.
 
 use crate::*;
 
-/// Where caches don't tell hits, only errors were taken for fetches: a few in a thousand shut the fetch limit.
+/// Where caches do not report hits, only errors were taken for fetches: a few in a thousand lowered the fetch limit to nothing.
 #[test]
-fn rare_errors_do_not_shut_the_way_to_the_origin_where_caches_tell_no_hits() {
+fn rare_errors_do_not_block_fetches_where_caches_do_not_report_hits() {
     let mut node = Node::with(settings(), 1, fleet(8));
-    let mut held = 0;
+    let mut queued = 0;
     for n in 0..3000 {
-        held += usize::from(sent(&node.request(read(n, n))).is_empty());
+        queued += usize::from(sent(&node.request(read(n, n))).is_empty());
         node.pass(0.05);
         if node.sends.contains_key(&RequestId(n)) {
             node.outcome(n, if n % 100 == 0 { Status::Error } else { Status::Success }, None);
         }
     }
-    assert!(held < 30, "{held} of 3000 held");
+    assert!(queued < 30, "{queued} of 3000 queued");
 }
 
 /// With two attempts in all, a second cache lacked the key in vain after a first that took no connection.
@@ -48,9 +48,9 @@
 }
 
 /// A fifth of a fleet died, the rest got slow, and two thirds of all reads jumped: into misses, each of which
-/// held a place in its server until the origin had answered.
+/// used capacity of its server until the origin had answered.
 #[test]
-fn while_a_through_fleet_is_slow_a_server_at_its_limit_holds_requests() {
+fn while_a_read_through_fleet_is_slow_requests_wait_for_a_server_at_its_limit() {
     let sent_of_four = |cache| {
         let mut node = Node::with(Settings { cache, ..settings() }, 1, fleet(6));
         let keys = keys_of_one(&mut node, 400, usize::MAX);
@@ -73,7 +73,7 @@
     assert!(sent(&node.request(read(2, 3))).is_empty());
     let released = node.outcome(1, Status::Success, Some(CacheStatus::Miss));
     assert_eq!(sent(&released).len(), 1);
-    // Known to be kept now: reads no longer wait for one another.
+    // Known to be cached now: reads no longer wait for one another.
     assert_eq!(sent(&node.request(read(3, 3))).len(), 1);
 }
 
@@ -110,9 +110,9 @@
     assert_eq!(sent(&node.serve(1)), [home]);
 }
 
-/// Writes reach the origin too: while it fails, they and second copies must not keep it flooded.
+/// Writes reach the origin too: while it fails, they and hedged requests must not keep it overloaded.
 #[test]
-fn while_the_origin_fails_writes_are_held_back_too() {
+fn while_the_origin_fails_writes_are_limited_too() {
     let mut node = Node::with(settings(), 1, fleet(8));
     for n in 0..400 {
         if !sent(&node.request(read(n, n))).is_empty() {
@@ -147,7 +147,7 @@
 }
 
 /// Single fetches vary much. While half of them were in time and half far from it, a limit that went by their
-/// mean fell to nothing and kept most reads out for twenty seconds.
+/// mean fell to nothing and rejected most reads for twenty seconds.
 #[test]
 fn fetches_of_which_half_are_in_time_do_not_lower_the_fetch_limit() {
     let mut node = Node::with(settings(), 1, fleet(16));
@@ -160,23 +160,23 @@
     assert!(unknown > 25, "{unknown} sent");
 }
 
-/// Eight silent servers of 75: their time-outs passed for a slow origin, and two thirds of all reads were refused.
+/// Eight unresponsive servers of 75: their time-outs passed for a slow origin, and two thirds of all reads were refused.
 #[test]
-fn time_outs_of_a_silent_server_do_not_lower_the_fetch_limit() {
+fn time_outs_of_an_unresponsive_server_do_not_lower_the_fetch_limit() {
     let mut node = Node::with(Settings { nodes: 10, ..settings() }, 1, fleet(8));
-    let mut silent = 0;
+    let mut unanswered = 0;
     for n in 0..60 {
         let server = sent(&node.request(read(n, n)));
         node.pass(0.05);
         if server == [id(1)] {
-            silent += 1;
+            unanswered += 1;
             node.pass(0.9);
             node.outcome(n, Status::TimedOut, None);
         } else if !server.is_empty() {
             node.outcome(n, Status::Success, Some(CacheStatus::Hit));
         }
     }
-    assert!(silent > 0);
+    assert!(unanswered > 0);
     node.pass(5.0);
     let mut other = Node::with(settings(), 1, fleet(8));
     let sent_at_once = (100..160)
--- a/balancer/tests/balance/placement.rs
+++ b/balancer/tests/balancer/placement.rs
@@ -1,4 +1,4 @@
-//! Where keys go: the same place at all nodes, spread evenly, and past a full home.
+//! Where keys go: the same server at all nodes, evenly distributed, and beyond a full home.
 
 use crate::*;
 
@@ -24,11 +24,11 @@
 }
 
 #[test]
-fn the_keys_of_a_removed_server_spread_over_all_others() {
+fn the_keys_of_a_removed_server_move_to_all_others() {
     let (before, after) = (homes(fleet(10), 1), homes(fleet(9), 1));
-    let heirs: BTreeSet<_> =
+    let new_homes: BTreeSet<_> =
         before.iter().zip(after).filter(|(b, _)| **b == id(10)).map(|(_, a)| a).collect();
-    assert!(heirs.len() >= 7, "{} heirs", heirs.len());
+    assert!(new_homes.len() >= 7, "{} new homes", new_homes.len());
 }
 
 #[test]
@@ -51,7 +51,7 @@
     let home = node.home(1, 1);
     let mut load: BTreeMap<ServerId, usize> = BTreeMap::new();
     let mut overflow = BTreeSet::new();
-    // Keys of one home, each asked for once and never answered.
+    // Keys of one home, each requested once and never answered.
     let keys: Vec<u64> = (2..4000).filter(|&k| node.home(k, k) == home).take(28).collect();
     for (n, key) in keys.into_iter().enumerate() {
         for server in sent(&node.request(read(10_000 + n as u64, key))) {
@@ -67,9 +67,9 @@
     assert!(overflow.len() >= 5, "overflow to {} servers", overflow.len());
 }
 
-/// 33 nodes each filled the first place of the hottest key before the second, all in step: it choked.
+/// 33 nodes each filled the first slot of the hottest key before the second, all in step: its server was overloaded.
 #[test]
-fn a_hot_key_is_drawn_over_places_and_others_stay_at_home() {
+fn a_hot_key_is_distributed_over_slots_and_others_stay_at_home() {
     let mut node = Node::with(settings(), 1, fleet(10));
     let (mut hot, mut cool) = (BTreeMap::new(), BTreeSet::new());
     for n in 0..600 {
@@ -89,7 +89,7 @@
             _ => {}
         }
     }
-    // 0.3 of all over ten servers is three times what a server gets: at most 0.6 of that a place.
+    // 0.3 of all over ten servers is three times what a server gets: at most 0.6 of that for each slot.
     assert!((4..=6).contains(&hot.len()), "{hot:?}");
     assert!(hot.values().all(|&n| n < 75), "{hot:?} of 150");
     assert_eq!(cool.len(), 1);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn over_its_quota_a_tenant_gives_way_first() {
+fn a_tenant_over_its_quota_is_served_less() {
     let tenants = ["a", "b"].map(|n| Tenant { name: n.into(), quota: 20.0 }).to_vec();
     let mut node = Node::with(Settings { tenants, ..settings() }, 1, fleet(2));
     let mut served = [0; 2];
@@ -121,7 +121,7 @@
 
 /// Errors of all servers at once are the origin's: taking servers out for them only adds misses.
 #[test]
-fn errors_of_the_whole_fleet_rest_few_but_those_of_one_server_rest_it() {
+fn errors_of_the_complete_fleet_eject_few_servers_but_those_of_one_server_eject_it() {
     let play = |bad: &dyn Fn(&ServerId) -> bool| {
         let mut node = Node::with(settings(), 1, fleet(6));
         let mut taken_out = 0;
--- a/balancer/tests/balance/discovery.rs
+++ b/balancer/tests/balancer/roster.rs
@@ -1,43 +1,43 @@
-//! Lists of servers: asked for in time, and old ones.
+//! Lists of servers: requested in time, and outdated ones.
 
 use crate::*;
 
-fn asking() -> Settings {
+fn on_request() -> Settings {
     Settings { membership: Membership::OnRequest, ..settings() }
 }
 
-fn asks(actions: &[Action]) -> usize {
+fn calls_in(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Subscribe | Action::FetchRoster)).count()
 }
 
 #[test]
-fn an_asking_node_subscribes_at_once_and_repeats_failed_calls() {
-    let mut node = Node::new(asking(), 1);
-    assert_eq!(asks(&node.event(Event::Roster(RosterUpdate::Cached(fleet(4))))), 1);
+fn an_on_request_node_subscribes_at_once_and_repeats_failed_calls() {
+    let mut node = Node::new(on_request(), 1);
+    assert_eq!(calls_in(&node.event(Event::Roster(RosterUpdate::Cached(fleet(4))))), 1);
     for _ in 0..5 {
         node.event(Event::Roster(RosterUpdate::Failed));
-        assert_eq!(asks(&node.pass(3.0)), 1);
+        assert_eq!(calls_in(&node.pass(3.0)), 1);
     }
     node.event(Event::Roster(RosterUpdate::Delta(vec![])));
-    assert_eq!(asks(&node.pass(60.0)), 0, "a subscription is not asked for twice");
+    assert_eq!(calls_in(&node.pass(60.0)), 0, "a subscription is not requested twice");
     node.event(Event::Roster(RosterUpdate::Failed));
-    assert_eq!(asks(&node.pass(3.0)), 1, "a broken one is asked for again");
+    assert_eq!(calls_in(&node.pass(3.0)), 1, "a broken one is requested again");
 }
 
 #[test]
-fn a_call_that_is_never_answered_is_made_again_before_the_time_to_ask_has_run_out() {
-    let mut node = Node::new(asking(), 1);
+fn a_call_that_is_never_answered_is_repeated_within_the_subscription_gap() {
+    let mut node = Node::new(on_request(), 1);
     node.event(Event::Roster(RosterUpdate::Cached(fleet(4))));
-    assert!(asks(&node.pass(9.0)) >= 1);
+    assert!(calls_in(&node.pass(9.0)) >= 1);
 }
 
-/// A restarted node has only its last list: it works by it, asks at once, and a start that the list hid counts from the
-/// moment that it is told.
+/// A restarted node has only its last list: it uses that, calls at once, and a start that the list did not show counts from the
+/// moment of the update.
 #[test]
-fn a_restarted_node_works_by_its_old_list_until_it_is_told_more() {
-    let mut node = Node::new(asking(), 7);
+fn a_restarted_node_uses_its_cached_list_until_an_update_arrives() {
+    let mut node = Node::new(on_request(), 7);
     let first = node.event(Event::Roster(RosterUpdate::Cached(fleet(8))));
-    assert_eq!(asks(&first), 1);
+    assert_eq!(calls_in(&first), 1);
     let owned = |node: &mut Node, from: u64| at_once(node, from, 2000).len();
     let before = owned(&mut node, 0);
     let started = RosterEntry { started: Some(99.0), ..entry(1) };
@@ -48,27 +48,27 @@
     assert!((0..500).all(|n| node.home(20_000 + n, n) != id(2)));
 }
 
-/// 70 of 100 nodes came back at once and asked for the list at once, and again at each failure: discovery, which
+/// 70 of 100 nodes came back at once and called for the list at once, and again at each failure: discovery, which
 /// works through calls in turn, fell ever further behind, and 62 nodes had no list for the rest of the day.
 #[test]
-fn many_nodes_spread_their_calls_for_the_list_and_ask_within_half_the_time_allowed() {
+fn many_nodes_distribute_their_calls_for_the_list_over_half_the_subscription_gap() {
     let calls = |balancers| -> Vec<Seconds> {
         let first = |seed| {
-            let mut node = Node::new(Settings { nodes: balancers, ..asking() }, seed);
+            let mut node = Node::new(Settings { nodes: balancers, ..on_request() }, seed);
             let start = node.now;
             let mut actions = node.event(Event::Roster(RosterUpdate::Cached(fleet(8))));
-            while asks(&actions) == 0 {
+            while calls_in(&actions) == 0 {
                 actions = node.pass(0.05);
-                assert!(node.now - start <= 5.1, "asked too late");
+                assert!(node.now - start <= 5.1, "called too late");
             }
-            let asked = node.now - start;
+            let first_call = node.now - start;
             // And after a failure, spread alike.
             node.event(Event::Roster(RosterUpdate::Failed));
             let failed = node.now;
-            while asks(&node.pass(0.05)) == 0 {
-                assert!(node.now - failed <= 8.0, "asked again too late");
+            while calls_in(&node.pass(0.05)) == 0 {
+                assert!(node.now - failed <= 8.0, "called again too late");
             }
-            (balancers <= 10 || node.now - failed >= 2.0).then_some(asked).expect("not at once again")
+            (balancers <= 10 || node.now - failed >= 2.0).then_some(first_call).expect("not at once again")
         };
         (0..100).map(first).collect()
     };
--- a/balancer/tests/balance/rules.rs
+++ b/balancer/tests/balancer/rules.rs
@@ -3,7 +3,7 @@
 use crate::*;
 
 #[test]
-fn with_no_server_a_request_is_held_for_part_of_its_aim_and_then_refused() {
+fn without_servers_a_request_is_queued_for_part_of_its_latency_target_and_then_refused() {
     let mut node = Node::new(settings(), 1);
     assert!(sent(&node.request(read(1, 1))).is_empty());
     assert!(refused(&node.pass(0.5)));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_started_stream_is_left_alone() {
+fn a_started_stream_is_not_interrupted() {
     let mut node = Node::with(settings(), 1, fleet(4));
     node.request(read(1, 1));
     node.event(Event::StreamStarted { request: RequestId(1), attempt: AttemptId(0) });
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_drain_just_before_a_send_keeps_the_send_away() {
+fn a_drain_just_before_a_send_prevents_the_send() {
     for state in [ServerState::Draining, ServerState::Gone] {
         let mut node = Node::with(settings(), 1, fleet(4));
         let home = node.home(1, 9);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn who_is_absent_from_a_full_list_has_left() {
+fn a_server_absent_from_a_complete_list_has_left() {
     let mut node = Node::with(settings(), 1, fleet(4));
     node.event(Event::Roster(RosterUpdate::Complete(fleet(3))));
     assert!((1..200).all(|n| node.home(n, n) != id(4)));
@@ -130,34 +130,34 @@
 
 /// A bucket that fills in quiet times let more attempts through in one window than the rule allows.
 #[test]
-fn further_attempts_keep_to_the_budget_in_any_window() {
+fn retries_stay_within_the_budget_in_any_window() {
     let mut stated = settings();
     stated.guarantees.retry_budget =
         Some(RetryBudgetRule { window: 5.0, min_retries: 2.0, retry_ratio: 0.1 });
     let mut node = Node::with(stated, 1, fleet(8));
-    let (mut taken, mut extra) = (Vec::new(), Vec::new());
+    let (mut accepted, mut retries) = (Vec::new(), Vec::new());
     for n in 0..600 {
-        // A busy start, a rest in which the window empties, and a burst of failures.
+        // A busy start, a pause in which the window empties, and a burst of failures.
         let failing = n >= 300;
         node.now += if n == 300 { 4.0 } else { 0.01 };
-        taken.push(node.now);
+        accepted.push(node.now);
         let mut actions = node.request(read(n, n));
         while !sent(&actions).is_empty() {
             node.now += 0.001;
             let status = if failing { Status::Overloaded } else { Status::Success };
             actions = node.outcome(n, status, Some(CacheStatus::Hit));
             if !sent(&actions).is_empty() {
-                extra.push(node.now);
+                retries.push(node.now);
                 let within = |times: &[f64]| times.iter().filter(|&&t| t > node.now - 5.0).count() as f64;
-                assert!(within(&extra) <= 2.0 + 0.1 * within(&taken), "request {n}");
+                assert!(within(&retries) <= 2.0 + 0.1 * within(&accepted), "request {n}");
             }
         }
     }
-    assert!(extra.len() > 20, "{} further attempts", extra.len());
+    assert!(retries.len() > 20, "{} retries", retries.len());
 }
 
 #[test]
-fn an_absent_grants_one_send_outside_the_budget() {
+fn a_not_cached_answer_allows_one_retry_outside_the_budget() {
     let mut aside = aside();
     aside.guarantees.retry_budget = Some(RetryBudgetRule { window: 5.0, min_retries: 0.0, retry_ratio: 0.0 });
     let entries = fleet_and_origin(4);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn connections_to_a_draining_server_are_closed_at_the_notice_and_after_a_late_outcome() {
+fn connections_to_a_draining_server_are_closed_at_the_notice_and_after_each_outcome() {
     let mut closing = settings();
     closing.guarantees.close_on_drain = Some(1.0);
     let closes = |actions: &[Action], n| actions.contains(&Action::CloseIdle(id(n)));
@@ -184,11 +184,11 @@
     assert!(closes(&node.event(Event::Roster(RosterUpdate::Complete(fleet(4)[1..].to_vec()))), 1), "it left");
     node.pass(1.0);
     assert!(closes(&node.serve(900), 1), "an outcome after it left the list");
-    assert!(!closes(&node.pass(2.0), 2), "those that stay are left open");
+    assert!(!closes(&node.pass(2.0), 2), "those of servers that stay are left open");
 }
 
 #[test]
-fn repeats_are_budgeted() {
+fn retries_are_budgeted() {
     let mut node = Node::with(settings(), 1, fleet(8));
     let mut repeats = 0;
     for n in 0..1000 {
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn nonsense_settings_are_errors_that_name_the_value() {
+fn invalid_settings_are_errors_that_name_the_value() {
     let bad = |change: &dyn Fn(&mut Settings)| {
         let mut s = settings();
         change(&mut s);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_refusal_tells_when_to_come_back_within_what_clients_heed() {
+fn a_refusal_advises_a_retry_time_within_what_clients_heed() {
     let advice = |limits: Limits| {
         let mut node = Node::with(Settings { limits, ..settings() }, 1, vec![]);
         node.request(read(1, 1));
@@ -233,23 +233,23 @@
     assert_eq!(advice(Limits { retry_after: false, ..heeding }), Some(None));
 }
 
-/// Each answer looked at all requests held, and each of them at all places: more CPU than the node has.
+/// Each answer dispatched all queued requests, and each of them tried all slots: more CPU than the node has.
 #[test]
-fn an_answer_frees_one_place_and_few_of_the_requests_held_are_looked_at() {
+fn an_answer_dispatches_only_a_few_of_the_queued_requests() {
     let cache = at_origin();
     let mut node = Node::with(Settings { cache, ..settings() }, 1, fleet(1));
     assert_eq!(sent(&node.request(NewRequest { time_left: 30.0, ..read(1, 1) })).len(), 1);
-    // Left alone for 5 s at most.
+    // Ejected for 5 s at most.
     for from in [3, 4] {
         node.event(Event::Message { from, bytes: failing(&id(1)) });
     }
     node.now += 2.9;
     for n in 2..20 {
-        let held = NewRequest { time_left: 30.0, ..read(n, n) };
-        assert!(sent(&node.request(held)).is_empty(), "{n} is held");
+        let queued = NewRequest { time_left: 30.0, ..read(n, n) };
+        assert!(sent(&node.request(queued)).is_empty(), "{n} is queued");
     }
     node.now += 2.2;
     assert_eq!(sent(&node.serve(1)).len(), 2);
     node.now += 0.05;
-    assert!(sent(&node.event(Event::Timer(TimerToken(0)))).len() > 2, "the others at the next tick");
+    assert!(sent(&node.event(Event::Timer(TimerToken(0)))).len() > 2, "the others at the next housekeeping");
 }
--- a/balancer/tests/balance/failures.rs
+++ b/balancer/tests/balancer/server_health.rs
@@ -1,13 +1,13 @@
-//! Servers that fail, stay silent, turn requests away or spoil answers.
+//! Servers that fail, do not answer, reject requests or send malformed answers.
 
 use crate::*;
 
-/// A server that fails twice is left alone for some seconds.
+/// A server that fails twice is ejected for some seconds.
 #[test]
-fn a_server_that_fails_is_left_alone_and_tried_again_later() {
+fn a_server_that_fails_is_ejected_and_used_again_later() {
     let mut node = Node::with(settings(), 1, fleet(6));
     let keys = keys_of_one(&mut node, 400, 20);
-    warm_up(&mut node);
+    record_usual_latency(&mut node);
     let at_one = |node: &mut Node, from: u64, status| {
         let mut count = 0;
         for (n, &key) in keys.iter().enumerate() {
@@ -33,11 +33,11 @@
     assert_eq!(at_one(&mut node, 9000, Status::Success), 20);
 }
 
-/// Where all servers spoil a few answers alike, each was found failing in turn and most requests were refused.
+/// Where all servers sent a few malformed answers, each was found failing in turn and most requests were refused.
 #[test]
-fn a_spoilt_answer_is_asked_for_again_once_and_tells_nothing_of_its_server() {
+fn a_malformed_answer_is_retried_at_its_server_once_and_does_not_affect_its_health() {
     let mut node = Node::with(settings(), 1, fleet(6));
-    warm_up(&mut node);
+    record_usual_latency(&mut node);
     let key = keys_of_one(&mut node, 400, 1)[0];
     for n in 1000..1010 {
         assert_eq!(sent(&node.request(read(n, key))), [id(1)], "{n}");
@@ -54,12 +54,12 @@
     );
 }
 
-/// Requests that had waited for a fetch went out with milliseconds left, and their time-outs closed the servers.
+/// Requests that had waited for a fetch went out with milliseconds left, and their time-outs ejected the servers.
 #[test]
-fn time_outs_of_what_was_sent_with_little_time_left_do_not_close_a_server() {
+fn time_outs_of_requests_with_little_time_left_do_not_eject_a_server() {
     let mut node = Node::with(settings(), 1, fleet(6));
     let mut keys = keys_of_one(&mut node, 400, usize::MAX).into_iter();
-    warm_up(&mut node);
+    record_usual_latency(&mut node);
     for n in 1000..1006 {
         let hurried = NewRequest { time_left: 0.06, ..read(n, keys.next().unwrap()) };
         assert_eq!(sent(&node.request(hurried)), [id(1)], "{n}");
@@ -68,9 +68,9 @@
     }
 }
 
-/// Work is heavy-tailed: an answer that took its hinted work is no sign of a crowd.
+/// Work is heavy-tailed: an answer that took its hinted work is no sign of overload.
 #[test]
-fn heavy_requests_do_not_pass_for_crowding() {
+fn heavy_requests_do_not_count_as_overload() {
     let at_once = |work| {
         let mut node = Node::with(settings(), 1, fleet(1));
         for n in 0..40 {
@@ -82,47 +82,47 @@
         }
         (100..140).filter(|&n| !sent(&node.request(read(n, 1))).is_empty()).count()
     };
-    let (told, untold) = (at_once(Some(0.3)), at_once(None));
-    assert!(told > untold, "{told} at once with hints, {untold} without");
+    let (with_hints, without_hints) = (at_once(Some(0.3)), at_once(None));
+    assert!(with_hints > without_hints, "{with_hints} at once with hints, {without_hints} without");
 }
 
-/// Each of 36 nodes learnt of a choked server by time-outs of its own and tried it now and then: together they
-/// never left it idle, and it stayed choked. One that is found silent twice, by whomever, is left alone.
+/// Each of 36 nodes learnt of an overloaded server by time-outs of its own and sent it a request now and then:
+/// together they never left it idle, and it stayed overloaded. A server with two time-outs, at any nodes, is ejected.
 #[test]
-fn a_server_found_silent_twice_is_left_alone_and_others_are_told() {
-    let mut telling = settings();
-    telling.limits.peer_messages = true;
-    let mut node = Node::with(telling, 1, fleet(6));
-    warm_up(&mut node);
+fn a_server_with_two_time_outs_is_ejected_and_peers_are_notified() {
+    let mut settings_with_peers = settings();
+    settings_with_peers.limits.peer_messages = true;
+    let mut node = Node::with(settings_with_peers, 1, fleet(6));
+    record_usual_latency(&mut node);
     let keys = keys_of_one(&mut node, 400, 3);
     node.request(read(1000, keys[0]));
     node.now += 0.9;
-    let told = Action::NotifyPeers(failing(&id(1)));
-    assert!(node.outcome(1000, Status::TimedOut, None).contains(&told));
+    let notification = Action::NotifyPeers(failing(&id(1)));
+    assert!(node.outcome(1000, Status::TimedOut, None).contains(&notification));
     node.pass(0.5);
     assert_eq!(node.home(2000, keys[1]), id(1), "once may be chance");
-    // Another node had no answer either; what is no address is passed over.
+    // Another node had no answer either; what is not an address is ignored.
     for bytes in [failing(&id(1)), b"\xff\xfe".to_vec(), b"nobody".to_vec()] {
         node.event(Event::Message { from: 3, bytes });
     }
     node.pass(1.0);
     assert!(sent(&node.request(read(3000, keys[1]))).iter().all(|s| *s != id(1)));
     node.pass(6.0);
-    assert_eq!(node.home(4000, keys[2]), id(1), "and back after its rest");
+    assert_eq!(node.home(4000, keys[2]), id(1), "and back after its ejection");
 }
 
-/// Where nodes may not tell, each goes by what it saw itself.
+/// Where nodes may not notify each other, each uses only its own observations.
 #[test]
-fn nothing_is_told_where_it_is_not_allowed() {
+fn peers_are_not_notified_where_it_is_not_allowed() {
     let mut node = Node::with(settings(), 1, fleet(1));
     node.request(read(1, 1));
     node.now += 0.9;
     assert!(!node.outcome(1, Status::TimedOut, None).iter().any(|a| matches!(a, Action::NotifyPeers(_))));
 }
 
-/// Many nodes crowd a small server even with one request each.
+/// Many nodes overload a small server even with one request each.
 #[test]
-fn a_server_that_keeps_turning_requests_away_is_left_to_rest() {
+fn a_server_that_keeps_rejecting_requests_gets_few() {
     let mut node = Node::with(settings(), 1, fleet(1));
     let mut sends = 0;
     for n in 0..1000 {
@@ -136,9 +136,9 @@
     assert!((2..60).contains(&sends), "{sends} sends in 5 s");
 }
 
-/// With many nodes one request each is a crowd: a node's part of what a server may hold is then below one.
+/// With many nodes one request each is an overload: a node's share of what a server can take is then below one.
 #[test]
-fn with_hundreds_of_nodes_a_server_is_asked_once_and_then_left_to_rest() {
+fn with_hundreds_of_nodes_a_server_gets_one_request_and_then_a_pause() {
     let mut node = Node::with(Settings { nodes: 300, ..settings() }, 1, fleet(1));
     let sends = |node: &mut Node, n: u64| {
         let count = sent(&node.request(read(n, n))).len();
@@ -175,41 +175,41 @@
     assert!(served > 190, "{served} of 200 served");
 }
 
-/// Among many nodes each meets a dead server seldom: two refused connections, wherever, and all leave it alone.
+/// Among many nodes each meets a dead server seldom: after two refused connections, at any nodes, all eject it.
 #[test]
-fn among_many_nodes_a_server_that_refuses_two_connections_is_left_alone() {
+fn among_many_nodes_a_server_that_refuses_two_connections_is_ejected() {
     let mut node = one_of_many(fleet(10));
     let keys = keys_of_one(&mut node, 1000, 3);
     node.request(read(5000, keys[0]));
-    let told = Action::NotifyPeers(failing(&id(1)));
-    assert!(node.outcome(5000, Status::Unreachable, None).contains(&told));
+    let notification = Action::NotifyPeers(failing(&id(1)));
+    assert!(node.outcome(5000, Status::Unreachable, None).contains(&notification));
     node.serve(5000);
     node.pass(0.5);
     assert_eq!(node.home(5001, keys[1]), id(1), "one may be chance");
     node.event(Event::Message { from: 9, bytes: failing(&id(1)) });
     assert_ne!(node.home(5002, keys[1]), id(1));
     node.pass(6.0);
-    assert_eq!(node.home(5003, keys[1]), id(1), "asked again later");
+    assert_eq!(node.home(5003, keys[1]), id(1), "used again later");
 }
 
-/// Any two of 100 nodes that had no answer made all of them leave a server alone, until half of the fleet was
-/// left alone and the rest jammed.
+/// Any two of 100 nodes that had no answer made all of them eject a server, until half of the fleet was
+/// ejected and the others overloaded.
 #[test]
-fn among_many_nodes_time_outs_do_not_take_a_server_out() {
+fn among_many_nodes_time_outs_do_not_eject_a_server() {
     let mut node = one_of_many(fleet(10));
-    warm_up(&mut node);
+    record_usual_latency(&mut node);
     let keys = keys_of_one(&mut node, 2000, usize::MAX);
-    let mut asked = 0;
+    let mut requests = 0;
     for (n, &key) in (5000..5040).zip(&keys) {
         let to = sent(&node.request(read(n, key)));
         node.now += 0.9;
         if to == [id(1)] {
-            asked += 1;
+            requests += 1;
             let actions = node.outcome(n, Status::TimedOut, None);
-            assert!(!actions.contains(&Action::NotifyPeers(failing(&id(1)))), "told as failing");
+            assert!(!actions.contains(&Action::NotifyPeers(failing(&id(1)))), "announced as failing");
         }
         node.pass(0.1);
     }
-    // It goes on being asked for some of its keys, fewer and fewer.
-    assert!((4..30).contains(&asked), "asked {asked} times");
+    // It continues to get requests for some of its keys, fewer and fewer.
+    assert!((4..30).contains(&requests), "{requests} requests");
 }
--- a/balancer/tests/balance/cold.rs
+++ b/balancer/tests/balancer/slow_start.rs
@@ -10,29 +10,32 @@
         let mut node = Node::with(settings(), 1, entries);
         at_once(&mut node, 0, 3000).len()
     };
-    let (cold, half, warm) = (owned(0.0), owned(4.0), owned(9.0));
-    assert!(cold > 0 && cold * 3 < warm, "{cold} of {warm}");
-    assert!(cold < half && half < warm, "{cold} {half} {warm}");
+    let (started_now, started_4_s_ago, started_9_s_ago) = (owned(0.0), owned(4.0), owned(9.0));
+    assert!(started_now > 0 && started_now * 3 < started_9_s_ago, "{started_now} of {started_9_s_ago}");
+    assert!(
+        started_now < started_4_s_ago && started_4_s_ago < started_9_s_ago,
+        "{started_now} {started_4_s_ago} {started_9_s_ago}"
+    );
 }
 
 #[test]
-fn a_cold_server_takes_no_overflow() {
+fn a_server_that_is_warming_up_takes_no_overflow() {
     let mut entries = fleet(4);
     entries[0].started = Some(100.0);
     let mut node = Node::with(settings(), 1, entries.clone());
-    let cold_home = keys_of_one(&mut node, 4000, usize::MAX);
+    let home_keys = keys_of_one(&mut node, 4000, usize::MAX);
     let mut node = Node::with(settings(), 1, entries);
-    for n in (0..600).filter(|n| !cold_home.contains(n)) {
+    for n in (0..600).filter(|n| !home_keys.contains(n)) {
         assert!(sent(&node.request(read(n, n))).iter().all(|s| *s != id(1)), "key {n}");
     }
 }
 
 /// An old process's failures do not outlast it: a fresh start time clears them.
 #[test]
-fn a_restarted_server_is_not_held_to_what_its_last_process_did() {
+fn a_restart_clears_the_failures_of_the_last_process() {
     let mut node = Node::with(settings(), 1, fleet(6));
     let keys = keys_of_one(&mut node, 400, 5);
-    warm_up(&mut node);
+    record_usual_latency(&mut node);
     for (n, &key) in keys.iter().enumerate() {
         let n = 1000 + n as u64;
         let mut server = sent(&node.request(read(n, key)));
@@ -48,60 +51,60 @@
     assert!(!at_once(&mut node, 3000, 400).is_empty());
 }
 
-/// At a size where hundreds of nodes each send little, popular keys at one home pushed it over when it came back.
+/// At a size where hundreds of nodes each send little, popular keys at one home overloaded it when it came back.
 #[test]
-fn many_nodes_together_keep_popular_keys_from_pushing_a_cold_server_over() {
+fn many_nodes_together_do_not_overload_a_started_server_with_popular_keys() {
     let mut other = Node::with(settings(), 1, fleet(10));
     let keys = keys_of_one(&mut other, 4000, 60);
-    let asked: usize = (0..100)
+    let requests_at_started: usize = (0..100)
         .map(|seed| {
             let mut node = Node::with(Settings { nodes: 100, ..settings() }, seed, fleet(10));
             // Twenty reads a second, all of keys of one home, which then starts anew.
             let mut second = |from: usize| {
                 let step =
                     |n: usize| (node.home((from + n) as u64, keys[(from + n) % 60]), node.pass(0.05)).0;
-                let asked = (0..20).map(step).filter(|server| *server == id(1)).count();
+                let requests_at_started = (0..20).map(step).filter(|server| *server == id(1)).count();
                 if from == 80 {
                     let started = RosterEntry { started: Some(node.now), ..entry(1) };
                     node.event(Event::Roster(RosterUpdate::Delta(vec![started])));
                 }
-                asked
+                requests_at_started
             };
             (0..6).map(|n| second(20 * n)).last().unwrap_or_default()
         })
         .sum();
-    // By the second a warm server takes 2 of a node's 20 reads, a cold one a quarter of that; the rule allows
+    // In that second a warmed-up server takes 2 of a node's 20 reads, a started one a quarter of that; the rule allows
     // three times as much.
-    assert!((1..=150).contains(&asked), "{asked} reads of 100 nodes");
+    assert!((1..=150).contains(&requests_at_started), "{requests_at_started} reads of 100 nodes");
 }
 
 /// Six of ten servers were new. What they were allowed went by what a node had sent lately, which a node that is
-/// new itself, or sees its few requests come unevenly, takes for little; their keys jammed the four warm ones.
+/// new itself, or sees its few requests come unevenly, takes for little; their keys overloaded the four warmed-up ones.
 #[test]
-fn nodes_that_know_of_little_traffic_yet_use_cold_servers_as_they_can_bear() {
+fn nodes_that_have_observed_little_traffic_use_started_servers_by_their_capacity() {
     let mut entries = fleet(10);
     entries[..6].iter_mut().for_each(|e| e.started = Some(100.0));
     let tenants = vec![Tenant { name: "all".into(), quota: 600.0 }];
     let many = Settings { nodes: 100, tenants, ..settings() };
-    let (mut at_cold, mut all) = (0, 0);
+    let (mut at_started, mut all) = (0, 0);
     for seed in 0..100 {
         let mut node = Node::with(many.clone(), seed, entries.clone());
         for n in 0..12 {
             node.pass(0.3);
             let home = node.home(n, (100 * seed + n) * 7919);
-            at_cold += u32::from((1..=6).any(|server| home == id(server)));
+            at_started += u32::from((1..=6).any(|server| home == id(server)));
             all += 1;
         }
     }
     // From a quarter of its capacity on, six are 1.5 of 5.5 and more.
-    let share = f64::from(at_cold) / f64::from(all);
+    let share = f64::from(at_started) / f64::from(all);
     assert!((0.18..0.45).contains(&share), "{share} of all");
 }
 
-/// Rule four, by 100 nodes at once: the work sent to a cold server stays under the rule's multiple of what it can
+/// Rule four, by 100 nodes at once: the work sent to a started server stays under the rule's multiple of what it can
 /// then do, in any window of the rule's length, however popular its keys are.
 #[test]
-fn all_nodes_together_keep_rule_four_when_every_request_is_for_a_cold_server() {
+fn all_nodes_together_keep_rule_four_when_every_request_is_for_a_started_server() {
     let quota = 600.0;
     let tenants = vec![Tenant { name: "all".into(), quota }];
     let many = Settings { nodes: 100, tenants, ..settings() };
--- a/balancer/tests/growth.rs
+++ b/balancer/tests/memory.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_long_life_holds_no_more_than_a_short_one() {
+fn a_long_run_uses_no_more_memory_than_a_short_one() {
     let mut node = Node::with(settings(), 1, vec![]);
     let mut next = 0;
     minute(&mut node, &mut next);
--- a/balancer/tests/random.rs
+++ b/balancer/tests/random.rs
@@ -39,8 +39,8 @@
 struct Checker {
     requests: BTreeMap<RequestId, Open>,
     left: BTreeMap<ServerId, Seconds>,
-    taken: Vec<Seconds>,
-    extra: Vec<Seconds>,
+    accepted: Vec<Seconds>,
+    retries: Vec<Seconds>,
     /// When each server was last sent to or heard of, and last closed.
     used: BTreeMap<ServerId, Seconds>,
     closed: BTreeMap<ServerId, Seconds>,
@@ -75,11 +75,11 @@
                 }
                 if let (Some(b), Some(last)) = (&settings.guarantees.retry_budget, r.sent.last()) {
                     if last.status != Some(Status::NotCached) {
-                        self.extra.push(now);
+                        self.retries.push(now);
                         let within =
                             |times: &[Seconds]| times.iter().filter(|&&t| t > now - b.window).count();
-                        let allowed = b.min_retries + b.retry_ratio * within(&self.taken) as f64;
-                        if within(&self.extra) as f64 > allowed {
+                        let allowed = b.min_retries + b.retry_ratio * within(&self.accepted) as f64;
+                        if within(&self.retries) as f64 > allowed {
                             return Err("a further attempt beyond the budget".into());
                         }
                     }
@@ -212,7 +212,7 @@
                 let sent = Vec::new();
                 let open = Open { class, deadline: now + left, sent, answered: false };
                 checker.requests.insert(RequestId(next_id), open);
-                checker.taken.push(now);
+                checker.accepted.push(now);
                 let write = class != READ;
                 let key = rng.below(50);
                 events.push(Event::Request(NewRequest {
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn rules_hold_in_random_lives() {
+fn rules_hold_in_random_runs() {
     for seed in 1..=16 {
         let sends = play(seed, 2000, |_| {}).unwrap_or_else(|broken| panic!("seed {seed}: {broken}"));
         assert!(sends > 50, "seed {seed}: {sends} sends");
--- a/balancer/tests/shields.rs
+++ b/balancer/tests/shields.rs
@@ -22,13 +22,13 @@
 
 #[test]
 fn edges_with_one_membership_agree_on_every_home_whatever_order_they_learnt_it_in() {
-    let mut late = shields([5, 1]);
-    late.update(&[id(4), id(2), id(1), id(3)]);
-    assert_eq!(homes(&mut shields([1, 2, 3, 4])), homes(&mut late));
+    let mut updated = shields([5, 1]);
+    updated.update(&[id(4), id(2), id(1), id(3)]);
+    assert_eq!(homes(&mut shields([1, 2, 3, 4])), homes(&mut updated));
 }
 
 #[test]
-fn a_shield_that_leaves_or_joins_moves_its_own_keys_only() {
+fn a_removed_or_added_shield_moves_its_own_keys_only() {
     let (all, without) = (homes(&mut shields([1, 2, 3, 4])), homes(&mut shields([1, 2, 3])));
     let moved = all.iter().zip(&without).filter(|(a, w)| a != w).count();
     assert!((300..1400).contains(&moved), "{moved} of 3000 moved");
@@ -36,17 +36,17 @@
 }
 
 #[test]
-fn below_the_cap_a_key_stays_home_and_at_it_goes_on_along_its_own_walk() {
+fn below_the_cap_a_key_stays_home_and_at_it_continues_along_its_own_walk() {
     let mut shields = shields([1, 2, 3]);
     let home = shields.choose(0.0, key(1), &[]).unwrap().clone();
-    let mut taken = 0;
+    let mut in_flight = 0;
     while shields.choose(0.0, key(1), &[]) == Some(&home) {
         shields.begin(&home);
-        taken += 1;
-        assert!(taken < 100, "a cap");
+        in_flight += 1;
+        assert!(in_flight < 100, "a cap");
     }
     // The floor, as (1+ε)n/k is less here.
-    assert_eq!(taken, 16);
+    assert_eq!(in_flight, 16);
     // Keys of one full home go on to both others.
     let next: std::collections::BTreeSet<_> = (0..200)
         .map(key)
@@ -68,16 +68,16 @@
     }
     // 120 in flight: ⌈1.7 · 121 / 3⌉ = 69 at each.
     let home = shields.choose(0.0, key(1), &[]).unwrap().clone();
-    let mut taken = 40;
+    let mut in_flight = 40;
     while shields.choose(0.0, key(1), &[]) == Some(&home) {
         shields.begin(&home);
-        taken += 1;
+        in_flight += 1;
     }
-    assert!((69..=120).contains(&taken), "{taken}");
+    assert!((69..=120).contains(&in_flight), "{in_flight}");
 }
 
 #[test]
-fn a_shield_that_failed_is_passed_over_for_a_while_and_where_all_have_one_request_tries() {
+fn a_failed_shield_is_ejected_for_a_while_and_where_all_are_one_request_tests_them() {
     let mut shields = shields([1, 2, 3]);
     let home = shields.choose(0.0, key(1), &[]).unwrap().clone();
     shields.begin(&home);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_shield_that_answers_others_is_not_passed_over_for_one_that_waits() {
+fn a_shield_that_answers_others_is_not_ejected_for_one_request_that_waits() {
     let mut shields = shields([1, 2, 3]);
     let home = shields.choose(0.0, key(1), &[]).unwrap().clone();
     shields.begin(&home);
