--- a/glenfall/tests/unit/concurrency_limit.rs
+++ b/glenfall/tests/unit/concurrency_limit.rs
@@ -21,6 +21,14 @@
     low: Fractions,
 }
 
+/// An admitted request, which ends once a slot of the service has run it.
+struct RunningRequest<'a> {
+    ends_at: Instant,
+    sent_at: Instant,
+    rank: usize,
+    permit: Permit<'a>,
+}
+
 /// Ten machines share a service of twelve slots, which takes 72 ms for a request and queues all requests that it gets.
 /// All machines together receive `requests_per_s`. Returns what became of the requests from the fifth second on.
 async fn simulate(requests_per_s: u64, is_limited: bool) -> Simulated {
@@ -34,9 +42,9 @@
             .for_each(|limit| limit.update(&BTreeMap::from([("s", SLOTS as f64 / MACHINES as f64)])));
     }
     let started_at = Instant::now();
-    // When each slot is free, and the requests in flight: their end, rank, start and permit.
+    // When each slot is free.
     let mut slots = [started_at; SLOTS];
-    let mut in_flight: VecDeque<(Instant, usize, Instant, Permit)> = VecDeque::new();
+    let mut in_flight: VecDeque<RunningRequest> = VecDeque::new();
     let (mut counted, mut on_time, mut rejected) = ([0.0; 2], [0.0; 2], [0.0; 2]);
     let mut seed = 7u64;
     let mut draw = || {
@@ -45,11 +53,13 @@
     };
     for n in 0..20 * requests_per_s {
         let now = started_at + Duration::from_micros(1_000_000 / requests_per_s * n);
-        while in_flight.front().is_some_and(|(end, ..)| *end <= now) {
-            let Some((end, rank, sent_at, mut permit)) = in_flight.pop_front() else { break };
-            tokio::time::advance(end - Instant::now()).await;
+        while in_flight.front().is_some_and(|request| request.ends_at <= now) {
+            let Some(RunningRequest { ends_at, sent_at, rank, mut permit }) = in_flight.pop_front() else {
+                break;
+            };
+            tokio::time::advance(ends_at - Instant::now()).await;
             permit.record_response();
-            if sent_at >= started_at + Duration::from_secs(5) && end - sent_at <= LATENCY_TARGET {
+            if sent_at >= started_at + Duration::from_secs(5) && ends_at - sent_at <= LATENCY_TARGET {
                 on_time[rank] += 1.0;
             }
         }
@@ -62,7 +72,7 @@
             Some(permit) => {
                 let Some(slot) = slots.iter_mut().min() else { continue };
                 *slot = (*slot).max(now) + service_time;
-                in_flight.push_back((*slot, rank, now, permit));
+                in_flight.push_back(RunningRequest { ends_at: *slot, sent_at: now, rank, permit });
             }
             None => rejected[rank] += f64::from(u8::from(is_counted)),
         }
--- a/glenfall/tests/unit/forward.rs
+++ b/glenfall/tests/unit/forward.rs
@@ -79,7 +79,7 @@
     }
     let forwarder = forwarder(servers, client_requests);
     let outcome = match forwarder.send(request(&Uri::from_static("/x"), idempotent, max_sends)).await {
-        Outcome::Answered(reply) if reply.status().is_success() => "answered",
+        Outcome::Answered(response) if response.status().is_success() => "answered",
         Outcome::Answered(_) => "failure passed on",
         Outcome::NotRun(_) => "not run",
         Outcome::Unknown(_) => "unknown",
@@ -100,17 +100,17 @@
     };
     assert!(acquire(&limited(None), false).await, "there is no limit");
     // There is no token yet; one becomes free every 10 ms or so.
-    let began = Instant::now();
+    let started_at = Instant::now();
     assert!(!acquire(&limited(Some(100.0)), false).await);
     assert!(acquire(&limited(Some(100.0)), true).await);
-    assert!((9..13).contains(&began.elapsed().as_millis()), "{:?}", began.elapsed());
+    assert!((9..13).contains(&started_at.elapsed().as_millis()), "{:?}", started_at.elapsed());
     // A request whose token is free only after a fifth of its latency target is rejected immediately.
-    let began = Instant::now();
+    let started_at = Instant::now();
     let slow = UpstreamRequest { service: "slow", ..limited(Some(1.0)) };
     tokio::time::advance(Duration::from_secs(9)).await;
     assert!(acquire(&slow, true).await);
     assert!(!acquire(&slow, true).await);
-    assert_eq!(began.elapsed(), Duration::from_secs(9));
+    assert_eq!(started_at.elapsed(), Duration::from_secs(9));
 }
 
 /// The response to another request says nothing about this one, not even that it has not run.
