--- a/balancer-adapter/tests/wire.rs
+++ b/balancer-adapter/tests/wire.rs
@@ -32,7 +32,7 @@
     text(&output.stdout)
 }
 
-const SETUP: &str = concat!(
+const SETTINGS_JSON: &str = concat!(
     r#"{"balancers":2,"locality":"here","membership-mode":"on_request","round-s":0.005,"weight-source":"off","#,
     r#""grades":[{"name":"read","effect":"free","target-s":0.5,"hard-limit-s":2.0},"#,
     r#"{"name":"pay","effect":"odd","target-s":0.5,"hard-limit-s":2.0}],"#,
@@ -44,7 +44,7 @@
 
 fn attach(node: u64, seed: u64) -> String {
     format!(
-        "attach {node} {seed} {SETUP}\nroster_change {node} cached 1 2\n\
+        "attach {node} {seed} {SETTINGS_JSON}\nroster_change {node} cached 1 2\n\
          m Ready 10.0.0.1:80 here 1 box - 0\nm Ready 10.0.0.2:80 here 1 box - 0\n"
     )
 }
@@ -85,9 +85,9 @@
 
 #[test]
 fn prices_reach_the_balancer_and_closed_connections_the_wire() {
-    let priced = SETUP
+    let priced = SETTINGS_JSON
         .replace("\"balancers\":2", "\"balancers\":500,\"prices\":{\"connection\":0.1,\"handshake\":0.1}");
-    let input = format!("sync 9\n{}go\n", attach(3, 1).replace(SETUP, &priced))
+    let input = format!("sync 9\n{}go\n", attach(3, 1).replace(SETTINGS_JSON, &priced))
         + "sync 9.1\narrival 3 5 0.4 - 0 - read - 7\ngo\n"
         + "sync 9.2\noutcome 3 5 0.05 1 10.0.0.1:80 0 success 1 -\ngo\n";
     assert!(replies(&input).contains("close_idle 3 10.0.0."));
@@ -95,11 +95,11 @@
 
 #[test]
 fn the_retry_budget_and_the_close_on_drain_time_reach_the_balancer() {
-    let rules = SETUP.replace(
+    let rules = SETTINGS_JSON.replace(
         "\"fall-s\":1",
         r#""fall-s":1,"budget-span-s":5,"extra-free":0,"resend-ratio":0,"close-on-drain-within-s":1"#,
     );
-    let input = format!("sync 9\n{}go\n", attach(3, 1).replace(SETUP, &rules))
+    let input = format!("sync 9\n{}go\n", attach(3, 1).replace(SETTINGS_JSON, &rules))
         + "sync 9.1\narrival 3 5 0.4 - 0 - read - 7\ngo\n"
         + "sync 9.2\noutcome 3 5 0.05 0 10.0.0.1:80 0 overloaded - -\ngo\n"
         + "sync 9.3\nroster_change 3 delta 2 1\nm Terminating 10.0.0.1:80 here 1 box - 0\ngo\n";
@@ -110,8 +110,9 @@
 
 #[test]
 fn nodes_notify_each_other_of_an_unresponsive_server_over_the_wire() {
-    let peers = SETUP.replace("\"probes\":true", "\"probes\":true,\"peers\":true");
-    let one = attach(3, 1).replace(SETUP, &peers).replace("2\nm Ready 10.0.0.1:80 here 1 box - 0", "1");
+    let peers = SETTINGS_JSON.replace("\"probes\":true", "\"probes\":true,\"peers\":true");
+    let one =
+        attach(3, 1).replace(SETTINGS_JSON, &peers).replace("2\nm Ready 10.0.0.1:80 here 1 box - 0", "1");
     let mut input = format!("sync 9\n{one}go\n");
     for (at, id) in [(10, 5), (11, 6)] {
         input += &format!("sync {at}\narrival 3 {id} 0.4 - 0 - read - 7\ngo\n");
@@ -184,12 +185,12 @@
         ("\"fall-s\":1", &figures(r#""close-on-drain-within-s":-1"#), "close on drain"),
         ("\"fall-s\":1", "\"fall-t\":1", "guarantees.fall-s: missing"),
     ] {
-        let wrong = SETUP.replace(from, to);
+        let wrong = SETTINGS_JSON.replace(from, to);
         fails(format!("sync 1\nattach 1 2 {wrong}\n").as_bytes(), 2, expected);
     }
 }
 
-/// A day with one byte changed here and there: a clean error or whole replies, never a panic.
+/// A day with one byte changed here and there: a clean error or complete replies, never a panic.
 #[test]
 fn damaged_input_ends_cleanly() {
     let sound = day(&[1, 2]).into_bytes();
--- a/balancer-node/tests/clients.rs
+++ b/balancer-node/tests/clients.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 /// Far less than what unused connections once had, far more than they have.
-const SOON: Duration = Duration::from_secs(15);
+const MAX_TIME_TO_DISCONNECT: Duration = Duration::from_secs(15);
 
 fn id(id: &str) -> String {
     format!("Host: a\r\nX-Request-Id: {id}\r\n")
@@ -34,7 +34,7 @@
         .collect();
     for (text, mut client) in texts.iter().zip(clients) {
         assert!(client.read().is_none_or(|answer| answer.status() >= 400), "{text}");
-        assert!(start.elapsed() < SOON, "{text}: {:?}", start.elapsed());
+        assert!(start.elapsed() < MAX_TIME_TO_DISCONNECT, "{text}: {:?}", start.elapsed());
     }
 }
 
@@ -47,7 +47,7 @@
     let mut usual = node.client();
     assert_eq!(usual.get("/read/a", "").status(), 200);
     let start = Instant::now();
-    let _held: Vec<_> = (0..100)
+    let _unused_connections: Vec<_> = (0..100)
         .map(|n| {
             let mut client = node.client();
             client.write(if n % 2 == 0 { "" } else { "GET /read/a HT" });
@@ -55,7 +55,7 @@
         })
         .collect();
     assert_eq!(node.get("/read/b").status(), 200);
-    assert!(start.elapsed() < SOON, "{:?}", start.elapsed());
+    assert!(start.elapsed() < MAX_TIME_TO_DISCONNECT, "{:?}", start.elapsed());
 }
 
 #[test]
@@ -114,7 +114,7 @@
     for client in &mut clients[..2] {
         assert!(client.read().is_none(), "an unsolicited answer");
     }
-    assert!(start.elapsed() < SOON, "{:?}", start.elapsed());
+    assert!(start.elapsed() < MAX_TIME_TO_DISCONNECT, "{:?}", start.elapsed());
     for client in &mut clients[2..] {
         assert_eq!(client.get("/read/a", "X-Deadline-Ms: 6000\r\n").status(), 200);
     }
--- a/balancer-node/tests/common/mod.rs
+++ b/balancer-node/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The node's program as a child, and plain sockets on loopback round it: servers and discovery that do as a
-//! test says, and clients. Tests wait on events, within `PATIENCE`.
+//! The node's program as a child, and plain sockets on loopback around it: servers and discovery that do as a
+//! test says, and clients. Tests wait on events, within `TEST_TIMEOUT`.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Write};
@@ -16,7 +16,7 @@
 use socket2::{Domain, Socket, Type};
 
 /// Longest wait for anything; a machine under load must not fail a test.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 // ---- Messages -------------------------------------------------------------------------------------------
 
@@ -81,13 +81,14 @@
 
 /// What a server does with a request.
 pub enum Reply {
+    /// Writes this and keeps the connection open.
     Keep(String),
     /// Writes this much and closes.
     Close(String),
-    /// Writes the first, and the second so much later.
-    Late(String, Duration, String),
-    /// Says nothing for as long as the connection is open.
-    Silence,
+    /// Writes the first part, and the second one after the delay.
+    Delayed(String, Duration, String),
+    /// Writes nothing for as long as the connection is open.
+    NoResponse,
 }
 
 /// A server whose answers a test gives; requests and ended connections come out of the channels.
@@ -117,7 +118,7 @@
     }
 
     pub fn next(&self) -> Message {
-        self.requests.recv_timeout(PATIENCE).expect("a request at the server")
+        self.requests.recv_timeout(TEST_TIMEOUT).expect("a request at the server")
     }
 }
 
@@ -131,12 +132,12 @@
         let reply = reply(&request);
         let text = match &reply {
             Reply::Keep(text) | Reply::Close(text) => text.as_str(),
-            Reply::Late(ahead, pause, text) => {
+            Reply::Delayed(ahead, pause, text) => {
                 let _ = stream.write_all(ahead.as_bytes());
                 thread::sleep(*pause);
                 text
             }
-            Reply::Silence => "",
+            Reply::NoResponse => "",
         };
         if stream.write_all(text.as_bytes()).is_err() || matches!(reply, Reply::Close(_)) {
             break;
@@ -151,12 +152,12 @@
 /// An address at which connections are refused. Its port stays bound, and nobody listens there: a port that is given
 /// back may be another test's server a moment later.
 pub fn refusing() -> SocketAddr {
-    static BOUND: Mutex<Vec<Socket>> = Mutex::new(Vec::new());
+    static REFUSING_SOCKETS: Mutex<Vec<Socket>> = Mutex::new(Vec::new());
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     socket.bind(&any_port.into()).expect("a free port");
     let addr = socket.local_addr().unwrap().as_socket().unwrap();
-    BOUND.lock().unwrap().push(socket);
+    REFUSING_SOCKETS.lock().unwrap().push(socket);
     addr
 }
 
@@ -182,20 +183,20 @@
 impl Discovery {
     pub fn start() -> Discovery {
         let newest = Arc::new((Mutex::new((0, String::new())), Condvar::new()));
-        let told = Arc::clone(&newest);
+        let newest_list = Arc::clone(&newest);
         let server = Server::start(move |request| {
             let query = |name: &str| {
                 let (_, query) = request.path().split_once('?')?;
                 query.split('&').find_map(|pair| pair.strip_prefix(name)?.parse::<u64>().ok())
             };
-            let (lock, published) = &*told;
+            let (lock, published) = &*newest_list;
             let (from, hold) = (query("from="), query("hold_ms=").unwrap_or(0));
             let older = |newest: &mut (u64, String)| from.is_some_and(|from| newest.0 <= from);
             let newest = lock.lock().unwrap();
             let hold = Duration::from_millis(hold);
-            let (newest, late) = published.wait_timeout_while(newest, hold, older).unwrap();
+            let (newest, wait) = published.wait_timeout_while(newest, hold, older).unwrap();
             let unchanged = list(from.unwrap_or(0), false, &[]).to_string();
-            let body = if late.timed_out() { unchanged } else { newest.1.clone() };
+            let body = if wait.timed_out() { unchanged } else { newest.1.clone() };
             Reply::Keep(answer("200 OK", "", &body))
         });
         Discovery { server, newest }
@@ -246,8 +247,9 @@
 
 impl ConfigFile {
     pub fn new(text: &str) -> ConfigFile {
-        static NEXT: AtomicU64 = AtomicU64::new(0);
-        let name = format!("glenfall-node-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+        static NEXT_CONFIG: AtomicU64 = AtomicU64::new(0);
+        let name =
+            format!("glenfall-node-{}-{}", std::process::id(), NEXT_CONFIG.fetch_add(1, Ordering::Relaxed));
         let path = std::env::temp_dir().join(name);
         std::fs::write(&path, text).expect("a temporary file");
         ConfigFile(path)
@@ -297,7 +299,7 @@
 
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.addr).expect("the node accepts");
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Client { reader: BufReader::new(stream), id: String::new() }
     }
 
@@ -335,7 +337,7 @@
 
 /// Asks again and again until there is a result.
 pub fn wait_until<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     loop {
         if let Some(result) = ask() {
             return result;
@@ -364,8 +366,8 @@
     }
 
     pub fn send(&mut self, method: &str, path: &str, headers: &str, body: &str) {
-        static NEXT: AtomicU64 = AtomicU64::new(1);
-        self.id = format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed));
+        static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
+        self.id = format!("{:016x}", NEXT_REQUEST_ID.fetch_add(1, Ordering::Relaxed));
         let id = format!("X-Request-Id: {}\r\n", self.id);
         let length =
             if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
--- a/balancer-node/tests/malformed_responses.rs
+++ b/balancer-node/tests/malformed_responses.rs
@@ -8,7 +8,7 @@
 use common::*;
 use serde_json::json;
 
-/// One answer for each way to spoil one; the connection stays open behind each.
+/// One response for each kind of malformation; the connection stays open after each.
 fn spoilt() -> Vec<String> {
     let head = "HTTP/1.1 200 OK\r\n";
     vec![
@@ -44,8 +44,8 @@
         let answer = node.client().get("/read/a", "X-Deadline-Ms: 100000\r\n");
         let shown = &text[..text.len().min(80)];
         assert_eq!((answer.status(), answer.body.as_str()), (200, "value"), "{shown}");
-        assert!(started.elapsed() < PATIENCE, "{shown}");
-        cache.ended.recv_timeout(PATIENCE).expect("the spoilt connection is closed");
+        assert!(started.elapsed() < TEST_TIMEOUT, "{shown}");
+        cache.ended.recv_timeout(TEST_TIMEOUT).expect("the spoilt connection is closed");
     }
 }
 
@@ -95,7 +95,7 @@
 fn informational_responses_before_a_valid_one_are_skipped() {
     let cache = Server::start(|request| {
         let ahead = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
-        Reply::Late(
+        Reply::Delayed(
             ahead.into(),
             Duration::from_millis(600),
             answer("200 OK", "X-Load: odd=;\r\n", request.path()),
--- a/balancer-node/tests/node.rs
+++ b/balancer-node/tests/node.rs
@@ -75,7 +75,7 @@
     let node = Node::start(&config);
     assert_eq!(node.get("/read/a").status(), 200);
     assert_eq!(node.get("/read/last").status(), 200);
-    let carried = cache.ended.recv_timeout(PATIENCE).expect("the server closes it");
+    let carried = cache.ended.recv_timeout(TEST_TIMEOUT).expect("the server closes it");
     assert_eq!(carried, ["/read/a", "/read/last"], "the first connection carried both requests");
     assert_eq!(node.get("/read/b").status(), 200);
 }
@@ -88,19 +88,19 @@
     let node = Node::start(&config);
     assert_eq!(node.get("/read/a").status(), 200);
     let idle = Instant::now();
-    cache.ended.recv_timeout(PATIENCE).expect("the node closes it");
+    cache.ended.recv_timeout(TEST_TIMEOUT).expect("the node closes it");
     assert!(idle.elapsed() < Duration::from_secs(3), "{:?}", idle.elapsed());
 }
 
 #[test]
 fn a_client_that_disconnects_ends_its_attempt() {
-    let cache = Server::start(|_| Reply::Silence);
+    let cache = Server::start(|_| Reply::NoResponse);
     let (node, _discovery) = start(&[entry("s-1", cache.addr, "active")]);
     let mut client = node.client();
     client.send("GET", "/read/a", "X-Deadline-Ms: 100000\r\n", "");
     cache.next();
     drop(client);
-    cache.ended.recv_timeout(PATIENCE).expect("the attempt's connection is closed");
+    cache.ended.recv_timeout(TEST_TIMEOUT).expect("the attempt's connection is closed");
 }
 
 // ---- Outcomes -------------------------------------------------------------------------------------------
@@ -140,7 +140,7 @@
     let turned_away = || Reply::Keep(answer("503 Service Unavailable", "X-Not-Run: 1\r\n", ""));
     let (answer, tries) = after(turned_away, "GET", "/order/a", "");
     assert_eq!((answer.status(), tries), (200, 2));
-    // Written whole, then reset: it may have run, so the client hears of a failure, not of a refusal.
+    // Written completely, then reset: it may have run, so the client is answered a failure, not a refusal.
     let (answer, tries) = after(|| Reply::Close(String::new()), "GET", "/order/a", "");
     assert_eq!((answer.status(), tries), (502, 1));
     let failed = || Reply::Keep(common::answer("500 Internal Server Error", "", ""));
@@ -167,13 +167,13 @@
 
 #[test]
 fn an_unresponsive_server_loses_no_request() {
-    let cache = Server::start(|_| Reply::Silence);
+    let cache = Server::start(|_| Reply::NoResponse);
     let (node, _discovery) = start(&[entry("s-1", cache.addr, "active")]);
     let started = Instant::now();
     let answer = node.client().get("/order/a", "X-Deadline-Ms: 700\r\n");
     assert_eq!(answer.status(), 502);
-    assert!(started.elapsed() < PATIENCE);
-    cache.ended.recv_timeout(PATIENCE).expect("a time-out closes its connection");
+    assert!(started.elapsed() < TEST_TIMEOUT);
+    cache.ended.recv_timeout(TEST_TIMEOUT).expect("a time-out closes its connection");
 }
 
 #[test]
@@ -182,7 +182,7 @@
     let started = Instant::now();
     let answer = node.client().get("/read/a", "X-Deadline-Ms: 100000\r\n");
     assert_eq!(answer.status(), 503);
-    assert!(started.elapsed() < PATIENCE);
+    assert!(started.elapsed() < TEST_TIMEOUT);
     let advice: f64 = answer.header("retry-after").expect("advice").parse().unwrap();
     assert!(advice > 0.0 && advice <= 0.75, "{advice}");
 }
--- a/balancer-node/tests/origin.rs
+++ b/balancer-node/tests/origin.rs
@@ -10,8 +10,8 @@
 use common::*;
 use serde_json::{json, Value};
 
-/// A node before a cache that has nothing and an origin that answers as told, but holds reads of `/read/held-`
-/// until they are let go.
+/// A node in front of a cache that has nothing and an origin that answers as the test says, but delays reads of
+/// `/read/held-` until the gate opens.
 struct Fleet {
     node: Node,
     origin: Server,
@@ -19,13 +19,13 @@
     _cache: Server,
 }
 
-/// Reads are wanted within this time; a quarter of it is how long the node holds what has no room.
-const AIM: f64 = 1.0;
+/// The latency target of reads; for a quarter of it the node queues what no server can take.
+const LATENCY_TARGET: f64 = 1.0;
 
 impl Fleet {
-    /// The limit of the origin starts at 16 over the number of nodes. Where `copies` are allowed, a read that is
-    /// not answered may be sent a second time beside the first.
-    fn start(nodes: u64, copies: bool, reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Fleet {
+    /// The limit of the origin starts at 16 over the number of nodes. Where `hedging` is allowed, a read that
+    /// is not answered may be sent a second time in parallel to the first.
+    fn start(nodes: u64, hedging: bool, reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Fleet {
         let cache = Server::start(|_| miss());
         let gate = Arc::new((Mutex::new(false), Condvar::new()));
         let shut = Arc::clone(&gate);
@@ -34,15 +34,15 @@
                 return reply(request);
             }
             let open = shut.0.lock().unwrap();
-            drop(shut.1.wait_timeout_while(open, PATIENCE, |open| !*open).unwrap());
+            drop(shut.1.wait_timeout_while(open, TEST_TIMEOUT, |open| !*open).unwrap());
             fetched()
         });
         let servers = [entry("s-1", cache.addr, "active"), entry("origin", origin.addr, "active")];
         let mut config = config(refusing(), &servers);
         config["settings"]["balancers"] = json!(nodes);
-        config["settings"]["limits"]["parallel-tries"] = json!(copies);
+        config["settings"]["limits"]["parallel-tries"] = json!(hedging);
         let classes = config["settings"]["grades"].as_array_mut().expect("classes");
-        classes.iter_mut().for_each(|class| class["target-s"] = Value::from(AIM));
+        classes.iter_mut().for_each(|class| class["target-s"] = Value::from(LATENCY_TARGET));
         Fleet { node: Node::start(&config), origin, gate, _cache: cache }
     }
 
@@ -65,7 +65,7 @@
         *self.gate.0.lock().unwrap() = true;
         self.gate.1.notify_all();
         while statuses.len() < reads {
-            statuses.push(told.recv_timeout(PATIENCE).expect("an answer"));
+            statuses.push(told.recv_timeout(TEST_TIMEOUT).expect("an answer"));
         }
         statuses.iter().filter(|&&status| status == 200).count()
     }
@@ -103,9 +103,9 @@
 #[test]
 fn dead_connections_to_an_origin_that_answers_others_do_not_change_its_limit() {
     let fleet = Fleet::start(4, false, |request| {
-        let silent = request.path().starts_with("/read/silent-");
-        if silent {
-            Reply::Silence
+        let is_unanswered = request.path().starts_with("/read/silent-");
+        if is_unanswered {
+            Reply::NoResponse
         } else {
             fetched()
         }
@@ -114,21 +114,25 @@
         let mut client = fleet.node.client();
         client.send("GET", &format!("/read/silent-{n}"), "X-Deadline-Ms: 2000\r\n", "");
         while !fleet.origin.next().path().starts_with("/read/silent-") {}
-        // What is answered must have been sent clearly later: half an aim.
-        thread::sleep(Duration::from_secs_f64(0.6 * AIM));
+        // What is answered must have been sent clearly later: half a latency target.
+        thread::sleep(Duration::from_secs_f64(0.6 * LATENCY_TARGET));
         assert_eq!(fleet.node.get(&format!("/read/{n}")).status(), 200);
         assert_eq!(client.read().expect("an answer").status(), 503);
     }
     assert_eq!(fleet.served_at_once(4), 4);
 }
 
-/// Times of an origin vary: at any load some answers took over half an aim, and each of them cut its limit.
+/// Times of an origin vary: at any load some answers took over half a latency target, and each of them lowered its limit.
 #[test]
 fn single_slow_answers_of_an_origin_that_is_quick_on_average_do_not_change_its_limit() {
     let fleet = Fleet::start(4, false, |request| {
         let body = answer("200 OK", "X-Cache: miss\r\n", "value");
         let slow = request.path().starts_with("/read/slow-");
-        Reply::Late(String::new(), Duration::from_secs_f64(if slow { 0.6 * AIM } else { 0.0 }), body)
+        Reply::Delayed(
+            String::new(),
+            Duration::from_secs_f64(if slow { 0.6 * LATENCY_TARGET } else { 0.0 }),
+            body,
+        )
     });
     for path in ["a", "b", "c", "slow-1", "d", "e", "f", "slow-2"] {
         assert_eq!(fleet.node.get(&format!("/read/{path}")).status(), 200);
@@ -141,9 +145,9 @@
 fn a_read_that_later_ones_have_overtaken_is_hedged() {
     let first = Mutex::new(true);
     let fleet = Fleet::start(1, true, move |request| {
-        let silent = request.path() == "/read/silent" && std::mem::take(&mut *first.lock().unwrap());
-        if silent {
-            Reply::Silence
+        let is_unanswered = request.path() == "/read/silent" && std::mem::take(&mut *first.lock().unwrap());
+        if is_unanswered {
+            Reply::NoResponse
         } else {
             fetched()
         }
@@ -151,7 +155,7 @@
     let mut client = fleet.node.client();
     client.send("GET", "/read/silent", "X-Deadline-Ms: 8000\r\n", "");
     let seen = fleet.origin.next();
-    thread::sleep(Duration::from_secs_f64(0.6 * AIM));
+    thread::sleep(Duration::from_secs_f64(0.6 * LATENCY_TARGET));
     assert_eq!(fleet.node.get("/read/other").status(), 200);
     assert_eq!(client.read().expect("an answer").status(), 200);
     while fleet.origin.next().header("x-request-id") != seen.header("x-request-id") {}
--- a/balancer-node/tests/reload.rs
+++ b/balancer-node/tests/reload.rs
@@ -31,7 +31,7 @@
     assert_eq!(second.server.next().path(), "/registry/instances");
     second.wait_for_call(2);
     assert_eq!(node.get("/read/a").body, "new");
-    // What the old address still has to tell is out of date.
+    // What the old address still sends is out of date.
     first.publish(51, &list(51, true, &[]).to_string());
     second.publish(3, &list(3, false, &[]).to_string());
     second.wait_for_call(3);
@@ -46,7 +46,7 @@
 #[test]
 fn the_old_address_is_followed_until_the_new_one_has_sent_its_list() {
     let cache = Server::start(|_| hit("value"));
-    let (first, unresponsive) = (Discovery::start(), Server::start(|_| Reply::Silence));
+    let (first, unresponsive) = (Discovery::start(), Server::start(|_| Reply::NoResponse));
     let (node, mut config) = start(&first, &[]);
     first.wait_for_call(1);
     config["discovery"] = unresponsive.addr.to_string().into();
@@ -63,7 +63,7 @@
     let (node, _) = start(&discovery, &[entry("s-1", cache.addr, "active")]);
     for broken in ["", "{\"discovery\":", "{}", "{\"discovery\":\"nowhere\"}"] {
         node.reload(broken);
-        let line = node.log.recv_timeout(PATIENCE).expect("a line in the log");
+        let line = node.log.recv_timeout(TEST_TIMEOUT).expect("a line in the log");
         assert!(line.starts_with("configuration: "), "{line}");
     }
     discovery.publish(2, &list(2, true, &[entry("s-1", cache.addr, "active")]).to_string());
--- a/balancer-node/tests/upstream.rs
+++ b/balancer-node/tests/upstream.rs
@@ -18,7 +18,7 @@
 use tokio::sync::Notify;
 use tokio::task::LocalSet;
 
-const WAIT: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn server(number: usize) -> ServerId {
     ServerId(format!("s-{number}").as_str().into())
@@ -57,7 +57,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        tokio::time::timeout(WAIT, test(listener)).await.expect("the test ends")
+        tokio::time::timeout(TEST_TIMEOUT, test(listener)).await.expect("the test ends")
     })
 }
 
@@ -81,8 +81,8 @@
         let (server, payload, sent) = (server(1), payload(""), RequestProgress::default());
         let (ended, ()) = tokio::join! {
             biased;
-            upstreams.exchange(&server, &payload, WAIT, &sent),
-            // Polled while the connect is under way.
+            upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent),
+            // Polled while the connect is in progress.
             async { upstreams.update(&list(&[listener.local_addr().unwrap()], ServerState::Draining)) },
         };
         assert_eq!((ended.status, sent.whole()), (Status::Overloaded, false));
@@ -106,7 +106,7 @@
             }
             // Closed unanswered: it may have run.
         };
-        let (ended, ()) = tokio::join!(upstreams.exchange(&server, &payload, WAIT, &sent), answered);
+        let (ended, ()) = tokio::join!(upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent), answered);
         assert_eq!((ended.status, sent.whole()), (Status::Broken, true));
     });
 }
@@ -122,13 +122,13 @@
         let (sent, unsent) = (RequestProgress::default(), RequestProgress::default());
         let (ended, beyond, mut stream) = tokio::join! {
             biased;
-            upstreams.exchange(&first, &payload, WAIT, &sent),
-            upstreams.exchange(&first, &payload, WAIT, &unsent),
+            upstreams.exchange(&first, &payload, TEST_TIMEOUT, &sent),
+            upstreams.exchange(&first, &payload, TEST_TIMEOUT, &unsent),
             serve_one(&listener, "200 OK"),
         };
         assert_eq!((ended.status, beyond.status), (Status::Success, Status::NotSent));
         let (ended, _) = tokio::join! {
-            upstreams.exchange(&other, &payload, WAIT, &sent),
+            upstreams.exchange(&other, &payload, TEST_TIMEOUT, &sent),
             serve_one(&second, "200 OK"),
         };
         assert_eq!(ended.status, Status::Success);
@@ -152,12 +152,13 @@
             }
         };
         let sent = RequestProgress::default();
-        let (_, stream) = tokio::join!(upstreams.exchange(&server, &payload, WAIT, &sent), serve("one"));
+        let (_, stream) =
+            tokio::join!(upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent), serve("one"));
         // A second response follows, which the reactor has not reported when the next request begins.
         assert!(stream.try_write(answer("one").as_bytes()).is_ok());
         let (ended, _) = tokio::join! {
             biased;
-            upstreams.exchange(&server, &payload, WAIT, &sent),
+            upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent),
             serve("two"),
         };
         assert_eq!(ended.response.map(|response| response.body), Some(Bytes::from("two")));
@@ -170,7 +171,7 @@
         let upstreams = upstreams(&listener, 100, 8);
         let (server, payload) = (server(1), payload(""));
         let sent = [RequestProgress::default(), RequestProgress::default(), RequestProgress::default()];
-        let exchange = |n: usize| upstreams.exchange(&server, &payload, WAIT, &sent[n]);
+        let exchange = |n: usize| upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent[n]);
         let (begun, turned_away) = (Notify::new(), Notify::new());
         let (first, second, third, ()) = tokio::join! {
             exchange(0),
@@ -178,15 +179,15 @@
             async {
                 begun.notified().await;
                 let ended = exchange(1).await;
-                // However slowly the test runs, the server has no room.
+                // However slowly the test runs, the server accepts no more connections.
                 assert!(upstreams.must_wait(&server));
-                upstreams.set_full_until(&server, Instant::now() + WAIT);
+                upstreams.set_full_until(&server, Instant::now() + TEST_TIMEOUT);
                 turned_away.notify_one();
                 ended
             },
             async {
                 turned_away.notified().await;
-                // The server still holds the first; the third must not dial again beside it.
+                // The server still has the first; the third must not connect again in parallel.
                 exchange(2).await
             },
             async {
@@ -208,11 +209,11 @@
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 100, 8);
         let (server, payload, sent) = (server(1), payload(""), RequestProgress::default());
-        upstreams.set_full_until(&server, Instant::now() + WAIT);
+        upstreams.set_full_until(&server, Instant::now() + TEST_TIMEOUT);
         let other = upstreams.claim_slot(&server);
         let (ended, _, ()) = tokio::join! {
             biased;
-            upstreams.exchange(&server, &payload, WAIT, &sent),
+            upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent),
             serve_one(&listener, "200 OK"),
             async { drop(other) },
         };
@@ -225,7 +226,7 @@
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 100, 8);
         let server = server(1);
-        upstreams.set_full_until(&server, Instant::now() + WAIT);
+        upstreams.set_full_until(&server, Instant::now() + TEST_TIMEOUT);
         let open = upstreams.claim_slot(&server);
         let (reads, write) = ([payload(""), payload("")], payload("body"));
         let sent = [RequestProgress::default(), RequestProgress::default(), RequestProgress::default()];
@@ -245,9 +246,9 @@
         };
         let (one, two, three, (methods, _stream)) = tokio::join! {
             biased;
-            upstreams.exchange(&server, &reads[0], WAIT, &sent[0]),
-            upstreams.exchange(&server, &reads[1], WAIT, &sent[1]),
-            upstreams.exchange(&server, &write, WAIT, &sent[2]),
+            upstreams.exchange(&server, &reads[0], TEST_TIMEOUT, &sent[0]),
+            upstreams.exchange(&server, &reads[1], TEST_TIMEOUT, &sent[1]),
+            upstreams.exchange(&server, &write, TEST_TIMEOUT, &sent[2]),
             served,
         };
         assert_eq!([one.status, two.status, three.status], [Status::Success; 3]);
@@ -274,8 +275,8 @@
         let (server, payload) = (server(1), payload(""));
         let sent = [RequestProgress::default(), RequestProgress::default()];
         let (.., (mut one, mut two)) = tokio::join! {
-            upstreams.exchange(&server, &payload, WAIT, &sent[0]),
-            upstreams.exchange(&server, &payload, WAIT, &sent[1]),
+            upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent[0]),
+            upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent[1]),
             async {
                 let (mut one, _) = listener.accept().await.unwrap();
                 let two = serve_one(&listener, "200 OK").await;
@@ -301,8 +302,10 @@
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 1, 8);
         let (server, payload, sent) = (server(1), payload(""), RequestProgress::default());
-        let (ended, _) =
-            tokio::join!(upstreams.exchange(&server, &payload, WAIT, &sent), serve_one(&listener, status));
+        let (ended, _) = tokio::join!(
+            upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent),
+            serve_one(&listener, status)
+        );
         (ended.status, ended.cache_status)
     })
 }
--- a/balancer/tests/balancer/origin_fetches.rs
+++ b/balancer/tests/balancer/origin_fetches.rs
@@ -2,7 +2,7 @@
 
 use crate::*;
 
-/// Where caches do not report hits, only errors were taken for fetches: a few in a thousand lowered the fetch limit to nothing.
+/// Where caches do not report hits, only errors counted as fetches: a few in a thousand lowered the fetch limit to nothing.
 #[test]
 fn rare_errors_do_not_block_fetches_where_caches_do_not_report_hits() {
     let mut node = Node::with(settings(), 1, fleet(8));
@@ -47,7 +47,7 @@
     assert_eq!(together(CacheMode::ReadThrough), 1);
 }
 
-/// A fifth of a fleet died, the rest got slow, and two thirds of all reads jumped: into misses, each of which
+/// A fifth of a fleet died, the others got slow, and two thirds of all reads jumped: into misses, each of which
 /// used capacity of its server until the origin had answered.
 #[test]
 fn while_a_read_through_fleet_is_slow_requests_wait_for_a_server_at_its_limit() {
@@ -127,7 +127,7 @@
 }
 
 /// Where many nodes share an origin each uses little of its limit: when the origin is slow, the limit must
-/// fall from what is in use, or it takes tens of cuts before it acts.
+/// fall from what is in use, or it takes tens of decreases before it acts.
 #[test]
 fn a_fetch_limit_far_above_what_is_in_use_falls_fast() {
     let mut node = Node::with(settings(), 1, fleet(8));
--- a/balancer/tests/balancer/overload.rs
+++ b/balancer/tests/balancer/overload.rs
@@ -21,14 +21,14 @@
     node.request(read(5000, keys[0]));
     let notification = Action::NotifyPeers(overloaded(&id(1)));
     assert!(node.serve_reporting(5000, 30.0, 60.0).contains(&notification));
-    let taken_keys = keys_at(&mut node, &keys, 10_000, &id(1));
-    let share = taken_keys.len() as f64 / keys.len() as f64;
+    let own_keys = keys_at(&mut node, &keys, 10_000, &id(1));
+    let share = own_keys.len() as f64 / keys.len() as f64;
     assert!((0.55..0.85).contains(&share), "{share} of the keys");
-    assert_eq!(taken_keys, keys_at(&mut node, &keys, 20_000, &id(1)), "the same keys again");
+    assert_eq!(own_keys, keys_at(&mut node, &keys, 20_000, &id(1)), "the same keys again");
 
     let mut other = one_of_many(fleet(10));
     other.event(Event::Message { from: 3, bytes: overloaded(&id(1)) });
-    assert_eq!(taken_keys, keys_at(&mut other, &keys, 30_000, &id(1)), "the same keys elsewhere");
+    assert_eq!(own_keys, keys_at(&mut other, &keys, 30_000, &id(1)), "the same keys elsewhere");
     let others: Vec<u64> = (0..1000).filter(|key| !keys.contains(key)).collect();
     let mut fresh = one_of_many(fleet(10));
     for (n, key) in others.into_iter().enumerate() {
--- a/balancer/tests/balancer/placement.rs
+++ b/balancer/tests/balancer/placement.rs
@@ -124,7 +124,7 @@
 fn errors_of_the_complete_fleet_eject_few_servers_but_those_of_one_server_eject_it() {
     let play = |bad: &dyn Fn(&ServerId) -> bool| {
         let mut node = Node::with(settings(), 1, fleet(6));
-        let mut taken_out = 0;
+        let mut ejected = 0;
         for n in 0..3000 {
             let mut actions = node.request(read(n, n % 100));
             node.now += 0.01;
@@ -132,10 +132,10 @@
                 let status = if bad(server) && n > 300 { Status::Error } else { Status::Success };
                 actions = node.outcome(n, status, Some(CacheStatus::Hit));
                 let out = |a: &&Action| matches!(a, Action::Log(t) if t.contains("left alone"));
-                taken_out += actions.iter().filter(out).count();
+                ejected += actions.iter().filter(out).count();
             }
         }
-        taken_out
+        ejected
     };
     let (all, one) = (play(&|_| true), play(&|s| *s == id(1)));
     assert!(all <= 6 && one >= 1, "{all} {one}");
--- a/balancer/tests/balancer/roster.rs
+++ b/balancer/tests/balancer/roster.rs
@@ -49,7 +49,7 @@
 }
 
 /// 70 of 100 nodes came back at once and called for the list at once, and again at each failure: discovery, which
-/// works through calls in turn, fell ever further behind, and 62 nodes had no list for the rest of the day.
+/// works through calls in turn, fell ever further behind, and 62 nodes had no list until the day's end.
 #[test]
 fn many_nodes_distribute_their_calls_for_the_list_over_half_the_subscription_gap() {
     let calls = |balancers| -> Vec<Seconds> {
@@ -62,7 +62,7 @@
                 assert!(node.now - start <= 5.1, "called too late");
             }
             let first_call = node.now - start;
-            // And after a failure, spread alike.
+            // And after a failure, distributed alike.
             node.event(Event::Roster(RosterUpdate::Failed));
             let failed = node.now;
             while calls_in(&node.pass(0.05)) == 0 {
--- a/balancer/tests/balancer/rules.rs
+++ b/balancer/tests/balancer/rules.rs
@@ -23,10 +23,10 @@
         let actions = node.event(Event::Timer(TimerToken(2)));
         assert!(refused(&actions) || failed(&actions), "{class:?}");
         assert!(sent(&actions).is_empty());
-        // A batch that ran late brings the time-out and the timer after the end: both are ignored.
+        // A delayed batch brings the time-out and the timer after the end: both are ignored.
         node.now += 0.02;
-        let late = node.outcome(1, Status::TimedOut, None);
-        assert!(!refused(&late) && !failed(&late) && sent(&late).is_empty());
+        let delayed = node.outcome(1, Status::TimedOut, None);
+        assert!(!refused(&delayed) && !failed(&delayed) && sent(&delayed).is_empty());
     }
 }
 
@@ -128,7 +128,7 @@
     assert_eq!(sent(&node.request(read(2, 2))).len(), 1);
 }
 
-/// A bucket that fills in quiet times let more attempts through in one window than the rule allows.
+/// A bucket that fills in idle times let more attempts through in one window than the rule allows.
 #[test]
 fn retries_stay_within_the_budget_in_any_window() {
     let mut stated = settings();
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -92,7 +92,7 @@
     }
 }
 
-/// A balancer and what it has sent and not heard of yet.
+/// A balancer and its attempts in flight.
 pub struct Node {
     pub balancer: Balancer,
     pub now: Seconds,
--- a/balancer/tests/random.rs
+++ b/balancer/tests/random.rs
@@ -41,7 +41,7 @@
     left: BTreeMap<ServerId, Seconds>,
     accepted: Vec<Seconds>,
     retries: Vec<Seconds>,
-    /// When each server was last sent to or heard of, and last closed.
+    /// When each server last got an attempt or answered one, and was last closed.
     used: BTreeMap<ServerId, Seconds>,
     closed: BTreeMap<ServerId, Seconds>,
 }
@@ -121,15 +121,15 @@
     }
 
     fn overdue(&self, now: Seconds, settings: &Settings) -> Result<(), String> {
-        let late = |r: &Open| !r.answered && now > r.deadline + settings.guarantees.answer_grace;
-        match self.requests.iter().find(|(_, r)| late(r)) {
+        let is_late = |r: &Open| !r.answered && now > r.deadline + settings.guarantees.answer_grace;
+        match self.requests.iter().find(|(_, r)| is_late(r)) {
             Some((id, _)) => Err(format!("{id:?} not answered in time")),
             None => Ok(()),
         }
     }
 }
 
-/// One random life of a node. `tamper` may change the actions on their way to the checker.
+/// One random run of a node. `tamper` may change the actions before the checker gets them.
 fn play(seed: u64, steps: u32, tamper: impl Fn(&mut Vec<Action>)) -> Result<u32, String> {
     let mut rng = Rng(seed);
     let mut settings = settings();
@@ -241,15 +241,15 @@
             }
             8 => events.push(Event::HealthChecked { server: id(1 + rng.below(8)), status: Status::Success }),
             9 if settings.limits.peer_messages => {
-                // A failing server, a crowded one, or what no node sends.
-                let mark: &[u8] = [&b""[..], b"~", b"~~", b"\xff"][rng.below(4) as usize];
-                let bytes = [mark, id(1 + rng.below(8)).0.as_bytes()].concat();
+                // A failing server, an overloaded one, or what no node sends.
+                let tag: &[u8] = [&b""[..], b"~", b"~~", b"\xff"][rng.below(4) as usize];
+                let bytes = [tag, id(1 + rng.below(8)).0.as_bytes()].concat();
                 events.push(Event::Message { from: 1, bytes });
             }
             _ => {}
         }
         for event in events.drain(..) {
-            // The node learns of an end when it is told, not when the batch was made up.
+            // The node learns of an end when it gets the event, not when the batch was made.
             if let Event::RequestCancelled(id) | Event::Outcome(Outcome { request: id, finished: true, .. }) =
                 event
             {
