--- a/balancer-adapter/src/messages.rs
+++ b/balancer-adapter/src/messages.rs
@@ -164,7 +164,7 @@
         Some(3) => Some(CacheStatus::MissInProgress),
         _ => None,
     };
-    let load = fields.text().and_then(|report| glenfall_balancer_settings::load(report, ':'));
+    let load = fields.text().and_then(|report| glenfall_balancer_settings::parse_load_report(report, ':'));
     Ok(Outcome { request, attempt, status, elapsed, finished, cache_status, load })
 }
 
--- a/balancer-node/src/response.rs
+++ b/balancer-node/src/response.rs
@@ -101,5 +101,5 @@
 
 fn load_of(headers: &HeaderMap) -> Option<Load> {
     let report = headers.get(LOAD)?.to_str().ok()?;
-    glenfall_balancer_settings::load(report, '=')
+    glenfall_balancer_settings::parse_load_report(report, '=')
 }
--- a/balancer-settings/src/lib.rs
+++ b/balancer-settings/src/lib.rs
@@ -7,6 +7,6 @@
 mod settings;
 
 pub use fields::ParseError;
-pub use load_report::load;
+pub use load_report::parse_load_report;
 pub use names::Names;
 pub use settings::parse;
--- a/balancer-settings/src/load_report.rs
+++ b/balancer-settings/src/load_report.rs
@@ -5,7 +5,7 @@
 /// Reads a load report: pairs of a name and a number, set apart by commas. `separator` stands between a name
 /// and its number. `None` where a figure is missing or makes no sense: a report that cannot be read must not
 /// be mistaken for an idle server.
-pub fn load(report: &str, separator: char) -> Option<Load> {
+pub fn parse_load_report(report: &str, separator: char) -> Option<Load> {
     Some(Load {
         in_flight: figure(report, separator, "busy_reqs")?,
         served_per_second: figure(report, separator, "served_ps")?,
--- a/balancer/src/balancer/mod.rs
+++ b/balancer/src/balancer/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::cached_keys::CachedKeys;
 use crate::connections::ConnectionTracker;
-use crate::interface::*;
+use crate::interface::{Action, Event, RequestId, Seconds, TimerToken};
 use crate::jitter::Jitter;
 use crate::key_popularity::KeyPopularity;
 use crate::latency::FleetLatency;
@@ -30,7 +30,7 @@
 use crate::roster_subscription::{call_distribution_time, RosterSubscription};
 use crate::send_rules::SendRules;
 use crate::server_pool::ServerPool;
-use crate::settings::*;
+use crate::settings::{Settings, SettingsError};
 use crate::smoothing::RECENT_PERIOD;
 use crate::tenant_quota::TenantQuotas;
 
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions of a proxy that spreads keys over cache servers before a slow origin.
+//! Decisions of a proxy that spreads keys over cache servers in front of a slow origin.
 //!
-//! The crate holds a sans-IO state machine. A host feeds a [`Balancer`] with [`Event`]s and carries out the
-//! [`Action`]s that it answers. It has no clock, no threads and no I/O; the same events give the same
+//! The crate is a sans-I/O state machine. A host feeds a [`Balancer`] with [`Event`]s and carries out the
+//! [`Action`]s that it returns. The crate has no clock, no threads and no I/O; the same events give the same
 //! actions.
 //!
 //! ```
@@ -84,10 +84,29 @@
 //! # }
 //! ```
 //!
-//! The node's state machine is in `balancer/src/balancer/`, each decision's state in a module named after it.
-//! The edge's choice of a shield is in `balancer/src/shields.rs`, the slot array that both use in
-//! `balancer/src/rjch.rs`, the settings in `balancer/src/settings.rs`, and the node's other types in
-//! `balancer/src/interface.rs`.
+//! # Where to find a decision
+//!
+//! | question | module |
+//! | --- | --- |
+//! | In which order are events handled, and what is done at each housekeeping? | `balancer/mod.rs` |
+//! | Is a request sent, queued, refused or failed? | `balancer/admission.rs` |
+//! | Which server does it go to? | `balancer/placement.rs`, over the slot array in `rjch.rs` |
+//! | May it be sent once more, and where? | `send_rules.rs`, `request.rs`, `retry_budget.rs` |
+//! | When is a read hedged? | `balancer/hedging.rs` |
+//! | What does the end of an attempt show, and what follows? | `balancer/observation.rs`, `balancer/outcomes.rs` |
+//! | How many attempts may be in flight to a server? | `concurrency_limit.rs`, `server.rs` |
+//! | When is a server ejected? | `outlier_ejection.rs` |
+//! | Which keys does an overloaded server pass on? | `key_share.rs` |
+//! | How much may be sent to a server that has just started? | `slow_start.rs` |
+//! | Which requests are over their tenant's quota? | `tenant_quota.rs` |
+//! | How many fetches may reach the origin? | `origin_fetches.rs` |
+//! | Over how many servers is a hot key distributed? | `key_popularity.rs` |
+//! | When are idle connections closed? | `connections.rs`, `balancer/membership.rs` |
+//! | When is the list of servers requested? | `roster_subscription.rs`, `balancer/membership.rs` |
+//! | What do nodes notify each other of? | `peer_message.rs` |
+//! | Which shield answers an edge's read? | `shields.rs` |
+//!
+//! Settings are in `settings.rs`, events and actions in `interface.rs`.
 
 mod balancer;
 mod cached_keys;
--- a/balancer/src/server.rs
+++ b/balancer/src/server.rs
@@ -7,7 +7,7 @@
 use crate::node_config::NodeConfig;
 use crate::outlier_ejection::ServerHealth;
 use crate::settings::CacheMode;
-use crate::slow_start::{warmth, SlowStartAllowance};
+use crate::slow_start::{warmed_up_share, SlowStartAllowance};
 use crate::smoothing::MovingAverage;
 
 /// Requests that all nodes together may always have in flight at one server: a few for each core.
@@ -122,7 +122,7 @@
         let duration = config.slow_start_duration();
         let guarantees = &config.settings().guarantees;
         self.usable_capacity = if self.is_placeable() {
-            self.capacity * warmth(self.entry.started, now, duration, guarantees)
+            self.capacity * warmed_up_share(self.entry.started, now, duration, guarantees)
         } else {
             0.0
         };
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -36,7 +36,12 @@
 
 /// The share of its capacity that a server which started at `started` can be trusted with at `now`. It grows
 /// evenly over `duration`.
-pub fn warmth(started: Option<Seconds>, now: Seconds, duration: Seconds, guarantees: &Guarantees) -> f64 {
+pub fn warmed_up_share(
+    started: Option<Seconds>,
+    now: Seconds,
+    duration: Seconds,
+    guarantees: &Guarantees,
+) -> f64 {
     let started = started.unwrap_or(f64::NEG_INFINITY);
     let left = (1.0 - (now - started) / duration).clamp(0.0, 1.0);
     1.0 - (1.0 - guarantees.initial_capacity_share) * left
