--- a/glenfall/tests/added_routes.rs
+++ b/glenfall/tests/added_routes.rs
@@ -116,7 +116,7 @@
             routes.join(",")
         );
         system.configure("patch", n, &document);
-        let in_force = format!("in force rev={}", n + 1);
+        let in_force = format!("configuration applied rev={}", n + 1);
         await_that("the edge knows it", || {
             std::fs::read_to_string(system.log(EDGE)).unwrap().contains(&in_force)
         });
