--- a/glenfall/src/control/mod.rs
+++ b/glenfall/src/control/mod.rs
@@ -37,7 +37,7 @@
 mod local_members;
 mod node;
 mod peer_events;
-mod peers;
+pub mod peers;
 mod purge_coordinator;
 mod purge_durability;
 pub mod purge_log;
--- a/glenfall/src/control/peers/links.rs
+++ b/glenfall/src/control/peers/links.rs
@@ -76,7 +76,7 @@
         self.local
     }
 
-    /// Adds a peer. Returns false if it is known, is this node, or there are [`MAX_PEERS`].
+    /// Adds a peer. Returns false if it is known, is this node, or there are `MAX_PEERS`.
     pub fn add(&self, peer: Ipv4Addr) -> bool {
         let mut links = self.links.borrow_mut();
         if peer == self.local.ip || links.contains_key(&peer) || links.len() >= MAX_PEERS {
--- a/glenfall/src/control/peers/members.rs
+++ b/glenfall/src/control/peers/members.rs
@@ -28,7 +28,7 @@
 
 /// The members whose sessions are at peers.
 ///
-/// It owns the last report of each peer. A report outlives the connection to its peer by [`DISCONNECTED_RETENTION`].
+/// It owns the last report of each peer. A report outlives the connection to its peer by `DISCONNECTED_RETENTION`.
 #[derive(Default)]
 pub struct PeerMembers {
     by_peer: RefCell<BTreeMap<Ipv4Addr, ReportedMembers>>,
--- a/glenfall/tests/unit/main.rs
+++ b/glenfall/tests/unit/main.rs
@@ -1,6 +1,5 @@
 //! The parts of the crate, each by its own interface, without processes.
 
-mod heartbeat_relay;
 mod support;
 
 mod agent;
@@ -19,11 +18,13 @@
 mod gone;
 mod handed;
 mod headers;
+mod heartbeat_relay;
 mod http_server;
 mod latency;
 mod memory_budget;
 mod ops;
 mod origins;
+mod peer_requests;
 mod pool;
 mod proxies;
 mod purge_log;
