--- a/glenfall/tests/system.rs
+++ b/glenfall/tests/system.rs
@@ -350,7 +350,8 @@
             .is_some_and(|status| status["view"]["chain"].as_array().map(Vec::len) == Some(2))
     });
     path.change("patch", 1, r#"{"rev": 2, "upsert": {"backends": [{"name": "u"}]}}"#);
-    let known = || std::fs::read_to_string(path.system.log(EDGE)).unwrap().contains("configuration applied rev=2");
+    let known =
+        || std::fs::read_to_string(path.system.log(EDGE)).unwrap().contains("configuration applied rev=2");
     await_that("the edge knows it", known);
     for n in 0..12 {
         let (status, head, _) = path.ask(&format!("GET /r/{n}")).expect("an answer");
