--- a/glenfall/src/lib.rs
+++ b/glenfall/src/lib.rs
@@ -15,7 +15,6 @@
 mod roles;
 pub mod runtime;
 pub mod session;
-#[allow(missing_docs)]
 pub mod settings;
 pub mod shield;
 mod signals;
--- /dev/null
+++ b/glenfall/src/settings/derived.rs
@@ -0,0 +1,60 @@
+//! The settings of the parts of a process, as they follow from the settings file.
+
+use std::time::Duration;
+
+use glenfall_control_plane::chain::ChainSettings;
+use glenfall_control_plane::rate_limit::RateLimitSettings;
+use glenfall_control_plane::retry_budget::RetryBudgetSettings;
+use glenfall_control_plane::Millis;
+
+use super::error::SettingsError;
+use super::model::Settings;
+
+/// Part of the grace period that the end of a process itself takes, in seconds.
+const SHUTDOWN_S: f64 = 0.7;
+/// The shortest grace period that processes keep to, in seconds.
+const MIN_GRACE_S: f64 = 0.3;
+const BYTES_PER_MIB: f64 = (1 << 20) as f64;
+const MS_PER_S: f64 = 1000.0;
+
+impl Settings {
+    /// The settings of the chain.
+    ///
+    /// # Errors
+    ///
+    /// When the chain can't tolerate the promised losses in the time that it has.
+    pub fn chain_settings(&self) -> Result<ChainSettings, SettingsError> {
+        let (hosts, sync_s) = (self.survive.hosts, self.timing.sync_s);
+        let settings =
+            ChainSettings { losses: hosts, eligible: self.voter, sync: (sync_s * MS_PER_S) as Millis };
+        settings.check().map_err(|why| SettingsError::Promise { hosts, sync_s, why })?;
+        Ok(settings)
+    }
+
+    /// The retries that all machines together may send.
+    pub fn retry_budget(&self) -> RetryBudgetSettings {
+        RetryBudgetSettings {
+            ratio: self.timing.retry_ratio,
+            window: (self.timing.retry_window_s * MS_PER_S) as Millis,
+            slack: self.timing.retry_slack,
+        }
+    }
+
+    /// The requests that all machines together may send to a service that states a rate.
+    pub fn rate_limit(&self) -> RateLimitSettings {
+        RateLimitSettings {
+            window: (self.timing.ceiling_window_s * MS_PER_S) as Millis,
+            over: self.timing.ceiling_over,
+        }
+    }
+
+    /// Bytes of a share of the memory that a process may use.
+    pub fn memory_share(&self, share: f64) -> usize {
+        (self.req_limits.mem_mb as f64 * share * BYTES_PER_MIB) as usize
+    }
+
+    /// How long a process may go on after SIGTERM before it is killed, less what its end takes.
+    pub fn grace(&self) -> Duration {
+        Duration::from_secs_f64((self.timing.grace_s - SHUTDOWN_S).max(MIN_GRACE_S))
+    }
+}
--- /dev/null
+++ b/glenfall/src/settings/error.rs
@@ -0,0 +1,118 @@
+//! Why settings can't be used. Each text is one line.
+
+use std::fmt;
+
+use glenfall_control_plane::chain::SyncTooShort;
+
+use super::bounds::{MAX_LOSSES, MAX_TIMING_VALUE};
+use super::model::VARIABLE;
+use super::port_range::PortRange;
+
+/// Why the settings of this process can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum SettingsError {
+    /// The environment names no file.
+    #[error("{VARIABLE} is not set: the path of the settings file expected")]
+    NoPath,
+    /// The file can't be read.
+    #[error("{path}: {what}")]
+    Unreadable {
+        /// Path of the file.
+        path: String,
+        /// What the file system reports.
+        what: std::io::Error,
+    },
+    /// The content of the file is invalid.
+    #[error("{path}: {what}")]
+    Invalid {
+        /// Path of the file.
+        path: String,
+        /// What is wrong with its content.
+        what: InvalidSettings,
+    },
+    /// A listener that the role needs is not set.
+    #[error("{path}: listeners.{name}: missing")]
+    MissingListener {
+        /// Path of the file.
+        path: String,
+        /// Name of the listener in the file.
+        name: &'static str,
+    },
+    /// The promised losses can't be tolerated in the time that is set for catching up.
+    #[error("survive.hosts {hosts} with timing.syncS {sync_s}: {why}")]
+    Promise {
+        /// Machines that may be lost at once.
+        hosts: usize,
+        /// Time for catching up, in seconds.
+        sync_s: f64,
+        /// How much time would be needed.
+        why: SyncTooShort,
+    },
+}
+
+/// Why a text does not hold valid settings.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum InvalidSettings {
+    /// The text is no TOML, or a field is missing or has a wrong type.
+    #[error("{}{message}", .position.map(|position| format!("{position}: ")).unwrap_or_default())]
+    Syntax {
+        /// Where the error is, if that is known.
+        position: Option<Position>,
+        /// What the parser reports.
+        message: String,
+    },
+    /// The range has too few ports.
+    #[error("portRange: {expected} ports expected, got {got}")]
+    PortRange {
+        /// Ports that are needed.
+        expected: u16,
+        /// The range in the settings.
+        got: PortRange,
+    },
+    /// No seed is named.
+    #[error("seedNodes: one address at least expected, got none")]
+    NoSeedNodes,
+    /// More losses are promised than any number of voters tolerates.
+    #[error("survive.hosts: {MAX_LOSSES} at most expected, got {0}")]
+    TooManyLosses(usize),
+    /// A value of `timing` is out of its bounds.
+    #[error("timing.{name}: a number from 0 to {MAX_TIMING_VALUE} expected, got {value}")]
+    Timing {
+        /// Name of the value in the file.
+        name: &'static str,
+        /// The value.
+        value: f64,
+    },
+}
+
+impl InvalidSettings {
+    /// The error of the parser, with its position in the text.
+    pub(super) fn syntax(text: &str, error: &toml::de::Error) -> Self {
+        InvalidSettings::Syntax {
+            position: error.span().map(|span| Position::of(text, span.start)),
+            message: error.message().replace('\n', " "),
+        }
+    }
+}
+
+/// A position in a text; lines and columns count from 1, columns in bytes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Position {
+    line: usize,
+    column: usize,
+}
+
+impl Position {
+    fn of(text: &str, offset: usize) -> Self {
+        let before = &text[..offset.min(text.len())];
+        let line = before.matches('\n').count() + 1;
+        let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
+        Position { line, column: before.len() - line_start + 1 }
+    }
+}
+
+impl fmt::Display for Position {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write!(f, "line {}, column {}", self.line, self.column)
+    }
+}
--- a/glenfall/src/signals.rs
+++ b/glenfall/src/signals.rs
@@ -1,34 +1,36 @@
-//! Signals that a process takes.
+//! The signals that a process handles.
 
-use tokio::signal::unix::{signal, SignalKind};
+use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Takes SIGHUP for as long as the process runs: it may come before the settings are read, and would end it.
+/// Ignores SIGHUP for as long as the process runs: it may come before the settings are read, and would end the process.
 pub fn survive_hangup() {
-    // Once there was a receiver, the signal no longer has its default effect, also after the receiver is dropped.
+    // Once a receiver was installed, the signal has no default effect any more, also after the receiver is dropped.
     if let Err(error) = signal(SignalKind::hangup()) {
-        tracing::warn!(%error, "a hangup would end this process");
+        tracing::warn!(%error, "SIGHUP handler not installed: SIGHUP will end this process");
     }
 }
 
-/// Ends with SIGTERM or SIGINT.
+/// Resolves when SIGTERM or SIGINT is received.
 pub async fn terminated() {
     let (Ok(mut terminate), Ok(mut interrupt)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
         return std::future::pending().await;
     };
-    // Settings are read anew where they are used; the signal itself must not end the process.
-    let mut hangup = signal(SignalKind::hangup()).ok();
-    loop {
-        tokio::select! {
-            _ = terminate.recv() => return,
-            _ = interrupt.recv() => return,
-            _ = async {
-                match &mut hangup {
-                    Some(hangup) => hangup.recv().await,
-                    None => std::future::pending().await,
-                }
-            } => tracing::info!("settings may have changed"),
+    let hangup = signal(SignalKind::hangup()).ok();
+    tokio::select! {
+        _ = terminate.recv() => {}
+        _ = interrupt.recv() => {}
+        () = log_hangups(hangup) => {}
+    }
+}
+
+/// Logs each SIGHUP, and never ends. Settings are read again where they are used, so that nothing else has to be done.
+async fn log_hangups(hangup: Option<Signal>) {
+    if let Some(mut hangup) = hangup {
+        while hangup.recv().await.is_some() {
+            tracing::info!("SIGHUP received: settings may have changed");
         }
     }
+    std::future::pending().await
 }
--- a/glenfall/tests/unit/boot.rs
+++ b/glenfall/tests/unit/settings.rs
@@ -1,6 +1,6 @@
 //! The settings file.
 
-use glenfall::settings::Settings;
+use glenfall::settings::{PortRange, Settings};
 
 const TEXT: &str = r#"
 node = "edge-1"
@@ -15,14 +15,14 @@
 
 #[test]
 fn unknown_fields_are_ignored_and_defaults_are_stated() {
-    let boot = Settings::parse(TEXT).unwrap();
-    assert_eq!((boot.beat_ms, boot.bootstrap, boot.watch_address().port()), (1500, false, 7722));
-    assert_eq!(boot.link_address([127, 0, 0, 9].into()).to_string(), "127.0.0.9:7720");
+    let settings = Settings::parse(TEXT).unwrap();
+    assert_eq!((settings.beat_ms, settings.bootstrap, settings.watch_address().port()), (1500, false, 7722));
+    assert_eq!(settings.link_address([127, 0, 0, 9].into()).to_string(), "127.0.0.9:7720");
 }
 
 #[test]
 fn losses_that_can_not_be_outlived_in_time_are_refused_by_control_and_by_check() {
-    let file = std::env::temp_dir().join(format!("glenfall-boot-{}.toml", std::process::id()));
+    let file = std::env::temp_dir().join(format!("glenfall-settings-{}.toml", std::process::id()));
     let promised = |hosts: usize, sync_s: f64| {
         let promise = format!("[survive]\nhosts = {hosts}\n[timing]\nsyncS = {sync_s}\n[listeners]");
         let text = TEXT.replace("[listeners]", &promise);
@@ -55,7 +55,7 @@
         ("[listeners]", "[timing]\nretrySlack = -1\n[listeners]", "timing.retrySlack: a number"),
         ("zone = \"z\"", "zone = \"z", "line 3"),
     ] {
-        let why = Settings::parse(&TEXT.replace(from, to)).expect_err(from);
+        let why = Settings::parse(&TEXT.replace(from, to)).expect_err(from).to_string();
         assert!(why.contains(told) && !why.contains('\n'), "{from}: {why}");
     }
 }
@@ -63,29 +63,33 @@
 #[test]
 fn each_setting_of_version_0_3_0_is_read() {
     let text = include_str!("../fixtures/v0.3.0/settings.toml");
-    let boot = Settings::parse(text).expect("settings");
+    let settings = Settings::parse(text).expect("settings");
     assert_eq!(
-        (boot.node.as_str(), boot.zone.as_str(), boot.bind_ip.to_string().as_str()),
+        (settings.node.as_str(), settings.zone.as_str(), settings.bind_ip.to_string().as_str()),
         ("core-1", "north", "127.0.0.2")
     );
     assert_eq!(
-        boot.seed_nodes,
+        settings.seed_nodes,
         ["127.0.0.3:80", "127.0.0.4:80"].map(|seed| seed.parse().expect("an address"))
     );
-    assert_eq!((boot.port_range, boot.bootstrap, boot.beat_ms, boot.voter), ((7720, 7735), true, 1250, true));
-    assert_eq!(boot.state_dir.as_deref(), Some(std::path::Path::new("/var/lib/glenfall")));
-    assert_eq!(boot.watch_address().to_string(), "127.0.0.5:7722");
-    assert_eq!(boot.listen_address(boot.shield_address()).to_string(), "127.0.0.6:7721");
-    assert_eq!(boot.survive.hosts, 2);
-    let listeners = [boot.listeners.http, boot.listeners.ready_addr, boot.listeners.control_addr];
+    let ports = PortRange { first: 7720, last: 7735 };
+    assert_eq!(
+        (settings.port_range, settings.bootstrap, settings.beat_ms, settings.voter),
+        (ports, true, 1250, true)
+    );
+    assert_eq!(settings.state_dir.as_deref(), Some(std::path::Path::new("/var/lib/glenfall")));
+    assert_eq!(settings.watch_address().to_string(), "127.0.0.5:7722");
+    assert_eq!(settings.listen_address(settings.shield_address()).to_string(), "127.0.0.6:7721");
+    assert_eq!(settings.survive.hosts, 2);
+    let listeners = [settings.listeners.http, settings.listeners.ready_addr, settings.listeners.control_addr];
     let expected = [81, 82, 83].map(|port| Some(format!("127.0.0.2:{port}")));
     assert_eq!(listeners.map(|address| address.map(|address| address.to_string())), expected);
-    let limits = &boot.req_limits;
+    let limits = &settings.req_limits;
     assert_eq!((limits.mem_mb, limits.max_fds, limits.disk_mb), (300, 2000, 400));
-    assert_eq!((boot.timing.grace_s, boot.timing.sync_s), (7.5, 6.0));
-    let retries = boot.retry_budget();
+    assert_eq!((settings.timing.grace_s, settings.timing.sync_s), (7.5, 6.0));
+    let retries = settings.retry_budget();
     assert_eq!((retries.ratio, retries.window, retries.slack), (0.3, 12_000, 70.0));
-    let rate = boot.rate_limit();
+    let rate = settings.rate_limit();
     assert_eq!((rate.window, rate.over), (8000, 1.2));
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/v0.3.0/settings.toml");
     let checked = glenfall::operator::commands::check(std::path::Path::new(file));
