--- a/control-plane-sim/src/world/workload.rs
+++ b/control-plane-sim/src/world/workload.rs
@@ -46,12 +46,12 @@
         let machine = self.machine(number);
         let Some(newest) = machine.sessions.due_read(now) else { return };
         let Some(chain) = &machine.chain else { return };
-        let than = chain.committed().seq;
+        let known_seq = chain.committed().seq;
         machine.sessions.read_began(now, newest);
         if self.injected_bug == Some(InjectedBug::UnprovenSession) {
             return self.serve_sessions(number, newest, &Outcome::Unchanged);
         }
-        self.send_call(number, Call::ReadNewer { than }, CallPurpose::Sessions { newest });
+        self.send_call(number, Call::ReadNewer { known_seq }, CallPurpose::Sessions { newest });
     }
 
     // ---- Changes ----
--- a/control-plane/src/chain/ballot.rs
+++ b/control-plane/src/chain/ballot.rs
@@ -1,7 +1,10 @@
-//! Ballots, and the acceptor's promises on them (Paxos, phase 1).
+//! Ballots, and the acceptor's promises on them (phase 1 of *Paxos Made Simple*, 2.2).
 //!
-//! A ballot is a counter in the upper half and its proposer's address in the lower, so that no two nodes propose the
-//! same one.
+//! A ballot has a round number in its upper half and the proposer's address in its lower half, so that no two nodes propose
+//! under the same ballot.
+//!
+//! Invariants of an acceptor: the promised ballot never falls, and it is durable before the promise is sent. After a promise
+//! the acceptor takes no part in a view with a lower ballot.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -11,29 +14,30 @@
 use crate::ids::NodeId;
 use crate::Millis;
 
-/// Bits of the proposer's address.
+/// Bits of the proposer's address in a ballot.
 const PROPOSER_BITS: u32 = 32;
-/// Ballots and log indexes are below this: ballots rise by 2^32 a view and indexes by 1, so that no system ever comes
-/// near it. A number beyond it is malformed, and would leave no ballot above it to propose.
+/// Bound of ballots and log indexes. A ballot rises by 2^32 with each view and an index by 1, so that no system reaches the
+/// bound. A number above it is malformed: it would leave no higher ballot to propose under.
 const NUMBER_LIMIT: u64 = 1 << 62;
 
-/// Whether a ballot or log index is one that a node of this system sends.
+/// Whether a ballot or log index is in the range that nodes of this system send.
 pub(super) fn is_valid(number: u64) -> bool {
     number < NUMBER_LIMIT
 }
 
-/// The lowest ballot of a proposer above the highest that it has seen.
+/// The lowest ballot of a proposer above the highest one that it knows.
 pub(super) fn next(highest: u64, proposer: NodeId) -> u64 {
     let round = (highest >> PROPOSER_BITS) + 1;
     (round << PROPOSER_BITS) | u64::from(u32::from(proposer))
 }
 
-/// A ballot for people: the round, and the proposer's address.
+/// A readable name of a ballot: its round number and its proposer's address.
 pub(super) fn name(ballot: u64) -> String {
     format!("{}.{}", ballot >> PROPOSER_BITS, Ipv4Addr::from(ballot as u32))
 }
 
-/// Another proposer that this node waits for.
+/// Another proposer, whose proposal this node lets finish before it proposes itself. Two proposers that interrupt each
+/// other would make no progress (*Paxos Made Simple*, 2.4).
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Deference {
     pub(super) proposer: NodeId,
@@ -41,7 +45,10 @@
 }
 
 impl Chain {
-    /// The acceptor's part of phase 1: promises to take no part in views below the ballot, durably, or refuses.
+    /// The acceptor's part of phase 1: it promises the ballot, or sends a nack where it has promised a higher one.
+    ///
+    /// A node without a vote may have forgotten promises. It answers without an accepted record, which lets it join the
+    /// chain but does not count for a quorum.
     pub(super) fn handle_prepare(&mut self, from: NodeId, ballot: u64) {
         self.note_ballot(ballot);
         if from != self.me {
@@ -55,7 +62,7 @@
             return self.send_nack(from);
         }
         self.hard_state.promised = ballot;
-        // The promise fences all older views.
+        // The promise fences all views with lower ballots.
         self.break_view();
         self.in_flight = None;
         let promise = Message::Promise {
@@ -67,7 +74,8 @@
         self.persist(vec![Output::Send(from, promise)]);
     }
 
-    /// A peer has promised a higher ballot: what was begun under a lower one is over.
+    /// A peer has promised a higher ballot. The active view cannot go on if the peer is in its chain, and a proposal under
+    /// a lower ballot cannot succeed.
     pub(super) fn handle_nack(&mut self, from: NodeId, promised: u64) {
         self.note_ballot(promised);
         let fenced = self.installed.as_ref().is_some_and(|installed| {
@@ -81,12 +89,12 @@
         }
     }
 
-    /// Tells a peer of the higher ballot that this node has promised.
+    /// Sends a peer the higher ballot that this node has promised.
     pub(super) fn send_nack(&mut self, to: NodeId) {
         self.send(to, Message::Nack { promised: self.hard_state.promised });
     }
 
-    /// Remembers a ballot, so that the next proposal is above it.
+    /// Records a ballot, so that this node's next proposal has a higher one.
     pub(super) fn note_ballot(&mut self, ballot: u64) {
         self.highest_ballot = self.highest_ballot.max(ballot);
     }
--- a/control-plane/src/chain/client_calls.rs
+++ b/control-plane/src/chain/client_calls.rs
@@ -1,5 +1,5 @@
-//! Client calls: each waits at the node that it went in at, is forwarded to the head of every new view, and is answered
-//! once or given up.
+//! Client calls: each is pending at the node that received it, is forwarded to the head of every new view, and is answered
+//! exactly once, with [`Outcome::Unavailable`] at the latest when it times out.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::record::{Decision, Record};
 use crate::Millis;
 
-/// A client's call.
+/// A client's call. The order of the variants is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Call {
     /// Changes the configuration.
@@ -25,155 +25,157 @@
     },
     /// Reads the newest committed record.
     Read,
-    /// The same, where its index is higher.
+    /// Reads the newest committed record if its log index is higher than the one that the caller has.
     ReadNewer {
-        /// The index that the caller knows.
-        than: u64,
+        /// Log index of the caller's record.
+        known_seq: u64,
     },
 }
 
-/// The result of a call.
+/// The result of a call. The order of the variants is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The change is in force, now or from an earlier call.
+    /// The change is committed, by this call or by an earlier call with the same order.
     Done {
-        /// The version that it made.
+        /// The version that the change made.
         rev: u64,
     },
-    /// Another version is current.
+    /// The change builds on a version that is not the current one.
     Conflict {
-        /// That version.
+        /// The current version.
         current: u64,
     },
-    /// The change does not give a valid configuration.
+    /// The change does not make a valid configuration.
     Invalid(InvalidConfig),
-    /// The order may be one that was applied too long ago for its key to be known: no clear answer, of any node.
+    /// The order may have been applied so long ago that its key was evicted: no node can tell whether it was.
     Forgotten {
         /// Highest version whose key may have been evicted.
         up_to: u64,
-        /// The current version, which tells the caller whether its order can still have any effect.
+        /// The current version, from which the caller knows whether its order can still be applied.
         current: u64,
     },
     /// The newest committed record.
     Document(Arc<Record>),
-    /// Nothing newer than what the caller knows is committed.
+    /// No newer record than the caller's is committed.
     Unchanged,
-    /// No clear answer: try again elsewhere.
+    /// The outcome is unknown: the caller has to retry, at another node if possible.
     Unavailable,
 }
 
-/// A call that waits for its answer at this node.
+/// A call that this node received and has not answered yet.
 #[derive(Clone, Debug)]
-pub(super) struct WaitingCall {
-    what: Call,
-    until: Millis,
-    /// The ballot of the view to whose head it was forwarded last.
+pub(super) struct PendingCall {
+    call: Call,
+    expires_at: Millis,
+    /// Ballot of the last view to whose head the call was forwarded.
     forwarded_in: Option<u64>,
 }
 
-/// A change that waits at the head for those before it.
+/// A change that waits at the head until the changes before it are committed.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedChange {
     origin: NodeId,
-    call: CallId,
+    id: CallId,
     builds_on: u64,
     change: ConfigChange,
 }
 
 impl Chain {
-    /// Takes a call under a number of its own in this incarnation.
-    pub(super) fn accept_call(&mut self, number: u64, what: Call) {
+    /// Accepts a call from a client. `number` is unique in this incarnation.
+    pub(super) fn accept_call(&mut self, number: u64, call: Call) {
         if self.calls.len() >= MAX_CALLS {
             self.outputs.push(Output::Answer(number, Outcome::Unavailable));
             return;
         }
-        let until = self.now + CALL_TIMEOUT;
-        self.calls.insert(number, WaitingCall { what, until, forwarded_in: None });
+        let expires_at = self.now + CALL_TIMEOUT;
+        self.calls.insert(number, PendingCall { call, expires_at, forwarded_in: None });
         self.dispatch_calls();
     }
 
-    /// Gives up the calls whose time is over.
+    /// Answers the calls that have timed out.
     pub(super) fn expire_calls(&mut self) {
         let now = self.now;
-        let expired = self.calls.extract_if(.., |_, call| now >= call.until);
+        let expired = self.calls.extract_if(.., |_, call| now >= call.expires_at);
         let answers = expired.map(|(number, _)| Output::Answer(number, Outcome::Unavailable));
         self.outputs.extend(answers);
     }
 
-    /// Forwards waiting calls to the head of the newest view, each once a view.
+    /// Forwards pending calls to the head of the newest view, each call once for each view.
     pub(super) fn dispatch_calls(&mut self) {
         let Some(view) = &self.known_view else { return };
         let Some(head) = view.head() else { return };
         let ballot = view.number;
         let mut due = Vec::new();
-        for (number, call) in &mut self.calls {
-            if call.forwarded_in.is_none_or(|last| last < ballot) {
-                call.forwarded_in = Some(ballot);
-                due.push((*number, call.what.clone()));
+        for (number, pending) in &mut self.calls {
+            if pending.forwarded_in.is_none_or(|last| last < ballot) {
+                pending.forwarded_in = Some(ballot);
+                let id = CallId { incarnation: self.incarnation, number: *number };
+                due.push(Message::Forward { id, call: pending.call.clone() });
             }
         }
-        for (number, what) in due {
-            let call = CallId { incarnation: self.incarnation, number };
-            self.send(head, Message::Forward { call, what });
+        for forward in due {
+            self.send(head, forward);
         }
     }
 
-    /// The result of a call that waits here.
-    pub(super) fn handle_answer(&mut self, call: CallId, outcome: Outcome) {
-        // A head that could not tell leaves the call to the next view, or to its end.
+    /// Answers a pending call with the outcome that the head or the tail has sent.
+    pub(super) fn handle_answer(&mut self, id: CallId, outcome: Outcome) {
+        // Without an outcome the call stays pending for the next view, or until it times out.
         if outcome == Outcome::Unavailable {
             return;
         }
-        // The last process here may have asked under the same number.
-        if call.incarnation != self.incarnation || self.calls.remove(&call.number).is_none() {
+        // An earlier process at this address may have sent a call with the same number.
+        if id.incarnation != self.incarnation || self.calls.remove(&id.number).is_none() {
             return;
         }
-        // A node that the record has not reached yet knows it from now on.
+        // The record may not have reached this node by replication yet.
         if let Outcome::Document(record) = &outcome {
             if record.seq > self.committed.seq {
                 self.publish(Arc::clone(record));
             }
         }
-        self.outputs.push(Output::Answer(call.number, outcome));
+        self.outputs.push(Output::Answer(id.number, outcome));
     }
 
-    /// The ballot of the active view, if this node is its head.
+    /// The ballot of the active view, if this node is its head and no later promise has fenced the view.
     fn ballot_as_head(&self) -> Option<u64> {
         let view = &self.active_view()?.view;
         let is_head = view.head() == Some(self.me) && self.hard_state.promised == view.number;
         is_head.then_some(view.number)
     }
 
-    /// A call at the head.
-    pub(super) fn handle_forward(&mut self, origin: NodeId, call: CallId, what: Call) {
+    /// Handles a call at the head.
+    pub(super) fn handle_forward(&mut self, origin: NodeId, id: CallId, call: Call) {
         let Some(ballot) = self.ballot_as_head() else { return };
-        match what {
-            Call::Read => self.handle_confirm(ballot, origin, call, Claim::Committed { than: None }),
-            Call::ReadNewer { than } => {
-                self.handle_confirm(ballot, origin, call, Claim::Committed { than: Some(than) });
+        match call {
+            Call::Read => self.handle_confirm(ballot, origin, id, Claim::Committed { newer_than: None }),
+            Call::ReadNewer { known_seq } => {
+                let claim = Claim::Committed { newer_than: Some(known_seq) };
+                self.handle_confirm(ballot, origin, id, claim);
             }
             Call::Change { builds_on, change } => {
                 if self.head_queue.len() < MAX_CALLS {
-                    self.head_queue.push_back(QueuedChange { origin, call, builds_on, change });
+                    self.head_queue.push_back(QueuedChange { origin, id, builds_on, change });
                     self.begin_next_change();
                 }
             }
         }
     }
 
-    /// The head begins with the next change, one at a time: what it builds on is then committed.
+    /// The head begins with the next queued change. Changes are replicated one at a time, so that the version that a change
+    /// builds on is committed when the change is decided.
     pub(super) fn begin_next_change(&mut self) {
         while let Some(ballot) = self.ballot_as_head() {
             if self.in_flight.is_some() || !self.tolerates_losses() {
                 break;
             }
             let Some(next) = self.head_queue.pop_front() else { return };
-            let QueuedChange { origin, call, builds_on, change } = next;
+            let QueuedChange { origin, id, builds_on, change } = next;
             let decision = self.hard_state.record.decide(builds_on, &change);
             let outcome = match decision {
                 Decision::New(entry) => {
                     let (seq, rev) = (entry.seq, entry.order.rev);
-                    self.in_flight = Some(InFlight { origin, call, seq, rev, since: self.now });
+                    self.in_flight = Some(InFlight { origin, id, seq, rev, sent_at: self.now });
                     self.accept(&Arc::new(entry));
                     return;
                 }
@@ -184,11 +186,12 @@
                 Decision::Stale { current } => Outcome::Conflict { current },
                 Decision::Invalid(invalid) => Outcome::Invalid(invalid),
             };
-            // A refusal tells of the newest version as well, and a newer view may have gone on from here.
-            self.handle_confirm(ballot, origin, call, Claim::Found(outcome));
+            // The decision depends on the newest version, and this view may have been replaced by a newer one: the chain
+            // has to confirm it first.
+            self.handle_confirm(ballot, origin, id, Claim::Decided(outcome));
         }
         if self.ballot_as_head().is_none() {
-            // Their callers send them to the next head.
+            // The nodes that received the calls forward them to the next head.
             self.head_queue.clear();
         }
     }
--- a/control-plane/src/chain/message.rs
+++ b/control-plane/src/chain/message.rs
@@ -1,6 +1,6 @@
-//! What control nodes send each other, and what the caller of the chain has to carry out.
+//! Messages of the chain between control nodes, and the outputs that the caller has to carry out.
 //!
-//! The order of the variants is part of the wire format.
+//! The order of variants and fields is part of the wire format; their names are not.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,50 +14,50 @@
 use crate::ids::{CallId, NodeId};
 use crate::record::Record;
 
-/// The longest chain: all voters of two sets.
+/// Bound of the members of a chain: all voters of two sets.
 const MAX_CHAIN: usize = 2 * MAX_VOTERS;
 
-/// What a node says of itself at every [`HEARTBEAT_INTERVAL`](crate::chain::HEARTBEAT_INTERVAL).
+/// State that a node reports to its peers at every [`HEARTBEAT_INTERVAL`](crate::chain::HEARTBEAT_INTERVAL).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The voters, by the newest view that it knows.
+    /// The voters, by the newest view that the node knows.
     pub members: JointConfig,
-    /// The highest ballot that it has seen.
+    /// The highest ballot that the node knows.
     pub promised: u64,
-    /// The standing and unbroken view that it is a member of.
+    /// The active view that the node is a member of.
     pub view: Option<View>,
-    /// The peers that it hears.
-    pub heard_peers: Vec<NodeId>,
-    /// It lost its disk, and may have forgotten promises.
+    /// The peers that the node receives messages from.
+    pub reachable_peers: Vec<NodeId>,
+    /// The node has lost its disk, and may have forgotten promises.
     pub wiped: bool,
-    /// It may become a voter.
+    /// The node may become a voter.
     pub eligible: bool,
-    /// It leaves, or its disk stalls: the chain goes on without it.
+    /// The node is draining, or its disk stalls: the chain continues without it.
     pub unfit: bool,
-    /// It leaves: a node that stands by takes its place, if it votes.
-    pub leaving: bool,
-    /// Index of the newest committed record that it knows.
+    /// The node is about to stop: if it is a voter, a standby replaces it.
+    pub draining: bool,
+    /// Log index of the newest committed record that the node knows.
     pub committed: u64,
 }
 
-/// A statement on the newest version, which a quorum has to confirm before it is answered: see [`Message::Confirm`].
+/// A statement on the newest version, which the chain has to confirm before it is answered: see [`Message::Confirm`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claim {
-    /// The tail answers with the committed record, if its index is higher than the one named.
+    /// The tail answers with the committed record.
     Committed {
-        /// The index that the caller knows.
-        than: Option<u64>,
+        /// The tail answers [`Outcome::Unchanged`] where the record's log index is not above this one.
+        newer_than: Option<u64>,
     },
-    /// What the head decided on a change that it does not begin with.
-    Found(Outcome),
+    /// The head's decision on a change that it does not replicate.
+    Decided(Outcome),
 }
 
-/// What control nodes send each other.
+/// Messages between control nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Liveness, and what the sender knows of the core.
+    /// Shows that the sender is alive, and reports its state.
     Heartbeat(Heartbeat),
-    /// Phase 1 of Paxos: asks for a promise.
+    /// Phase 1 of Paxos: requests a promise.
     Prepare {
         /// The proposer's ballot.
         view: u64,
@@ -66,23 +66,24 @@
     Promise {
         /// The ballot promised.
         view: u64,
-        /// The ballot of the record; `None` from a voter that may have forgotten promises: it may join, but has no vote.
+        /// The ballot under which the record was accepted; `None` from a node without a vote, which may have forgotten
+        /// promises.
         accepted: Option<u64>,
-        /// The voters by the view that the record was accepted in.
+        /// The voters by the view in which the record was accepted.
         members: JointConfig,
-        /// The newest record that the acceptor has accepted.
+        /// The newest accepted record.
         record: Arc<Record>,
     },
     /// The sender has promised a higher ballot.
     Nack {
-        /// That ballot.
+        /// The ballot that the sender has promised.
         promised: u64,
     },
-    /// Phase 2 of Paxos: the members of the new chain accept the view with its first record.
+    /// Phase 2 of Paxos: requests the members of the new chain to accept the view with its first record.
     Install {
         /// The view.
         view: View,
-        /// The record that it begins with.
+        /// The record that the view begins with.
         record: Arc<Record>,
     },
     /// The sender has made the view durable.
@@ -90,63 +91,63 @@
         /// The view's ballot.
         view: u64,
     },
-    /// All members have made the view durable (Viewstamped Replication's StartView).
+    /// All members have made the view durable (StartView in Viewstamped Replication, 4.2).
     StartView {
         /// The view.
         view: View,
     },
-    /// A change on its way down the chain, to a member that has all before it.
+    /// A change, from a member of the chain to its successor.
     Update {
         /// The view's ballot.
         view: u64,
-        /// The change.
+        /// The log entry of the change.
         entry: Arc<LogEntry>,
     },
-    /// From the tail to the chain: the change is committed.
+    /// From the tail to all members of the chain: the change is committed.
     Acked {
         /// The view's ballot.
         view: u64,
-        /// Index of the change.
+        /// Log index of the change.
         seq: u64,
     },
-    /// The newest committed record, to nodes outside the chain, without the table of orders: they only distribute the
-    /// document. A node that comes to vote has the table from [`Message::Install`].
+    /// The newest committed record, to nodes outside the chain. Its deduplication table is empty, as those nodes only
+    /// distribute the document; a node that becomes a member gets the table with [`Message::Install`].
     Committed {
         /// The record.
         record: Arc<Record>,
     },
     /// A client call, to the head.
     Forward {
-        /// Names the call at the sender.
-        call: CallId,
+        /// Identifies the call at the sender.
+        id: CallId,
         /// The call.
-        what: Call,
+        call: Call,
     },
-    /// Quorum contact for an answer (Raft's ReadIndex): it goes down the chain after the call has begun, each member
-    /// passes it on where no promise has fenced the view, and the tail answers. The chain holds a majority, and so do
-    /// the acceptors that promised a newer view: they meet in a member that had not promised yet when it passed this on.
+    /// Confirms a claim before it is answered (ReadIndex in Raft, 6.4). It goes down the chain after the call has begun.
+    /// Each member forwards it only if no promise has fenced the view, and the tail answers. The chain contains a quorum,
+    /// and so do the acceptors that promised a newer view: they have a member in common, which had not promised yet when it
+    /// forwarded this message.
     Confirm {
         /// The view's ballot.
         view: u64,
-        /// The node that the call went in at.
+        /// The node that received the call.
         origin: NodeId,
-        /// Names the call there.
-        call: CallId,
-        /// What is to be confirmed.
+        /// Identifies the call at that node.
+        id: CallId,
+        /// The claim.
         claim: Claim,
     },
-    /// The result of a call, to the node that it went in at.
+    /// The result of a call, to the node that received it.
     Answer {
-        /// Names the call there.
-        call: CallId,
+        /// Identifies the call at that node.
+        id: CallId,
         /// The result.
         outcome: Outcome,
     },
 }
 
 impl Message {
-    /// Whether a correct node sends this at all. What is malformed is ignored: a broken peer must not take the others
-    /// along.
+    /// Whether the message is well-formed. Malformed ones are ignored, so that a faulty peer does not make others fail.
     pub fn is_sound(&self) -> bool {
         match self {
             Message::Heartbeat(heartbeat) => is_sound_heartbeat(heartbeat),
@@ -170,7 +171,7 @@
     }
 }
 
-/// The table of orders is bounded where it is deserialised.
+/// The bound of the deduplication table is checked where it is deserialised.
 fn is_sound_record(record: &Record) -> bool {
     ballot::is_valid(record.seq) && record.applied_orders.newest() <= record.rev
 }
@@ -180,7 +181,7 @@
 }
 
 fn is_sound_view(view: &View) -> bool {
-    // A member that is in the chain twice would pass on to itself for ever.
+    // A member that is in the chain twice would forward messages to itself for ever.
     let distinct = view.chain.iter().collect::<BTreeSet<_>>().len() == view.chain.len();
     ballot::is_valid(view.number)
         && distinct
@@ -194,30 +195,30 @@
     ballot::is_valid(heartbeat.promised)
         && ballot::is_valid(heartbeat.committed)
         && is_sound_config(&heartbeat.members)
-        && heartbeat.heard_peers.len() <= MAX_NODES
+        && heartbeat.reachable_peers.len() <= MAX_NODES
         && heartbeat.view.as_ref().is_none_or(is_sound_view)
 }
 
 fn is_sound_claim(claim: &Claim) -> bool {
     match claim {
         Claim::Committed { .. } => true,
-        Claim::Found(outcome) => matches!(
+        Claim::Decided(outcome) => matches!(
             outcome,
             Outcome::Done { .. } | Outcome::Conflict { .. } | Outcome::Invalid(_) | Outcome::Forgotten { .. }
         ),
     }
 }
 
-/// What the caller has to do.
+/// An action that the caller has to carry out. The caller carries out outputs in their order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a message to a peer.
     Send(NodeId, Message),
-    /// Make the state durable, in the order of the numbers; then call [`Chain::synced`](crate::chain::Chain::synced)
-    /// with the number.
+    /// Make the state durable, in the order of the numbers, and then call
+    /// [`Chain::synced`](crate::chain::Chain::synced) with the number.
     Persist(u64, HardState),
-    /// Answer a call.
+    /// Answer the call with this number.
     Answer(u64, Outcome),
-    /// The newest committed record has changed.
+    /// Publish the newest committed record, which has changed.
     Publish(Arc<Record>),
 }
--- a/control-plane/src/chain/mod.rs
+++ b/control-plane/src/chain/mod.rs
@@ -1,31 +1,43 @@
-//! The replicated chain that keeps the configuration, and the agreement on views that repairs it.
+//! The replicated chain that stores the configuration, and the agreement on views that repairs the chain.
 //!
-//! Some of the voters, a majority at least, form the chain of the current view (chain replication): a change enters at
-//! the head, each member makes it durable before it passes it on, and the tail commits it. A view has a ballot. A
-//! proposer gathers promises from a majority, which fence all older views, takes the newest record among them, and has
-//! all members of the new chain make it durable before the view stands. Two majorities meet, so that nothing committed
-//! is lost, and an old head or tail can commit nothing more: this is Paxos with the chain as the accepting quorum.
+//! Some of the voters, at least a quorum, form the chain of the current view (chain replication, van Renesse and Schneider,
+//! 2004). A change enters at the head, each member makes it durable before it forwards it, and the tail commits it.
 //!
-//! A view stands on unbroken links and one incarnation of each process: a lost link, a restart, a member that leaves or
-//! whose disk stalls makes a new view. A voter without its disk ([`Start::Wiped`]) may have forgotten a promise: it
-//! gives none until a view that has taken it in stands. As long as the voters are too few to outlive the promised
-//! losses ([`ChainSettings::losses`]), nothing is acknowledged.
+//! Each view has a ballot, under which one proposer proposes it (Paxos). The proposer gathers promises from a quorum, which
+//! fence all views with lower ballots. It takes the newest accepted record among the promises, and has all members of the
+//! new chain make that record durable; then the view is started. In terms of Paxos, the chain is the quorum of phase 2, as in
+//! *Vertical Paxos and Primary-Backup Replication* (2009).
 //!
-//! Pure: no sockets, no disk, no clock. The caller passes events and the time in, and carries out the [`Output`]s.
+//! Safety follows from two invariants:
 //!
-//! | module | job |
+//! - A committed record is durable at all members of a chain, which contains a quorum. A later proposer has promises of a
+//!   quorum, so that one of them names this record or a newer one: no committed change is lost.
+//! - A member takes no part in a view with a ballot below the one that it has promised. So an old head or tail cannot commit
+//!   a change, and cannot confirm a read, once a newer view has a quorum of promises.
+//!
+//! A view is active only while all links between its members are up and each member's process is the same. A lost link, a
+//! restart, a member that is draining or whose disk stalls leads to a new view. A voter that has lost its disk
+//! ([`Start::Wiped`]) may have forgotten a promise: it has no vote until a view that includes it has started. While the
+//! voters are too few to survive the promised losses ([`ChainSettings::losses`]), no change is acknowledged.
+//!
+//! The module has no sockets, no disk and no clock. The caller passes in events and the time, and carries out the
+//! [`Output`]s.
+//!
+//! | module | content |
 //! | --- | --- |
 //! | `ballot` | ballots and promises |
-//! | `quorum` | majorities of one or two voter sets |
+//! | `quorum` | quorums of one or two voter sets |
 //! | `proposal` | the proposer's state machine |
 //! | `view_change` | when a view is proposed, installed and started |
-//! | `replication` | changes on their way down the chain |
-//! | `quorum_read` | reads and refusals that the chain confirms |
-//! | `client_calls` | calls that wait for their answers |
-//! | `reconfiguration` | changes of the voters |
+//! | `replication` | replication of changes along the chain |
+//! | `quorum_read` | reads and rejections that the chain confirms |
+//! | `client_calls` | calls of clients until they are answered |
+//! | `reconfiguration` | changes of the voter set |
 //! | `peers` | heartbeats and failure detection |
 //! | `message` | messages and outputs |
-//! | `state`, `settings`, `view` | what is on disk; time limits and bounds; views |
+//! | `state` | durable state |
+//! | `settings` | time-outs and bounds |
+//! | `view` | views |
 
 mod ballot;
 mod client_calls;
@@ -46,7 +58,7 @@
 
 use crate::Millis;
 use ballot::Deference;
-use client_calls::{QueuedChange, WaitingCall};
+use client_calls::{PendingCall, QueuedChange};
 use peers::Peers;
 use proposal::{Accepted, Proposal};
 use reconfiguration::RequestedVoters;
@@ -63,47 +75,48 @@
 pub use state::{HardState, Start};
 pub use view::View;
 
-/// A disk write that is under way.
+/// A disk write that is not durable yet.
 #[derive(Clone, Debug)]
 struct DiskWrite {
     number: u64,
-    since: Millis,
-    /// What follows once it is durable.
-    then: Vec<Output>,
+    started_at: Millis,
+    /// Outputs that are held back until the write is durable.
+    follow_up: Vec<Output>,
 }
 
-/// One control node's part in the chain.
+/// One control node of the chain.
 #[derive(Clone, Debug)]
 pub struct Chain {
     me: NodeId,
-    /// Tells this process from the others that ever ran here.
+    /// Distinguishes this process from all others that run at this address.
     incarnation: u64,
     settings: ChainSettings,
     hard_state: HardState,
-    /// The first tick.
+    /// Time of the first tick.
     started_at: Option<Millis>,
-    leaving: bool,
-    /// The view accepted last.
+    draining: bool,
+    /// The newest view that this node has accepted.
     installed: Option<InstalledView>,
-    /// The newest view known to stand.
+    /// The newest view that is known to have started.
     known_view: Option<View>,
     committed: Arc<Record>,
     highest_ballot: u64,
     peers: Peers,
     proposal: Option<Proposal>,
-    /// The voters by the newest state among the promises gathered last: it may name others than this node knows of.
+    /// The voters by the newest accepted state among the promises gathered last. They may differ from the voters that this
+    /// node knows.
     accepted_config: Option<JointConfig>,
-    /// Since when a new view is needed and possible.
+    /// Since when a new view has been needed and possible.
     needed_since: Option<Millis>,
     deference: Option<Deference>,
     last_heartbeat: Option<Millis>,
-    /// As the head: the change that is on its way.
+    /// At the head: the change that is being replicated.
     in_flight: Option<InFlight>,
     requested_voters: Option<RequestedVoters>,
-    /// As the head: the changes that wait for the one in flight.
+    /// At the head: the changes that wait for the one in flight.
     head_queue: VecDeque<QueuedChange>,
-    /// The calls that went in here, by their numbers.
-    calls: BTreeMap<u64, WaitingCall>,
+    /// The calls that this node received and has not answered, by their numbers.
+    calls: BTreeMap<u64, PendingCall>,
     disk_writes: VecDeque<DiskWrite>,
     last_write: u64,
     /// Messages of this node to itself.
@@ -113,7 +126,7 @@
 }
 
 impl Chain {
-    /// A node that starts.
+    /// Creates a node that starts.
     pub fn new(me: NodeId, settings: ChainSettings, start: Start) -> Self {
         let hard_state = HardState::from(start);
         Chain {
@@ -123,7 +136,7 @@
             highest_ballot: hard_state.promised,
             hard_state,
             started_at: None,
-            leaving: false,
+            draining: false,
             installed: None,
             known_view: None,
             committed: Arc::default(),
@@ -145,7 +158,7 @@
         }
     }
 
-    /// Sets the incarnation, which tells this process from all others that ever run on this machine.
+    /// Sets the incarnation, which distinguishes this process from all others that run at this address.
     pub fn with_incarnation(mut self, incarnation: u64) -> Self {
         self.incarnation = incarnation;
         self
@@ -153,7 +166,7 @@
 
     // ---- State ----
 
-    /// The voters, by the newest view that this node has accepted or knows to stand.
+    /// The voters, by the newest view that this node has accepted or knows to have started.
     pub fn members(&self) -> &JointConfig {
         match &self.known_view {
             Some(known) if known.number > self.hard_state.accepted => &known.members,
@@ -161,12 +174,12 @@
         }
     }
 
-    /// Whether the voters are enough to outlive the losses that the settings promise.
+    /// Whether the voters are enough to survive the losses that the settings promise.
     pub fn tolerates_losses(&self) -> bool {
         self.members().survives(self.settings.losses)
     }
 
-    /// The newest view known to stand.
+    /// The newest view that is known to have started.
     pub fn view(&self) -> Option<&View> {
         self.known_view.as_ref()
     }
@@ -178,7 +191,7 @@
 
     // ---- Events ----
 
-    /// Time has passed.
+    /// Advances the time. The caller ticks at short intervals, as time-outs are checked here.
     pub fn tick(&mut self, now: Millis) -> Vec<Output> {
         self.now = now;
         self.started_at.get_or_insert(now);
@@ -193,14 +206,14 @@
         self.take_outputs()
     }
 
-    /// A link to a peer stands.
+    /// A link to a peer is up.
     pub fn peer_up(&mut self, now: Millis, peer: NodeId) -> Vec<Output> {
         self.now = now;
         self.link_up(peer);
         self.take_outputs()
     }
 
-    /// The link to a peer is lost.
+    /// The link to a peer is down.
     pub fn peer_down(&mut self, now: Millis, peer: NodeId) -> Vec<Output> {
         self.now = now;
         self.link_down(peer);
@@ -213,19 +226,19 @@
                 self.proposal = None;
             }
         }
-        // The others reach it in this node's place from now on.
+        // The heartbeat no longer names the peer, so that other nodes know that this node does not reach it.
         self.send_heartbeats();
         self.propose_if_due();
         self.take_outputs()
     }
 
-    /// A peer's message has arrived. What is malformed is ignored.
+    /// Handles a message from a peer. A malformed one is ignored.
     pub fn message(&mut self, now: Millis, from: NodeId, message: Message) -> Vec<Output> {
         if !message.is_sound() {
             return Vec::new();
         }
         self.now = now;
-        self.peers.entry(from).heard = now;
+        self.peers.entry(from).last_received = now;
         self.handle(from, message);
         self.take_outputs()
     }
@@ -234,24 +247,24 @@
     pub fn synced(&mut self, now: Millis, number: u64) -> Vec<Output> {
         self.now = now;
         while let Some(write) = self.disk_writes.pop_front_if(|write| write.number <= number) {
-            for output in write.then {
+            for output in write.follow_up {
                 self.emit(output);
             }
         }
         self.take_outputs()
     }
 
-    /// A client calls, under a number of its own in this incarnation.
-    pub fn call(&mut self, now: Millis, call: u64, what: Call) -> Vec<Output> {
+    /// Accepts a call from a client. `number` is unique in this incarnation; [`Output::Answer`] repeats it.
+    pub fn call(&mut self, now: Millis, number: u64, call: Call) -> Vec<Output> {
         self.now = now;
-        self.accept_call(call, what);
+        self.accept_call(number, call);
         self.take_outputs()
     }
 
-    /// The node is about to stop: the others repair the chain without it, at once.
+    /// Announces that this node is about to stop, so that the others form a chain without it at once.
     pub fn leave(&mut self, now: Millis) -> Vec<Output> {
         self.now = now;
-        self.leaving = true;
+        self.draining = true;
         self.send_heartbeats();
         self.take_outputs()
     }
@@ -271,15 +284,15 @@
             Message::Update { view, entry } => self.handle_update(from, view, &entry),
             Message::Acked { view, seq } => self.handle_ack(view, seq),
             Message::Committed { record } => self.publish(record),
-            Message::Forward { call, what } => self.handle_forward(from, call, what),
-            Message::Confirm { view, origin, call, claim } => self.handle_confirm(view, origin, call, claim),
-            Message::Answer { call, outcome } => self.handle_answer(call, outcome),
+            Message::Forward { id, call } => self.handle_forward(from, id, call),
+            Message::Confirm { view, origin, id, claim } => self.handle_confirm(view, origin, id, claim),
+            Message::Answer { id, outcome } => self.handle_answer(id, outcome),
         }
     }
 
     // ---- Outputs ----
 
-    /// Gives an output to the caller; a message of this node to itself goes to its inbox.
+    /// Adds an output for the caller. A message of this node to itself goes to its inbox.
     fn emit(&mut self, output: Output) {
         match output {
             Output::Send(to, message) if to == self.me => self.inbox.push_back(message),
@@ -291,14 +304,14 @@
         self.emit(Output::Send(to, message));
     }
 
-    /// Makes the present state durable; `then` follows once it is.
-    fn persist(&mut self, then: Vec<Output>) {
+    /// Makes the present state durable, and emits the follow-up once it is.
+    fn persist(&mut self, follow_up: Vec<Output>) {
         self.last_write += 1;
         self.outputs.push(Output::Persist(self.last_write, self.hard_state.clone()));
-        self.disk_writes.push_back(DiskWrite { number: self.last_write, since: self.now, then });
+        self.disk_writes.push_back(DiskWrite { number: self.last_write, started_at: self.now, follow_up });
     }
 
-    /// Handles what this node has sent itself, and gives the outputs to the caller.
+    /// Handles the messages of this node to itself, and returns all outputs.
     fn take_outputs(&mut self) -> Vec<Output> {
         while let Some(message) = self.inbox.pop_front() {
             self.handle(self.me, message);
--- a/control-plane/src/chain/peers.rs
+++ b/control-plane/src/chain/peers.rs
@@ -1,66 +1,67 @@
-//! Peers: heartbeats, failure detection, and who can take part in a view.
+//! Peers: heartbeats, failure detection, and which nodes can be in the chain of a view.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use crate::chain::settings::{
-    DISK_STALL, FIRST_EXCLUSION, LATE_EXCLUSION, LONGEST_EXCLUSION, RESEND_INTERVAL,
+    DISK_STALL, MAX_EXCLUSION, MIN_EXCLUSION, RESEND_INTERVAL, SLOW_PEER_EXCLUSION,
 };
 use crate::chain::{Chain, Heartbeat, JointConfig, Message, Output};
 use crate::ids::NodeId;
 use crate::Millis;
 
-/// The newest record that a peer was sent on this link because its heartbeats named an older one.
+/// The newest record that a peer was sent on this link because its heartbeats reported an older one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SentRecord {
     seq: u64,
-    /// Heartbeats that were under way meanwhile still name the old record.
-    at: Millis,
+    /// Heartbeats in transit at that time still report the older record.
+    sent_at: Millis,
 }
 
 /// What this node knows of a peer.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peer {
-    /// The link to it stands.
+    /// The link to the peer is up.
     pub(super) up: bool,
-    /// When it was heard last.
-    pub(super) heard: Millis,
-    /// Its last heartbeat on this link.
+    /// When the last message of the peer was received.
+    pub(super) last_received: Millis,
+    /// The peer's last heartbeat on this link.
     pub(super) heartbeat: Heartbeat,
-    /// It has announced that it leaves, and has said nothing since.
-    pub(super) left: bool,
-    /// Until when it is left out of views.
+    /// The last heartbeat of the peer, also on an earlier link, announced that it is draining.
+    pub(super) draining: bool,
+    /// Until when the peer is excluded from new views.
     excluded_until: Millis,
-    /// How long it was last left out for.
-    excluded_for: Millis,
+    /// Length of the last exclusion for a time-out.
+    last_exclusion: Millis,
     sent_record: SentRecord,
 }
 
 impl Peer {
-    /// It did not answer a proposal: it is left out, for longer each time.
-    fn exclude_silent(&mut self, now: Millis) {
-        self.excluded_for = (self.excluded_for * 2).clamp(FIRST_EXCLUSION, LONGEST_EXCLUSION);
-        self.excluded_until = now + self.excluded_for;
+    /// Excludes a peer that did not answer a proposal, for a time that doubles with each time-out.
+    fn exclude_unresponsive(&mut self, now: Millis) {
+        self.last_exclusion = (self.last_exclusion * 2).clamp(MIN_EXCLUSION, MAX_EXCLUSION);
+        self.excluded_until = now + self.last_exclusion;
     }
 
-    /// Its promise came too late: it is taken in again, but not by the next proposal.
-    fn exclude_late(&mut self, now: Millis) {
-        self.excluded_until = now + LATE_EXCLUSION;
+    /// Excludes a peer whose promise came too late for a proposal, so that the next proposal does not wait for it as well.
+    fn exclude_slow(&mut self, now: Millis) {
+        self.excluded_until = now + SLOW_PEER_EXCLUSION;
     }
 
-    /// A view with it stands, so that it has answered: else nodes that took it in and nodes that had left it out would
-    /// make view after view.
+    /// Ends an exclusion, as a view with this peer has started and so the peer has answered. Otherwise nodes that include
+    /// the peer and nodes that exclude it would propose view after view.
     fn readmit(&mut self) {
-        self.excluded_for = 0;
+        self.last_exclusion = 0;
         self.excluded_until = 0;
     }
 }
 
-/// The peers that this node knows, by their addresses.
+/// The peers that this node knows, by address.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peers(BTreeMap<NodeId, Peer>);
 
 impl Peers {
+    /// A known peer.
     pub(super) fn get(&self, node: NodeId) -> Option<&Peer> {
         self.0.get(&node)
     }
@@ -69,46 +70,51 @@
         self.0.get_mut(&node)
     }
 
+    /// A peer, which is added if it is unknown.
     pub(super) fn entry(&mut self, node: NodeId) -> &mut Peer {
         self.0.entry(node).or_default()
     }
 
+    /// Addresses of all known peers.
     pub(super) fn ids(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.0.keys().copied()
     }
 
-    /// The peers that the predicate holds for.
-    pub(super) fn matching(&self, holds: impl Fn(&Peer) -> bool) -> Vec<NodeId> {
-        self.0.iter().filter(|(_, peer)| holds(peer)).map(|(id, _)| *id).collect()
+    /// The peers that the predicate selects.
+    pub(super) fn matching(&self, predicate: impl Fn(&Peer) -> bool) -> Vec<NodeId> {
+        self.0.iter().filter(|(_, peer)| predicate(peer)).map(|(id, _)| *id).collect()
     }
 
-    /// Whether the predicate holds for a peer; false of an unknown one.
-    pub(super) fn check(&self, node: NodeId, holds: impl Fn(&Peer) -> bool) -> bool {
-        self.0.get(&node).is_some_and(holds)
+    /// Whether the predicate selects a peer; false for an unknown one.
+    pub(super) fn check(&self, node: NodeId, predicate: impl Fn(&Peer) -> bool) -> bool {
+        self.0.get(&node).is_some_and(predicate)
     }
 
-    /// Whether two peers hear each other, by their last heartbeats.
+    /// Whether two peers receive messages from each other, by their last heartbeats.
     fn connected(&self, one: NodeId, other: NodeId) -> bool {
-        self.check(one, |peer| peer.heartbeat.heard_peers.contains(&other))
-            && self.check(other, |peer| peer.heartbeat.heard_peers.contains(&one))
+        self.check(one, |peer| peer.heartbeat.reachable_peers.contains(&other))
+            && self.check(other, |peer| peer.heartbeat.reachable_peers.contains(&one))
     }
 
-    pub(super) fn exclude_silent(&mut self, nodes: &[NodeId], now: Millis) {
+    /// Excludes peers that did not answer a proposal.
+    pub(super) fn exclude_unresponsive(&mut self, nodes: &[NodeId], now: Millis) {
         for node in nodes {
             if let Some(peer) = self.get_mut(*node) {
-                peer.exclude_silent(now);
+                peer.exclude_unresponsive(now);
             }
         }
     }
 
-    pub(super) fn exclude_late(&mut self, nodes: &[NodeId], now: Millis) {
+    /// Excludes peers whose promises came too late.
+    pub(super) fn exclude_slow(&mut self, nodes: &[NodeId], now: Millis) {
         for node in nodes {
             if let Some(peer) = self.get_mut(*node) {
-                peer.exclude_late(now);
+                peer.exclude_slow(now);
             }
         }
     }
 
+    /// Ends the exclusion of peers.
     pub(super) fn readmit(&mut self, nodes: &[NodeId]) {
         for node in nodes {
             if let Some(peer) = self.get_mut(*node) {
@@ -119,16 +125,18 @@
 }
 
 impl Chain {
+    /// Records that the link to a peer is up.
     pub(super) fn link_up(&mut self, node: NodeId) {
         let now = self.now;
         let peer = self.peers.entry(node);
         peer.up = true;
-        peer.heard = now;
+        peer.last_received = now;
         peer.sent_record = SentRecord::default();
-        // To every peer: no chain holds two nodes that are not known to hear each other.
+        // All peers have to learn of the link: a chain contains only nodes that are known to reach each other.
         self.send_heartbeats();
     }
 
+    /// Records that the link to a peer is down.
     pub(super) fn link_down(&mut self, node: NodeId) {
         if let Some(peer) = self.peers.get_mut(node) {
             peer.up = false;
@@ -141,15 +149,16 @@
             members: self.members().clone(),
             promised: self.highest_ballot,
             view: self.active_view().map(|installed| installed.view.clone()),
-            heard_peers: self.peers.ids().filter(|peer| self.hears(*peer)).collect(),
+            reachable_peers: self.peers.ids().filter(|peer| self.is_reachable(*peer)).collect(),
             wiped: !self.hard_state.votes,
             eligible: self.settings.eligible,
             unfit: self.is_unfit(),
-            leaving: self.leaving,
+            draining: self.draining,
             committed: self.committed.seq,
         }
     }
 
+    /// Sends a heartbeat to all connected peers.
     pub(super) fn send_heartbeats(&mut self) {
         self.last_heartbeat = Some(self.now);
         let heartbeat = self.heartbeat();
@@ -158,6 +167,7 @@
         }
     }
 
+    /// Learns from a peer's heartbeat: ballots, voters, the newest view, and whether the peer lacks a record.
     pub(super) fn handle_heartbeat(&mut self, from: NodeId, heartbeat: Heartbeat) {
         self.note_ballot(heartbeat.promised);
         if self.hard_state.members.voters.is_empty() {
@@ -168,14 +178,15 @@
                 self.known_view = Some(view.clone());
                 self.dispatch_calls();
             }
-            // A member that missed the message that the view stands.
-            if self.installed.as_ref().is_some_and(|mine| mine.view == *view && !mine.stands) {
+            // This node is a member of the view, and has not received the message that the view has started.
+            if self.installed.as_ref().is_some_and(|installed| installed.view == *view && !installed.started)
+            {
                 self.handle_start_view(view.clone());
             }
         }
         let is_behind = heartbeat.committed < self.committed.seq;
         if let Some(peer) = self.peers.get_mut(from) {
-            peer.left = heartbeat.leaving;
+            peer.draining = heartbeat.draining;
             peer.heartbeat = heartbeat;
         }
         if is_behind {
@@ -183,44 +194,45 @@
         }
     }
 
-    /// Sends the newest committed record, unless the peer was sent it a moment ago.
+    /// Sends the newest committed record, unless the peer was sent it within [`RESEND_INTERVAL`].
     fn send_committed_once(&mut self, to: NodeId) {
         let (newest, now) = (self.committed.seq, self.now);
         let Some(peer) = self.peers.get_mut(to) else { return };
         let sent = &mut peer.sent_record;
-        if sent.seq < newest || now >= sent.at + RESEND_INTERVAL {
-            *sent = SentRecord { seq: newest, at: now };
+        if sent.seq < newest || now >= sent.sent_at + RESEND_INTERVAL {
+            *sent = SentRecord { seq: newest, sent_at: now };
             let record = Arc::new(self.committed.without_table());
             self.send(to, Message::Committed { record });
         }
     }
 
-    /// Whether this node can be in no chain: it leaves, or its disk stalls.
+    /// Whether this node must not be in a chain, as it is draining or its disk stalls.
     pub(super) fn is_unfit(&self) -> bool {
-        self.leaving || self.disk_writes.front().is_some_and(|write| self.now >= write.since + DISK_STALL)
+        self.draining
+            || self.disk_writes.front().is_some_and(|write| self.now >= write.started_at + DISK_STALL)
     }
 
-    /// Whether a peer is connected and was heard lately.
-    pub(super) fn hears(&self, node: NodeId) -> bool {
+    /// Whether the link to a peer is up and a message was received within the time-out.
+    pub(super) fn is_reachable(&self, node: NodeId) -> bool {
         let timeout = self.settings.peer_timeout();
-        self.peers.check(node, |peer| peer.up && self.now < peer.heard + timeout)
+        self.peers.check(node, |peer| peer.up && self.now < peer.last_received + timeout)
     }
 
-    /// Whether a peer failed, as far as this node can tell; it never tells so of itself.
-    pub(super) fn has_lost(&self, node: NodeId) -> bool {
-        node != self.me && !self.hears(node)
+    /// Whether a peer counts as failed at this node. A node never counts itself as failed.
+    pub(super) fn has_failed(&self, node: NodeId) -> bool {
+        node != self.me && !self.is_reachable(node)
     }
 
-    /// Whether a peer can take part in a view: it is there, hears this node too, is fit, and is not left out.
+    /// Whether a peer can be in a chain: it and this node reach each other, it is not unfit, and it is not excluded.
     fn can_take_part(&self, node: NodeId) -> bool {
-        let takes_part = |peer: &Peer| {
-            let hears_this_node = peer.heartbeat.heard_peers.contains(&self.me);
-            hears_this_node && !peer.heartbeat.unfit && self.now >= peer.excluded_until
+        let can_take_part = |peer: &Peer| {
+            let reaches_this_node = peer.heartbeat.reachable_peers.contains(&self.me);
+            reaches_this_node && !peer.heartbeat.unfit && self.now >= peer.excluded_until
         };
-        self.hears(node) && self.peers.check(node, takes_part)
+        self.is_reachable(node) && self.peers.check(node, can_take_part)
     }
 
-    /// The nodes that may be in the chain: the voters, and those that may become one.
+    /// The nodes that may be in the chain: the voters, and the nodes that may become voters.
     fn candidates(&self) -> Vec<NodeId> {
         let members = self.members();
         let eligible = self.peers.matching(|peer| peer.heartbeat.eligible);
@@ -230,9 +242,9 @@
         candidates
     }
 
-    /// The candidates that could form a chain: this node, and in order of preference each that is connected to all
-    /// chosen before it. Members of the newest standing chain come first, as no healthy node is left out for one that
-    /// comes back and is not heard by all yet; then the other voters; then those that stand by.
+    /// The candidates that could form a chain: this node, and in order of preference each one that is connected to all
+    /// candidates chosen before it. Among the voters, members of the newest started chain come first, so that no healthy
+    /// member is dropped for a node that is back and not connected to all others yet. Standbys come last.
     pub(super) fn reachable_candidates(&self) -> Vec<NodeId> {
         let members = self.members();
         if !members.contains(self.me) || self.is_unfit() {
@@ -254,13 +266,14 @@
         chosen
     }
 
-    /// How long a voter has not been heard; 0 where it is there.
+    /// Time since the last message of a voter, in milliseconds; 0 while the voter is reachable.
     pub fn silent_for(&self, node: NodeId) -> Millis {
-        if !self.has_lost(node) {
+        if !self.has_failed(node) {
             return 0;
         }
-        let heard = self.peers.get(node).map_or(0, |peer| peer.heard);
-        self.now.saturating_sub(heard.max(self.started_at.unwrap_or(self.now)))
+        let last_received = self.peers.get(node).map_or(0, |peer| peer.last_received);
+        let started_at = self.started_at.unwrap_or(self.now);
+        self.now.saturating_sub(last_received.max(started_at))
     }
 
     /// Whether a node may have forgotten promises, and so has no vote.
@@ -271,30 +284,31 @@
         self.peers.check(node, |peer| peer.heartbeat.wiped)
     }
 
-    /// Whether this node reaches a quorum of the voters, itself included: what it acknowledges binds all.
+    /// Whether this node reaches a quorum of the voters, itself included.
     pub fn has_quorum(&self) -> bool {
-        self.members().majority(|node| !self.has_lost(*node))
+        self.members().majority(|node| !self.has_failed(*node))
     }
 
-    /// The same at this time: timers may be behind where the process was frozen.
+    /// Like [`Chain::has_quorum`], at the time `now`: the last tick may be old if the process was stopped.
     pub fn has_quorum_at(&mut self, now: Millis) -> bool {
         self.now = now;
         self.has_quorum()
     }
 
-    /// Whether this node and those that have answered it form a quorum, also by what each of them knows of the voters:
-    /// this node may have been replaced meanwhile.
+    /// Whether this node and the peers that have answered it form a quorum, by the voters that this node knows and by those
+    /// that each of the peers knows: this node may have been replaced without having learned so.
     pub fn is_quorum(&self, answered: &[NodeId]) -> bool {
-        let holds =
+        let is_quorum =
             |members: &JointConfig| members.majority(|node| *node == self.me || answered.contains(node));
         let known_to_peers =
             answered.iter().filter_map(|node| self.peers.get(*node)).map(|peer| &peer.heartbeat.members);
-        holds(self.members()) && known_to_peers.filter(|members| !members.voters.is_empty()).all(holds)
+        is_quorum(self.members())
+            && known_to_peers.filter(|members| !members.voters.is_empty()).all(is_quorum)
     }
 
-    /// The nodes that a peer hears, by its last heartbeat. All of them are connected to it, and it sends a new heartbeat
-    /// before anything that follows the loss of one.
+    /// The nodes that a peer reaches, by its last heartbeat. All of them are connected to the peer, and when it loses one, it
+    /// sends a new heartbeat before any other message.
     pub fn heard_by(&self, peer: NodeId) -> &[NodeId] {
-        self.peers.get(peer).map_or(&[], |peer| &peer.heartbeat.heard_peers)
+        self.peers.get(peer).map_or(&[], |peer| &peer.heartbeat.reachable_peers)
     }
 }
--- a/control-plane/src/chain/proposal.rs
+++ b/control-plane/src/chain/proposal.rs
@@ -1,4 +1,8 @@
-//! The proposer's state machine (Paxos): first it gathers promises, then the members of the new chain install the view.
+//! The proposer's state machine. In phase 1 the proposer gathers promises, and in phase 2 the members of the new chain install
+//! the view (*Paxos Made Simple*, 2.2, with the new chain as the quorum of phase 2).
+//!
+//! Invariants: the record of the chosen view is the newest accepted one among promises of a quorum, and the chain of the
+//! chosen view contains a quorum of the voters that those promises name.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,7 +13,7 @@
 use crate::record::Record;
 use crate::Millis;
 
-/// What an acceptor had accepted when it gave its promise.
+/// The state that an acceptor had accepted when it gave its promise.
 #[derive(Clone, Debug)]
 pub(super) struct Accepted {
     pub(super) ballot: u64,
@@ -17,16 +21,16 @@
     pub(super) record: Arc<Record>,
 }
 
-/// Phase 1: promises are on their way.
+/// Phase 1: the proposer waits for promises.
 #[derive(Clone, Debug)]
 struct Gathering {
-    /// The voters from then on, if others than now.
+    /// The voters of the new view, if they are to change.
     wanted_voters: Option<Vec<NodeId>>,
-    /// `None` from a node that has no vote.
+    /// The promises by their senders; `None` from a node without a vote.
     promises: BTreeMap<NodeId, Option<Accepted>>,
 }
 
-/// Phase 2: the members of the chain make the view durable.
+/// Phase 2: the proposer waits until all members of the chain have made the view durable.
 #[derive(Clone, Debug)]
 struct Installing {
     view: View,
@@ -39,7 +43,7 @@
     Installing(Installing),
 }
 
-/// What a quorum of promises allows: the view to install, and the record that it begins with.
+/// The view that follows from a quorum of promises, and the record that the view begins with.
 pub(super) struct ChosenView {
     pub(super) view: View,
     pub(super) record: Arc<Record>,
@@ -49,8 +53,8 @@
 #[derive(Clone, Debug)]
 pub(super) struct Proposal {
     ballot: u64,
-    since: Millis,
-    /// The nodes that were asked.
+    started_at: Millis,
+    /// The nodes that were sent a prepare message.
     target: Vec<NodeId>,
     phase: Phase,
 }
@@ -64,22 +68,24 @@
         self.promises.values().flatten().max_by_key(|accepted| (accepted.ballot, accepted.record.seq))
     }
 
-    /// New voters are taken into the chain of a view with the old set first, which gives them a vote. Counted without
-    /// one, they would be lost to the new set if all power failed before the view stands, and with one disk more it
-    /// could never have a majority again.
+    /// Whether the wanted voters may become the voters of the next view. New voters are first added as learners to the
+    /// chain of a view with the old voters, which gives them a vote. If they counted without a vote, and all machines lost
+    /// power before the view was started, they would be missing from the new set; with the loss of one more disk the set
+    /// could never form a majority again.
     fn can_become_voters(&self, wanted: &[NodeId], current: &JointConfig) -> bool {
         wanted.iter().all(|node| current.contains(*node) || self.has_vote(node))
             && JointConfig::of(wanted.to_vec()).majority(|node| self.has_vote(node))
     }
 
-    /// The voters of the next view, after a configuration that is known to stand or not.
-    fn next_config(&self, current: &JointConfig, stands: bool) -> JointConfig {
+    /// The voters of the next view. `started` says whether the view with the current voters is known to have started.
+    fn next_config(&self, current: &JointConfig, started: bool) -> JointConfig {
         let wanted = self.wanted_voters.as_ref().filter(|_| !current.is_joint());
         if let Some(wanted) = wanted.filter(|wanted| self.can_become_voters(wanted, current)) {
             return JointConfig { voters: wanted.clone(), outgoing: current.voters.clone() };
         }
-        if !stands {
-            // A change that only some may have seen is made whole before the outgoing set is let go of.
+        if !started {
+            // Only some members may have accepted this configuration. A view with it has to start before the outgoing voters
+            // are removed.
             return current.clone();
         }
         JointConfig { voters: current.voters.clone(), outgoing: Vec::new() }
@@ -87,15 +93,15 @@
 }
 
 impl Proposal {
-    /// Begins phase 1: a prepare goes to each node of the target.
+    /// Begins phase 1. The caller sends a prepare message to each node of the target.
     pub(super) fn begin(
         ballot: u64,
-        since: Millis,
+        started_at: Millis,
         target: Vec<NodeId>,
         wanted_voters: Option<Vec<NodeId>>,
     ) -> Self {
         let phase = Phase::Gathering(Gathering { wanted_voters, promises: BTreeMap::new() });
-        Proposal { ballot, since, target, phase }
+        Proposal { ballot, started_at, target, phase }
     }
 
     pub(super) fn ballot(&self) -> u64 {
@@ -103,10 +109,10 @@
     }
 
     pub(super) fn has_timed_out(&self, now: Millis) -> bool {
-        now >= self.since + PROPOSAL_TIMEOUT
+        now >= self.started_at + PROPOSAL_TIMEOUT
     }
 
-    /// The members of the view that is being installed.
+    /// The members of the new chain, in phase 2.
     pub(super) fn installing_chain(&self) -> Option<&[NodeId]> {
         match &self.phase {
             Phase::Gathering(_) => None,
@@ -114,7 +120,7 @@
         }
     }
 
-    /// The nodes that were asked and have not answered in this phase.
+    /// The nodes of the target that have not answered in this phase.
     pub(super) fn unanswered(&self) -> Vec<NodeId> {
         let has_answered = |node: &NodeId| match &self.phase {
             Phase::Gathering(gathering) => gathering.promises.contains_key(node),
@@ -123,7 +129,7 @@
         self.target.iter().copied().filter(|node| !has_answered(node)).collect()
     }
 
-    /// Takes a promise, if it was asked for; says whether it was.
+    /// Adds a promise. Returns false, and ignores the promise, where this proposal does not wait for it.
     pub(super) fn add_promise(&mut self, from: NodeId, ballot: u64, accepted: Option<Accepted>) -> bool {
         match &mut self.phase {
             Phase::Gathering(gathering) if ballot == self.ballot && self.target.contains(&from) => {
@@ -134,26 +140,26 @@
         }
     }
 
-    /// A promise ends with its link: the node may have lost its disk since, and have promised more in between.
+    /// Removes the promise of a node whose link is down. The node may have lost its disk since, and with it the promise.
     pub(super) fn withdraw_promise(&mut self, from: NodeId) {
         if let Phase::Gathering(gathering) = &mut self.phase {
             gathering.promises.remove(&from);
         }
     }
 
-    /// The newest accepted state among the promises, once all are in, or no more are waited for.
+    /// The newest accepted state among the promises, once all are received or [`PROMISE_TIMEOUT`] has passed.
     pub(super) fn gathered(&self, now: Millis) -> Option<Accepted> {
         let Phase::Gathering(gathering) = &self.phase else { return None };
         let all_answered = self.target.iter().all(|node| gathering.promises.contains_key(node));
-        if !all_answered && now < self.since + PROMISE_TIMEOUT {
+        if !all_answered && now < self.started_at + PROMISE_TIMEOUT {
             return None;
         }
         gathering.newest_accepted().cloned()
     }
 
-    /// Goes on to phase 2 where a quorum has promised, counted by the newest state that was accepted, whatever the
-    /// proposer knew. `stands` says that the view of that state is known to stand.
-    pub(super) fn choose_view(&mut self, newest: &Accepted, stands: bool) -> Option<ChosenView> {
+    /// Goes on to phase 2 if a quorum has promised. The quorum is counted by the voters of the newest accepted state, which
+    /// may differ from those that the proposer knew. `started` says whether the view of that state is known to have started.
+    pub(super) fn choose_view(&mut self, newest: &Accepted, started: bool) -> Option<ChosenView> {
         let Phase::Gathering(gathering) = &self.phase else { return None };
         if !newest.members.majority(|node| gathering.has_vote(node)) {
             return None;
@@ -161,13 +167,13 @@
         let view = View {
             number: self.ballot,
             chain: gathering.promises.keys().copied().collect(),
-            members: gathering.next_config(&newest.members, stands),
+            members: gathering.next_config(&newest.members, started),
         };
         self.phase = Phase::Installing(Installing { view: view.clone(), installed: BTreeSet::new() });
         Some(ChosenView { view, record: Arc::clone(&newest.record) })
     }
 
-    /// Notes that a member has made the view durable; gives the view once all have.
+    /// Records that a member has made the view durable. Returns the view once all members have.
     pub(super) fn add_installed(&mut self, from: NodeId, ballot: u64) -> Option<View> {
         let Phase::Installing(installing) = &mut self.phase else { return None };
         if installing.view.number != ballot {
--- a/control-plane/src/chain/quorum.rs
+++ b/control-plane/src/chain/quorum.rs
@@ -1,15 +1,18 @@
-//! Majorities, also of two voter sets at once (Raft's joint consensus).
+//! Majorities, also of two voter sets at once (joint consensus in Raft, 4.3).
+//!
+//! Invariant: any two quorums of the same configuration have a voter in common, and so do a quorum of a joint configuration
+//! and a quorum of either of its sets.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::NodeId;
 
-/// The voters. While they change, a quorum is a majority of the new set and a majority of the outgoing one.
+/// The voters. While they change, a quorum is a majority of the incoming set and a majority of the outgoing one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JointConfig {
-    /// The voters, or the incoming ones while a change is under way.
+    /// The voters, or the incoming ones during a reconfiguration.
     pub voters: Vec<NodeId>,
-    /// The outgoing voters while a change is under way, and empty otherwise.
+    /// The outgoing voters during a reconfiguration, and empty otherwise.
     pub outgoing: Vec<NodeId>,
 }
 
@@ -21,9 +24,9 @@
         JointConfig { voters, outgoing: Vec::new() }
     }
 
-    /// Whether the nodes that the predicate holds for form a quorum.
-    pub fn majority(&self, holds: impl Fn(&NodeId) -> bool) -> bool {
-        self.every_set(|set| set.iter().filter(|node| holds(node)).count() > set.len() / 2)
+    /// Whether the nodes that the predicate selects form a quorum.
+    pub fn majority(&self, predicate: impl Fn(&NodeId) -> bool) -> bool {
+        self.every_set(|set| set.iter().filter(|node| predicate(node)).count() > set.len() / 2)
     }
 
     /// Whether a node votes in either set.
@@ -31,17 +34,17 @@
         self.voters.contains(&node) || self.outgoing.contains(&node)
     }
 
-    /// Whether two voter sets count.
+    /// Whether a reconfiguration is in progress, so that a quorum takes a majority of two sets.
     pub(super) fn is_joint(&self) -> bool {
         !self.outgoing.is_empty()
     }
 
-    /// Whether any so many voters may fail, with their disks, without a committed change being lost.
+    /// Whether any `losses` voters may fail, with their disks, and the others are still a quorum.
     pub(super) fn survives(&self, losses: usize) -> bool {
         self.every_set(|set| set.len() > 2 * losses)
     }
 
-    fn every_set(&self, holds: impl Fn(&[NodeId]) -> bool) -> bool {
-        holds(&self.voters) && (!self.is_joint() || holds(&self.outgoing))
+    fn every_set(&self, predicate: impl Fn(&[NodeId]) -> bool) -> bool {
+        predicate(&self.voters) && (!self.is_joint() || predicate(&self.outgoing))
     }
 }
--- a/control-plane/src/chain/quorum_read.rs
+++ b/control-plane/src/chain/quorum_read.rs
@@ -1,5 +1,9 @@
-//! Linearizable reads and refusals: the chain confirms that its view still stands before anything is said of the newest
-//! version (Raft's ReadIndex).
+//! Linearizable reads and rejections (ReadIndex in Raft, 6.4).
+//!
+//! An answer that depends on the newest version is sent only after the whole chain has confirmed, since the call began, that
+//! its view is not fenced. The chain contains a quorum, and a newer view needs promises of a quorum: the two have a member
+//! in common, which does not confirm once it has promised. So no newer view can have committed a change before the call
+//! began.
 
 use std::sync::Arc;
 
@@ -7,25 +11,24 @@
 use crate::ids::{CallId, NodeId};
 
 impl Chain {
-    /// Passes a claim on to the successor, or answers at the tail. It overtakes no change: one that was acknowledged
-    /// before the call began was committed at the tail, and one that has entered since is no part of what the head
-    /// found.
-    pub(super) fn handle_confirm(&mut self, ballot: u64, origin: NodeId, call: CallId, claim: Claim) {
-        if self.refuse_fenced(ballot) {
+    /// Forwards a claim to the successor, or answers it at the tail. A change that was acknowledged before the call began is
+    /// committed at the tail by then, and one that entered the chain later has no part in the head's decision.
+    pub(super) fn handle_confirm(&mut self, ballot: u64, origin: NodeId, id: CallId, claim: Claim) {
+        if self.notify_fenced_head(ballot) {
             return;
         }
         self.start_view_if_proved(ballot);
         let Some(view) = self.unfenced_view(ballot) else { return };
         if let Some(next) = view.successor(self.me) {
-            return self.send(next, Message::Confirm { view: ballot, origin, call, claim });
+            return self.send(next, Message::Confirm { view: ballot, origin, id, claim });
         }
         let outcome = self.answer_claim(claim);
-        self.send(origin, Message::Answer { call, outcome });
+        self.send(origin, Message::Answer { id, outcome });
     }
 
-    /// Where a later promise has fenced the view, its head is told: where the newer view came to nothing, it would wait
-    /// for ever.
-    fn refuse_fenced(&mut self, ballot: u64) -> bool {
+    /// Sends the head of a view a nack if a later promise has fenced the view, and returns whether it has. If the newer
+    /// view was never installed, the head would keep its view for ever otherwise.
+    fn notify_fenced_head(&mut self, ballot: u64) -> bool {
         let views = self.installed.iter().map(|installed| &installed.view).chain(&self.known_view);
         let head = views.filter(|view| view.number == ballot).find_map(View::head);
         match head {
@@ -37,14 +40,16 @@
         }
     }
 
-    /// The tail's answer to a claim that the whole chain has confirmed.
+    /// The tail's answer to a claim that all members of the chain have confirmed.
     fn answer_claim(&self, claim: Claim) -> Outcome {
         match claim {
-            Claim::Found(outcome) => outcome,
-            Claim::Committed { than: Some(seq) } if self.committed.seq <= seq => Outcome::Unchanged,
-            // A caller that names what it has only distributes the document.
-            Claim::Committed { than: Some(_) } => Outcome::Document(Arc::new(self.committed.without_table())),
-            Claim::Committed { than: None } => Outcome::Document(Arc::clone(&self.committed)),
+            Claim::Decided(outcome) => outcome,
+            Claim::Committed { newer_than: Some(seq) } if self.committed.seq <= seq => Outcome::Unchanged,
+            // A caller that names the index of its record only distributes the document.
+            Claim::Committed { newer_than: Some(_) } => {
+                Outcome::Document(Arc::new(self.committed.without_table()))
+            }
+            Claim::Committed { newer_than: None } => Outcome::Document(Arc::clone(&self.committed)),
         }
     }
 }
--- a/control-plane/src/chain/reconfiguration.rs
+++ b/control-plane/src/chain/reconfiguration.rs
@@ -1,7 +1,11 @@
-//! Changes of the voters: which voters there should be, and what an operator may request of them.
+//! Reconfiguration: which voters there should be, and the changes that an operator may request (Raft, 4).
 //!
-//! A change takes three views. The first takes the new voters into its chain as learners, which gives them a vote, while
-//! the old set counts. The second counts both sets. Once it stands, the third lets go of the old set.
+//! A change takes three views. The first one adds the new voters to its chain as learners (Raft, 4.2.1), which gives them a
+//! vote; its quorums are majorities of the old set. The second one has the joint configuration (Raft, 4.3), and its quorums
+//! are majorities of both sets. Once it has started, the third one removes the old set.
+//!
+//! Invariant: successive views have the same voters, or one has the joint configuration of the other's set and a new one, so
+//! that their quorums have a voter in common.
 
 use std::cmp::Reverse;
 
@@ -11,71 +15,76 @@
 use crate::ids::NodeId;
 use crate::Millis;
 
-/// What an operator requests of the voters.
+/// A change of the voters that an operator requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoterChange {
-    /// A machine that stands by becomes a voter.
+    /// Makes a standby a voter.
     Add(NodeId),
-    /// A voter gives its place to one that stands by, or leaves where there are more than the losses ask for.
+    /// Replaces a voter by a standby, or removes it without a replacement where the others are enough for the promised
+    /// losses.
     Remove(NodeId),
 }
 
-/// Why the voters stay as they are.
+/// Why a change of the voters is rejected. The texts are answers of the HTTP interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VoterChangeError {
-    /// This node can't begin a change.
+    /// This node is not a voter in an active view with a quorum, and cannot begin a change.
     #[error("this node is in no view that stands: ask another one, or again in a moment")]
     NoView,
-    /// One change at a time.
+    /// Another change is in progress.
     #[error("a change of the voters is under way: ask again in a moment")]
     UnderWay,
-    /// There is nothing to add.
+    /// The node to add is a voter already.
     #[error("{0} is a voter already")]
     Votes(NodeId),
-    /// There is nothing to remove.
+    /// The node to remove is no voter.
     #[error("{0} is no voter")]
     NoVoter(NodeId),
-    /// The machine is not reachable for all members.
+    /// The node to add is not connected to this node, or not to all reachable voters.
     #[error("{0} is not there, or not all voters that are hear it")]
     NotThere(NodeId),
-    /// The machine may not vote.
+    /// The settings of the node to add do not allow it to vote.
     #[error("the settings of {0} don't say that it may vote")]
     NotEligible(NodeId),
     /// The bound of the voters is reached.
     #[error("{MAX_VOTERS} voters are the most")]
     TooMany,
-    /// The core would bear fewer losses than promised.
+    /// There is no standby to replace the voter, and the remaining voters are too few for the promised losses.
     #[error("no machine stands by: {left} voters would be left, and {needed} are needed to outlive {losses} losses")]
     NobodyStandsBy {
-        /// Voters without the one removed.
+        /// Number of voters without the removed one.
         left: usize,
-        /// Voters that the promise takes.
+        /// Number of voters that survive the promised losses.
         needed: usize,
-        /// The promised losses.
+        /// Number of promised losses.
         losses: usize,
     },
-    /// The new voters could commit nothing.
+    /// Too few of the new voters are reachable for a quorum.
     #[error("only {there} of {voters} voters would be there, which is no majority")]
     NoMajority {
-        /// Voters that are there.
+        /// Number of reachable voters.
         there: usize,
-        /// All of them.
+        /// Number of all new voters.
         voters: usize,
     },
 }
 
-/// The voters that an operator requested at this node.
+/// The voters that an operator has requested at this node.
 #[derive(Clone, Debug)]
 pub(super) struct RequestedVoters {
     voters: Vec<NodeId>,
-    /// How long this node tries.
-    until: Millis,
+    /// When this node stops trying.
+    expires_at: Millis,
 }
 
 impl Chain {
-    /// Takes an operator's request: gives the voters that there will be, once views with them stand
-    /// ([`Chain::members`] tells), or says why not. Safe whoever fails on the way: each view carries the set, and the
-    /// request is forgotten with this node.
+    /// Accepts an operator's request, and returns the voters after the change. The change is complete when
+    /// [`Chain::members`] returns these voters. A failure of any node during the change is safe: each view carries its
+    /// configuration, and the request itself is lost with this node.
+    ///
+    /// # Errors
+    ///
+    /// [`VoterChangeError`] says why the request is rejected.
     pub fn request_voter_change(
         &mut self,
         now: Millis,
@@ -97,10 +106,11 @@
         voters.sort();
         self.check_majority(&voters, &reachable)?;
         self.requested_voters =
-            Some(RequestedVoters { voters: voters.clone(), until: now + VOTER_CHANGE_TIMEOUT });
+            Some(RequestedVoters { voters: voters.clone(), expires_at: now + VOTER_CHANGE_TIMEOUT });
         Ok(voters)
     }
 
+    /// The voters with one more.
     fn voters_with(&self, node: NodeId, reachable: &[NodeId]) -> Result<Vec<NodeId>, VoterChangeError> {
         let mut voters = self.members().voters.clone();
         if voters.contains(&node) {
@@ -122,6 +132,7 @@
         Ok(voters)
     }
 
+    /// The voters without one, which a standby replaces where the others are too few.
     fn voters_without(&self, node: NodeId, reachable: &[NodeId]) -> Result<Vec<NodeId>, VoterChangeError> {
         let members = self.members();
         if !members.voters.contains(&node) {
@@ -132,36 +143,37 @@
         let (left, losses) = (voters.len(), self.settings.losses);
         let needed = self.settings.voters_needed();
         if left < needed {
-            let successor = reachable.iter().find(|node| !members.contains(**node));
-            voters.push(*successor.ok_or(VoterChangeError::NobodyStandsBy { left, needed, losses })?);
+            let standby = reachable.iter().find(|node| !members.contains(**node));
+            voters.push(*standby.ok_or(VoterChangeError::NobodyStandsBy { left, needed, losses })?);
         }
         Ok(voters)
     }
 
-    /// A new voter is taken into the chain first, and has a vote by then.
+    /// Checks that enough of the new voters are reachable for a quorum. A new voter counts, as it has a vote by the time that
+    /// the configuration changes: it is added to the chain as a learner first.
     fn check_majority(&self, voters: &[NodeId], reachable: &[NodeId]) -> Result<(), VoterChangeError> {
         let members = self.members();
-        let has_forgotten = |node: NodeId| members.contains(node) && self.is_wiped(node);
-        let is_there = |node: &NodeId| reachable.contains(node) && !has_forgotten(*node);
-        if JointConfig::of(voters.to_vec()).majority(is_there) {
+        let has_no_vote = |node: NodeId| members.contains(node) && self.is_wiped(node);
+        let can_vote = |node: &NodeId| reachable.contains(node) && !has_no_vote(*node);
+        if JointConfig::of(voters.to_vec()).majority(can_vote) {
             return Ok(());
         }
-        let there = voters.iter().filter(|node| is_there(node)).count();
+        let there = voters.iter().filter(|node| can_vote(node)).count();
         Err(VoterChangeError::NoMajority { there, voters: voters.len() })
     }
 
-    /// Forgets a request that is fulfilled, or has been tried for long enough.
+    /// Removes a request that is complete or has timed out.
     pub(super) fn expire_voter_request(&mut self) {
         let Some(requested) = &self.requested_voters else { return };
         let members = self.members();
-        let fulfilled = members.voters == requested.voters && !members.is_joint();
-        if fulfilled || self.now >= requested.until {
+        let is_complete = members.voters == requested.voters && !members.is_joint();
+        if is_complete || self.now >= requested.expires_at {
             self.requested_voters = None;
         }
     }
 
-    /// The voters that there should be, if others than now: as many as the losses ask for, and in the place of each that
-    /// has been away for long one that stands by. `None` while a change is under way.
+    /// The voters that there should be, sorted; `None` where they are the present ones, and during a reconfiguration. Without
+    /// a request of an operator they are as many as the promised losses need, with failed voters replaced by standbys.
     pub(super) fn wanted_voters(&self, reachable: &[NodeId]) -> Option<Vec<NodeId>> {
         let members = self.members();
         if members.is_joint() {
@@ -169,8 +181,8 @@
         }
         let mut wanted = match &self.requested_voters {
             Some(requested) => {
-                let is_there = |node: &NodeId| members.voters.contains(node) || reachable.contains(node);
-                if !requested.voters.iter().all(is_there) {
+                let is_available = |node: &NodeId| members.voters.contains(node) || reachable.contains(node);
+                if !requested.voters.iter().all(is_available) {
                     return None;
                 }
                 requested.voters.clone()
@@ -181,57 +193,58 @@
         (wanted != members.voters).then_some(wanted)
     }
 
-    /// The voters with those replaced that failed or leave, and with as many added as the losses ask for.
+    /// The voters, with failed and draining ones replaced by standbys, and with as many added as the promised losses need.
     fn repaired_voters(&self, reachable: &[NodeId]) -> Vec<NodeId> {
         let members = self.members();
-        let mut standing_by = reachable.iter().copied().filter(|node| !members.contains(*node));
+        let mut standbys = reachable.iter().copied().filter(|node| !members.contains(*node));
         let needed = self.settings.voters_needed().min(MAX_VOTERS);
-        // Those that have been away for longest first: they are the least likely to come back.
+        // The voters that have been unreachable for longest are replaced first: they are the least likely to come back.
         let mut voters = members.voters.clone();
         voters.sort_by_key(|voter| Reverse(self.silent_for(*voter)));
         let mut surplus = voters.len().saturating_sub(needed);
         let mut wanted = Vec::new();
         for voter in voters {
-            if !self.gives_up_vote(voter) {
+            if !self.has_to_be_replaced(voter) {
                 wanted.push(voter);
-            } else if let Some(successor) = standing_by.next() {
-                wanted.push(successor);
+            } else if let Some(standby) = standbys.next() {
+                wanted.push(standby);
             } else if surplus > 0 {
-                // Where an operator's request has made more voters than the losses ask for, one that failed and has no
-                // successor would only count against a majority.
+                // An operator has requested more voters than the promised losses need. A failed voter without a replacement
+                // is removed, as it would only make a majority harder to reach.
                 surplus -= 1;
             } else {
                 wanted.push(voter);
             }
         }
         let missing = needed.saturating_sub(wanted.len());
-        wanted.extend(standing_by.take(missing));
+        wanted.extend(standbys.take(missing));
         wanted
     }
 
-    /// Whether a voter is to be replaced. One that leaves announces it, and is replaced before it has gone: it may be
-    /// gone for good, and then counts no more at once.
-    fn gives_up_vote(&self, voter: NodeId) -> bool {
-        self.peers.check(voter, |peer| peer.left) || self.silent_for(voter) >= self.settings.replaced_after()
+    /// Whether a voter has to be replaced: it has been unreachable for too long, or it is draining. A draining voter may
+    /// never come back, and is replaced before it stops.
+    fn has_to_be_replaced(&self, voter: NodeId) -> bool {
+        self.peers.check(voter, |peer| peer.draining)
+            || self.silent_for(voter) >= self.settings.replaced_after()
     }
 
-    /// Control nodes that may vote and do not, and are there.
+    /// The standbys: reachable control nodes that may become voters and are none.
     pub fn standbys(&self) -> Vec<NodeId> {
         let members = self.members();
         let mut eligible = self.peers.matching(|peer| peer.heartbeat.eligible);
-        eligible.retain(|node| self.hears(*node) && !members.contains(*node));
+        eligible.retain(|node| self.is_reachable(*node) && !members.contains(*node));
         eligible
     }
 
-    /// Whether the core still counts on this node: it is in the newest chain that stands, or that it has accepted; or it
-    /// votes, and another takes its place, or could. A node that leaves waits for both.
+    /// Whether the chain still needs this node: it is a member of the newest chain that it knows, or it is a voter that a
+    /// standby is replacing or could replace. A draining node waits until the chain does not need it.
     pub fn is_needed(&self) -> bool {
         let installed = self.installed.as_ref().map(|installed| &installed.view);
         let views = [installed, self.known_view.as_ref()].into_iter().flatten();
         let newest = views.max_by_key(|view| view.number);
         let in_chain = newest.is_some_and(|view| view.chain.contains(&self.me) && view.chain.len() > 1);
         let members = self.members();
-        // While both sets count, the outgoing one is counted with it.
+        // During a reconfiguration this node may be an outgoing voter, which a quorum still needs.
         let can_be_replaced = || {
             let is_fit = |peer: &Peer| !peer.heartbeat.unfit;
             members.is_joint() || self.standbys().iter().any(|node| self.peers.check(*node, is_fit))
--- a/control-plane/src/chain/replication.rs
+++ b/control-plane/src/chain/replication.rs
@@ -1,5 +1,8 @@
-//! Chain replication: a change enters at the head, each member makes it durable before it passes it on, and the tail
-//! commits it.
+//! Chain replication (van Renesse and Schneider, 2004): a change enters at the head, each member makes it durable
+//! before it forwards it to its successor, and the tail commits it.
+//!
+//! Invariant (update propagation): a member's durable record is the same as its predecessor's, or an
+//! earlier one. So what the tail has made durable is durable at all members.
 
 use std::sync::Arc;
 
@@ -10,25 +13,26 @@
 use crate::record::Record;
 use crate::Millis;
 
-/// A change that the head has sent down the chain.
+/// The change that the head has sent down the chain and that is not committed yet.
 #[derive(Clone, Debug)]
 pub(super) struct InFlight {
     pub(super) origin: NodeId,
-    pub(super) call: CallId,
+    pub(super) id: CallId,
     pub(super) seq: u64,
     pub(super) rev: u64,
-    pub(super) since: Millis,
+    pub(super) sent_at: Millis,
 }
 
 impl Chain {
-    /// A change that has not come through by now was lost on its way: only a new view can tell what came of it.
+    /// Breaks the view if the change in flight has timed out. A message was lost, and only a new view can find out which
+    /// members have accepted the change.
     pub(super) fn expire_in_flight(&mut self) {
-        if self.in_flight.as_ref().is_some_and(|change| self.now >= change.since + REPLICATION_TIMEOUT) {
+        if self.in_flight.as_ref().is_some_and(|change| self.now >= change.sent_at + REPLICATION_TIMEOUT) {
             self.break_view();
         }
     }
 
-    /// A change from the predecessor.
+    /// Accepts a change from the predecessor, if it is the next one after the durable record.
     pub(super) fn handle_update(&mut self, from: NodeId, ballot: u64, entry: &Arc<LogEntry>) {
         let Some(view) = self.unfenced_view(ballot) else { return };
         let record = &self.hard_state.record;
@@ -39,7 +43,7 @@
         }
     }
 
-    /// Makes a change durable, then passes it on, or commits it at the tail.
+    /// Makes a change durable, and then forwards it to the successor, or acknowledges it at the tail.
     pub(super) fn accept(&mut self, entry: &Arc<LogEntry>) {
         let Some(installed) = &self.installed else { return };
         let view = &installed.view;
@@ -49,7 +53,7 @@
                 vec![Output::Send(next, update)]
             }
             None => {
-                // The tail acknowledges to itself too, last, so that it commits after the sync as well.
+                // The tail acknowledges to itself as well, last: it commits when its own write is durable.
                 let ack = Message::Acked { view: view.number, seq: entry.seq };
                 view.chain.iter().map(|member| Output::Send(*member, ack.clone())).collect()
             }
@@ -58,7 +62,7 @@
         self.persist(follow_up);
     }
 
-    /// The tail has made a change durable, and so have all before it.
+    /// The tail has made a change durable, and so have all members before it.
     pub(super) fn handle_ack(&mut self, ballot: u64, seq: u64) {
         let is_current = self.unfenced_view(ballot).is_some() && self.hard_state.record.seq == seq;
         if is_current {
@@ -66,7 +70,7 @@
         }
     }
 
-    /// The whole chain has made the present record durable.
+    /// Commits the present record, which all members of the chain have made durable.
     fn commit(&mut self) {
         let record = Arc::clone(&self.hard_state.record);
         if self.is_tail() {
@@ -76,7 +80,7 @@
         self.publish(record);
         if let Some(change) = completed {
             let outcome = Outcome::Done { rev: change.rev };
-            self.send(change.origin, Message::Answer { call: change.call, outcome });
+            self.send(change.origin, Message::Answer { id: change.id, outcome });
         }
         self.begin_next_change();
     }
@@ -96,7 +100,7 @@
         }
     }
 
-    /// A record is committed: gives it to the caller, if it is news.
+    /// Publishes a committed record to the caller, if it is newer than the last one.
     pub(super) fn publish(&mut self, record: Arc<Record>) {
         if record.seq > self.committed.seq {
             self.committed = Arc::clone(&record);
@@ -104,7 +108,7 @@
         } else if record.seq == self.committed.seq
             && record.applied_orders.len() > self.committed.applied_orders.len()
         {
-            // It came without the table of orders, which a backup needs.
+            // The record had arrived without its deduplication table, which a backup needs.
             self.committed = record;
         }
     }
--- a/control-plane/src/chain/state.rs
+++ b/control-plane/src/chain/state.rs
@@ -1,4 +1,4 @@
-//! What a node keeps on disk, and how it starts from it.
+//! Durable state of a node, and how a node starts from it.
 
 use std::sync::Arc;
 
@@ -8,18 +8,21 @@
 use crate::ids::NodeId;
 use crate::record::Record;
 
-/// What must be on disk before any message that follows from it is sent (the hard state of Raft implementations).
+/// State that must be durable before any message that follows from it is sent (the hard state of Raft implementations).
+///
+/// Invariant: `accepted` is not above `promised`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The voters by the newest view that was accepted.
+    /// The voters by the newest accepted view.
     pub members: JointConfig,
-    /// All promises ever given are known. A node that lost its disk has no vote until a view has taken it in.
+    /// Whether the node knows all promises that it ever gave, and so may vote. A node that has lost its disk has no vote
+    /// until a view that includes it has started.
     pub votes: bool,
-    /// The highest ballot promised: no part in views below it.
+    /// The highest ballot promised. The node takes no part in views with a lower one.
     pub promised: u64,
     /// The ballot of the view in which `record` was accepted.
     pub accepted: u64,
-    /// The newest accepted record, committed or not.
+    /// The newest accepted record, which may not be committed.
     pub record: Arc<Record>,
 }
 
@@ -34,9 +37,9 @@
 pub enum Start {
     /// For the first time, with these voters.
     Fresh(Vec<NodeId>),
-    /// From its disk.
+    /// Again, from its disk.
     Kept(HardState),
-    /// Without its disk, or as a node that never voted: it learns the voters from its peers.
+    /// Without a durable state: its disk is lost, or it has never voted. It learns the voters from its peers.
     Wiped,
 }
 
--- a/control-plane/src/chain/view.rs
+++ b/control-plane/src/chain/view.rs
@@ -1,4 +1,4 @@
-//! Views: a ballot, the chain of replicas, and the voters from then on.
+//! Views (Viewstamped Replication): a ballot, the chain of replicas, and the voters.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,19 +7,19 @@
 use crate::ids::NodeId;
 use crate::Millis;
 
-/// A view: its ballot, its chain from head to tail, and the voters from then on.
+/// A view. Its chain contains a quorum of its voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// The ballot under which it was proposed.
+    /// The ballot under which the view was proposed.
     pub number: u64,
-    /// The replicas, the head first.
+    /// The replicas from the head to the tail, each once.
     pub chain: Vec<NodeId>,
-    /// The voters while it stands.
+    /// The voters while this view is the newest one.
     pub members: JointConfig,
 }
 
 impl View {
-    /// A name for people: how many views were proposed before, and who proposed this one.
+    /// A readable name: the round number of the ballot, and the address of the proposer.
     pub fn name(&self) -> String {
         ballot::name(self.number)
     }
@@ -33,37 +33,37 @@
     }
 
     pub(super) fn successor(&self, node: NodeId) -> Option<NodeId> {
-        let place = self.chain.iter().position(|member| *member == node)?;
-        self.chain.get(place + 1).copied()
+        let position = self.chain.iter().position(|member| *member == node)?;
+        self.chain.get(position + 1).copied()
     }
 
     pub(super) fn predecessor(&self, node: NodeId) -> Option<NodeId> {
-        let place = self.chain.iter().position(|member| *member == node)?;
-        self.chain.get(place.checked_sub(1)?).copied()
+        let position = self.chain.iter().position(|member| *member == node)?;
+        self.chain.get(position.checked_sub(1)?).copied()
     }
 }
 
-/// The view that this node accepted last, and what it knows of it.
+/// The newest view that this node has accepted, and the state of the view as far as this node knows it.
 #[derive(Clone, Debug)]
 pub(super) struct InstalledView {
     pub(super) view: View,
-    /// All members are known to have made it durable.
-    pub(super) stands: bool,
-    /// When it was accepted, or once it stands, when that became known.
+    /// All members are known to have made the view durable.
+    pub(super) started: bool,
+    /// When this node accepted the view; once it is started, when this node learned so.
     pub(super) since: Millis,
-    /// A member failed since: the view acknowledges nothing more.
+    /// A member has failed, or a later promise has fenced the view. It acknowledges nothing any more.
     pub(super) broken: bool,
 }
 
 impl InstalledView {
     /// Whether the view may acknowledge changes and answer reads.
     pub(super) fn is_active(&self) -> bool {
-        self.stands && !self.broken
+        self.started && !self.broken
     }
 
-    /// Notes that all members have made it durable.
+    /// Records that all members have made the view durable.
     pub(super) fn start(&mut self, now: Millis) {
-        self.stands = true;
+        self.started = true;
         self.since = now;
     }
 }
--- a/control-plane/src/chain/view_change.rs
+++ b/control-plane/src/chain/view_change.rs
@@ -1,9 +1,13 @@
-//! View changes: when a view is proposed, how a proposal advances, and how a view is installed and starts.
+//! View changes (Viewstamped Replication, 4.2): when a view is proposed, how a proposal advances, and how a view is installed
+//! and started.
+//!
+//! Invariant: a view is started only after all members of its chain have made it durable, with the record that it begins
+//! with. That record is then committed.
 
 use std::sync::Arc;
 
 use crate::chain::proposal::{Accepted, ChosenView, Proposal};
-use crate::chain::settings::{LEARNER_TIME, PROPOSER_STAGGER, SETTLE_TIME};
+use crate::chain::settings::{LEARNER_RETENTION, PROPOSAL_DELAY, PROPOSER_STAGGER};
 use crate::chain::view::InstalledView;
 use crate::chain::{ballot, Chain, HardState, Message, Output, View};
 use crate::ids::NodeId;
@@ -22,15 +26,16 @@
         (installed.view.number == ballot && self.hard_state.promised == ballot).then_some(&installed.view)
     }
 
-    /// A member of the installed view failed, or the view is fenced: it acknowledges nothing more.
+    /// Marks the installed view as broken, as a member has failed or a later promise has fenced the view. It acknowledges
+    /// nothing any more.
     pub(super) fn break_view(&mut self) {
         if let Some(installed) = &mut self.installed {
             installed.broken = true;
         }
     }
 
-    fn break_view_that_lost_a_member(&mut self) {
-        let lost = |installed: &InstalledView| installed.view.chain.iter().any(|node| self.has_lost(*node));
+    fn break_view_with_failed_member(&mut self) {
+        let lost = |installed: &InstalledView| installed.view.chain.iter().any(|node| self.has_failed(*node));
         if self.active_view().is_some_and(lost) {
             self.break_view();
         }
@@ -40,25 +45,25 @@
 
     /// Proposes a view where one is needed and it is this node's turn.
     pub(super) fn propose_if_due(&mut self) {
-        self.break_view_that_lost_a_member();
+        self.break_view_with_failed_member();
         let reachable = self.reachable_candidates();
         let wanted_voters = self.wanted_voters(&reachable);
         let target = self.next_chain(reachable, wanted_voters.as_deref());
         let changing = wanted_voters.is_some() || self.members().is_joint();
         let needed = changing || self.active_view().is_none_or(|active| active.view.chain != target);
         let possible = self.proposal.is_none() && self.can_gather_quorum(&target);
-        if !needed || !possible || self.waits_to_be_taken_in() {
+        if !needed || !possible || self.waits_to_be_included() {
             self.needed_since = None;
             return;
         }
         let since = *self.needed_since.get_or_insert(self.now);
         let stagger = PROPOSER_STAGGER * self.proposers_before(&target) as Millis;
-        if !self.defers() && self.now >= since + SETTLE_TIME + stagger {
+        if !self.defers() && self.now >= since + PROPOSAL_DELAY + stagger {
             self.propose(target, wanted_voters);
         }
     }
 
-    /// Of the reachable nodes, those that belong into the next chain.
+    /// The reachable nodes that belong into the next chain.
     fn next_chain(&self, mut reachable: Vec<NodeId>, wanted_voters: Option<&[NodeId]>) -> Vec<NodeId> {
         let members = self.members();
         let was_accepted_voter =
@@ -70,10 +75,10 @@
         reachable
     }
 
-    /// Whether a node was taken into the installed chain a moment ago, to get a vote.
+    /// Whether a node was recently added to the installed chain to get a vote.
     fn is_learner(&self, node: NodeId) -> bool {
         self.installed.as_ref().is_some_and(|installed| {
-            installed.view.chain.contains(&node) && self.now < installed.since + LEARNER_TIME
+            installed.view.chain.contains(&node) && self.now < installed.since + LEARNER_RETENTION
         })
     }
 
@@ -82,26 +87,27 @@
         self.hard_state.votes && self.members().majority(has_vote)
     }
 
-    /// A node that is not in the chain that stands waits to be taken in by its members. One that was let go of may still
-    /// take an old view for standing.
-    fn waits_to_be_taken_in(&self) -> bool {
+    /// Whether this node is outside the newest started chain, and waits until a member of it proposes a view that includes
+    /// this node. A peer that was excluded itself may still report an older view as active, so that only views from the
+    /// newest known one on count.
+    fn waits_to_be_included(&self) -> bool {
         if self.active_view().is_some() {
             return false;
         }
         let known = self.known_view.as_ref().map_or(0, |view| view.number);
         let excludes_this_node = |view: &View| view.number >= known && !view.chain.contains(&self.me);
-        self.peers.ids().filter(|peer| self.hears(*peer)).any(|peer| {
+        self.peers.ids().filter(|peer| self.is_reachable(*peer)).any(|peer| {
             self.peers.check(peer, |peer| peer.heartbeat.view.as_ref().is_some_and(excludes_this_node))
         })
     }
 
-    /// How many others this node lets propose first.
+    /// Number of nodes that this node lets propose first.
     fn proposers_before(&self, target: &[NodeId]) -> usize {
-        // Nobody else proposes what only this node was asked for.
+        // An operator has sent a request to this node alone, so that no other node proposes its view.
         if self.requested_voters.is_some() {
             return 0;
         }
-        // A node outside the chain that stands proposes nothing.
+        // A node outside the active chain does not propose.
         let may_propose = |node: NodeId| {
             self.members().contains(node)
                 && !self.is_wiped(node)
@@ -110,9 +116,9 @@
         target.iter().filter(|node| **node < self.me && may_propose(**node)).count()
     }
 
-    /// Whether another node proposes, and is let.
+    /// Whether this node lets the proposal of another node finish first.
     fn defers(&self) -> bool {
-        self.deference.is_some_and(|other| self.now < other.until && self.hears(other.proposer))
+        self.deference.is_some_and(|other| self.now < other.until && self.is_reachable(other.proposer))
     }
 
     fn propose(&mut self, target: Vec<NodeId>, wanted_voters: Option<Vec<NodeId>>) {
@@ -127,6 +133,7 @@
 
     // ---- The proposer's part ----
 
+    /// Handles an acceptor's promise.
     pub(super) fn handle_promise(&mut self, from: NodeId, ballot: u64, accepted: Option<Accepted>) {
         let Some(proposal) = &mut self.proposal else { return };
         if proposal.add_promise(from, ballot, accepted) {
@@ -134,19 +141,20 @@
         }
     }
 
-    /// Goes on with a proposal whose promises are in, and gives up one that takes too long.
+    /// Advances a proposal whose promises are gathered, and abandons one that has timed out.
     pub(super) fn advance_proposal(&mut self) {
-        self.abandon_proposal_that_lost_a_member();
+        self.abandon_proposal_with_failed_member();
         self.expire_proposal();
         if let Some(chosen) = self.choose_view() {
             self.send_install(chosen);
         }
     }
 
-    /// A member that failed will not answer; the next proposal goes on without it.
-    fn abandon_proposal_that_lost_a_member(&mut self) {
+    /// Abandons a proposal in phase 2 if a member of its chain has failed: the member will not answer, and the next proposal
+    /// is made without it.
+    fn abandon_proposal_with_failed_member(&mut self) {
         let chain = self.proposal.as_ref().and_then(Proposal::installing_chain);
-        if chain.is_some_and(|chain| chain.iter().any(|node| self.has_lost(*node))) {
+        if chain.is_some_and(|chain| chain.iter().any(|node| self.has_failed(*node))) {
             self.proposal = None;
         }
     }
@@ -155,21 +163,21 @@
         let Some(proposal) = self.proposal.take_if(|proposal| proposal.has_timed_out(self.now)) else {
             return;
         };
-        let mut silent = proposal.unanswered();
-        silent.retain(|node| *node != self.me);
-        self.peers.exclude_silent(&silent, self.now);
+        let mut unresponsive = proposal.unanswered();
+        unresponsive.retain(|node| *node != self.me);
+        self.peers.exclude_unresponsive(&unresponsive, self.now);
     }
 
     fn choose_view(&mut self) -> Option<ChosenView> {
         let proposal = self.proposal.as_mut()?;
         let newest = proposal.gathered(self.now)?;
-        let late = proposal.unanswered();
-        let stands = self.known_view.as_ref().is_some_and(|known| known.number >= newest.ballot);
-        let chosen = proposal.choose_view(&newest, stands);
-        // It may name other voters than this node knows of, and says who has to be asked next.
+        let slow = proposal.unanswered();
+        let started = self.known_view.as_ref().is_some_and(|known| known.number >= newest.ballot);
+        let chosen = proposal.choose_view(&newest, started);
+        // These voters may differ from those that this node knows, and determine the target of the next proposal.
         self.accepted_config = Some(newest.members);
         if chosen.is_some() {
-            self.peers.exclude_late(&late, self.now);
+            self.peers.exclude_slow(&slow, self.now);
         }
         chosen
     }
@@ -181,6 +189,7 @@
         }
     }
 
+    /// Handles the answer of a member that has made the view durable, and starts the view when all members have.
     pub(super) fn handle_installed(&mut self, from: NodeId, ballot: u64) {
         let Some(proposal) = &mut self.proposal else { return };
         let Some(view) = proposal.add_installed(from, ballot) else { return };
@@ -194,6 +203,7 @@
 
     // ---- The member's part ----
 
+    /// Accepts a view with its first record, unless this node has promised a higher ballot.
     pub(super) fn handle_install(&mut self, from: NodeId, view: View, record: Arc<Record>) {
         if view.number < self.hard_state.promised {
             return self.send_nack(from);
@@ -208,14 +218,14 @@
             record,
         };
         self.in_flight = None;
-        // Their callers send them again, to the head of this view.
+        // The nodes that received these calls forward them again, to the head of this view.
         self.head_queue.clear();
-        let broken = view.chain.iter().any(|node| self.has_lost(*node));
-        self.installed = Some(InstalledView { view, stands: false, since: self.now, broken });
+        let broken = view.chain.iter().any(|node| self.has_failed(*node));
+        self.installed = Some(InstalledView { view, started: false, since: self.now, broken });
         self.persist(vec![Output::Send(from, Message::Installed { view: ballot })]);
     }
 
-    /// All members have made a view durable.
+    /// Handles the message that all members have made a view durable.
     pub(super) fn handle_start_view(&mut self, view: View) {
         self.deference = None;
         self.accepted_config = None;
@@ -227,22 +237,22 @@
         self.dispatch_calls();
     }
 
-    /// Starts the view where it is installed here, but not where a later promise has fenced it, or where a change has
-    /// been accepted in it already.
+    /// Starts the view if this node has installed it, it has not started here before, and no later promise has fenced it.
     fn start_installed_view(&mut self, view: &View) {
         let fenced = self.hard_state.promised != view.number;
         let Some(installed) = self.installed.as_mut().filter(|installed| installed.view == *view) else {
             return;
         };
-        if installed.stands || fenced {
+        if installed.started || fenced {
             return;
         }
         installed.start(self.now);
-        // What is needed now is needed of this view: else all nodes that waited for it to stand would propose the next
-        // one at once, before it has answered anything.
+        // The delay before the next proposal begins anew with this view. Otherwise all nodes that waited for it to start would
+        // propose the next one at once, before this view has answered any call.
         self.needed_since = None;
         if !self.hard_state.votes {
-            // What it may have forgotten is known to a majority that has accepted this view, or lies below it.
+            // The promises that this node may have forgotten are below this view, or are known to the quorum that has accepted
+            // it.
             self.hard_state.votes = true;
             self.persist(Vec::new());
         }
@@ -251,11 +261,12 @@
         self.send_heartbeats();
     }
 
-    /// A message down the chain shows that its view stands, also where the message of that is still on its way. What the
-    /// view began with is committed then, and what follows is not yet.
+    /// Starts the view of a message that was forwarded along the chain. Such a message proves that the view has started, and
+    /// may overtake the message that says so. The record that the view began with is then committed; a change that follows in
+    /// the message is not committed yet.
     pub(super) fn start_view_if_proved(&mut self, ballot: u64) {
         let Some(view) = self.unfenced_view(ballot).cloned() else { return };
-        if self.installed.as_ref().is_some_and(|installed| !installed.stands) {
+        if self.installed.as_ref().is_some_and(|installed| !installed.started) {
             self.handle_start_view(view);
         }
     }
--- a/control-plane/src/fleet/mod.rs
+++ b/control-plane/src/fleet/mod.rs
@@ -85,7 +85,7 @@
 /// An update of the fleet, as a publisher sends it on a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetUpdate {
-    /// The whole fleet.
+    /// The complete fleet.
     Snapshot {
         /// Version of the fleet at the publisher.
         version: u64,
--- a/control-plane/src/invariant.rs
+++ b/control-plane/src/invariant.rs
@@ -1,6 +1,6 @@
 //! Invariants that are checked at run time, in every build.
 //!
-//! A violation is counted and logged, and the process goes on, as the rest of what it serves may be correct. `status` shows
+//! A violation is counted and logged, and the process goes on, as its other functions may be correct. `status` shows
 //! the counts, and a test over processes fails where there is a violation in a log.
 //!
 //! A check tests a consequence of the invariant that does not depend on the mechanism which maintains it. It costs no more
--- a/control-plane/src/purge_history.rs
+++ b/control-plane/src/purge_history.rs
@@ -9,7 +9,7 @@
 /// How long purges are retained. No route stores responses for longer without revalidation, and a process that was
 /// disconnected for longer starts with an empty cache.
 pub const PURGE_RETENTION: Millis = 120_000;
-/// Bound of the purges retained. Where it is exceeded, a session that connects is told to purge everything.
+/// Bound of the purges retained. Where it is exceeded, a session that connects has to purge everything.
 pub const MAX_PURGES: usize = 4096;
 /// Bound of the bytes of all hosts, paths and labels. The history is sent to a peer in one frame; the other half of the
 /// frame is for the remaining fields.
--- a/control-plane/src/rate_limit.rs
+++ b/control-plane/src/rate_limit.rs
@@ -16,9 +16,9 @@
 
 use crate::Millis;
 
-/// Share of the limit that is handed out as quotas. The rest is for saved tokens, for requests that arrive later than they
+/// Share of the limit that is divided into quotas. The remainder is for saved tokens, for requests that arrive later than they
 /// were sent, and for moments in which the machines do not agree on their number.
-const UTILIZATION: f64 = 0.91;
+const LIMIT_UTILIZATION: f64 = 0.91;
 /// Share of a window whose tokens may be saved.
 const BURST_WINDOW_SHARE: f64 = 0.05;
 /// Share of the quotas that edges have while shields send the requests.
@@ -59,7 +59,7 @@
 impl RateLimitSettings {
     /// Tokens per millisecond for a quota of a rate in requests per second.
     fn tokens_per_ms(&self, quota: f64, rate_per_s: f64) -> f64 {
-        rate_per_s.max(0.0) * self.over * UTILIZATION * quota / 1000.0
+        rate_per_s.max(0.0) * self.over * LIMIT_UTILIZATION * quota / 1000.0
     }
 
     /// Time whose tokens may be saved, in milliseconds.
--- a/control-plane/src/record.rs
+++ b/control-plane/src/record.rs
@@ -1,6 +1,6 @@
 //! The replicated state, and the decision on an order by that state.
 //!
-//! The decision depends on the record and the order alone, so that every head decides the same order in the same way.
+//! The decision depends on the record and the order alone, so that every head makes the same decision on the same order.
 
 use serde::{Deserialize, Serialize};
 
--- a/control-plane/src/registry/entry.rs
+++ b/control-plane/src/registry/entry.rs
@@ -158,7 +158,7 @@
     name.len() <= MAX_NAME_BYTES
 }
 
-/// An entry with its age, as control nodes send it to each other. The age stands in place of a time, as the clocks of two
+/// An entry with its age, as control nodes send it to each other. An age is sent instead of a time, as the clocks of two
 /// nodes are not compared.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObservedServer {
--- a/control-plane/src/registry/mod.rs
+++ b/control-plane/src/registry/mod.rs
@@ -29,7 +29,7 @@
 const MISSED_HEARTBEATS: u64 = 4;
 /// Bound of the entries, tombstones included; heartbeats of further servers are rejected.
 pub const MAX_SERVERS: usize = 4096;
-/// Bound of the tombstones that are made for unknown ids. The rest of the registry is left to servers, whatever ids callers
+/// Bound of the tombstones that are made for unknown ids. The other half of the registry is for servers, whatever ids callers
 /// deregister.
 const MAX_ENTRIES_FOR_UNKNOWN_TOMBSTONE: usize = MAX_SERVERS / 2;
 /// How long a tombstone is retained, as the last heartbeats of its server may still be in transit.
--- a/control-plane/src/retry_budget.rs
+++ b/control-plane/src/retry_budget.rs
@@ -14,10 +14,10 @@
 use crate::Millis;
 
 /// Buckets that a window is counted in.
-const BUCKETS: u64 = 10;
-/// Share of the operator's bound that is used. The rest is for requests that are counted where they arrive a little later
+const BUCKETS_PER_WINDOW: u64 = 10;
+/// Share of the operator's bound that is used. The remainder is for requests that are counted where they arrive a little later
 /// than where they were sent, and for machines that learn at different moments that another one has come or gone.
-const UTILIZATION: f64 = 0.85;
+const BOUND_UTILIZATION: f64 = 0.85;
 /// Bound of the services counted. A further one is treated as one without requests, and gets first attempts only.
 pub const MAX_SERVICES: usize = 1024;
 
@@ -44,12 +44,12 @@
 impl Bucket {
     /// Whether a part of the bucket lies in the window that ends in the bucket `current`.
     fn overlaps_window(&self, current: u64) -> bool {
-        self.number + BUCKETS >= current
+        self.number + BUCKETS_PER_WINDOW >= current
     }
 
     /// Whether all of the bucket lies in the window that ends in the bucket `current`.
     fn is_within_window(&self, current: u64) -> bool {
-        self.number + BUCKETS > current
+        self.number + BUCKETS_PER_WINDOW > current
     }
 }
 
@@ -107,7 +107,7 @@
     }
 
     fn bucket_number(&self, now: Millis) -> u64 {
-        let bucket_length = (self.settings.window / BUCKETS).max(1);
+        let bucket_length = (self.settings.window / BUCKETS_PER_WINDOW).max(1);
         now / bucket_length
     }
 
@@ -157,7 +157,7 @@
         let retries: u32 = buckets.iter().map(|bucket| bucket.retries).sum();
         let counted = buckets.iter().filter(|bucket| bucket.is_within_window(current));
         let requests: u32 = counted.map(|bucket| bucket.requests).sum();
-        let budget = (ratio * f64::from(requests) + share) * UTILIZATION;
+        let budget = (ratio * f64::from(requests) + share) * BOUND_UTILIZATION;
         if f64::from(retries + 1) > budget {
             return false;
         }
--- a/control-plane/tests/chain.rs
+++ b/control-plane/tests/chain.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Time passes, and nothing is broken by then.
+/// Advances the simulation by one step, and checks all properties.
 fn step(world: &mut World) {
     world.step().expect("all properties hold");
 }
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_whatever_fails_within_bounds() {
+fn no_acknowledged_change_is_lost_under_the_promised_faults() {
     if let Some(seed) = number("CHAIN_SEED") {
         println!("seed {seed}: {} changes", play(seed));
         return;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_quiet_core_takes_a_change_within_a_second_of_its_start() {
+fn a_change_is_committed_within_a_second_of_the_start() {
     let mut world = World::new(1, SMALL);
     while world.now < 1000 {
         step(&mut world);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_member_that_leaves_in_order_is_out_of_the_chain_before_a_silence_would_be_noticed() {
+fn a_draining_member_is_out_of_the_chain_before_a_failure_would_be_detected() {
     let mut world = World::new(2, SMALL);
     while world.now < 1000 {
         step(&mut world);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_core_that_waited_long_for_its_voters_takes_changes_once_they_are_there() {
+fn changes_are_committed_once_enough_voters_are_reachable() {
     let mut world = World::new(4, ClusterSize { losses: 2, spare: 0 });
     world.isolate(5, 10_000);
     while world.now < 10_000 {
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn voters_are_added_and_removed_at_an_operators_word_and_what_would_break_the_core_is_refused() {
+fn an_operator_adds_and_removes_voters_and_unsafe_requests_are_rejected() {
     let mut world = World::new(5, ClusterSize { losses: 1, spare: 2 });
     for n in 4..=5 {
         world.power_on(n);
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_lost_voter_leaves_where_an_operator_has_made_more_voters_than_are_needed_and_nobody_stands_by() {
+fn a_failed_surplus_voter_without_a_standby_is_removed() {
     let mut world = World::new(6, ClusterSize { losses: 1, spare: 1 });
     let until = |world: &mut World, end| {
         while world.now < end {
@@ -208,8 +208,8 @@
     await_voters(&mut world, 1, &[1, 2, 4]);
 }
 
-/// Any message, with numbers and lists that may be far out.
-fn nonsense(rng: &mut ChaCha8Rng) -> Message {
+/// A random message, whose numbers and lists may be out of range.
+fn random_message(rng: &mut ChaCha8Rng) -> Message {
     let number = |rng: &mut ChaCha8Rng| match rng.random_range(0..5) {
         0 => rng.random(),
         1 => u64::MAX,
@@ -241,10 +241,10 @@
             eligible: rng.random(),
             promised: number(rng),
             view: rng.random_bool(0.5).then(|| view(rng)),
-            heard_peers: nodes(rng),
+            reachable_peers: nodes(rng),
             wiped: rng.random(),
             unfit: rng.random(),
-            leaving: rng.random(),
+            draining: rng.random(),
             committed: number(rng),
         }),
         1 => Message::Prepare { view: number(rng) },
@@ -263,29 +263,29 @@
         }
         8 => Message::Acked { view: number(rng), seq: number(rng) },
         9 => Message::Committed { record: record(rng) },
-        10 => Message::Forward { call: call(rng), what: change(rng) },
+        10 => Message::Forward { id: call(rng), call: change(rng) },
         11 => {
             let claim = match rng.random_range(0..4) {
-                0 => Claim::Committed { than: None },
-                1 => Claim::Committed { than: Some(number(rng)) },
-                2 => Claim::Found(Outcome::Conflict { current: number(rng) }),
-                _ => Claim::Found(Outcome::Unchanged),
+                0 => Claim::Committed { newer_than: None },
+                1 => Claim::Committed { newer_than: Some(number(rng)) },
+                2 => Claim::Decided(Outcome::Conflict { current: number(rng) }),
+                _ => Claim::Decided(Outcome::Unchanged),
             };
-            Message::Confirm { view: number(rng), origin: node(1), call: call(rng), claim }
+            Message::Confirm { view: number(rng), origin: node(1), id: call(rng), claim }
         }
-        _ => Message::Answer { call: call(rng), outcome: Outcome::Conflict { current: number(rng) } },
+        _ => Message::Answer { id: call(rng), outcome: Outcome::Conflict { current: number(rng) } },
     }
 }
 
 #[test]
-fn what_no_node_says_has_no_effect() {
+fn malformed_messages_have_no_effect() {
     let mut world = World::new(3, SMALL);
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut ignored = 0;
     while world.now < 6000 {
         step(&mut world);
         let now = world.now;
-        for message in (0..9).map(|_| nonsense(&mut rng)).filter(|message| !message.is_sound()) {
+        for message in (0..9).map(|_| random_message(&mut rng)).filter(|message| !message.is_sound()) {
             let chain = world.machines[0].chain.as_mut().expect("it runs");
             assert_eq!(chain.message(now, node(2), message), []);
             ignored += 1;
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn what_a_broken_peer_says_soundly_breaks_no_node() {
+fn well_formed_messages_of_a_faulty_peer_make_no_node_fail() {
     for seed in 0..300 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut chain = Chain::new(node(1), SMALL.settings(), Start::Fresh(seeds()));
@@ -316,7 +316,7 @@
                 2 => chain.call(now, now, Call::Read),
                 3 => chain.tick(now),
                 4 => syncs.pop_front().map_or(Vec::new(), |number| chain.synced(now, number)),
-                _ => chain.message(now, from, nonsense(&mut rng)),
+                _ => chain.message(now, from, random_message(&mut rng)),
             };
             assert!(outputs.len() < 200, "seed {seed}: {} answers to one message", outputs.len());
             for output in outputs {
@@ -328,16 +328,16 @@
     }
 }
 
-/// What a node that has begun from its disk says to some messages.
-fn said(chain: &mut Chain, now: u64, from: u8, message: Message) -> Vec<Output> {
-    let mut said = Vec::new();
+/// The outputs of a node for a message, with those that follow its disk writes.
+fn outputs_for(chain: &mut Chain, now: u64, from: u8, message: Message) -> Vec<Output> {
+    let mut outputs = Vec::new();
     for output in chain.message(now, node(from), message) {
         match output {
-            Output::Persist(number, _) => said.extend(chain.synced(now, number)),
-            output => said.push(output),
+            Output::Persist(number, _) => outputs.extend(chain.synced(now, number)),
+            output => outputs.push(output),
         }
     }
-    said
+    outputs
 }
 
 fn record(seq: u64) -> Arc<Record> {
@@ -346,60 +346,63 @@
 }
 
 #[test]
-fn what_comes_down_the_chain_before_the_word_that_the_view_stands_shows_that_it_does() {
+fn a_message_along_the_chain_starts_its_view() {
     let members = JointConfig::of(seeds());
     let view = View { number: 3 << 32, chain: seeds(), members: members.clone() };
-    // The tail begins anew from its disk: it knows of no committed record.
-    let begins = || {
+    // The tail has restarted from its disk, and knows no committed record.
+    let restarted_tail = || {
         let disk =
             HardState { members: members.clone(), votes: true, promised: 1, accepted: 1, record: record(6) };
         let mut chain = Chain::new(node(3), SMALL.settings(), Start::Kept(disk));
         for peer in 1..=2 {
             chain.peer_up(0, node(peer));
         }
-        said(&mut chain, 1, 1, Message::Install { view: view.clone(), record: record(6) });
+        outputs_for(&mut chain, 1, 1, Message::Install { view: view.clone(), record: record(6) });
         chain
     };
-    let mut chain = begins();
-    let call = CallId { incarnation: 0, number: 9 };
-    let claim = Claim::Committed { than: None };
-    let read = Message::Confirm { view: view.number, origin: node(2), call, claim };
-    let answer = Message::Answer { call, outcome: Outcome::Document(record(6)) };
-    assert!(said(&mut chain, 2, 2, read).contains(&Output::Send(node(2), answer)), "not what was before");
+    let mut chain = restarted_tail();
+    let id = CallId { incarnation: 0, number: 9 };
+    let claim = Claim::Committed { newer_than: None };
+    let read = Message::Confirm { view: view.number, origin: node(2), id, claim };
+    let answer = Message::Answer { id, outcome: Outcome::Document(record(6)) };
+    assert!(
+        outputs_for(&mut chain, 2, 2, read).contains(&Output::Send(node(2), answer)),
+        "the record that the view began with"
+    );
 
-    // A member in the middle: what is on its way down is not committed when the word comes.
+    // A member in the middle: a change in flight is not committed when the message arrives that the view has started.
     let middle = View { chain: vec![node(1), node(3), node(2)], ..view.clone() };
-    let mut chain = begins();
+    let mut chain = restarted_tail();
     let install = Message::Install { view: View { number: 4 << 32, ..middle.clone() }, record: record(6) };
-    said(&mut chain, 2, 2, install);
+    outputs_for(&mut chain, 2, 2, install);
     let entry = LogEntry {
         seq: 7,
         document: record(7).document.clone(),
         order: AppliedOrder { rev: 7, key: IdempotencyKey([7; 32]) },
     };
     let update = Message::Update { view: 4 << 32, entry: Arc::new(entry) };
-    let passed = said(&mut chain, 3, 1, update);
-    assert!(passed.contains(&Output::Publish(record(6))), "{passed:?}");
-    let told = said(&mut chain, 4, 2, Message::StartView { view: View { number: 4 << 32, ..middle } });
+    let outputs = outputs_for(&mut chain, 3, 1, update);
+    assert!(outputs.contains(&Output::Publish(record(6))), "{outputs:?}");
+    let told = outputs_for(&mut chain, 4, 2, Message::StartView { view: View { number: 4 << 32, ..middle } });
     let publishes_next = |output: &Output| matches!(output, Output::Publish(record) if record.seq == 7);
     assert!(!told.iter().any(publishes_next), "{told:?}");
 }
 
 #[test]
-fn a_promise_does_not_outlive_the_link_on_which_it_was_given() {
+fn a_promise_ends_with_the_link_on_which_it_was_sent() {
     let mut chain = Chain::new(node(1), SMALL.settings(), Start::Fresh(seeds()));
-    let beat = |hears: [u8; 2], wiped| {
-        let hears = hears.map(node).to_vec();
+    let heartbeat = |reachable: [u8; 2], wiped| {
+        let reachable_peers = reachable.map(node).to_vec();
         Message::Heartbeat(Heartbeat {
             members: JointConfig::of(seeds()),
-            heard_peers: hears,
+            reachable_peers,
             wiped,
             ..Heartbeat::default()
         })
     };
     for peer in 2..=3 {
         chain.peer_up(0, node(peer));
-        chain.message(0, node(peer), beat([1, 5 - peer], false));
+        chain.message(0, node(peer), heartbeat([1, 5 - peer], false));
     }
     // It proposes a view, and its own disk is slow; 3 promises, and 2 says nothing.
     let mut syncs = Vec::new();
@@ -413,7 +416,7 @@
             }
         }
     }
-    let view = view.expect("it proposes");
+    let view = view.expect("the node proposes");
     let promise = Message::Promise {
         view,
         accepted: Some(0),
@@ -424,7 +427,7 @@
     // 3 loses its disk, and with it what it promised since; it is back at once.
     chain.peer_down(210, node(3));
     chain.peer_up(220, node(3));
-    chain.message(220, node(3), beat([1, 2], true));
+    chain.message(220, node(3), heartbeat([1, 2], true));
     let mut said: Vec<Output> = syncs.iter().flat_map(|number| chain.synced(230, *number)).collect();
     for now in (240..700).step_by(20) {
         said.extend(chain.tick(now));
@@ -438,7 +441,7 @@
 }
 
 #[test]
-fn one_that_was_let_go_of_and_takes_an_old_view_for_standing_keeps_nobody_from_mending_the_chain() {
+fn an_excluded_node_that_reports_an_old_view_does_not_prevent_a_new_one() {
     let members = JointConfig::of(seeds());
     let disk =
         HardState { members: members.clone(), votes: true, promised: 1, accepted: 1, record: record(6) };
@@ -452,17 +455,17 @@
             let beat = Heartbeat {
                 members: members.clone(),
                 view: Some(view.clone()),
-                heard_peers: hears,
+                reachable_peers: hears,
                 ..Heartbeat::default()
             };
-            said(chain, now, peer, Message::Heartbeat(beat));
+            outputs_for(chain, now, peer, Message::Heartbeat(beat));
         }
     };
     for peer in 2..=4 {
         chain.peer_up(0, node(peer));
     }
-    said(&mut chain, 10, 2, Message::Install { view: view.clone(), record: record(6) });
-    said(&mut chain, 20, 2, Message::StartView { view: view.clone() });
+    outputs_for(&mut chain, 10, 2, Message::Install { view: view.clone(), record: record(6) });
+    outputs_for(&mut chain, 20, 2, Message::StartView { view: view.clone() });
     beats(&mut chain, 30);
     // A link is lost for a moment: the others may not have noticed, or see all whole again.
     chain.peer_down(50, node(2));
--- a/control-plane/tests/contact.rs
+++ b/control-plane/tests/contact.rs
@@ -224,7 +224,7 @@
         let Some(chain) = &self.machines[n].chain else { return };
         let committed = chain.committed();
         let (known, than) = (committed.rev, committed.seq);
-        let what = if self.rng.random() { Call::ReadNewer { than } } else { Call::Read };
+        let what = if self.rng.random() { Call::ReadNewer { known_seq: than } } else { Call::Read };
         self.begin(n, Asked { what, floor, taken: false, known });
     }
 
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn what_a_node_tells_of_the_newest_version_holds_also_while_it_is_cut_off_and_does_not_know() {
+fn answers_on_the_newest_version_are_linearizable_while_a_node_is_partitioned_without_knowing_it() {
     let number = |variable: &str| std::env::var(variable).ok()?.parse::<u64>().ok();
     if let Some(seed) = number("CONTACT_SEED") {
         println!("seed {seed}: {:?}", play(seed));
--- a/control-plane/tests/deduplication.rs
+++ b/control-plane/tests/deduplication.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_order_is_known_again_through_thousands_of_changes_and_never_refused_after_that() {
+fn an_order_is_recognised_through_thousands_of_changes_and_never_rejected_after_that() {
     for make in [put, patch] {
         let mut record = Record::default();
         further(&mut record, 3);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_order_is_known_by_all_of_it() {
+fn the_key_of_an_order_covers_all_of_it() {
     let mut keys = std::collections::HashSet::new();
     for builds_on in [0, 1, 5, 256, u64::MAX] {
         for body in [&b""[..], b"a", b"b", b"a\0", b"\0a", b" {\"rev\":5}"] {
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_patch_whose_version_is_named_twice_is_known_by_the_one_that_counts() {
+fn a_patch_with_two_versions_is_identified_by_the_one_that_counts() {
     let mut record = Record::default();
     let twice = (0, ConfigChange::Patch(b"{\"rev\":3,\"upsert\":{},\"rev\":4}".to_vec()));
     take(&mut record, &twice);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn what_a_restored_core_does_not_know_is_neither_confirmed_nor_refused() {
+fn an_order_that_a_restored_record_may_have_lost_is_neither_confirmed_nor_rejected() {
     let mut record = Record::default();
     further(&mut record, 4);
     let known = put(8, 10, 1);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn the_table_is_bounded_comes_back_as_it_was_and_is_told_from_what_is_none() {
+fn the_table_is_bounded_and_invalid_tables_are_rejected() {
     let mut record = Record { rev: u64::MAX - (1 << 20), ..Record::default() };
     let mut longest = 0;
     for _ in 0..MAX_APPLIED_ORDERS + CHUNK + 1 {
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn random_operators_are_told_what_a_list_of_all_orders_says() {
+fn decisions_on_random_orders_match_a_list_of_all_orders() {
     for seed in 0..3 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let (mut record, mut reference) = (Record::default(), Reference { taken: Vec::new() });
@@ -443,7 +443,7 @@
 }
 
 #[test]
-fn orders_taken_before_any_loss_view_and_change_of_voters_are_confirmed_at_any_node_after_it() {
+fn applied_orders_are_confirmed_at_any_node_after_losses_views_and_reconfigurations() {
     let mut core = Core::new(1);
     core.pass(1000);
     let mut taken: Vec<(Order, u64)> = Vec::new();
@@ -486,7 +486,7 @@
 }
 
 #[test]
-fn an_order_older_than_the_table_is_told_what_is_in_force_at_any_node() {
+fn an_order_older_than_the_table_is_answered_with_the_current_version_at_any_node() {
     let mut core = Core::new(1);
     let record = Record {
         seq: 9,
@@ -517,7 +517,7 @@
 }
 
 #[test]
-fn an_entry_that_does_not_rise_above_the_record_is_not_taken() {
+fn an_entry_with_a_version_below_the_record_is_not_accepted() {
     let mut core = Core::new(1);
     core.pass(1000);
     for (builds_on, rev) in [(0, 5), (5, 9)] {
@@ -537,7 +537,7 @@
 }
 
 #[test]
-fn an_order_under_way_that_arrives_again_is_confirmed_with_the_first() {
+fn an_order_that_is_retried_while_in_flight_is_confirmed_with_the_first() {
     for seed in 0..200 {
         let mut core = Core::new(seed);
         core.pass(1000);
--- a/control-plane/tests/documents.rs
+++ b/control-plane/tests/documents.rs
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn documents_become_what_a_plain_reference_makes_of_them() {
+fn changes_of_documents_match_a_plain_reference() {
     let number = |name: &str, or: u64| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(or);
     let (first, runs) = (number("DOCUMENTS_SEED", 0), number("DOCUMENTS_RUNS", 200));
     let (mut taken, mut refused) = (0, 0);
--- a/control-plane/tests/exhaustive/main.rs
+++ b/control-plane/tests/exhaustive/main.rs
@@ -30,13 +30,13 @@
         }
         for event in world.events() {
             let mut after = world.clone();
-            let mut way: Vec<Event> = path.clone();
-            way.push(event);
+            let mut extended_path: Vec<Event> = path.clone();
+            extended_path.push(event);
             if let Err(broken) = after.play(event).and_then(|()| after.check()) {
-                panic!("{broken}, after {way:?}");
+                panic!("{broken}, after {extended_path:?}");
             }
             if seen.insert(after.print()) {
-                stack.push((after, way));
+                stack.push((after, extended_path));
             }
         }
     }
@@ -45,19 +45,19 @@
 }
 
 #[test]
-fn no_order_of_two_racing_changes_and_no_loss_in_between_acknowledges_both_or_undoes_one() {
+fn no_interleaving_of_two_racing_changes_and_one_loss_acknowledges_both_or_loses_one() {
     let (states, acknowledged) = visited(World::new(2, 0, 0));
     assert!(states > 200 && acknowledged > 10, "{states} states, {acknowledged} acknowledged");
 }
 
 #[test]
-fn no_lost_link_at_any_moment_of_a_change_undoes_it() {
+fn no_lost_link_at_any_moment_of_a_change_loses_the_change() {
     let (states, acknowledged) = visited(World::new(1, 1, 0));
     assert!(states > 1000 && acknowledged > 50, "{states} states, {acknowledged} acknowledged");
 }
 
 #[test]
-fn no_voter_that_returns_at_any_moment_of_a_change_and_no_loss_undoes_it() {
+fn no_voter_that_returns_at_any_moment_of_a_change_and_no_loss_loses_the_change() {
     for away in 0..SEEDS {
         let mut world = World::new(0, 0, 0);
         world.leave_out(away);
--- a/control-plane/tests/exhaustive/members.rs
+++ b/control-plane/tests/exhaustive/members.rs
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn no_order_of_events_while_three_seeds_become_five_voters_loses_a_change_or_the_core() {
+fn no_interleaving_while_three_voters_become_five_loses_a_change_or_the_quorum() {
     let fresh = (0..SEEDS).map(|_| Some(Start::Fresh(seeds())));
     let mut world = World::of(2, fresh.chain([Some(Start::Wiped), Some(Start::Wiped)]).collect());
     (world.breaks, world.passes) = (1, 1);
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn no_order_of_events_while_one_of_five_voters_is_replaced_loses_a_change_or_the_core() {
+fn no_interleaving_while_one_of_five_voters_is_replaced_loses_a_change_or_the_quorum() {
     let fresh = (0..SEEDS).map(|_| Some(Start::Fresh(seeds())));
     let others = (SEEDS..6).map(|_| Some(Start::Wiped));
     let mut world = World::of(2, fresh.chain(others).collect());
--- a/control-plane/tests/lease.rs
+++ b/control-plane/tests/lease.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn no_purge_is_acknowledged_that_a_proxy_may_not_have_taken() {
+fn no_purge_is_acknowledged_before_every_proxy_has_applied_it_or_lost_its_lease() {
     let mut acknowledged = 0;
     for seed in 0..SEEDS {
         let mut world = World::new(seed, TakenOut::Nothing);
--- a/control-plane/tests/members.rs
+++ b/control-plane/tests/members.rs
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn a_machine_that_comes_back_pushes_no_healthy_one_out_of_the_chain() {
+fn a_machine_that_comes_back_displaces_no_healthy_member_of_the_chain() {
     for losses in 1..=3 {
         for seed in 0..30 {
             let size = ClusterSize { losses, spare: 0 };
--- a/control-plane/tests/unit/config.rs
+++ b/control-plane/tests/unit/config.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_decides() {
+fn the_route_with_the_longest_prefix_of_the_host_matches() {
     let config = read(&document()).unwrap();
     let route = |host: &str, path: &str| config.route(host, path).map(|route| route.name.as_str());
     assert_eq!(route("one.example", "/a/x"), Some("a"));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn each_kind_of_invalid_document_is_told() {
+fn each_kind_of_invalid_document_is_named() {
     type Case = (&'static str, fn(&mut Value), &'static str);
     let cases: [Case; 8] = [
         ("unknown service", |d| d["paths"][0]["backend"] = "x".into(), "no backend is named \"x\""),
@@ -62,18 +62,18 @@
         ("no target", |d| d["paths"][0]["backend"] = Value::Null, "exactly one"),
         ("no rev", |d| d["rev"] = Value::Null, "not a configuration"),
     ];
-    for (case, spoil, told) in cases {
+    for (case, invalidate, expected) in cases {
         let mut document = document();
-        spoil(&mut document);
-        let why = read(&document).expect_err(case).to_string();
-        assert!(why.contains(told), "{case}: {why}");
+        invalidate(&mut document);
+        let error = read(&document).expect_err(case).to_string();
+        assert!(error.contains(expected), "{case}: {error}");
     }
     let whole = document().to_string();
     assert!(matches!(Config::read(&whole.as_bytes()[..whole.len() - 9]), Err(InvalidConfig::Unreadable(_))));
 }
 
 #[test]
-fn a_patch_replaces_adds_and_removes_by_name_and_keeps_the_rest() {
+fn a_patch_replaces_adds_and_removes_by_name_and_leaves_other_items() {
     let patch = serde_json::json!({
         "rev": 8,
         "upsert": {
--- a/control-plane/tests/unit/invariant.rs
+++ b/control-plane/tests/unit/invariant.rs
@@ -1,16 +1,17 @@
-//! Checks that run in the code: a violation is counted under its name, and what holds costs nothing.
+//! Invariants that are checked at run time: a violation is counted under its name.
 
 use glenfall_control_plane::invariant::{report, violations, Invariant, COUNTER};
 
 #[test]
-fn violations_are_counted_by_name_and_details_are_made_for_them_only() {
+fn violations_are_counted_by_name_and_details_are_computed_for_violations_only() {
     let before = violations();
     Invariant::OneDocument.check(true, || unreachable!("it holds"));
     assert_eq!(violations(), before);
-    Invariant::OneDocument.check(false, || "two of them".into());
+    Invariant::OneDocument.check(false, || "two documents".into());
     assert_eq!((violations(), Invariant::OneDocument.violations()), (before + 1, 1));
-    let told: Vec<(String, u64)> = report().collect();
-    assert_eq!(told, [(format!("{COUNTER}one_document"), 1)]);
-    let names: std::collections::BTreeSet<&str> = Invariant::ALL.iter().map(|i| i.name()).collect();
+    let counters: Vec<(String, u64)> = report().collect();
+    assert_eq!(counters, [(format!("{COUNTER}one_document"), 1)]);
+    let names: std::collections::BTreeSet<&str> =
+        Invariant::ALL.iter().map(|invariant| invariant.name()).collect();
     assert_eq!(names.len(), Invariant::ALL.len(), "each has a name of its own");
 }
--- a/control-plane/tests/unit/main.rs
+++ b/control-plane/tests/unit/main.rs
@@ -1,4 +1,4 @@
-//! The parts of the crate, each by its own interface.
+//! Unit tests of the modules, by their public interfaces.
 
 mod config;
 mod fleet;
--- a/control-plane/tests/unit/peers.rs
+++ b/control-plane/tests/unit/peers.rs
@@ -1,4 +1,4 @@
-//! What a node says of its links.
+//! What a node reports of its links.
 
 use glenfall_control_plane::chain::{
     Chain, ChainSettings, HardState, JointConfig, Message, NodeId, Output, Start,
@@ -21,10 +21,12 @@
     Chain::new(node(3), settings, Start::Kept(state))
 }
 
-/// The receiver of a heartbeat that says that its sender hears `heard`.
-fn receiver_of(output: &Output, heard: NodeId) -> Option<NodeId> {
+/// The receiver of a heartbeat that reports that its sender reaches `reachable`.
+fn receiver_of(output: &Output, reachable: NodeId) -> Option<NodeId> {
     match output {
-        Output::Send(receiver, Message::Heartbeat(heartbeat)) if heartbeat.heard_peers.contains(&heard) => {
+        Output::Send(receiver, Message::Heartbeat(heartbeat))
+            if heartbeat.reachable_peers.contains(&reachable) =>
+        {
             Some(*receiver)
         }
         _ => None,
--- a/control-plane/tests/unit/settings.rs
+++ b/control-plane/tests/unit/settings.rs
@@ -1,4 +1,4 @@
-//! What the promised losses and the time to catch up make of the chain's time limits.
+//! Time-outs of the chain that follow from the promised losses and the time for catching up.
 
 use glenfall_control_plane::chain::{Chain, ChainSettings, NodeId, Start, SyncTooShort};
 use glenfall_control_plane::Millis;
@@ -9,7 +9,7 @@
     ChainSettings { losses, eligible: true, sync }
 }
 
-/// How long a peer has to be silent until a node counts it as failed.
+/// Time without a message until a node counts a peer as failed.
 fn detection_time(settings: ChainSettings) -> Millis {
     let (me, peer) = (NodeId::new(10, 0, 0, 1), NodeId::new(10, 0, 0, 2));
     let mut chain = Chain::new(me, settings, Start::Fresh(vec![me, peer]));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn seven_voters_keep_to_four_seconds_by_detecting_losses_sooner() {
+fn more_promised_losses_in_the_same_time_are_detected_sooner() {
     for (losses, sync, detected, replaced, needed) in [
         (1, 4000, 1000, 2000, 3200),
         (2, 4000, 1000, 1500, 4000),
@@ -40,10 +40,10 @@
 }
 
 #[test]
-fn what_passes_the_check_fits_and_what_does_not_is_named() {
-    let refused = |losses, needed, sync| Err(SyncTooShort { losses, needed, sync });
-    assert_eq!(settings(4, 4000).check(), refused(4, 4900, 4000));
-    assert_eq!(settings(1, 1000).check(), refused(1, 1900, 1000));
+fn settings_pass_the_check_if_the_repair_fits_into_the_time() {
+    let too_short = |losses, needed, sync| Err(SyncTooShort { losses, needed, sync });
+    assert_eq!(settings(4, 4000).check(), too_short(4, 4900, 4000));
+    assert_eq!(settings(1, 1000).check(), too_short(1, 1900, 1000));
     assert_eq!(settings(0, 0).check(), Ok(()));
     for losses in 1..=7 {
         for sync in (0..20_000).step_by(100) {
--- a/control-plane/tests/wire_format.rs
+++ b/control-plane/tests/wire_format.rs
@@ -213,15 +213,15 @@
         members: voters(),
         promised: 1025,
         view: Some(view()),
-        heard_peers: vec![ip(2)],
+        reachable_peers: vec![ip(2)],
         wiped: false,
         eligible: true,
         unfit: false,
-        leaving: true,
+        draining: true,
         committed: 4,
     };
     let entry = Arc::new(LogEntry { seq: 5, document: br#"{"rev": 10}"#.to_vec(), order: order(10) });
-    let (call, record) = (call_id(), record());
+    let (id, record) = (call_id(), record());
     let promise =
         |accepted| Message::Promise { view: 513, accepted, members: voters(), record: record.clone() };
     let messages = [
@@ -245,10 +245,10 @@
         ("put", Call::Change { builds_on: 9, change: ConfigChange::Put(br#"{"rev": 10}"#.to_vec()) }),
         ("patch", Call::Change { builds_on: 9, change: ConfigChange::Patch(br#"{"rev": 10}"#.to_vec()) }),
         ("read", Call::Read),
-        ("read-newer", Call::ReadNewer { than: 4 }),
+        ("read-newer", Call::ReadNewer { known_seq: 4 }),
     ];
-    for (name, what) in calls {
-        samples.check(&format!("chain.forward.{name}"), &PeerMessage::Chain(Message::Forward { call, what }));
+    for (name, call) in calls {
+        samples.check(&format!("chain.forward.{name}"), &PeerMessage::Chain(Message::Forward { id, call }));
     }
     let outcomes = [
         ("done", Outcome::Done { rev: 10 }),
@@ -263,14 +263,13 @@
         ("unavailable", Outcome::Unavailable),
     ];
     for (name, outcome) in outcomes {
-        let claim = Claim::Found(outcome.clone());
-        let confirm = Message::Confirm { view: 513, origin: ip(2), call, claim };
+        let claim = Claim::Decided(outcome.clone());
+        let confirm = Message::Confirm { view: 513, origin: ip(2), id, claim };
         samples.check(&format!("chain.confirm.{name}"), &PeerMessage::Chain(confirm));
-        samples
-            .check(&format!("chain.answer.{name}"), &PeerMessage::Chain(Message::Answer { call, outcome }));
+        samples.check(&format!("chain.answer.{name}"), &PeerMessage::Chain(Message::Answer { id, outcome }));
     }
-    let claim = Claim::Committed { than: Some(4) };
-    let confirm = Message::Confirm { view: 513, origin: ip(2), call, claim };
+    let claim = Claim::Committed { newer_than: Some(4) };
+    let confirm = Message::Confirm { view: 513, origin: ip(2), id, claim };
     samples.check("chain.confirm.committed", &PeerMessage::Chain(confirm));
 }
 
