--- a/control-plane/tests/contact.rs
+++ b/control-plane/tests/contact.rs
@@ -1,7 +1,8 @@
-//! Out of touch without knowing it: links that go silent, one way or both, for as long as it takes a connection to be
-//! given up, nodes that are frozen and find calls waiting when they wake, and nodes that start again while cut off.
-//! Whatever is told of the newest version, a refusal as well, must hold at a moment after the call began. Fixed seeds;
-//! `CONTACT_SEED=n cargo test -p glenfall-control-plane --test contact` replays one, `CONTACT_RUNS=n` plays more.
+//! Nodes that are partitioned without knowing it: links that lose messages in one or both directions until a connection times
+//! out, nodes whose process is stopped and that find calls in their queues afterwards, and nodes that restart within a
+//! partition. Each answer on the newest version, a rejection as well, has to be linearizable: it holds at a moment after
+//! the call began. The seeds are fixed; `CONTACT_SEED=n cargo test -p glenfall-control-plane --test contact` replays one,
+//! `CONTACT_RUNS=n` plays more.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -15,40 +16,71 @@
 use rand_chacha::ChaCha8Rng;
 
 const TICK: Millis = 10;
-/// A connection on which nothing comes for so long is given up.
-const SILENCE: Millis = 1500;
-const TROUBLES: Millis = 25_000;
-const MENDED: Millis = 8000;
+/// A connection is closed after this time without a message.
+const CONNECTION_TIMEOUT: Millis = 1500;
+/// How long faults are injected.
+const FAULT_PHASE: Millis = 25_000;
+/// How long the simulation goes on without faults.
+const RECOVERY_PHASE: Millis = 8000;
 
 fn node(n: usize) -> NodeId {
     Ipv4Addr::new(10, 0, 0, n as u8 + 1)
 }
 
-/// One end of a link: when it came up, and when something last came on it.
+/// One end of a connection, with the number of the connection.
 #[derive(Clone, Copy)]
 struct End {
-    life: u64,
-    heard: Millis,
+    connection: u64,
+    last_received: Millis,
 }
 
-type Link = VecDeque<(Millis, u64, Message)>;
+/// A message in transit.
+struct InTransit {
+    arrives_at: Millis,
+    /// The connection that it was sent on.
+    connection: u64,
+    message: Message,
+}
+
+type Link = VecDeque<InTransit>;
 
 struct Machine {
     chain: Option<Chain>,
     disk: Option<HardState>,
-    frozen_until: Millis,
-    /// Calls that wait for it to wake.
-    waiting: Vec<Asked>,
+    stopped_until: Millis,
+    /// Calls that arrived while the process is stopped.
+    queued_calls: Vec<PendingCall>,
 }
 
 #[derive(Clone)]
-struct Asked {
-    what: Call,
-    /// The newest acknowledged version when it began, and whether this very change had been acknowledged.
-    floor: u64,
-    taken: bool,
-    /// What the node knew, where it asks for newer.
-    known: u64,
+struct PendingCall {
+    call: Call,
+    /// The newest acknowledged version when the call began.
+    acknowledged_rev: u64,
+    /// Whether this very change had been acknowledged when the call began.
+    was_acknowledged: bool,
+    /// The version that the node had, for a read of a newer one.
+    known_rev: u64,
+}
+
+#[derive(Clone)]
+struct SentChange {
+    builds_on: u64,
+    rev: u64,
+    document: Vec<u8>,
+}
+
+/// Number of answers of two kinds.
+#[derive(Clone, Copy, Debug, Default)]
+struct Counts {
+    conflicts: u64,
+    unchanged: u64,
+}
+
+impl Counts {
+    fn plus(self, other: Counts) -> Counts {
+        Counts { conflicts: self.conflicts + other.conflicts, unchanged: self.unchanged + other.unchanged }
+    }
 }
 
 struct World {
@@ -56,50 +88,51 @@
     now: Millis,
     machines: Vec<Machine>,
     ends: BTreeMap<(usize, usize), End>,
-    lives: u64,
-    /// What is under way: when it arrives, the life of the link, the message.
+    connections: u64,
+    /// Messages in transit, by sender and receiver.
     links: BTreeMap<(usize, usize), Link>,
-    /// Ways on which nothing arrives before then.
+    /// Pairs of sender and receiver between which nothing arrives until a time.
     blocked: BTreeMap<(usize, usize), Millis>,
-    asked: BTreeMap<(usize, u64), Asked>,
+    pending: BTreeMap<(usize, u64), PendingCall>,
     next_call: u64,
-    /// Every change that was sent, and by what it builds on, those acknowledged.
-    sent: Vec<(u64, u64, Vec<u8>)>,
+    /// All changes that were sent.
+    sent: Vec<SentChange>,
+    /// The acknowledged versions, by the versions that they build on.
     acknowledged: BTreeMap<u64, u64>,
+    /// The committed versions, by log index.
     committed: BTreeMap<u64, u64>,
-    /// The newest version that operators heard of: also one that is in force without an answer.
-    told: u64,
-    refused: u64,
-    unchanged: u64,
+    /// The newest version in an answer to an operator, which may be committed without an acknowledgement.
+    answered_rev: u64,
+    counts: Counts,
 }
 
 impl World {
     fn new(seed: u64) -> Self {
         let voters = if seed.is_multiple_of(3) { 5 } else { 3 };
         let seeds: Vec<NodeId> = (0..voters).map(node).collect();
-        let terms = ChainSettings { losses: voters / 2, eligible: true, ..ChainSettings::default() };
+        let settings = ChainSettings { losses: voters / 2, eligible: true, ..ChainSettings::default() };
         let chain = |n| match n {
-            n if n < voters => Chain::new(node(n), terms, Start::Fresh(seeds.clone())),
-            // One that stands by.
-            n => Chain::new(node(n), terms, Start::Wiped),
+            n if n < voters => Chain::new(node(n), settings, Start::Fresh(seeds.clone())),
+            // A standby.
+            n => Chain::new(node(n), settings, Start::Wiped),
         };
-        let machine = |n| Machine { chain: Some(chain(n)), disk: None, frozen_until: 0, waiting: Vec::new() };
+        let machine =
+            |n| Machine { chain: Some(chain(n)), disk: None, stopped_until: 0, queued_calls: Vec::new() };
         World {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
             machines: (0..=voters).map(machine).collect(),
             ends: BTreeMap::new(),
-            lives: 0,
+            connections: 0,
             links: BTreeMap::new(),
             blocked: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            pending: BTreeMap::new(),
             next_call: 1,
             sent: Vec::new(),
             acknowledged: BTreeMap::new(),
             committed: BTreeMap::new(),
-            told: 0,
-            refused: 0,
-            unchanged: 0,
+            answered_rev: 0,
+            counts: Counts::default(),
         }
     }
 
@@ -112,7 +145,7 @@
     }
 
     fn runs(&self, n: usize) -> bool {
-        self.machines[n].chain.is_some() && self.machines[n].frozen_until <= self.now
+        self.machines[n].chain.is_some() && self.machines[n].stopped_until <= self.now
     }
 
     fn with(&mut self, n: usize, act: impl FnOnce(&mut Chain, Millis) -> Vec<Output>) {
@@ -128,23 +161,24 @@
                 Output::Send(to, message) => {
                     let to = usize::from(to.octets()[3]) - 1;
                     let Some(end) = self.ends.get(&(n, to)) else { continue };
-                    // What meets a way that is blocked is sent again once it is open.
+                    // A message in a blocked direction is sent again once it is open.
                     let open = self.blocked.get(&(n, to)).copied().unwrap_or(0);
                     let link = self.links.entry((n, to)).or_default();
-                    let last = link.back().map_or(0, |(at, ..)| *at);
+                    let last_arrival = link.back().map_or(0, |last| last.arrives_at);
                     let delay = if self.rng.random_bool(0.03) { 200 } else { self.rng.random_range(1..15) };
-                    link.push_back(((now.max(open) + delay).max(last), end.life, message));
+                    let arrives_at = (now.max(open) + delay).max(last_arrival);
+                    link.push_back(InTransit { arrives_at, connection: end.connection, message });
                 }
-                // The disk is not what this is about; `chain.rs` has slow ones.
+                // Disks are not slow here; `chain.rs` covers that.
                 Output::Persist(number, state) => {
                     self.machines[n].disk = Some(state);
-                    let chain = self.machines[n].chain.as_mut().expect("it wrote");
-                    let then = chain.synced(now, number);
-                    self.carry_out(n, then);
+                    let chain = self.machines[n].chain.as_mut().expect("the process runs");
+                    let follow_up = chain.synced(now, number);
+                    self.carry_out(n, follow_up);
                 }
                 Output::Answer(call, outcome) => {
-                    if let Some(asked) = self.asked.remove(&(n, call)) {
-                        self.answered(asked, outcome);
+                    if let Some(pending) = self.pending.remove(&(n, call)) {
+                        self.check_answer(pending, outcome);
                     }
                 }
                 Output::Publish(record) => {
@@ -155,86 +189,100 @@
         }
     }
 
-    fn answered(&mut self, asked: Asked, outcome: Outcome) {
-        let Asked { what, floor, taken, known } = asked;
-        match (what, outcome) {
+    fn check_answer(&mut self, pending: PendingCall, outcome: Outcome) {
+        let PendingCall { call, acknowledged_rev, was_acknowledged, known_rev } = pending;
+        match (call, outcome) {
             (Call::Change { builds_on, .. }, Outcome::Done { rev }) => {
                 let other = self.acknowledged.insert(builds_on, rev);
                 assert!(other.is_none_or(|other| other == rev), "two changes upon {builds_on}");
             }
             (Call::Change { builds_on, .. }, Outcome::Conflict { current }) => {
-                assert!(!taken, "what was acknowledged is refused when it is sent again");
-                assert!(current >= floor, "refused as {current} is current, {floor} was acknowledged before");
+                assert!(!was_acknowledged, "an acknowledged change is rejected when it is retried");
+                assert!(
+                    current >= acknowledged_rev,
+                    "rejected as {current} is current, {acknowledged_rev} was acknowledged before"
+                );
                 assert_ne!(current, builds_on);
-                self.refused += 1;
-                self.told = self.told.max(current);
+                self.counts.conflicts += 1;
+                self.answered_rev = self.answered_rev.max(current);
             }
             (Call::Change { .. }, Outcome::Invalid(why)) => {
-                assert!(!taken, "what was acknowledged is invalid when it is sent again: {why}");
+                assert!(!was_acknowledged, "an acknowledged change is invalid when it is retried: {why}");
+            }
+            (Call::Change { .. }, Outcome::Forgotten { .. }) => {
+                assert!(!was_acknowledged, "an acknowledged change is forgotten")
             }
-            (Call::Change { .. }, Outcome::Forgotten { .. }) => assert!(!taken, "forgotten so soon"),
             (_, Outcome::Document(record)) => {
-                assert!(record.rev >= floor, "a read of {}, {floor} was acknowledged before", record.rev);
+                assert!(
+                    record.rev >= acknowledged_rev,
+                    "a read of {}, {acknowledged_rev} was acknowledged before",
+                    record.rev
+                );
             }
             (Call::ReadNewer { .. }, Outcome::Unchanged) => {
-                assert!(known >= floor, "nothing newer than {known}, {floor} was acknowledged before");
-                self.unchanged += 1;
+                assert!(
+                    known_rev >= acknowledged_rev,
+                    "nothing newer than {known_rev}, {acknowledged_rev} was acknowledged before"
+                );
+                self.counts.unchanged += 1;
             }
             (_, Outcome::Unavailable) => {}
-            (what, outcome) => panic!("{outcome:?} to {what:?}"),
+            (call, outcome) => panic!("{outcome:?} to {call:?}"),
         }
     }
 
-    fn begin(&mut self, n: usize, asked: Asked) {
+    fn start_call(&mut self, n: usize, pending: PendingCall) {
         if !self.runs(n) {
-            return self.machines[n].waiting.push(asked);
+            return self.machines[n].queued_calls.push(pending);
         }
-        let call = self.next_call;
+        let number = self.next_call;
         self.next_call += 1;
-        let what = asked.what.clone();
-        self.asked.insert((n, call), asked);
-        self.with(n, |chain, now| chain.call(now, call, what));
+        let call = pending.call.clone();
+        self.pending.insert((n, number), pending);
+        self.with(n, |chain, now| chain.call(now, number, call));
     }
 
-    /// Operators call any node, those that are cut off or frozen too: with new changes, stale ones, and such as were
-    /// sent before; and a session opens.
-    fn operate(&mut self) {
+    /// Operators call random nodes, also partitioned and stopped ones, with new, stale and retried changes. A session
+    /// opens at a random node, which reads the newest version.
+    fn send_calls(&mut self) {
         for _ in 0..2 {
             let n = self.rng.random_range(0..self.nodes());
-            let floor = self.newest();
-            let (builds_on, rev, document) = match self.rng.random_range(0..3) {
+            let acknowledged_rev = self.newest();
+            let SentChange { builds_on, rev, document } = match self.rng.random_range(0..3) {
                 0 if !self.sent.is_empty() => self.sent[self.rng.random_range(0..self.sent.len())].clone(),
                 kind => {
-                    let newest = floor.max(self.told);
+                    let newest = acknowledged_rev.max(self.answered_rev);
                     let builds_on = if kind == 1 { newest / 2 } else { newest };
                     let rev = newest + self.rng.random_range(1..9);
                     let document = format!("{{\"rev\":{rev},\"order\":{}}}", self.sent.len()).into_bytes();
-                    self.sent.push((builds_on, rev, document.clone()));
-                    (builds_on, rev, document)
+                    let change = SentChange { builds_on, rev, document };
+                    self.sent.push(change.clone());
+                    change
                 }
             };
-            // Known prints are bounded; what lies further back is not what this is about.
-            let taken = self.acknowledged.get(&builds_on) == Some(&rev)
+            // The deduplication table is bounded: only recent changes are certain to be recognised.
+            let was_acknowledged = self.acknowledged.get(&builds_on) == Some(&rev)
                 && self.acknowledged.range(builds_on..).count() < 30
-                && self.sent.iter().filter(|(on, its, _)| (*on, *its) == (builds_on, rev)).count() == 1;
-            let what = Call::Change { builds_on, change: ConfigChange::Put(document) };
-            self.begin(n, Asked { what, floor, taken, known: 0 });
+                && self.sent.iter().filter(|sent| (sent.builds_on, sent.rev) == (builds_on, rev)).count()
+                    == 1;
+            let call = Call::Change { builds_on, change: ConfigChange::Put(document) };
+            self.start_call(n, PendingCall { call, acknowledged_rev, was_acknowledged, known_rev: 0 });
         }
-        let (n, floor) = (self.rng.random_range(0..self.nodes()), self.newest());
+        let (n, acknowledged_rev) = (self.rng.random_range(0..self.nodes()), self.newest());
         let Some(chain) = &self.machines[n].chain else { return };
         let committed = chain.committed();
-        let (known, than) = (committed.rev, committed.seq);
-        let what = if self.rng.random() { Call::ReadNewer { known_seq: than } } else { Call::Read };
-        self.begin(n, Asked { what, floor, taken: false, known });
+        let (known_rev, known_seq) = (committed.rev, committed.seq);
+        let call = if self.rng.random() { Call::ReadNewer { known_seq } } else { Call::Read };
+        self.start_call(n, PendingCall { call, acknowledged_rev, was_acknowledged: false, known_rev });
     }
 
-    fn lose(&mut self, n: usize, other: usize) {
+    fn drop_connection(&mut self, n: usize, other: usize) {
         if self.ends.remove(&(n, other)).is_some() {
             self.with(n, |chain, now| chain.peer_down(now, node(other)));
         }
     }
 
-    fn tend_links(&mut self) {
+    fn update_links(&mut self) {
         let now = self.now;
         self.blocked.retain(|_, until| *until > now);
         let nodes = self.nodes();
@@ -245,10 +293,10 @@
             let open = |a: usize, b: usize| !self.blocked.contains_key(&(a, b));
             match (self.ends.get(&(n, other)).copied(), self.ends.get(&(other, n)).copied()) {
                 (Some(end), back) => {
-                    // The other end is closed, and the word of it gets through.
-                    let closed = back.is_none_or(|back| back.life != end.life) && open(other, n);
-                    if closed || now >= end.heard + SILENCE {
-                        self.lose(n, other);
+                    // The other end is closed, and the message of that arrives.
+                    let closed = back.is_none_or(|back| back.connection != end.connection) && open(other, n);
+                    if closed || now >= end.last_received + CONNECTION_TIMEOUT {
+                        self.drop_connection(n, other);
                     }
                 }
                 (None, None)
@@ -258,8 +306,8 @@
                         && self.runs(other)
                         && self.rng.random_bool(0.2) =>
                 {
-                    self.lives += 1;
-                    let end = End { life: self.lives, heard: now };
+                    self.connections += 1;
+                    let end = End { connection: self.connections, last_received: now };
                     self.ends.extend([((n, other), end), ((other, n), end)]);
                     self.with(n, |chain, now| chain.peer_up(now, node(other)));
                     self.with(other, |chain, now| chain.peer_up(now, node(n)));
@@ -278,98 +326,104 @@
             for turn in turns {
                 match turn {
                     0 => {
-                        for asked in std::mem::take(&mut self.machines[n].waiting) {
-                            self.begin(n, asked);
+                        for pending in std::mem::take(&mut self.machines[n].queued_calls) {
+                            self.start_call(n, pending);
                         }
                     }
-                    1 => self.hear(n),
+                    1 => self.receive(n),
                     _ => self.with(n, Chain::tick),
                 }
             }
         }
-        self.tend_links();
+        self.update_links();
     }
 
-    fn hear(&mut self, n: usize) {
+    fn receive(&mut self, n: usize) {
         for from in (0..self.nodes()).filter(|from| *from != n).collect::<Vec<_>>() {
             let now = self.now;
-            let arrived = |link: &mut Link| link.pop_front_if(|(at, ..)| *at <= now);
-            while let Some((_, life, message)) = self.links.get_mut(&(from, n)).and_then(arrived) {
-                let Some(end) = self.ends.get_mut(&(n, from)).filter(|end| end.life == life) else {
+            let arrived = |link: &mut Link| link.pop_front_if(|next| next.arrives_at <= now);
+            while let Some(InTransit { connection, message, .. }) =
+                self.links.get_mut(&(from, n)).and_then(arrived)
+            {
+                let Some(end) = self.ends.get_mut(&(n, from)).filter(|end| end.connection == connection)
+                else {
                     continue;
                 };
-                end.heard = now;
+                end.last_received = now;
                 self.with(n, |chain, now| chain.message(now, node(from), message));
             }
         }
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let n = self.rng.random_range(0..self.nodes());
         let until = self.now + self.rng.random_range(300..5000);
-        // The one that leads is hit most.
+        // Most faults hit the head.
         let head = self.machines.iter().filter_map(|m| m.chain.as_ref()?.view()).max_by_key(|v| v.number);
         let head = head.map_or(0, |view| usize::from(view.chain[0].octets()[3]) - 1);
-        let hit = if self.rng.random_bool(0.6) { head } else { n };
+        let victim = if self.rng.random_bool(0.6) { head } else { n };
         let except = self.rng.random_range(0..2 * self.nodes());
         let others: BTreeSet<usize> =
-            (0..self.nodes()).filter(|other| *other != hit && *other != except).collect();
+            (0..self.nodes()).filter(|other| *other != victim && *other != except).collect();
         match self.rng.random_range(0..5) {
-            0 => self.machines[hit].frozen_until = until,
-            way @ 1..=3 => {
+            0 => self.machines[victim].stopped_until = until,
+            direction @ 1..=3 => {
                 for other in others {
-                    if way != 1 {
-                        self.blocked.insert((hit, other), until);
+                    if direction != 1 {
+                        self.blocked.insert((victim, other), until);
                     }
-                    if way != 2 {
-                        self.blocked.insert((other, hit), until);
+                    if direction != 2 {
+                        self.blocked.insert((other, victim), until);
                     }
                 }
             }
             _ => {
-                // It starts again where it is, cut off or not.
+                // It restarts within its partition.
                 for other in 0..self.nodes() {
-                    self.ends.remove(&(hit, other));
+                    self.ends.remove(&(victim, other));
                 }
-                self.asked.retain(|(at, _), _| *at != hit);
-                let start = self.machines[hit].disk.clone().map_or(Start::Wiped, Start::Kept);
-                let terms = ChainSettings {
+                self.pending.retain(|(node, _), _| *node != victim);
+                let start = self.machines[victim].disk.clone().map_or(Start::Wiped, Start::Kept);
+                let settings = ChainSettings {
                     losses: (self.nodes() - 1) / 2,
                     eligible: true,
                     ..ChainSettings::default()
                 };
-                self.machines[hit].chain = Some(Chain::new(node(hit), terms, start));
+                self.machines[victim].chain = Some(Chain::new(node(victim), settings, start));
             }
         }
     }
 }
 
-/// Plays one schedule; gives how often a node refused, and said that there is nothing newer.
-fn play(seed: u64) -> (u64, u64) {
+/// Plays one schedule, and counts the conflicts and the reads without a newer version.
+fn play(seed: u64) -> Counts {
     let mut world = World::new(seed);
-    let mut next_trouble = 2000;
-    while world.now < TROUBLES {
+    let mut next_fault = 2000;
+    while world.now < FAULT_PHASE {
         world.step();
         if world.now.is_multiple_of(100) {
-            world.operate();
+            world.send_calls();
         }
-        if world.now >= next_trouble {
-            world.trouble();
-            next_trouble = world.now + world.rng.random_range(500..4000);
+        if world.now >= next_fault {
+            world.inject_fault();
+            next_fault = world.now + world.rng.random_range(500..4000);
         }
     }
     world.blocked.clear();
-    world.machines.iter_mut().for_each(|machine| machine.frozen_until = 0);
+    world.machines.iter_mut().for_each(|machine| machine.stopped_until = 0);
     let before = world.newest();
-    let until = world.now + MENDED;
+    let until = world.now + RECOVERY_PHASE;
     while world.now < until {
         world.step();
         if world.now.is_multiple_of(200) {
-            world.operate();
+            world.send_calls();
         }
     }
-    assert!(world.newest() > before, "no change goes through {MENDED} ms after all was mended");
-    (world.refused, world.unchanged)
+    assert!(
+        world.newest() > before,
+        "no change is committed within {RECOVERY_PHASE} ms after the last fault"
+    );
+    world.counts
 }
 
 #[test]
@@ -383,18 +437,17 @@
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
     let part = |first: u64| {
         let played = |seed| {
-            let told = std::panic::catch_unwind(|| play(seed));
-            told.unwrap_or_else(|_| panic!("seed {seed} failed; see above"))
+            let result = std::panic::catch_unwind(|| play(seed));
+            result.unwrap_or_else(|_| panic!("seed {seed} failed; see above"))
         };
         let parts = (first..runs).step_by(threads as usize).map(played);
-        parts.fold((0, 0), |(refused, unchanged), (r, u)| (refused + r, unchanged + u))
+        parts.fold(Counts::default(), Counts::plus)
     };
-    let parts: Vec<(u64, u64)> = std::thread::scope(|scope| {
+    let parts: Vec<Counts> = std::thread::scope(|scope| {
         let parts: Vec<_> = (0..threads).map(|first| scope.spawn(move || part(first))).collect();
         parts.into_iter().map(|part| part.join().expect("a schedule failed")).collect()
     });
-    let refused: u64 = parts.iter().map(|(refused, _)| refused).sum();
-    let unchanged: u64 = parts.iter().map(|(_, unchanged)| unchanged).sum();
-    println!("{refused} refused, {unchanged} times nothing newer");
-    assert!(refused > 10 * runs && unchanged > 10 * runs, "{refused} refused, {unchanged} unchanged");
+    let Counts { conflicts, unchanged } = parts.into_iter().fold(Counts::default(), Counts::plus);
+    println!("{conflicts} conflicts, {unchanged} times nothing newer");
+    assert!(conflicts > 10 * runs && unchanged > 10 * runs, "{conflicts} conflicts, {unchanged} unchanged");
 }
--- a/control-plane/tests/modules.rs
+++ b/control-plane/tests/modules.rs
@@ -1,49 +1,100 @@
-//! The modules of this crate, and of the one that is built on it, depend on each other without circles.
+//! The modules of this crate, and of the one that is built on it, depend on each other without circles. So do the files
+//! within each folder of modules.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
+/// Folders whose files depend on each other in a circle: `shield/fetch.rs` and `shield/singleflight.rs`, by the type
+/// `FetchEnd`. A folder whose circle is removed has to be removed here.
+const FOLDERS_WITH_CIRCLES: [&str; 1] = ["glenfall, crate::shield::"];
+
 type Dependencies = BTreeMap<String, BTreeSet<String>>;
 
-/// All source files of a module: one file, or a folder.
+/// The entries of a folder.
+fn entries(folder: &Path) -> Vec<PathBuf> {
+    let entries = std::fs::read_dir(folder).expect("the folder can be read");
+    entries.map(|entry| entry.expect("an entry").path()).collect()
+}
+
+/// All source files of a module: one file, or those of a folder.
 fn sources(path: &Path) -> Vec<PathBuf> {
     if path.is_file() {
         return vec![path.to_owned()];
     }
-    let entries = std::fs::read_dir(path).expect("the folder can be read");
-    entries.flat_map(|entry| sources(&entry.expect("an entry").path())).collect()
+    entries(path).iter().flat_map(|entry| sources(entry)).collect()
 }
 
-/// The modules named in code as `crate::NAME`; comments are left out.
-fn named_modules(source: &str) -> BTreeSet<String> {
-    let code = source.lines().filter(|line| !line.trim_start().starts_with("//"));
-    let paths = code.flat_map(|line| line.split("crate::").skip(1));
-    let names = paths.map(|path| path.chars().take_while(|c| c.is_alphanumeric() || *c == '_').collect());
-    names.collect()
+/// The source of a module without comments.
+fn code(path: &Path) -> String {
+    let texts = sources(path).into_iter().map(|file| std::fs::read_to_string(file).expect("a source"));
+    let lines: Vec<String> =
+        texts.flat_map(|text| text.lines().map(str::to_owned).collect::<Vec<_>>()).collect();
+    lines.into_iter().filter(|line| !line.trim_start().starts_with("//")).map(|line| line + "\n").collect()
 }
 
-/// What each module of a crate depends on, by the crate's folder in the workspace.
-fn dependencies(crate_folder: &str) -> Dependencies {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("..").join(crate_folder).join("src");
-    let entries = std::fs::read_dir(folder).expect("the folder can be read");
-    let paths: Vec<PathBuf> = entries.map(|entry| entry.expect("an entry").path()).collect();
-    let name = |path: &Path| path.file_stem().expect("a name").to_string_lossy().into_owned();
-    let modules: BTreeSet<String> = paths.iter().map(|path| name(path)).collect();
-    let uses = |path: &PathBuf| {
-        let own = name(path);
-        let texts = sources(path).into_iter().map(|file| std::fs::read_to_string(file).expect("a source"));
-        let mut named: BTreeSet<String> = texts.flat_map(|text| named_modules(&text)).collect();
-        named.retain(|other| *other != own && modules.contains(other));
-        (own, named)
-    };
+fn identifier(text: &str) -> String {
+    text.trim_start().chars().take_while(|c| c.is_alphanumeric() || *c == '_').collect()
+}
+
+/// The names that follow a path prefix such as `crate::`: one, or the first of each path in braces.
+fn names_after(code: &str, prefix: &str) -> BTreeSet<String> {
+    let mut names = BTreeSet::new();
+    for (start, _) in code.match_indices(prefix) {
+        // `crate::` within `$crate::` or `my_crate::` is another path.
+        let before = code[..start].chars().next_back();
+        if before.is_some_and(|c| c.is_alphanumeric() || c == '_' || c == '$' || c == ':') {
+            continue;
+        }
+        let rest = &code[start + prefix.len()..];
+        match rest.strip_prefix('{').and_then(|list| list.split_once('}')) {
+            Some((list, _)) => names.extend(list.split(',').map(identifier)),
+            None => {
+                names.insert(identifier(rest));
+            }
+        }
+    }
+    names
+}
+
+fn module_name(path: &Path) -> String {
+    path.file_stem().expect("a name").to_string_lossy().into_owned()
+}
+
+fn source_folder(crate_folder: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("..").join(crate_folder).join("src")
+}
+
+/// What each module in a folder depends on among the others there. `module_path` is the path of the folder in code.
+fn dependencies(folder: &Path, module_path: &str) -> Dependencies {
+    let paths = entries(folder);
+    let modules: BTreeSet<String> = paths.iter().map(|path| module_name(path)).collect();
     let mut all = Dependencies::new();
-    // A module may be a file and a folder.
-    for (module, named) in paths.iter().map(uses) {
-        all.entry(module).or_default().extend(named);
+    for path in &paths {
+        let own = module_name(path);
+        let code = code(path);
+        let mut named = names_after(&code, module_path);
+        // In the files of a folder, `super` is the folder itself.
+        if path.is_file() {
+            named.extend(names_after(&code, "super::"));
+        }
+        named.retain(|other| *other != own && modules.contains(other));
+        // A module may be a file and a folder.
+        all.entry(own).or_default().extend(named);
     }
     all
 }
 
+/// The folders of modules below a folder, with the paths that they have in code.
+fn folders_of_modules(folder: &Path, module_path: &str) -> Vec<(PathBuf, String)> {
+    let mut found = Vec::new();
+    for path in entries(folder).into_iter().filter(|path| path.is_dir()) {
+        let module_path = format!("{module_path}{}::", module_name(&path));
+        found.extend(folders_of_modules(&path, &module_path));
+        found.push((path, module_path));
+    }
+    found
+}
+
 /// The modules that are left when those that depend on none of the others are taken away, again and again.
 fn in_circles(mut dependencies: Dependencies) -> Dependencies {
     while let Some(leaf) = dependencies.iter().find(|(_, uses)| uses.is_empty()).map(|(name, _)| name.clone())
@@ -61,8 +112,29 @@
     for (crate_folder, module, used) in
         [("control-plane", "chain", "record"), ("glenfall", "edge", "upstream")]
     {
-        let dependencies = dependencies(crate_folder);
+        let dependencies = dependencies(&source_folder(crate_folder), "crate::");
         assert!(dependencies[module].contains(used), "dependencies are found: {dependencies:?}");
         assert_eq!(in_circles(dependencies), Dependencies::new(), "{crate_folder}");
     }
 }
+
+#[test]
+fn no_file_in_a_folder_of_modules_depends_on_itself_through_others() {
+    let chain = dependencies(&source_folder("control-plane").join("chain"), "crate::chain::");
+    assert!(chain["view_change"].contains("proposal"), "dependencies are found: {chain:?}");
+    let mut circles = BTreeMap::new();
+    for crate_folder in ["control-plane", "glenfall"] {
+        for (folder, module_path) in folders_of_modules(&source_folder(crate_folder), "crate::") {
+            let mut dependencies = dependencies(&folder, &module_path);
+            // The module itself declares its files.
+            dependencies.remove("mod");
+            dependencies.values_mut().for_each(|uses| _ = uses.remove("mod"));
+            let in_circles = in_circles(dependencies);
+            if !in_circles.is_empty() {
+                circles.insert(format!("{crate_folder}, {module_path}"), in_circles);
+            }
+        }
+    }
+    let folders: Vec<&str> = circles.keys().map(String::as_str).collect();
+    assert_eq!(folders, FOLDERS_WITH_CIRCLES, "{circles:?}");
+}
