--- a/balancer-adapter/src/error.rs
+++ b/balancer-adapter/src/error.rs
@@ -14,7 +14,7 @@
     Unreadable {
         /// What is expected.
         expected: &'static str,
-        /// What stands there.
+        /// The value found.
         found: String,
     },
     /// The input ends within a batch.
--- a/balancer-adapter/src/input.rs
+++ b/balancer-adapter/src/input.rs
@@ -34,30 +34,30 @@
     }
 }
 
-/// The values of a line, taken in their order. A missing or `-` value is `None`.
+/// The values of a line, read in their order. A missing or `-` value is `None`.
 pub struct Fields<'a> {
-    rest: Option<&'a str>,
+    remaining: Option<&'a str>,
 }
 
 impl<'a> Fields<'a> {
     /// The values of this line.
     pub fn of(line: &'a str) -> Self {
-        Fields { rest: Some(line) }
+        Fields { remaining: Some(line) }
     }
 
-    /// All that follows the values already taken.
-    pub fn rest(&self) -> &'a str {
-        self.rest.unwrap_or("")
+    /// All that follows the values already read.
+    pub fn remaining(&self) -> &'a str {
+        self.remaining.unwrap_or("")
     }
 
-    /// The next value as it stands.
+    /// The next value, unconverted.
     pub fn text(&mut self) -> Option<&'a str> {
-        let rest = self.rest?;
-        let (value, rest) = match rest.split_once(' ') {
-            Some((value, rest)) => (value, Some(rest)),
-            None => (rest, None),
+        let remaining = self.remaining?;
+        let (value, remaining) = match remaining.split_once(' ') {
+            Some((value, remaining)) => (value, Some(remaining)),
+            None => (remaining, None),
         };
-        self.rest = rest;
+        self.remaining = remaining;
         (value != "-" && !value.is_empty()).then_some(value)
     }
 
--- a/balancer-adapter/src/messages.rs
+++ b/balancer-adapter/src/messages.rs
@@ -46,8 +46,8 @@
     fields.number("clock time")?.ok_or(AdapterError::Missing("clock time"))
 }
 
-/// Reads a message; the entries of a list are taken from the lines that follow. `names` are those of the classes
-/// and tenants of an attached node.
+/// Reads a message; the entries of a list are read from the lines that follow. `names` are those of the
+/// classes and tenants of an attached node.
 pub fn parse<'n, R: BufRead>(
     line: &str,
     lines: &mut Lines<R>,
@@ -80,7 +80,7 @@
 
 fn attach(node: u64, fields: &mut Fields) -> Result<Message, AdapterError> {
     let seed = fields.required("random seed")?;
-    let setup = serde_json::from_str(fields.rest())?;
+    let setup = serde_json::from_str(fields.remaining())?;
     let settings = glenfall_balancer_settings::parse(&setup)?;
     Ok(Message::Attach { node, seed, settings })
 }
@@ -196,11 +196,11 @@
 }
 
 fn hex(digits: &str) -> Result<Vec<u8>, AdapterError> {
-    const EXPECTED: &str = "hex digits";
+    const HEX_DIGITS: &str = "hex digits";
     if !digits.len().is_multiple_of(2) || !digits.is_ascii() {
-        return Err(unreadable(EXPECTED, digits));
+        return Err(unreadable(HEX_DIGITS, digits));
     }
     let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16);
     let bytes: Result<_, _> = (0..digits.len()).step_by(2).map(byte).collect();
-    bytes.map_err(|_| unreadable(EXPECTED, digits))
+    bytes.map_err(|_| unreadable(HEX_DIGITS, digits))
 }
--- a/balancer-node/src/payload.rs
+++ b/balancer-node/src/payload.rs
@@ -8,7 +8,7 @@
 use hyper::header::HeaderValue;
 use hyper::{header, Method, Request, Uri};
 
-use crate::protocol::{DEADLINE_MS, IDEMPOTENCY_KEY, REQUEST_ID};
+use crate::protocol::{DEADLINE_MS_HEADER, IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER};
 
 /// A client's request as it is forwarded to servers.
 pub struct Payload {
@@ -37,10 +37,10 @@
         *request.uri_mut() = self.uri.clone();
         let headers = request.headers_mut();
         headers.insert(header::HOST, host_value(addr));
-        headers.insert(REQUEST_ID, self.id.clone());
-        headers.insert(DEADLINE_MS, HeaderValue::from(time_left.as_millis() as u64));
+        headers.insert(REQUEST_ID_HEADER, self.id.clone());
+        headers.insert(DEADLINE_MS_HEADER, HeaderValue::from(time_left.as_millis() as u64));
         if let Some(key) = &self.idempotency_key {
-            headers.insert(IDEMPOTENCY_KEY, key.clone());
+            headers.insert(IDEMPOTENCY_KEY_HEADER, key.clone());
         }
         request
     }
--- a/balancer-node/src/request.rs
+++ b/balancer-node/src/request.rs
@@ -12,7 +12,10 @@
 use tokio::time::timeout;
 
 use crate::payload::Payload;
-use crate::protocol::{CLASS, COST_HINT, DEADLINE_MS, IDEMPOTENCY_KEY, MAX_BODY_SIZE, REQUEST_ID, TENANT};
+use crate::protocol::{
+    CLASS_HEADER, COST_HINT_HEADER, DEADLINE_MS_HEADER, IDEMPOTENCY_KEY_HEADER, MAX_BODY_SIZE,
+    REQUEST_ID_HEADER, TENANT_HEADER,
+};
 
 /// Time that a request may have spent in transit, in the kernel and in this node's queue, since the client's
 /// clock started, and that its response needs back.
@@ -83,14 +86,14 @@
         let key = target.key;
         let is_write = is_write(&head.method)?;
         // The class is in the path as well, and both must agree.
-        if text(&head.headers, &CLASS)?.is_some_and(|name| name != target.class) {
+        if text(&head.headers, &CLASS_HEADER)?.is_some_and(|name| name != target.class) {
             return Err(BAD_REQUEST);
         }
         let id = request_id(&head.headers)?;
-        let tenant = text(&head.headers, &TENANT)?.and_then(|name| self.names.tenant(name));
+        let tenant = text(&head.headers, &TENANT_HEADER)?.and_then(|name| self.names.tenant(name));
         let wait = self.wait_of(&head.headers, class)?;
         let work_hint =
-            number(&head.headers, &COST_HINT)?.map(|work| work as Seconds / MICROSECONDS_PER_SECOND);
+            number(&head.headers, &COST_HINT_HEADER)?.map(|work| work as Seconds / MICROSECONDS_PER_SECOND);
         check_body(&body, is_write)?;
         let body = timeout(wait.min(body_timeout), Limited::new(body, MAX_BODY_SIZE).collect()).await;
         let body = body.map_err(|_| Rejected(StatusCode::REQUEST_TIMEOUT))?.map_err(|_| BAD_REQUEST)?;
@@ -98,7 +101,7 @@
             method: head.method,
             uri: head.uri,
             id,
-            idempotency_key: single(&head.headers, &IDEMPOTENCY_KEY)?.cloned(),
+            idempotency_key: single(&head.headers, &IDEMPOTENCY_KEY_HEADER)?.cloned(),
             body: body.to_bytes(),
         };
         // The client's time runs from its last byte, which has just arrived.
@@ -108,7 +111,7 @@
 
     /// How long the client waits: as it states, else as its class states.
     fn wait_of(&self, headers: &HeaderMap, class: ClassId) -> Result<Duration, Rejected> {
-        match number(headers, &DEADLINE_MS)? {
+        match number(headers, &DEADLINE_MS_HEADER)? {
             Some(ms) if ms > MAX_STATED_WAIT_MS => Err(BAD_REQUEST),
             Some(ms) => Ok(Duration::from_millis(ms).min(MAX_WAIT)),
             None => Ok(Duration::from_secs_f64(self.settings.classes[class.0].deadline)),
@@ -173,7 +176,7 @@
 
 /// Servers answer nothing without an id, so that a request without one cannot be served.
 fn request_id(headers: &HeaderMap) -> Result<HeaderValue, Rejected> {
-    let id = single(headers, &REQUEST_ID)?.filter(|id| is_id(id.as_bytes()));
+    let id = single(headers, &REQUEST_ID_HEADER)?.filter(|id| is_id(id.as_bytes()));
     id.cloned().ok_or(BAD_REQUEST)
 }
 
--- a/balancer-node/src/response.rs
+++ b/balancer-node/src/response.rs
@@ -8,7 +8,7 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{header, Response, StatusCode};
 
-use crate::protocol::{CACHE, LOAD, MAX_BODY_SIZE, NOT_RUN};
+use crate::protocol::{CACHE_HEADER, LOAD_HEADER, MAX_BODY_SIZE, NOT_RUN_HEADER};
 
 /// A complete response of a server that served the request.
 pub struct ServerResponse {
@@ -77,7 +77,7 @@
 }
 
 fn status_of(status: StatusCode, headers: &HeaderMap) -> Option<Status> {
-    let has_not_run = headers.get(NOT_RUN).is_some_and(|value| value == "1");
+    let has_not_run = headers.get(NOT_RUN_HEADER).is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Some(Status::Success),
         StatusCode::NOT_FOUND => Some(Status::NotCached),
@@ -91,7 +91,7 @@
 }
 
 fn cache_status_of(headers: &HeaderMap) -> Option<CacheStatus> {
-    match headers.get(CACHE)?.as_bytes() {
+    match headers.get(CACHE_HEADER)?.as_bytes() {
         b"hit" => Some(CacheStatus::Hit),
         b"miss" => Some(CacheStatus::Miss),
         b"pending" => Some(CacheStatus::MissInProgress),
@@ -100,6 +100,6 @@
 }
 
 fn load_of(headers: &HeaderMap) -> Option<Load> {
-    let report = headers.get(LOAD)?.to_str().ok()?;
+    let report = headers.get(LOAD_HEADER)?.to_str().ok()?;
     glenfall_balancer_settings::parse_load_report(report, '=')
 }
--- a/balancer-node/src/server_list.rs
+++ b/balancer-node/src/server_list.rs
@@ -26,7 +26,7 @@
 }
 
 impl ServerList {
-    /// Reads a list. `None` if any part cannot be read: half of a list that is taken for a complete one would
+    /// Reads a list. `None` if any part cannot be read: half of a list that passes for a complete one would
     /// remove servers that run.
     pub fn read(json: &Value) -> Option<ServerList> {
         Some(ServerList {
--- a/balancer-node/src/upstream/mod.rs
+++ b/balancer-node/src/upstream/mod.rs
@@ -30,7 +30,7 @@
 /// Up to so many nodes each may keep all connections that it once needed at a server. With more nodes, the
 /// time for which a node keeps those beyond the first shrinks in proportion: a server accepts a limited
 /// number, and what one node keeps unused another is rejected for. 100 nodes at an origin of 160 connections
-/// kept 3 to 10 each for 12 s, and a third of all fetches got no connection.
+/// had 3 to 10 each idle for 12 s, and a third of all fetches got no connection.
 const MAX_NODES_KEEPING_SURPLUS: f64 = 10.0;
 /// A server that has rejected a new connection is assumed to accept no more for so long: until then this node
 /// waits for those it has there.
--- a/balancer/src/balancer/placement.rs
+++ b/balancer/src/balancer/placement.rs
@@ -96,10 +96,10 @@
     /// of its own.
     fn takes_key(&self, server: &Server, key: Key, jumps: u64, hash: u32) -> bool {
         let fraction = unit_fraction(mix(key.0 ^ u64::from(hash)));
-        let taken_capacity = server.usable_capacity() * server.key_share.value();
+        let offered_capacity = server.usable_capacity() * server.key_share.value();
         let is_warming_up = server.is_warming_up();
         server.usable_capacity() > 0.0
-            && fraction * server.capacity() * self.servers.mean_key_share() < taken_capacity
+            && fraction * server.capacity() * self.servers.mean_key_share() < offered_capacity
             && (!is_warming_up || (jumps == 0 && server.slow_start.allows_attempt()))
     }
 
