--- a/experiments/src/fleet/plan.rs
+++ b/experiments/src/fleet/plan.rs
@@ -8,7 +8,7 @@
 
 /// Edges of a size at most: a session is a row in a table, and a minute is long enough for them.
 const MAX_EDGES: u32 = 5000;
-/// The spread of work and the skew of objects are below this.
+/// The deviation of work and the skew of objects are below this.
 const MAX_EXPONENT: f64 = 4.0;
 
 /// What grows, and by what.
@@ -88,7 +88,7 @@
     /// There are no sizes, or one is out of range.
     #[error("sizes: numbers from 1 to {MAX_EDGES} expected")]
     Sizes,
-    /// The spread of work or the skew of objects is out of range.
+    /// The deviation of work or the skew of objects is out of range.
     #[error("writes.spread, reads.skew: from 0 to {MAX_EXPONENT} expected")]
     Exponent,
 }
--- a/experiments/src/hollow/mod.rs
+++ b/experiments/src/hollow/mod.rs
@@ -162,7 +162,7 @@
     }
     let sessions = run.session_distribution().await;
     let next_purge = Cell::new(0);
-    phases.push(run.measure("rest", run.rest(duration)).await);
+    phases.push(run.measure("rest", run.idle(duration)).await);
     phases.push(run.measure("changes", run.change(FIRST_VERSION, options.changes, duration)).await);
     phases.push(run.measure("purges", run.purge(&next_purge, options.purges, duration)).await);
     phases.push(run.measure("restarts", run.restart(&threads, options.restarts, duration)).await);
--- a/experiments/src/hollow/nodes.rs
+++ b/experiments/src/hollow/nodes/mod.rs
@@ -1,12 +1,13 @@
 //! Hollow nodes: what an agent and its edge are to control, and nothing else. Each has a real session, applies what it is
 //! pushed, acknowledges it, and connects to another control node when its session is lost. Many share a thread.
 
+mod threads;
+
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Arc;
-use std::thread::JoinHandle;
 use std::time::Duration;
 
 use glenfall::session::lease::HeldLease;
@@ -16,15 +17,12 @@
 use glenfall_control_plane::messages::{
     ConnectionOpening, Member, ProxyRole, PublisherMessage, SubscriberMessage, Update,
 };
-use tokio::sync::{mpsc, Notify};
-use tokio::task::{spawn_local, LocalSet};
+use tokio::sync::Notify;
 use tokio::time::sleep;
 
 use super::observations::Observations;
+pub use threads::NodeThreads;
 
-/// Threads that the nodes are distributed over: a quarter of the cores that the largest runs are meant for, less the one
-/// of this process's main thread.
-const NODE_THREADS: u32 = 3;
 /// The first pause before control is called again, as agents have it.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
 /// The longest pause before control is called again, as agents have it.
@@ -51,106 +49,6 @@
     pub distributed: bool,
 }
 
-/// The numbers of the nodes of one thread.
-#[derive(Clone, Copy)]
-struct NodeNumbers {
-    first: u32,
-    /// All nodes of the run.
-    all: u32,
-}
-
-impl NodeNumbers {
-    fn iter(self) -> impl Iterator<Item = u32> {
-        (self.first..self.all).step_by(NODE_THREADS as usize)
-    }
-
-    /// Returns the index of a node among those of the thread.
-    fn index_of(self, number: u32) -> usize {
-        (number.saturating_sub(self.first) / NODE_THREADS) as usize
-    }
-}
-
-/// Threads of hollow nodes, which end when this is dropped.
-pub struct NodeThreads {
-    access: ControlAccess,
-    observations: Arc<Observations>,
-    nodes: u32,
-    running: RefCell<RunningThreads>,
-}
-
-#[derive(Default)]
-struct RunningThreads {
-    restarts: Vec<mpsc::UnboundedSender<u32>>,
-    threads: Vec<JoinHandle<std::io::Result<()>>>,
-}
-
-impl NodeThreads {
-    /// Prepares the threads of a number of nodes; none runs yet.
-    pub fn new(access: &ControlAccess, observations: &Arc<Observations>, nodes: u32) -> NodeThreads {
-        NodeThreads {
-            access: access.clone(),
-            observations: Arc::clone(observations),
-            nodes,
-            running: RefCell::default(),
-        }
-    }
-
-    /// Starts all nodes.
-    pub fn start(&self) {
-        let mut running = self.running.borrow_mut();
-        for first in 0..NODE_THREADS {
-            let (restart, restarts) = mpsc::unbounded_channel();
-            let (access, observations) = (self.access.clone(), Arc::clone(&self.observations));
-            let numbers = NodeNumbers { first, all: self.nodes };
-            let run = move || run_nodes(&access, &observations, numbers, restarts);
-            running.threads.push(std::thread::spawn(run));
-            running.restarts.push(restart);
-        }
-    }
-
-    /// Restarts a node.
-    pub fn restart(&self, number: u32) {
-        let thread = (number % NODE_THREADS) as usize;
-        // A thread that has ended shows in the number of nodes in contact.
-        let _ = self.running.borrow().restarts[thread].send(number);
-    }
-}
-
-impl Drop for NodeThreads {
-    fn drop(&mut self) {
-        let running = self.running.get_mut();
-        running.restarts.clear();
-        for thread in running.threads.drain(..) {
-            if !matches!(thread.join(), Ok(Ok(()))) {
-                eprintln!("a thread of hollow nodes broke");
-            }
-        }
-    }
-}
-
-/// Runs the nodes of one thread until `restarts` ends, which names nodes to restart.
-fn run_nodes(
-    access: &ControlAccess,
-    observations: &Arc<Observations>,
-    numbers: NodeNumbers,
-    mut restarts: mpsc::UnboundedReceiver<u32>,
-) -> std::io::Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, async {
-        let node = |number| Rc::new(HollowNode::new(number, access.clone(), Arc::clone(observations)));
-        let nodes: Vec<Rc<HollowNode>> = numbers.iter().map(node).collect();
-        for node in &nodes {
-            spawn_local(Rc::clone(node).run());
-        }
-        while let Some(number) = restarts.recv().await {
-            if let Some(node) = nodes.get(numbers.index_of(number)) {
-                node.restart.notify_one();
-            }
-        }
-    });
-    Ok(())
-}
-
 /// What a node knows from its session.
 #[derive(Default)]
 struct Knowledge {
--- /dev/null
+++ b/experiments/src/hollow/nodes/threads.rs
@@ -0,0 +1,116 @@
+//! The threads of hollow nodes.
+
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::thread::JoinHandle;
+
+use tokio::sync::mpsc;
+use tokio::task::{spawn_local, LocalSet};
+
+use super::{ControlAccess, HollowNode};
+use crate::hollow::observations::Observations;
+
+/// Threads that the nodes are distributed over: a quarter of the cores that the largest runs are meant for, less the one
+/// of this process's main thread.
+const NODE_THREADS: u32 = 3;
+
+/// The numbers of the nodes of one thread.
+#[derive(Clone, Copy)]
+struct NodeNumbers {
+    first: u32,
+    /// All nodes of the run.
+    all: u32,
+}
+
+impl NodeNumbers {
+    fn iter(self) -> impl Iterator<Item = u32> {
+        (self.first..self.all).step_by(NODE_THREADS as usize)
+    }
+
+    /// Returns the index of a node among those of the thread.
+    fn index_of(self, number: u32) -> usize {
+        (number.saturating_sub(self.first) / NODE_THREADS) as usize
+    }
+}
+
+/// Threads of hollow nodes, which end when this is dropped.
+pub struct NodeThreads {
+    access: ControlAccess,
+    observations: Arc<Observations>,
+    nodes: u32,
+    running: RefCell<RunningThreads>,
+}
+
+#[derive(Default)]
+struct RunningThreads {
+    restarts: Vec<mpsc::UnboundedSender<u32>>,
+    threads: Vec<JoinHandle<std::io::Result<()>>>,
+}
+
+impl NodeThreads {
+    /// Prepares the threads of a number of nodes; none runs yet.
+    pub fn new(access: &ControlAccess, observations: &Arc<Observations>, nodes: u32) -> NodeThreads {
+        NodeThreads {
+            access: access.clone(),
+            observations: Arc::clone(observations),
+            nodes,
+            running: RefCell::default(),
+        }
+    }
+
+    /// Starts all nodes.
+    pub fn start(&self) {
+        let mut running = self.running.borrow_mut();
+        for first in 0..NODE_THREADS {
+            let (restart, restarts) = mpsc::unbounded_channel();
+            let (access, observations) = (self.access.clone(), Arc::clone(&self.observations));
+            let numbers = NodeNumbers { first, all: self.nodes };
+            let run = move || run_nodes(&access, &observations, numbers, restarts);
+            running.threads.push(std::thread::spawn(run));
+            running.restarts.push(restart);
+        }
+    }
+
+    /// Restarts a node.
+    pub fn restart(&self, number: u32) {
+        let thread = (number % NODE_THREADS) as usize;
+        // A thread that has ended shows in the number of nodes in contact.
+        let _ = self.running.borrow().restarts[thread].send(number);
+    }
+}
+
+impl Drop for NodeThreads {
+    fn drop(&mut self) {
+        let running = self.running.get_mut();
+        running.restarts.clear();
+        for thread in running.threads.drain(..) {
+            if !matches!(thread.join(), Ok(Ok(()))) {
+                eprintln!("a thread of hollow nodes broke");
+            }
+        }
+    }
+}
+
+/// Runs the nodes of one thread until `restarts` ends, which names nodes to restart.
+fn run_nodes(
+    access: &ControlAccess,
+    observations: &Arc<Observations>,
+    numbers: NodeNumbers,
+    mut restarts: mpsc::UnboundedReceiver<u32>,
+) -> std::io::Result<()> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    LocalSet::new().block_on(&runtime, async {
+        let node = |number| Rc::new(HollowNode::new(number, access.clone(), Arc::clone(observations)));
+        let nodes: Vec<Rc<HollowNode>> = numbers.iter().map(node).collect();
+        for node in &nodes {
+            spawn_local(Rc::clone(node).run());
+        }
+        while let Some(number) = restarts.recv().await {
+            if let Some(node) = nodes.get(numbers.index_of(number)) {
+                node.restart.notify_one();
+            }
+        }
+    });
+    Ok(())
+}
--- a/experiments/src/hollow/observations.rs
+++ b/experiments/src/hollow/observations.rs
@@ -117,19 +117,19 @@
         for purge in purges {
             let Purge::Label(label) = &purge.purge else { continue };
             let number = label.strip_prefix(PURGE_LABEL_PREFIX).and_then(|number| number.parse().ok());
-            if let Some(word) = number.and_then(|number| self.purge_word(number, node)) {
-                word.fetch_or(1 << (node % BITS), Ordering::SeqCst);
+            if let Some(bits) = number.and_then(|number| self.purge_bits(number, node)) {
+                bits.fetch_or(1 << (node % BITS), Ordering::SeqCst);
             }
         }
     }
 
-    fn purge_word(&self, number: usize, node: usize) -> Option<&AtomicU64> {
+    fn purge_bits(&self, number: usize, node: usize) -> Option<&AtomicU64> {
         self.purges.get(number)?.get(node / BITS)
     }
 
     fn has_purged(&self, number: usize, node: usize) -> bool {
-        let word = self.purge_word(number, node);
-        word.is_some_and(|word| word.load(Ordering::SeqCst) >> (node % BITS) & 1 == 1)
+        let bits = self.purge_bits(number, node);
+        bits.is_some_and(|bits| bits.load(Ordering::SeqCst) >> (node % BITS) & 1 == 1)
     }
 
     /// Counts the nodes that have not applied a purge which has just been acknowledged. Contact is read before the purges,
--- a/experiments/src/hollow/phases.rs
+++ b/experiments/src/hollow/phases.rs
@@ -1,4 +1,4 @@
-//! The phases of a size: start, rest, changes, purges, restarts, and the loss of a control process.
+//! The phases of a size: start, idle, changes, purges, restarts, and the loss of a control process.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -73,7 +73,7 @@
     }
 
     /// Does nothing.
-    pub async fn rest(&self, duration: Duration) -> OperatorMeasurements {
+    pub async fn idle(&self, duration: Duration) -> OperatorMeasurements {
         sleep(duration).await;
         OperatorMeasurements::default()
     }
--- a/experiments/src/hollow/report.rs
+++ b/experiments/src/hollow/report/mod.rs
@@ -1,25 +1,14 @@
 //! The report of hollow runs: tables, lines that are fitted through the sizes, and plots with the bounds of the plan.
 
-use std::path::Path;
+mod linear_fit;
+mod plots;
 
-use plotters::style::{RGBColor, BLACK, BLUE, GREEN, MAGENTA, RED};
 use serde::Serialize;
 
 use super::measurement::{LinkBytes, PhaseUsage};
 use super::workload::OperatorMeasurements;
 use super::HollowOptions;
-use crate::plot::{self, Line, PlotError};
-
-/// The bound of a node's session, in bytes a second.
-const MAX_NODE_BYTES_PER_S: f64 = 5000.0;
-/// The bound of what control costs a node, in cores.
-const MAX_NODE_CORES: f64 = 0.026;
-/// The bound until a change is applied everywhere, in milliseconds.
-const MAX_CHANGE_MS: f64 = 16_000.0;
-/// The bound until a purge is done everywhere, in milliseconds.
-const MAX_PURGE_MS: f64 = 4300.0;
-/// The least divisor of a relative distance.
-const MIN_DIVISOR: f64 = 1e-12;
+use linear_fit::{LinearFit, Point};
 
 /// Quantiles of times in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
@@ -177,41 +166,6 @@
     pub sizes: Vec<SizeReport>,
 }
 
-/// A point that a line is fitted through.
-#[derive(Clone, Copy)]
-struct Point {
-    x: f64,
-    y: f64,
-}
-
-/// A straight line through points, by least squares.
-struct LinearFit {
-    base: f64,
-    slope: f64,
-    /// The greatest distance of a point from the line, divided by its height.
-    max_relative_distance: f64,
-}
-
-impl LinearFit {
-    /// Fits a line; `None` for fewer than two different sizes.
-    fn through(points: &[Point]) -> Option<LinearFit> {
-        let count = points.len() as f64;
-        let mean_x = points.iter().map(|point| point.x).sum::<f64>() / count;
-        let mean_y = points.iter().map(|point| point.y).sum::<f64>() / count;
-        let variance: f64 = points.iter().map(|point| (point.x - mean_x).powi(2)).sum();
-        if variance.is_nan() || variance <= 0.0 {
-            return None;
-        }
-        let covariance: f64 = points.iter().map(|point| (point.x - mean_x) * (point.y - mean_y)).sum();
-        let slope = covariance / variance;
-        let base = mean_y - slope * mean_x;
-        let distance =
-            |point: &Point| (point.y - (base + slope * point.x)).abs() / point.y.abs().max(MIN_DIVISOR);
-        let max_relative_distance = points.iter().map(distance).fold(0.0, f64::max);
-        Some(LinearFit { base, slope, max_relative_distance })
-    }
-}
-
 /// A column of the tables.
 struct Column {
     name: &'static str,
@@ -334,72 +288,6 @@
         }
         text
     }
-
-    // ---- Plots ----
-
-    /// Draws plots over the number of nodes, with the bounds of the plan, into a folder.
-    ///
-    /// # Errors
-    ///
-    /// Returns an error where a file can't be written.
-    pub fn draw(&self, folder: &Path) -> Result<(), PlotError> {
-        let draw = |file: &str, caption: &str, lines: Vec<Line>| {
-            plot::draw_growth(&folder.join(file), caption, "nodes", lines)
-        };
-        draw("hollow-node.svg", "bytes a second of a node's session", self.node_lines())?;
-        let caption = "cores: the busiest control process, and an agent";
-        draw("hollow-cores.svg", caption, self.core_lines())?;
-        draw("hollow-times.svg", "milliseconds until all have it", self.time_lines())
-    }
-
-    fn bound(&self, name: &'static str, bound: f64) -> Line {
-        let points = self.sizes.iter().map(|size| (f64::from(size.nodes), bound)).collect();
-        Line { name, color: RED, points }
-    }
-
-    fn line(
-        &self,
-        name: &'static str,
-        color: RGBColor,
-        phase: &str,
-        figure: fn(&PhaseReport) -> f64,
-    ) -> Line {
-        let points = self.points(phase, figure).into_iter().map(|point| (point.x, point.y)).collect();
-        Line { name, color, points }
-    }
-
-    fn node_lines(&self) -> Vec<Line> {
-        vec![
-            self.bound("bound", MAX_NODE_BYTES_PER_S),
-            self.line("at rest", BLACK, "rest", PhaseReport::node_bytes_per_s),
-            self.line("changes", BLUE, "changes", PhaseReport::node_bytes_per_s),
-            self.line("purges", GREEN, "purges", PhaseReport::node_bytes_per_s),
-            self.line("restarts", MAGENTA, "restarts", PhaseReport::node_bytes_per_s),
-        ]
-    }
-
-    fn core_lines(&self) -> Vec<Line> {
-        vec![
-            self.bound("bound of a node", MAX_NODE_CORES),
-            self.line("control at rest", BLACK, "rest", |phase| phase.max_control_cores),
-            self.line("control, changes", BLUE, "changes", |phase| phase.max_control_cores),
-            self.line("control, purges", GREEN, "purges", |phase| phase.max_control_cores),
-            self.line("agent and edge, purges", MAGENTA, "purges", |phase| {
-                phase.agent_cores + phase.edge_cores
-            }),
-        ]
-    }
-
-    fn time_lines(&self) -> Vec<Line> {
-        vec![
-            self.bound("bound of a change", MAX_CHANGE_MS),
-            self.bound("bound of a purge", MAX_PURGE_MS),
-            self.line("start of all", BLACK, "start", |phase| phase.applied.max),
-            self.line("changes", BLUE, "changes", |phase| phase.applied.max),
-            self.line("purges", GREEN, "purges", |phase| phase.acknowledged.max),
-            self.line("loss of a control process", MAGENTA, "loss", |phase| phase.applied.max),
-        ]
-    }
 }
 
 fn size_table(size: &SizeReport) -> String {
--- /dev/null
+++ b/experiments/src/hollow/report/plots.rs
@@ -0,0 +1,83 @@
+//! The plots of hollow runs, over the number of nodes.
+
+use std::path::Path;
+
+use plotters::style::{RGBColor, BLACK, BLUE, GREEN, MAGENTA, RED};
+
+use super::{HollowReport, PhaseReport};
+use crate::plot::{self, Line, PlotError};
+
+/// The bound of a node's session, in bytes a second.
+const MAX_NODE_BYTES_PER_S: f64 = 5000.0;
+/// The bound of what control costs a node, in cores.
+const MAX_NODE_CORES: f64 = 0.026;
+/// The bound until a change is applied everywhere, in milliseconds.
+const MAX_CHANGE_MS: f64 = 16_000.0;
+/// The bound until a purge is done everywhere, in milliseconds.
+const MAX_PURGE_MS: f64 = 4300.0;
+
+impl HollowReport {
+    /// Draws plots over the number of nodes, with the bounds of the plan, into a folder.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error where a file can't be written.
+    pub fn draw(&self, folder: &Path) -> Result<(), PlotError> {
+        let draw = |file: &str, caption: &str, lines: Vec<Line>| {
+            plot::draw_growth(&folder.join(file), caption, "nodes", lines)
+        };
+        draw("hollow-node.svg", "bytes a second of a node's session", self.node_lines())?;
+        let caption = "cores: the busiest control process, and an agent";
+        draw("hollow-cores.svg", caption, self.core_lines())?;
+        draw("hollow-times.svg", "milliseconds until all have it", self.time_lines())
+    }
+
+    fn bound(&self, name: &'static str, bound: f64) -> Line {
+        let points = self.sizes.iter().map(|size| (f64::from(size.nodes), bound)).collect();
+        Line { name, color: RED, points }
+    }
+
+    fn line(
+        &self,
+        name: &'static str,
+        color: RGBColor,
+        phase: &str,
+        figure: fn(&PhaseReport) -> f64,
+    ) -> Line {
+        let points = self.points(phase, figure).into_iter().map(|point| (point.x, point.y)).collect();
+        Line { name, color, points }
+    }
+
+    fn node_lines(&self) -> Vec<Line> {
+        vec![
+            self.bound("bound", MAX_NODE_BYTES_PER_S),
+            self.line("at rest", BLACK, "rest", PhaseReport::node_bytes_per_s),
+            self.line("changes", BLUE, "changes", PhaseReport::node_bytes_per_s),
+            self.line("purges", GREEN, "purges", PhaseReport::node_bytes_per_s),
+            self.line("restarts", MAGENTA, "restarts", PhaseReport::node_bytes_per_s),
+        ]
+    }
+
+    fn core_lines(&self) -> Vec<Line> {
+        vec![
+            self.bound("bound of a node", MAX_NODE_CORES),
+            self.line("control at rest", BLACK, "rest", |phase| phase.max_control_cores),
+            self.line("control, changes", BLUE, "changes", |phase| phase.max_control_cores),
+            self.line("control, purges", GREEN, "purges", |phase| phase.max_control_cores),
+            self.line("agent and edge, purges", MAGENTA, "purges", |phase| {
+                phase.agent_cores + phase.edge_cores
+            }),
+        ]
+    }
+
+    fn time_lines(&self) -> Vec<Line> {
+        vec![
+            self.bound("bound of a change", MAX_CHANGE_MS),
+            self.bound("bound of a purge", MAX_PURGE_MS),
+            self.line("start of all", BLACK, "start", |phase| phase.applied.max),
+            self.line("changes", BLUE, "changes", |phase| phase.applied.max),
+            self.line("purges", GREEN, "purges", |phase| phase.acknowledged.max),
+            self.line("loss of a control process", MAGENTA, "loss", |phase| phase.applied.max),
+        ]
+    }
+}
--- a/experiments/src/origin/heartbeats.rs
+++ b/experiments/src/origin/heartbeats.rs
@@ -1,6 +1,7 @@
 //! The heartbeats of a server, by which control knows that it is there, and its deregistration.
 
 use std::net::SocketAddrV4;
+use std::rc::Rc;
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -22,13 +23,13 @@
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Connections to control.
 const MAX_CONNECTIONS: usize = 8;
-/// Bytes of responses of control that are held.
+/// Bytes of responses of control that are buffered.
 const RESPONSE_MEMORY: usize = 1 << 20;
 
 /// The calls of a server to control.
 struct Registration<'a> {
     origin: &'a Origin,
-    pool: std::rc::Rc<Pool>,
+    pool: Rc<Pool>,
     uri: String,
     controls: &'a ControlAddresses,
     address: SocketAddrV4,
--- a/experiments/src/processor/cost.rs
+++ b/experiments/src/processor/cost.rs
@@ -73,7 +73,7 @@
     traced: f64,
 }
 
-/// What processes cost at rest.
+/// What idle processes cost.
 struct IdleProcesses<'a> {
     /// The cost of one of them in a second.
     cost: &'a Cost,
@@ -89,7 +89,7 @@
         self.per_unit(role, &units, &idle)
     }
 
-    /// Returns what one of so many requests costs a role, less what its processes cost at rest.
+    /// Returns what one of so many requests costs a role, less what its processes cost while idle.
     pub fn per_request(&self, role: &str, requests: f64, idle_cost: &Cost, processes: f64) -> Cost {
         let units = Units { untraced: requests, traced: requests };
         self.per_unit(role, &units, &IdleProcesses { cost: idle_cost, processes })
--- a/experiments/src/processor/system.rs
+++ b/experiments/src/processor/system.rs
@@ -135,7 +135,7 @@
         Ok(costs)
     }
 
-    /// Measures what one request of a case costs the processes of each role together, less what they cost at rest.
+    /// Measures what one request of a case costs the processes of each role together, less what they cost while idle.
     ///
     /// # Errors
     ///
--- /dev/null
+++ b/experiments/src/soak/clients/checks.rs
@@ -0,0 +1,143 @@
+//! Checks of what clients receive, against what servers ran, which objects were purged, and which machines had faults.
+
+use std::time::Duration;
+
+use glenfall::http::response::{ServerResponse, SEAL};
+use glenfall::upstream::pool::SendError;
+use hyper::StatusCode;
+use tokio::time::Instant;
+
+use super::{Clients, SentRequest};
+use crate::ledger::{ResponseCheck, PURGE_TIMEOUT};
+use crate::plan::RouteKind;
+use crate::soak::fault_history::FaultKind;
+use crate::soak::oracle::Invariant;
+
+/// A response may arrive this long after its deadline, on a machine that is busy with several runs.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(1200);
+
+/// A request whose connection ended without a response.
+pub struct UnansweredRequest {
+    /// Its try id.
+    pub id: String,
+    /// The index of the edge.
+    pub edge: usize,
+    /// Milliseconds until the connection ended.
+    pub after_ms: u64,
+}
+
+impl Clients {
+    pub(super) fn check_response(&self, sent: &SentRequest, response: &ServerResponse, elapsed: Duration) {
+        let SentRequest { class, edge, id, sent_at, .. } = sent;
+        let status = response.status();
+        let latest = Duration::from_millis(class.deadline_ms) + DEADLINE_TOLERANCE;
+        if elapsed > latest && self.in_contact_since(*edge, *sent_at) {
+            let details = format!("{id}: {status} after {} ms", elapsed.as_millis());
+            self.oracle.violated(Invariant::AnsweredByDeadline, details);
+        }
+        if status.is_success() {
+            self.check_success(sent, response);
+        } else {
+            self.check_failure(sent, response);
+        }
+    }
+
+    pub(super) fn in_contact_since(&self, edge: usize, since: Instant) -> bool {
+        self.history.in_contact_since(self.edges[edge].machine, since)
+    }
+
+    fn check_success(&self, sent: &SentRequest, response: &ServerResponse) {
+        let SentRequest { class, edge, path, id, sent_at } = sent;
+        self.oracle.count("served");
+        let sealed = response.headers().contains_key(SEAL);
+        match self.ledger.check(path, *sent_at, sealed, response.body(), class.bytes) {
+            ResponseCheck::Valid => {}
+            ResponseCheck::Incomplete => {
+                self.oracle.violated(Invariant::ResponseComplete, format!("{id} {path}"));
+            }
+            ResponseCheck::Stale if self.in_contact_since(*edge, *sent_at - PURGE_TIMEOUT) => {
+                self.oracle.violated(Invariant::NoStaleAfterPurge, format!("{id} {path}"));
+            }
+            ResponseCheck::Stale => self.oracle.count("old version, out of touch"),
+        }
+    }
+
+    fn check_failure(&self, sent: &SentRequest, response: &ServerResponse) {
+        let SentRequest { class, edge, path, id, .. } = sent;
+        let status = response.status();
+        self.oracle.count(match status.as_u16() {
+            503 => "refused (503)",
+            502 => "no promise (502)",
+            504 => "no answer in time (504)",
+            500 => "failed (500)",
+            _ => "other failures",
+        });
+        if status == StatusCode::NOT_FOUND {
+            self.oracle.violated(Invariant::RouteKnown, format!("{id} {path} at edge {edge}"));
+        }
+        if is_not_executed(status) && class.kind == RouteKind::Mutating {
+            self.rejected_writes.borrow_mut().push(id.clone());
+        }
+        if !response.headers().contains_key(SEAL) {
+            self.oracle.request_failed(id, *edge, status.as_u16());
+        }
+        // Servers fail some requests themselves.
+        if self.expects_success.get() && status != StatusCode::INTERNAL_SERVER_ERROR {
+            let details = format!("{id}: {status} at edge {edge}");
+            self.oracle.violated(Invariant::ServedAfterRecovery, details);
+        }
+    }
+
+    pub(super) fn check_unanswered(&self, sent: &SentRequest, error: SendError, elapsed: Duration) {
+        let SentRequest { edge, id, sent_at, .. } = sent;
+        match error {
+            SendError::NotSent => self.oracle.count("not read"),
+            SendError::NoResponse => self.note_unanswered(sent, elapsed),
+            SendError::TimedOut => {
+                self.oracle.count("no answer");
+                if self.in_contact_since(*edge, *sent_at) {
+                    let details = format!("{id}: none at edge {edge}");
+                    self.oracle.violated(Invariant::AnsweredByDeadline, details);
+                }
+            }
+        }
+        if self.expects_success.get() {
+            let details = format!("{id}: {error:?} at edge {edge}");
+            self.oracle.violated(Invariant::ServedAfterRecovery, details);
+        }
+    }
+
+    fn note_unanswered(&self, sent: &SentRequest, elapsed: Duration) {
+        let SentRequest { edge, id, sent_at, .. } = sent;
+        self.oracle.count("cut off");
+        let machine = self.edges[*edge].machine;
+        if self.history.is_free_of(FaultKind::Unplanned, machine, *sent_at) {
+            // A request that crosses the close of a connection was not read; whether this one was is checked after the run.
+            let after_ms = elapsed.as_millis() as u64;
+            self.unanswered.borrow_mut().push(UnansweredRequest { id: id.clone(), edge: *edge, after_ms });
+        }
+    }
+
+    /// Checks what can only be checked after the run: no rejected write has run, and no unanswered request had been read.
+    pub fn check_after_run(&self, was_read: impl Fn(&UnansweredRequest) -> bool) {
+        for request in self.unanswered.borrow().iter() {
+            if was_read(request) || self.ledger.has_run(&request.id) {
+                let UnansweredRequest { id, edge, after_ms } = request;
+                let details = format!("{id} at edge {edge}, after {after_ms} ms");
+                self.oracle.violated(Invariant::ReadRequestAnswered, details);
+            }
+        }
+        for id in self.rejected_writes.borrow().iter().filter(|id| self.ledger.has_run(id)) {
+            self.oracle.violated(Invariant::RejectedNotExecuted, id.clone());
+        }
+        let ran_twice = self.ledger.violations().ran_twice;
+        if ran_twice > 0 {
+            self.oracle.violated(Invariant::AtMostOnce, format!("{ran_twice} requests"));
+        }
+    }
+}
+
+/// Whether a status says that a request has not been executed.
+fn is_not_executed(status: StatusCode) -> bool {
+    matches!(status.as_u16(), 408 | 421 | 429 | 503)
+}
--- a/experiments/src/soak/mod.rs
+++ b/experiments/src/soak/mod.rs
@@ -103,10 +103,10 @@
     });
     let report = report.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
     report.print_summary(options.count, options.first);
-    Ok(report.all_held())
+    Ok(report.has_no_failures())
 }
 
-/// Runs one seed after the other until all are taken.
+/// Runs one seed after the other until all have been started.
 fn run_seeds(
     options: &SoakOptions,
     program: &Path,
--- a/experiments/src/soak/operators/calls.rs
+++ b/experiments/src/soak/operators/calls.rs
@@ -27,7 +27,7 @@
 const LOST_SHARE_DURING_FAULT: f64 = 0.6;
 /// The share of responses that are lost otherwise.
 const LOST_SHARE: f64 = 0.05;
-/// Bytes of responses that are held at the same time.
+/// Bytes of responses that are buffered at the same time.
 const RESPONSE_MEMORY: usize = 64 << 20;
 /// Connections that the operators hold.
 const MAX_CONNECTIONS: usize = 64;
--- a/experiments/src/soak/operators/changes.rs
+++ b/experiments/src/soak/operators/changes.rs
@@ -6,7 +6,7 @@
 
 /// How many versions before a version still have their route in it.
 const MAX_PARENTS: usize = 2;
-/// The host of the routes that tell changes of the same version apart.
+/// The host of the routes that distinguish changes of the same version.
 const MARKER_HOST: &str = "mark.example";
 /// What the name of such a route begins with; the number of the change follows.
 const MARKER_NAME_PREFIX: &str = "mark-";
@@ -19,7 +19,7 @@
 /// A change to a complete configuration.
 #[derive(Clone, Debug)]
 pub struct ConfigChange {
-    /// Tells the change apart from others of the same version.
+    /// Distinguishes the change from others of the same version.
     pub number: u64,
     /// The version that it changes.
     pub builds_on: u64,
@@ -90,7 +90,7 @@
     DuplicateRoute,
     /// The version is the one that it builds on.
     SameVersion,
-    /// The document is cut off in the middle.
+    /// The second half of the document is missing.
     Truncated,
 }
 
--- a/experiments/src/soak/oracle.rs
+++ b/experiments/src/soak/oracle.rs
@@ -136,7 +136,7 @@
         self.violations.borrow().clone()
     }
 
-    /// Returns how often things ended each way.
+    /// Returns how often each outcome was counted.
     pub fn counts(&self) -> BTreeMap<&'static str, u64> {
         self.counts.borrow().clone()
     }
--- a/experiments/src/soak/report.rs
+++ b/experiments/src/soak/report.rs
@@ -64,7 +64,7 @@
     }
 
     /// Whether no seed failed.
-    pub fn all_held(&self) -> bool {
+    pub fn has_no_failures(&self) -> bool {
         self.failed_seeds.is_empty()
     }
 }
