--- a/glenfall/src/control/quorum_reads.rs
+++ b/glenfall/src/control/quorum_reads.rs
@@ -62,7 +62,9 @@
 
     async fn read(self: Rc<Self>, ticket: u64) {
         let known_seq = self.chain.state().committed().seq;
-        if let Outcome::Document(_) | Outcome::Unchanged = self.chain.call(Call::ReadNewer { known_seq }).await {
+        if let Outcome::Document(_) | Outcome::Unchanged =
+            self.chain.call(Call::ReadNewer { known_seq }).await
+        {
             self.covered
                 .send_if_modified(|covered| std::mem::replace(covered, ticket.max(*covered)) < ticket);
         }
