--- a/glenfall/src/edge/mod.rs
+++ b/glenfall/src/edge/mod.rs
@@ -43,12 +43,12 @@
 use crate::watch_client::{WatchClient, WatchHandler};
 
 /// Time between the start of the client's clock and the arrival of its request here, plus the time that the response
-/// needs back. It is taken off the deadline.
+/// needs back. It is subtracted from the deadline.
 const CLIENT_TRANSIT_TIME: Duration = Duration::from_millis(12);
-/// Share of the machine's memory for the local cache of objects whose shield is in another zone. What it saves is
-/// traffic between zones; a larger cache would cost more memory than the less requested objects are worth.
+/// Share of the machine's memory for the local cache of objects whose shield is in another zone. It saves traffic between
+/// zones; a larger cache would use more memory than the traffic for the less requested objects justifies.
 pub const CACHE_MEMORY_SHARE: f64 = 0.06;
-/// A draining edge has its responses ready this long before the end of its grace time, when it aborts the rest.
+/// A draining edge has its responses ready this long before the end of its grace time, when it aborts the others.
 const DRAIN_MARGIN: Duration = Duration::from_millis(200);
 /// `Retry-After` of a node that is not ready yet, or has no memory for another response.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(300);
--- a/glenfall/src/edge/read/attempt_log.rs
+++ b/glenfall/src/edge/read/attempt_log.rs
@@ -54,7 +54,7 @@
         count.set(count.get() + 1);
     }
 
-    /// How many attempts ended in each way other than with an answer, under the names in `status`. Zeros are left out.
+    /// How many attempts ended with each outcome but an answer, under the names in `status`. Zeros are left out.
     pub fn report(&self) -> impl Iterator<Item = (String, u64)> + '_ {
         let counts = AttemptOutcome::ALL.into_iter().zip(&self.0);
         let failures = counts.filter(|(outcome, _)| *outcome != AttemptOutcome::Answered);
--- a/glenfall/src/edge/read/attempts.rs
+++ b/glenfall/src/edge/read/attempts.rs
@@ -261,7 +261,7 @@
         }
     }
 
-    /// The client's response where no further attempt follows. A server's answer is worth more than the message that no
+    /// The client's response where no further attempt follows. A server's answer says more than the message that no
     /// other server can be tried.
     fn final_response(&mut self, response: ProxyResponse, is_rejection: bool) -> ProxyResponse {
         if is_rejection {
--- a/glenfall/src/operator/commands/check.rs
+++ b/glenfall/src/operator/commands/check.rs
@@ -5,11 +5,12 @@
 use glenfall_control_plane::config::Config;
 
 use super::error::{InvalidFile, OperatorError};
+use crate::operator::PathError;
 use crate::settings::Settings;
 
 /// Reads a file.
 pub(super) fn read_file(path: &Path) -> Result<Vec<u8>, OperatorError> {
-    std::fs::read(path).map_err(OperatorError::file(path))
+    Ok(std::fs::read(path).map_err(PathError::at(path))?)
 }
 
 /// Checks a settings file (TOML) or a configuration (JSON); returns one line that says what the file is.
@@ -17,7 +18,7 @@
     let bytes = read_file(path)?;
     let is_json = bytes.iter().find(|byte| !byte.is_ascii_whitespace()) == Some(&b'{');
     let checked = if is_json { check_config(&bytes) } else { check_settings(bytes) };
-    checked.map_err(|what| OperatorError::Wrong { path: path.to_owned(), what })
+    Ok(checked.map_err(PathError::at(path))?)
 }
 
 fn check_config(document: &[u8]) -> Result<String, InvalidFile> {
--- a/glenfall/src/operator/commands/control_client.rs
+++ b/glenfall/src/operator/commands/control_client.rs
@@ -110,7 +110,7 @@
     String::from_utf8_lossy(response.body()).into_owned()
 }
 
-/// A list of what each control node says, as indented JSON; an entry with `error` stands for a node that can't be asked.
+/// A list of the documents of all control nodes, as indented JSON. A node that can't be reached has an entry with `error`.
 pub(super) async fn get_from_each(
     at: &ControlAddresses,
     path: &'static str,
--- a/glenfall/src/operator/commands/state.rs
+++ b/glenfall/src/operator/commands/state.rs
@@ -12,6 +12,7 @@
 use crate::control::backup::Backup;
 use crate::control::store;
 use crate::disk;
+use crate::operator::PathError;
 
 #[derive(Subcommand)]
 pub(crate) enum StateCommand {
@@ -54,8 +55,8 @@
 async fn export(at: &ControlAddresses, file: &Path) -> Result<String, OperatorError> {
     let response = get(at, "/api/state").await?;
     // An incomplete backup would be of no use when it is needed.
-    let backup = Backup::read(response.body()).map_err(OperatorError::backup(file))?;
-    write_durably(file, response.body()).map_err(OperatorError::file(file))?;
+    let backup = Backup::read(response.body()).map_err(PathError::at(file))?;
+    write_durably(file, response.body()).map_err(PathError::at(file))?;
     Ok(format!("configuration {}, change {}, exported", backup.rev, backup.seq))
 }
 
@@ -77,13 +78,13 @@
     let backup = read_backup(file)?;
     let imported = format!("configuration {}, change {}, imported", backup.rev, backup.seq);
     let voters = if voters.is_empty() { backup.voters.clone() } else { voters };
-    let state = backup.state(voters, acknowledged).map_err(OperatorError::backup(file))?;
-    store::create(into, &state).map_err(OperatorError::store(into))?;
+    let state = backup.state(voters, acknowledged).map_err(PathError::at(file))?;
+    store::create(into, &state).map_err(PathError::at(into))?;
     Ok(imported)
 }
 
 fn verify_folder(folder: &Path) -> Result<String, OperatorError> {
-    let Some(state) = store::verify(folder).map_err(OperatorError::store(folder))? else {
+    let Some(state) = store::verify(folder).map_err(PathError::at(folder))? else {
         return Ok("a store without state: nothing was promised or accepted yet".into());
     };
     let (record, view) = (&state.record, state.accepted);
@@ -98,5 +99,5 @@
 }
 
 fn read_backup(path: &Path) -> Result<Backup, OperatorError> {
-    Backup::read(&read_file(path)?).map_err(OperatorError::backup(path))
+    Ok(Backup::read(&read_file(path)?).map_err(PathError::at(path))?)
 }
--- a/glenfall/src/operator/declarative_config/difference.rs
+++ b/glenfall/src/operator/declarative_config/difference.rs
@@ -5,9 +5,9 @@
 
 use serde_json::{Map, Value};
 
-use super::schema::{ItemList, BACKENDS, LIMITS, PATHS};
+use super::schema::{ItemList, LIMITS_FILE, ROUTE_LIST, SERVICE_LIST};
 
-/// The change of one field; `null` stands for a field that is not set.
+/// The change of one field; `null` means a field that is not set.
 #[derive(Debug, PartialEq)]
 pub struct FieldChange {
     /// The active value.
@@ -64,11 +64,11 @@
 pub(super) fn between(active: &Value, declared: &Map<String, Value>) -> Vec<Difference> {
     let declared = |section: &str| declared.get(section).unwrap_or(&Value::Null);
     let mut differences = Vec::new();
-    for list in [&PATHS, &BACKENDS] {
+    for list in [&ROUTE_LIST, &SERVICE_LIST] {
         differences.extend(in_list(list, &active[list.section], declared(list.section)));
     }
-    let limits = changed_fields(&active[LIMITS.section], declared(LIMITS.section));
-    differences.extend(changed(LIMITS.section, String::new(), limits));
+    let limits = changed_fields(&active[LIMITS_FILE.section], declared(LIMITS_FILE.section));
+    differences.extend(changed(LIMITS_FILE.section, String::new(), limits));
     differences
 }
 
--- a/glenfall/src/operator/declarative_config/files.rs
+++ b/glenfall/src/operator/declarative_config/files.rs
@@ -6,37 +6,37 @@
 use serde_json::{Map, Value};
 
 use super::difference::by_name;
-use super::schema::{BACKENDS, LIMITS, PATHS};
+use super::schema::{LIMITS_FILE, ROUTE_LIST, SERVICE_LIST};
 use super::{DeclareError, InvalidItem};
+use crate::operator::PathError;
 
 /// Bound on the length of an item's name, so that it makes a file name on every file system.
 const MAX_NAME_LENGTH: usize = 200;
 /// The field that is the name of an item's file.
-const NAME: &str = "name";
+const NAME_FIELD: &str = "name";
 
 /// Reads all items of a folder. A folder that does not exist has none.
 pub(super) fn read_items(folder: &Path, fields: &[&str]) -> Result<Vec<Value>, DeclareError> {
     let mut items = Vec::new();
     for path in toml_files(folder)? {
         let mut item = read_item(&path, fields)?;
-        if item.contains_key(NAME) {
-            return Err(DeclareError::Wrong { path, what: InvalidItem::OwnName });
+        if item.contains_key(NAME_FIELD) {
+            return Err(PathError { path, error: InvalidItem::OwnName }.into());
         }
         let name = path.file_stem().map(|stem| stem.to_string_lossy().into_owned()).unwrap_or_default();
-        item.insert(NAME.into(), name.into());
+        item.insert(NAME_FIELD.into(), name.into());
         items.push(Value::Object(item));
     }
     Ok(items)
 }
 
 fn toml_files(folder: &Path) -> Result<Vec<PathBuf>, DeclareError> {
-    let failed = |what| DeclareError::File { path: folder.to_owned(), what };
     let entries = match std::fs::read_dir(folder) {
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(Vec::new()),
-        entries => entries.map_err(failed)?,
+        entries => entries.map_err(PathError::at(folder))?,
     };
     let paths: Result<Vec<PathBuf>, _> = entries.map(|entry| entry.map(|entry| entry.path())).collect();
-    let mut paths = paths.map_err(failed)?;
+    let mut paths = paths.map_err(PathError::at(folder))?;
     paths.retain(|path| path.extension().is_some_and(|extension| extension == "toml"));
     // The order of directory entries is arbitrary.
     paths.sort();
@@ -45,9 +45,8 @@
 
 /// Reads a file that may have these fields.
 pub(super) fn read_item(path: &Path, fields: &[&str]) -> Result<Map<String, Value>, DeclareError> {
-    let text =
-        std::fs::read_to_string(path).map_err(|what| DeclareError::File { path: path.to_owned(), what })?;
-    parse_item(&text, fields).map_err(|what| DeclareError::Wrong { path: path.to_owned(), what })
+    let text = std::fs::read_to_string(path).map_err(PathError::at(path))?;
+    Ok(parse_item(&text, fields).map_err(PathError::at(path))?)
 }
 
 fn parse_item(text: &str, fields: &[&str]) -> Result<Map<String, Value>, InvalidItem> {
@@ -81,7 +80,8 @@
 impl FilesOfDocument {
     fn add(&mut self, path: PathBuf, item: &Value, fields: &[&str]) {
         let mut table = toml::Table::new();
-        for (field, value) in item.as_object().into_iter().flatten().filter(|(field, _)| *field != NAME) {
+        for (field, value) in item.as_object().into_iter().flatten().filter(|(field, _)| *field != NAME_FIELD)
+        {
             match toml::Value::try_from(value) {
                 Ok(value) if fields.contains(&field.as_str()) => {
                     table.insert(field.clone(), value);
@@ -98,17 +98,17 @@
 pub fn write(document: &[u8], folder: &Path) -> Result<Vec<String>, DeclareError> {
     let document: Value = serde_json::from_slice(document)?;
     let mut output = FilesOfDocument::default();
-    for list in [&PATHS, &BACKENDS] {
+    for list in [&ROUTE_LIST, &SERVICE_LIST] {
         for (name, item) in by_name(&document[list.section]) {
             let file = file_name(&name).ok_or(DeclareError::Name(name))?;
             output.add(folder.join(list.folder).join(file), item, list.fields);
         }
     }
-    if document[LIMITS.section].is_object() {
-        output.add(folder.join(LIMITS.file), &document[LIMITS.section], LIMITS.fields);
+    if document[LIMITS_FILE.section].is_object() {
+        output.add(folder.join(LIMITS_FILE.file), &document[LIMITS_FILE.section], LIMITS_FILE.fields);
     }
     for file in output.files {
-        create(&file).map_err(|what| DeclareError::File { path: file.path.clone(), what })?;
+        create(&file).map_err(PathError::at(&file.path))?;
     }
     Ok(output.left_out)
 }
--- a/glenfall/src/operator/declarative_config/mod.rs
+++ b/glenfall/src/operator/declarative_config/mod.rs
@@ -5,7 +5,7 @@
 mod files;
 mod schema;
 
-use std::path::{Path, PathBuf};
+use std::path::Path;
 
 use glenfall_control_plane::config::{Config, InvalidConfig};
 use serde_json::{Map, Value};
@@ -13,27 +13,18 @@
 pub use self::difference::{Difference, FieldChange};
 pub use self::files::write;
 use self::files::{read_item, read_items};
-use self::schema::{BACKENDS, LIMITS, PATHS};
+use self::schema::{LIMITS_FILE, ROUTE_LIST, SERVICE_LIST};
+use crate::operator::PathError;
 
 /// Why a configuration as files can't be read or written; its text is one line.
 #[derive(Debug, thiserror::Error)]
 pub enum DeclareError {
     /// A file or folder can't be read or written.
-    #[error("{}: {what}", path.display())]
-    File {
-        /// The file or folder.
-        path: PathBuf,
-        /// What the operating system says.
-        what: std::io::Error,
-    },
+    #[error(transparent)]
+    File(#[from] PathError<std::io::Error>),
     /// A file is not valid.
-    #[error("{}: {what}", path.display())]
-    Wrong {
-        /// The file.
-        path: PathBuf,
-        /// What is invalid in it.
-        what: InvalidItem,
-    },
+    #[error(transparent)]
+    Wrong(#[from] PathError<InvalidItem>),
     /// The files do not make a valid configuration together.
     #[error("the declared configuration is invalid: {0}")]
     Invalid(#[from] InvalidConfig),
@@ -82,14 +73,14 @@
     /// together.
     pub fn read(folder: &Path) -> Result<Declared, DeclareError> {
         let mut document = Map::new();
-        for list in [&PATHS, &BACKENDS] {
+        for list in [&ROUTE_LIST, &SERVICE_LIST] {
             let items = read_items(&folder.join(list.folder), list.fields)?;
             document.insert(list.section.to_owned(), Value::Array(items));
         }
-        let path = folder.join(LIMITS.file);
+        let path = folder.join(LIMITS_FILE.file);
         if path.exists() {
-            let limits = read_item(&path, LIMITS.fields)?;
-            document.insert(LIMITS.section.to_owned(), Value::Object(limits));
+            let limits = read_item(&path, LIMITS_FILE.fields)?;
+            document.insert(LIMITS_FILE.section.to_owned(), Value::Object(limits));
         }
         let declared = Declared(document);
         Config::read(&declared.document(1))?;
@@ -107,7 +98,7 @@
     /// How many routes and services there are.
     pub fn counts(&self) -> ItemCounts {
         let count = |section: &str| self.0.get(section).and_then(Value::as_array).map_or(0, Vec::len);
-        ItemCounts { routes: count(PATHS.section), services: count(BACKENDS.section) }
+        ItemCounts { routes: count(ROUTE_LIST.section), services: count(SERVICE_LIST.section) }
     }
 
     /// What changes if this replaces the JSON document `current`; empty bytes stand for no configuration yet.
--- a/glenfall/src/operator/declarative_config/schema.rs
+++ b/glenfall/src/operator/declarative_config/schema.rs
@@ -18,7 +18,7 @@
 }
 
 /// The routes.
-pub(super) const PATHS: ItemList = ItemList {
+pub(super) const ROUTE_LIST: ItemList = ItemList {
     section: "paths",
     folder: "routes",
     fields: &[
@@ -37,14 +37,14 @@
 };
 
 /// The services.
-pub(super) const BACKENDS: ItemList = ItemList {
+pub(super) const SERVICE_LIST: ItemList = ItemList {
     section: "backends",
     folder: "services",
     fields: &["name", "healthPath", "maxConns", "protocol", "useTls", "ratePerS"],
 };
 
 /// The limits for clients' requests.
-pub(super) const LIMITS: SingleItem = SingleItem {
+pub(super) const LIMITS_FILE: SingleItem = SingleItem {
     section: "reqLimits",
     file: "limits.toml",
     fields: &["maxHeaderBytes", "maxBodyBytes", "headerTimeoutMs", "idleTimeoutMs"],
--- a/glenfall/src/operator/demo/mod.rs
+++ b/glenfall/src/operator/demo/mod.rs
@@ -24,14 +24,14 @@
 /// How often stand-in servers send heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Third byte of the machines' addresses.
-const NETWORK: u8 = 7;
+const NETWORK_NUMBER: u8 = 7;
 const CORE_MACHINES: u8 = 3;
 const EDGE_MACHINES: u8 = 2;
 const STAND_IN_SERVERS: u8 = 2;
 /// The host of all routes.
 const DEMO_HOST: &str = "demo.example";
 /// The object that the demo reads and purges.
-const PAGE: &str = "/pages/hello";
+const DEMO_PATH: &str = "/pages/hello";
 
 /// Why the demo has failed; its text is one line.
 #[derive(Debug, thiserror::Error)]
@@ -53,12 +53,12 @@
     Ops(#[from] OperatorError),
 }
 
-/// Starts the system and shows the path of requests; then runs until a signal, or ends if `once`. The logs of a demo that
-/// fails are kept.
+/// Starts the system and shows the path of requests; then runs until a signal, or ends if `once`. The folder with
+/// the logs of a demo that fails is not removed.
 pub async fn run(once: bool) -> Result<(), DemoError> {
     let layout = SystemLayout {
         beat_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
-        ..SystemLayout::new(NETWORK, CORE_MACHINES, EDGE_MACHINES)
+        ..SystemLayout::new(NETWORK_NUMBER, CORE_MACHINES, EDGE_MACHINES)
     };
     let program = std::env::current_exe()?;
     let mut system = LocalSystem::start(layout, &program).await?;
@@ -87,7 +87,7 @@
         println!("the whole path works");
         return Ok(());
     }
-    println!("\ntry:    curl -H 'Host: {DEMO_HOST}' http://{}{PAGE}", system.edges()[0]);
+    println!("\ntry:    curl -H 'Host: {DEMO_HOST}' http://{}{DEMO_PATH}", system.edges()[0]);
     println!("see:    {} status --control {}", program.display(), controls.controls[0]);
     println!("logs:   {}", system.folder.display());
     println!("Ctrl-C ends it.");
@@ -100,7 +100,7 @@
     let edges = system.edges();
     let read_at = |edge: usize| {
         let address = edges[edge];
-        move || request(address, Method::GET, PAGE)
+        move || request(address, Method::GET, DEMO_PATH)
     };
     let first = retry("a read through edge and shield", read_at(0)).await?;
     print!("read:           {}", String::from_utf8_lossy(first.body()));
@@ -109,7 +109,7 @@
     if other.body() != first.body() {
         return Err(DemoError::TooLate { what: "the shield's copy at the other edge" });
     }
-    let purge = json!({ "hostname": DEMO_HOST, "urlPath": PAGE }).to_string();
+    let purge = json!({ "hostname": DEMO_HOST, "urlPath": DEMO_PATH }).to_string();
     commands::call_control(&system.controls(), Method::POST, "/api/purge", None, purge.into()).await?;
     let fresh = retry("the read after a purge", read_at(0)).await?;
     print!("after a purge:  {}", String::from_utf8_lossy(fresh.body()));
--- a/glenfall/src/operator/demo/stand_in_server.rs
+++ b/glenfall/src/operator/demo/stand_in_server.rs
@@ -1,4 +1,4 @@
-//! A server that stands in for a user's: it answers requests and sends heartbeats to control.
+//! A stub of a user's server: it answers requests and sends heartbeats to control.
 
 use std::cell::Cell;
 use std::net::SocketAddrV4;
--- a/glenfall/src/operator/local_system.rs
+++ b/glenfall/src/operator/local_system.rs
@@ -36,7 +36,7 @@
     pub seeds: u8,
     /// Number of machines with an edge and its agent.
     pub edges: u8,
-    /// Number of zones that the machines are spread over.
+    /// Number of zones that the machines are distributed over.
     pub zones: u8,
     /// Interval of servers' heartbeats, in milliseconds.
     pub beat_ms: u64,
--- a/glenfall/src/operator/mod.rs
+++ b/glenfall/src/operator/mod.rs
@@ -5,3 +5,6 @@
 pub mod declarative_config;
 pub mod demo;
 pub mod local_system;
+mod path_error;
+
+pub use self::path_error::PathError;
--- a/glenfall/src/roles/edge.rs
+++ b/glenfall/src/roles/edge.rs
@@ -12,7 +12,8 @@
 use crate::http_server::{self, ServerConfig};
 use crate::settings::Settings;
 
-/// Share of an edge's memory for the bodies of requests in flight; the cache, connections and responses use the rest.
+/// Share of an edge's memory for the bodies of requests in flight; the remaining memory is for the cache, connections and
+/// responses.
 const REQUEST_BODY_MEMORY_SHARE: f64 = 0.4;
 /// How long a draining edge accepts connections. Load balancers ask the readiness endpoint once a second and act on its
 /// second rejection; the connections that they have sent until then are still accepted.
--- a/glenfall/src/roles/mod.rs
+++ b/glenfall/src/roles/mod.rs
@@ -19,7 +19,7 @@
 const RESERVED_DESCRIPTORS: usize = 300;
 /// File descriptors for connections that a process uses at least, whatever its limit.
 const MIN_CONNECTION_DESCRIPTORS: usize = 16;
-/// Share of the machine's memory for responses in flight, beside the cache. Request bodies, responses and the cache
+/// Share of the machine's memory for responses in flight, in addition to the cache. Request bodies, responses and the cache
 /// together leave a quarter at least for connections and everything else.
 const RESPONSE_MEMORY_SHARE: f64 = 0.25;
 
--- a/glenfall/src/shield/counters.rs
+++ b/glenfall/src/shield/counters.rs
@@ -14,7 +14,7 @@
     /// Stored responses that a server has confirmed as unchanged.
     pub revalidated: Counter,
     pub rejected: Counter,
-    /// Stored responses taken over from disk after a start.
+    /// Stored responses loaded from disk after a start.
     pub warm_start: Counter,
     pub read_latency: Latency,
     pub fetch_latency: Latency,
--- a/glenfall/src/shield/mod.rs
+++ b/glenfall/src/shield/mod.rs
@@ -39,8 +39,8 @@
 /// Another shield has received the request before, and may have counted it or sent it to a server: further sends are
 /// retries, and draw on the retry budget.
 pub const REPEATED_REQUEST: HeaderName = HeaderName::from_static("x-glenfall-again");
-/// Share of the machine's memory for the cache. The rest is for requests in flight, and for the control node on the same
-/// machine.
+/// Share of the machine's memory for the cache. The remaining memory is for requests in flight, and for the control node on
+/// the same machine.
 pub const CACHE_MEMORY_SHARE: f64 = 0.4;
 
 /// A shield: its cache, and the fetches in flight.
--- a/glenfall/src/shield/warm_start.rs
+++ b/glenfall/src/shield/warm_start.rs
@@ -10,7 +10,7 @@
 use crate::cache::disk::Row;
 use crate::cache::{Cache, Copy, ObjectKey};
 
-/// The stored responses found on disk, until they are taken into use.
+/// The stored responses found on disk, until they are moved to the cache.
 pub(super) struct WarmStart {
     /// `None` without a disk cache, and once the responses are in use.
     responses: RefCell<Option<Cache>>,
--- a/glenfall/tests/unit/declare.rs
+++ b/glenfall/tests/unit/declarative_config.rs
@@ -1,4 +1,4 @@
-//! The configuration as files.
+//! The declared configuration: its files, and how it differs from the active one.
 
 use glenfall::operator::declarative_config::{write, DeclareError, Declared, ItemCounts};
 
@@ -21,7 +21,7 @@
     "reqLimits": {"maxBodyBytes": 1000}}"#;
 
 #[test]
-fn what_is_written_from_a_document_is_read_as_the_same() {
+fn a_document_written_as_files_is_read_back_unchanged() {
     let folder = folder("round");
     let left_out = write(DOCUMENT.as_bytes(), &folder).unwrap();
     assert_eq!(left_out.len(), 1, "{left_out:?}");
@@ -29,8 +29,8 @@
     let declared = Declared::read(&folder).unwrap();
     assert_eq!(declared.counts(), ItemCounts { routes: 2, services: 2 });
     let differences = declared.differences(DOCUMENT.as_bytes()).unwrap();
-    let told: Vec<String> = differences.iter().map(ToString::to_string).collect();
-    assert_eq!(told, ["~ paths r-a\n    later: 1 -> null"], "what can't be kept is told");
+    let texts: Vec<String> = differences.iter().map(ToString::to_string).collect();
+    assert_eq!(texts, ["~ paths r-a\n    later: 1 -> null"], "what can't be written is reported");
     assert!(declared.differences(&declared.document(9)).unwrap().is_empty());
 
     std::fs::remove_file(folder.join("routes/r-b.toml")).unwrap();
@@ -39,28 +39,28 @@
     std::fs::write(folder.join("limits.toml"), "maxBodyBytes = 2000").unwrap();
     let declared = Declared::read(&folder).unwrap();
     let differences = declared.differences(DOCUMENT.as_bytes()).unwrap();
-    let told: Vec<String> = differences.iter().map(ToString::to_string).collect();
+    let texts: Vec<String> = differences.iter().map(ToString::to_string).collect();
     assert_eq!(
-        told[1..],
+        texts[1..],
         ["- paths r-b", "+ backends u", "~ reqLimits \n    maxBodyBytes: 1000 -> 2000"].map(str::to_owned)
     );
     assert_eq!(declared.differences(b"").unwrap().len(), 5);
 }
 
 #[test]
-fn slips_are_told_with_their_file() {
+fn mistakes_are_reported_with_their_file() {
     let route = "hostname = \"h\"\npathPrefix = \"/a/\"\ndeadlineMs = 900\nbackend = \"s\"\n";
-    for (case, file, text, told) in [
+    for (case, file, text, expected) in [
         ("field", "routes/a.toml", "hostnam = \"h\"", "routes/a.toml: no such field: hostnam"),
         ("toml", "routes/a.toml", "hostname = \"h\"\nprio = ", "routes/a.toml: line 2: "),
         ("name", "services/s.toml", "name = \"t\"", "services/s.toml: name: "),
         ("service", "routes/a.toml", route, "no backend is named \"s\""),
         ("field missing", "routes/a.toml", "hostname = \"h\"", "missing field"),
     ] {
-        let folder = folder("slips");
+        let folder = folder("mistakes");
         std::fs::write(folder.join(file), text).unwrap();
         let why = Declared::read(&folder).expect_err(case).to_string();
-        assert!(why.contains(told) && !why.contains('\n'), "{case}: {why}");
+        assert!(why.contains(expected) && !why.contains('\n'), "{case}: {why}");
     }
     let outside = DOCUMENT.replace("r-a", "../r-a");
     assert!(matches!(write(outside.as_bytes(), &folder("outside")), Err(DeclareError::Name(_))));
--- a/glenfall/tests/unit/edge.rs
+++ b/glenfall/tests/unit/edge_cache.rs
@@ -1,4 +1,4 @@
-//! An edge's own copies: what it keeps of shields' answers, and what purges bar.
+//! An edge's local cache: which of the shields' responses it stores, and which ones purges keep out.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,16 +18,15 @@
 
 fn edge() -> (Rc<Edge>, Rc<WatchClient>) {
     let boot = Rc::new(settings(""));
-    let feed = WatchClient::new(Rc::clone(&boot), ProxyRole::Edge);
-    (Edge::new(&boot, Rc::clone(&feed), Pool::new(8, MemoryBudget::new(1 << 20))), feed)
+    let watch_client = WatchClient::new(Rc::clone(&boot), ProxyRole::Edge);
+    (Edge::new(&boot, Rc::clone(&watch_client), Pool::new(8, MemoryBudget::new(1 << 20))), watch_client)
 }
 
-/// In touch, and with a lease that lasts so long from the start of the test on.
-fn in_touch(edge: &Edge, feed: &WatchClient, lasts: Duration) {
-    assert!(feed.hear(PublisherMessage::Push { number: 1, update: Update::Connected(true) }, edge));
-    assert!(
-        feed.hear(PublisherMessage::LeaseGranted { sent_at: 0, duration: lasts.as_millis() as u64 }, edge)
-    );
+/// In touch, and with a lease of this duration from the start of the test.
+fn in_touch(edge: &Edge, watch_client: &WatchClient, duration: Duration) {
+    assert!(watch_client.hear(PublisherMessage::Push { number: 1, update: Update::Connected(true) }, edge));
+    assert!(watch_client
+        .hear(PublisherMessage::LeaseGranted { sent_at: 0, duration: duration.as_millis() as u64 }, edge));
 }
 
 fn from_shield(tags: &'static str) -> ServerResponse {
@@ -39,15 +38,15 @@
     ServerResponse::new(head, Bytes::from_static(b"body"))
 }
 
-fn kept(edge: &Edge, path: &str) -> bool {
+fn is_cached(edge: &Edge, path: &str) -> bool {
     edge.cached(&object(path)).is_some()
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_purge_ends_copies_and_bars_what_it_names_for_a_while() {
+async fn a_purge_removes_stored_responses_and_keeps_them_out_for_the_barrier_time() {
     tokio::time::advance(Duration::from_secs(10)).await;
-    let (edge, feed) = edge();
-    in_touch(&edge, &feed, Duration::from_secs(600));
+    let (edge, watch_client) = edge();
+    in_touch(&edge, &watch_client, Duration::from_secs(600));
     edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
     edge.cache_response(&object("/b"), &from_shield("u"), Instant::now());
     let age = edge.cached(&object("/a")).map(|copy| copy.age());
@@ -55,50 +54,50 @@
     let now = |purge| AgedPurge { purge, age_ms: 0 };
     let one = Purge::Object { hostname: "h".into(), path: "/c".into() };
     edge.purge(&[now(Purge::Label("t".into())), now(one)]);
-    assert!(!kept(&edge, "/a") && kept(&edge, "/b"));
-    // A shield that has not heard yet hands out the old copies.
+    assert!(!is_cached(&edge, "/a") && is_cached(&edge, "/b"));
+    // A shield that has not received the purge yet returns the old responses.
     edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
     edge.cache_response(&object("/c"), &from_shield("u"), Instant::now());
-    assert!(!kept(&edge, "/a") && !kept(&edge, "/c"));
+    assert!(!is_cached(&edge, "/a") && !is_cached(&edge, "/c"));
     tokio::time::advance(PURGE_BARRIER_TIME).await;
     edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
-    assert!(kept(&edge, "/a"));
+    assert!(is_cached(&edge, "/a"));
 }
 
 #[tokio::test(start_paused = true)]
-async fn out_of_touch_nothing_is_kept_and_a_stream_of_purges_is_bounded() {
+async fn nothing_is_stored_out_of_touch_and_remembered_purges_are_bounded() {
     tokio::time::advance(Duration::from_secs(10)).await;
-    let (edge, feed) = edge();
+    let (edge, watch_client) = edge();
     edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
-    assert!(!kept(&edge, "/a"));
-    in_touch(&edge, &feed, Duration::from_secs(600));
+    assert!(!is_cached(&edge, "/a"));
+    in_touch(&edge, &watch_client, Duration::from_secs(600));
     let purges: Vec<Purge> = (0..2 * MAX_RECENT_PURGES).map(|n| Purge::Label(n.to_string())).collect();
     for purge in purges {
         edge.purge(&[AgedPurge { purge, age_ms: 0 }]);
     }
     assert!(edge.recent_purge_count() <= MAX_RECENT_PURGES);
     edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
-    assert!(!kept(&edge, "/a"), "more were purged than are remembered");
+    assert!(!is_cached(&edge, "/a"), "more were purged than are remembered");
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_a_lease_nothing_is_kept_and_one_that_ended_comes_back_with_the_next_grant() {
-    let (edge, feed) = edge();
-    assert!(feed.hear(PublisherMessage::Push { number: 1, update: Update::Connected(true) }, &*edge));
+async fn nothing_is_stored_without_a_lease_and_an_expired_lease_returns_with_the_next_grant() {
+    let (edge, watch_client) = edge();
+    assert!(watch_client.hear(PublisherMessage::Push { number: 1, update: Update::Connected(true) }, &*edge));
     edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
-    assert!(!kept(&edge, "/a") && !feed.vouches(), "in touch, and no lease");
-    in_touch(&edge, &feed, Duration::from_millis(1200));
+    assert!(!is_cached(&edge, "/a") && !watch_client.vouches(), "in touch, and no lease");
+    in_touch(&edge, &watch_client, Duration::from_millis(1200));
     edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
-    assert!(kept(&edge, "/a") && feed.vouches());
-    // A frozen process resumes: nothing has told it yet that its lease is over.
+    assert!(is_cached(&edge, "/a") && watch_client.vouches());
+    // A frozen process resumes: it has received no message yet that its lease is over.
     tokio::time::advance(Duration::from_millis(1200)).await;
-    assert!(!feed.vouches());
-    // A grant that waited meanwhile is as old as its request.
-    assert!(feed.hear(PublisherMessage::LeaseGranted { sent_at: 100, duration: 1100 }, &*edge));
-    assert!(!feed.vouches());
-    assert!(feed.hear(PublisherMessage::LeaseGranted { sent_at: 1200, duration: 1000 }, &*edge));
-    assert!(feed.vouches());
-    assert!(feed.hear(PublisherMessage::Push { number: 2, update: Update::Connected(false) }, &*edge));
-    assert!(feed.hear(PublisherMessage::Push { number: 3, update: Update::Connected(true) }, &*edge));
-    assert!(!feed.vouches(), "a lease from before contact was lost");
+    assert!(!watch_client.vouches());
+    // A grant that was delayed meanwhile is as old as its request.
+    assert!(watch_client.hear(PublisherMessage::LeaseGranted { sent_at: 100, duration: 1100 }, &*edge));
+    assert!(!watch_client.vouches());
+    assert!(watch_client.hear(PublisherMessage::LeaseGranted { sent_at: 1200, duration: 1000 }, &*edge));
+    assert!(watch_client.vouches());
+    assert!(watch_client.hear(PublisherMessage::Push { number: 2, update: Update::Connected(false) }, &*edge));
+    assert!(watch_client.hear(PublisherMessage::Push { number: 3, update: Update::Connected(true) }, &*edge));
+    assert!(!watch_client.vouches(), "a lease from before contact was lost");
 }
--- a/glenfall/tests/unit/restarted.rs
+++ b/glenfall/tests/unit/shield_recovery.rs
@@ -1,4 +1,4 @@
-//! Shields that come back: an edge that had given them up asks them again as soon as it may know.
+//! Shields that recover: an edge that has excluded them uses them again as soon as it can know.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -20,10 +20,10 @@
 use crate::support::run_local;
 use crate::tries::path_at_first_shield;
 
-/// An edge asks one shield now and then while all have failed; longer than the pause between.
-const TRIAL: Duration = Duration::from_millis(600);
+/// Longer than the interval at which an edge tries one shield while all have failed.
+const TRIAL_INTERVAL: Duration = Duration::from_millis(600);
 
-/// How many reads a shield has had.
+/// How many reads a shield has received.
 fn reads(shield: &Rc<Shield>) -> u64 {
     let counters = shield.report();
     let count = |name: &str| counters.iter().find(|(known, _)| known == name).map_or(0, |(_, count)| *count);
@@ -34,70 +34,73 @@
     edge::EdgeHandler(Rc::clone(edge)).handle(request("GET", path, "t")).await.status()
 }
 
-/// A path whose home is the second of two shields.
+/// A path that belongs to the second of two shields.
 fn path_at_second(shields: [SocketAddrV4; 2]) -> String {
     path_at_first_shield(&[shields[1], shields[0]], 2)
 }
 
 #[test]
-fn a_restarted_shield_is_asked_as_soon_as_control_tells_of_it() {
+fn a_restarted_shield_is_used_as_soon_as_control_publishes_its_new_incarnation() {
     run_local(async {
         let (_running, stopping) = watch::channel(false);
         let servers = start_servers(ServerActs::Answers, &Reached::default()).await;
         let (first, second) = (DownShield::new(), DownShield::new());
         let shields = [first.address, second.address];
         let second = second.start(&servers, &stopping);
-        let (edge, feed) = start_edge_with("", &servers, &shields, pool()).await;
+        let (edge, watch_client) = start_edge_with("", &servers, &shields, pool()).await;
         let path = path_at_first_shield(&shields, 2);
         assert_eq!(read(&edge, &path).await, StatusCode::OK, "by the second one");
         let first = first.start(&servers, &stopping);
         assert_eq!(read(&edge, &path).await, StatusCode::OK);
-        assert_eq!((reads(&first), reads(&second)), (0, 2), "it has just failed");
+        assert_eq!((reads(&first), reads(&second)), (0, 2), "it failed a short time ago");
         let fleet = fleet_of(2, &servers, &shields);
-        assert!(feed.take(Update::Fleet(FleetUpdate::Snapshot { version: 2, fleet }), &*edge));
+        assert!(watch_client.take(Update::Fleet(FleetUpdate::Snapshot { version: 2, fleet }), &*edge));
         assert_eq!(read(&edge, &path).await, StatusCode::OK);
         assert_eq!((reads(&first), reads(&second)), (1, 2), "another process, which is ready");
     });
 }
 
 #[test]
-fn where_all_shields_had_failed_one_that_answers_lets_all_be_asked_again() {
+fn after_all_shields_failed_one_answer_makes_all_of_them_eligible_again() {
     run_local(async {
         let (_running, stopping) = watch::channel(false);
         let servers = start_servers(ServerActs::Answers, &Reached::default()).await;
         let down = [DownShield::new(), DownShield::new()];
         let shields = [down[0].address, down[1].address];
-        let (edge, _feed) = start_edge_with("", &servers, &shields, pool()).await;
+        let (edge, _watch_client) = start_edge_with("", &servers, &shields, pool()).await;
         let paths = [path_at_first_shield(&shields, 2), path_at_second(shields)];
         assert_eq!(read(&edge, &paths[0]).await, StatusCode::OK, "by the servers");
         let started = down.map(|shield| shield.start(&servers, &stopping));
-        sleep(TRIAL).await;
+        sleep(TRIAL_INTERVAL).await;
         assert_eq!(read(&edge, &paths[0]).await, StatusCode::OK);
         assert_eq!(started.iter().map(reads).sum::<u64>(), 1, "one is tried");
         for path in &paths {
             assert_eq!(read(&edge, path).await, StatusCode::OK);
         }
-        assert!(started.iter().all(|shield| reads(shield) > 0), "each has the reads whose home it is");
+        assert!(started.iter().all(|shield| reads(shield) > 0), "each receives the reads of its own objects");
     });
 }
 
 #[test]
-fn a_shield_that_had_no_lease_is_asked_again_as_soon_as_it_has_one() {
+fn a_shield_without_a_lease_is_used_again_as_soon_as_it_holds_one() {
     run_local(async {
         let (_running, stopping) = watch::channel(false);
         let servers = start_servers(ServerActs::Seals, &Reached::default()).await;
         let down = [DownShield::new(), DownShield::new()];
         let shields = [down[0].address, down[1].address];
-        let [(first, fed), (second, _)] = down.map(|shield| shield.start_fed(&servers, &stopping));
-        // An edge that keeps no copies itself.
-        let (edge, _feed) = start_edge_with("[reqLimits]\nmemMb = 0\n", &servers, &shields, pool()).await;
+        let [(first, first_watch_client), (second, _)] =
+            down.map(|shield| shield.start_fed(&servers, &stopping));
+        // An edge without a local cache.
+        let (edge, _watch_client) =
+            start_edge_with("[reqLimits]\nmemMb = 0\n", &servers, &shields, pool()).await;
         let path = path_at_first_shield(&shields, 2);
         assert_eq!(read(&edge, &path).await, StatusCode::OK);
-        assert!(fed.take(Update::Connected(false), &*first));
+        assert!(first_watch_client.take(Update::Connected(false), &*first));
         assert_eq!(read(&edge, &path).await, StatusCode::OK);
-        assert_eq!((reads(&first), reads(&second)), (2, 1), "its copy is of no use");
-        assert!(fed.take(Update::Connected(true), &*first));
-        assert!(fed.hear(PublisherMessage::LeaseGranted { sent_at: 0, duration: 600_000 }, &*first));
+        assert_eq!((reads(&first), reads(&second)), (2, 1), "its stored response is not used");
+        assert!(first_watch_client.take(Update::Connected(true), &*first));
+        assert!(first_watch_client
+            .hear(PublisherMessage::LeaseGranted { sent_at: 0, duration: 600_000 }, &*first));
         assert_eq!(read(&edge, &path).await, StatusCode::OK);
         assert_eq!((reads(&first), reads(&second)), (3, 1), "it has a lease");
     });
