--- a/glenfall/src/control/chain_driver.rs
+++ b/glenfall/src/control/chain_driver.rs
@@ -65,12 +65,12 @@
         }
     }
 
-    /// The chain, to be read. The guard must not be held across an `await` or a call of another method.
+    /// The chain, to be read. The guard must be dropped before an `await` and before a call of another method.
     pub fn state(&self) -> Ref<'_, Chain> {
         self.chain.borrow()
     }
 
-    /// Whether this node has heard from a majority of the voters within the last second. That is not enough for
+    /// Whether this node has received a heartbeat of a majority of the voters within the last second. That is not enough for
     /// anything that binds other nodes: it needs an acknowledgement of the very request by each node of a majority.
     pub fn has_quorum(&self) -> bool {
         let now = self.clock.now();
--- a/glenfall/src/control/fleet_publisher.rs
+++ b/glenfall/src/control/fleet_publisher.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The fleet as published last. The guard must not be held across an `await` or a call of another method.
+    /// The fleet as published last. The guard must be dropped before an `await` and before a call of another method.
     pub fn published(&self) -> Ref<'_, Fleet> {
         Ref::map(self.published.borrow(), VersionedFleet::fleet)
     }
@@ -62,7 +62,7 @@
     }
 
     /// Notes that the fleet may have changed; it is published soon.
-    pub fn mark_changed(&self) {
+    pub fn notify_changed(&self) {
         self.changed.notify_one();
     }
 
--- a/glenfall/src/control/local_members.rs
+++ b/glenfall/src/control/local_members.rs
@@ -34,7 +34,7 @@
         self.replicated.replace(members);
         if let Some(change) = change {
             self.links.broadcast(&PeerMessage::Members(change));
-            self.fleet.mark_changed();
+            self.fleet.notify_changed();
         }
     }
 
--- a/glenfall/src/control/node.rs
+++ b/glenfall/src/control/node.rs
@@ -239,7 +239,7 @@
         }
         self.purge_log_completeness.update();
         if self.registry.expire() || self.peers.members.expire() || self.fleet.completeness_changed() {
-            self.fleet.mark_changed();
+            self.fleet.notify_changed();
         }
     }
 
--- a/glenfall/src/control/peer_events.rs
+++ b/glenfall/src/control/peer_events.rs
@@ -31,7 +31,7 @@
             PeerMessage::Chain(message) => self.chain_message_received(peer, message),
             PeerMessage::Members(update) => {
                 self.peers.members.apply(peer, &update);
-                self.fleet.mark_changed();
+                self.fleet.notify_changed();
             }
             PeerMessage::Servers(entries) => self.servers.entries_received(peer, entries),
             PeerMessage::ReplicateServer { id, entry, forward } => {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Purges without an id are the whole history of the peer, which waits for no acknowledgement.
+    /// Purges without an id are the complete history of the peer, which waits for no acknowledgement.
     fn purges_received(
         &self,
         peer: Ipv4Addr,
--- a/glenfall/src/control/peers/connections.rs
+++ b/glenfall/src/control/peers/connections.rs
@@ -40,7 +40,7 @@
 }
 
 impl PeerConnections {
-    /// No connections yet. Their state is kept in `links`.
+    /// No connections yet. Their state is in `links`.
     pub fn new(settings: Rc<Settings>, links: Rc<PeerLinks>) -> Self {
         PeerConnections { settings, links, peer_available: Notify::new() }
     }
--- a/glenfall/src/control/peers/links.rs
+++ b/glenfall/src/control/peers/links.rs
@@ -140,7 +140,7 @@
         link.disconnect()
     }
 
-    /// Notes a connection that a peer has opened, in place of an earlier one. `None` if the peer is not known.
+    /// Notes a connection that a peer has opened; it replaces an earlier one. `None` if the peer is not known.
     pub fn inbound_opened(&self, peer: Ipv4Addr, incarnation: u64) -> Option<InboundOpened> {
         let mut links = self.links.borrow_mut();
         let link = links.get_mut(&peer)?;
--- a/glenfall/src/control/peers/requests.rs
+++ b/glenfall/src/control/peers/requests.rs
@@ -121,7 +121,7 @@
         }
         // The state of the request tells whether it was decided in time.
         let _ = timeout(deadline, self.decided(id)).await;
-        guard.finish().map_or(Ok(Vec::new()), PendingRequest::into_result)
+        guard.finish().unwrap_or_else(|| PendingRequest::new(peers)).into_result()
     }
 
     async fn decided(&self, id: u64) {
--- a/glenfall/src/control/purge_coordinator.rs
+++ b/glenfall/src/control/purge_coordinator.rs
@@ -22,7 +22,7 @@
 use crate::session::publisher::{Sessions, LONGEST_BEHIND};
 
 /// Time limit for a purge to reach every process that may serve from stored responses. After that it is refused, and the
-/// operator repeats it when the leases of those that were late are over. Operators give up a call after a second.
+/// operator repeats it when the leases of those processes that did not apply it are over. Operators give up a call after a second.
 const PURGE_TIMEOUT: Duration = Duration::from_millis(750);
 /// Time limit for a purge of a peer, here and at the peers that it is forwarded to. It is shorter than [`PURGE_TIMEOUT`],
 /// so that the acknowledgement still arrives in time at the origin.
@@ -98,7 +98,7 @@
         self.history.borrow().missed(self.dependencies.clock.now())
     }
 
-    /// The message that sends a peer the whole history.
+    /// The message that sends a peer the complete history.
     pub fn history_message(&self) -> PeerMessage {
         let purges = self.history.borrow().snapshot(self.dependencies.clock.now());
         PeerMessage::Purges { id: None, purges, already_asked: None }
@@ -209,7 +209,7 @@
         applied
     }
 
-    /// Acknowledges purges that a peer has sent, once no session that has heard of them from here can serve responses that
+    /// Acknowledges purges that a peer has sent, once no session at this node can serve responses that
     /// they invalidated. If the peer is their origin it names the processes that it has notified itself, and this node
     /// forwards the purges to those that it reaches beyond them.
     pub fn acknowledge(
@@ -237,7 +237,7 @@
     }
 
     /// Chooses the peers that `origin` has not notified itself. They are those that are connected at this moment: whoever
-    /// connects later receives the whole history.
+    /// connects later receives the complete history.
     fn plan_forward(
         &self,
         origin: Ipv4Addr,
--- a/glenfall/src/control/purge_log_completeness.rs
+++ b/glenfall/src/control/purge_log_completeness.rs
@@ -12,11 +12,11 @@
 
 /// Whether the purge history of this node is complete.
 ///
-/// It owns the set of peers that have sent their whole history since they were connected last, and whether these and this
+/// It owns the set of peers that have sent their complete history since they were connected last, and whether these and this
 /// node were a majority of the voters at the last look. While they are, this node knows every purge that was acknowledged,
 /// because each is known to a majority: a session that learns from it what it missed has missed nothing else.
 ///
-/// Sessions that were told so rely on it until they are closed, also if the history is complete no more. So the
+/// Sessions that were notified rely on it until they are closed, also if the history is complete no more. So the
 /// replacement of a voter invalidates no stored responses.
 pub struct PurgeLogCompleteness {
     local: Ipv4Addr,
@@ -43,7 +43,7 @@
         self.complete.get()
     }
 
-    /// Records that a peer has sent its whole history.
+    /// Records that a peer has sent its complete history.
     pub fn history_received(&self, peer: Ipv4Addr) {
         self.received_from.borrow_mut().insert(peer);
         self.update();
@@ -55,7 +55,7 @@
         self.update();
     }
 
-    /// Looks again, as the voters may have changed, and tells sessions once the history is complete.
+    /// Looks again, as the voters may have changed, and notifies sessions once the history is complete.
     pub fn update(&self) {
         let is_known = |node: &Ipv4Addr| *node == self.local || self.received_from.borrow().contains(node);
         let complete = self.chain.state().members().majority(is_known);
--- a/glenfall/src/control/quorum_contact.rs
+++ b/glenfall/src/control/quorum_contact.rs
@@ -11,7 +11,7 @@
 use super::peers::links::PeerLinks;
 
 /// How long a node is without a quorum before it rejects agents. With a shorter time each replacement of a voter would
-/// reject them, and with a longer one agents would learn of a new configuration too late.
+/// reject them, and with a longer one agents would learn of a new configuration with too much delay.
 const ISOLATION_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Contact of this node with a quorum of the voters.
--- a/glenfall/src/control/server_registry.rs
+++ b/glenfall/src/control/server_registry.rs
@@ -32,7 +32,7 @@
         self.registry.borrow_mut().set_accepting(self.clock.now(), accepting);
     }
 
-    /// Whether this node has heard from every server that is up.
+    /// Whether this node has received a heartbeat of every server that is up.
     pub fn is_complete(&self) -> bool {
         self.registry.borrow().is_complete(self.clock.now(), PROCESS_START)
     }
@@ -42,7 +42,7 @@
         self.registry.borrow_mut().observe(self.clock.now(), age, entry)
     }
 
-    /// Records the deregistration of a server. `None` if there is no room to remember it.
+    /// Records the deregistration of a server. `None` if the registry is full.
     pub fn deregister(&self, id: &str) -> Option<ServerEntry> {
         self.registry.borrow_mut().deregister(self.clock.now(), id)
     }
@@ -69,7 +69,7 @@
     }
 
     /// Notes that all connected control nodes know the status in an entry, if it is still the present one.
-    pub fn mark_replicated(&self, entry: &ServerEntry) {
+    pub fn set_replicated(&self, entry: &ServerEntry) {
         self.registry.borrow_mut().mark_replicated(&entry.id, entry.status);
     }
 
--- a/glenfall/src/control/server_replication.rs
+++ b/glenfall/src/control/server_replication.rs
@@ -45,7 +45,7 @@
     /// It was replicated before, and no quorum has confirmed in time that this node is still in contact.
     #[error("no quorum has answered within the time limit")]
     QuorumReadTimedOut,
-    /// There is no room to remember the deregistration of a server that is not known here.
+    /// The registry has no capacity for the deregistration of a server that is not known here.
     #[error("the registry is full")]
     RegistryFull,
 }
@@ -54,7 +54,7 @@
 pub struct ReplicationDependencies {
     /// The clock of the process.
     pub clock: Clock,
-    /// The chain, which knows the voters and what its peers hear.
+    /// The chain, which knows the voters and which nodes each peer is connected to.
     pub chain: Rc<ChainDriver>,
     /// The links to peers.
     pub links: Rc<PeerLinks>,
@@ -104,7 +104,7 @@
             HeartbeatOutcome::Stale | HeartbeatOutcome::RegistryFull => {}
             HeartbeatOutcome::Changed => {
                 links.broadcast(&PeerMessage::Servers(vec![ObservedServer::now(entry)]));
-                fleet.mark_changed();
+                fleet.notify_changed();
             }
             HeartbeatOutcome::Refreshed => self.heartbeats.add(clock.now(), entry),
         }
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     ///
-    /// When not all control nodes have acknowledged it, or there is no room to remember it.
+    /// When not all control nodes have acknowledged it, or the registry is full.
     pub async fn deregister(&self, id: &str) -> Result<(), ReplicationError> {
         let entry = self.dependencies.registry.deregister(id).ok_or(ReplicationError::RegistryFull)?;
         self.replicate_ending(&entry).await
@@ -130,7 +130,7 @@
 
     /// Sends a request to all connected peers, and by them to the peers that only those reach, and waits until each has
     /// acknowledged this very request and they are a quorum with this node. A control node that is not among them, and has
-    /// sessions, hears from none of a quorum: it closes its sessions, or learns of the change when it hears from one again.
+    /// sessions, is not in contact with a quorum: it closes its sessions, or learns of the change when it is again.
     ///
     /// # Errors
     ///
@@ -172,7 +172,7 @@
             Ok(()) => {
                 let is_listed = fleet.published().servers.iter().any(|s| s.id == entry.id && s.ready);
                 Invariant::DrainIsTold.check(!is_listed, || entry.id.clone());
-                registry.mark_replicated(entry);
+                registry.set_replicated(entry);
             }
             Err(error) => tracing::warn!(
                 server = %entry.id,
@@ -202,7 +202,7 @@
             }
         }
         if changed {
-            fleet.mark_changed();
+            fleet.notify_changed();
         }
     }
 
@@ -219,7 +219,7 @@
         if registry.observe(0, entry.clone()) == HeartbeatOutcome::Changed {
             fleet.publish_now();
         }
-        // Chosen by what the peer heard when it sent the request: it notifies those itself that it connects to later.
+        // Chosen by the connections of the peer when it sent the request: it notifies those itself that it connects to later.
         let forward_to = if forward { self.peers_not_reached_by(from) } else { Vec::new() };
         let limit = if forward { PEER_REPLICATION_TIMEOUT } else { FORWARDED_REPLICATION_TIMEOUT };
         let replication = Rc::clone(self);
@@ -244,9 +244,9 @@
     /// The peers that are connected to this node and, as far as is known, not to another one.
     fn peers_not_reached_by(&self, node: Ipv4Addr) -> Vec<Ipv4Addr> {
         let chain = self.dependencies.chain.state();
-        let heard = chain.heard_by(node);
+        let reached = chain.heard_by(node);
         let mut peers = self.dependencies.links.connected();
-        peers.retain(|peer| *peer != node && !heard.contains(peer));
+        peers.retain(|peer| *peer != node && !reached.contains(peer));
         peers
     }
 }
--- a/glenfall/src/control/voter_leases.rs
+++ b/glenfall/src/control/voter_leases.rs
@@ -67,7 +67,7 @@
     chain: Rc<ChainDriver>,
     links: Rc<PeerLinks>,
     sessions: Rc<Sessions>,
-    held: RefCell<VoterLeases>,
+    own: RefCell<VoterLeases>,
     granted: RefCell<Grants<ProcessId>>,
     /// Until then the process that ran here before may have granted leases that this one does not know of.
     unknown_grants_end: Millis,
@@ -90,7 +90,7 @@
             chain,
             links,
             sessions,
-            held: RefCell::default(),
+            own: RefCell::default(),
             granted: RefCell::default(),
             unknown_grants_end,
             voters: RefCell::default(),
@@ -136,7 +136,7 @@
     /// Records a lease that a voter has granted, for `duration` from the moment of the request `id`.
     pub fn granted_by(&self, voter: Ipv4Addr, id: CallId, duration: Millis) {
         if id.incarnation == self.links.local().incarnation {
-            self.held.borrow_mut().renew(self.clock.now(), voter, id.number, duration);
+            self.own.borrow_mut().renew(self.clock.now(), voter, id.number, duration);
             self.extend_session_leases();
         }
     }
@@ -150,7 +150,7 @@
 
     fn extend_session_leases(&self) {
         let chain = self.chain.state();
-        let until = self.held.borrow().until(self.clock.now(), |voters| chain.is_quorum(voters));
+        let until = self.own.borrow().until(self.clock.now(), |voters| chain.is_quorum(voters));
         self.sessions.vouch_until(self.clock.instant_of(until));
     }
 
