--- a/control-plane/tests/modules.rs
+++ b/control-plane/tests/modules.rs
@@ -109,20 +109,13 @@
 
 #[test]
 fn no_module_depends_on_itself_through_others() {
-<<<<<<< HEAD
-    for (crate_folder, module, used) in
-        [("control-plane", "chain", "record"), ("glenfall", "edge", "upstream")]
-    {
-        let dependencies = dependencies(&source_folder(crate_folder), "crate::");
-=======
     for (crate_folder, module, used) in [
         ("control-plane", "chain", "record"),
         ("control-plane-sim", "world", "network"),
         ("experiments", "soak", "ledger"),
         ("glenfall", "edge", "upstream"),
     ] {
-        let dependencies = dependencies(crate_folder);
->>>>>>> a28f9ad (Test of module circles: the simulation and the lab have none either)
+        let dependencies = dependencies(&source_folder(crate_folder), "crate::");
         assert!(dependencies[module].contains(used), "dependencies are found: {dependencies:?}");
         assert_eq!(in_circles(dependencies), Dependencies::new(), "{crate_folder}");
     }
