--- a/glenfall/src/watch_client.rs
+++ b/glenfall/src/watch_client.rs
@@ -1,6 +1,8 @@
-//! What a proxy knows of the system: the configuration, the servers and the shields, as its agent feeds them.
+//! What a proxy knows of the system: the configuration, the servers and the shields, as its publisher sends them. The
+//! publisher of an edge is the agent on its machine, and that of a shield the control node.
 
 use std::cell::{Cell, RefCell};
+use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,6 +13,7 @@
 use glenfall_control_plane::messages::{
     AgedPurge, ConnectionOpening, Member, ProxyRole, PublisherMessage, SubscriberMessage, Update,
 };
+use glenfall_control_plane::Millis;
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep, Instant};
 
@@ -19,157 +22,146 @@
 use crate::session::subscriber;
 use crate::settings::Settings;
 
-/// Pause before the agent is called again: it starts beside the proxy, or has just been killed.
-const AGAIN: Duration = Duration::from_millis(100);
+/// Pause before the publisher is connected to again: it starts at the same time as the proxy, or has just been killed.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
 
-/// What follows from news, for the proxy that it concerns.
+/// What a proxy does upon updates.
 pub trait WatchHandler {
-    /// A configuration is in force.
+    /// Called when a configuration is about to be applied.
     fn config(&self, config: &Arc<Config>);
-    /// The servers, shields and edges are these.
+    /// Called when servers, shields or edges have changed; `fleet` has all of them.
     fn fleet(&self, fleet: &Fleet);
-    /// Copies that these purges name are no longer good.
+    /// Called for purges: stored responses that they name must not be served any more.
     fn purge(&self, purges: &[AgedPurge]);
-    /// Whether control tells of all that happens.
+    /// Called with whether the publisher sends everything that happens.
     fn in_touch(&self, yes: bool);
-    /// Counters for `status`.
+    /// The counters of the proxy for `status`.
     fn report(&self) -> Vec<(String, u64)>;
 }
 
-/// What a proxy has been told.
+/// The state that a proxy has from its publisher.
 pub struct WatchClient {
-    boot: Rc<Settings>,
+    settings: Rc<Settings>,
     proxy: ProxyRole,
     incarnation: u64,
     config: RefCell<Option<Arc<Config>>>,
     fleet: RefCell<KnownFleet>,
-    /// Once the process is told to stop: when it gives up what is not answered.
-    grace_ends: Cell<Option<Instant>>,
-    changed: Notify,
-    /// The version in force, for those who wait for one.
+    /// Once the process is draining: when it abandons requests that have no response yet.
+    drain_deadline: Cell<Option<Instant>>,
+    /// Notified when the content of the hello message has changed.
+    member_changed: Notify,
+    /// The version of the applied configuration, for tasks that wait for one.
     rev: watch::Sender<u64>,
-    /// Control has told all that was missed.
-    in_touch: Cell<bool>,
+    /// Whether the publisher has sent everything that may have been missed.
+    is_connected: Cell<bool>,
     lease: HeldLease,
 }
 
 impl WatchClient {
-    /// A proxy that knows nothing yet.
-    pub fn new(boot: Rc<Settings>, proxy: ProxyRole) -> Rc<Self> {
+    /// The client of a proxy that knows nothing yet.
+    pub fn new(settings: Rc<Settings>, proxy: ProxyRole) -> Rc<Self> {
         Rc::new(WatchClient {
-            boot,
+            settings,
             proxy,
             incarnation: crate::session::incarnation(),
             config: RefCell::default(),
             fleet: RefCell::default(),
-            grace_ends: Cell::new(None),
-            changed: Notify::new(),
+            drain_deadline: Cell::new(None),
+            member_changed: Notify::new(),
             rev: watch::Sender::new(0),
-            in_touch: Cell::new(false),
+            is_connected: Cell::new(false),
             lease: HeldLease::default(),
         })
     }
 
-    /// The configuration in force; `None` until one is known.
+    /// The applied configuration; `None` until one is known.
     pub fn config(&self) -> Option<Arc<Config>> {
         self.config.borrow().clone()
     }
 
-    /// Waits until the version in force is `rev` or newer.
+    /// Waits until the applied configuration has version `rev` or a newer one.
     pub async fn reaches(&self, rev: u64) {
-        // It can't fail while the sender is here.
-        let _ = self.rev.subscribe().wait_for(|now| *now >= rev).await;
+        // It can't fail, as the sender lives as long as this value.
+        let _ = self.rev.subscribe().wait_for(|applied| *applied >= rev).await;
     }
 
-    /// Knows enough to serve, and does not leave.
+    /// Whether the proxy knows enough to serve requests, and is not draining.
     pub fn ready(&self) -> bool {
         self.config.borrow().is_some() && self.fleet.borrow().fleet().is_some() && !self.leaving()
     }
 
-    /// Whether no purge can have been acknowledged that this process has not taken: looked at whenever a copy is served.
+    /// Whether no purge can have been acknowledged that this process has not applied. To be checked whenever a stored
+    /// response is served.
     pub fn vouches(&self) -> bool {
-        self.in_touch.get() && self.lease.is_valid()
+        self.is_connected.get() && self.lease.is_valid()
     }
 
-    /// The process has been told to stop.
+    /// Whether the process is draining.
     pub fn leaving(&self) -> bool {
-        self.grace_ends.get().is_some()
+        self.drain_deadline.get().is_some()
     }
 
-    /// When a process that has been told to stop gives up what is not answered.
+    /// When a process that is draining abandons requests that have no response yet; `None` where it is not draining.
     pub fn grace_ends(&self) -> Option<Instant> {
-        self.grace_ends.get()
+        self.drain_deadline.get()
     }
 
-    /// The process stops soon: members are told, new work goes elsewhere.
+    /// Starts draining: the publisher is informed, so that new requests go elsewhere.
     pub fn leave(&self) {
-        self.grace_ends.set(Some(Instant::now() + self.boot.grace()));
-        self.changed.notify_one();
+        self.drain_deadline.set(Some(Instant::now() + self.settings.grace()));
+        self.member_changed.notify_one();
     }
 
-    fn hello(&self) -> SubscriberMessage {
-        let http = match self.proxy {
-            ProxyRole::Shield => self.boot.shield_address(),
-            ProxyRole::Edge => self.boot.listeners.http.unwrap_or(self.boot.shield_address()),
-        };
-        let member = Member {
-            node: self.boot.node.clone(),
-            zone: self.boot.zone.clone(),
-            proxy: self.proxy,
-            http,
-            ready: self.ready(),
-            incarnation: self.incarnation,
-        };
-        SubscriberMessage::Hello { node: self.boot.node.clone(), member: Some(member) }
-    }
-
-    /// Takes what the agent says; false where it does not build on what is known.
-    pub fn hear(&self, down: PublisherMessage, follower: &impl WatchHandler) -> bool {
-        match down {
-            PublisherMessage::Push { update: news, .. } => self.take(news, follower),
-            PublisherMessage::LeaseGranted { sent_at, duration: lasts } => {
-                let stood = self.lease.is_valid();
-                self.lease.renew(sent_at, lasts);
-                if !stood && self.lease.is_valid() {
-                    tracing::info!("lease acquired: stored responses may be served");
-                }
-                true
-            }
-            PublisherMessage::ControlNodes(_) | PublisherMessage::Draining | PublisherMessage::Ping => true,
+    /// Handles a message of the publisher; false where it does not build on what is known, so that a new session is needed.
+    pub fn hear(&self, message: PublisherMessage, handler: &impl WatchHandler) -> bool {
+        match message {
+            PublisherMessage::Push { update, .. } => return self.take(update, handler),
+            PublisherMessage::LeaseGranted { sent_at, duration } => self.renew_lease(sent_at, duration),
+            PublisherMessage::ControlNodes(_) | PublisherMessage::Draining | PublisherMessage::Ping => {}
         }
+        true
     }
 
-    /// Without contact there is no lease: another one is granted after all that was missed.
-    fn touch(&self, yes: bool, follower: &impl WatchHandler) {
-        if !yes {
-            self.lease.end();
-        }
-        self.in_touch.set(yes);
-        follower.in_touch(yes);
-    }
-
-    /// Takes what the agent tells; false where it does not build on what is known.
-    pub fn take(&self, news: Update, follower: &impl WatchHandler) -> bool {
+    /// Applies an update; false where it does not build on what is known.
+    pub fn take(&self, update: Update, handler: &impl WatchHandler) -> bool {
         let was_ready = self.ready();
-        match news {
-            Update::Config { rev, document } => self.take_config(rev, &document, follower),
-            Update::Fleet(told) => {
-                if !self.take_fleet(told, follower) {
+        match update {
+            Update::Config { rev, document } => self.apply_config(rev, &document, handler),
+            Update::Fleet(update) => {
+                if !self.apply_fleet(update, handler) {
                     return false;
                 }
             }
-            Update::Purges(purges) => follower.purge(&purges),
-            Update::Connected(yes) => self.touch(yes, follower),
+            Update::Purges(purges) => handler.purge(&purges),
+            Update::Connected(is_connected) => self.set_connected(is_connected, handler),
         }
         if self.ready() != was_ready {
-            self.changed.notify_one();
+            self.member_changed.notify_one();
         }
         true
     }
 
-    /// A shield has no agent beside it: the lists of a control node that has just started come here as they are.
-    fn take_fleet(&self, told: FleetUpdate, follower: &impl WatchHandler) -> bool {
-        match self.fleet.borrow_mut().apply_update(told) {
+    fn apply_config(&self, rev: u64, document: &[u8], handler: &impl WatchHandler) {
+        // A process never returns to an older version, whichever control node the update comes from.
+        if rev <= *self.rev.borrow() {
+            return;
+        }
+        match Config::read(document) {
+            Ok(config) => {
+                let config = Arc::new(config);
+                handler.config(&config);
+                self.config.replace(Some(config));
+                self.rev.send_replace(rev);
+                tracing::info!(rev, "configuration applied");
+            }
+            Err(error) => tracing::error!(rev, %error, "configuration rejected"),
+        }
+    }
+
+    /// False where the update builds on a version that is not known. A shield has no agent that would merge the incomplete
+    /// list of a control node that has just started with what is known: [`KnownFleet`] does that here.
+    fn apply_fleet(&self, update: FleetUpdate, handler: &impl WatchHandler) -> bool {
+        match self.fleet.borrow_mut().apply_update(update) {
             Ok(None) => return true,
             Ok(Some(_)) => {}
             Err(gap) => {
@@ -178,47 +170,82 @@
             }
         }
         if let Some(fleet) = self.fleet.borrow().fleet() {
-            follower.fleet(fleet);
+            handler.fleet(fleet);
         }
         true
     }
 
-    fn take_config(&self, rev: u64, document: &[u8], follower: &impl WatchHandler) {
-        // Never backwards in one life, whoever is asked.
-        if rev <= *self.rev.borrow() {
-            return;
+    fn renew_lease(&self, sent_at: Millis, duration: Millis) {
+        let had_lease = self.lease.is_valid();
+        self.lease.renew(sent_at, duration);
+        if !had_lease && self.lease.is_valid() {
+            tracing::info!("lease acquired: stored responses may be served");
         }
-        match Config::read(document) {
-            Ok(config) => {
-                let config = Arc::new(config);
-                follower.config(&config);
-                self.config.replace(Some(config));
-                self.rev.send_replace(rev);
-                tracing::info!(rev, "configuration applied");
-            }
-            Err(e) => tracing::error!(rev, error = %e, "configuration rejected"),
+    }
+
+    /// Without a connection there is no lease: another one is granted after everything that was missed is applied.
+    fn set_connected(&self, is_connected: bool, handler: &impl WatchHandler) {
+        if !is_connected {
+            self.lease.end();
         }
+        self.is_connected.set(is_connected);
+        handler.in_touch(is_connected);
     }
 
-    /// Follows the agent for as long as the process runs.
-    pub async fn run(&self, follower: &impl WatchHandler) {
+    /// Keeps a session with the publisher for as long as the process runs.
+    pub async fn run(&self, handler: &impl WatchHandler) {
         loop {
             if let Ok((read, write)) =
-                link::open(self.boot.watch_address(), &ConnectionOpening::Session).await
+                link::open(self.settings.watch_address(), &ConnectionOpening::Session).await
             {
-                let outbox = Outbox::start(write);
-                let take = async |down| self.hear(down, follower);
-                let (hello, now) = (|| self.hello(), || self.lease.now());
-                let report = || follower.report().into_iter().chain(link::report("")).collect();
-                tokio::select! {
-                    () = subscriber::follow(FrameReader::new(read), outbox.clone(), hello, now, &self.changed, take) => {}
-                    () = subscriber::send_reports(&outbox, report) => {}
-                }
-                // Before anything else runs in this process: that the connection is closed says that no copy is served.
-                self.touch(false, follower);
-                tracing::warn!("watch stream lost");
+                self.run_session(FrameReader::new(read), Outbox::start(write), handler).await;
             }
-            sleep(AGAIN).await;
+            sleep(RECONNECT_PAUSE).await;
+        }
+    }
+
+    async fn run_session(
+        &self,
+        frames: FrameReader,
+        outbox: Outbox<SubscriberMessage>,
+        handler: &impl WatchHandler,
+    ) {
+        let counters = || handler.report().into_iter().chain(link::report("")).collect();
+        tokio::select! {
+            () = subscriber::follow(
+                frames,
+                outbox.clone(),
+                || self.hello(),
+                || self.lease.now(),
+                &self.member_changed,
+                async |message| self.hear(message, handler),
+            ) => {}
+            () = subscriber::send_reports(&outbox, counters) => {}
+        }
+        // Before the connection is closed, and anything else runs in this process: to the publisher, a closed connection
+        // means that no stored response is served.
+        self.set_connected(false, handler);
+        tracing::warn!("watch stream lost");
+    }
+
+    fn hello(&self) -> SubscriberMessage {
+        let member = Member {
+            node: self.settings.node.clone(),
+            zone: self.settings.zone.clone(),
+            proxy: self.proxy,
+            http: self.http_address(),
+            ready: self.ready(),
+            incarnation: self.incarnation,
+        };
+        SubscriberMessage::Hello { node: self.settings.node.clone(), member: Some(member) }
+    }
+
+    /// Where the proxy accepts requests.
+    fn http_address(&self) -> SocketAddrV4 {
+        let shield_address = self.settings.shield_address();
+        match self.proxy {
+            ProxyRole::Shield => shield_address,
+            ProxyRole::Edge => self.settings.listeners.http.unwrap_or(shield_address),
         }
     }
 }
