--- a/control-plane/tests/exhaustive/main.rs
+++ b/control-plane/tests/exhaustive/main.rs
@@ -1,10 +1,10 @@
-//! Every order of events at a small core: three voters, two operators who race on the same version, each at any node,
-//! messages and syncs in any order that links and disks allow. At every state that can be reached so, each node in turn
-//! loses its power, with and without its disk, and the others mend the core: what was acknowledged must be in force then,
-//! and no other change. Where `chain.rs` plays long random schedules, this visits all short ones.
+//! Every order of events in a small cluster: three voters, and two operators whose changes race on the same version, each at
+//! any node; messages and disk writes arrive in any order that links and disks allow. In every reachable state, each node in
+//! turn loses its power, with and without its disk, and the others repair the chain: the acknowledged change has to be
+//! committed then, and no other one. Where `chain.rs` plays long random schedules, this visits all short ones.
 //!
-//! Among five voters it visits every order of a few events from each moment of a change of members on, with all power
-//! and any two disks lost at each state: two events in CI; `EXHAUSTIVE_DEPTH=3` takes some minutes, on as many threads as `EXHAUSTIVE_THREADS` says.
+//! With five voters, it visits every order of a few events from each moment of a reconfiguration on, with the loss of all
+//! power and any two disks in each state: two events in CI; `EXHAUSTIVE_DEPTH=3` takes some minutes, on as many threads as `EXHAUSTIVE_THREADS` says.
 
 mod members;
 mod world;
@@ -13,8 +13,8 @@
 
 use world::{Event, World, SEEDS};
 
-/// Visits all states, and gives how many there are, and how many of them with a change acknowledged.
-fn visited(first: World) -> (usize, usize) {
+/// Visits all states, and returns their number, and the number of those with an acknowledged change.
+fn visit_all(first: World) -> (usize, usize) {
     let losses = 2 * first.nodes();
     let mut seen = HashSet::new();
     let mut stack = vec![(first, Vec::new())];
@@ -23,8 +23,8 @@
         states += 1;
         acknowledged += usize::from(world.acknowledged.is_some());
         for (n, disk) in (0..world.nodes()).flat_map(|n| [(n, false), (n, true)]) {
-            let mut left = world.clone();
-            if let Err(broken) = left.lose(n, disk).and_then(|()| left.mend()) {
+            let mut without_node = world.clone();
+            if let Err(broken) = without_node.lose_power(n, disk).and_then(|()| without_node.check_repair()) {
                 panic!("{broken}: after {path:?} node {n} lost its power, its disk too: {disk}");
             }
         }
@@ -35,24 +35,27 @@
             if let Err(broken) = after.play(event).and_then(|()| after.check()) {
                 panic!("{broken}, after {extended_path:?}");
             }
-            if seen.insert(after.print()) {
+            if seen.insert(after.fingerprint()) {
                 stack.push((after, extended_path));
             }
         }
     }
-    println!("{states} states, {acknowledged} with a change acknowledged, {} losses mended", losses * states);
+    println!(
+        "{states} states, {acknowledged} with a change acknowledged, {} losses repaired",
+        losses * states
+    );
     (states, acknowledged)
 }
 
 #[test]
 fn no_interleaving_of_two_racing_changes_and_one_loss_acknowledges_both_or_loses_one() {
-    let (states, acknowledged) = visited(World::new(2, 0, 0));
+    let (states, acknowledged) = visit_all(World::new(2, 0, 0));
     assert!(states > 200 && acknowledged > 10, "{states} states, {acknowledged} acknowledged");
 }
 
 #[test]
 fn no_lost_link_at_any_moment_of_a_change_loses_the_change() {
-    let (states, acknowledged) = visited(World::new(1, 1, 0));
+    let (states, acknowledged) = visit_all(World::new(1, 1, 0));
     assert!(states > 1000 && acknowledged > 50, "{states} states, {acknowledged} acknowledged");
 }
 
@@ -60,9 +63,9 @@
 fn no_voter_that_returns_at_any_moment_of_a_change_and_no_loss_loses_the_change() {
     for away in 0..SEEDS {
         let mut world = World::new(0, 0, 0);
-        world.leave_out(away);
-        (world.asks, world.passes) = (1, 1);
-        let (states, acknowledged) = visited(world);
+        world.exclude(away);
+        (world.calls_left, world.time_steps_left) = (1, 1);
+        let (states, acknowledged) = visit_all(world);
         assert!(states > 200 && acknowledged > 50, "{away}: {states} states, {acknowledged} acknowledged");
     }
 }
--- a/control-plane/tests/exhaustive/world.rs
+++ b/control-plane/tests/exhaustive/world.rs
@@ -1,4 +1,4 @@
-//! A small core whose events are played one by one, and what must hold at each of its states.
+//! A small cluster whose events are played one by one, and the properties of each of its states.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, VecDeque};
@@ -12,19 +12,20 @@
 use glenfall_control_plane::Millis;
 
 pub const SEEDS: usize = 3;
-/// How time passes while the core is mended, and how long that may take.
-pub const PASS: Millis = 20;
-pub const MENDED: Millis = 6000;
-/// Longer than any node waits for its turn to propose.
-pub const DUE: Millis = 500;
-/// Longer than the first waits that may propose, and shorter than the next.
-pub const FIRST_DUE: Millis = 100;
+/// Time step while the chain is repaired.
+pub const TIME_STEP: Millis = 20;
+/// How long a repair may take.
+pub const REPAIR_TIMEOUT: Millis = 6000;
+/// Longer than any node waits until it may propose.
+pub const PROPOSAL_DELAY: Millis = 500;
+/// Longer than the first proposer waits, and shorter than the next one does.
+pub const FIRST_PROPOSAL_DELAY: Millis = 100;
 
 pub fn node(n: usize) -> NodeId {
     Ipv4Addr::new(10, 0, 0, n as u8 + 1)
 }
 
-pub fn place(node: NodeId) -> usize {
+pub fn index_of(node: NodeId) -> usize {
     usize::from(node.octets()[3]) - 1
 }
 
@@ -38,17 +39,17 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The next message from one to another arrives.
+    /// The next message between two nodes arrives.
     Deliver(usize, usize),
-    /// The next sync of a node is done.
+    /// The next disk write of a node is durable.
     Sync(usize),
-    /// An operator asks a node for a change upon version 0.
-    Ask(usize),
-    /// A link is lost, with what is on it, and up again at once; then the first node's view comes due.
+    /// An operator sends a node a change that builds on version 0.
+    Call(usize),
+    /// A link is lost with the messages on it, and is up again at once; then the first node may propose a view.
     Break(usize, usize),
-    /// Time in which a view comes due to be proposed.
-    Pass,
-    /// The links of the node that is away come up.
+    /// Time passes until a view may be proposed.
+    AdvanceTime,
+    /// The links of the excluded node come up.
     Return,
 }
 
@@ -57,68 +58,69 @@
     pub chain: Option<Chain>,
     pub disk: Option<HardState>,
     pub syncing: VecDeque<(u64, HardState)>,
-    /// Of all this, if it has not changed since.
-    pub print: Option<u64>,
+    /// Hash of the fields above, if they have not changed since it was computed.
+    pub fingerprint: Option<u64>,
 }
 
 #[derive(Clone, Default)]
 pub struct Link {
     pub messages: VecDeque<Message>,
-    pub print: Option<u64>,
+    pub fingerprint: Option<u64>,
 }
 
 #[derive(Clone)]
 pub struct World {
     pub losses: usize,
     pub now: Millis,
-    /// How much time passes at once.
+    /// Length of a time step.
     pub due: Millis,
     pub machines: Vec<Machine>,
     pub links: BTreeMap<(usize, usize), Link>,
-    /// What is left: changes to ask for, links to lose, times to let pass.
-    pub asks: u64,
-    pub breaks: usize,
-    pub passes: usize,
-    /// A voter that the others have left out, and hear nothing of.
+    /// Numbers of events that may still happen: calls, link losses and time steps.
+    pub calls_left: u64,
+    pub link_losses_left: usize,
+    pub time_steps_left: usize,
+    /// A voter that the others have excluded and do not reach.
     pub away: Option<usize>,
-    /// The version that an operator was told is in force, and what nodes published as the first change.
+    /// The version that was acknowledged to an operator, and the version that nodes published as the first change.
     pub acknowledged: Option<u64>,
     pub published: Option<u64>,
 }
 
 impl World {
-    /// A core whose first view stands, and what may happen to it.
-    pub fn new(asks: u64, breaks: usize, passes: usize) -> Self {
+    /// A cluster whose first view has started, and the numbers of events that may happen.
+    pub fn new(calls_left: u64, link_losses_left: usize, time_steps_left: usize) -> Self {
         let mut world = World::of(1, (0..SEEDS).map(|_| Some(Start::Fresh(seeds()))).collect());
         while !(0..SEEDS).all(|n| world.chain(n).view().is_some()) {
             world.run();
-            assert!(world.now < MENDED, "the first view stands");
+            assert!(world.now < REPAIR_TIMEOUT, "the first view starts");
         }
-        (world.asks, world.breaks, world.passes) = (asks, breaks, passes);
+        (world.calls_left, world.link_losses_left, world.time_steps_left) =
+            (calls_left, link_losses_left, time_steps_left);
         world
     }
 
-    /// Nodes that begin like this, all linked; `None` is not there.
+    /// Nodes that start from these states, all connected; `None` is not running.
     pub fn of(losses: usize, starts: Vec<Option<Start>>) -> World {
-        let terms = ChainSettings { losses, eligible: true, ..ChainSettings::default() };
+        let settings = ChainSettings { losses, eligible: true, ..ChainSettings::default() };
         let machine = |(n, start): (usize, Option<Start>)| Machine {
             disk: match &start {
                 Some(Start::Kept(disk)) => Some(disk.clone()),
                 _ => None,
             },
-            chain: start.map(|start| Chain::new(node(n), terms, start)),
+            chain: start.map(|start| Chain::new(node(n), settings, start)),
             syncing: VecDeque::new(),
-            print: None,
+            fingerprint: None,
         };
         let mut world = World {
             losses,
             now: 0,
-            due: DUE,
+            due: PROPOSAL_DELAY,
             machines: starts.into_iter().enumerate().map(machine).collect(),
             links: BTreeMap::new(),
-            asks: 0,
-            breaks: 0,
-            passes: 0,
+            calls_left: 0,
+            link_losses_left: 0,
+            time_steps_left: 0,
             away: None,
             acknowledged: None,
             published: None,
@@ -136,7 +138,7 @@
     }
 
     pub fn chain(&self, n: usize) -> &Chain {
-        self.machines[n].chain.as_ref().expect("it runs")
+        self.machines[n].chain.as_ref().expect("the node runs")
     }
 
     pub fn link(&mut self, a: usize, b: usize) {
@@ -144,24 +146,24 @@
             self.links.insert((n, other), Link::default());
         }
         for (n, other) in [(a, b), (b, a)] {
-            self.with(n, |chain, now| chain.peer_up(now, node(other))).unwrap();
+            self.with_chain(n, |chain, now| chain.peer_up(now, node(other))).unwrap();
         }
     }
 
-    pub fn with(
+    pub fn with_chain(
         &mut self,
         n: usize,
         act: impl FnOnce(&mut Chain, Millis) -> Vec<Output>,
     ) -> Result<(), String> {
         let now = self.now;
-        self.machines[n].print = None;
+        self.machines[n].fingerprint = None;
         let Some(chain) = &mut self.machines[n].chain else { return Ok(()) };
         for output in act(chain, now) {
             match output {
                 Output::Send(to, message) => {
-                    if let Some(link) = self.links.get_mut(&(n, place(to))) {
+                    if let Some(link) = self.links.get_mut(&(n, index_of(to))) {
                         link.messages.push_back(message);
-                        link.print = None;
+                        link.fingerprint = None;
                     }
                 }
                 Output::Persist(number, state) => self.machines[n].syncing.push_back((number, state)),
@@ -184,12 +186,12 @@
         Ok(())
     }
 
-    /// Some time passes, and all that is under way arrives, links in turn.
+    /// Time passes, and all messages and disk writes in flight arrive, link after link.
     pub fn run(&mut self) {
-        self.now += PASS;
+        self.now += TIME_STEP;
         for n in 0..self.nodes() {
             // Time alone acknowledges nothing.
-            self.with(n, |chain, now| chain.tick(now)).unwrap();
+            self.with_chain(n, |chain, now| chain.tick(now)).unwrap();
         }
         let arrives = |event: &Event| matches!(event, Event::Deliver(..) | Event::Sync(_));
         while let Some(event) = self.events().into_iter().find(arrives) {
@@ -197,12 +199,12 @@
         }
     }
 
-    /// Beats that come next on their links arrive: they tell who is there, in any order the same.
-    pub fn beats(&mut self) -> Result<(), String> {
-        let is_beat = |(_, link): &(&(usize, usize), &Link)| {
+    /// Delivers the heartbeats that are next on their links. Their order makes no difference.
+    pub fn deliver_heartbeats(&mut self) -> Result<(), String> {
+        let is_heartbeat = |(_, link): &(&(usize, usize), &Link)| {
             matches!(link.messages.front(), Some(Message::Heartbeat(_)))
         };
-        while let Some((from, to)) = self.links.iter().find(is_beat).map(|(ends, _)| *ends) {
+        while let Some((from, to)) = self.links.iter().find(is_heartbeat).map(|(ends, _)| *ends) {
             self.play(Event::Deliver(from, to))?;
         }
         Ok(())
@@ -220,15 +222,15 @@
             if running(n) && !self.machines[n].syncing.is_empty() {
                 events.push(Event::Sync(n));
             }
-            if running(n) && self.asks > 0 {
-                events.push(Event::Ask(n));
+            if running(n) && self.calls_left > 0 {
+                events.push(Event::Call(n));
             }
         }
-        if self.breaks > 0 {
+        if self.link_losses_left > 0 {
             events.extend(pairs(self.nodes()).map(|(a, b)| Event::Break(a, b)));
         }
-        if self.passes > 0 {
-            events.push(Event::Pass);
+        if self.time_steps_left > 0 {
+            events.push(Event::AdvanceTime);
         }
         if self.away.is_some() {
             events.push(Event::Return);
@@ -240,33 +242,33 @@
         match event {
             Event::Deliver(from, to) => {
                 let Some(link) = self.links.get_mut(&(from, to)) else { return Ok(()) };
-                link.print = None;
+                link.fingerprint = None;
                 let Some(message) = link.messages.pop_front() else { return Ok(()) };
-                self.with(to, |chain, now| chain.message(now, node(from), message))
+                self.with_chain(to, |chain, now| chain.message(now, node(from), message))
             }
             Event::Sync(n) => {
                 let Some((number, state)) = self.machines[n].syncing.pop_front() else { return Ok(()) };
                 self.machines[n].disk = Some(state);
-                self.with(n, |chain, now| chain.synced(now, number))
+                self.with_chain(n, |chain, now| chain.synced(now, number))
             }
-            Event::Ask(n) => {
-                let rev = self.asks;
-                self.asks -= 1;
+            Event::Call(n) => {
+                let rev = self.calls_left;
+                self.calls_left -= 1;
                 let change = ConfigChange::Put(format!("{{\"rev\":{rev}}}").into_bytes());
-                self.with(n, |chain, now| chain.call(now, rev, Call::Change { builds_on: 0, change }))
+                self.with_chain(n, |chain, now| chain.call(now, rev, Call::Change { builds_on: 0, change }))
             }
             Event::Break(a, b) => {
-                self.breaks -= 1;
+                self.link_losses_left -= 1;
                 self.break_link(a, b)?;
-                self.pass(FIRST_DUE)
+                self.pass(FIRST_PROPOSAL_DELAY)
             }
-            Event::Pass => {
-                self.passes -= 1;
+            Event::AdvanceTime => {
+                self.time_steps_left -= 1;
                 self.pass(self.due)
             }
             Event::Return => {
-                self.returns();
-                self.beats()
+                self.reconnect_away();
+                self.deliver_heartbeats()
             }
         }
     }
@@ -274,38 +276,38 @@
     pub fn pass(&mut self, due: Millis) -> Result<(), String> {
         self.now += due;
         for n in 0..self.nodes() {
-            self.with(n, |chain, now| chain.tick(now))?;
+            self.with_chain(n, |chain, now| chain.tick(now))?;
         }
-        self.beats()
+        self.deliver_heartbeats()
     }
 
     pub fn break_link(&mut self, a: usize, b: usize) -> Result<(), String> {
         for (n, other) in [(a, b), (b, a)] {
             self.links.remove(&(n, other));
-            self.with(n, |chain, now| chain.peer_down(now, node(other)))?;
+            self.with_chain(n, |chain, now| chain.peer_down(now, node(other)))?;
         }
         self.link(a, b);
-        self.beats()
+        self.deliver_heartbeats()
     }
 
-    /// A voter that others hear nothing of, in whose absence they have formed a view.
-    pub fn leave_out(&mut self, n: usize) {
+    /// Disconnects a voter, and waits until the others have formed a view without it.
+    pub fn exclude(&mut self, n: usize) {
         for other in (0..self.nodes()).filter(|other| *other != n) {
             for (from, to) in [(n, other), (other, n)] {
                 self.links.remove(&(from, to));
-                self.with(to, |chain, now| chain.peer_down(now, node(from))).unwrap();
+                self.with_chain(to, |chain, now| chain.peer_down(now, node(from))).unwrap();
             }
         }
         let without =
             |world: &World, at: usize| world.chain(at).view().is_some_and(|v| !v.chain.contains(&node(n)));
         while !(0..self.nodes()).filter(|other| *other != n).all(|other| without(self, other)) {
             self.run();
-            assert!(self.now < MENDED, "a view without it stands");
+            assert!(self.now < REPAIR_TIMEOUT, "a view without the node starts");
         }
         self.away = Some(n);
     }
 
-    fn returns(&mut self) {
+    fn reconnect_away(&mut self) {
         let Some(n) = self.away.take() else { return };
         for other in 0..self.nodes() {
             let running = |n: usize| self.machines[n].chain.is_some();
@@ -315,36 +317,36 @@
         }
     }
 
-    /// A node loses its power, and what is under way to its disk, if not the disk itself.
-    pub fn lose(&mut self, n: usize, disk: bool) -> Result<(), String> {
+    /// A node loses its power with the disk writes in flight, and its disk as well if `disk` is set.
+    pub fn lose_power(&mut self, n: usize, disk: bool) -> Result<(), String> {
         let machine = &mut self.machines[n];
-        (machine.chain, machine.syncing, machine.print) = (None, VecDeque::new(), None);
+        (machine.chain, machine.syncing, machine.fingerprint) = (None, VecDeque::new(), None);
         if disk {
             machine.disk = None;
         }
         for other in (0..self.nodes()).filter(|other| *other != n) {
             self.links.remove(&(n, other));
             self.links.remove(&(other, n));
-            self.with(other, |chain, now| chain.peer_down(now, node(n)))?;
+            self.with_chain(other, |chain, now| chain.peer_down(now, node(n)))?;
         }
         Ok(())
     }
 
-    /// The others mend the core; what was acknowledged is in force then, or what was not yet, and all know it.
-    pub fn mend(mut self) -> Result<(), String> {
-        (self.asks, self.breaks, self.passes) = (0, 0, 0);
-        self.returns();
-        let until = self.now + MENDED;
-        let stands = |world: &World| {
+    /// The other nodes repair the chain. The acknowledged change is committed then, and all nodes have the same version.
+    pub fn check_repair(mut self) -> Result<(), String> {
+        (self.calls_left, self.link_losses_left, self.time_steps_left) = (0, 0, 0);
+        self.reconnect_away();
+        let until = self.now + REPAIR_TIMEOUT;
+        let is_repaired = |world: &World| {
             let views: Vec<_> =
                 (0..world.nodes()).filter_map(|n| world.machines[n].chain.as_ref()?.view()).collect();
             let running: Vec<NodeId> =
                 (0..world.nodes()).filter(|n| world.machines[*n].chain.is_some()).map(node).collect();
             views.len() == running.len() && views.iter().all(|view| view.chain == running)
         };
-        while !stands(&self) {
+        while !is_repaired(&self) {
             if self.now >= until {
-                return Err("the core is not mended".into());
+                return Err("the chain is not repaired".into());
             }
             self.run();
         }
@@ -352,61 +354,64 @@
             self.run();
         }
         let newest = self.versions();
-        let one = newest.iter().all(|rev| *rev == newest[0]);
-        if one && self.acknowledged.is_none_or(|rev| rev == newest[0]) {
+        let all_same = newest.iter().all(|rev| *rev == newest[0]);
+        if all_same && self.acknowledged.is_none_or(|rev| rev == newest[0]) {
             Ok(())
         } else {
-            Err(format!("{:?} was acknowledged, and {newest:?} is in force", self.acknowledged))
+            Err(format!("{:?} was acknowledged, and {newest:?} is committed", self.acknowledged))
         }
     }
 
-    /// The versions that those that run know to be committed, and those on the disks of the chain: the two may differ
-    /// while a change is under way, and where a view has gone on from an older record.
+    /// The versions that running nodes know to be committed, and those on the disks of the chain. They may differ while a
+    /// change is in flight, and where a view has started from an older record.
     pub fn versions(&self) -> Vec<u64> {
         let chains = self.machines.iter().filter_map(|machine| machine.chain.as_ref());
         let committed = chains.map(|chain| chain.committed().rev);
-        let members = self.stood().map_or(&[][..], |view| &view.chain);
-        let disks = members.iter().map(|member| self.machines[place(*member)].disk.as_ref());
+        let members = self.newest_started_view().map_or(&[][..], |view| &view.chain);
+        let disks = members.iter().map(|member| self.machines[index_of(*member)].disk.as_ref());
         let on_disks = disks.map(|disk| disk.map_or(0, |disk| disk.record.rev));
         committed.chain(on_disks).collect()
     }
 
-    /// What was acknowledged is on the disks of a majority of those who count, whatever is lost with the power.
+    /// The acknowledged change is durable at a quorum of the voters.
     pub fn check(&self) -> Result<(), String> {
         let Some(rev) = self.acknowledged else { return Ok(()) };
-        let holds = |machine: &Machine| machine.disk.as_ref().is_some_and(|disk| disk.record.rev == rev);
-        let held = |members: &JointConfig| members.majority(|id| holds(&self.machines[place(*id)]));
-        if self.stood().is_some_and(|view| held(&view.members)) {
+        let has_change = |machine: &Machine| machine.disk.as_ref().is_some_and(|disk| disk.record.rev == rev);
+        let is_replicated =
+            |members: &JointConfig| members.majority(|id| has_change(&self.machines[index_of(*id)]));
+        if self.newest_started_view().is_some_and(|view| is_replicated(&view.members)) {
             Ok(())
         } else {
-            let holding = self.machines.iter().filter(|machine| holds(machine)).count();
+            let holding = self.machines.iter().filter(|machine| has_change(machine)).count();
             Err(format!("{rev} was acknowledged and is on {holding} disks"))
         }
     }
 
-    /// The newest view that any node knows to stand.
-    pub fn stood(&self) -> Option<&View> {
+    /// The newest view that any node knows to have started.
+    pub fn newest_started_view(&self) -> Option<&View> {
         let views = self.machines.iter().filter_map(|machine| machine.chain.as_ref()?.view());
         views.max_by_key(|view| view.number)
     }
 
-    pub fn print(&mut self) -> u64 {
+    pub fn fingerprint(&mut self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        let left = (self.asks, self.breaks, self.passes, self.away);
+        let left = (self.calls_left, self.link_losses_left, self.time_steps_left, self.away);
         (self.now, left, self.acknowledged, self.published).hash(&mut hasher);
         for machine in &mut self.machines {
-            let Machine { chain, disk, syncing, print } = machine;
-            print.get_or_insert_with(|| hashed(&format!("{chain:?}{disk:?}{syncing:?}"))).hash(&mut hasher);
+            let Machine { chain, disk, syncing, fingerprint } = machine;
+            fingerprint
+                .get_or_insert_with(|| hash_of(&format!("{chain:?}{disk:?}{syncing:?}")))
+                .hash(&mut hasher);
         }
         for (ends, link) in &mut self.links {
-            let Link { messages, print } = link;
-            (ends, print.get_or_insert_with(|| hashed(&format!("{messages:?}")))).hash(&mut hasher);
+            let Link { messages, fingerprint } = link;
+            (ends, fingerprint.get_or_insert_with(|| hash_of(&format!("{messages:?}")))).hash(&mut hasher);
         }
         hasher.finish()
     }
 }
 
-pub fn hashed(what: &impl Hash) -> u64 {
+pub fn hash_of(what: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     what.hash(&mut hasher);
     hasher.finish()
--- a/control-plane/tests/lease.rs
+++ b/control-plane/tests/lease.rs
@@ -1,24 +1,29 @@
-//! Purges and the session lease, on random schedules: no proxy serves from copies what a purge ended that was
-//! acknowledged, whatever clocks, pauses, links and restarts do. Each part of the mechanism is taken out as well.
+//! Purges and leases on random schedules: no proxy serves a stored response that an acknowledged purge selects, whatever
+//! clocks, pauses, links and restarts do. Each part of the mechanism is also disabled in turn, which has to be noticed.
 
 mod lease_world;
 
-use lease_world::{TakenOut, World, MS};
+use lease_world::{Disabled, World, MS};
 
-const LASTS: u64 = 30_000 * MS;
+const SIMULATED_TIME: u64 = 30_000 * MS;
 const SEEDS: u64 = 500;
 
-/// The first seed in which a proxy could serve what was purged.
-fn first_broken(out: TakenOut) -> Option<u64> {
-    (0..SEEDS).find(|seed| World::new(*seed, out).play(LASTS))
+/// The first seed in which a proxy could serve a purged response.
+fn first_violation(disabled: Disabled) -> Option<u64> {
+    (0..SEEDS).find(|seed| World::new(*seed, disabled).play(SIMULATED_TIME))
 }
 
 #[test]
 fn no_purge_is_acknowledged_before_every_proxy_has_applied_it_or_lost_its_lease() {
     let mut acknowledged = 0;
     for seed in 0..SEEDS {
-        let mut world = World::new(seed, TakenOut::Nothing);
-        assert!(!world.play(LASTS), "seed {seed}: proxy and purge {:?} at {}", world.broken, world.now);
+        let mut world = World::new(seed, Disabled::Nothing);
+        assert!(
+            !world.play(SIMULATED_TIME),
+            "seed {seed}: proxy and purge {:?} at {}",
+            world.violation,
+            world.now
+        );
         acknowledged += world.acknowledged.len();
     }
     assert!(acknowledged as u64 > SEEDS, "only {acknowledged} purges were acknowledged");
@@ -26,17 +31,17 @@
 
 #[test]
 fn each_part_of_the_mechanism_is_needed() {
-    for out in [
-        TakenOut::WaitForSessions,
-        TakenOut::WaitForPeers,
-        TakenOut::WaitAfterStart,
-        TakenOut::Lives,
-        TakenOut::SentMoment,
-        TakenOut::PartOfOwn,
-        TakenOut::EndWithContact,
+    for disabled in [
+        Disabled::SessionLeaseWait,
+        Disabled::PeerLeaseWait,
+        Disabled::StartWait,
+        Disabled::Incarnations,
+        Disabled::SendTime,
+        Disabled::NestedExpiry,
+        Disabled::EndOnDisconnect,
     ] {
-        let seed = first_broken(out);
-        println!("{out:?}: {seed:?}");
-        assert!(seed.is_some(), "{out:?} is taken out, and nothing is found in {SEEDS} seeds");
+        let seed = first_violation(disabled);
+        println!("{disabled:?}: {seed:?}");
+        assert!(seed.is_some(), "{disabled:?} is disabled, and no violation is found in {SEEDS} seeds");
     }
 }
--- a/control-plane/tests/lease_world/control.rs
+++ b/control-plane/tests/lease_world/control.rs
@@ -1,4 +1,4 @@
-//! Control nodes, all of them voters: purges, and leases between them.
+//! Control nodes, which are all voters: purges, and the leases between them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -8,11 +8,11 @@
 use glenfall_control_plane::Millis;
 use rand::Rng;
 
-use super::{Message, TakenOut, World, CONTROLS};
+use super::{Disabled, Message, World, CONTROLS};
 
-/// How long a purge is waited for, in milliseconds: by whom it was asked of, and by the others.
-const PURGE: Millis = 750;
-const CONFIRM: Millis = 600;
+/// Time-outs of a purge in milliseconds, at the node that accepted it and at those that it was sent to.
+const PURGE_TIMEOUT: Millis = 750;
+const FORWARDED_PURGE_TIMEOUT: Millis = 600;
 
 pub fn address(control: usize) -> Ipv4Addr {
     Ipv4Addr::new(10, 0, 0, control as u8)
@@ -24,22 +24,22 @@
 
 struct Link {
     connection: usize,
-    life: u64,
+    incarnation: u64,
     up: bool,
 }
 
-/// A purge that somebody waits for.
-struct Waiting {
+/// A purge that is not acknowledged yet.
+struct PendingPurge {
     purge: u32,
     due: Vec<(usize, u64)>,
-    /// Whose leases need not be over.
+    /// Processes whose leases need not have expired, as they are sent the purge.
     told: Vec<ProcessId>,
     left: BTreeSet<usize>,
     complete: Vec<Ipv4Addr>,
     until: Millis,
-    /// The control node that asked, with its name for it; nobody where an operator did.
+    /// The control node that sent the purge, with its id; `None` for a purge of an operator.
     asker: Option<(usize, u64)>,
-    /// This node answers for others as well.
+    /// This node forwards the purge, and answers for the nodes that it forwards to as well.
     first: bool,
 }
 
@@ -49,7 +49,7 @@
     granted: Grants<ProcessId>,
     unknown_until: Millis,
     links: BTreeMap<usize, Link>,
-    waiting: BTreeMap<u64, Waiting>,
+    waiting: BTreeMap<u64, PendingPurge>,
     next: u64,
 }
 
@@ -63,20 +63,22 @@
     }
 
     fn instances(&self) -> Vec<ProcessId> {
-        self.up().map(|(control, link)| ProcessId { ip: address(control), incarnation: link.life }).collect()
+        self.up()
+            .map(|(control, link)| ProcessId { ip: address(control), incarnation: link.incarnation })
+            .collect()
     }
 }
 
-fn is_majority(others: &[Ipv4Addr]) -> bool {
+fn is_quorum(others: &[Ipv4Addr]) -> bool {
     (others.len() + 1) * 2 > CONTROLS
 }
 
 impl World {
-    fn life(&self, control: usize) -> u64 {
-        if self.out == TakenOut::Lives {
+    fn incarnation(&self, control: usize) -> u64 {
+        if self.disabled == Disabled::Incarnations {
             1
         } else {
-            self.processes[control].life
+            self.processes[control].incarnation
         }
     }
 
@@ -85,16 +87,19 @@
     }
 
     pub fn tick_control(&mut self, me: usize) {
-        let (life, sent) = (self.life(me), self.clock(me));
+        let (incarnation, sent) = (self.incarnation(me), self.clock(me));
         for peer in (0..CONTROLS).filter(|peer| *peer != me) {
             let link = self.processes[me].control.links.get(&peer).map(|link| (link.connection, link.up));
             match link {
-                Some((connection, true)) => self.say(me, connection, Message::PeerRenew { life, sent }),
+                Some((connection, true)) => {
+                    self.send(me, connection, Message::PeerRenew { incarnation, sent })
+                }
                 Some(_) => {}
                 None if me < peer && self.reaches(me, peer) => {
                     let purges = self.processes[me].purges.clone();
-                    let connection = self.connect(me, peer, Message::Open { life, purges, back: false });
-                    let link = Link { connection, life: 0, up: false };
+                    let connection =
+                        self.connect(me, peer, Message::Open { incarnation, purges, back: false });
+                    let link = Link { connection, incarnation: 0, up: false };
                     self.processes[me].control.links.insert(peer, link);
                 }
                 None => {}
@@ -102,14 +107,14 @@
         }
     }
 
-    /// An operator asks any control node for a purge.
-    pub fn ask_purge(&mut self) {
+    /// An operator requests a purge at a random control node.
+    pub fn request_purge(&mut self) {
         let me = self.rng.random_range(0..CONTROLS);
         if self.processes[me].paused_until > self.now {
             return;
         }
-        let purge = self.asked;
-        self.asked += 1;
+        let purge = self.requested_purges;
+        self.requested_purges += 1;
         let asked = self.processes[me].control.instances();
         let question = |id| Message::Purge { id, purge, asked: Some(asked.clone()) };
         let peers = asked.iter().map(|instance| control_at(instance.ip)).collect();
@@ -127,50 +132,58 @@
     ) {
         self.processes[me].purges.insert(purge);
         self.push(me, &BTreeSet::from([purge]), true);
-        let most = if asker.is_some() { CONFIRM } else { PURGE };
+        let most = if asker.is_some() { FORWARDED_PURGE_TIMEOUT } else { PURGE_TIMEOUT };
         let (due, until) = (self.due(me), self.clock(me) + most);
         let control = &mut self.processes[me].control;
         control.next += 1;
         let id = control.next;
         let said: Vec<usize> =
             peers.iter().filter_map(|peer| control.links.get(peer)).map(|link| link.connection).collect();
-        let waiting = Waiting { purge, due, told, left: peers, complete: Vec::new(), until, asker, first };
+        let waiting =
+            PendingPurge { purge, due, told, left: peers, complete: Vec::new(), until, asker, first };
         control.waiting.insert(id, waiting);
-        said.into_iter().for_each(|connection| self.say(me, connection, question(id)));
+        said.into_iter().for_each(|connection| self.send(me, connection, question(id)));
     }
 
-    pub fn hear_control(&mut self, me: usize, connection: usize, from: usize, message: Message) {
-        let (now, life) = (self.clock(me), self.life(me));
-        if let Message::Open { life: theirs, purges, back } = message {
-            let link = Link { connection, life: theirs, up: true };
+    pub fn handle_control(&mut self, me: usize, connection: usize, from: usize, message: Message) {
+        let (now, incarnation) = (self.clock(me), self.incarnation(me));
+        if let Message::Open { incarnation: theirs, purges, back } = message {
+            let link = Link { connection, incarnation: theirs, up: true };
             self.processes[me].control.links.insert(from, link);
             self.processes[me].purges.extend(&purges);
             self.push(me, &purges, true);
-            // It is told all that is known at the moment from which on it is asked.
+            // The peer receives all known purges at the moment from which on purges are sent to it.
             let purges = self.processes[me].purges.clone();
-            let told =
-                if back { Message::Purges(purges) } else { Message::Open { life, purges, back: true } };
-            return self.say(me, connection, told);
+            let told = if back {
+                Message::Purges(purges)
+            } else {
+                Message::Open { incarnation, purges, back: true }
+            };
+            return self.send(me, connection, told);
         }
         let control = &mut self.processes[me].control;
         let Some(link) = control.links.get(&from).filter(|link| link.connection == connection && link.up)
         else {
             return;
         };
-        let peer = ProcessId { ip: address(from), incarnation: link.life };
+        let peer = ProcessId { ip: address(from), incarnation: link.incarnation };
         match message {
             Message::Purges(purges) => {
                 self.processes[me].purges.extend(&purges);
                 self.push(me, &purges, true);
             }
-            Message::PeerRenew { life: theirs, sent } if theirs == peer.incarnation => {
+            Message::PeerRenew { incarnation: theirs, sent } if theirs == peer.incarnation => {
                 control.granted.grant(peer, now, VOTER_LEASE);
-                self.say(me, connection, Message::PeerGranted { life: theirs, sent, lasts: VOTER_LEASE });
+                self.send(
+                    me,
+                    connection,
+                    Message::PeerGranted { incarnation: theirs, sent, duration: VOTER_LEASE },
+                );
             }
-            Message::PeerGranted { life: mine, sent, lasts } if mine == life => {
-                control.held.renew(now, peer.ip, sent, lasts);
-                let until = control.held.until(now, is_majority);
-                self.vouch_until(me, until);
+            Message::PeerGranted { incarnation: mine, sent, duration } if mine == incarnation => {
+                control.held.renew(now, peer.ip, sent, duration);
+                let until = control.held.until(now, is_quorum);
+                self.set_lease_expiry(me, until);
             }
             Message::Purge { id, purge, asked: None } => {
                 let nobody = (BTreeSet::new(), |_| Message::Hello);
@@ -199,27 +212,27 @@
         }
     }
 
-    /// Answers what is done, and gives up what took too long.
-    pub fn settle(&mut self, me: usize) {
+    /// Answers the purges that are complete, and abandons those that have timed out.
+    pub fn complete_purges(&mut self, me: usize) {
         let ids: Vec<u64> = self.processes[me].control.waiting.keys().copied().collect();
         for id in ids {
             let Some(waiting) = self.processes[me].control.waiting.remove(&id) else { continue };
             let now = self.clock(me);
-            let late = now >= waiting.until;
+            let timed_out = now >= waiting.until;
             let purged = self.is_purged(me, &waiting.due);
-            let complete = waiting.first && self.no_lease_but_of(me, &waiting.told);
+            let complete = waiting.first && self.no_lease_except(me, &waiting.told);
             let answers = purged && waiting.left.is_empty();
             match waiting.asker {
-                None if answers && complete && is_majority(&waiting.complete) => {
+                None if answers && complete && is_quorum(&waiting.complete) => {
                     self.acknowledged.insert(waiting.purge);
                 }
-                Some((asker, theirs)) if answers && (complete || late || !waiting.first) => {
+                Some((asker, theirs)) if answers && (complete || timed_out || !waiting.first) => {
                     let link = self.processes[me].control.links.get(&asker).map(|link| link.connection);
                     if let Some(connection) = link {
-                        self.say(me, connection, Message::Done { id: theirs, complete });
+                        self.send(me, connection, Message::Done { id: theirs, complete });
                     }
                 }
-                _ if late => self.note_overdue(me, &waiting.due),
+                _ if timed_out => self.record_overdue(me, &waiting.due),
                 _ => {
                     self.processes[me].control.waiting.insert(id, waiting);
                 }
@@ -227,15 +240,15 @@
         }
     }
 
-    fn no_lease_but_of(&self, me: usize, told: &[ProcessId]) -> bool {
+    fn no_lease_except(&self, me: usize, told: &[ProcessId]) -> bool {
         let now = self.clock(me);
         let control = &self.processes[me].control;
         let peers = control.granted.last_end(now, |holder| !told.contains(holder)).is_none();
         let known = now >= control.unknown_until;
-        (peers || self.out == TakenOut::WaitForPeers) && (known || self.out == TakenOut::WaitAfterStart)
+        (peers || self.disabled == Disabled::PeerLeaseWait) && (known || self.disabled == Disabled::StartWait)
     }
 
-    /// The link to a peer ended: what it has not answered is not answered.
+    /// The link to a peer has ended: the purges that it has not acknowledged fail.
     pub fn link_closed(&mut self, me: usize, connection: usize) {
         let control = &mut self.processes[me].control;
         let lost =
--- a/control-plane/tests/lease_world/mod.rs
+++ b/control-plane/tests/lease_world/mod.rs
@@ -1,5 +1,6 @@
-//! Control nodes, agents and proxies with the real leases, on clocks of their own rates and links of their own delays, in
-//! simulated time. What they say is said as in the system: connections keep order, and end at each side at another time.
+//! Control nodes, agents and proxies with the real leases, on clocks with different rates and links with different delays, in
+//! simulated time. As in the system, connections keep the order of messages, and each end notices the loss of a connection
+//! at another time.
 
 mod control;
 mod sessions;
@@ -15,7 +16,7 @@
 use control::Control;
 use sessions::Sessions;
 
-/// Microseconds that passed, by no process's clock.
+/// Simulated time in microseconds, which no process reads directly.
 pub type Time = u64;
 pub const MS: Time = 1000;
 
@@ -24,38 +25,38 @@
 const PROCESSES: usize = CONTROLS + 2 * AGENTS;
 const TICK: Time = 100 * MS;
 
-/// What is taken out of the mechanism.
+/// The part of the mechanism that is disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TakenOut {
+pub enum Disabled {
     Nothing,
-    /// Nobody waits for leases of sessions that ended.
-    WaitForSessions,
-    /// Nobody waits for leases of control nodes that were lost.
-    WaitForPeers,
-    /// A restarted control node does not reckon with what the process before it granted.
-    WaitAfterStart,
-    /// A restarted control node passes for the process before it.
-    Lives,
+    /// No process waits for the leases of sessions that have ended.
+    SessionLeaseWait,
+    /// No process waits for the leases of control nodes that it does not reach.
+    PeerLeaseWait,
+    /// A restarted control node does not wait for leases that the previous process granted.
+    StartWait,
+    /// A restarted control node has the incarnation of the previous process.
+    Incarnations,
     /// A lease counts from the receipt of the grant.
-    SentMoment,
-    /// A renewal is granted in full, whatever is left of the granter's own lease.
-    PartOfOwn,
-    /// Contact that was lost leaves the lease.
-    EndWithContact,
+    SendTime,
+    /// A renewal is granted in full, whatever time is left of the granter's own lease.
+    NestedExpiry,
+    /// A lease stays valid when the connection is lost.
+    EndOnDisconnect,
 }
 
 #[derive(Clone, Debug)]
 pub enum Message {
     Hello,
     Renew { sent: Millis },
-    Granted { sent: Millis, lasts: Millis },
-    Push { number: u64, purges: BTreeSet<u32>, in_touch: bool },
+    Granted { sent: Millis, duration: Millis },
+    Push { number: u64, purges: BTreeSet<u32>, connected: bool },
     Applied(u64),
     Released,
-    Open { life: u64, purges: BTreeSet<u32>, back: bool },
+    Open { incarnation: u64, purges: BTreeSet<u32>, back: bool },
     Purges(BTreeSet<u32>),
-    PeerRenew { life: u64, sent: Millis },
-    PeerGranted { life: u64, sent: Millis, lasts: Millis },
+    PeerRenew { incarnation: u64, sent: Millis },
+    PeerGranted { incarnation: u64, sent: Millis, duration: Millis },
     Purge { id: u64, purge: u32, asked: Option<Vec<ProcessId>> },
     Done { id: u64, complete: bool },
 }
@@ -68,10 +69,10 @@
 
 pub struct Connection {
     ends: [usize; 2],
-    stands: bool,
-    /// What was on its way when it ended arrives until then.
+    is_up: bool,
+    /// Messages in transit when the connection ended arrive until then.
     lost_from: Time,
-    /// When what was last said to each end arrives.
+    /// When the last message to each end arrives.
     arrives: [Time; 2],
 }
 
@@ -89,18 +90,18 @@
 
 pub struct Process {
     clock: Clock,
-    life: u64,
+    incarnation: u64,
     paused_until: Time,
     purges: BTreeSet<u32>,
-    /// Of the lower side: connection upwards, contact, lease.
+    /// The connection to the publisher, its state, and the lease.
     up: Option<usize>,
-    in_touch: bool,
+    connected: bool,
     lease: Lease,
     sessions: Sessions,
-    /// A change that an agent has taken and its proxies have not, and what came after it.
+    /// An update that an agent has applied and its proxies have not, and the sessions that it waits for.
     applying: Option<(u64, Vec<(usize, u64)>)>,
     waiting: VecDeque<Message>,
-    /// The connection that an agent gives its lease back on, once its proxies serve from copies no more.
+    /// The connection on which an agent releases its lease, once its proxies serve no stored responses.
     releasing: Option<(usize, Vec<(usize, u64)>)>,
     control: Control,
 }
@@ -108,21 +109,21 @@
 pub struct World {
     pub now: Time,
     rng: ChaCha8Rng,
-    out: TakenOut,
+    disabled: Disabled,
     queue: BTreeMap<(Time, u64), Event>,
     events: u64,
     connections: Vec<Connection>,
     processes: Vec<Process>,
-    /// Pairs of machines that don't reach each other.
-    cut: BTreeSet<(usize, usize)>,
+    /// Pairs of machines that do not reach each other.
+    partitioned: BTreeSet<(usize, usize)>,
     pub acknowledged: BTreeSet<u32>,
-    asked: u32,
-    /// What was found first: a proxy, and a purge that it serves in spite of.
-    pub broken: Option<(usize, u32)>,
+    requested_purges: u32,
+    /// The first violation: a proxy, and an acknowledged purge that it has not applied while it has a lease.
+    pub violation: Option<(usize, u32)>,
 }
 
 impl World {
-    pub fn new(seed: u64, out: TakenOut) -> World {
+    pub fn new(seed: u64, disabled: Disabled) -> World {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let clock = |rng: &mut ChaCha8Rng| Clock {
             offset: rng.random_range(0..1_000_000),
@@ -135,11 +136,11 @@
         }
         let process = |clock: Clock| Process {
             clock,
-            life: 1,
+            incarnation: 1,
             paused_until: 0,
             purges: BTreeSet::new(),
             up: None,
-            in_touch: false,
+            connected: false,
             lease: Lease::default(),
             sessions: Sessions::default(),
             applying: None,
@@ -150,41 +151,41 @@
         let mut world = World {
             now: 0,
             rng,
-            out,
+            disabled,
             queue: BTreeMap::new(),
             events: 0,
             connections: Vec::new(),
             processes: clocks.into_iter().map(process).collect(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             acknowledged: BTreeSet::new(),
-            asked: 0,
-            broken: None,
+            requested_purges: 0,
+            violation: None,
         };
         (0..PROCESSES).for_each(|process| world.at(process as Time, Event::Tick(process)));
         world
     }
 
-    /// Plays random troubles for so long, and says whether a proxy could serve what was purged.
+    /// Injects random faults until a time, and returns whether a proxy could serve a purged response.
     pub fn play(&mut self, until: Time) -> bool {
-        while self.now < until && self.broken.is_none() {
+        while self.now < until && self.violation.is_none() {
             let Some(((at, number), event)) = self.queue.pop_first() else { break };
             self.now = at;
-            self.happen(number, event);
+            self.handle(number, event);
             if self.rng.random_bool(0.012) {
-                self.trouble();
+                self.inject_fault();
             }
-            self.look();
+            self.check_proxies();
         }
-        self.broken.is_some()
+        self.violation.is_some()
     }
 
-    fn look(&mut self) {
+    fn check_proxies(&mut self) {
         for proxy in CONTROLS + AGENTS..PROCESSES {
             let process = &self.processes[proxy];
-            let serves = process.in_touch && process.lease.is_valid(process.clock.read(self.now));
+            let serves = process.connected && process.lease.is_valid(process.clock.read(self.now));
             let missed = self.acknowledged.difference(&process.purges).next();
             if let (true, true, Some(purge)) = (serves, process.paused_until <= self.now, missed) {
-                self.broken = Some((proxy, *purge));
+                self.violation = Some((proxy, *purge));
             }
         }
     }
@@ -208,7 +209,7 @@
 
     fn reaches(&self, a: usize, b: usize) -> bool {
         let (a, b) = (Self::machine(a), Self::machine(b));
-        !self.cut.contains(&(a.min(b), a.max(b)))
+        !self.partitioned.contains(&(a.min(b), a.max(b)))
     }
 
     // ---- Connections ----
@@ -216,23 +217,23 @@
     fn connect(&mut self, from: usize, to: usize, first: Message) -> usize {
         self.connections.push(Connection {
             ends: [from, to],
-            stands: true,
+            is_up: true,
             lost_from: 0,
             arrives: [self.now; 2],
         });
         let connection = self.connections.len() - 1;
-        self.say(from, connection, first);
+        self.send(from, connection, first);
         connection
     }
 
-    fn say(&mut self, from: usize, connection: usize, message: Message) {
+    fn send(&mut self, from: usize, connection: usize, message: Message) {
         let link = &mut self.connections[connection];
-        if !link.stands {
+        if !link.is_up {
             return;
         }
         let side = usize::from(link.ends[0] == from);
         let to = link.ends[side];
-        // The sender may be stopped between what it decides and what it says.
+        // The sender may be stopped between its decision and the message.
         let said = self.now.max(self.processes[from].paused_until);
         let delay = if self.rng.random_bool(0.03) { 300 * MS } else { 5 * MS };
         let arrives = (said + self.rng.random_range(MS / 10..delay)).max(link.arrives[side] + 1);
@@ -240,9 +241,9 @@
         self.at(arrives, Event::Deliver { connection, to, message });
     }
 
-    /// Ends a connection; each side that is there notices at a time of its own.
+    /// Ends a connection. Each running side notices at a time of its own.
     fn end(&mut self, connection: usize, at_once: Option<usize>) {
-        if !std::mem::replace(&mut self.connections[connection].stands, false) {
+        if !std::mem::replace(&mut self.connections[connection].is_up, false) {
             return;
         }
         self.connections[connection].lost_from = self.now + self.rng.random_range(0..400 * MS);
@@ -255,15 +256,15 @@
 
     fn is_lost(&self, connection: usize) -> bool {
         let connection = &self.connections[connection];
-        !connection.stands && self.now >= connection.lost_from
+        !connection.is_up && self.now >= connection.lost_from
     }
 
-    fn happen(&mut self, number: u64, event: Event) {
+    fn handle(&mut self, number: u64, event: Event) {
         let (Event::Deliver { to: process, .. } | Event::Closed { at: process, .. } | Event::Tick(process)) =
             event;
         let resumes = self.processes[process].paused_until;
         if resumes > self.now {
-            // With its number, so that what waits keeps its order.
+            // With its number, so that waiting events keep their order.
             self.queue.insert((resumes, number), event);
             return;
         }
@@ -277,17 +278,19 @@
             }
         }
         if process < CONTROLS {
-            self.settle(process);
+            self.complete_purges(process);
         }
-        self.settle_agents();
+        self.complete_agents();
     }
 
     fn deliver(&mut self, connection: usize, to: usize, message: Message) {
         let [lower, upper] = self.connections[connection].ends;
         match (lower < CONTROLS, to == upper) {
-            (true, _) => self.hear_control(to, connection, if to == upper { lower } else { upper }, message),
-            (false, true) => self.hear_lower(to, connection, message),
-            (false, false) => self.hear_upper(to, connection, message),
+            (true, _) => {
+                self.handle_control(to, connection, if to == upper { lower } else { upper }, message)
+            }
+            (false, true) => self.handle_from_subscriber(to, connection, message),
+            (false, false) => self.handle_from_publisher(to, connection, message),
         }
     }
 
@@ -303,16 +306,16 @@
         if process < CONTROLS {
             self.tick_control(process)
         } else {
-            self.tick_lower(process)
+            self.tick_subscriber(process)
         }
     }
 
-    // ---- Troubles ----
+    // ---- Faults ----
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let process = self.rng.random_range(0..PROCESSES);
         match self.rng.random_range(0..11) {
-            0..4 => self.ask_purge(),
+            0..4 => self.request_purge(),
             10 => self.move_agent(CONTROLS + process % AGENTS),
             4..6 => {
                 let pause = self.rng.random_range(50..3000) * MS;
@@ -323,15 +326,15 @@
             8 => {
                 let (a, b) = (self.rng.random_range(0..CONTROLS), Self::machine(process));
                 if a != b {
-                    self.cut.insert((a.min(b), a.max(b)));
-                    self.end_cut();
+                    self.partitioned.insert((a.min(b), a.max(b)));
+                    self.end_partitioned();
                 }
             }
-            _ => self.cut.clear(),
+            _ => self.partitioned.clear(),
         }
     }
 
-    fn end_cut(&mut self) {
+    fn end_partitioned(&mut self) {
         for connection in 0..self.connections.len() {
             let [a, b] = self.connections[connection].ends;
             if !self.reaches(a, b) {
@@ -348,14 +351,14 @@
         }
         let control = Control::started(self.clock(process));
         let crashed = &mut self.processes[process];
-        // Control nodes have their purges on disk or from a majority; proxies begin without copies.
-        crashed.life += 1;
-        (crashed.up, crashed.in_touch, crashed.lease) = (None, false, Lease::default());
+        // Control nodes have their purges on disk or from a quorum; proxies start without stored responses.
+        crashed.incarnation += 1;
+        (crashed.up, crashed.connected, crashed.lease) = (None, false, Lease::default());
         (crashed.sessions, crashed.applying, crashed.control) = (Sessions::default(), None, control);
         crashed.waiting.clear();
         crashed.releasing = None;
         if process >= CONTROLS + AGENTS {
-            crashed.purges = (0..self.asked).collect();
+            crashed.purges = (0..self.requested_purges).collect();
         }
     }
 }
--- a/control-plane/tests/lease_world/sessions.rs
+++ b/control-plane/tests/lease_world/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions: control nodes over agents, agents over proxies.
+//! Sessions, of agents at control nodes and of proxies at agents.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,20 +6,20 @@
 use glenfall_control_plane::Millis;
 use rand::Rng;
 
-use super::{Message, TakenOut, World, AGENTS, CONTROLS};
+use super::{Disabled, Message, World, AGENTS, CONTROLS};
 
-/// A session as its upper side has it.
+/// A session at its publisher.
 #[derive(Default)]
 struct Session {
     sent: u64,
     applied: u64,
-    /// The last reading of the lower side's clock, and when it came.
+    /// The last reading of the subscriber's clock, and when it was received.
     renewal: Option<(Millis, Millis)>,
-    /// No lease is granted before this is applied: it was waited for in vain.
+    /// No lease is granted before this update is applied, as a purge has timed out waiting for it.
     overdue: u64,
 }
 
-/// The upper side of sessions, by connection.
+/// The sessions of a publisher, by connection.
 #[derive(Default)]
 pub struct Sessions {
     all: BTreeMap<usize, Session>,
@@ -32,11 +32,11 @@
         (CONTROLS..CONTROLS + AGENTS).contains(&process)
     }
 
-    /// Calls whoever feeds this process, or asks it for a lease.
-    pub fn tick_lower(&mut self, process: usize) {
+    /// Connects to a publisher, or renews the lease.
+    pub fn tick_subscriber(&mut self, process: usize) {
         let sent = self.clock(process);
         if let Some(connection) = self.processes[process].up {
-            return self.say(process, connection, Message::Renew { sent });
+            return self.send(process, connection, Message::Renew { sent });
         }
         if self.processes[process].releasing.take().is_some() {
             return;
@@ -48,27 +48,27 @@
         }
     }
 
-    /// An agent turns to another control node of its own accord.
+    /// An agent moves to another control node without a fault.
     pub fn move_agent(&mut self, agent: usize) {
         let Some(connection) = self.processes[agent].up.take() else { return };
-        self.lose_contact(agent);
+        self.disconnect(agent);
         self.processes[agent].waiting.clear();
         self.processes[agent].applying = None;
         self.processes[agent].releasing = Some((connection, self.due(agent)));
     }
 
-    fn settle_release(&mut self, agent: usize) {
+    fn complete_release(&mut self, agent: usize) {
         let Some((connection, due)) = self.processes[agent].releasing.take() else { return };
         if self.is_purged(agent, &due) {
-            self.say(agent, connection, Message::Released);
+            self.send(agent, connection, Message::Released);
         } else {
             self.processes[agent].releasing = Some((connection, due));
         }
     }
 
-    pub fn lose_contact(&mut self, process: usize) {
-        self.processes[process].in_touch = false;
-        if self.out != TakenOut::EndWithContact {
+    pub fn disconnect(&mut self, process: usize) {
+        self.processes[process].connected = false;
+        if self.disabled != Disabled::EndOnDisconnect {
             self.processes[process].lease = Lease::default();
         }
         if Self::is_agent(process) {
@@ -77,7 +77,7 @@
         }
     }
 
-    pub fn vouch_until(&mut self, upper: usize, until: Millis) {
+    pub fn set_lease_expiry(&mut self, upper: usize, until: Millis) {
         let had_none = self.processes[upper].sessions.until <= self.clock(upper);
         self.processes[upper].sessions.until = until;
         if Self::is_agent(upper) || had_none {
@@ -88,28 +88,28 @@
 
     fn grant(&mut self, upper: usize, connection: usize) {
         let now = self.clock(upper);
-        let full = self.out == TakenOut::PartOfOwn;
+        let full = self.disabled == Disabled::NestedExpiry;
         let sessions = &mut self.processes[upper].sessions;
         let session = sessions.all.get(&connection).filter(|session| session.applied >= session.overdue);
         let Some((sent, received)) = session.and_then(|session| session.renewal) else { return };
         let until = if full && now < sessions.until { now + SESSION_LEASE } else { sessions.until };
-        if let Some(lasts) = sessions.grants.grant_part(now, connection, received, until) {
-            self.say(upper, connection, Message::Granted { sent, lasts });
+        if let Some(duration) = sessions.grants.grant_part(now, connection, received, until) {
+            self.send(upper, connection, Message::Granted { sent, duration });
         }
     }
 
-    pub fn push(&mut self, upper: usize, purges: &BTreeSet<u32>, in_touch: bool) {
+    pub fn push(&mut self, upper: usize, purges: &BTreeSet<u32>, connected: bool) {
         let connections: Vec<usize> = self.processes[upper].sessions.all.keys().copied().collect();
         for connection in connections {
-            self.push_to(upper, connection, purges.clone(), in_touch);
+            self.push_to(upper, connection, purges.clone(), connected);
         }
     }
 
-    fn push_to(&mut self, upper: usize, connection: usize, purges: BTreeSet<u32>, in_touch: bool) {
+    fn push_to(&mut self, upper: usize, connection: usize, purges: BTreeSet<u32>, connected: bool) {
         let Some(session) = self.processes[upper].sessions.all.get_mut(&connection) else { return };
         session.sent += 1;
         let number = session.sent;
-        self.say(upper, connection, Message::Push { number, purges, in_touch });
+        self.send(upper, connection, Message::Push { number, purges, connected });
     }
 
     /// Who has a lease, and what it was sent.
@@ -124,13 +124,13 @@
         due.iter().all(|(connection, sent)| match sessions.all.get(connection) {
             Some(session) if session.applied >= *sent => true,
             Some(_) => sessions.grants.ends(now, connection).is_none(),
-            None if self.out == TakenOut::WaitForSessions => true,
+            None if self.disabled == Disabled::SessionLeaseWait => true,
             None => sessions.grants.ends(now, connection).is_none(),
         })
     }
 
     /// Withholds leases from sessions that a purge waited for in vain.
-    pub fn note_overdue(&mut self, upper: usize, due: &[(usize, u64)]) {
+    pub fn record_overdue(&mut self, upper: usize, due: &[(usize, u64)]) {
         for (connection, sent) in due {
             if let Some(session) = self.processes[upper].sessions.all.get_mut(connection) {
                 session.overdue = session.overdue.max(*sent);
@@ -139,7 +139,7 @@
     }
 
     /// What the upper side of a session hears.
-    pub fn hear_lower(&mut self, upper: usize, connection: usize, message: Message) {
+    pub fn handle_from_subscriber(&mut self, upper: usize, connection: usize, message: Message) {
         let (now, purges) = (self.clock(upper), self.processes[upper].purges.clone());
         match message {
             Message::Hello if upper < CONTROLS => {
@@ -151,9 +151,9 @@
             }
             Message::Hello => {
                 // A proxy of this agent drops all copies at first.
-                let in_touch = self.processes[upper].in_touch;
+                let connected = self.processes[upper].connected;
                 self.processes[upper].sessions.all.insert(connection, Session::default());
-                self.push_to(upper, connection, (0..self.asked).collect(), in_touch);
+                self.push_to(upper, connection, (0..self.requested_purges).collect(), connected);
             }
             Message::Renew { sent } => {
                 let Some(session) = self.processes[upper].sessions.all.get_mut(&connection) else { return };
@@ -175,7 +175,7 @@
     }
 
     /// What the lower side of a session hears; an agent hears nothing else while its proxies apply a purge.
-    pub fn hear_upper(&mut self, lower: usize, connection: usize, message: Message) {
+    pub fn handle_from_publisher(&mut self, lower: usize, connection: usize, message: Message) {
         if self.processes[lower].up != Some(connection) {
             return;
         }
@@ -183,26 +183,26 @@
             return self.processes[lower].waiting.push_back(message);
         }
         match message {
-            Message::Granted { sent, lasts } => {
+            Message::Granted { sent, duration } => {
                 let now = self.clock(lower);
-                let sent = if self.out == TakenOut::SentMoment { now } else { sent };
-                self.processes[lower].lease.renew(now, sent, lasts);
+                let sent = if self.disabled == Disabled::SendTime { now } else { sent };
+                self.processes[lower].lease.renew(now, sent, duration);
                 if Self::is_agent(lower) {
                     let until = self.processes[lower].lease.until();
-                    self.vouch_until(lower, until);
+                    self.set_lease_expiry(lower, until);
                 }
             }
-            Message::Push { number, purges, in_touch } => {
-                if !in_touch {
-                    self.lose_contact(lower);
+            Message::Push { number, purges, connected } => {
+                if !connected {
+                    self.disconnect(lower);
                 }
-                self.processes[lower].in_touch = in_touch;
+                self.processes[lower].connected = connected;
                 self.processes[lower].purges.extend(&purges);
                 if Self::is_agent(lower) {
-                    self.push(lower, &purges, in_touch);
+                    self.push(lower, &purges, connected);
                     self.processes[lower].applying = Some((number, self.due(lower)));
                 } else {
-                    self.say(lower, connection, Message::Applied(number));
+                    self.send(lower, connection, Message::Applied(number));
                 }
             }
             _ => {}
@@ -210,22 +210,22 @@
     }
 
     /// Agents whose proxies have taken a purge say so, and go on.
-    pub fn settle_agents(&mut self) {
+    pub fn complete_agents(&mut self) {
         for agent in CONTROLS..CONTROLS + AGENTS {
             if self.processes[agent].paused_until > self.now {
                 continue;
             }
-            self.settle_release(agent);
+            self.complete_release(agent);
             while let Some((number, due)) = self.processes[agent].applying.take() {
                 if !self.is_purged(agent, &due) {
                     self.processes[agent].applying = Some((number, due));
                     break;
                 }
                 let Some(connection) = self.processes[agent].up else { break };
-                self.say(agent, connection, Message::Applied(number));
+                self.send(agent, connection, Message::Applied(number));
                 while self.processes[agent].applying.is_none() {
                     let Some(next) = self.processes[agent].waiting.pop_front() else { break };
-                    self.hear_upper(agent, connection, next);
+                    self.handle_from_publisher(agent, connection, next);
                 }
             }
         }
@@ -237,7 +237,7 @@
             self.processes[at].up = None;
             self.processes[at].applying = None;
             self.processes[at].waiting.clear();
-            self.lose_contact(at);
+            self.disconnect(at);
         }
         let lower = self.connections[connection].ends[0];
         if self.processes[at].sessions.all.remove(&connection).is_some() && Self::is_agent(at) {
