--- a/control-plane/tests/members.rs
+++ b/control-plane/tests/members.rs
@@ -1,7 +1,7 @@
-//! Losses as close on each other as the promise allows, at cores of three, five and seven voters. A machine counts as
-//! lost while it does nothing, and for `sync` after its return; one that is removed, until its successor has had that
-//! time. Machines are lost at once where that allows it, also in the middle of a change of voters, and with slow disks.
-//! Never may those that are left be no majority, nor changes stop for long, nor anything acknowledged be lost.
+//! Losses as close to each other as the promise allows, in clusters of three, five and seven voters. A machine counts as lost
+//! while it does not run, and for `sync` after its return; a machine that is removed counts until its replacement has been
+//! running for `sync`. Machines are lost together where the promise allows it, also during a reconfiguration, and with slow
+//! disks. The remaining machines always have a quorum, changes never stop for long, and no acknowledged change is lost.
 //! A failing seed is named and replays exactly: `MEMBERS_SEED=n cargo test -p glenfall-control-plane --test members`;
 //! `MEMBERS_RUNS=n` plays more.
 
@@ -13,40 +13,40 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const PLAYED: Millis = 40_000;
-/// From the word to leave until a process is ended.
-const GRACE: Millis = 5300;
-/// Before the first loss: the core grows from its seeds.
-const QUIET: Millis = 3000;
-/// Changes go through at least so often, whatever is lost within the promise: for each machine that may be lost a
-/// silence of a second and the view that follows, all behind each other; and the views of a change of voters.
-const STOP: Millis = 1500;
-const STOP_EACH: Millis = 1500;
+const SIMULATED_TIME: Millis = 40_000;
+/// Time from the start of a drain until the process is stopped.
+const DRAIN_TIMEOUT: Millis = 5300;
+/// Time before the first loss, in which the first voters and standbys form the cluster.
+const START_PHASE: Millis = 3000;
+/// Longest time without a committed change: the views of a reconfiguration, and for each promised loss a second of failure
+/// detection and the view that follows, one after the other.
+const MAX_INTERRUPTION: Millis = 1500;
+const MAX_INTERRUPTION_PER_LOSS: Millis = 1500;
 
 /// A machine that counts as lost.
 enum Loss {
-    /// Its power goes until then, at times with its disk, and nothing is heard of it.
-    Silent { until: Millis },
-    /// It ends, and all notice; it starts again then.
+    /// It has no power until then, and may have lost its disk; its peers notice by the time-out.
+    PowerLoss { until: Millis },
+    /// Its process ends, which its peers notice at once, and restarts then.
     Killed { until: Millis },
-    /// It stands still, and goes on where it was.
-    Frozen { until: Millis },
-    /// For good. Its successor starts then, empty.
-    Removed { successor: u8, starts: Millis },
-    /// It leaves in order, and goes when nobody counts on it any more, by then at the latest. It starts again after so
-    /// long, or its successor has had its time already.
-    Leaves { until: Millis, again: Option<Millis> },
-    /// It is back, or its successor has started, since then.
+    /// Its process is stopped until then.
+    Stopped { until: Millis },
+    /// It is removed for good. Its replacement starts then, without a state.
+    Removed { replacement: u8, starts: Millis },
+    /// It drains, and stops when the chain does not need it any more, by then at the latest. It restarts after a time; `None`
+    /// where its replacement has been running for `sync` already.
+    Draining { until: Millis, restart_after: Option<Millis> },
+    /// It is back, or has started as a replacement, since then.
     Back { since: Millis },
 }
 
 struct Played {
-    /// From the start of each successor until the machine that was removed has lost its vote.
-    seated: Vec<Millis>,
-    /// The same from the return of a machine until it is in a chain again.
-    back: Vec<Millis>,
+    /// Times from the start of each replacement until the removed machine has no vote.
+    replaced_after: Vec<Millis>,
+    /// Times from the return of a machine until it is in a chain again.
+    readmitted_after: Vec<Millis>,
     changes: u64,
-    struck: u64,
+    losses: u64,
 }
 
 struct Play {
@@ -54,24 +54,24 @@
     world: World,
     rng: ChaCha8Rng,
     losses: BTreeMap<u8, Loss>,
-    /// Machines that were removed, and since when the successor of each runs.
+    /// Machines that were removed, and since when the replacement of each has been running.
     removed: BTreeMap<u8, Option<Millis>>,
-    /// Successors that have no seat yet, and since when they run.
+    /// Replacements that have no vote yet, and since when they have been running.
     waiting: BTreeMap<u8, Millis>,
-    /// A machine votes whose successor has had its time since it was removed.
+    /// A removed machine still has a vote, though its replacement has been running for `sync`.
     overdue: bool,
-    /// Machines that came back and are in no chain yet.
+    /// Machines that are back and in no chain yet, and since when.
     returning: BTreeMap<u8, Millis>,
-    /// The next machine to become a successor.
+    /// The next machine to become a replacement.
     next_spare: u8,
-    /// Machines that are to be removed as planned, and when: their successors have had their time by then.
+    /// Machines that are to be removed, and when: their replacements have been running for `sync` by then.
     planned: BTreeMap<u8, Millis>,
-    told: Played,
+    result: Played,
 }
 
 impl Play {
-    fn new(seed: u64, size: ClusterSize, terms: ChainSettings, slow: Millis) -> Self {
-        let mut world = World::with_settings(seed, size, terms);
+    fn new(seed: u64, size: ClusterSize, settings: ChainSettings, slow: Millis) -> Self {
+        let mut world = World::with_settings(seed, size, settings);
         for machine in &mut world.machines {
             machine.disk.sync_duration = slow / 2 + 1..slow.max(2) + 1;
         }
@@ -85,7 +85,12 @@
             returning: BTreeMap::new(),
             next_spare: size.voters() + 1,
             planned: BTreeMap::new(),
-            told: Played { seated: Vec::new(), back: Vec::new(), changes: 0, struck: 0 },
+            result: Played {
+                replaced_after: Vec::new(),
+                readmitted_after: Vec::new(),
+                changes: 0,
+                losses: 0,
+            },
             world,
         }
     }
@@ -99,15 +104,15 @@
         self.world.chain(n).map(|chain| chain.members().clone())
     }
 
-    /// One more machine is lost: one that counts, or that stands by.
-    fn strike(&mut self) {
+    /// One more machine is lost, a voter or a standby.
+    fn lose_machine(&mut self) {
         let now = self.world.now;
         let candidates: Vec<u8> =
             self.world.nodes().filter(|n| self.runs(*n) && !self.losses.contains_key(n)).collect();
         if candidates.is_empty() {
             return;
         }
-        // Whoever is the head, or the proposer, is met more often.
+        // The head, which is often the proposer as well, is lost more often.
         let n = if self.rng.random_bool(0.3) {
             candidates[0]
         } else {
@@ -119,34 +124,37 @@
         let spare = self.next_spare <= self.world.size.nodes() && !self.planned.contains_key(&n);
         let loss = match self.rng.random_range(0..11) {
             8 if spare && votes => {
-                let successor = self.next_spare;
+                let replacement = self.next_spare;
                 self.next_spare += 1;
-                self.world.power_on(successor);
-                // Whoever is in its time of starting counts as a loss; the one that it follows does not.
-                self.losses.insert(successor, Loss::Back { since: now });
+                self.world.power_on(replacement);
+                // A machine that starts counts as a loss; the one that it will replace does not.
+                self.losses.insert(replacement, Loss::Back { since: now });
                 self.planned.insert(n, now + self.world.settings.sync);
-                self.told.struck += 1;
+                self.result.losses += 1;
                 return;
             }
-            9 | 10 => Loss::Leaves { until: now + GRACE, again: Some(self.rng.random_range(100..3000)) },
+            9 | 10 => Loss::Draining {
+                until: now + DRAIN_TIMEOUT,
+                restart_after: Some(self.rng.random_range(100..3000)),
+            },
             0..=3 if spare && votes => {
-                let successor = self.next_spare;
+                let replacement = self.next_spare;
                 self.next_spare += 1;
                 let at_once = self.rng.random_bool(0.5);
                 let starts = now + if at_once { 0 } else { self.rng.random_range(0..6000) };
-                Loss::Removed { successor, starts }
+                Loss::Removed { replacement, starts }
             }
-            0 | 4 => Loss::Silent { until },
+            0 | 4 => Loss::PowerLoss { until },
             5 => Loss::Killed { until: now + self.rng.random_range(100..3000) },
-            _ => Loss::Frozen { until },
+            _ => Loss::Stopped { until },
         };
-        self.told.struck += 1;
+        self.result.losses += 1;
         match loss {
             Loss::Killed { .. } => self.world.kill(n),
-            Loss::Silent { .. } => self.world.power_off(n, wipe),
+            Loss::PowerLoss { .. } => self.world.power_off(n, wipe),
             Loss::Removed { .. } => self.world.power_off(n, true),
-            Loss::Leaves { .. } => self.world.with_chain(n, Chain::leave),
-            Loss::Frozen { .. } | Loss::Back { .. } => self.world.pause(n, 2 * PLAYED),
+            Loss::Draining { .. } => self.world.with_chain(n, Chain::leave),
+            Loss::Stopped { .. } | Loss::Back { .. } => self.world.pause(n, 2 * SIMULATED_TIME),
         }
         if matches!(loss, Loss::Removed { .. }) {
             self.removed.insert(n, None);
@@ -154,8 +162,8 @@
         self.losses.insert(n, loss);
     }
 
-    /// One or two operators, each at a machine that runs, and a reader.
-    fn operate(&mut self) {
+    /// One or two operators send a change, and one reads, each at a machine that runs.
+    fn send_calls(&mut self) {
         let running: Vec<u8> = self.world.nodes().filter(|n| self.runs(*n)).collect();
         for _ in 0..self.rng.random_range(1..=2) {
             let n = running[self.rng.random_range(0..running.len())];
@@ -166,39 +174,39 @@
         self.world.read(n);
     }
 
-    /// What time brings to those that are lost.
-    fn mend(&mut self) {
+    /// Brings lost machines back whose time has come.
+    fn recover(&mut self) {
         let (now, sync) = (self.world.now, self.world.settings.sync);
         let lost: Vec<u8> = self.losses.keys().copied().collect();
         for n in lost {
             let back = match &self.losses[&n] {
-                Loss::Silent { until } | Loss::Killed { until } if now >= *until => {
+                Loss::PowerLoss { until } | Loss::Killed { until } if now >= *until => {
                     self.world.power_on(n);
                     true
                 }
-                Loss::Frozen { until } if now >= *until => {
+                Loss::Stopped { until } if now >= *until => {
                     self.world.pause(n, 0);
                     true
                 }
-                Loss::Removed { successor, starts } if now >= *starts => {
-                    let successor = *successor;
+                Loss::Removed { replacement, starts } if now >= *starts => {
+                    let replacement = *replacement;
                     self.world.machine(n).removed = true;
-                    self.world.power_on(successor);
-                    self.waiting.insert(successor, now);
+                    self.world.power_on(replacement);
+                    self.waiting.insert(replacement, now);
                     self.removed.insert(n, Some(now));
-                    // Until it has had its time it counts, in the place of the one before it.
-                    self.losses.insert(successor, Loss::Back { since: now });
+                    // The replacement counts as a loss in place of the removed machine until it has been running for `sync`.
+                    self.losses.insert(replacement, Loss::Back { since: now });
                     self.losses.remove(&n);
                     false
                 }
-                Loss::Leaves { until, again } => {
-                    let (until, again) = (*until, *again);
+                Loss::Draining { until, restart_after } => {
+                    let (until, restart_after) = (*until, *restart_after);
                     if now < until && self.world.chain(n).is_some_and(Chain::is_needed) {
                         continue;
                     }
-                    assert!(now < until, "seed {}: {n} is counted on when its time is over", self.seed);
+                    assert!(now < until, "seed {}: {n} is still needed when its time is over", self.seed);
                     self.world.kill(n);
-                    match again {
+                    match restart_after {
                         Some(after) => self.losses.insert(n, Loss::Killed { until: now + after }),
                         None => {
                             self.world.machine(n).removed = true;
@@ -221,19 +229,19 @@
         }
     }
 
-    /// Those that are to be removed as planned leave, as soon as the promise allows.
-    fn leave_as_planned(&mut self) {
+    /// Drains the machines that are to be removed, as soon as the promise allows.
+    fn drain_as_planned(&mut self) {
         let now = self.world.now;
         let due = |(n, at): (&u8, &Millis)| (now >= *at && !self.losses.contains_key(n)).then_some(*n);
         let Some(n) = self.planned.iter().find_map(due) else { return };
         if self.losses.len() < usize::from(self.world.size.losses) {
             self.planned.remove(&n);
             self.world.with_chain(n, Chain::leave);
-            self.losses.insert(n, Loss::Leaves { until: now + GRACE, again: None });
+            self.losses.insert(n, Loss::Draining { until: now + DRAIN_TIMEOUT, restart_after: None });
         }
     }
 
-    /// Those that run and have a vote are a majority of whoever counts by the newest view that any of them accepted.
+    /// The running machines with a vote are a quorum, by the newest view that any of them has accepted.
     fn check_majority(&self) {
         let running: Vec<u8> = self.world.nodes().filter(|n| self.runs(*n)).collect();
         let disk = |n: &u8| self.world.machines[usize::from(*n) - 1].disk.durable.as_ref();
@@ -253,7 +261,7 @@
         );
     }
 
-    fn note_seats(&mut self) {
+    fn record_votes(&mut self) {
         let now = self.world.now;
         let views: Vec<_> = self
             .world
@@ -263,22 +271,22 @@
             .collect();
         let Some(view) = views.into_iter().max_by_key(|view| view.number).cloned() else { return };
         let members = &view.members;
-        // Whose seat it takes is the core's own affair, and a machine that came back may have been before it.
-        let overdue = |(n, successor): (&u8, &Option<Millis>)| {
+        // The chain decides which voter a standby replaces, and a machine that is back may have been first.
+        let overdue = |(n, replacement): (&u8, &Option<Millis>)| {
             members.contains(node(*n))
-                && successor.is_some_and(|since| now >= since + self.world.settings.sync)
+                && replacement.is_some_and(|since| now >= since + self.world.settings.sync)
         };
         self.overdue = self.removed.iter().any(overdue);
         let takes =
-            |successor: &u8| members.voters.contains(&node(*successor)) && members.outgoing.is_empty();
-        self.waiting.retain(|successor, _| !takes(successor));
+            |replacement: &u8| members.voters.contains(&node(*replacement)) && members.outgoing.is_empty();
+        self.waiting.retain(|replacement, _| !takes(replacement));
         let out = |n: &u8| !members.contains(node(*n)) && members.outgoing.is_empty();
-        let seated = &mut self.told.seated;
-        self.removed.retain(|n, successor| {
-            seated.extend(successor.filter(|_| out(n)).map(|since| now - since));
-            successor.is_none() || !out(n)
+        let replaced_after = &mut self.result.replaced_after;
+        self.removed.retain(|n, replacement| {
+            replaced_after.extend(replacement.filter(|_| out(n)).map(|since| now - since));
+            replacement.is_none() || !out(n)
         });
-        let back = &mut self.told.back;
+        let back = &mut self.result.readmitted_after;
         self.returning.retain(|n, since| {
             let in_chain = view.chain.contains(&node(*n));
             if in_chain {
@@ -288,13 +296,13 @@
         });
     }
 
-    /// Within the time that makes losses of those that are new, or back, no losses any more.
+    /// Replacements have a vote, and returned machines are in a chain, within the time in which they count as losses.
     fn check_times(&self) {
         let (now, sync) = (self.world.now, self.world.settings.sync);
         for (n, since) in self.waiting.iter().filter(|_| self.overdue).chain(&self.returning) {
             assert!(
                 now < since + sync,
-                "seed {}: at {now} machine {n} has no place after {sync} ms\n{}",
+                "seed {}: at {now} machine {n} has no vote or is in no chain after {sync} ms\n{}",
                 self.seed,
                 self.world.describe()
             );
@@ -303,44 +311,46 @@
 
     fn run(mut self) -> Played {
         let size = self.world.size;
-        let mut next = QUIET;
+        let mut next = START_PHASE;
         let (mut done, mut done_at) = (0, 0);
-        while self.world.now < PLAYED {
+        while self.world.now < SIMULATED_TIME {
             if let Err(violation) = self.world.step() {
                 panic!("seed {}: {violation}\n{}", self.seed, self.world.describe());
             }
             let now = self.world.now;
-            self.mend();
-            self.leave_as_planned();
+            self.recover();
+            self.drain_as_planned();
             if now >= next && self.losses.len() < usize::from(size.losses) {
-                self.strike();
-                // The next one comes as soon as it may, or somewhere in the middle of the mending.
+                self.lose_machine();
+                // The next loss happens as soon as the promise allows, or during the repair.
                 next = now + if self.rng.random_bool(0.3) { 0 } else { self.rng.random_range(0..4000) };
             }
             if now.is_multiple_of(100) {
-                self.operate();
+                self.send_calls();
             }
             if self.world.committed.len() > done {
                 (done, done_at) = (self.world.committed.len(), now);
             }
-            self.note_seats();
+            self.record_votes();
             self.check_times();
-            if now > QUIET {
+            if now > START_PHASE {
                 self.check_majority();
                 assert!(
-                    now < done_at.max(QUIET) + STOP + STOP_EACH * Millis::from(size.losses),
+                    now < done_at.max(START_PHASE)
+                        + MAX_INTERRUPTION
+                        + MAX_INTERRUPTION_PER_LOSS * Millis::from(size.losses),
                     "seed {}: no change since {done_at}, now {now}\n{}",
                     self.seed,
                     self.world.describe()
                 );
             }
         }
-        self.told.changes = self.world.coverage.changes;
-        self.told
+        self.result.changes = self.world.coverage.changes;
+        self.result
     }
 }
 
-/// Cores of three, five and seven voters, on quick and on slow disks, and what `syncS` they are told.
+/// Simulates a cluster of three, five or seven voters, with fast or slow disks, and a `syncS` that suffices for it.
 fn play(seed: u64) -> (u8, Millis, Played) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
     let losses = (seed % 3) as u8 + 1;
@@ -348,8 +358,8 @@
     // For what is not promised on these disks see the table of worst cases.
     let sync = rng.random_range(4..=6) * 1000;
     let size = ClusterSize { losses, spare: 6 };
-    let terms = ChainSettings { sync, ..size.settings() };
-    (losses, sync, Play::new(seed, size, terms, slow).run())
+    let settings = ChainSettings { sync, ..size.settings() };
+    (losses, sync, Play::new(seed, size, settings, slow).run())
 }
 
 fn number(variable: &str) -> Option<u64> {
@@ -357,22 +367,22 @@
 }
 
 #[test]
-fn a_loss_as_soon_as_the_promise_allows_leaves_a_majority_and_loses_nothing() {
+fn losses_as_close_as_promised_leave_a_quorum_and_lose_no_change() {
     let mut longest: BTreeMap<(u8, Millis), (Vec<Millis>, Millis)> = BTreeMap::new();
     let mut note = |(losses, sync, played): (u8, Millis, Played)| {
         let entry = longest.entry((losses, sync)).or_default();
-        entry.0.extend(&played.seated);
-        entry.1 = played.back.iter().copied().max().unwrap_or(0).max(entry.1);
-        (played.changes, played.struck)
+        entry.0.extend(&played.replaced_after);
+        entry.1 = played.readmitted_after.iter().copied().max().unwrap_or(0).max(entry.1);
+        (played.changes, played.losses)
     };
     if let Some(seed) = number("MEMBERS_SEED") {
-        let (changes, struck) = note(play(seed));
-        println!("seed {seed}: {changes} changes, {struck} losses, {longest:?}");
+        let (changes, losses) = note(play(seed));
+        println!("seed {seed}: {changes} changes, {losses} losses, {longest:?}");
         return;
     }
     let runs = number("MEMBERS_RUNS").unwrap_or(1600);
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
-    let (mut changes, mut struck) = (0, 0);
+    let (mut changes, mut losses) = (0, 0);
     std::thread::scope(|scope| {
         let part = |first| {
             scope.spawn(move || (first..runs).step_by(threads as usize).map(play).collect::<Vec<_>>())
@@ -382,19 +392,19 @@
             for played in part.join().expect("a schedule failed; see above") {
                 let (c, s) = note(played);
                 changes += c;
-                struck += s;
+                losses += s;
             }
         }
     });
-    println!("{changes} changes acknowledged, {struck} losses");
-    for ((losses, sync), (mut seated, back)) in longest {
-        seated.sort();
-        let (seats, last) = (seated.len(), seated.last().copied().unwrap_or(0));
-        let nearly = seated.get(seats * 99 / 100).copied().unwrap_or(0);
-        let over = seated.iter().filter(|took| **took > sync).count();
+    println!("{changes} changes acknowledged, {losses} losses");
+    for ((losses, sync), (mut replaced_after, back)) in longest {
+        replaced_after.sort();
+        let (seats, last) = (replaced_after.len(), replaced_after.last().copied().unwrap_or(0));
+        let nearly = replaced_after.get(seats * 99 / 100).copied().unwrap_or(0);
+        let over = replaced_after.iter().filter(|took| **took > sync).count();
         println!("losses {losses}, syncS {sync} ms: {seats} removed, 99 % without a vote after {nearly} ms, the last after {last}, {over} later than syncS; back after {back} ms at most");
     }
-    assert!(changes > runs * 50 && struck > runs * 5, "{changes} changes, {struck} losses");
+    assert!(changes > runs * 50 && losses > runs * 5, "{changes} changes, {losses} losses");
 }
 
 #[test]
@@ -408,27 +418,28 @@
                     world.step().expect("no property is broken");
                 }
             };
-            until(&mut world, QUIET);
+            until(&mut world, START_PHASE);
             assert!(world.in_one_view());
-            // The first in order of address, which is the head.
+            // The machine with the lowest address, which is the head.
             world.power_off(1, false);
             until(&mut world, 17_000);
             world.power_on(1);
-            // One that is whole hears it later than the others do.
-            let late = size.voters();
-            world.partition(1, late, 400);
+            // A healthy machine reaches it later than the others do.
+            let late_to_connect = size.voters();
+            world.partition(1, late_to_connect, 400);
             while world.now < 20_000 {
                 world.step().expect("no property is broken");
                 for n in 2..=size.voters() {
-                    let view = world.chain(n).and_then(|chain| chain.view().cloned()).expect("a view stands");
+                    let view =
+                        world.chain(n).and_then(|chain| chain.view().cloned()).expect("a view has started");
                     assert!(
-                        view.chain.contains(&node(late)),
-                        "seed {seed}: {late} is left out of {}",
+                        view.chain.contains(&node(late_to_connect)),
+                        "seed {seed}: {late_to_connect} is excluded from {}",
                         view.name()
                     );
                 }
             }
-            assert!(world.in_one_view(), "seed {seed}: it is taken in");
+            assert!(world.in_one_view(), "seed {seed}: the machine is back in the chain");
         }
     }
 }
