--- a/glenfall/src/control/node.rs
+++ b/glenfall/src/control/node.rs
@@ -54,6 +54,14 @@
     shutting_down: watch::Sender<bool>,
 }
 
+/// The parts that most others use.
+struct SharedParts {
+    clock: Clock,
+    peers: Peers,
+    sessions: Rc<Sessions>,
+    chain: Rc<ChainDriver>,
+}
+
 /// The addresses of the seed nodes in the settings.
 pub fn seed_addresses(settings: &Settings) -> Vec<Ipv4Addr> {
     settings.seed_nodes.iter().map(|seed| *seed.ip()).collect()
@@ -121,19 +129,18 @@
         };
         let required_disks = settings.survive.hosts + 1;
         let purges = PurgeCoordinator::new(purge_dependencies, purge_log, logged_purges, required_disks);
-        Ok(Control::assemble(settings, clock, peers, sessions, chain, leases, purges))
+        let shared = SharedParts { clock, peers, sessions, chain };
+        Ok(Control::assemble(settings, shared, leases, purges))
     }
 
     /// Adds the parts that begin without any stored state.
     fn assemble(
         settings: Rc<Settings>,
-        clock: Clock,
-        peers: Peers,
-        sessions: Rc<Sessions>,
-        chain: Rc<ChainDriver>,
+        shared: SharedParts,
         leases: Rc<VoterLeaseManager>,
         purges: PurgeCoordinator,
     ) -> Control {
+        let SharedParts { clock, peers, sessions, chain } = shared;
         let registry = Rc::new(ServerRegistry::new(clock, settings.beat_ms));
         let quorum_reads = Rc::new(QuorumReads::new(Rc::clone(&chain)));
         let fleet = Rc::new(FleetPublisher::new(
