--- a/control-plane/tests/chain.rs
+++ b/control-plane/tests/chain.rs
@@ -1,7 +1,6 @@
-//! The chain on a simulated network and disk, under fixed seeds: links that delay, break and mend, cuts, freezes
-//! and power losses of single nodes and of all, wiped disks, two operators who race, and voters that are replaced.
-//! Cores of three, five and seven, each with machines that stand by, and disks lost of as many as the core is to
-//! outlive. A failing seed is named and replays exactly: `CHAIN_SEED=n cargo test -p glenfall-control-plane --test chain`.
+//! The chain on a simulated network and disk, under fixed seeds: links that delay, fail and recover, partitions, stopped
+//! processes, power losses of single nodes and of all, wiped disks, two operators whose changes race, and voters that are
+//! replaced. Clusters have three, five and seven voters with standbys, and lose as many disks as promised. A failing seed is named and replays exactly: `CHAIN_SEED=n cargo test -p glenfall-control-plane --test chain`.
 //! `CHAIN_RUNS=n` plays more.
 
 use std::collections::VecDeque;
@@ -135,41 +134,42 @@
             world.run_operators();
         }
     }
-    let ask = |world: &mut World, at: u8, seat| {
-        // The last change may not have come to this node yet.
+    let request = |world: &mut World, at: u8, change| {
+        // This node may not know of the last change yet.
         let until = world.now + 1000;
-        let told = loop {
+        let result = loop {
             let now = world.now;
             let chain = world.machine(at).chain.as_mut().expect("it runs");
-            let told = chain.request_voter_change(now, seat);
-            if !matches!(told, Err(VoterChangeError::NoView | VoterChangeError::UnderWay)) || now >= until {
+            let result = chain.request_voter_change(now, change);
+            if !matches!(result, Err(VoterChangeError::NoView | VoterChangeError::UnderWay)) || now >= until {
                 assert!(
-                    told.is_err() || chain.request_voter_change(now, seat) == Err(VoterChangeError::UnderWay)
+                    result.is_err()
+                        || chain.request_voter_change(now, change) == Err(VoterChangeError::UnderWay)
                 );
-                break told;
+                break result;
             }
             step(world);
         };
-        told.map(|voters| voters.into_iter().map(|voter| voter.octets()[3]).collect::<Vec<u8>>())
+        result.map(|voters| voters.into_iter().map(|voter| voter.octets()[3]).collect::<Vec<u8>>())
     };
     await_voters(&mut world, 1, &[1, 2, 3]);
-    assert_eq!(ask(&mut world, 1, VoterChange::Add(node(2))), Err(VoterChangeError::Votes(node(2))));
-    assert_eq!(ask(&mut world, 1, VoterChange::Add(node(9))), Err(VoterChangeError::NotThere(node(9))));
-    assert_eq!(ask(&mut world, 1, VoterChange::Remove(node(4))), Err(VoterChangeError::NoVoter(node(4))));
+    assert_eq!(request(&mut world, 1, VoterChange::Add(node(2))), Err(VoterChangeError::Votes(node(2))));
+    assert_eq!(request(&mut world, 1, VoterChange::Add(node(9))), Err(VoterChangeError::NotThere(node(9))));
+    assert_eq!(request(&mut world, 1, VoterChange::Remove(node(4))), Err(VoterChangeError::NoVoter(node(4))));
     assert_eq!(
-        ask(&mut world, 4, VoterChange::Remove(node(1))),
+        request(&mut world, 4, VoterChange::Remove(node(1))),
         Err(VoterChangeError::NoView),
         "it has no vote"
     );
-    // One of three goes: its place is taken by one that stands by, also where it is the one that is asked.
-    assert_eq!(ask(&mut world, 2, VoterChange::Remove(node(2))), Ok(vec![1, 3, 4]));
+    // One of three voters is removed: a standby replaces it, also where the request is sent to the removed voter.
+    assert_eq!(request(&mut world, 2, VoterChange::Remove(node(2))), Ok(vec![1, 3, 4]));
     await_voters(&mut world, 1, &[1, 3, 4]);
-    assert_eq!(ask(&mut world, 3, VoterChange::Add(node(5))), Ok(vec![1, 3, 4, 5]));
+    assert_eq!(request(&mut world, 3, VoterChange::Add(node(5))), Ok(vec![1, 3, 4, 5]));
     await_voters(&mut world, 1, &[1, 3, 4, 5]);
-    // More than are needed: one may go without another in its place.
-    assert_eq!(ask(&mut world, 1, VoterChange::Remove(node(3))), Ok(vec![1, 4, 5]));
+    // There are more voters than needed: one is removed without a replacement.
+    assert_eq!(request(&mut world, 1, VoterChange::Remove(node(3))), Ok(vec![1, 4, 5]));
     await_voters(&mut world, 4, &[1, 4, 5]);
-    // Nobody stands by.
+    // There is no standby.
     for n in 2..=3 {
         world.power_off(n, false);
     }
@@ -177,7 +177,7 @@
         step(&mut world);
     }
     let refused = VoterChangeError::NobodyStandsBy { left: 2, needed: 3, losses: 1 };
-    assert_eq!(ask(&mut world, 1, VoterChange::Remove(node(5))), Err(refused));
+    assert_eq!(request(&mut world, 1, VoterChange::Remove(node(5))), Err(refused));
     let done = world.coverage.changes;
     for _ in 0..100 {
         step(&mut world);
@@ -200,10 +200,10 @@
     world.remove(3);
     world.power_on(4);
     until(&mut world, 2900);
-    // The successor is added, in place of taking the seat that is free.
+    // The standby is added, and does not replace the lost voter.
     world.request_voter_change(1, VoterChange::Add(node(4)));
     await_voters(&mut world, 1, &[1, 2, 3, 4]);
-    // As soon as the lost one counts no more, another disk may be lost.
+    // When the lost voter no longer counts, another disk may be lost.
     until(&mut world, 5500);
     await_voters(&mut world, 1, &[1, 2, 4]);
 }
@@ -226,8 +226,8 @@
         let rev = number(rng);
         let newest = if rng.random_bool(0.1) { number(rng) } else { rev };
         let order = AppliedOrder { rev: newest, key: IdempotencyKey([1; 32]) };
-        let taken = DeduplicationTable::listed(number(rng), &[order]).expect("one order rises");
-        Arc::new(Record { seq: number(rng), rev, document, applied_orders: taken })
+        let applied_orders = DeduplicationTable::listed(number(rng), &[order]).expect("one order rises");
+        Arc::new(Record { seq: number(rng), rev, document, applied_orders })
     };
     let members = |rng: &mut ChaCha8Rng| JointConfig { voters: nodes(rng), outgoing: nodes(rng) };
     let view = |rng: &mut ChaCha8Rng| View { number: number(rng), chain: nodes(rng), members: members(rng) };
@@ -383,9 +383,10 @@
     let update = Message::Update { view: 4 << 32, entry: Arc::new(entry) };
     let outputs = outputs_for(&mut chain, 3, 1, update);
     assert!(outputs.contains(&Output::Publish(record(6))), "{outputs:?}");
-    let told = outputs_for(&mut chain, 4, 2, Message::StartView { view: View { number: 4 << 32, ..middle } });
+    let result =
+        outputs_for(&mut chain, 4, 2, Message::StartView { view: View { number: 4 << 32, ..middle } });
     let publishes_next = |output: &Output| matches!(output, Output::Publish(record) if record.seq == 7);
-    assert!(!told.iter().any(publishes_next), "{told:?}");
+    assert!(!result.iter().any(publishes_next), "{result:?}");
 }
 
 #[test]
@@ -404,7 +405,7 @@
         chain.peer_up(0, node(peer));
         chain.message(0, node(peer), heartbeat([1, 5 - peer], false));
     }
-    // It proposes a view, and its own disk is slow; 3 promises, and 2 says nothing.
+    // The node proposes a view, and its own disk is slow. Node 3 promises, and node 2 does not answer.
     let mut syncs = Vec::new();
     let mut view = None;
     for now in (0..200).step_by(20) {
@@ -424,7 +425,7 @@
         record: Arc::default(),
     };
     assert_eq!(chain.message(200, node(3), promise), []);
-    // 3 loses its disk, and with it what it promised since; it is back at once.
+    // Node 3 loses its disk, and with it later promises, and is back at once.
     chain.peer_down(210, node(3));
     chain.peer_up(220, node(3));
     chain.message(220, node(3), heartbeat([1, 2], true));
@@ -447,7 +448,7 @@
         HardState { members: members.clone(), votes: true, promised: 1, accepted: 1, record: record(6) };
     let mut chain = Chain::new(node(1), SMALL.settings(), Start::Kept(disk));
     let view = View { number: 5 << 32, chain: seeds(), members: members.clone() };
-    // 4 had the place of 1 in an older view, and has heard of nothing since.
+    // Node 4 was in an older view in place of node 1, and has received nothing since.
     let old = View { number: 3 << 32, chain: [2, 3, 4].map(node).to_vec(), ..view.clone() };
     let beats = |chain: &mut Chain, now| {
         for (peer, view) in [(2, &view), (3, &view), (4, &old)] {
@@ -467,7 +468,7 @@
     outputs_for(&mut chain, 10, 2, Message::Install { view: view.clone(), record: record(6) });
     outputs_for(&mut chain, 20, 2, Message::StartView { view: view.clone() });
     beats(&mut chain, 30);
-    // A link is lost for a moment: the others may not have noticed, or see all whole again.
+    // A link is lost for a moment: the others may not have noticed, or see all links up again.
     chain.peer_down(50, node(2));
     chain.peer_up(60, node(2));
     let mut proposes = false;
--- a/control-plane/tests/deduplication.rs
+++ b/control-plane/tests/deduplication.rs
@@ -1,5 +1,6 @@
-//! Orders that are sent again, late, twice at once, to any node and across views and voters, and orders that share a
-//! number. One record alone first, then the chain on a network without delay, whose messages pass through their wire form.
+//! Orders that are retried retried, concurrently, at any node and across views and reconfigurations, and orders that make the
+//! same version. The first tests use one record alone, the others a chain on a network without delay, whose messages are
+//! encoded and decoded.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
@@ -20,8 +21,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The least number of further changes that an order is known through.
-const HORIZON: usize = MAX_APPLIED_ORDERS - CHUNK;
+/// Number of later orders after which the key of an order is still in the table, at least.
+const MIN_RETAINED: usize = MAX_APPLIED_ORDERS - CHUNK;
 
 type Order = (u64, ConfigChange);
 
@@ -33,10 +34,10 @@
     (builds_on, ConfigChange::Patch(format!("{{\"rev\":{rev},\"upsert\":{{\"note\":{note}}}}}").into_bytes()))
 }
 
-fn take(record: &mut Record, order: &Order) {
+fn apply(record: &mut Record, order: &Order) {
     match record.decide(order.0, &order.1) {
         Decision::New(entry) => *record = record.after(&entry),
-        other => panic!("{other:?}: {order:?} upon {}", record.rev),
+        other => panic!("{other:?}: {order:?} on version {}", record.rev),
     }
 }
 
@@ -44,11 +45,11 @@
     record.decide(order.0, &order.1)
 }
 
-/// A PUT and a PATCH in turn, each upon the one before, two versions apart.
-fn further(record: &mut Record, changes: usize) {
+/// Applies PUTs and PATCHes in turn, each on the one before, two versions apart.
+fn apply_orders(record: &mut Record, changes: usize) {
     for n in 0..changes {
         let (rev, make) = (record.rev, if n % 2 == 0 { put } else { patch });
-        take(record, &make(rev, rev + 2, 0));
+        apply(record, &make(rev, rev + 2, 0));
     }
 }
 
@@ -56,16 +57,16 @@
 fn an_order_is_recognised_through_thousands_of_changes_and_never_rejected_after_that() {
     for make in [put, patch] {
         let mut record = Record::default();
-        further(&mut record, 3);
+        apply_orders(&mut record, 3);
         let order = make(record.rev, record.rev + 3, 7);
-        take(&mut record, &order);
+        apply(&mut record, &order);
         let rev = record.rev;
         let mut made = 0;
-        for after in [0, 1, 64, 65, 1000, HORIZON] {
-            further(&mut record, after - made);
+        for after in [0, 1, 64, 65, 1000, MIN_RETAINED] {
+            apply_orders(&mut record, after - made);
             made = after;
             assert_eq!(decide(&record, &order), Decision::AlreadyApplied { rev }, "after {after}");
-            // Another one with its number is never confirmed: by the other method, of other content, upon another version.
+            // Another order that makes the same version is never confirmed, whether it differs in method, content or base version.
             let others = [put(order.0, rev, 8), patch(order.0, rev, 8), put(order.0 - 1, rev, 7)];
             let other_method = if matches!(order.1, ConfigChange::Put(_)) { patch } else { put };
             for other in others.iter().chain([&other_method(order.0, rev, 7)]) {
@@ -73,15 +74,15 @@
             }
         }
         for after in [MAX_APPLIED_ORDERS, 5000, 9000] {
-            further(&mut record, after - made);
+            apply_orders(&mut record, after - made);
             made = after;
             let up_to = record.applied_orders.forgotten_up_to();
             assert!(up_to >= rev && record.applied_orders.len() <= MAX_APPLIED_ORDERS);
             assert_eq!(decide(&record, &order), Decision::Expired { up_to }, "after {after}");
             assert_eq!(decide(&record, &put(order.0, rev, 8)), Decision::Expired { up_to });
-            // What never made a version is told so, however old.
-            let refused = InvalidConfig::OldVersion { current: record.rev, got: rev };
-            assert_eq!(decide(&record, &put(record.rev, rev, 7)), Decision::Invalid(refused));
+            // An order that makes no version is rejected, however old it is.
+            let rejected = InvalidConfig::OldVersion { current: record.rev, got: rev };
+            assert_eq!(decide(&record, &put(record.rev, rev, 7)), Decision::Invalid(rejected));
             assert_eq!(decide(&record, &put(rev, rev, 7)), Decision::Stale { current: record.rev });
         }
     }
@@ -96,7 +97,7 @@
             assert!(keys.insert(IdempotencyKey::of(builds_on, &ConfigChange::Patch(body.to_vec())).0));
         }
     }
-    // The same in all versions, as it is kept on disk: SHA-256 of "PATCH", 258 in eight bytes and the body.
+    // Keys are stored on disk, and must be the same in all versions of the program: SHA-256 of "PATCH", 258 in eight bytes and the body.
     let key = IdempotencyKey::of(258, &ConfigChange::Patch(b"{\"rev\":260}".to_vec()));
     assert_eq!(key.to_string(), "57f92f777dc32a89bab1162fa292d5f2236aa33528bd3fb3ed58a2cf30e5b2f9");
     assert_eq!(key.to_string().parse(), Ok(key));
@@ -108,9 +109,9 @@
 fn a_patch_with_two_versions_is_identified_by_the_one_that_counts() {
     let mut record = Record::default();
     let twice = (0, ConfigChange::Patch(b"{\"rev\":3,\"upsert\":{},\"rev\":4}".to_vec()));
-    take(&mut record, &twice);
+    apply(&mut record, &twice);
     assert_eq!((record.rev, decide(&record, &twice)), (4, Decision::AlreadyApplied { rev: 4 }));
-    further(&mut record, 5000);
+    apply_orders(&mut record, 5000);
     let up_to = record.applied_orders.forgotten_up_to();
     assert_eq!(decide(&record, &twice), Decision::Expired { up_to });
 }
@@ -118,21 +119,21 @@
 #[test]
 fn an_order_that_a_restored_record_may_have_lost_is_neither_confirmed_nor_rejected() {
     let mut record = Record::default();
-    further(&mut record, 4);
+    apply_orders(&mut record, 4);
     let known = put(8, 10, 1);
-    take(&mut record, &known);
+    apply(&mut record, &known);
     let mut lost = record.clone();
     let orders = [put(10, 12, 1), patch(12, 13, 1)];
     for order in &orders {
-        take(&mut lost, order);
+        apply(&mut lost, order);
     }
-    // The backup was made before the last two; who restores it says that versions up to 13 were acknowledged.
+    // The backup was made before the last two orders; the operator states that versions up to 13 were acknowledged.
     record.applied_orders.forget_up_to(13);
     for order in orders.iter().chain([&put(10, 12, 2), &patch(10, 13, 2)]) {
         assert_eq!(decide(&record, order), Decision::Expired { up_to: 13 });
     }
     assert_eq!(decide(&record, &known), Decision::AlreadyApplied { rev: 10 });
-    take(&mut record, &put(10, 14, 1));
+    apply(&mut record, &put(10, 14, 1));
     assert_eq!(decide(&record, &orders[0]), Decision::Expired { up_to: 13 });
     assert_eq!(decide(&record, &put(10, 15, 1)), Decision::Stale { current: 14 });
 }
@@ -142,19 +143,19 @@
     let mut record = Record { rev: u64::MAX - (1 << 20), ..Record::default() };
     let mut longest = 0;
     for _ in 0..MAX_APPLIED_ORDERS + CHUNK + 1 {
-        further(&mut record, 1);
+        apply_orders(&mut record, 1);
         longest = longest.max(record.applied_orders.len());
     }
     assert_eq!(longest, MAX_APPLIED_ORDERS);
     for changes in [0, 1, CHUNK - 1, CHUNK, 1000] {
-        further(&mut record, changes);
-        let told = postcard::to_stdvec(&record.applied_orders).unwrap();
-        assert!(told.len() <= 176_000, "{} bytes", told.len());
-        assert_eq!(postcard::from_bytes::<DeduplicationTable>(&told).unwrap(), record.applied_orders);
+        apply_orders(&mut record, changes);
+        let bytes = postcard::to_stdvec(&record.applied_orders).unwrap();
+        assert!(bytes.len() <= 176_000, "{} bytes", bytes.len());
+        assert_eq!(postcard::from_bytes::<DeduplicationTable>(&bytes).unwrap(), record.applied_orders);
     }
-    // Most of it is shared with the record before.
+    // Most chunks are shared with the record before.
     let mut next = record.clone();
-    further(&mut next, 1);
+    apply_orders(&mut next, 1);
     let shared = |(one, other): (&Arc<_>, &Arc<_>)| Arc::ptr_eq(one, other);
     assert!(record.applied_orders.full_chunks().iter().zip(next.applied_orders.full_chunks()).all(shared));
     let order = |rev| AppliedOrder { rev, key: IdempotencyKey([0; 32]) };
@@ -176,10 +177,10 @@
             ConfigChange::Patch(format!(r#"{{"rev":{rev},"upsert":{{"{name}":"{text}"}}}}"#).into_bytes()),
         )
     };
-    further(&mut record, MAX_APPLIED_ORDERS);
+    apply_orders(&mut record, MAX_APPLIED_ORDERS);
     let rev = record.rev;
     for (n, name) in (1..).zip(["a", "b", "c"]) {
-        take(&mut record, &grown(rev + n, name, (1 << 20) - 40));
+        apply(&mut record, &grown(rev + n, name, (1 << 20) - 40));
     }
     let last = grown(rev + 4, "d", 1000);
     assert!(matches!(decide(&record, &last), Decision::Invalid(InvalidConfig::TooLarge(_))));
@@ -193,35 +194,41 @@
     assert!(bytes > MAX_DOCUMENT_BYTES && bytes < MAX_FRAME_BYTES, "{bytes} bytes");
 }
 
-/// What a plain list says of an order: every order ever taken, in the order of their taking.
+/// Reference for decisions: all applied orders with their versions, the oldest first.
 struct Reference {
-    taken: Vec<(Order, u64)>,
+    applied: Vec<(Order, u64)>,
 }
 
 impl Reference {
     fn current(&self) -> u64 {
-        self.taken.last().map_or(0, |(_, rev)| *rev)
+        self.applied.last().map_or(0, |(_, rev)| *rev)
     }
 
-    fn check(&self, order: &Order, rev: u64, told: &Decision, case: &str) {
-        let place = self.taken.iter().position(|(taken, _)| taken == order);
-        let known = place.is_some_and(|place| self.taken.len() - 1 - place <= HORIZON);
-        match told {
-            Decision::AlreadyApplied { rev: told } => assert!(place.is_some() && *told == rev, "{case}"),
+    fn check(&self, order: &Order, rev: u64, decision: &Decision, case: &str) {
+        let position = self.applied.iter().position(|(applied, _)| applied == order);
+        let must_be_known =
+            position.is_some_and(|position| self.applied.len() - 1 - position <= MIN_RETAINED);
+        match decision {
+            Decision::AlreadyApplied { rev: decided } => {
+                assert!(position.is_some() && *decided == rev, "{case}")
+            }
             Decision::Expired { .. } => {
-                // Only where so many were taken above its number that the table may have let it go.
-                let above = self.taken.iter().filter(|(_, taken)| *taken > rev).count();
-                assert!(!known && above >= HORIZON, "{case}: {above} above it");
+                // Only after so many orders with higher versions that its key may have been evicted.
+                let above = self.applied.iter().filter(|(_, applied_rev)| *applied_rev > rev).count();
+                assert!(!must_be_known && above >= MIN_RETAINED, "{case}: {above} above it");
             }
             Decision::New(entry) => {
                 let next = order.0 == self.current() && rev > self.current();
-                assert!(place.is_none() && next && entry.order.rev == rev, "{case}");
+                assert!(position.is_none() && next && entry.order.rev == rev, "{case}");
             }
             Decision::Stale { current } => {
-                assert!(place.is_none() && order.0 != self.current() && *current == self.current(), "{case}");
+                assert!(
+                    position.is_none() && order.0 != self.current() && *current == self.current(),
+                    "{case}"
+                );
             }
             Decision::Invalid(_) => {
-                assert!(place.is_none() && order.0 == self.current() && rev <= self.current(), "{case}");
+                assert!(position.is_none() && order.0 == self.current() && rev <= self.current(), "{case}");
             }
         }
     }
@@ -231,28 +238,28 @@
 fn decisions_on_random_orders_match_a_list_of_all_orders() {
     for seed in 0..3 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (mut record, mut reference) = (Record::default(), Reference { taken: Vec::new() });
-        let mut under_way: Vec<(Order, u64)> = Vec::new();
-        let mut told = [0usize; 5];
-        while reference.taken.len() < 5500 {
-            // Operators look at the newest version or at one that they saw before, and pick numbers that others pick too.
-            while under_way.len() < 8 {
+        let (mut record, mut reference) = (Record::default(), Reference { applied: Vec::new() });
+        let mut in_flight: Vec<(Order, u64)> = Vec::new();
+        let mut counts = [0usize; 5];
+        while reference.applied.len() < 5500 {
+            // Operators build on the newest version or on an earlier one, and choose versions that others choose too.
+            while in_flight.len() < 8 {
                 let behind = if rng.random_bool(0.7) { 0 } else { rng.random_range(0..5) };
-                let builds_on = reference.taken.iter().rev().nth(behind).map_or(0, |(_, rev)| *rev);
+                let builds_on = reference.applied.iter().rev().nth(behind).map_or(0, |(_, rev)| *rev);
                 let rev = (builds_on + rng.random_range(0..4)).max(1);
                 let make = if rng.random() { put } else { patch };
-                under_way.push((make(builds_on, rev, rng.random_range(0..3)), rev));
+                in_flight.push((make(builds_on, rev, rng.random_range(0..3)), rev));
             }
-            // One arrives, at times more than once, or one of long ago once more.
-            let late = rng.random_bool(0.3).then(|| reference.taken.choose(&mut rng).cloned()).flatten();
-            let (order, rev) = match late {
-                Some(late) => late,
-                None => under_way.swap_remove(rng.random_range(0..under_way.len())),
+            // One order arrives, at times more than once, or an old one is retried.
+            let retried = rng.random_bool(0.3).then(|| reference.applied.choose(&mut rng).cloned()).flatten();
+            let (order, rev) = match retried {
+                Some(retried) => retried,
+                None => in_flight.swap_remove(rng.random_range(0..in_flight.len())),
             };
             let decision = decide(&record, &order);
-            let case = format!("seed {seed}, {} taken: {order:?}: {decision:?}", reference.taken.len());
+            let case = format!("seed {seed}, {} applied: {order:?}: {decision:?}", reference.applied.len());
             reference.check(&order, rev, &decision, &case);
-            told[match &decision {
+            counts[match &decision {
                 Decision::New(_) => 0,
                 Decision::AlreadyApplied { .. } => 1,
                 Decision::Expired { .. } => 2,
@@ -261,13 +268,13 @@
             }] += 1;
             if let Decision::New(entry) = decision {
                 record = record.after(&entry);
-                reference.taken.push((order.clone(), rev));
+                reference.applied.push((order.clone(), rev));
             }
-            if rng.random_bool(0.3) && under_way.len() < 8 {
-                under_way.push((order, rev));
+            if rng.random_bool(0.3) && in_flight.len() < 8 {
+                in_flight.push((order, rev));
             }
         }
-        assert!(told.iter().all(|times| *times > 100), "seed {seed}: {told:?}");
+        assert!(counts.iter().all(|count| *count > 100), "seed {seed}: {counts:?}");
     }
 }
 
@@ -277,8 +284,8 @@
     Ipv4Addr::new(10, 0, 0, n as u8 + 1)
 }
 
-/// A core whose messages arrive and whose writes are done at once, in a turn that is drawn.
-struct Core {
+/// A cluster whose messages arrive and whose disk writes complete without delay, in a random order.
+struct Cluster {
     rng: ChaCha8Rng,
     now: Millis,
     chains: Vec<Option<Chain>>,
@@ -289,10 +296,10 @@
     calls: u64,
 }
 
-impl Core {
-    /// Three voters, and one that stands by.
-    fn new(seed: u64) -> Core {
-        let mut core = Core {
+impl Cluster {
+    /// Three voters and one standby.
+    fn new(seed: u64) -> Cluster {
+        let mut cluster = Cluster {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
             chains: vec![None, None, None, None],
@@ -304,9 +311,9 @@
         };
         let seeds: Vec<NodeId> = (0..3).map(node).collect();
         for n in 0..4 {
-            core.start(n, if n < 3 { Start::Fresh(seeds.clone()) } else { Start::Wiped });
+            cluster.start(n, if n < 3 { Start::Fresh(seeds.clone()) } else { Start::Wiped });
         }
-        core
+        cluster
     }
 
     fn running(&self) -> Vec<usize> {
@@ -324,7 +331,7 @@
         }
     }
 
-    /// Power goes; what was written is kept, or the disk is lost too.
+    /// A node loses its power, and its disk as well if `wipe` is set.
     fn stop(&mut self, n: usize, wipe: bool) {
         self.chains[n] = None;
         self.syncs[n].clear();
@@ -349,11 +356,11 @@
             match output {
                 Output::Send(to, message) => {
                     let to = usize::from(to.octets()[3]) - 1;
-                    let told = postcard::to_stdvec(&message).unwrap();
-                    let heard: Message = postcard::from_bytes(&told).unwrap();
-                    assert!(heard == message && heard.is_sound());
+                    let bytes = postcard::to_stdvec(&message).unwrap();
+                    let received: Message = postcard::from_bytes(&bytes).unwrap();
+                    assert!(received == message && received.is_sound());
                     if let Some(link) = self.links.get_mut(&(n, to)) {
-                        link.push_back(heard);
+                        link.push_back(received);
                     }
                 }
                 Output::Persist(number, state) => {
@@ -368,7 +375,7 @@
         }
     }
 
-    /// One thing that is due happens; false where nothing is.
+    /// Delivers one message or completes one disk write. Returns false where there is none.
     fn step(&mut self) -> bool {
         let links = self.links.iter().filter(|(_, link)| !link.is_empty()).map(|(ends, _)| Some(*ends));
         let syncs = (0..4).filter(|n| !self.syncs[*n].is_empty());
@@ -389,7 +396,7 @@
         true
     }
 
-    fn pass(&mut self, time: Millis) {
+    fn advance(&mut self, time: Millis) {
         let until = self.now + time;
         while self.now < until {
             self.now += TICK;
@@ -400,36 +407,36 @@
         }
     }
 
-    fn ask(&mut self, n: usize, order: &Order) -> u64 {
+    fn send_order(&mut self, n: usize, order: &Order) -> u64 {
         self.call(n, Call::Change { builds_on: order.0, change: order.1.clone() })
     }
 
-    fn call(&mut self, n: usize, what: Call) -> u64 {
+    fn call(&mut self, n: usize, request: Call) -> u64 {
         self.calls += 1;
         let call = self.calls;
-        self.with(n, |chain, now| chain.call(now, call, what));
+        self.with(n, |chain, now| chain.call(now, call, request));
         call
     }
 
-    /// Sends an order to any node that runs, until the answer is clear.
-    fn told(&mut self, order: &Order) -> Outcome {
+    /// Sends an order to random running nodes until its outcome is known.
+    fn outcome_of(&mut self, order: &Order) -> Outcome {
         self.answer(&Call::Change { builds_on: order.0, change: order.1.clone() })
     }
 
-    fn answer(&mut self, what: &Call) -> Outcome {
+    fn answer(&mut self, request: &Call) -> Outcome {
         for _ in 0..60 {
-            let at = *self.running().choose(&mut self.rng).expect("one runs");
-            let call = self.call(at, what.clone());
+            let at = *self.running().choose(&mut self.rng).expect("a node runs");
+            let call = self.call(at, request.clone());
             for _ in 0..60 {
                 while !self.answers.contains_key(&call) && self.step() {}
                 match self.answers.remove(&call) {
-                    None => self.pass(TICK),
+                    None => self.advance(TICK),
                     Some(Outcome::Unavailable) => break,
-                    Some(clear) => return clear,
+                    Some(outcome) => return outcome,
                 }
             }
         }
-        panic!("no clear answer to {what:?}");
+        panic!("no outcome of {request:?}");
     }
 
     fn current(&self) -> u64 {
@@ -444,50 +451,50 @@
 
 #[test]
 fn applied_orders_are_confirmed_at_any_node_after_losses_views_and_reconfigurations() {
-    let mut core = Core::new(1);
-    core.pass(1000);
-    let mut taken: Vec<(Order, u64)> = Vec::new();
+    let mut cluster = Cluster::new(1);
+    cluster.advance(1000);
+    let mut applied: Vec<(Order, u64)> = Vec::new();
     for round in 0..16u64 {
         for n in 0..24 {
-            let current = core.current();
+            let current = cluster.current();
             let make = if n % 2 == 0 { put } else { patch };
             let (order, rev) = (make(current, current + 3, round), current + 3);
-            assert_eq!(core.told(&order), Outcome::Done { rev }, "round {round}");
-            taken.push((order, rev));
+            assert_eq!(cluster.outcome_of(&order), Outcome::Done { rev }, "round {round}");
+            applied.push((order, rev));
         }
-        // One loses power, each second time its disk with it; then its place goes to the one that stands by.
+        // A node loses its power, each second time with its disk; then the standby replaces it.
         let n = (round % 3) as usize;
-        core.stop(n, round % 2 == 1);
-        core.pass(1500);
+        cluster.stop(n, round % 2 == 1);
+        cluster.advance(1500);
         if round % 4 == 3 {
-            let other = *core.running().iter().find(|other| **other != 3).expect("one runs");
+            let other = *cluster.running().iter().find(|other| **other != 3).expect("a node runs");
             let seat =
                 if round % 8 == 3 { VoterChange::Remove(node(n)) } else { VoterChange::Remove(node(3)) };
-            core.with(other, |chain, now| {
+            cluster.with(other, |chain, now| {
                 let _ = chain.request_voter_change(now, seat);
                 Vec::new()
             });
-            core.pass(2000);
+            cluster.advance(2000);
         }
-        // A backup that is made now holds all of them, whichever node is the tail.
-        let Outcome::Document(record) = core.answer(&Call::Read) else {
+        // A backup that is made now contains all orders, whichever node is the tail.
+        let Outcome::Document(record) = cluster.answer(&Call::Read) else {
             panic!("round {round}: no document")
         };
-        assert_eq!(record.applied_orders.len(), taken.len(), "round {round}");
-        core.restart(n);
-        core.pass(1500);
-        for (order, rev) in &taken {
-            assert_eq!(core.told(order), Outcome::Done { rev: *rev }, "round {round}: {order:?}");
+        assert_eq!(record.applied_orders.len(), applied.len(), "round {round}");
+        cluster.restart(n);
+        cluster.advance(1500);
+        for (order, rev) in &applied {
+            assert_eq!(cluster.outcome_of(order), Outcome::Done { rev: *rev }, "round {round}: {order:?}");
             let (builds_on, other) = put(order.0, *rev, 1000);
-            let refused = core.told(&(builds_on, other));
-            assert!(matches!(refused, Outcome::Conflict { .. }), "round {round}: {refused:?}");
+            let rejected = cluster.outcome_of(&(builds_on, other));
+            assert!(matches!(rejected, Outcome::Conflict { .. }), "round {round}: {rejected:?}");
         }
     }
 }
 
 #[test]
 fn an_order_older_than_the_table_is_answered_with_the_current_version_at_any_node() {
-    let mut core = Core::new(1);
+    let mut cluster = Cluster::new(1);
     let record = Record {
         seq: 9,
         rev: 20,
@@ -495,85 +502,93 @@
         applied_orders: DeduplicationTable::forgotten(13),
     };
     for n in 0..3 {
-        core.stop(n, true);
+        cluster.stop(n, true);
         let members = JointConfig::of((0..3).map(node).collect());
         let record = Arc::new(record.clone());
-        core.disks[n] = Some(HardState { members, votes: true, promised: 0, accepted: 0, record });
+        cluster.disks[n] = Some(HardState { members, votes: true, promised: 0, accepted: 0, record });
     }
-    (0..3).for_each(|n| core.restart(n));
-    core.pass(1500);
+    (0..3).for_each(|n| cluster.restart(n));
+    cluster.advance(1500);
     for order in [put(5, 7, 0), patch(12, 13, 0), put(20, 13, 0)] {
         let expected = if order.0 < 13 {
             Outcome::Forgotten { up_to: 13, current: 20 }
         } else {
-            // It makes no version above the one that it builds on, and so was never applied.
+            // The order makes no version above the one that it builds on, and so was never applied.
             Outcome::Invalid(InvalidConfig::OldVersion { current: 20, got: 13 })
         };
-        assert_eq!(core.told(&order), expected, "{order:?}");
+        assert_eq!(cluster.outcome_of(&order), expected, "{order:?}");
     }
-    // Once another change is in force, it is named.
-    assert_eq!(core.told(&put(20, 21, 0)), Outcome::Done { rev: 21 });
-    assert_eq!(core.told(&put(5, 7, 0)), Outcome::Forgotten { up_to: 13, current: 21 });
+    // After another change, the answer names the new version.
+    assert_eq!(cluster.outcome_of(&put(20, 21, 0)), Outcome::Done { rev: 21 });
+    assert_eq!(cluster.outcome_of(&put(5, 7, 0)), Outcome::Forgotten { up_to: 13, current: 21 });
 }
 
 #[test]
 fn an_entry_with_a_version_below_the_record_is_not_accepted() {
-    let mut core = Core::new(1);
-    core.pass(1000);
+    let mut cluster = Cluster::new(1);
+    cluster.advance(1000);
     for (builds_on, rev) in [(0, 5), (5, 9)] {
-        assert_eq!(core.told(&put(builds_on, rev, 0)), Outcome::Done { rev });
+        assert_eq!(cluster.outcome_of(&put(builds_on, rev, 0)), Outcome::Done { rev });
     }
-    core.pass(500);
-    let view = core.chains[1].as_ref().and_then(|chain| chain.view()).expect("a view").clone();
+    cluster.advance(500);
+    let view = cluster.chains[1].as_ref().and_then(|chain| chain.view()).expect("a view").clone();
     assert_eq!(view.chain[..2], [node(0), node(1)]);
-    for (seq, rev, taken) in [(3, 9, false), (3, 7, false), (4, 10, false), (2, 10, false), (3, 10, true)] {
+    for (seq, rev, accepted) in [(3, 9, false), (3, 7, false), (4, 10, false), (2, 10, false), (3, 10, true)]
+    {
         let order = AppliedOrder { rev, key: IdempotencyKey([3; 32]) };
         let entry = Arc::new(LogEntry { seq, document: b"{}".to_vec(), order });
         let message = Message::Update { view: view.number, entry };
-        let chain = core.chains[1].as_mut().expect("it runs");
-        let outputs = chain.message(core.now, node(0), message);
-        assert_eq!(!outputs.is_empty(), taken, "number {seq}, version {rev}");
+        let chain = cluster.chains[1].as_mut().expect("it runs");
+        let outputs = chain.message(cluster.now, node(0), message);
+        assert_eq!(!outputs.is_empty(), accepted, "number {seq}, version {rev}");
     }
 }
 
 #[test]
 fn an_order_that_is_retried_while_in_flight_is_confirmed_with_the_first() {
     for seed in 0..200 {
-        let mut core = Core::new(seed);
-        core.pass(1000);
+        let mut cluster = Cluster::new(seed);
+        cluster.advance(1000);
         let first = put(0, 1, 0);
-        assert_eq!(core.told(&first), Outcome::Done { rev: 1 });
-        // Two operators upon one version with one number, each sending its order to four nodes at once.
+        assert_eq!(cluster.outcome_of(&first), Outcome::Done { rev: 1 });
+        // Two operators build on the same version and choose the same new one. Each sends its order to four nodes at once.
         let orders = [put(1, 4, 1), patch(1, 4, 2)];
         let mut asked = Vec::new();
         for n in 0..8 {
             let which = n % 2;
-            asked.push((which, core.ask(n / 2, &orders[which])));
-            for _ in 0..core.rng.random_range(0..4) {
-                core.step();
+            asked.push((which, cluster.send_order(n / 2, &orders[which])));
+            for _ in 0..cluster.rng.random_range(0..4) {
+                cluster.step();
             }
         }
-        for _ in 0..core.rng.random_range(0..60) {
-            core.step();
+        for _ in 0..cluster.rng.random_range(0..60) {
+            cluster.step();
         }
-        // In every second world the head dies in the middle of it.
+        // With every second seed the head stops in between.
         if seed % 2 == 1 {
-            core.stop(0, false);
+            cluster.stop(0, false);
         }
-        core.pass(2500);
-        let told: Vec<_> = asked.iter().map(|(which, call)| (*which, core.answers.remove(call))).collect();
+        cluster.advance(2500);
+        let outcomes: Vec<_> =
+            asked.iter().map(|(which, call)| (*which, cluster.answers.remove(call))).collect();
         let done = |outcome: &Option<Outcome>| *outcome == Some(Outcome::Done { rev: 4 });
-        let winners: Vec<usize> = told.iter().filter(|(_, o)| done(o)).map(|(which, _)| *which).collect();
-        assert!(winners.iter().all(|which| *which == winners[0]), "seed {seed}: both confirmed: {told:?}");
-        for (which, outcome) in &told {
-            let refused = matches!(outcome, Some(Outcome::Conflict { .. } | Outcome::Invalid(_)));
-            assert!(!(refused && winners.contains(which)), "seed {seed}: refused and taken: {told:?}");
+        let winners: Vec<usize> = outcomes.iter().filter(|(_, o)| done(o)).map(|(which, _)| *which).collect();
+        assert!(
+            winners.iter().all(|which| *which == winners[0]),
+            "seed {seed}: both confirmed: {outcomes:?}"
+        );
+        for (which, outcome) in &outcomes {
+            let rejected = matches!(outcome, Some(Outcome::Conflict { .. } | Outcome::Invalid(_)));
+            assert!(
+                !(rejected && winners.contains(which)),
+                "seed {seed}: rejected and applied: {outcomes:?}"
+            );
         }
         if seed % 2 == 0 {
-            assert_eq!(winners.len(), 4, "seed {seed}: {told:?}");
+            assert_eq!(winners.len(), 4, "seed {seed}: {outcomes:?}");
         }
-        // Asked once more, each gets the same clear answer.
-        let again = orders.clone().map(|order| core.told(&order));
+        // Each order has the same outcome when it is retried.
+        let again = orders.clone().map(|order| cluster.outcome_of(&order));
         assert_eq!(
             again.iter().filter(|o| **o == Outcome::Done { rev: 4 }).count(),
             1,
--- a/control-plane/tests/documents.rs
+++ b/control-plane/tests/documents.rs
@@ -103,7 +103,7 @@
 /// A change and what the reference makes of it; `None` where its text is no document.
 fn change(rng: &mut ChaCha8Rng, now: &Reference) -> (ConfigChange, Option<Reference>) {
     let mut next = now.clone();
-    // Mostly above the current version, at times at it or below.
+    // The new version is mostly above the current one, and at times equal or below.
     next.rev = (now.rev + rng.random_range(0..9)).saturating_sub(1);
     let patch = rng.random_bool(0.6);
     let text = if patch {
@@ -152,7 +152,7 @@
 fn changes_of_documents_match_a_plain_reference() {
     let number = |name: &str, or: u64| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(or);
     let (first, runs) = (number("DOCUMENTS_SEED", 0), number("DOCUMENTS_RUNS", 200));
-    let (mut taken, mut refused) = (0, 0);
+    let (mut applied, mut rejected) = (0, 0);
     for seed in first..first + runs {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let (mut now, mut document) = (Reference::default(), Vec::new());
@@ -173,15 +173,15 @@
                         }
                     }
                     (now, document) = (next, made);
-                    taken += 1;
+                    applied += 1;
                 }
                 (Err(why), None) => {
                     assert!(!why.to_string().contains('\n'), "{at}: {why}");
-                    refused += 1;
+                    rejected += 1;
                 }
                 (made, good) => panic!("{at}: {change:?} gave {made:?}, the reference says {good:?}"),
             }
         }
     }
-    assert!(taken * 10 > refused && refused * 10 > taken, "{taken} taken, {refused} refused");
+    assert!(applied * 10 > rejected && rejected * 10 > applied, "{applied} applied, {rejected} rejected");
 }
--- a/control-plane/tests/wire_format.rs
+++ b/control-plane/tests/wire_format.rs
@@ -112,8 +112,8 @@
 }
 
 fn record() -> Arc<Record> {
-    let taken = DeduplicationTable::listed(5, &[order(7), order(9)]).expect("a table");
-    Arc::new(Record { seq: 4, rev: 9, document: br#"{"rev": 9}"#.to_vec(), applied_orders: taken })
+    let applied_orders = DeduplicationTable::listed(5, &[order(7), order(9)]).expect("a table");
+    Arc::new(Record { seq: 4, rev: 9, document: br#"{"rev": 9}"#.to_vec(), applied_orders })
 }
 
 fn counter(name: &str, value: u64) -> Counter {
@@ -273,7 +273,7 @@
     samples.check("chain.confirm.committed", &PeerMessage::Chain(confirm));
 }
 
-/// Each variant has a number on the wire, also those that no sample above names.
+/// The number of each variant on the wire, also of those without a sample above.
 fn check_invalid_documents(samples: &mut Samples) {
     let invalid = [
         InvalidConfig::Unreadable("w".into()),
@@ -293,7 +293,7 @@
     }
 }
 
-/// As it stood on disk before layout 3, and as snapshots carry it.
+/// The form on disk before layout 3, and in snapshots.
 fn check_hard_state(samples: &mut Samples) {
     let state = HardState { members: voters(), votes: true, promised: 1025, accepted: 513, record: record() };
     samples.check("hard-state", &state);
