--- a/control-plane/tests/members.rs
+++ b/control-plane/tests/members.rs
@@ -26,7 +26,7 @@
 /// A machine that counts as lost.
 enum Loss {
     /// It has no power until then, and may have lost its disk; its peers notice by the time-out.
-    PowerLoss { until: Millis },
+    PoweredOff { until: Millis },
     /// Its process ends, which its peers notice at once, and restarts then.
     Killed { until: Millis },
     /// Its process is stopped until then.
@@ -144,14 +144,14 @@
                 let starts = now + if at_once { 0 } else { self.rng.random_range(0..6000) };
                 Loss::Removed { replacement, starts }
             }
-            0 | 4 => Loss::PowerLoss { until },
+            0 | 4 => Loss::PoweredOff { until },
             5 => Loss::Killed { until: now + self.rng.random_range(100..3000) },
             _ => Loss::Stopped { until },
         };
         self.result.losses += 1;
         match loss {
             Loss::Killed { .. } => self.world.kill(n),
-            Loss::PowerLoss { .. } => self.world.power_off(n, wipe),
+            Loss::PoweredOff { .. } => self.world.power_off(n, wipe),
             Loss::Removed { .. } => self.world.power_off(n, true),
             Loss::Draining { .. } => self.world.with_chain(n, Chain::leave),
             Loss::Stopped { .. } | Loss::Back { .. } => self.world.pause(n, 2 * SIMULATED_TIME),
@@ -180,7 +180,7 @@
         let lost: Vec<u8> = self.losses.keys().copied().collect();
         for n in lost {
             let back = match &self.losses[&n] {
-                Loss::PowerLoss { until } | Loss::Killed { until } if now >= *until => {
+                Loss::PoweredOff { until } | Loss::Killed { until } if now >= *until => {
                     self.world.power_on(n);
                     true
                 }
