--- a/experiments/src/experiment/mod.rs
+++ b/experiments/src/experiment/mod.rs
@@ -20,7 +20,7 @@
 use crate::origin::{Origin, HEARTBEAT_INTERVAL};
 use crate::plan::Plan;
 use crate::report::{Measurements, Report, ServiceReport};
-use setup::status;
+use crate::status::{control_nodes, sessions};
 pub use setup::{put_config, start_servers, wait_until_ready};
 
 /// Third byte of the addresses of the machines.
@@ -62,15 +62,10 @@
 fn layout(plan: &Plan) -> SystemLayout {
     let system = plan.system;
     SystemLayout {
-        net: MACHINE_NET,
-        cores: system.cores,
-        seeds: system.cores,
-        edges: system.edges,
         zones: system.zones,
         beat_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
         mem_mb: system.mem_mb,
-        losses: 0,
-        relayed: false,
+        ..SystemLayout::new(MACHINE_NET, system.cores, system.edges)
     }
 }
 
@@ -95,12 +90,10 @@
 /// Sums the counters of all sessions, without quantiles, which can't be summed.
 async fn sum_counters(controls: &ControlAddresses) -> Result<BTreeMap<String, u64>, LabError> {
     let mut sums = BTreeMap::new();
-    for node in status(controls).await? {
-        for session in node["sessions"].as_array().into_iter().flatten() {
-            for (name, value) in session["counters"].as_object().into_iter().flatten() {
-                if !name.ends_with("_us") {
-                    *sums.entry(name.clone()).or_insert(0) += value.as_u64().unwrap_or(0);
-                }
+    for session in sessions(&control_nodes(controls).await?) {
+        for (name, value) in session["counters"].as_object().into_iter().flatten() {
+            if !name.ends_with("_us") {
+                *sums.entry(name.clone()).or_insert(0) += value.as_u64().unwrap_or(0);
             }
         }
     }
--- a/experiments/src/experiment/setup.rs
+++ b/experiments/src/experiment/setup.rs
@@ -16,6 +16,7 @@
 use crate::ledger::Ledger;
 use crate::origin::Origin;
 use crate::plan::Plan;
+use crate::status::{control_nodes, count_ready, has_applied_all, sessions};
 
 /// The system is up within this time, also on a busy machine.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
@@ -72,12 +73,6 @@
     }
 }
 
-/// Returns the status of each control node.
-pub(super) async fn status(controls: &ControlAddresses) -> Result<Vec<Value>, LabError> {
-    let status = commands::status(controls).await?;
-    Ok(serde_json::from_str(&status).unwrap_or_default())
-}
-
 /// Waits until all control nodes know all servers and shields, and all sessions have applied what they were pushed.
 ///
 /// # Errors
@@ -90,7 +85,7 @@
 ) -> Result<(), LabError> {
     let began_at = Instant::now();
     while began_at.elapsed() < START_TIMEOUT {
-        if is_ready(&status(controls).await?, plan, servers) {
+        if is_ready(&control_nodes(controls).await?, plan, servers) {
             return Ok(());
         }
         sleep(POLL_INTERVAL).await;
@@ -104,13 +99,5 @@
         count_ready(node, "servers") == servers
             && count_ready(node, "shields") == usize::from(plan.system.cores)
     };
-    let sessions = nodes.iter().flat_map(|node| node["sessions"].as_array().into_iter().flatten());
-    let sessions: Vec<&Value> = sessions.collect();
-    let all_applied = sessions.iter().all(|session| session["applied"] == session["pushed"]);
-    nodes.iter().all(knows_all) && all_applied && sessions.len() == machines
-}
-
-fn count_ready(node: &Value, list: &str) -> usize {
-    let items = node[list].as_array().into_iter().flatten();
-    items.filter(|item| item["ready"] == true).count()
+    nodes.iter().all(knows_all) && sessions(nodes).all(has_applied_all) && sessions(nodes).count() == machines
 }
--- a/experiments/src/hollow/mod.rs
+++ b/experiments/src/hollow/mod.rs
@@ -117,15 +117,11 @@
 
 fn layout(options: &HollowOptions) -> SystemLayout {
     SystemLayout {
-        net: MACHINE_NET,
-        cores: options.controls,
         seeds: options.seeds,
-        edges: REAL_EDGES,
         zones: ZONE_COUNT,
         beat_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
         mem_mb: PROCESS_MEMORY_MB,
-        losses: 0,
-        relayed: false,
+        ..SystemLayout::new(MACHINE_NET, options.controls, REAL_EDGES)
     }
 }
 
--- a/experiments/src/hollow/phases.rs
+++ b/experiments/src/hollow/phases.rs
@@ -7,20 +7,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use glenfall::operator::commands::{self, ControlAddresses};
+use glenfall::operator::commands::ControlAddresses;
 use glenfall::operator::local_system::LocalSystem;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::Value;
 use tokio::time::{sleep, Instant};
 
-use super::measurement::{LinkBytes, Sample};
+use super::measurement::{LinkBytes, Sample, SessionTraffic};
 use super::nodes::NodeThreads;
 use super::observations::Observations;
 use super::report::PhaseReport;
 use super::usage::Usage;
 use super::waiting::{milliseconds_since, wait_until, READY_TIMEOUT};
 use super::workload::{change_config, purge, OperatorMeasurements, HEARTBEAT_INTERVAL};
+use crate::status::control_nodes;
 
 /// Pause between phases, so that one does not run into the next.
 const PHASE_PAUSE: Duration = Duration::from_secs(2);
@@ -155,8 +156,7 @@
     }
 
     async fn status(&self) -> Vec<Value> {
-        let status = commands::status(&self.controls).await.unwrap_or_default();
-        serde_json::from_str(&status).unwrap_or_default()
+        control_nodes(&self.controls).await.unwrap_or_default()
     }
 
     /// Returns how sessions are distributed over the control nodes.
@@ -208,7 +208,7 @@
             agent: usage_of("edge-1", "agent"),
             edge: usage_of("edge-1", "edge"),
             lab: Usage::of(std::process::id()),
-            sessions: super::measurement::SessionTraffic::read(),
+            sessions: SessionTraffic::read(),
             lost_sessions: self.observations.lost_sessions.load(Ordering::Relaxed),
             failed_heartbeats: self.failed_heartbeats.get(),
         }
--- a/experiments/src/lib.rs
+++ b/experiments/src/lib.rs
@@ -15,5 +15,6 @@
 pub mod report;
 mod schedules;
 mod soak;
+mod status;
 
 pub use cli::main;
--- a/experiments/src/processor/system.rs
+++ b/experiments/src/processor/system.rs
@@ -75,15 +75,10 @@
     pub async fn start(zones: u8, net: u8, program: &Path) -> Result<Self, LabError> {
         let plan = Plan::read(PROCESSOR_PLAN).map_err(std::io::Error::other)?;
         let layout = SystemLayout {
-            net,
-            cores: plan.system.cores,
-            seeds: plan.system.cores,
-            edges: plan.system.edges,
             zones,
             beat_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
             mem_mb: plan.system.mem_mb,
-            losses: 0,
-            relayed: false,
+            ..SystemLayout::new(net, plan.system.cores, plan.system.edges)
         };
         let local = LocalSystem::start(layout, program).await?;
         let servers = start_servers(&plan, &local, &Rc::new(Ledger::default())).await?;
--- a/experiments/src/soak/readiness.rs
+++ b/experiments/src/soak/readiness.rs
@@ -4,19 +4,19 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use glenfall::operator::commands::{self, ControlAddresses};
+use glenfall::operator::commands::ControlAddresses;
 use serde_json::Value;
 
 use super::schedule::SystemSize;
 use crate::plan::Plan;
+use crate::status::{control_nodes, count_ready, has_applied_all, sessions};
 
 /// How often states that are waited for are polled.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Describes what is missing; an empty text where the system is ready.
 pub async fn missing(controls: &ControlAddresses, plan: &Plan, size: SystemSize) -> String {
-    let status = commands::status(controls).await.unwrap_or_default();
-    let nodes: Vec<Value> = serde_json::from_str(&status).unwrap_or_default();
+    let nodes = control_nodes(controls).await.unwrap_or_default();
     let servers: u8 = plan.services.iter().map(|service| service.servers).sum();
     let mut missing = Vec::new();
     for (number, node) in (1..).zip(&nodes) {
@@ -35,16 +35,9 @@
     missing.join(", ")
 }
 
-fn count_ready(node: &Value, list: &str) -> usize {
-    let items = node[list].as_array().into_iter().flatten();
-    items.filter(|item| item["ready"] == true).count()
-}
-
 /// Returns the machines whose sessions hold a lease and have applied what they were pushed.
 fn ready_sessions(nodes: &[Value]) -> BTreeSet<String> {
-    let is_ready = |session: &&Value| {
-        session["ready"] == true && session["leased"] == true && session["applied"] == session["pushed"]
-    };
-    let sessions = nodes.iter().flat_map(|node| node["sessions"].as_array().into_iter().flatten());
-    sessions.filter(is_ready).map(|session| session["node"].to_string()).collect()
+    let is_ready =
+        |session: &&Value| session["ready"] == true && session["leased"] == true && has_applied_all(session);
+    sessions(nodes).filter(is_ready).map(|session| session["node"].to_string()).collect()
 }
