--- a/glenfall/src/agent/known_state.rs
+++ b/glenfall/src/agent/known_state.rs
@@ -19,13 +19,13 @@
     }
 }
 
-/// What control has told this agent.
+/// What this agent has received from control.
 #[derive(Default)]
 pub(super) struct KnownState {
     config: Option<VersionedDocument>,
     fleet: KnownFleet,
     control_nodes: Vec<Ipv4Addr>,
-    /// Whether control has told everything that may have been missed.
+    /// Whether control has sent everything that may have been missed.
     is_connected: bool,
 }
 
--- a/glenfall/src/control/backup/checksum.rs
+++ b/glenfall/src/control/backup/checksum.rs
@@ -1,4 +1,4 @@
-//! The checksum of a backup, which all formats calculate in the same way.
+//! The checksum of a backup, which is the same function for all formats.
 
 use std::net::Ipv4Addr;
 
--- a/glenfall/src/control/store/mod.rs
+++ b/glenfall/src/control/store/mod.rs
@@ -79,7 +79,7 @@
         };
         // Nothing is promised before the names of the files are as durable as what will be in them.
         disk::sync_folder(path)?;
-        folder.mark_created()?;
+        folder.record_creation()?;
         Ok((store, found))
     }
 
@@ -172,9 +172,9 @@
     folder.check_vacant()?;
     disk::make_folder(path)?;
     // Until the state is complete, a process that starts here has lost something: this is not its first start.
-    folder.mark_damaged()?;
+    folder.record_damage()?;
     let (store, _) = Store::open(path)?;
     store.save(state)?;
     drop(store);
-    folder.clear_damaged()
+    folder.clear_damage()
 }
--- a/glenfall/src/control/store/state_folder.rs
+++ b/glenfall/src/control/store/state_folder.rs
@@ -1,4 +1,4 @@
-//! The files of a store in its folder: the database, and the markers that tell a first start from a loss of state.
+//! The files of a store in its folder: the database, and the markers that distinguish a first start from a loss of state.
 
 use std::fs::File;
 use std::io::ErrorKind;
@@ -7,14 +7,14 @@
 use super::error::StoreError;
 use crate::disk;
 
-const DATABASE: &str = "state.sqlite";
+const DATABASE_FILE: &str = "state.sqlite";
 /// The name under which a damaged database is retained for whoever wants to examine it. An empty file of this name says that
 /// the database was lost.
-const DAMAGED: &str = "state.sqlite.damaged";
+const DAMAGED_FILE: &str = "state.sqlite.damaged";
 /// SQLite's rollback journal.
-const JOURNAL: &str = "state.sqlite-journal";
-/// Marker that a store was created here: without a database beside it the state is lost, and this is not a first start.
-const CREATED: &str = "state.made";
+const JOURNAL_FILE: &str = "state.sqlite-journal";
+/// Marker that a store was created here: without a database in the same folder the state is lost, and this is not a first start.
+const CREATED_MARKER_FILE: &str = "state.made";
 /// Bytes of the shortest file that holds anything, which is SQLite's smallest page.
 const MIN_DATABASE_BYTES: u64 = 512;
 
@@ -29,19 +29,19 @@
     }
 
     pub(super) fn database(&self) -> PathBuf {
-        self.path.join(DATABASE)
+        self.path.join(DATABASE_FILE)
     }
 
     fn damaged(&self) -> PathBuf {
-        self.path.join(DAMAGED)
+        self.path.join(DAMAGED_FILE)
     }
 
     fn journal(&self) -> PathBuf {
-        self.path.join(JOURNAL)
+        self.path.join(JOURNAL_FILE)
     }
 
     fn created(&self) -> PathBuf {
-        self.path.join(CREATED)
+        self.path.join(CREATED_MARKER_FILE)
     }
 
     /// Whether a store was created here whose database is missing or empty.
@@ -54,8 +54,8 @@
         self.damaged().exists()
     }
 
-    /// Fails where the database is too short for a header: SQLite would take it for an empty one. A file with a journal
-    /// beside it may have any length, as SQLite restores it.
+    /// Fails where the database is too short for a header: SQLite would take it for an empty one. A file that has
+    /// a journal may have any length, as SQLite restores it.
     pub(super) fn check_length(&self) -> Result<(), StoreError> {
         let length = file_length(&self.database());
         let has_journal = file_length(&self.journal()) > 0;
@@ -90,7 +90,7 @@
     }
 
     /// Marks, once, that a store was created here.
-    pub(super) fn mark_created(&self) -> Result<(), StoreError> {
+    pub(super) fn record_creation(&self) -> Result<(), StoreError> {
         if self.created().exists() {
             return Ok(());
         }
@@ -99,13 +99,13 @@
     }
 
     /// Marks that there is no complete state here.
-    pub(super) fn mark_damaged(&self) -> Result<(), StoreError> {
+    pub(super) fn record_damage(&self) -> Result<(), StoreError> {
         File::create(self.damaged())?.sync_all()?;
         Ok(disk::sync_folder(self.path)?)
     }
 
-    /// Removes what [`StateFolder::mark_damaged`] made.
-    pub(super) fn clear_damaged(&self) -> Result<(), StoreError> {
+    /// Removes what [`StateFolder::record_damage`] made.
+    pub(super) fn clear_damage(&self) -> Result<(), StoreError> {
         std::fs::remove_file(self.damaged())?;
         Ok(disk::sync_folder(self.path)?)
     }
--- a/glenfall/src/session/link/frames.rs
+++ b/glenfall/src/session/link/frames.rs
@@ -12,7 +12,7 @@
 use tokio::time::{timeout_at, Instant};
 
 use super::liveness::LINK_TIMEOUT;
-use super::traffic::RECEIVED;
+use super::traffic::RECEIVED_TRAFFIC;
 
 /// Bytes of the length in front of a message.
 const LENGTH_BYTES: usize = 4;
@@ -80,7 +80,7 @@
             return Ok(None);
         }
         self.buffer.advance(LENGTH_BYTES);
-        RECEIVED.add(1, LENGTH_BYTES + length);
+        RECEIVED_TRAFFIC.add(1, LENGTH_BYTES + length);
         Ok(Some(self.buffer.split_to(length).freeze()))
     }
 }
--- a/glenfall/src/session/link/outbox.rs
+++ b/glenfall/src/session/link/outbox.rs
@@ -9,7 +9,7 @@
 
 use super::frames::encode;
 use super::liveness::LINK_TIMEOUT;
-use super::traffic::SENT;
+use super::traffic::SENT_TRAFFIC;
 
 /// Most messages that wait to be written. A receiver that is further behind is disconnected, and catches up on a new
 /// link.
@@ -86,7 +86,7 @@
         if batch.add(&first).and_then(|()| batch.fill(&mut queue)).is_err() {
             return;
         }
-        SENT.add(batch.messages, batch.bytes.len());
+        SENT_TRAFFIC.add(batch.messages, batch.bytes.len());
         // A receiver that does not read what it is sent within this time is lost.
         if !matches!(timeout(LINK_TIMEOUT, write.write_all(&batch.bytes)).await, Ok(Ok(()))) {
             return;
--- a/glenfall/src/session/link/traffic.rs
+++ b/glenfall/src/session/link/traffic.rs
@@ -6,8 +6,8 @@
 
 use glenfall_control_plane::invariant;
 
-pub(super) static SENT: Traffic = Traffic::new();
-pub(super) static RECEIVED: Traffic = Traffic::new();
+pub(super) static SENT_TRAFFIC: Traffic = Traffic::new();
+pub(super) static RECEIVED_TRAFFIC: Traffic = Traffic::new();
 
 /// The traffic in one direction.
 pub(super) struct Traffic {
@@ -29,10 +29,10 @@
 /// The counters of the traffic on all links of this process since its start, with their names in `status`.
 pub fn traffic() -> [(&'static str, u64); 4] {
     [
-        ("messages_said", &SENT.messages),
-        ("message_bytes_said", &SENT.bytes),
-        ("messages_heard", &RECEIVED.messages),
-        ("message_bytes_heard", &RECEIVED.bytes),
+        ("messages_said", &SENT_TRAFFIC.messages),
+        ("message_bytes_said", &SENT_TRAFFIC.bytes),
+        ("messages_heard", &RECEIVED_TRAFFIC.messages),
+        ("message_bytes_heard", &RECEIVED_TRAFFIC.bytes),
     ]
     .map(|(name, count)| (name, count.load(Ordering::Relaxed)))
 }
--- a/glenfall/src/session/publisher/acknowledgement.rs
+++ b/glenfall/src/session/publisher/acknowledgement.rs
@@ -16,7 +16,7 @@
 
 impl PendingAcknowledgement {
     /// The number that no session reaches: what a session that has ended was sent is not acknowledged any more.
-    const UNREACHABLE: u64 = u64::MAX;
+    const UNREACHABLE_NUMBER: u64 = u64::MAX;
 }
 
 impl Sessions {
@@ -76,7 +76,7 @@
         let sessions = self.by_id.borrow();
         let pending = |id| PendingAcknowledgement {
             session: id,
-            number: sessions.get(&id).map_or(PendingAcknowledgement::UNREACHABLE, Session::sent),
+            number: sessions.get(&id).map_or(PendingAcknowledgement::UNREACHABLE_NUMBER, Session::sent),
         };
         self.leases.holders().into_iter().map(pending).collect()
     }
--- a/glenfall/src/settings/file.rs
+++ b/glenfall/src/settings/file.rs
@@ -22,7 +22,7 @@
     ///
     /// # Errors
     ///
-    /// When the text is not what the settings expect, or a value is out of its bounds. The error names the place.
+    /// When the text is not what the settings expect, or a value is out of its bounds. The error names the field or the line.
     pub fn parse(text: &str) -> Result<Settings, InvalidSettings> {
         let settings: Settings =
             toml::from_str(text).map_err(|error| InvalidSettings::syntax(text, &error))?;
