--- a/balancer-node/src/host.rs
+++ b/balancer-node/src/host.rs
@@ -270,7 +270,7 @@
 impl Attempt {
     /// The result where the node has stopped waiting. What was not written completely cannot have run.
     fn aborted(&self, if_written: Status, if_not_written: Status) -> AttemptResult {
-        let status = if self.progress.whole() { if_written } else { if_not_written };
+        let status = if self.progress.is_sent() { if_written } else { if_not_written };
         AttemptResult::without_response(status)
     }
 
--- a/balancer-node/src/response.rs
+++ b/balancer-node/src/response.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use glenfall_balancer::{CacheStatus, Load, Status};
-use glenfall_http_client::BodyEnd;
+use glenfall_http_client::BodyFraming;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderValue};
@@ -46,7 +46,7 @@
     };
     // A length beyond any response is not waited for.
     let is_too_large = body.size_hint().lower() > MAX_BODY_SIZE as u64;
-    if BodyEnd::of(&head.headers) != BodyEnd::Stated || is_too_large {
+    if BodyFraming::of(&head.headers) != BodyFraming::Delimited || is_too_large {
         return AttemptResult::without_response(Status::Malformed);
     }
     let body = match Limited::new(body, MAX_BODY_SIZE).collect().await {
--- a/balancer-node/src/upstream/mod.rs
+++ b/balancer-node/src/upstream/mod.rs
@@ -195,10 +195,12 @@
                     Ok(response) => Some(response::read(response).await),
                     // It had been closed, or something arrived on it unsolicited: the server has not failed,
                     // and has seen no request.
-                    Err(ExchangeError::Unsent) if is_reused => None,
-                    Err(ExchangeError::Unsent) => Some(AttemptResult::without_response(Status::Unreachable)),
-                    Err(ExchangeError::Foreign) => Some(AttemptResult::without_response(Status::Malformed)),
-                    Err(ExchangeError::Broken(e)) => {
+                    Err(ExchangeError::NotSent) if is_reused => None,
+                    Err(ExchangeError::NotSent) => Some(AttemptResult::without_response(Status::Unreachable)),
+                    Err(ExchangeError::WrongRequest) => {
+                        Some(AttemptResult::without_response(Status::Malformed))
+                    }
+                    Err(ExchangeError::ConnectionLost(e)) => {
                         Some(AttemptResult::without_response(response::status_of_error(Some(&e))))
                     }
                 }
@@ -308,7 +310,7 @@
     /// Retains a connection whose response has been read completely, if it can be used again. Returns whether
     /// it is retained.
     async fn keep(&self, server: &ServerId, mut pooled: PooledConnection) -> bool {
-        if !pooled.connection.is_free().await {
+        if !pooled.connection.is_reusable().await {
             return false;
         }
         pooled.idle_since = Instant::now();
--- a/balancer-node/tests/upstream.rs
+++ b/balancer-node/tests/upstream.rs
@@ -85,7 +85,7 @@
             // Polled while the connect is in progress.
             async { upstreams.update(&list(&[listener.local_addr().unwrap()], ServerState::Draining)) },
         };
-        assert_eq!((ended.status, sent.whole()), (Status::Overloaded, false));
+        assert_eq!((ended.status, sent.is_sent()), (Status::Overloaded, false));
         let mut seen = Vec::new();
         let (mut stream, _) = listener.accept().await.unwrap();
         stream.read_to_end(&mut seen).await.unwrap();
@@ -107,7 +107,7 @@
             // Closed unanswered: it may have run.
         };
         let (ended, ()) = tokio::join!(upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent), answered);
-        assert_eq!((ended.status, sent.whole()), (Status::Broken, true));
+        assert_eq!((ended.status, sent.is_sent()), (Status::Broken, true));
     });
 }
 
--- a/balancer/src/shields.rs
+++ b/balancer/src/shields.rs
@@ -62,14 +62,14 @@
     }
 
     /// Whether there are shields, and all of them have recently failed this edge and answered nothing since.
-    pub fn all_fail(&self, now: Seconds) -> bool {
+    pub fn all_ejected(&self, now: Seconds) -> bool {
         !self.ready.is_empty() && self.ready.values().all(|shield| shield.is_ejected(now))
     }
 
     /// The shield for a request: the first below its cap along the key's walk; where all are full, the first.
     /// `None` where there is none but those it `tried`, or none that is likely to answer.
     pub fn choose(&mut self, now: Seconds, key: Key, tried: &[ServerId]) -> Option<&ServerId> {
-        let none_available = self.ready.is_empty() || self.all_fail(now);
+        let none_available = self.ready.is_empty() || self.all_ejected(now);
         if none_available {
             if !tried.is_empty() || now < self.next_trial {
                 return None;
@@ -109,7 +109,7 @@
 
     /// Notes how a request that was sent at `sent` ended; `failed` where the shield gave no answer to it. A
     /// shield that has answered, also others meanwhile, is healthy: then it waits for a server.
-    pub fn heard(&mut self, now: Seconds, shield: &ServerId, sent: Seconds, failed: bool) {
+    pub fn record_outcome(&mut self, now: Seconds, shield: &ServerId, sent: Seconds, failed: bool) {
         let Some(shield) = self.ready.get_mut(shield) else { return };
         if !failed {
             shield.ejected_until = now;
--- a/balancer/tests/shields.rs
+++ b/balancer/tests/shields.rs
@@ -55,7 +55,7 @@
         .collect();
     assert_eq!(next.len(), 2);
     shields.end(&home);
-    shields.heard(0.0, &home, 0.0, false);
+    shields.record_outcome(0.0, &home, 0.0, false);
     assert_eq!(shields.choose(0.0, key(1), &[]), Some(&home));
 }
 
@@ -82,13 +82,13 @@
     let home = shields.choose(0.0, key(1), &[]).unwrap().clone();
     shields.begin(&home);
     shields.end(&home);
-    shields.heard(1.0, &home, 0.5, true);
+    shields.record_outcome(1.0, &home, 0.5, true);
     assert_ne!(shields.choose(2.0, key(1), &[]), Some(&home));
     assert_eq!(shields.choose(3.1, key(1), &[]), Some(&home));
     for n in 1..=3 {
         shields.begin(&id(n));
         shields.end(&id(n));
-        shields.heard(4.0, &id(n), 3.5, true);
+        shields.record_outcome(4.0, &id(n), 3.5, true);
     }
     assert_eq!(shields.choose(4.1, key(1), &[]), Some(&home), "to see whether it answers");
     assert_eq!(shields.choose(4.2, key(1), &[]), None);
@@ -96,9 +96,9 @@
     assert_eq!(shields.choose(4.7, key(1), &[]), Some(&home));
     shields.begin(&home);
     shields.end(&home);
-    assert!(shields.all_fail(4.7));
-    shields.heard(4.8, &home, 4.7, false);
-    assert!(!shields.all_fail(4.8), "one answers again");
+    assert!(shields.all_ejected(4.7));
+    shields.record_outcome(4.8, &home, 4.7, false);
+    assert!(!shields.all_ejected(4.8), "one answers again");
     assert_eq!(shields.choose(4.8, key(1), &[]), Some(&home));
 }
 
@@ -119,13 +119,13 @@
     shields.begin(&home);
     shields.begin(&home);
     shields.end(&home);
-    shields.heard(1.2, &home, 1.1, false);
+    shields.record_outcome(1.2, &home, 1.1, false);
     shields.end(&home);
-    shields.heard(1.3, &home, 1.0, true);
+    shields.record_outcome(1.3, &home, 1.0, true);
     assert_eq!(shields.choose(1.4, key(1), &[]), Some(&home));
     // Nothing came since this one was sent.
     shields.begin(&home);
     shields.end(&home);
-    shields.heard(1.8, &home, 1.5, true);
+    shields.record_outcome(1.8, &home, 1.5, true);
     assert_ne!(shields.choose(1.9, key(1), &[]), Some(&home));
 }
--- a/control-plane-sim/src/world/faults.rs
+++ b/control-plane-sim/src/world/faults.rs
@@ -102,7 +102,7 @@
             return;
         }
         let start = match machine.disk.durable.clone() {
-            Some(state) => Start::Kept(state),
+            Some(state) => Start::Recovered(state),
             None if machine.wiped && !forgets => Start::Wiped,
             // It ended before its first write: it has promised nothing.
             None => Start::Fresh(seeds()),
--- a/control-plane-sim/src/world/step.rs
+++ b/control-plane-sim/src/world/step.rs
@@ -71,7 +71,7 @@
     fn handle_messages(&mut self, number: u8) {
         for from in self.peers(number) {
             while let Some(message) = self.network.receive(self.now, from, number) {
-                self.with_chain(number, |chain, now| chain.message(now, node(from), message));
+                self.with_chain(number, |chain, now| chain.message_received(now, node(from), message));
             }
         }
     }
@@ -81,8 +81,8 @@
         while let Some(notification) = self.network.next_notification(self.now, number) {
             let peer = node(notification.peer);
             self.with_chain(number, |chain, now| match notification.up {
-                true => chain.peer_up(now, peer),
-                false => chain.peer_down(now, peer),
+                true => chain.peer_connected(now, peer),
+                false => chain.peer_disconnected(now, peer),
             });
         }
     }
@@ -91,7 +91,7 @@
         let (now, withholds) = (self.now, self.injected_bug == Some(InjectedBug::LyingDisk));
         let take_synced = |machine: &mut Machine| machine.disk.take_synced(now, withholds, &mut machine.rng);
         while let Some(write) = take_synced(self.machine(number)) {
-            self.with_chain(number, |chain, now| chain.synced(now, write));
+            self.with_chain(number, |chain, now| chain.write_completed(now, write));
         }
         self.machine(number).disk.release_withheld(now);
     }
--- a/control-plane/src/chain/message.rs
+++ b/control-plane/src/chain/message.rs
@@ -148,7 +148,7 @@
 
 impl Message {
     /// Whether the message is well-formed. Malformed ones are ignored, so that a faulty peer does not make others fail.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_well_formed(&self) -> bool {
         match self {
             Message::Heartbeat(heartbeat) => is_sound_heartbeat(heartbeat),
             Message::Prepare { view } | Message::Installed { view } => ballot::is_valid(*view),
@@ -173,7 +173,7 @@
 
 /// The bound of the deduplication table is checked where it is deserialised.
 fn is_sound_record(record: &Record) -> bool {
-    ballot::is_valid(record.seq) && record.applied_orders.newest() <= record.rev
+    ballot::is_valid(record.seq) && record.applied_orders.newest_rev() <= record.rev
 }
 
 fn is_sound_config(config: &JointConfig) -> bool {
@@ -215,7 +215,7 @@
     /// Send a message to a peer.
     Send(NodeId, Message),
     /// Make the state durable, in the order of the numbers, and then call
-    /// [`Chain::synced`](crate::chain::Chain::synced) with the number.
+    /// [`Chain::write_completed`](crate::chain::Chain::write_completed) with the number.
     Persist(u64, HardState),
     /// Answer the call with this number.
     Answer(u64, Outcome),
--- a/control-plane/src/chain/mod.rs
+++ b/control-plane/src/chain/mod.rs
@@ -207,14 +207,14 @@
     }
 
     /// A link to a peer is up.
-    pub fn peer_up(&mut self, now: Millis, peer: NodeId) -> Vec<Output> {
+    pub fn peer_connected(&mut self, now: Millis, peer: NodeId) -> Vec<Output> {
         self.now = now;
         self.link_up(peer);
         self.take_outputs()
     }
 
     /// The link to a peer is down.
-    pub fn peer_down(&mut self, now: Millis, peer: NodeId) -> Vec<Output> {
+    pub fn peer_disconnected(&mut self, now: Millis, peer: NodeId) -> Vec<Output> {
         self.now = now;
         self.link_down(peer);
         if self.installed.as_ref().is_some_and(|installed| installed.view.chain.contains(&peer)) {
@@ -233,8 +233,8 @@
     }
 
     /// Handles a message from a peer. A malformed one is ignored.
-    pub fn message(&mut self, now: Millis, from: NodeId, message: Message) -> Vec<Output> {
-        if !message.is_sound() {
+    pub fn message_received(&mut self, now: Millis, from: NodeId, message: Message) -> Vec<Output> {
+        if !message.is_well_formed() {
             return Vec::new();
         }
         self.now = now;
@@ -244,7 +244,7 @@
     }
 
     /// All disk writes up to this number are durable.
-    pub fn synced(&mut self, now: Millis, number: u64) -> Vec<Output> {
+    pub fn write_completed(&mut self, now: Millis, number: u64) -> Vec<Output> {
         self.now = now;
         while let Some(write) = self.disk_writes.pop_front_if(|write| write.number <= number) {
             for output in write.follow_up {
--- a/control-plane/src/chain/peers.rs
+++ b/control-plane/src/chain/peers.rs
@@ -267,7 +267,7 @@
     }
 
     /// Time since the last message of a voter, in milliseconds; 0 while the voter is reachable.
-    pub fn silent_for(&self, node: NodeId) -> Millis {
+    pub fn time_since_last_message(&self, node: NodeId) -> Millis {
         if !self.has_failed(node) {
             return 0;
         }
@@ -308,7 +308,7 @@
 
     /// The nodes that a peer reaches, by its last heartbeat. All of them are connected to the peer, and when it loses one, it
     /// sends a new heartbeat before any other message.
-    pub fn heard_by(&self, peer: NodeId) -> &[NodeId] {
+    pub fn connected_peers_of(&self, peer: NodeId) -> &[NodeId] {
         self.peers.get(peer).map_or(&[], |peer| &peer.heartbeat.reachable_peers)
     }
 }
--- a/control-plane/src/chain/reconfiguration.rs
+++ b/control-plane/src/chain/reconfiguration.rs
@@ -33,25 +33,25 @@
     NoView,
     /// Another change is in progress.
     #[error("a change of the voters is under way: ask again in a moment")]
-    UnderWay,
+    InProgress,
     /// The node to add is a voter already.
     #[error("{0} is a voter already")]
-    Votes(NodeId),
+    AlreadyVoter(NodeId),
     /// The node to remove is no voter.
     #[error("{0} is no voter")]
-    NoVoter(NodeId),
+    NotVoter(NodeId),
     /// The node to add is not connected to this node, or not to all reachable voters.
     #[error("{0} is not there, or not all voters that are hear it")]
-    NotThere(NodeId),
+    Unreachable(NodeId),
     /// The settings of the node to add do not allow it to vote.
     #[error("the settings of {0} don't say that it may vote")]
     NotEligible(NodeId),
     /// The bound of the voters is reached.
     #[error("{MAX_VOTERS} voters are the most")]
-    TooMany,
+    TooManyVoters,
     /// There is no standby to replace the voter, and the remaining voters are too few for the promised losses.
     #[error("no machine stands by: {left} voters would be left, and {needed} are needed to outlive {losses} losses")]
-    NobodyStandsBy {
+    NoStandby {
         /// Number of voters without the removed one.
         left: usize,
         /// Number of voters that survive the promised losses.
@@ -61,7 +61,7 @@
     },
     /// Too few of the new voters are reachable for a quorum.
     #[error("only {there} of {voters} voters would be there, which is no majority")]
-    NoMajority {
+    NoQuorum {
         /// Number of reachable voters.
         there: usize,
         /// Number of all new voters.
@@ -96,7 +96,7 @@
             return Err(VoterChangeError::NoView);
         }
         if members.is_joint() || self.requested_voters.is_some() {
-            return Err(VoterChangeError::UnderWay);
+            return Err(VoterChangeError::InProgress);
         }
         let reachable = self.reachable_candidates();
         let mut voters = match change {
@@ -114,19 +114,19 @@
     fn voters_with(&self, node: NodeId, reachable: &[NodeId]) -> Result<Vec<NodeId>, VoterChangeError> {
         let mut voters = self.members().voters.clone();
         if voters.contains(&node) {
-            return Err(VoterChangeError::Votes(node));
+            return Err(VoterChangeError::AlreadyVoter(node));
         }
         if voters.len() >= MAX_VOTERS {
-            return Err(VoterChangeError::TooMany);
+            return Err(VoterChangeError::TooManyVoters);
         }
         if !self.peers.check(node, |peer| peer.up) {
-            return Err(VoterChangeError::NotThere(node));
+            return Err(VoterChangeError::Unreachable(node));
         }
         if !self.peers.check(node, |peer| peer.heartbeat.eligible) {
             return Err(VoterChangeError::NotEligible(node));
         }
         if !reachable.contains(&node) {
-            return Err(VoterChangeError::NotThere(node));
+            return Err(VoterChangeError::Unreachable(node));
         }
         voters.push(node);
         Ok(voters)
@@ -136,7 +136,7 @@
     fn voters_without(&self, node: NodeId, reachable: &[NodeId]) -> Result<Vec<NodeId>, VoterChangeError> {
         let members = self.members();
         if !members.voters.contains(&node) {
-            return Err(VoterChangeError::NoVoter(node));
+            return Err(VoterChangeError::NotVoter(node));
         }
         let mut voters = members.voters.clone();
         voters.retain(|voter| *voter != node);
@@ -144,7 +144,7 @@
         let needed = self.settings.voters_needed();
         if left < needed {
             let standby = reachable.iter().find(|node| !members.contains(**node));
-            voters.push(*standby.ok_or(VoterChangeError::NobodyStandsBy { left, needed, losses })?);
+            voters.push(*standby.ok_or(VoterChangeError::NoStandby { left, needed, losses })?);
         }
         Ok(voters)
     }
@@ -159,7 +159,7 @@
             return Ok(());
         }
         let there = voters.iter().filter(|node| can_vote(node)).count();
-        Err(VoterChangeError::NoMajority { there, voters: voters.len() })
+        Err(VoterChangeError::NoQuorum { there, voters: voters.len() })
     }
 
     /// Removes a request that is complete or has timed out.
@@ -200,7 +200,7 @@
         let needed = self.settings.voters_needed().min(MAX_VOTERS);
         // The voters that have been unreachable for longest are replaced first: they are the least likely to come back.
         let mut voters = members.voters.clone();
-        voters.sort_by_key(|voter| Reverse(self.silent_for(*voter)));
+        voters.sort_by_key(|voter| Reverse(self.time_since_last_message(*voter)));
         let mut surplus = voters.len().saturating_sub(needed);
         let mut wanted = Vec::new();
         for voter in voters {
@@ -225,7 +225,7 @@
     /// never come back, and is replaced before it stops.
     fn has_to_be_replaced(&self, voter: NodeId) -> bool {
         self.peers.check(voter, |peer| peer.draining)
-            || self.silent_for(voter) >= self.settings.replaced_after()
+            || self.time_since_last_message(voter) >= self.settings.replaced_after()
     }
 
     /// The standbys: reachable control nodes that may become voters and are none.
--- a/control-plane/src/chain/state.rs
+++ b/control-plane/src/chain/state.rs
@@ -38,7 +38,7 @@
     /// For the first time, with these voters.
     Fresh(Vec<NodeId>),
     /// Again, from its disk.
-    Kept(HardState),
+    Recovered(HardState),
     /// Without a durable state: its disk is lost, or it has never voted. It learns the voters from its peers.
     Wiped,
 }
@@ -47,7 +47,7 @@
     fn from(start: Start) -> Self {
         match start {
             Start::Fresh(voters) => HardState::empty(JointConfig::of(voters), true),
-            Start::Kept(state) => state,
+            Start::Recovered(state) => state,
             Start::Wiped => HardState::empty(JointConfig::default(), false),
         }
     }
--- a/control-plane/src/deduplication.rs
+++ b/control-plane/src/deduplication.rs
@@ -20,7 +20,7 @@
 pub const MAX_APPLIED_ORDERS: usize = 4096;
 /// Number of orders in a chunk of the table. The oldest orders are evicted by chunks. A full chunk no longer changes, so
 /// that successive records share it, and it is written to disk once.
-pub const CHUNK: usize = 64;
+pub const CHUNK_ORDERS: usize = 64;
 
 /// Identifies an order, by the SHA-256 of all of it. Two orders with the same key are the same order: to find a second
 /// order with a given key on purpose takes about 2^128 attempts.
@@ -128,7 +128,7 @@
 
 impl DeduplicationTable {
     /// The empty table of a node that has lost, or was never sent, the keys of orders up to a version.
-    pub fn forgotten(up_to: u64) -> Self {
+    pub fn with_horizon(up_to: u64) -> Self {
         DeduplicationTable { forgotten_up_to: up_to, ..DeduplicationTable::default() }
     }
 
@@ -137,7 +137,7 @@
     /// # Errors
     ///
     /// [`InvalidTable`] where there are too many orders, or their versions do not rise.
-    pub fn listed(forgotten_up_to: u64, orders: &[AppliedOrder]) -> Result<Self, InvalidTable> {
+    pub fn from_orders(forgotten_up_to: u64, orders: &[AppliedOrder]) -> Result<Self, InvalidTable> {
         if orders.len() > MAX_APPLIED_ORDERS {
             return Err(InvalidTable::TooMany(orders.len()));
         }
@@ -145,7 +145,7 @@
         if let Some([previous, next]) = not_rising {
             return Err(InvalidTable::NotRising { previous: previous.rev, next: next.rev });
         }
-        let chunks = orders.chunks_exact(CHUNK);
+        let chunks = orders.chunks_exact(CHUNK_ORDERS);
         let open_chunk = chunks.remainder().to_vec();
         Ok(DeduplicationTable { forgotten_up_to, full_chunks: chunks.map(Arc::from).collect(), open_chunk })
     }
@@ -157,7 +157,7 @@
 
     /// The number of orders.
     pub fn len(&self) -> usize {
-        self.full_chunks.len() * CHUNK + self.open_chunk.len()
+        self.full_chunks.len() * CHUNK_ORDERS + self.open_chunk.len()
     }
 
     /// Whether there is no order in the table.
@@ -166,13 +166,13 @@
     }
 
     /// The version that the newest order made; 0 where there is none.
-    pub fn newest(&self) -> u64 {
+    pub fn newest_rev(&self) -> u64 {
         let newest = self.open_chunk.last().or_else(|| self.full_chunks.last()?.last());
         newest.map_or(0, |order| order.rev)
     }
 
     /// The horizon, which is the highest version of an order that may have been applied and evicted.
-    pub fn forgotten_up_to(&self) -> u64 {
+    pub fn horizon(&self) -> u64 {
         self.forgotten_up_to
     }
 
@@ -188,7 +188,7 @@
 
     /// Raises the horizon. The table can no longer tell whether an order up to this version that it does not contain was
     /// applied.
-    pub fn forget_up_to(&mut self, rev: u64) {
+    pub fn raise_horizon(&mut self, rev: u64) {
         self.forgotten_up_to = self.forgotten_up_to.max(rev);
     }
 
@@ -197,9 +197,9 @@
         self.open_chunk.push(order);
         if self.len() > MAX_APPLIED_ORDERS {
             let oldest = self.full_chunks.remove(0);
-            self.forget_up_to(oldest.last().map_or(0, |order| order.rev));
+            self.raise_horizon(oldest.last().map_or(0, |order| order.rev));
         }
-        if self.open_chunk.len() == CHUNK {
+        if self.open_chunk.len() == CHUNK_ORDERS {
             self.full_chunks.push(std::mem::take(&mut self.open_chunk).into());
         }
     }
@@ -220,7 +220,7 @@
     type Error = InvalidTable;
 
     fn try_from(table: WireTable) -> Result<Self, InvalidTable> {
-        DeduplicationTable::listed(table.forgotten_up_to, &table.orders)
+        DeduplicationTable::from_orders(table.forgotten_up_to, &table.orders)
     }
 }
 
--- a/control-plane/src/fleet/members_update.rs
+++ b/control-plane/src/fleet/members_update.rs
@@ -18,7 +18,7 @@
 
 impl MembersUpdate {
     /// Sorts members by name, and retains the last one of each name.
-    pub fn listed(members: Vec<Member>) -> Vec<Member> {
+    pub fn sorted_by_name(members: Vec<Member>) -> Vec<Member> {
         let by_name: BTreeMap<String, Member> =
             members.into_iter().map(|member| (member.node.clone(), member)).collect();
         by_name.into_values().collect()
--- a/control-plane/src/invariant.rs
+++ b/control-plane/src/invariant.rs
@@ -68,7 +68,7 @@
     pub fn check(self, holds: bool, details: impl FnOnce() -> String) {
         if !holds {
             VIOLATIONS[self as usize].fetch_add(1, Ordering::Relaxed);
-            tracing::error!(invariant = self.name(), details = details(), "{BROKEN}");
+            tracing::error!(invariant = self.name(), details = details(), "{VIOLATION_MESSAGE}");
         }
     }
 
@@ -79,9 +79,9 @@
 }
 
 /// Message of the log line of a violation. Tests and the soak search logs for it.
-pub const BROKEN: &str = "invariant broken";
+pub const VIOLATION_MESSAGE: &str = "invariant broken";
 /// Prefix of the names of violation counters in `status`.
-pub const COUNTER: &str = "broken_";
+pub const COUNTER_PREFIX: &str = "broken_";
 
 /// Number of violations of all invariants in this process.
 pub fn violations() -> u64 {
@@ -91,5 +91,5 @@
 /// Counters of the invariants with violations, for `status`.
 pub fn report() -> impl Iterator<Item = (String, u64)> {
     let counts = Invariant::ALL.iter().map(|invariant| (invariant.name(), invariant.violations()));
-    counts.filter(|(_, count)| *count > 0).map(|(name, count)| (format!("{COUNTER}{name}"), count))
+    counts.filter(|(_, count)| *count > 0).map(|(name, count)| (format!("{COUNTER_PREFIX}{name}"), count))
 }
--- a/control-plane/src/lease.rs
+++ b/control-plane/src/lease.rs
@@ -50,7 +50,7 @@
     }
 
     /// When the lease expires.
-    pub fn until(&self) -> Millis {
+    pub fn expires_at(&self) -> Millis {
         self.expires_at
     }
 
@@ -104,12 +104,12 @@
     }
 
     /// When a holder's lease expires; `None` where it has none.
-    pub fn ends(&self, now: Millis, holder: &K) -> Option<Millis> {
+    pub fn expiry(&self, now: Millis, holder: &K) -> Option<Millis> {
         self.expiries.get(holder).copied().filter(|expires_at| now < *expires_at)
     }
 
     /// When the last lease expires among the holders that `includes` selects; `None` where none of them has a lease.
-    pub fn last_end(&self, now: Millis, includes: impl Fn(&K) -> bool) -> Option<Millis> {
+    pub fn last_expiry(&self, now: Millis, includes: impl Fn(&K) -> bool) -> Option<Millis> {
         let valid = self.expiries.iter().filter(|(_, expires_at)| now < **expires_at);
         valid.filter(|(holder, _)| includes(holder)).map(|(_, expires_at)| *expires_at).max()
     }
@@ -120,7 +120,7 @@
     }
 
     /// Removes leases that have expired.
-    pub fn forget_ended(&mut self, now: Millis) {
+    pub fn remove_expired(&mut self, now: Millis) {
         self.expiries.retain(|_, expires_at| now < *expires_at);
     }
 }
@@ -140,7 +140,7 @@
     /// The latest time until which this node holds leases of a quorum of the voters, itself included; `now` or earlier
     /// where it holds none. `is_quorum` says whether voters form a quorum together with this node. A node that is a quorum
     /// by itself grants itself a lease.
-    pub fn until(&self, now: Millis, is_quorum: impl Fn(&[Ipv4Addr]) -> bool) -> Millis {
+    pub fn quorum_expiry(&self, now: Millis, is_quorum: impl Fn(&[Ipv4Addr]) -> bool) -> Millis {
         if is_quorum(&[]) {
             return now + VOTER_LEASE;
         }
--- a/control-plane/src/messages.rs
+++ b/control-plane/src/messages.rs
@@ -202,7 +202,7 @@
         purges: Vec<PurgeRecord>,
         /// The processes that the sender has sent the purges to itself. The receiver forwards them to those that it reaches
         /// beyond these, and to none where this is `None`.
-        already_asked: Option<Vec<ProcessId>>,
+        already_notified: Option<Vec<ProcessId>>,
     },
     /// The sender has written a purge of the receiver's to disk.
     PurgeDurable {
--- a/control-plane/src/purge_history.rs
+++ b/control-plane/src/purge_history.rs
@@ -63,7 +63,7 @@
 
 impl PurgeHistory {
     /// Adds purges, and returns those that this node had not received before.
-    pub fn record(&mut self, now: Millis, purges: Vec<PurgeRecord>) -> Vec<PurgeRecord> {
+    pub fn add(&mut self, now: Millis, purges: Vec<PurgeRecord>) -> Vec<PurgeRecord> {
         let mut new = Vec::new();
         for record in purges {
             let id =
--- a/control-plane/src/record.rs
+++ b/control-plane/src/record.rs
@@ -52,7 +52,7 @@
         if let Some(order) = self.applied_orders.find(key) {
             return Decision::AlreadyApplied { rev: order.rev };
         }
-        let horizon = self.applied_orders.forgotten_up_to();
+        let horizon = self.applied_orders.horizon();
         // An order that makes no version above the one that it builds on was never applied.
         let may_be_evicted = |rev: u64| builds_on < rev && rev <= horizon;
         if change.rev().is_some_and(may_be_evicted) {
@@ -81,12 +81,12 @@
     /// for the complete record is safe: its table decides [`Decision::Expired`] on every order whose key the complete table
     /// may contain.
     pub fn without_table(&self) -> Record {
-        let horizon = self.rev.max(self.applied_orders.forgotten_up_to());
+        let horizon = self.rev.max(self.applied_orders.horizon());
         Record {
             seq: self.seq,
             rev: self.rev,
             document: self.document.clone(),
-            applied_orders: DeduplicationTable::forgotten(horizon),
+            applied_orders: DeduplicationTable::with_horizon(horizon),
         }
     }
 }
--- a/control-plane/src/registry/entry.rs
+++ b/control-plane/src/registry/entry.rs
@@ -14,7 +14,7 @@
 /// Status that a server reports in its heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub enum Status {
+pub enum ReportedStatus {
     /// The server accepts requests.
     Ready,
     /// The server finishes its requests and accepts no new ones.
@@ -42,7 +42,7 @@
     #[serde(default)]
     pub capacity: u32,
     /// Status of the server.
-    pub status: Status,
+    pub status: ReportedStatus,
     /// Remaining time of the server's slow start, in milliseconds.
     #[serde(default)]
     pub warmup_left_ms: u64,
@@ -86,13 +86,13 @@
 
 impl ServerEntry {
     /// Makes the entry of a server from its heartbeat. Returns `None` where the id is empty or a name is too long.
-    pub fn of(id: &str, heartbeat: HeartbeatRequest) -> Option<ServerEntry> {
+    pub fn from_heartbeat(id: &str, heartbeat: HeartbeatRequest) -> Option<ServerEntry> {
         if !is_valid_id(id) || !is_valid_name(&heartbeat.backend) || !is_valid_name(&heartbeat.zone) {
             return None;
         }
         let status = match heartbeat.status {
-            Status::Ready => EntryStatus::Ready,
-            Status::Draining | Status::Unknown => EntryStatus::Draining,
+            ReportedStatus::Ready => EntryStatus::Ready,
+            ReportedStatus::Draining | ReportedStatus::Unknown => EntryStatus::Draining,
         };
         Some(ServerEntry {
             id: id.to_owned(),
--- a/control-plane/src/registry/mod.rs
+++ b/control-plane/src/registry/mod.rs
@@ -23,7 +23,7 @@
 use crate::Millis;
 use acceptance::HeartbeatAcceptance;
 
-pub use entry::{EntryStatus, HeartbeatRequest, ObservedServer, ServerEntry, Status};
+pub use entry::{EntryStatus, HeartbeatRequest, ObservedServer, ReportedStatus, ServerEntry};
 
 /// A server expires after so many heartbeat intervals without a heartbeat: one may be lost, and a second one delayed.
 const MISSED_HEARTBEATS: u64 = 4;
--- a/control-plane/tests/calls.rs
+++ b/control-plane/tests/calls.rs
@@ -26,18 +26,19 @@
     let state =
         HardState { members: view.members.clone(), votes: true, promised: 0, accepted: 0, record: record() };
     let mut chain =
-        Chain::new(node(n), ChainSettings::default(), Start::Kept(state)).with_incarnation(incarnation);
+        Chain::new(node(n), ChainSettings::default(), Start::Recovered(state)).with_incarnation(incarnation);
     let other = node(3 - n);
-    chain.peer_up(0, other);
-    let mut outputs = chain.message(1, other, Message::Install { view: view.clone(), record: record() });
-    outputs.extend(chain.message(2, other, Message::StartView { view: view.clone() }));
+    chain.peer_connected(0, other);
+    let mut outputs =
+        chain.message_received(1, other, Message::Install { view: view.clone(), record: record() });
+    outputs.extend(chain.message_received(2, other, Message::StartView { view: view.clone() }));
     for number in outputs.iter().filter_map(|output| match output {
         Output::Persist(number, _) => Some(*number),
         _ => None,
     }) {
-        chain.synced(3, number);
+        chain.write_completed(3, number);
     }
-    chain.message(4, other, Message::StartView { view });
+    chain.message_received(4, other, Message::StartView { view });
     chain
 }
 
@@ -65,9 +66,9 @@
     assert_eq!((to, before), (node(1), CallId { incarnation: 100, number: 1 }));
     assert_eq!(now, CallId { incarnation: 200, number: 1 });
     let answer = |id| Message::Answer { id, outcome: Outcome::Document(record()) };
-    assert_eq!(answers(&chain.message(11, node(1), answer(before))), [0; 0]);
-    assert_eq!(answers(&chain.message(12, node(1), answer(now))), [1]);
-    assert_eq!(answers(&chain.message(13, node(1), answer(now))), [0; 0], "a second answer");
+    assert_eq!(answers(&chain.message_received(11, node(1), answer(before))), [0; 0]);
+    assert_eq!(answers(&chain.message_received(12, node(1), answer(now))), [1]);
+    assert_eq!(answers(&chain.message_received(13, node(1), answer(now))), [0; 0], "a second answer");
 }
 
 #[test]
@@ -79,13 +80,13 @@
             _ => None,
         })
     };
-    let head = member(1, 1).message(20, node(2), Message::Forward { id: call, call: Call::Read });
+    let head = member(1, 1).message_received(20, node(2), Message::Forward { id: call, call: Call::Read });
     let confirm = Message::Confirm {
         view: 1 << 32,
         origin: node(1),
         id: call,
         claim: Claim::Committed { newer_than: None },
     };
-    let tail = member(2, 1).message(20, node(1), confirm);
+    let tail = member(2, 1).message_received(20, node(1), confirm);
     assert_eq!((id_of(head), id_of(tail)), (Some(call), Some(call)));
 }
--- a/control-plane/tests/chain.rs
+++ b/control-plane/tests/chain.rs
@@ -141,10 +141,11 @@
             let now = world.now;
             let chain = world.machine(at).chain.as_mut().expect("it runs");
             let result = chain.request_voter_change(now, change);
-            if !matches!(result, Err(VoterChangeError::NoView | VoterChangeError::UnderWay)) || now >= until {
+            if !matches!(result, Err(VoterChangeError::NoView | VoterChangeError::InProgress)) || now >= until
+            {
                 assert!(
                     result.is_err()
-                        || chain.request_voter_change(now, change) == Err(VoterChangeError::UnderWay)
+                        || chain.request_voter_change(now, change) == Err(VoterChangeError::InProgress)
                 );
                 break result;
             }
@@ -153,9 +154,18 @@
         result.map(|voters| voters.into_iter().map(|voter| voter.octets()[3]).collect::<Vec<u8>>())
     };
     await_voters(&mut world, 1, &[1, 2, 3]);
-    assert_eq!(request(&mut world, 1, VoterChange::Add(node(2))), Err(VoterChangeError::Votes(node(2))));
-    assert_eq!(request(&mut world, 1, VoterChange::Add(node(9))), Err(VoterChangeError::NotThere(node(9))));
-    assert_eq!(request(&mut world, 1, VoterChange::Remove(node(4))), Err(VoterChangeError::NoVoter(node(4))));
+    assert_eq!(
+        request(&mut world, 1, VoterChange::Add(node(2))),
+        Err(VoterChangeError::AlreadyVoter(node(2)))
+    );
+    assert_eq!(
+        request(&mut world, 1, VoterChange::Add(node(9))),
+        Err(VoterChangeError::Unreachable(node(9)))
+    );
+    assert_eq!(
+        request(&mut world, 1, VoterChange::Remove(node(4))),
+        Err(VoterChangeError::NotVoter(node(4)))
+    );
     assert_eq!(
         request(&mut world, 4, VoterChange::Remove(node(1))),
         Err(VoterChangeError::NoView),
@@ -176,7 +186,7 @@
     while world.now < 9000 {
         step(&mut world);
     }
-    let refused = VoterChangeError::NobodyStandsBy { left: 2, needed: 3, losses: 1 };
+    let refused = VoterChangeError::NoStandby { left: 2, needed: 3, losses: 1 };
     assert_eq!(request(&mut world, 1, VoterChange::Remove(node(5))), Err(refused));
     let done = world.coverage.changes;
     for _ in 0..100 {
@@ -226,7 +236,7 @@
         let rev = number(rng);
         let newest = if rng.random_bool(0.1) { number(rng) } else { rev };
         let order = AppliedOrder { rev: newest, key: IdempotencyKey([1; 32]) };
-        let applied_orders = DeduplicationTable::listed(number(rng), &[order]).expect("one order rises");
+        let applied_orders = DeduplicationTable::from_orders(number(rng), &[order]).expect("one order rises");
         Arc::new(Record { seq: number(rng), rev, document, applied_orders })
     };
     let members = |rng: &mut ChaCha8Rng| JointConfig { voters: nodes(rng), outgoing: nodes(rng) };
@@ -285,9 +295,9 @@
     while world.now < 6000 {
         step(&mut world);
         let now = world.now;
-        for message in (0..9).map(|_| random_message(&mut rng)).filter(|message| !message.is_sound()) {
+        for message in (0..9).map(|_| random_message(&mut rng)).filter(|message| !message.is_well_formed()) {
             let chain = world.machines[0].chain.as_mut().expect("it runs");
-            assert_eq!(chain.message(now, node(2), message), []);
+            assert_eq!(chain.message_received(now, node(2), message), []);
             ignored += 1;
         }
         if world.now.is_multiple_of(100) {
@@ -311,12 +321,12 @@
         for now in 0..2000 {
             let from = node(rng.random_range(1..5));
             let outputs = match rng.random_range(0..20) {
-                0 => chain.peer_up(now, from),
-                1 => chain.peer_down(now, from),
+                0 => chain.peer_connected(now, from),
+                1 => chain.peer_disconnected(now, from),
                 2 => chain.call(now, now, Call::Read),
                 3 => chain.tick(now),
-                4 => syncs.pop_front().map_or(Vec::new(), |number| chain.synced(now, number)),
-                _ => chain.message(now, from, random_message(&mut rng)),
+                4 => syncs.pop_front().map_or(Vec::new(), |number| chain.write_completed(now, number)),
+                _ => chain.message_received(now, from, random_message(&mut rng)),
             };
             assert!(outputs.len() < 200, "seed {seed}: {} answers to one message", outputs.len());
             for output in outputs {
@@ -331,9 +341,9 @@
 /// The outputs of a node for a message, with those that follow its disk writes.
 fn outputs_for(chain: &mut Chain, now: u64, from: u8, message: Message) -> Vec<Output> {
     let mut outputs = Vec::new();
-    for output in chain.message(now, node(from), message) {
+    for output in chain.message_received(now, node(from), message) {
         match output {
-            Output::Persist(number, _) => outputs.extend(chain.synced(now, number)),
+            Output::Persist(number, _) => outputs.extend(chain.write_completed(now, number)),
             output => outputs.push(output),
         }
     }
@@ -353,9 +363,9 @@
     let restarted_tail = || {
         let disk =
             HardState { members: members.clone(), votes: true, promised: 1, accepted: 1, record: record(6) };
-        let mut chain = Chain::new(node(3), SMALL.settings(), Start::Kept(disk));
+        let mut chain = Chain::new(node(3), SMALL.settings(), Start::Recovered(disk));
         for peer in 1..=2 {
-            chain.peer_up(0, node(peer));
+            chain.peer_connected(0, node(peer));
         }
         outputs_for(&mut chain, 1, 1, Message::Install { view: view.clone(), record: record(6) });
         chain
@@ -402,8 +412,8 @@
         })
     };
     for peer in 2..=3 {
-        chain.peer_up(0, node(peer));
-        chain.message(0, node(peer), heartbeat([1, 5 - peer], false));
+        chain.peer_connected(0, node(peer));
+        chain.message_received(0, node(peer), heartbeat([1, 5 - peer], false));
     }
     // The node proposes a view, and its own disk is slow. Node 3 promises, and node 2 does not answer.
     let mut syncs = Vec::new();
@@ -424,12 +434,12 @@
         members: JointConfig::of(seeds()),
         record: Arc::default(),
     };
-    assert_eq!(chain.message(200, node(3), promise), []);
+    assert_eq!(chain.message_received(200, node(3), promise), []);
     // Node 3 loses its disk, and with it later promises, and is back at once.
-    chain.peer_down(210, node(3));
-    chain.peer_up(220, node(3));
-    chain.message(220, node(3), heartbeat([1, 2], true));
-    let mut said: Vec<Output> = syncs.iter().flat_map(|number| chain.synced(230, *number)).collect();
+    chain.peer_disconnected(210, node(3));
+    chain.peer_connected(220, node(3));
+    chain.message_received(220, node(3), heartbeat([1, 2], true));
+    let mut said: Vec<Output> = syncs.iter().flat_map(|number| chain.write_completed(230, *number)).collect();
     for now in (240..700).step_by(20) {
         said.extend(chain.tick(now));
     }
@@ -446,7 +456,7 @@
     let members = JointConfig::of(seeds());
     let disk =
         HardState { members: members.clone(), votes: true, promised: 1, accepted: 1, record: record(6) };
-    let mut chain = Chain::new(node(1), SMALL.settings(), Start::Kept(disk));
+    let mut chain = Chain::new(node(1), SMALL.settings(), Start::Recovered(disk));
     let view = View { number: 5 << 32, chain: seeds(), members: members.clone() };
     // Node 4 was in an older view in place of node 1, and has received nothing since.
     let old = View { number: 3 << 32, chain: [2, 3, 4].map(node).to_vec(), ..view.clone() };
@@ -463,14 +473,14 @@
         }
     };
     for peer in 2..=4 {
-        chain.peer_up(0, node(peer));
+        chain.peer_connected(0, node(peer));
     }
     outputs_for(&mut chain, 10, 2, Message::Install { view: view.clone(), record: record(6) });
     outputs_for(&mut chain, 20, 2, Message::StartView { view: view.clone() });
     beats(&mut chain, 30);
     // A link is lost for a moment: the others may not have noticed, or see all links up again.
-    chain.peer_down(50, node(2));
-    chain.peer_up(60, node(2));
+    chain.peer_disconnected(50, node(2));
+    chain.peer_connected(60, node(2));
     let mut proposes = false;
     for now in (60..2000).step_by(20) {
         beats(&mut chain, now);
--- a/control-plane/tests/contact.rs
+++ b/control-plane/tests/contact.rs
@@ -173,7 +173,7 @@
                 Output::Persist(number, state) => {
                     self.machines[n].disk = Some(state);
                     let chain = self.machines[n].chain.as_mut().expect("the process runs");
-                    let follow_up = chain.synced(now, number);
+                    let follow_up = chain.write_completed(now, number);
                     self.carry_out(n, follow_up);
                 }
                 Output::Answer(call, outcome) => {
@@ -278,7 +278,7 @@
 
     fn drop_connection(&mut self, n: usize, other: usize) {
         if self.ends.remove(&(n, other)).is_some() {
-            self.with(n, |chain, now| chain.peer_down(now, node(other)));
+            self.with(n, |chain, now| chain.peer_disconnected(now, node(other)));
         }
     }
 
@@ -309,8 +309,8 @@
                     self.connections += 1;
                     let end = End { connection: self.connections, last_received: now };
                     self.ends.extend([((n, other), end), ((other, n), end)]);
-                    self.with(n, |chain, now| chain.peer_up(now, node(other)));
-                    self.with(other, |chain, now| chain.peer_up(now, node(n)));
+                    self.with(n, |chain, now| chain.peer_connected(now, node(other)));
+                    self.with(other, |chain, now| chain.peer_connected(now, node(n)));
                 }
                 _ => {}
             }
@@ -350,7 +350,7 @@
                     continue;
                 };
                 end.last_received = now;
-                self.with(n, |chain, now| chain.message(now, node(from), message));
+                self.with(n, |chain, now| chain.message_received(now, node(from), message));
             }
         }
     }
@@ -383,7 +383,7 @@
                     self.ends.remove(&(victim, other));
                 }
                 self.pending.retain(|(node, _), _| *node != victim);
-                let start = self.machines[victim].disk.clone().map_or(Start::Wiped, Start::Kept);
+                let start = self.machines[victim].disk.clone().map_or(Start::Wiped, Start::Recovered);
                 let settings = ChainSettings {
                     losses: (self.nodes() - 1) / 2,
                     eligible: true,
--- a/control-plane/tests/deduplication.rs
+++ b/control-plane/tests/deduplication.rs
@@ -12,7 +12,8 @@
 };
 use glenfall_control_plane::config::{ConfigChange, InvalidConfig, MAX_DOCUMENT_BYTES};
 use glenfall_control_plane::deduplication::{
-    AppliedOrder, DeduplicationTable, IdempotencyKey, InvalidTable, LogEntry, CHUNK, MAX_APPLIED_ORDERS,
+    AppliedOrder, DeduplicationTable, IdempotencyKey, InvalidTable, LogEntry, CHUNK_ORDERS,
+    MAX_APPLIED_ORDERS,
 };
 use glenfall_control_plane::messages::MAX_FRAME_BYTES;
 use glenfall_control_plane::record::Decision;
@@ -22,7 +23,7 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Number of later orders after which the key of an order is still in the table, at least.
-const MIN_RETAINED: usize = MAX_APPLIED_ORDERS - CHUNK;
+const MIN_RETAINED: usize = MAX_APPLIED_ORDERS - CHUNK_ORDERS;
 
 type Order = (u64, ConfigChange);
 
@@ -76,7 +77,7 @@
         for after in [MAX_APPLIED_ORDERS, 5000, 9000] {
             apply_orders(&mut record, after - made);
             made = after;
-            let up_to = record.applied_orders.forgotten_up_to();
+            let up_to = record.applied_orders.horizon();
             assert!(up_to >= rev && record.applied_orders.len() <= MAX_APPLIED_ORDERS);
             assert_eq!(decide(&record, &order), Decision::Expired { up_to }, "after {after}");
             assert_eq!(decide(&record, &put(order.0, rev, 8)), Decision::Expired { up_to });
@@ -112,7 +113,7 @@
     apply(&mut record, &twice);
     assert_eq!((record.rev, decide(&record, &twice)), (4, Decision::AlreadyApplied { rev: 4 }));
     apply_orders(&mut record, 5000);
-    let up_to = record.applied_orders.forgotten_up_to();
+    let up_to = record.applied_orders.horizon();
     assert_eq!(decide(&record, &twice), Decision::Expired { up_to });
 }
 
@@ -128,7 +129,7 @@
         apply(&mut lost, order);
     }
     // The backup was made before the last two orders; the operator states that versions up to 13 were acknowledged.
-    record.applied_orders.forget_up_to(13);
+    record.applied_orders.raise_horizon(13);
     for order in orders.iter().chain([&put(10, 12, 2), &patch(10, 13, 2)]) {
         assert_eq!(decide(&record, order), Decision::Expired { up_to: 13 });
     }
@@ -142,12 +143,12 @@
 fn the_table_is_bounded_and_invalid_tables_are_rejected() {
     let mut record = Record { rev: u64::MAX - (1 << 20), ..Record::default() };
     let mut longest = 0;
-    for _ in 0..MAX_APPLIED_ORDERS + CHUNK + 1 {
+    for _ in 0..MAX_APPLIED_ORDERS + CHUNK_ORDERS + 1 {
         apply_orders(&mut record, 1);
         longest = longest.max(record.applied_orders.len());
     }
     assert_eq!(longest, MAX_APPLIED_ORDERS);
-    for changes in [0, 1, CHUNK - 1, CHUNK, 1000] {
+    for changes in [0, 1, CHUNK_ORDERS - 1, CHUNK_ORDERS, 1000] {
         apply_orders(&mut record, changes);
         let bytes = postcard::to_stdvec(&record.applied_orders).unwrap();
         assert!(bytes.len() <= 176_000, "{} bytes", bytes.len());
@@ -159,10 +160,10 @@
     let shared = |(one, other): (&Arc<_>, &Arc<_>)| Arc::ptr_eq(one, other);
     assert!(record.applied_orders.full_chunks().iter().zip(next.applied_orders.full_chunks()).all(shared));
     let order = |rev| AppliedOrder { rev, key: IdempotencyKey([0; 32]) };
-    let falling = DeduplicationTable::listed(0, &[order(4), order(6), order(6)]);
+    let falling = DeduplicationTable::from_orders(0, &[order(4), order(6), order(6)]);
     assert_eq!(falling, Err(InvalidTable::NotRising { previous: 6, next: 6 }));
     let many: Vec<AppliedOrder> = (0..=MAX_APPLIED_ORDERS as u64).map(order).collect();
-    assert_eq!(DeduplicationTable::listed(0, &many), Err(InvalidTable::TooMany(MAX_APPLIED_ORDERS + 1)));
+    assert_eq!(DeduplicationTable::from_orders(0, &many), Err(InvalidTable::TooMany(MAX_APPLIED_ORDERS + 1)));
     let spoilt = postcard::to_stdvec(&(0u64, many)).unwrap();
     assert!(postcard::from_bytes::<DeduplicationTable>(&spoilt).is_err());
 }
@@ -326,8 +327,8 @@
         for other in self.running().into_iter().filter(|other| *other != n) {
             self.links.insert((n, other), VecDeque::new());
             self.links.insert((other, n), VecDeque::new());
-            self.with(n, |chain, now| chain.peer_up(now, node(other)));
-            self.with(other, |chain, now| chain.peer_up(now, node(n)));
+            self.with(n, |chain, now| chain.peer_connected(now, node(other)));
+            self.with(other, |chain, now| chain.peer_connected(now, node(n)));
         }
     }
 
@@ -340,12 +341,12 @@
             self.disks[n] = None;
         }
         for other in self.running() {
-            self.with(other, |chain, now| chain.peer_down(now, node(n)));
+            self.with(other, |chain, now| chain.peer_disconnected(now, node(n)));
         }
     }
 
     fn restart(&mut self, n: usize) {
-        let start = self.disks[n].clone().map_or(Start::Wiped, Start::Kept);
+        let start = self.disks[n].clone().map_or(Start::Wiped, Start::Recovered);
         self.start(n, start);
     }
 
@@ -358,7 +359,7 @@
                     let to = usize::from(to.octets()[3]) - 1;
                     let bytes = postcard::to_stdvec(&message).unwrap();
                     let received: Message = postcard::from_bytes(&bytes).unwrap();
-                    assert!(received == message && received.is_sound());
+                    assert!(received == message && received.is_well_formed());
                     if let Some(link) = self.links.get_mut(&(n, to)) {
                         link.push_back(received);
                     }
@@ -386,11 +387,11 @@
             Some((Some((from, to)), _)) => {
                 let message = self.links.get_mut(&(*from, *to)).and_then(VecDeque::pop_front);
                 let Some(message) = message else { return true };
-                self.with(*to, |chain, now| chain.message(now, node(*from), message));
+                self.with(*to, |chain, now| chain.message_received(now, node(*from), message));
             }
             Some((None, n)) => {
                 let number = self.syncs[*n].pop_front().unwrap_or(0);
-                self.with(*n, |chain, now| chain.synced(now, number));
+                self.with(*n, |chain, now| chain.write_completed(now, number));
             }
         }
         true
@@ -499,7 +500,7 @@
         seq: 9,
         rev: 20,
         document: br#"{"rev":20}"#.to_vec(),
-        applied_orders: DeduplicationTable::forgotten(13),
+        applied_orders: DeduplicationTable::with_horizon(13),
     };
     for n in 0..3 {
         cluster.stop(n, true);
@@ -539,7 +540,7 @@
         let entry = Arc::new(LogEntry { seq, document: b"{}".to_vec(), order });
         let message = Message::Update { view: view.number, entry };
         let chain = cluster.chains[1].as_mut().expect("it runs");
-        let outputs = chain.message(cluster.now, node(0), message);
+        let outputs = chain.message_received(cluster.now, node(0), message);
         assert_eq!(!outputs.is_empty(), accepted, "number {seq}, version {rev}");
     }
 }
--- a/control-plane/tests/exhaustive/members.rs
+++ b/control-plane/tests/exhaustive/members.rs
@@ -52,7 +52,7 @@
     /// All nodes lose their power, and these their disks. After the restart the acknowledged change is committed.
     fn check_restart(&self, lost: [usize; 2]) -> Result<(), String> {
         let start = |(n, machine): (usize, &Machine)| match &machine.disk {
-            Some(disk) if !lost.contains(&n) => Some(Start::Kept(disk.clone())),
+            Some(disk) if !lost.contains(&n) => Some(Start::Recovered(disk.clone())),
             None if n < SEEDS && !lost.contains(&n) => Some(Start::Fresh(seeds())),
             _ => Some(Start::Wiped),
         };
--- a/control-plane/tests/exhaustive/world.rs
+++ b/control-plane/tests/exhaustive/world.rs
@@ -105,7 +105,7 @@
         let settings = ChainSettings { losses, eligible: true, ..ChainSettings::default() };
         let machine = |(n, start): (usize, Option<Start>)| Machine {
             disk: match &start {
-                Some(Start::Kept(disk)) => Some(disk.clone()),
+                Some(Start::Recovered(disk)) => Some(disk.clone()),
                 _ => None,
             },
             chain: start.map(|start| Chain::new(node(n), settings, start)),
@@ -146,7 +146,7 @@
             self.links.insert((n, other), Link::default());
         }
         for (n, other) in [(a, b), (b, a)] {
-            self.with_chain(n, |chain, now| chain.peer_up(now, node(other))).unwrap();
+            self.with_chain(n, |chain, now| chain.peer_connected(now, node(other))).unwrap();
         }
     }
 
@@ -244,12 +244,12 @@
                 let Some(link) = self.links.get_mut(&(from, to)) else { return Ok(()) };
                 link.fingerprint = None;
                 let Some(message) = link.messages.pop_front() else { return Ok(()) };
-                self.with_chain(to, |chain, now| chain.message(now, node(from), message))
+                self.with_chain(to, |chain, now| chain.message_received(now, node(from), message))
             }
             Event::Sync(n) => {
                 let Some((number, state)) = self.machines[n].syncing.pop_front() else { return Ok(()) };
                 self.machines[n].disk = Some(state);
-                self.with_chain(n, |chain, now| chain.synced(now, number))
+                self.with_chain(n, |chain, now| chain.write_completed(now, number))
             }
             Event::Call(n) => {
                 let rev = self.calls_left;
@@ -284,7 +284,7 @@
     pub fn break_link(&mut self, a: usize, b: usize) -> Result<(), String> {
         for (n, other) in [(a, b), (b, a)] {
             self.links.remove(&(n, other));
-            self.with_chain(n, |chain, now| chain.peer_down(now, node(other)))?;
+            self.with_chain(n, |chain, now| chain.peer_disconnected(now, node(other)))?;
         }
         self.link(a, b);
         self.deliver_heartbeats()
@@ -295,7 +295,7 @@
         for other in (0..self.nodes()).filter(|other| *other != n) {
             for (from, to) in [(n, other), (other, n)] {
                 self.links.remove(&(from, to));
-                self.with_chain(to, |chain, now| chain.peer_down(now, node(from))).unwrap();
+                self.with_chain(to, |chain, now| chain.peer_disconnected(now, node(from))).unwrap();
             }
         }
         let without =
@@ -327,7 +327,7 @@
         for other in (0..self.nodes()).filter(|other| *other != n) {
             self.links.remove(&(n, other));
             self.links.remove(&(other, n));
-            self.with_chain(other, |chain, now| chain.peer_down(now, node(n)))?;
+            self.with_chain(other, |chain, now| chain.peer_disconnected(now, node(n)))?;
         }
         Ok(())
     }
--- a/control-plane/tests/lease_world/control.rs
+++ b/control-plane/tests/lease_world/control.rs
@@ -182,7 +182,7 @@
             }
             Message::PeerGranted { incarnation: mine, sent, duration } if mine == incarnation => {
                 control.held.renew(now, peer.ip, sent, duration);
-                let until = control.held.until(now, is_quorum);
+                let until = control.held.quorum_expiry(now, is_quorum);
                 self.set_lease_expiry(me, until);
             }
             Message::Purge { id, purge, asked: None } => {
@@ -243,7 +243,7 @@
     fn no_lease_except(&self, me: usize, told: &[ProcessId]) -> bool {
         let now = self.clock(me);
         let control = &self.processes[me].control;
-        let peers = control.granted.last_end(now, |holder| !told.contains(holder)).is_none();
+        let peers = control.granted.last_expiry(now, |holder| !told.contains(holder)).is_none();
         let known = now >= control.unknown_until;
         (peers || self.disabled == Disabled::PeerLeaseWait) && (known || self.disabled == Disabled::StartWait)
     }
--- a/control-plane/tests/lease_world/sessions.rs
+++ b/control-plane/tests/lease_world/sessions.rs
@@ -123,9 +123,9 @@
         let (now, sessions) = (self.clock(upper), &self.processes[upper].sessions);
         due.iter().all(|(connection, sent)| match sessions.all.get(connection) {
             Some(session) if session.applied >= *sent => true,
-            Some(_) => sessions.grants.ends(now, connection).is_none(),
+            Some(_) => sessions.grants.expiry(now, connection).is_none(),
             None if self.disabled == Disabled::SessionLeaseWait => true,
-            None => sessions.grants.ends(now, connection).is_none(),
+            None => sessions.grants.expiry(now, connection).is_none(),
         })
     }
 
@@ -188,7 +188,7 @@
                 let sent = if self.disabled == Disabled::SendTime { now } else { sent };
                 self.processes[lower].lease.renew(now, sent, duration);
                 if Self::is_agent(lower) {
-                    let until = self.processes[lower].lease.until();
+                    let until = self.processes[lower].lease.expires_at();
                     self.set_lease_expiry(lower, until);
                 }
             }
--- a/control-plane/tests/modules.rs
+++ b/control-plane/tests/modules.rs
@@ -4,10 +4,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// Folders whose files depend on each other in a circle: `shield/fetch.rs` and `shield/singleflight.rs`, by the type
-/// `FetchEnd`. A folder whose circle is removed has to be removed here.
-const FOLDERS_WITH_CIRCLES: [&str; 1] = ["glenfall, crate::shield::"];
-
 type Dependencies = BTreeMap<String, BTreeSet<String>>;
 
 /// The entries of a folder.
@@ -138,6 +134,5 @@
             }
         }
     }
-    let folders: Vec<&str> = circles.keys().map(String::as_str).collect();
-    assert_eq!(folders, FOLDERS_WITH_CIRCLES, "{circles:?}");
+    assert_eq!(circles, BTreeMap::new());
 }
--- a/control-plane/tests/unit/fleet.rs
+++ b/control-plane/tests/unit/fleet.rs
@@ -97,7 +97,7 @@
     for _ in 0..2000 {
         // A member that moves to another control node has two sessions for a moment.
         let members = (0..8).map(|_| member(rng.random_range(0..6), rng.random())).collect();
-        let next = MembersUpdate::listed(members);
+        let next = MembersUpdate::sorted_by_name(members);
         match MembersUpdate::delta(&sent, &next) {
             Some(delta) => delta.apply(&mut received),
             None => assert_eq!(sent, next),
--- a/control-plane/tests/unit/invariant.rs
+++ b/control-plane/tests/unit/invariant.rs
@@ -1,6 +1,6 @@
 //! Invariants that are checked at run time: a violation is counted under its name.
 
-use glenfall_control_plane::invariant::{report, violations, Invariant, COUNTER};
+use glenfall_control_plane::invariant::{report, violations, Invariant, COUNTER_PREFIX};
 
 #[test]
 fn violations_are_counted_by_name_and_details_are_computed_for_violations_only() {
@@ -10,7 +10,7 @@
     Invariant::OneDocument.check(false, || "two documents".into());
     assert_eq!((violations(), Invariant::OneDocument.violations()), (before + 1, 1));
     let counters: Vec<(String, u64)> = report().collect();
-    assert_eq!(counters, [(format!("{COUNTER}one_document"), 1)]);
+    assert_eq!(counters, [(format!("{COUNTER_PREFIX}one_document"), 1)]);
     let names: std::collections::BTreeSet<&str> =
         Invariant::ALL.iter().map(|invariant| invariant.name()).collect();
     assert_eq!(names.len(), Invariant::ALL.len(), "each has a name of its own");
--- a/control-plane/tests/unit/peers.rs
+++ b/control-plane/tests/unit/peers.rs
@@ -18,7 +18,7 @@
         record: Default::default(),
     };
     let settings = ChainSettings { losses: 1, eligible: true, ..ChainSettings::default() };
-    Chain::new(node(3), settings, Start::Kept(state))
+    Chain::new(node(3), settings, Start::Recovered(state))
 }
 
 /// The receiver of a heartbeat that reports that its sender reaches `reachable`.
@@ -37,8 +37,8 @@
 fn a_new_link_is_announced_to_all_peers_at_once() {
     let mut chain = restarted_voter();
     chain.tick(0);
-    chain.peer_up(100, node(1));
-    let outputs = chain.peer_up(101, node(2));
+    chain.peer_connected(100, node(1));
+    let outputs = chain.peer_connected(101, node(2));
     let receivers: Vec<NodeId> = outputs.iter().filter_map(|output| receiver_of(output, node(2))).collect();
     assert_eq!(receivers, [node(1), node(2)]);
 }
--- a/control-plane/tests/unit/purge_history.rs
+++ b/control-plane/tests/unit/purge_history.rs
@@ -13,17 +13,17 @@
 #[test]
 fn a_purge_is_new_once_and_is_removed_after_its_retention() {
     let mut purges = PurgeHistory::default();
-    assert_eq!(purges.record(1000, vec![purge(1, 0), purge(2, 500), purge(1, 0)]).len(), 2);
-    assert!(purges.record(1000, vec![purge(2, 0)]).is_empty());
+    assert_eq!(purges.add(1000, vec![purge(1, 0), purge(2, 500), purge(1, 0)]).len(), 2);
+    assert!(purges.add(1000, vec![purge(2, 0)]).is_empty());
     assert_eq!(purges.snapshot(1500).iter().map(|record| record.age_ms).collect::<Vec<_>>(), [500, 1000]);
-    purges.record(PURGE_RETENTION + 1000, vec![]);
+    purges.add(PURGE_RETENTION + 1000, vec![]);
     assert!(purges.missed(PURGE_RETENTION + 1000).is_empty());
 }
 
 #[test]
 fn past_the_bound_a_session_that_connects_purges_everything() {
     let mut purges = PurgeHistory::default();
-    purges.record(0, (0..=MAX_PURGES as u64).map(|number| purge(number, 0)).collect());
+    purges.add(0, (0..=MAX_PURGES as u64).map(|number| purge(number, 0)).collect());
     assert_eq!(purges.missed(0), [AgedPurge { purge: Purge::Everything, age_ms: 0 }]);
     assert_eq!(purges.snapshot(0).len(), MAX_PURGES);
 }
--- a/control-plane/tests/unit/settings.rs
+++ b/control-plane/tests/unit/settings.rs
@@ -14,7 +14,7 @@
     let (me, peer) = (NodeId::new(10, 0, 0, 1), NodeId::new(10, 0, 0, 2));
     let mut chain = Chain::new(me, settings, Start::Fresh(vec![me, peer]));
     chain.tick(0);
-    chain.peer_up(0, peer);
+    chain.peer_connected(0, peer);
     let mut now = 0;
     while chain.has_quorum() {
         now += STEP;
--- a/control-plane/tests/unit/voters.rs
+++ b/control-plane/tests/unit/voters.rs
@@ -11,11 +11,11 @@
     let state =
         HardState { members: old.clone(), votes: true, promised: 1, accepted: 1, record: Default::default() };
     let settings = ChainSettings { losses: 1, eligible: true, ..ChainSettings::default() };
-    let mut chain = Chain::new(node(1), settings, Start::Kept(state));
-    chain.peer_up(0, node(2));
+    let mut chain = Chain::new(node(1), settings, Start::Recovered(state));
+    chain.peer_connected(0, node(2));
     let mut is_quorum_by_peer = |members: JointConfig| {
         let heartbeat = Heartbeat { members, reachable_peers: vec![node(1)], ..Heartbeat::default() };
-        chain.message(10, node(2), Message::Heartbeat(heartbeat));
+        chain.message_received(10, node(2), Message::Heartbeat(heartbeat));
         chain.is_quorum(&[node(2)])
     };
     assert!(is_quorum_by_peer(old));
--- a/control-plane/tests/wire_format.rs
+++ b/control-plane/tests/wire_format.rs
@@ -112,7 +112,7 @@
 }
 
 fn record() -> Arc<Record> {
-    let applied_orders = DeduplicationTable::listed(5, &[order(7), order(9)]).expect("a table");
+    let applied_orders = DeduplicationTable::from_orders(5, &[order(7), order(9)]).expect("a table");
     Arc::new(Record { seq: 4, rev: 9, document: br#"{"rev": 9}"#.to_vec(), applied_orders })
 }
 
@@ -193,12 +193,12 @@
     let stamped = PurgeRecord { origin: ip(1), incarnation: 1_000_000_007, number: 3, age_ms: 12, purge };
     samples.check(
         "peer.purges.history",
-        &PeerMessage::Purges { id: None, purges: vec![stamped.clone()], already_asked: None },
+        &PeerMessage::Purges { id: None, purges: vec![stamped.clone()], already_notified: None },
     );
     let asked = Some(vec![ProcessId { ip: ip(2), incarnation: 8 }]);
     samples.check(
         "peer.purges.call",
-        &PeerMessage::Purges { id: Some(id), purges: vec![stamped], already_asked: asked },
+        &PeerMessage::Purges { id: Some(id), purges: vec![stamped], already_notified: asked },
     );
     samples.check("peer.purge-written", &PeerMessage::PurgeDurable { incarnation: 1_000_000_007, number: 3 });
     samples.check("peer.done", &PeerMessage::Acknowledged { id, complete: true });
--- a/experiments/src/experiment/faults.rs
+++ b/experiments/src/experiment/faults.rs
@@ -68,7 +68,7 @@
 }
 
 fn restart(local: &RefCell<LocalSystem>, node: &str) {
-    if let Err(error) = local.borrow_mut().start_again(node) {
+    if let Err(error) = local.borrow_mut().restart_node(node) {
         eprintln!("{node}: {error}");
     }
 }
--- a/experiments/src/experiment/mod.rs
+++ b/experiments/src/experiment/mod.rs
@@ -63,14 +63,14 @@
     let system = plan.system;
     SystemLayout {
         zones: system.zones,
-        beat_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
+        heartbeat_interval_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
         mem_mb: system.mem_mb,
         ..SystemLayout::new(MACHINE_NET, system.cores, system.edges)
     }
 }
 
 fn check_invariants(local: &LocalSystem) -> Result<(), LabError> {
-    let violations = local.broken_invariants();
+    let violations = local.invariant_violations();
     match violations.first() {
         Some(first) => Err(LabError::InvariantViolated { count: violations.len(), first: first.clone() }),
         None => Ok(()),
--- a/experiments/src/experiment/setup.rs
+++ b/experiments/src/experiment/setup.rs
@@ -39,7 +39,7 @@
     for service in &plan.services {
         for number in 0..service.servers {
             let machine = FIRST_SERVER_MACHINE + origins.len() as u8;
-            let ip = local.machine(machine);
+            let ip = local.machine_address(machine);
             let port = TcpListener::bind((ip, 0)).await?.local_addr()?.port();
             let seed = plan.seed ^ u64::from(machine);
             let origin = Origin::new(number, service, &plan.classes, ledger, seed);
--- a/experiments/src/fleet/control_traffic.rs
+++ b/experiments/src/fleet/control_traffic.rs
@@ -186,7 +186,7 @@
     /// Sends the sessions of a control node to its peers, if they have changed.
     fn publish_sessions(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        let members = MembersUpdate::listed(node.sessions.clone());
+        let members = MembersUpdate::sorted_by_name(node.sessions.clone());
         let delta = MembersUpdate::delta(&node.published_sessions, &members);
         node.published_sessions = members;
         node.dirty = true;
--- a/experiments/src/fleet/writes.rs
+++ b/experiments/src/fleet/writes.rs
@@ -184,7 +184,7 @@
         write.tried.push(chosen.clone());
         let index = self.server_index[&chosen];
         self.take_connection(ConnectionKey { edge, server: index });
-        self.balancers[edge].enter(&chosen);
+        self.balancers[edge].request_started(&chosen);
         let server = &mut self.servers[index];
         if server.running < self.plan.writes.slots {
             server.running += 1;
@@ -246,8 +246,8 @@
         let (edge, latency) = (write.edge, Duration::from_micros(self.now - write.sent_at));
         if let Some(id) = write.tried.last() {
             let now = self.instant();
-            self.balancers[edge].heard(now, id, outcome, latency);
-            self.balancers[edge].exit(id);
+            self.balancers[edge].record_outcome(now, id, outcome, latency);
+            self.balancers[edge].request_finished(id);
         }
         let idle_since = self.now;
         self.idle.entry(ConnectionKey { edge, server }).or_default().push(idle_since);
--- a/experiments/src/hollow/mod.rs
+++ b/experiments/src/hollow/mod.rs
@@ -119,7 +119,7 @@
     SystemLayout {
         seeds: options.seeds,
         zones: ZONE_COUNT,
-        beat_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
+        heartbeat_interval_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
         mem_mb: PROCESS_MEMORY_MB,
         ..SystemLayout::new(MACHINE_NET, options.controls, REAL_EDGES)
     }
@@ -133,7 +133,7 @@
     put_config(document, &controls, HEARTBEAT_INTERVAL).await?;
     let observations = Observations::new(options.servers, nodes, nodes + u32::from(REAL_EDGES));
     let failed_heartbeats = Rc::new(Cell::new(0));
-    let first_server = SocketAddrV4::new(local.machine(SERVER_MACHINE), FIRST_SERVER_PORT);
+    let first_server = SocketAddrV4::new(local.machine_address(SERVER_MACHINE), FIRST_SERVER_PORT);
     let servers = workload::start_servers(options.servers, &controls, first_server, &failed_heartbeats);
     sleep(HEARTBEAT_INTERVAL * HEARTBEATS_UNTIL_KNOWN).await;
     let mut run = HollowRun { local, controls, observations, nodes, failed_heartbeats };
@@ -148,7 +148,7 @@
     document_bytes: usize,
 ) -> Result<SizeReport, LabError> {
     let duration = Duration::from_secs(options.seconds);
-    let (seeds, port) = run.local.links();
+    let (seeds, port) = run.local.session_addresses();
     let access = ControlAccess { seeds, port, zones: ZONE_COUNT, distributed: options.distributed };
     let threads = NodeThreads::new(&access, &run.observations, run.nodes);
     let mut phases = vec![run.start(&threads).await];
@@ -163,7 +163,7 @@
     phases.push(run.measure("purges", run.purge(&next_purge, options.purges, duration)).await);
     phases.push(run.measure("restarts", run.restart(&threads, options.restarts, duration)).await);
     phases.push(run.measure("loss", run.lose_control(&next_purge, options.purges, duration)).await);
-    run.local.start_again(LOST_MACHINE)?;
+    run.local.restart_node(LOST_MACHINE)?;
     let all_in_contact = wait_until(READY_TIMEOUT, || run.all_in_contact()).await.is_some();
     Ok(SizeReport {
         nodes: run.nodes,
--- a/experiments/src/load.rs
+++ b/experiments/src/load.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall::http::headers::{DEADLINE, TRY_ID};
+use glenfall::http::headers::{DEADLINE_HEADER, TRY_ID_HEADER};
 use glenfall::http::response::ServerResponse;
 use glenfall::memory_budget::MemoryBudget;
 use glenfall::operator::commands::{call_control, ControlAddresses};
@@ -90,9 +90,9 @@
         let remaining_ms = self.until.saturating_duration_since(Instant::now()).as_millis() as u64;
         let headers = request.headers_mut();
         headers.insert(header::HOST, HeaderValue::from_static(ROUTE_HOST));
-        headers.insert(DEADLINE, HeaderValue::from(remaining_ms.max(1)));
+        headers.insert(DEADLINE_HEADER, HeaderValue::from(remaining_ms.max(1)));
         if let Ok(id) = HeaderValue::from_str(&self.id) {
-            headers.insert(TRY_ID, id);
+            headers.insert(TRY_ID_HEADER, id);
         }
         request
     }
--- a/experiments/src/origin/mod.rs
+++ b/experiments/src/origin/mod.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenfall::http::headers::TRY_ID;
+use glenfall::http::headers::TRY_ID_HEADER;
 use glenfall::http_server::{self, FullRequest, FullResponse, Handler};
 use glenfall::operator::commands::ControlAddresses;
 use glenfall_control_plane::config::RequestLimits;
@@ -102,7 +102,7 @@
             max_connections: MAX_CONNECTIONS,
             max_body_bytes: MAX_BODY_BYTES,
             drain_accept_time: Duration::ZERO,
-            grace: Duration::ZERO,
+            shutdown_timeout: Duration::ZERO,
         };
         let mut crash = self.crash.subscribe();
         let handler = Rc::new(OriginHandler(Rc::clone(&self)));
@@ -175,8 +175,8 @@
 impl Handler for OriginHandler {
     async fn handle(&self, request: FullRequest) -> FullResponse {
         let mut response = self.0.serve(&request).await;
-        if let Some(id) = request.head.headers.get(TRY_ID) {
-            response.headers_mut().insert(TRY_ID, id.clone());
+        if let Some(id) = request.head.headers.get(TRY_ID_HEADER) {
+            response.headers_mut().insert(TRY_ID_HEADER, id.clone());
         }
         response
     }
--- a/experiments/src/origin/requests.rs
+++ b/experiments/src/origin/requests.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-use glenfall::http::headers::{DEADLINE, TRY_ID};
+use glenfall::http::headers::{DEADLINE_HEADER, TRY_ID_HEADER};
 use glenfall::http_server::{plain_response, retry_later_response, FullRequest, FullResponse};
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
@@ -57,7 +57,7 @@
         let Some(class) = self.class_of(request) else {
             return self.reject(StatusCode::MISDIRECTED_REQUEST, "another service");
         };
-        let Some(id) = header_text(request, TRY_ID.as_str()) else {
+        let Some(id) = header_text(request, TRY_ID_HEADER.as_str()) else {
             return self.reject(StatusCode::BAD_REQUEST, "no id");
         };
         let slot = match self.wait_for_slot(request, class).await {
@@ -90,7 +90,7 @@
         request: &FullRequest,
         class: &ClassPlan,
     ) -> Result<Option<SemaphorePermit<'_>>, FullResponse> {
-        let timeout_ms = header_text(request, DEADLINE.as_str()).and_then(|ms| ms.parse().ok());
+        let timeout_ms = header_text(request, DEADLINE_HEADER.as_str()).and_then(|ms| ms.parse().ok());
         let until = Instant::now() + Duration::from_millis(timeout_ms.unwrap_or(class.deadline_ms));
         if self.slots.available_permits() == 0 && self.queued.get() >= self.plan.queue {
             return Err(self.reject(StatusCode::SERVICE_UNAVAILABLE, "full"));
--- a/experiments/src/processor/system.rs
+++ b/experiments/src/processor/system.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall::http::headers::TRY_ID;
+use glenfall::http::headers::TRY_ID_HEADER;
 use glenfall::memory_budget::MemoryBudget;
 use glenfall::operator::local_system::{LocalSystem, SystemLayout};
 use glenfall::upstream::pool::{ExchangeParams, Pool};
@@ -76,7 +76,7 @@
         let plan = Plan::read(PROCESSOR_PLAN).map_err(std::io::Error::other)?;
         let layout = SystemLayout {
             zones,
-            beat_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
+            heartbeat_interval_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
             mem_mb: plan.system.mem_mb,
             ..SystemLayout::new(net, plan.system.cores, plan.system.edges)
         };
@@ -217,6 +217,6 @@
     *request.uri_mut() = format!("/{}/{object}", case.class).parse().unwrap_or_default();
     let headers = request.headers_mut();
     headers.insert(header::HOST, HeaderValue::from_static(ROUTE_HOST));
-    headers.insert(TRY_ID, HeaderValue::from(number));
+    headers.insert(TRY_ID_HEADER, HeaderValue::from(number));
     request
 }
--- a/experiments/src/soak/clients/checks.rs
+++ b/experiments/src/soak/clients/checks.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use glenfall::http::response::{ServerResponse, SEAL};
+use glenfall::http::response::{ServerResponse, SEAL_HEADER};
 use glenfall::upstream::pool::SendError;
 use hyper::StatusCode;
 use tokio::time::Instant;
@@ -49,7 +49,7 @@
     fn check_success(&self, sent: &SentRequest, response: &ServerResponse) {
         let SentRequest { class, edge, path, id, sent_at } = sent;
         self.oracle.count("served");
-        let sealed = response.headers().contains_key(SEAL);
+        let sealed = response.headers().contains_key(SEAL_HEADER);
         match self.ledger.check(path, *sent_at, sealed, response.body(), class.bytes) {
             ResponseCheck::Valid => {}
             ResponseCheck::Incomplete => {
@@ -78,7 +78,7 @@
         if is_not_executed(status) && class.kind == RouteKind::Mutating {
             self.rejected_writes.borrow_mut().push(id.clone());
         }
-        if !response.headers().contains_key(SEAL) {
+        if !response.headers().contains_key(SEAL_HEADER) {
             self.oracle.request_failed(id, *edge, status.as_u16());
         }
         // Servers fail some requests themselves.
--- a/experiments/src/soak/clients/mod.rs
+++ b/experiments/src/soak/clients/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall::http::headers::{DEADLINE, TRY_ID};
+use glenfall::http::headers::{DEADLINE_HEADER, TRY_ID_HEADER};
 use glenfall::http::response::ServerResponse;
 use glenfall::memory_budget::MemoryBudget;
 use glenfall::upstream::pool::{ExchangeParams, Pool, SendError};
@@ -60,8 +60,8 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.path.parse().unwrap_or_default();
         let headers = request.headers_mut();
-        headers.insert(DEADLINE, HeaderValue::from(self.deadline.as_millis() as u64));
-        for (name, value) in [(header::HOST, self.host), (TRY_ID, self.id)] {
+        headers.insert(DEADLINE_HEADER, HeaderValue::from(self.deadline.as_millis() as u64));
+        for (name, value) in [(header::HOST, self.host), (TRY_ID_HEADER, self.id)] {
             if let Ok(value) = HeaderValue::from_str(value) {
                 headers.insert(name, value);
             }
--- a/experiments/src/soak/machines.rs
+++ b/experiments/src/soak/machines.rs
@@ -42,7 +42,7 @@
 impl Machines {
     /// Takes over the machines of a system that runs.
     pub fn new(local: LocalSystem, partitions: Rc<Partitions>, oracle: Rc<Oracle>) -> Rc<Self> {
-        let cores = local.relayed().len() as u8;
+        let cores = local.relayed_machines().len() as u8;
         let machines = Machines {
             local: RefCell::new(local),
             partitions,
@@ -66,7 +66,7 @@
 
     /// Retains the logs of the run after its end, and returns their folder.
     pub fn retain_logs(&self) -> std::path::PathBuf {
-        self.local.borrow_mut().keep_folder().to_owned()
+        self.local.borrow_mut().retain_folder().to_owned()
     }
 
     fn update_processes(&self) {
@@ -90,7 +90,7 @@
     /// Sends a signal to processes of a machine. After SIGKILL and SIGTERM their exits are expected.
     pub fn signal(&self, machine: u8, processes: ProcessSet, signal: Signal) {
         let local = self.local.borrow();
-        let node = local.node(machine);
+        let node = local.machine_name(machine);
         for role in self.roles(machine, processes) {
             if matches!(signal, Signal::SIGKILL | Signal::SIGTERM) {
                 self.expected_exits.borrow_mut().insert(ProcessRole { machine: node.clone(), role });
@@ -106,7 +106,7 @@
     /// that do not exit in time are killed.
     pub async fn wait_for_exits(&self, machine: u8, processes: ProcessSet) {
         let began_at = Instant::now();
-        let node = self.local.borrow().node(machine);
+        let node = self.local.borrow().machine_name(machine);
         while began_at.elapsed() < TERMINATION_TIMEOUT {
             if self.have_exited(machine, &node, processes) {
                 return;
@@ -119,7 +119,7 @@
     }
 
     fn have_exited(&self, machine: u8, node: &str, processes: ProcessSet) -> bool {
-        let exited = self.local.borrow_mut().ended().unwrap_or_default();
+        let exited = self.local.borrow_mut().exited_processes().unwrap_or_default();
         let expected = self.expected_exits.borrow();
         let has_exited = |role: &&'static str| {
             let is_exited = exited.iter().any(|(of, exited_role, _)| of == node && exited_role == role);
@@ -130,7 +130,7 @@
 
     /// Restarts what has exited on a machine.
     pub fn restart(&self, machine: u8) {
-        let node = self.local.borrow().node(machine);
+        let node = self.local.borrow().machine_name(machine);
         if let Err(error) = self.restart_node(&node) {
             let details = format!("{node} can't be started: {error}");
             self.oracle.violated(Invariant::NoUnexpectedExit, details);
@@ -140,10 +140,10 @@
     /// Restarts what has exited on a machine. The exits of processes that another fault is about to end stay expected.
     fn restart_node(&self, node: &str) -> std::io::Result<()> {
         let mut local = self.local.borrow_mut();
-        for (machine, role, _) in local.ended()?.into_iter().filter(|(of, ..)| of == node) {
+        for (machine, role, _) in local.exited_processes()?.into_iter().filter(|(of, ..)| of == node) {
             self.expected_exits.borrow_mut().remove(&ProcessRole { machine, role });
         }
-        local.start_again(node)?;
+        local.restart_node(node)?;
         drop(local);
         self.update_processes();
         Ok(())
@@ -155,13 +155,13 @@
     ///
     /// Returns the first error of a start.
     pub fn restart_all(&self) -> std::io::Result<()> {
-        let exited = self.local.borrow_mut().ended()?;
-        exited.into_iter().try_for_each(|(node, ..)| self.restart_node(&node))
+        let exited = self.local.borrow_mut().exited_processes()?;
+        exited.into_iter().try_for_each(|(machine_name, ..)| self.restart_node(&machine_name))
     }
 
     /// Erases the disk of a machine whose processes have exited.
     pub fn wipe(&self, machine: u8) {
-        let node = self.local.borrow().node(machine);
+        let node = self.local.borrow().machine_name(machine);
         let result = self.local.borrow_mut().wipe(&node);
         if let Err(error) = result {
             self.oracle.violated(Invariant::NoUnexpectedExit, format!("{node} can't be wiped: {error}"));
@@ -172,7 +172,7 @@
     pub async fn watch_exits(self: Rc<Self>) {
         loop {
             sleep(EXIT_POLL_INTERVAL).await;
-            let exited = self.local.borrow_mut().ended().unwrap_or_default();
+            let exited = self.local.borrow_mut().exited_processes().unwrap_or_default();
             for (node, role, status) in exited {
                 let process = ProcessRole { machine: node, role };
                 let is_new = self.expected_exits.borrow_mut().insert(process.clone());
@@ -219,7 +219,7 @@
         let local = self.local.borrow();
         let mut directions = Vec::new();
         for other in others.iter().filter(|other| **other != machine) {
-            let (own, other) = (local.node(machine), local.node(*other));
+            let (own, other) = (local.machine_name(machine), local.machine_name(*other));
             if direction != PartitionDirection::Incoming {
                 directions.push(MachineDirection { from: own.clone(), to: other.clone() });
             }
--- a/experiments/src/soak/run.rs
+++ b/experiments/src/soak/run.rs
@@ -78,9 +78,9 @@
         seeds: SEED_COUNT,
         edges: size.edges,
         zones: plan.system.zones,
-        beat_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
+        heartbeat_interval_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
         mem_mb: plan.system.mem_mb,
-        losses: TOLERATED_LOSSES,
+        tolerated_losses: TOLERATED_LOSSES,
         relayed: true,
     };
     let local = LocalSystem::start(layout, program).await?;
@@ -118,9 +118,10 @@
 impl SoakRun {
     async fn prepare(schedule: Schedule, plan: Plan, net: u8, local: LocalSystem) -> Result<Self, LabError> {
         let partitions = Partitions::new();
-        for (machine, pairs) in local.relayed() {
+        for (machine, pairs) in local.relayed_machines() {
             for (announced, target) in pairs {
-                relay_to_machine(Rc::clone(&partitions), announced, target, &local.node(machine)).await?;
+                relay_to_machine(Rc::clone(&partitions), announced, target, &local.machine_name(machine))
+                    .await?;
             }
         }
         let controls = local.controls();
@@ -237,7 +238,7 @@
 
     fn check_logs(&self) {
         let local = self.machines.local_system();
-        for line in local.broken_invariants() {
+        for line in local.invariant_violations() {
             self.oracle.violated(Invariant::RuntimeAssertion, line);
         }
         let logs = Logs::read(&local.folder);
--- a/glenfall/src/agent/proxy_listener.rs
+++ b/glenfall/src/agent/proxy_listener.rs
@@ -28,12 +28,12 @@
 }
 
 async fn serve(relay: Rc<Relay>, stream: TcpStream) {
-    if link::tune(&stream).is_err() {
+    if link::configure_socket(&stream).is_err() {
         return;
     }
     let (read, write) = stream.into_split();
     let mut frames = FrameReader::new(read);
-    if !matches!(frames.next_in_time().await, Ok(ConnectionOpening::Session)) {
+    if !matches!(frames.next_or_timeout().await, Ok(ConnectionOpening::Session)) {
         return;
     }
     let outbox = Outbox::start(write);
--- a/glenfall/src/agent/relay.rs
+++ b/glenfall/src/agent/relay.rs
@@ -12,7 +12,9 @@
 use super::known_state::KnownState;
 use crate::session::lease::HeldLease;
 use crate::session::link;
-use crate::session::publisher::{Greeting, Publisher, Sessions, SubscriberConnection, LONGEST_BEHIND};
+use crate::session::publisher::{
+    Greeting, Publisher, Sessions, SubscriberConnection, MAX_ACKNOWLEDGEMENT_DELAY,
+};
 use crate::settings::Settings;
 
 /// How long the agent waits for its proxies to apply an update before it acknowledges the update.
@@ -74,7 +76,7 @@
 
     /// The counters of the proxies and of the agent itself.
     pub(super) fn counters(&self) -> Vec<(String, u64)> {
-        let sessions = self.proxies.seen().into_iter();
+        let sessions = self.proxies.statuses().into_iter();
         let of_proxies = sessions.flat_map(|session| session.counters);
         let of_proxies = of_proxies.map(|counter| (counter.name, counter.value));
         of_proxies.chain(link::report("agent_")).collect()
@@ -86,7 +88,7 @@
             PublisherMessage::ControlNodes(nodes) => self.known.borrow_mut().set_control_nodes(nodes),
             PublisherMessage::LeaseGranted { sent_at, duration } => {
                 self.lease.renew(sent_at, duration);
-                self.proxies.vouch_until(self.lease.until());
+                self.proxies.set_own_lease_end(self.lease.until());
             }
             PublisherMessage::Push { update, .. } => return self.apply(update).await,
             PublisherMessage::Draining | PublisherMessage::Ping => {}
@@ -122,18 +124,18 @@
     async fn pass_on(&self, update: Option<Update>) {
         let Some(update) = update else { return };
         self.proxies.push(&update);
-        if !self.proxies.applied(APPLY_TIMEOUT).await {
-            self.proxies.drop_behind(LONGEST_BEHIND);
+        if !self.proxies.wait_until_applied(APPLY_TIMEOUT).await {
+            self.proxies.end_overdue(MAX_ACKNOWLEDGEMENT_DELAY);
         }
     }
 
     /// Returns once no proxy can serve what these purges end.
     async fn purge(&self, purges: Vec<AgedPurge>) {
         self.proxies.push(&Update::Purges(purges));
-        if !self.proxies.purged(APPLY_TIMEOUT).await {
-            self.proxies.drop_behind(LONGEST_BEHIND);
+        if !self.proxies.wait_until_purged(APPLY_TIMEOUT).await {
+            self.proxies.end_overdue(MAX_ACKNOWLEDGEMENT_DELAY);
             // A proxy that is overdue is granted no further lease.
-            let _ = self.proxies.purged(LEASE_END_TIMEOUT).await;
+            let _ = self.proxies.wait_until_purged(LEASE_END_TIMEOUT).await;
         }
     }
 
@@ -141,13 +143,13 @@
     /// takes longer than [`RELEASE_TIMEOUT`].
     pub(super) async fn release_leases(&self) -> bool {
         self.set_connected(false);
-        self.proxies.purged(RELEASE_TIMEOUT).await
+        self.proxies.wait_until_purged(RELEASE_TIMEOUT).await
     }
 
     fn set_connected(&self, is_connected: bool) {
         if !is_connected {
             self.lease.end();
-            self.proxies.vouch_until(self.lease.until());
+            self.proxies.set_own_lease_end(self.lease.until());
         }
         self.known.borrow_mut().set_connected(is_connected);
         self.proxies.push(&Update::Connected(is_connected));
--- a/glenfall/src/cache/disk/cache_file.rs
+++ b/glenfall/src/cache/disk/cache_file.rs
@@ -7,7 +7,7 @@
 
 use super::change::{Change, QueuedChange};
 use super::clock::Timestamp;
-use super::row::{checksum, Row, RowHead};
+use super::row::{checksum, RowHead, StoredRow};
 use crate::disk;
 
 /// The file's name in its folder.
@@ -53,7 +53,7 @@
     }
 
     /// Reads all rows that are intact and recent enough. A file that can't be read is discarded.
-    pub fn read_all(&mut self) -> Vec<Row> {
+    pub fn read_all(&mut self) -> Vec<StoredRow> {
         let Some(connection) = self.connection() else { return Vec::new() };
         match read_rows(connection) {
             Ok(rows) => rows,
@@ -84,7 +84,7 @@
     /// Closes and removes the file; the next use creates a new one.
     pub fn discard(&mut self) {
         self.close();
-        disk::throw_away(&self.path);
+        disk::remove_database(&self.path);
     }
 
     /// Closes the file.
@@ -99,7 +99,7 @@
                 Ok(connection) => Some(connection),
                 Err(error) => {
                     tracing::warn!(%error, "disk cache discarded: the file can't be opened");
-                    disk::throw_away(&self.path);
+                    disk::remove_database(&self.path);
                     self.open().ok()
                 }
             };
@@ -112,7 +112,7 @@
             // If this fails, so does the next step.
             let _ = std::fs::create_dir_all(folder);
         }
-        let connection = disk::open(&self.path, PAGE_BYTES)?;
+        let connection = disk::open_database(&self.path, PAGE_BYTES)?;
         connection.pragma_update(None, "wal_autocheckpoint", WAL_PAGES)?;
         connection.pragma_update(None, "journal_size_limit", WAL_PAGES * PAGE_BYTES)?;
         connection.pragma_update(None, "max_page_count", self.max_pages)?;
@@ -154,7 +154,7 @@
     }
 
     /// Decodes the row; `None` if it is corrupt.
-    fn decode(self, written_at: Timestamp, since_write: Duration) -> Option<Row> {
+    fn decode(self, written_at: Timestamp, since_write: Duration) -> Option<StoredRow> {
         let age_when_written_ms = u64::try_from(written_at.monotonic_ms - self.born_ms).ok()?;
         if self.checksum != checksum(&self.head, &self.body) {
             return None;
@@ -164,7 +164,7 @@
     }
 }
 
-fn read_rows(connection: &Connection) -> rusqlite::Result<Vec<Row>> {
+fn read_rows(connection: &Connection) -> rusqlite::Result<Vec<StoredRow>> {
     let read_timestamp =
         |row: &rusqlite::Row| Ok(Timestamp { wall_ms: row.get(0)?, monotonic_ms: row.get(1)? });
     let written_at = connection.query_row(SELECT_WRITE_TIME, [], read_timestamp).optional()?;
--- a/glenfall/src/cache/disk/disk_cache.rs
+++ b/glenfall/src/cache/disk/disk_cache.rs
@@ -12,7 +12,7 @@
 use super::cache_file::CacheFile;
 use super::change::{Change, QueuedChange};
 use super::clock::monotonic_start_ms;
-use super::row::{row_id, Row, RowHead};
+use super::row::{row_id, RowHead, StoredRow};
 use super::writer::{Writer, MAX_BATCH_ROWS};
 use crate::cache::backlog::{Backlog, Reservation};
 use crate::cache::object_key::ObjectKey;
@@ -36,14 +36,17 @@
 impl DiskCache {
     /// Opens the file in a folder and starts the thread that writes it; the receiver gets what the file contains.
     /// Fails if the thread can't be started.
-    pub fn open(folder: &Path, disk_mb: u64) -> std::io::Result<(DiskCache, oneshot::Receiver<Vec<Row>>)> {
+    pub fn open(
+        folder: &Path,
+        disk_mb: u64,
+    ) -> std::io::Result<(DiskCache, oneshot::Receiver<Vec<StoredRow>>)> {
         let (disk_cache, mut writer, found) = DiskCache::prepare(folder, disk_mb);
         std::thread::Builder::new().name(WRITER_THREAD.into()).spawn(move || writer.run())?;
         Ok((disk_cache, found))
     }
 
     /// As [`open`](Self::open), for a caller that runs the writer itself.
-    pub fn prepare(folder: &Path, disk_mb: u64) -> (DiskCache, Writer, oneshot::Receiver<Vec<Row>>) {
+    pub fn prepare(folder: &Path, disk_mb: u64) -> (DiskCache, Writer, oneshot::Receiver<Vec<StoredRow>>) {
         let (sender, receiver) = mpsc::channel();
         let (rows_found, found) = oneshot::channel();
         let disk_cache = DiskCache {
@@ -63,7 +66,7 @@
     }
 
     /// Bytes of bodies in the queue.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_bytes(&self) -> usize {
         self.queued_bodies.queued()
     }
 
@@ -88,7 +91,7 @@
     }
 
     /// Sets the age of a response that was revalidated and has not changed.
-    pub fn refreshed(&self, key: &ObjectKey, age: Duration) {
+    pub fn revalidated(&self, key: &ObjectKey, age: Duration) {
         // If the queue is full, the stored response counts as older than it is.
         if let Some(row_reservation) = self.queued_rows.reserve(1) {
             let change = Change::Revalidate { id: row_id(key), born_ms: monotonic_start_ms(age) };
--- a/glenfall/src/cache/disk/mod.rs
+++ b/glenfall/src/cache/disk/mod.rs
@@ -15,8 +15,6 @@
 
 pub use self::cache_file::FILE_NAME;
 pub use self::clock::TimeSinceWrite;
-pub use self::disk_cache::{
-    DiskCache, MAX_QUEUED_BODY_BYTES, MAX_QUEUED_BODY_BYTES as MOST_WAITING, MAX_QUEUED_ROWS,
-};
-pub use self::row::Row;
+pub use self::disk_cache::{DiskCache, MAX_QUEUED_BODY_BYTES, MAX_QUEUED_ROWS};
+pub use self::row::StoredRow;
 pub use self::writer::Writer;
--- a/glenfall/src/cache/disk/row.rs
+++ b/glenfall/src/cache/disk/row.rs
@@ -9,7 +9,7 @@
 use crate::cache::object_key::ObjectKey;
 
 /// A stored response as it was read from disk.
-pub struct Row {
+pub struct StoredRow {
     /// The object.
     pub key: ObjectKey,
     /// The server's headers, as they are stored.
@@ -61,14 +61,14 @@
     }
 
     /// Joins it with its body. Headers that are not valid are left out.
-    pub fn into_row(self, body: Vec<u8>, age: Duration) -> Row {
+    pub fn into_row(self, body: Vec<u8>, age: Duration) -> StoredRow {
         let mut headers = HeaderMap::new();
         for HeaderField { name, value } in &self.headers {
             if let (Ok(name), Ok(value)) = (HeaderName::try_from(name), HeaderValue::from_bytes(value)) {
                 headers.append(name, value);
             }
         }
-        Row {
+        StoredRow {
             key: ObjectKey { service: self.service.into(), host: self.host.into(), path: self.path.into() },
             headers,
             labels: self.labels.into_iter().map(Box::from).collect(),
--- a/glenfall/src/cache/disk/writer.rs
+++ b/glenfall/src/cache/disk/writer.rs
@@ -8,7 +8,7 @@
 
 use super::cache_file::CacheFile;
 use super::change::{row_count, QueuedChange};
-use super::row::Row;
+use super::row::StoredRow;
 use crate::cache::backlog::Backlog;
 
 /// Changes within this time are written in one transaction, with one sync.
@@ -25,7 +25,7 @@
     changes: mpsc::Receiver<QueuedChange>,
     queued_bodies: Backlog,
     removal_lost: Arc<AtomicBool>,
-    rows_found: Option<oneshot::Sender<Vec<Row>>>,
+    rows_found: Option<oneshot::Sender<Vec<StoredRow>>>,
 }
 
 impl Writer {
@@ -36,7 +36,7 @@
         changes: mpsc::Receiver<QueuedChange>,
         queued_bodies: Backlog,
         removal_lost: Arc<AtomicBool>,
-        rows_found: oneshot::Sender<Vec<Row>>,
+        rows_found: oneshot::Sender<Vec<StoredRow>>,
     ) -> Self {
         Writer { file, changes, queued_bodies, removal_lost, rows_found: Some(rows_found) }
     }
--- a/glenfall/src/cache/memory_cache.rs
+++ b/glenfall/src/cache/memory_cache.rs
@@ -63,7 +63,7 @@
     }
 
     /// All entries, the least recently used first.
-    pub fn into_all(self) -> impl Iterator<Item = (ObjectKey, Rc<StoredResponse>)> {
+    pub fn into_entries(self) -> impl Iterator<Item = (ObjectKey, Rc<StoredResponse>)> {
         self.entries.into_iter()
     }
 
@@ -108,7 +108,7 @@
                 self.keys_by_label.get(label.as_str()).into_iter().flatten().cloned().collect()
             }
             Purge::Object { hostname, path } => {
-                all_keys.filter(|key| key.at(hostname, path)).cloned().collect()
+                all_keys.filter(|key| key.matches_location(hostname, path)).cloned().collect()
             }
         }
     }
--- a/glenfall/src/cache/mod.rs
+++ b/glenfall/src/cache/mod.rs
@@ -10,4 +10,4 @@
 
 pub use self::memory_cache::Cache;
 pub use self::object_key::ObjectKey;
-pub use self::stored_response::{StoredResponse, StoredResponse as Copy, ENTRY_OVERHEAD_BYTES};
+pub use self::stored_response::{StoredResponse, ENTRY_OVERHEAD_BYTES};
--- a/glenfall/src/cache/stored_response.rs
+++ b/glenfall/src/cache/stored_response.rs
@@ -9,8 +9,10 @@
 use tokio::time::Instant;
 
 use super::byte_range::ByteRange;
-use crate::http::headers::{passed_on, TRY_ID};
-use crate::http::response::{CachedResponse, ProxyResponse, ServerResponse, AGE_MS, SEAL, TAGS};
+use crate::http::headers::{forwardable_headers, TRY_ID_HEADER};
+use crate::http::response::{
+    CachedResponse, ProxyResponse, ServerResponse, AGE_HEADER, LABELS_HEADER, SEAL_HEADER,
+};
 
 /// What a stored response costs in addition to its body: headers, names, slots in the tables.
 pub const ENTRY_OVERHEAD_BYTES: usize = 1024;
@@ -25,34 +27,34 @@
     /// The complete object.
     pub body: Bytes,
     /// When the request was sent that fetched or last revalidated it: its content is no older than that.
-    pub born: Cell<Instant>,
+    pub requested_at: Cell<Instant>,
     /// The labels by which it can be purged.
     pub labels: Vec<Box<str>>,
 }
 
 impl StoredResponse {
     /// Stores a response whose request was sent at `born`; `None` if it must not be stored.
-    pub fn of(response: &ServerResponse, born: Instant) -> Option<StoredResponse> {
+    pub fn from_response(response: &ServerResponse, born: Instant) -> Option<StoredResponse> {
         if !is_storable(response) {
             return None;
         }
-        let labels = response.headers().get_all(TAGS).iter().filter_map(|value| value.to_str().ok());
+        let labels = response.headers().get_all(LABELS_HEADER).iter().filter_map(|value| value.to_str().ok());
         let labels = labels.flat_map(str::split_whitespace).map(Box::from).collect();
-        let mut headers = passed_on(response.headers());
-        headers.remove(TRY_ID);
+        let mut headers = forwardable_headers(response.headers());
+        headers.remove(TRY_ID_HEADER);
         headers.remove(header::AGE);
-        Some(StoredResponse { headers, body: response.body().clone(), born: Cell::new(born), labels })
+        Some(StoredResponse { headers, body: response.body().clone(), requested_at: Cell::new(born), labels })
     }
 
     /// Adds to a response what an edge needs to store it as well: its age and its labels.
-    pub fn hand_on(&self, response: &mut ProxyResponse) {
-        response.set_copy_details(self.age(), &self.labels.join(" "));
+    pub fn add_cache_details(&self, response: &mut ProxyResponse) {
+        response.set_cache_details(self.age(), &self.labels.join(" "));
     }
 
     /// When the response was fetched that a shield sent from its cache, in answer to a request sent at `asked`. `None`
     /// if the shield did not state its age.
-    pub fn handed_on(response: &ServerResponse, asked: Instant) -> Option<Instant> {
-        let age_ms = response.headers().get(AGE_MS)?.to_str().ok()?.parse().ok()?;
+    pub fn fetched_at(response: &ServerResponse, asked: Instant) -> Option<Instant> {
+        let age_ms = response.headers().get(AGE_HEADER)?.to_str().ok()?.parse().ok()?;
         asked.checked_sub(Duration::from_millis(age_ms))
     }
 
@@ -63,24 +65,24 @@
 
     /// How long ago its request was sent.
     pub fn age(&self) -> Duration {
-        self.born.get().elapsed()
+        self.requested_at.get().elapsed()
     }
 
     /// Whether it has a label.
-    pub fn labelled(&self, label: &str) -> bool {
+    pub fn has_label(&self, label: &str) -> bool {
         self.labels.iter().any(|own| **own == *label)
     }
 
     /// The response to a request with these headers: the complete object, the range that the request names, or that the
     /// object is not modified.
-    pub fn answer(&self, request: &HeaderMap) -> CachedResponse {
+    pub fn respond_to(&self, request: &HeaderMap) -> CachedResponse {
         let headers = self.response_headers(request);
         let etag = self.headers.get(header::ETAG);
         if etag.is_some() && request.get(header::IF_NONE_MATCH) == etag {
             return CachedResponse::not_modified(headers);
         }
         match self.requested_range(request) {
-            ByteRange::Complete => CachedResponse::whole(headers, self.body.clone()),
+            ByteRange::Complete => CachedResponse::full(headers, self.body.clone()),
             ByteRange::NotSatisfiable => CachedResponse::range_not_satisfiable(self.body.len()),
             ByteRange::Part { first, last } => CachedResponse::range(headers, &self.body, first, last),
         }
@@ -89,8 +91,8 @@
     fn response_headers(&self, request: &HeaderMap) -> HeaderMap {
         let mut headers = self.headers.clone();
         headers.insert(header::AGE, HeaderValue::from(self.age().as_secs()));
-        if let Some(id) = request.get(TRY_ID) {
-            headers.insert(TRY_ID, id.clone());
+        if let Some(id) = request.get(TRY_ID_HEADER) {
+            headers.insert(TRY_ID_HEADER, id.clone());
         }
         headers
     }
@@ -114,7 +116,7 @@
 fn is_storable(response: &ServerResponse) -> bool {
     let headers = response.headers();
     let is_complete = response.status() == StatusCode::OK
-        && headers.contains_key(SEAL)
+        && headers.contains_key(SEAL_HEADER)
         && !headers.contains_key(header::CONTENT_ENCODING)
         && !headers.contains_key(header::CONTENT_RANGE);
     is_complete && !headers.get_all(header::CACHE_CONTROL).iter().any(forbids_storing)
--- a/glenfall/src/cli.rs
+++ b/glenfall/src/cli.rs
@@ -11,7 +11,7 @@
 use crate::roles::{self, RoleError};
 use crate::runtime::block_on_local;
 use crate::settings::{Settings, SettingsError};
-use crate::signals::{survive_hangup, terminated};
+use crate::signals::{ignore_hangup, wait_for_termination};
 use crate::{agent, control};
 
 /// The log filter where `RUST_LOG` states none.
@@ -129,7 +129,7 @@
 }
 
 fn load_settings() -> Result<Rc<Settings>, SettingsError> {
-    survive_hangup();
+    ignore_hangup();
     Settings::load().map(Rc::new)
 }
 
@@ -138,7 +138,7 @@
 async fn agent_until_terminated(settings: Rc<Settings>) -> std::io::Result<()> {
     tokio::select! {
         ended = agent::run(settings) => ended,
-        () = terminated() => Ok(()),
+        () = wait_for_termination() => Ok(()),
     }
 }
 
--- a/glenfall/src/control/api/error.rs
+++ b/glenfall/src/control/api/error.rs
@@ -155,7 +155,7 @@
 /// A change that may succeed in a moment, or at another node, is distinguished from one that contradicts the current voters.
 fn voter_change_status(error: VoterChangeError) -> StatusCode {
     match error {
-        VoterChangeError::NoView | VoterChangeError::UnderWay => StatusCode::SERVICE_UNAVAILABLE,
+        VoterChangeError::NoView | VoterChangeError::InProgress => StatusCode::SERVICE_UNAVAILABLE,
         _ => StatusCode::CONFLICT,
     }
 }
--- a/glenfall/src/control/api/servers.rs
+++ b/glenfall/src/control/api/servers.rs
@@ -10,7 +10,7 @@
 /// Takes a heartbeat. That a server is draining is acknowledged only once all control nodes know it.
 pub(super) async fn heartbeat(control: &Control, id: &str, body: &[u8]) -> Result<FullResponse, ApiError> {
     let request: HeartbeatRequest = serde_json::from_slice(body).map_err(ApiError::InvalidBody)?;
-    let entry = ServerEntry::of(id, request).ok_or(ApiError::InvalidServerName)?;
+    let entry = ServerEntry::from_heartbeat(id, request).ok_or(ApiError::InvalidServerName)?;
     if !control.chain.has_quorum() {
         return Err(ApiError::NoQuorum);
     }
--- a/glenfall/src/control/api/status.rs
+++ b/glenfall/src/control/api/status.rs
@@ -14,7 +14,7 @@
 /// The state of this node, for people to read.
 pub(super) fn report(control: &Control) -> FullResponse {
     let chain = control.chain.state();
-    let sessions: Vec<Value> = control.sessions.seen().into_iter().map(session_report).collect();
+    let sessions: Vec<Value> = control.sessions.statuses().into_iter().map(session_report).collect();
     let fleet = control.fleet.published();
     // While the registry is incomplete, the fleet that proxies get also names servers that were deregistered.
     let is_registered = |id: &str| !control.registry.is_deregistered(id);
--- a/glenfall/src/control/api/voters.rs
+++ b/glenfall/src/control/api/voters.rs
@@ -46,7 +46,7 @@
         .iter()
         .map(|voter| {
             let in_chain = chain.view().is_some_and(|view| view.chain.contains(voter));
-            json!({ "node": voter, "inChain": in_chain, "awayMs": chain.silent_for(*voter) })
+            json!({ "node": voter, "inChain": in_chain, "awayMs": chain.time_since_last_message(*voter) })
         })
         .collect();
     let body = json!({
--- a/glenfall/src/control/backup/legacy.rs
+++ b/glenfall/src/control/backup/legacy.rs
@@ -62,7 +62,7 @@
             seq: self.seq,
             rev: self.rev,
             document: self.document.into_bytes(),
-            applied_orders: DeduplicationTable::forgotten(self.rev),
+            applied_orders: DeduplicationTable::with_horizon(self.rev),
         }
     }
 }
--- a/glenfall/src/control/backup/mod.rs
+++ b/glenfall/src/control/backup/mod.rs
@@ -115,7 +115,7 @@
             seq: record.seq,
             rev: record.rev,
             document: String::from_utf8_lossy(&record.document).into_owned(),
-            forgotten_up_to: record.applied_orders.forgotten_up_to(),
+            forgotten_up_to: record.applied_orders.horizon(),
             applied_orders: record.applied_orders.iter().map(ExportedOrder::from).collect(),
             crc: 0,
         };
@@ -168,14 +168,14 @@
     fn deduplication_table(&self) -> Result<DeduplicationTable, InvalidTable> {
         let orders: Vec<AppliedOrder> =
             self.applied_orders.iter().map(AppliedOrder::try_from).collect::<Result<_, _>>()?;
-        DeduplicationTable::listed(self.forgotten_up_to, &orders)
+        DeduplicationTable::from_orders(self.forgotten_up_to, &orders)
     }
 
     /// The state with which each of these voters starts where nothing but the backup is left. Versions up to `acknowledged`
     /// may have been acknowledged since the export: none of them is applied again.
     pub fn state(self, voters: Vec<Ipv4Addr>, acknowledged: u64) -> Result<HardState, BackupError> {
         let mut applied_orders = self.deduplication_table()?;
-        applied_orders.forget_up_to(acknowledged);
+        applied_orders.raise_horizon(acknowledged);
         let record =
             Record { seq: self.seq, rev: self.rev, document: self.document.into_bytes(), applied_orders };
         Ok(HardState {
--- a/glenfall/src/control/chain_driver.rs
+++ b/glenfall/src/control/chain_driver.rs
@@ -91,18 +91,18 @@
 
     /// Passes a message of a peer to the chain.
     pub fn message_received(&self, from: Ipv4Addr, message: Message) {
-        self.step(|chain, now| chain.message(now, from, message));
+        self.step(|chain, now| chain.message_received(now, from, message));
     }
 
     /// Tells the chain that a peer is connected.
     pub fn peer_connected(&self, peer: Ipv4Addr) {
-        self.step(|chain, now| chain.peer_up(now, peer));
+        self.step(|chain, now| chain.peer_connected(now, peer));
     }
 
     /// Tells the chain that a peer is disconnected. The view that the chain forms in consequence makes up for messages
     /// that were lost with the connection.
     pub fn peer_disconnected(&self, peer: Ipv4Addr) {
-        self.step(|chain, now| chain.peer_down(now, peer));
+        self.step(|chain, now| chain.peer_disconnected(now, peer));
     }
 
     /// Has the chain replace this node, which stops soon.
@@ -113,7 +113,7 @@
     /// Tells the chain of each write that is on disk, for as long as the thread that writes runs.
     pub async fn report_completed_writes(self: Rc<Self>, mut completed: mpsc::UnboundedReceiver<u64>) {
         while let Some(number) = completed.recv().await {
-            self.step(|chain, now| chain.synced(now, number));
+            self.step(|chain, now| chain.write_completed(now, number));
         }
     }
 
--- a/glenfall/src/control/inbound.rs
+++ b/glenfall/src/control/inbound.rs
@@ -30,12 +30,12 @@
 }
 
 async fn serve(control: Rc<Control>, stream: TcpStream, reach: Reach) {
-    if link::tune(&stream).is_err() {
+    if link::configure_socket(&stream).is_err() {
         return;
     }
     let (read, write) = stream.into_split();
     let mut frames = FrameReader::new(read);
-    match frames.next_in_time().await {
+    match frames.next_or_timeout().await {
         Ok(ConnectionOpening::Session) => serve_session(&control, frames, write, reach).await,
         Ok(ConnectionOpening::Peer { ip, incarnation, known_peers }) => {
             control.connect_to(&known_peers);
--- a/glenfall/src/control/local_members.rs
+++ b/glenfall/src/control/local_members.rs
@@ -29,7 +29,7 @@
 
     /// Sends peers what has changed. To be called whenever a session begins, ends or reports another member.
     pub fn update(&self) {
-        let members = MembersUpdate::listed(self.sessions.members());
+        let members = MembersUpdate::sorted_by_name(self.sessions.members());
         let change = MembersUpdate::delta(&self.replicated.borrow(), &members);
         self.replicated.replace(members);
         if let Some(change) = change {
--- a/glenfall/src/control/mod.rs
+++ b/glenfall/src/control/mod.rs
@@ -98,7 +98,7 @@
             .max(MIN_HTTP_CONNECTIONS),
         max_body_bytes: MAX_BODY_BYTES_IN_FLIGHT,
         drain_accept_time: DRAIN_ACCEPT_TIME,
-        grace: settings.grace(),
+        shutdown_timeout: settings.grace(),
     };
     let api = Rc::new(api::Api::new(Rc::clone(&control)));
     let serving = http_server::serve(server, api, control.subscribe_to_shutdown());
--- a/glenfall/src/control/node.rs
+++ b/glenfall/src/control/node.rs
@@ -23,7 +23,7 @@
 use super::server_registry::ServerRegistry;
 use super::server_replication::{ReplicationDependencies, ServerReplication};
 use super::store::writer::HardStateWriter;
-use super::store::{Found, Store};
+use super::store::{RecoveredState, Store};
 use super::voter_leases::VoterLeaseManager;
 use crate::session::publisher::Sessions;
 use crate::settings::Settings;
@@ -68,12 +68,12 @@
 }
 
 /// What the chain starts with, depending on what was found on disk.
-fn chain_start(found: Found, bootstrap: bool, seeds: &[Ipv4Addr]) -> Start {
+fn chain_start(found: RecoveredState, bootstrap: bool, seeds: &[Ipv4Addr]) -> Start {
     match found {
-        Found::Kept(state) => Start::Kept(state),
-        Found::Nothing if bootstrap => Start::Fresh(seeds.to_vec()),
-        Found::Nothing => Start::Wiped,
-        Found::Damaged(cause) => {
+        RecoveredState::Intact(state) => Start::Recovered(state),
+        RecoveredState::Missing if bootstrap => Start::Fresh(seeds.to_vec()),
+        RecoveredState::Missing => Start::Wiped,
+        RecoveredState::Damaged(cause) => {
             tracing::error!(
                 %cause,
                 "damaged state set aside: this node does not vote until it has the state of the chain again"
@@ -199,10 +199,10 @@
 
     /// Waits for the signal to stop, and then until the chain no longer needs this node.
     pub async fn shut_down_on_signal(&self) {
-        crate::signals::terminated().await;
+        crate::signals::wait_for_termination().await;
         tracing::info!("shutdown started");
         self.chain.leave();
-        self.sessions.tell(&PublisherMessage::Draining);
+        self.sessions.broadcast(&PublisherMessage::Draining);
         self.shutting_down.send_replace(true);
         let replaced = async {
             while self.chain.state().is_needed() {
--- a/glenfall/src/control/peer_events.rs
+++ b/glenfall/src/control/peer_events.rs
@@ -15,7 +15,7 @@
         self.peers.links.send(peer, self.local_members.snapshot_message());
         self.peers.links.send(peer, PeerMessage::Servers(self.registry.snapshot()));
         self.peers.links.send(peer, self.purges.history_message());
-        self.sessions.tell(&PublisherMessage::ControlNodes(self.peers.links.control_nodes()));
+        self.sessions.broadcast(&PublisherMessage::ControlNodes(self.peers.links.control_nodes()));
         self.chain.peer_connected(peer);
     }
 
@@ -37,8 +37,8 @@
             PeerMessage::ReplicateServer { id, entry, forward } => {
                 self.servers.replicate_for_peer(peer, id, entry, forward);
             }
-            PeerMessage::Purges { id, purges, already_asked } => {
-                self.purges_received(peer, id, purges, already_asked);
+            PeerMessage::Purges { id, purges, already_notified } => {
+                self.purges_received(peer, id, purges, already_notified);
             }
             PeerMessage::PurgeDurable { incarnation, number } => {
                 self.purges.durable_on(peer, incarnation, number);
@@ -56,7 +56,7 @@
 
 impl Control {
     fn chain_message_received(&self, peer: Ipv4Addr, message: Message) {
-        if message.is_sound() {
+        if message.is_well_formed() {
             self.chain.message_received(peer, message);
         } else {
             tracing::warn!(%peer, "chain message ignored: it is malformed");
--- a/glenfall/src/control/peers/connections.rs
+++ b/glenfall/src/control/peers/connections.rs
@@ -92,7 +92,7 @@
         self.links.outbound_opened(peer, outbox.clone());
         self.report_if_connected(peer, events);
         // The peer sends only keepalives on this connection.
-        let keepalives = async { while frames.next_in_time::<PeerMessage>().await.is_ok() {} };
+        let keepalives = async { while frames.next_or_timeout::<PeerMessage>().await.is_ok() {} };
         tokio::select! {
             () = keepalives => {}
             () = outbox.closed() => {}
@@ -134,7 +134,7 @@
         frames: &mut FrameReader,
         events: &impl PeerEvents,
     ) {
-        while let Ok(message) = frames.next_in_time().await {
+        while let Ok(message) = frames.next_or_timeout().await {
             if !self.links.is_current_inbound(peer, connection) {
                 return;
             }
--- a/glenfall/src/control/purge_coordinator.rs
+++ b/glenfall/src/control/purge_coordinator.rs
@@ -19,7 +19,7 @@
 use super::purge_durability::PurgeDurability;
 use super::purge_log::PurgeLog;
 use super::voter_leases::VoterLeaseManager;
-use crate::session::publisher::{Sessions, LONGEST_BEHIND};
+use crate::session::publisher::{Sessions, MAX_ACKNOWLEDGEMENT_DELAY};
 
 /// Time limit for a purge to reach every process that may serve from stored responses. After that it is refused, and the
 /// operator repeats it when the leases of those processes that did not apply it are over. Operators give up a call after a second.
@@ -82,7 +82,7 @@
         required_disks: usize,
     ) -> Self {
         let mut history = PurgeHistory::default();
-        history.record(PROCESS_START, logged);
+        history.add(PROCESS_START, logged);
         PurgeCoordinator {
             dependencies,
             history: RefCell::new(history),
@@ -101,7 +101,7 @@
     /// The message that sends a peer the complete history.
     pub fn history_message(&self) -> PeerMessage {
         let purges = self.history.borrow().snapshot(self.dependencies.clock.now());
-        PeerMessage::Purges { id: None, purges, already_asked: None }
+        PeerMessage::Purges { id: None, purges, already_notified: None }
     }
 
     /// Invalidates all stored responses that a purge names, at whatever process they are.
@@ -118,12 +118,12 @@
         let tracked = self.durability.track(number);
         let written = self.record(vec![record.clone()]);
         self.track_own_write(number, written);
-        let leased = sessions.leased();
+        let leased = sessions.lease_holders();
         let notified = links.connected_processes();
         let request = |id| PeerMessage::Purges {
             id: Some(id),
             purges: vec![record.clone()],
-            already_asked: Some(notified.clone()),
+            already_notified: Some(notified.clone()),
         };
         let peers = addresses(&notified);
         let (acknowledged, applied, other_leases_over, durable) = tokio::join!(
@@ -144,7 +144,7 @@
         if !(other_leases_over && applied && is_quorum) {
             return Err(PurgeError::NotApplied);
         }
-        let behind = sessions.still_behind(&leased);
+        let behind = sessions.lease_holders_behind(&leased);
         Invariant::PurgeIsApplied.check(behind.is_empty(), || format!("{behind:?} have a lease"));
         Ok(())
     }
@@ -192,7 +192,7 @@
     /// Records purges, and pushes those that are new to the sessions. The receiver, if any is new, completes once they are
     /// on disk.
     fn record(&self, purges: Vec<PurgeRecord>) -> Option<oneshot::Receiver<()>> {
-        let new = self.history.borrow_mut().record(self.dependencies.clock.now(), purges);
+        let new = self.history.borrow_mut().add(self.dependencies.clock.now(), purges);
         if new.is_empty() {
             return None;
         }
@@ -204,8 +204,8 @@
     /// Waits until no session that has a lease of this node can serve responses that a purge invalidated. False if that
     /// takes longer than `deadline`.
     async fn apply_at_sessions(&self, deadline: Duration) -> bool {
-        let applied = self.dependencies.sessions.purged(deadline).await;
-        self.dependencies.sessions.drop_behind(LONGEST_BEHIND);
+        let applied = self.dependencies.sessions.wait_until_purged(deadline).await;
+        self.dependencies.sessions.end_overdue(MAX_ACKNOWLEDGEMENT_DELAY);
         applied
     }
 
@@ -256,7 +256,8 @@
     async fn forward_and_acknowledge(self: Rc<Self>, forward: Forward) {
         let PurgeDependencies { links, requests, leases, .. } = &self.dependencies;
         let Forward { origin, id, purges, peers, notified } = forward;
-        let request = |id| PeerMessage::Purges { id: Some(id), purges: purges.clone(), already_asked: None };
+        let request =
+            |id| PeerMessage::Purges { id: Some(id), purges: purges.clone(), already_notified: None };
         let (forwarded, applied, complete) = tokio::join!(
             requests.send_to_all(&peers, request, PEER_PURGE_TIMEOUT),
             self.apply_at_sessions(PEER_PURGE_TIMEOUT),
--- a/glenfall/src/control/purge_log.rs
+++ b/glenfall/src/control/purge_log.rs
@@ -92,7 +92,7 @@
             Err(error) => {
                 tracing::warn!(%error, "purge log unreadable; recreating it");
                 self.db = None;
-                disk::throw_away(&self.path);
+                disk::remove_database(&self.path);
                 // Where this fails, the first write tries again.
                 let _ = self.connect();
                 Vec::new()
@@ -120,7 +120,7 @@
 }
 
 fn open(path: &Path) -> rusqlite::Result<Connection> {
-    let db = disk::open(path, PAGE_BYTES)?;
+    let db = disk::open_database(path, PAGE_BYTES)?;
     db.execute_batch("CREATE TABLE IF NOT EXISTS purges (at INTEGER NOT NULL, purge BLOB NOT NULL)")?;
     Ok(db)
 }
--- a/glenfall/src/control/server_replication.rs
+++ b/glenfall/src/control/server_replication.rs
@@ -166,7 +166,7 @@
         // ends turns to another node.
         let (replicated, _applied) = tokio::join!(
             self.replicate_to_all_peers(request, DRAIN_REPLICATION_TIMEOUT),
-            sessions.applied(DRAIN_REPLICATION_TIMEOUT)
+            sessions.wait_until_applied(DRAIN_REPLICATION_TIMEOUT)
         );
         match &replicated {
             Ok(()) => {
@@ -226,7 +226,7 @@
         spawn_local(async move {
             let ReplicationDependencies { links, sessions, .. } = &replication.dependencies;
             let (_applied, forwarded) =
-                tokio::join!(sessions.applied(limit), replication.forward(&forward_to, &entry));
+                tokio::join!(sessions.wait_until_applied(limit), replication.forward(&forward_to, &entry));
             if forwarded.is_ok() {
                 links.send(from, PeerMessage::Acknowledged { id, complete: true });
             }
@@ -244,7 +244,7 @@
     /// The peers that are connected to this node and, as far as is known, not to another one.
     fn peers_not_reached_by(&self, node: Ipv4Addr) -> Vec<Ipv4Addr> {
         let chain = self.dependencies.chain.state();
-        let reached = chain.heard_by(node);
+        let reached = chain.connected_peers_of(node);
         let mut peers = self.dependencies.links.connected();
         peers.retain(|peer| *peer != node && !reached.contains(peer));
         peers
--- a/glenfall/src/control/store/idempotency_keys.rs
+++ b/glenfall/src/control/store/idempotency_keys.rs
@@ -66,7 +66,7 @@
         db.execute("INSERT INTO taken (first, orders) VALUES (?1, ?2)", (row_key(chunk), encode(chunk)?))?;
     }
     Ok(StoredTable {
-        forgotten_up_to: table.forgotten_up_to(),
+        forgotten_up_to: table.horizon(),
         full_chunks: full.iter().map(StoredChunk::of).collect::<Result<_, _>>()?,
         open_chunk: open.to_vec(),
     })
@@ -83,7 +83,7 @@
         orders.extend(read_chunk(db, chunk)?);
     }
     orders.extend(&stored.open_chunk);
-    DeduplicationTable::listed(stored.forgotten_up_to, &orders).map_err(damaged)
+    DeduplicationTable::from_orders(stored.forgotten_up_to, &orders).map_err(damaged)
 }
 
 fn read_chunk(db: &Connection, chunk: &StoredChunk) -> Result<Vec<AppliedOrder>, StoreError> {
--- a/glenfall/src/control/store/legacy.rs
+++ b/glenfall/src/control/store/legacy.rs
@@ -51,7 +51,7 @@
 
 impl From<WeakKeysRecord> for Arc<Record> {
     fn from(old: WeakKeysRecord) -> Arc<Record> {
-        let applied_orders = DeduplicationTable::forgotten(old.rev);
+        let applied_orders = DeduplicationTable::with_horizon(old.rev);
         Arc::new(Record { seq: old.seq, rev: old.rev, document: old.document, applied_orders })
     }
 }
--- a/glenfall/src/control/store/mod.rs
+++ b/glenfall/src/control/store/mod.rs
@@ -32,11 +32,11 @@
 
 /// What was on disk at the start.
 #[derive(Debug, PartialEq)]
-pub enum Found {
+pub enum RecoveredState {
     /// No state was ever written here.
-    Nothing,
+    Missing,
     /// The last state that was written completely.
-    Kept(HardState),
+    Intact(HardState),
     /// A file that holds no valid state, and was set aside. The text says what is wrong with it.
     Damaged(String),
 }
@@ -62,8 +62,8 @@
 impl Store {
     /// Opens the store in a folder, or creates it. The file is locked from the start, so that SQLite needs no index in
     /// shared memory, and a full sync covers each commit.
-    pub fn open(path: &Path) -> Result<(Store, Found), StoreError> {
-        disk::make_folder(path)?;
+    pub fn open(path: &Path) -> Result<(Store, RecoveredState), StoreError> {
+        disk::create_folder(path)?;
         let folder = StateFolder::new(path);
         if folder.is_database_lost() {
             folder.set_aside()?;
@@ -73,7 +73,7 @@
             Err(error) if error.is_damage() => {
                 folder.set_aside()?;
                 let store = Store::open_database(&folder)?.store;
-                (store, Found::Damaged(error.to_string()))
+                (store, RecoveredState::Damaged(error.to_string()))
             }
             Err(error) => return Err(error),
         };
@@ -142,13 +142,13 @@
     state.record.applied_orders.full_chunks().to_vec()
 }
 
-fn found_in(folder: &StateFolder, state: Option<HardState>) -> Found {
+fn found_in(folder: &StateFolder, state: Option<HardState>) -> RecoveredState {
     match state {
-        Some(state) => Found::Kept(state),
+        Some(state) => RecoveredState::Intact(state),
         None if folder.has_damaged() => {
-            Found::Damaged("set aside, or gone, at this start or an earlier one".into())
+            RecoveredState::Damaged("set aside, or gone, at this start or an earlier one".into())
         }
-        None => Found::Nothing,
+        None => RecoveredState::Missing,
     }
 }
 
@@ -170,7 +170,7 @@
 pub fn create(path: &Path, state: &HardState) -> Result<(), StoreError> {
     let folder = StateFolder::new(path);
     folder.check_vacant()?;
-    disk::make_folder(path)?;
+    disk::create_folder(path)?;
     // Until the state is complete, a process that starts here has lost something: this is not its first start.
     folder.record_damage()?;
     let (store, _) = Store::open(path)?;
--- a/glenfall/src/control/voter_leases.rs
+++ b/glenfall/src/control/voter_leases.rs
@@ -107,8 +107,8 @@
             return;
         }
         self.last_renewal.set(now);
-        self.granted.borrow_mut().forget_ended(now);
-        let releases = shutting_down && self.sessions.last_lease_ends().is_none();
+        self.granted.borrow_mut().remove_expired(now);
+        let releases = shutting_down && self.sessions.time_until_last_lease_end().is_none();
         let incarnation = self.links.local().incarnation;
         let message = if releases {
             PeerMessage::LeaseReleased
@@ -150,8 +150,8 @@
 
     fn extend_session_leases(&self) {
         let chain = self.chain.state();
-        let until = self.own.borrow().until(self.clock.now(), |voters| chain.is_quorum(voters));
-        self.sessions.vouch_until(self.clock.instant_of(until));
+        let until = self.own.borrow().quorum_expiry(self.clock.now(), |voters| chain.is_quorum(voters));
+        self.sessions.set_own_lease_end(self.clock.instant_of(until));
     }
 
     /// Waits until only these processes may use a lease that a process at this address has granted. False if that takes
@@ -175,7 +175,7 @@
 
     /// When the last lease ends that this address has granted to another than these processes; 0 if there is none.
     fn last_lease_end(&self, now: Millis, notified: &[ProcessId]) -> Millis {
-        let granted = self.granted.borrow().last_end(now, |holder| !notified.contains(holder));
+        let granted = self.granted.borrow().last_expiry(now, |holder| !notified.contains(holder));
         granted.unwrap_or(0).max(self.unknown_grants_end)
     }
 
--- a/glenfall/src/disk.rs
+++ b/glenfall/src/disk.rs
@@ -23,7 +23,7 @@
 }
 
 /// Creates a folder and those above it, durably.
-pub fn make_folder(folder: &Path) -> std::io::Result<()> {
+pub fn create_folder(folder: &Path) -> std::io::Result<()> {
     let Some(parent) = parent(folder) else { return Ok(()) };
     if folder.is_dir() {
         // The process that created it may have ended before its sync. The parent may also belong to others and not be
@@ -31,7 +31,7 @@
         let _ = sync_folder(parent);
         return Ok(());
     }
-    make_folder(parent)?;
+    create_folder(parent)?;
     match std::fs::create_dir(folder) {
         Err(error) if error.kind() != std::io::ErrorKind::AlreadyExists => Err(error),
         _ => sync_folder(parent),
@@ -45,7 +45,7 @@
 }
 
 /// Opens a database, or creates it with pages of so many bytes.
-pub fn open(path: &Path, page_bytes: usize) -> rusqlite::Result<Connection> {
+pub fn open_database(path: &Path, page_bytes: usize) -> rusqlite::Result<Connection> {
     let db = Connection::open(path)?;
     db.pragma_update(None, "page_size", page_bytes)?;
     // As the database is locked from the start, SQLite needs no index in shared memory.
@@ -57,7 +57,7 @@
 }
 
 /// Removes a database with its log, durably: an old log that reappeared would be replayed into a new database.
-pub fn throw_away(path: &Path) {
+pub fn remove_database(path: &Path) {
     for suffix in DATABASE_SUFFIXES {
         let mut file = path.as_os_str().to_owned();
         file.push(suffix);
--- a/glenfall/src/edge/handler.rs
+++ b/glenfall/src/edge/handler.rs
@@ -10,8 +10,8 @@
 
 use super::Edge;
 use crate::http::failure::Cause;
-use crate::http::headers::TRY_ID;
-use crate::http::response::{LocalResponse, ProxyResponse, SEAL};
+use crate::http::headers::TRY_ID_HEADER;
+use crate::http::response::{LocalResponse, ProxyResponse, SEAL_HEADER};
 use crate::http_server::{plain_response, FullRequest, FullResponse, Handler};
 use crate::watch_client::WatchClient;
 
@@ -31,7 +31,7 @@
         let counters = &self.0.counters;
         let is_read = request.head.method == Method::GET;
         let latency = if is_read { &counters.read_latency } else { &counters.write_latency };
-        latency.add(received.elapsed());
+        latency.record(received.elapsed());
         response.into()
     }
 
@@ -40,7 +40,7 @@
     }
 
     fn is_draining(&self) -> bool {
-        self.0.watch_client.leaving()
+        self.0.watch_client.is_draining()
     }
 
     fn on_rejected(&self, head: &Parts, response: &LocalResponse, received: Instant) {
@@ -60,9 +60,9 @@
             return;
         }
         // It names the request that the response belongs to, for clients and in logs.
-        response.set_try_id(head.headers.get(TRY_ID));
+        response.set_try_id(head.headers.get(TRY_ID_HEADER));
         let Some(failure) = response.failure() else { return };
-        let is_sealed = response.headers().contains_key(SEAL);
+        let is_sealed = response.headers().contains_key(SEAL_HEADER);
         let is_from_server = failure.cause == Cause::ServerError;
         Invariant::SealIsServers.check(!is_sealed || is_from_server, || format!("{failure:?}"));
         self.0.log_failure(failure, head, response.status(), received);
@@ -98,7 +98,7 @@
 
 impl Handler for ReadinessHandler {
     async fn handle(&self, _request: FullRequest) -> FullResponse {
-        if self.0.ready() {
+        if self.0.is_ready() {
             plain_response(StatusCode::OK, "ready")
         } else {
             plain_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")
--- a/glenfall/src/edge/local_cache.rs
+++ b/glenfall/src/edge/local_cache.rs
@@ -9,7 +9,7 @@
 use glenfall_control_plane::messages::{AgedPurge, Purge};
 use tokio::time::Instant;
 
-use crate::cache::{Cache, Copy, ObjectKey};
+use crate::cache::{Cache, ObjectKey, StoredResponse};
 
 /// For this long after a purge no response that it names is stored. A shield may receive the purge later than this
 /// edge, and a response from before it may be in flight.
@@ -29,11 +29,11 @@
         self.received.elapsed() >= PURGE_BARRIER_TIME
     }
 
-    fn names(&self, object: &ObjectKey, copy: &Copy) -> bool {
+    fn names(&self, object: &ObjectKey, copy: &StoredResponse) -> bool {
         match &self.purge {
             Purge::Everything => true,
-            Purge::Label(label) => copy.labelled(label),
-            Purge::Object { hostname, path } => object.at(hostname, path),
+            Purge::Label(label) => copy.has_label(label),
+            Purge::Object { hostname, path } => object.matches_location(hostname, path),
         }
     }
 }
@@ -52,12 +52,12 @@
     }
 
     /// The stored response for an object, whatever its age.
-    pub fn get(&self, object: &ObjectKey) -> Option<Rc<Copy>> {
+    pub fn get(&self, object: &ObjectKey) -> Option<Rc<StoredResponse>> {
         self.responses.borrow_mut().get(object)
     }
 
     /// Stores a response, unless a recent purge names it.
-    pub fn store(&self, object: &ObjectKey, copy: Copy) {
+    pub fn store(&self, object: &ObjectKey, copy: StoredResponse) {
         let mut recent_purges = self.recent_purges.borrow_mut();
         while recent_purges.front().is_some_and(RecentPurge::is_expired) {
             recent_purges.pop_front();
@@ -85,7 +85,7 @@
     }
 
     /// Checks the invariant that a served response is named by none of the newest purges.
-    pub fn check_not_purged(&self, object: &ObjectKey, copy: &Copy) {
+    pub fn check_not_purged(&self, object: &ObjectKey, copy: &StoredResponse) {
         let recent_purges = self.recent_purges.borrow();
         let newest = recent_purges.iter().rev().take(CHECKED_PURGES);
         let is_purged = newest.filter(|recent| !recent.is_expired()).any(|recent| recent.names(object, copy));
--- a/glenfall/src/edge/mod.rs
+++ b/glenfall/src/edge/mod.rs
@@ -31,9 +31,9 @@
 use self::read::attempt_log::AttemptCounts;
 use self::routed_request::{is_cacheable_read, RoutedRequest};
 use self::shield_selector::ShieldSelector;
-use crate::cache::{Copy, ObjectKey};
+use crate::cache::{ObjectKey, StoredResponse};
 use crate::http::failure::{Cause, FailedRequest, Failure, FailureLog};
-use crate::http::headers::{passed_on, DEADLINE, TRY_ID};
+use crate::http::headers::{forwardable_headers, DEADLINE_HEADER, TRY_ID_HEADER};
 use crate::http::response::{LocalResponse, ProxyResponse, ServerResponse};
 use crate::http_server::FullRequest;
 use crate::settings::Settings;
@@ -89,13 +89,13 @@
 
     /// Answers a client's request.
     async fn serve(&self, request: &FullRequest) -> ProxyResponse {
-        self.counters.requests.add();
+        self.counters.requests.increment();
         let Some(config) = self.watch_client.config() else {
-            return LocalResponse::refused(Cause::NoConfiguration, NOT_READY_RETRY_AFTER).into();
+            return LocalResponse::rejected(Cause::NoConfiguration, NOT_READY_RETRY_AFTER).into();
         };
         self.check_config_order(config.rev);
         let Some(route) = config.route(request.host(), request.head.uri.path()) else {
-            self.counters.no_route.add();
+            self.counters.no_route.increment();
             return LocalResponse::no_route().into();
         };
         let deadline = self.deadline(route, request);
@@ -103,12 +103,12 @@
         // A shield draws the same service for an object as the edge.
         let draw = match is_read {
             true => object_draw(request.host(), request.path_and_query()),
-            false => self.forwarder.origins.draw(),
+            false => self.forwarder.origins.next_random(),
         };
         let Some(service) = route.service(draw) else {
-            return LocalResponse::refused(Cause::NoService, NOT_READY_RETRY_AFTER).into();
+            return LocalResponse::rejected(Cause::NoService, NOT_READY_RETRY_AFTER).into();
         };
-        let headers = passed_on(&request.head.headers);
+        let headers = forwardable_headers(&request.head.headers);
         let routed = RoutedRequest { config: &config, route, service, request, headers, deadline };
         if is_read {
             self.read(routed).await
@@ -127,16 +127,16 @@
     /// ends within the grace time: its server receives the remaining time, and answers within it.
     fn deadline(&self, route: &Route, request: &FullRequest) -> Instant {
         let requested =
-            request.head.headers.get(DEADLINE).and_then(|value| value.to_str().ok()?.parse().ok());
+            request.head.headers.get(DEADLINE_HEADER).and_then(|value| value.to_str().ok()?.parse().ok());
         let timeout_ms = requested.map_or(route.deadline_ms, |ms: u64| ms.min(route.deadline_ms));
         let deadline = Instant::now() + Duration::from_millis(timeout_ms).saturating_sub(CLIENT_TRANSIT_TIME);
-        let drain_deadline = self.watch_client.grace_ends().map(|end| end - DRAIN_MARGIN);
+        let drain_deadline = self.watch_client.drain_deadline().map(|end| end - DRAIN_MARGIN);
         drain_deadline.map_or(deadline, |drain_deadline| deadline.min(drain_deadline))
     }
 
     /// Forwards a request that no cache can answer to a server of its service.
     async fn forward(&self, mut routed: RoutedRequest<'_>) -> ProxyResponse {
-        self.forwarder.count(routed.service);
+        self.forwarder.record_client_request(routed.service);
         let headers = std::mem::take(&mut routed.headers);
         let outcome = self.forwarder.send(routed.upstream_request(headers, false)).await;
         self.response_to(outcome, &routed.request.head.method)
@@ -147,15 +147,15 @@
         match outcome {
             Outcome::Answered(response) => response.forward(method),
             Outcome::NotRun(refusal) => {
-                self.counters.rejected.add();
-                LocalResponse::refused(refusal.failure, refusal.retry_after).into()
+                self.counters.rejected.increment();
+                LocalResponse::rejected(refusal.failure, refusal.retry_after).into()
             }
             Outcome::Unknown(failure) => {
-                self.counters.unknown.add();
+                self.counters.unknown.increment();
                 LocalResponse::bad_gateway(failure).into()
             }
             Outcome::TimedOut(failure) => {
-                self.counters.timed_out.add();
+                self.counters.timed_out.increment();
                 LocalResponse::gateway_timeout(failure).into()
             }
         }
@@ -166,21 +166,21 @@
     /// shields do not use the edges' share then.
     fn update_quota_share(&self) {
         let alone = !self.shields.any_ready() || !self.in_touch.get() || self.shields.all_failing();
-        self.forwarder.hold(QuotaHolder::Edge { of: self.edge_count.get() as usize, alone });
+        self.forwarder.set_quota_holder(QuotaHolder::Edge { of: self.edge_count.get() as usize, alone });
     }
 
     /// Stores a shield's response to a request sent at this time in the local cache. Nothing is stored without a lease,
     /// or where a recent purge names the response.
     pub fn cache_response(&self, object: &ObjectKey, response: &ServerResponse, sent: Instant) {
-        let Some(born) = Copy::handed_on(response, sent) else { return };
-        let Some(copy) = Copy::of(response, born) else { return };
-        if self.watch_client.vouches() {
+        let Some(born) = StoredResponse::fetched_at(response, sent) else { return };
+        let Some(copy) = StoredResponse::from_response(response, born) else { return };
+        if self.watch_client.may_serve_stored_responses() {
             self.local_cache.store(object, copy);
         }
     }
 
     /// The response that the local cache holds for an object, whatever its age.
-    pub fn cached(&self, object: &ObjectKey) -> Option<Rc<Copy>> {
+    pub fn cached(&self, object: &ObjectKey) -> Option<Rc<StoredResponse>> {
         self.local_cache.get(object)
     }
 
@@ -192,29 +192,29 @@
     /// Counts and logs a failed request, with the route that takes it by the current configuration.
     fn log_failure(&self, failure: &Failure, head: &Parts, status: StatusCode, received: Instant) {
         let config = self.watch_client.config();
-        self.failures.note(failure, || {
+        self.failures.record(failure, || {
             let text = |name| head.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("");
             let host = text(header::HOST);
             let route = config.as_ref().and_then(|config| config.route(host, head.uri.path()));
             FailedRequest {
-                try_id: text(TRY_ID),
+                try_id: text(TRY_ID_HEADER),
                 method: head.method.as_str(),
                 host,
                 path: head.uri.path_and_query().map_or("", |path| path.as_str()),
                 route: route.map_or("", |route| &route.name),
                 status: status.as_u16(),
                 rev: config.as_ref().map_or(0, |config| config.rev),
-                in_touch: self.watch_client.vouches(),
-                began: received,
+                holds_lease: self.watch_client.may_serve_stored_responses(),
+                started: received,
             }
         });
     }
 }
 
 impl WatchHandler for Edge {
-    fn config(&self, _config: &Arc<Config>) {}
+    fn config_changed(&self, _config: &Arc<Config>) {}
 
-    fn fleet(&self, fleet: &Fleet) {
+    fn fleet_changed(&self, fleet: &Fleet) {
         self.forwarder.update(fleet);
         self.shields.update(fleet);
         self.edge_count.set(fleet.edges.len().max(1) as u32);
@@ -225,12 +225,12 @@
         self.local_cache.purge(purges);
     }
 
-    fn in_touch(&self, yes: bool) {
+    fn connection_changed(&self, yes: bool) {
         self.in_touch.set(yes);
         self.update_quota_share();
     }
 
-    fn report(&self) -> Vec<(String, u64)> {
+    fn counters(&self) -> Vec<(String, u64)> {
         let counts = self.counters.counts().into_iter().chain(self.forwarder.report());
         let mut report: Vec<(String, u64)> = counts.map(|(name, count)| (name.to_owned(), count)).collect();
         report.extend(self.failures.report());
--- a/glenfall/src/edge/read/attempts.rs
+++ b/glenfall/src/edge/read/attempts.rs
@@ -14,8 +14,8 @@
     AttemptResult, EndedAttempt, PendingAttempts, ServerAttemptEnd, ShieldAttemptEnd,
 };
 use super::shield_request::ShieldRequest;
-use crate::cache::{Copy, ObjectKey};
-use crate::edge::read_plan::{AskEnd, Next, ReadPlan, Verdict};
+use crate::cache::{ObjectKey, StoredResponse};
+use crate::edge::read_plan::{AttemptEnd, NextStep, ReadPlan, Verdict};
 use crate::edge::routed_request::RoutedRequest;
 use crate::edge::Edge;
 use crate::http::failure::Cause;
@@ -43,7 +43,7 @@
     routed: &'a RoutedRequest<'a>,
     object: ObjectKey,
     /// The edge's stored response, which is stale.
-    stale: Option<Rc<Copy>>,
+    stale: Option<Rc<StoredResponse>>,
     shield_headers: Rc<HeaderMap>,
     plan: ReadPlan,
     /// Shields that have not answered this read, finally or so far.
@@ -60,7 +60,7 @@
         edge: &'a Edge,
         routed: &'a RoutedRequest<'a>,
         object: ObjectKey,
-        stale: Option<Rc<Copy>>,
+        stale: Option<Rc<StoredResponse>>,
         shield_headers: Rc<HeaderMap>,
     ) -> Self {
         ReadAttempts {
@@ -97,16 +97,16 @@
             return Some(self.deadline_exceeded());
         }
         match self.plan.next(self.available_shields()) {
-            next @ Next::AskShield { allowance } => self.begin_shield_attempt(next, allowance),
-            next @ Next::AskServers { allowance } => self.begin_server_attempt(next, allowance),
-            Next::Wait => return self.wait().await,
-            Next::GiveUp => return Some(self.no_shield()),
+            next @ NextStep::TryShield { allowance } => self.begin_shield_attempt(next, allowance),
+            next @ NextStep::TryServers { allowance } => self.begin_server_attempt(next, allowance),
+            NextStep::Wait => return self.wait().await,
+            NextStep::GiveUp => return Some(self.no_shield()),
         }
         None
     }
 
     fn deadline_exceeded(&mut self) -> ProxyResponse {
-        self.edge.counters.timed_out.add();
+        self.edge.counters.timed_out.increment();
         self.fallback.take().unwrap_or_else(|| LocalResponse::gateway_timeout(Cause::NoAnswer).into())
     }
 
@@ -126,12 +126,12 @@
         self.edge.shields.choose(key, &self.unresponsive)
     }
 
-    fn begin_shield_attempt(&mut self, next: Next, allowance: Allowance) {
+    fn begin_shield_attempt(&mut self, next: NextStep, allowance: Allowance) {
         let Some(shield) = self.choose_shield() else {
-            self.plan.no_shield();
+            self.plan.no_shield_available();
             return;
         };
-        let number = self.plan.asked(next);
+        let number = self.plan.begin_attempt(next);
         let sent = Instant::now();
         self.hedge_timer = self.hedge_timer(&shield, sent);
         let is_retry = self.plan.may_be_counted();
@@ -146,7 +146,7 @@
     /// The timer for a request to a shield; `None` where no other attempt could be made in parallel.
     fn hedge_timer(&self, shield: &ServerId, sent: Instant) -> Option<HedgeTimer> {
         let other_shields = self.available_shields().saturating_sub(1);
-        if !self.plan.has_way_beside(other_shields) {
+        if !self.plan.can_hedge(other_shields) {
             return None;
         }
         let remaining = self.routed.deadline.saturating_duration_since(sent);
@@ -154,19 +154,19 @@
         Some(HedgeTimer { shield: shield.clone(), sent, expires: sent + delay })
     }
 
-    fn begin_server_attempt(&mut self, next: Next, allowance: Allowance) {
+    fn begin_server_attempt(&mut self, next: NextStep, allowance: Allowance) {
         let is_retry = self.plan.may_be_counted();
-        let number = self.plan.asked(next);
+        let number = self.plan.begin_attempt(next);
         let (edge, routed) = (self.edge, self.routed);
-        edge.counters.bypassed_shields.add();
+        edge.counters.bypassed_shields.increment();
         edge.update_quota_share();
         if !is_retry {
-            edge.forwarder.count(routed.service);
+            edge.forwarder.record_client_request(routed.service);
         }
         self.pending.push(number, async move {
             // The client's own headers: a range is left to the server.
             let request = routed.upstream_request(routed.headers.clone(), is_retry);
-            let (outcome, report) = edge.forwarder.send_within(request, allowance).await;
+            let (outcome, report) = edge.forwarder.send_with_allowance(request, allowance).await;
             AttemptResult::Servers(ServerAttemptEnd { outcome, report })
         });
     }
@@ -189,10 +189,10 @@
     }
 
     fn hedge_delay_passed(&mut self) {
-        self.plan.silent();
+        self.plan.hedge_delay_passed();
         let Some(HedgeTimer { shield, sent, .. }) = self.hedge_timer.take() else { return };
         self.edge.shields.record_failure(&shield, sent);
-        self.edge.counters.shield_failures.add();
+        self.edge.counters.shield_failures.increment();
         self.attempt_log.record(&self.edge.attempt_counts, &shield, AttemptOutcome::Unresponsive);
         self.unresponsive.push(shield);
     }
@@ -216,7 +216,8 @@
 
     fn shield_failed(&mut self, number: usize, shield: ServerId, sent: Instant, outcome: AttemptOutcome) {
         let may_have_run = outcome == AttemptOutcome::ConnectionLost;
-        self.plan.ended(number, if may_have_run { AskEnd::Lost } else { AskEnd::NotAsked });
+        self.plan
+            .end_attempt(number, if may_have_run { AttemptEnd::ResponseLost } else { AttemptEnd::NotSent });
         if self.unresponsive.contains(&shield) {
             return;
         }
@@ -225,7 +226,7 @@
         if outcome != AttemptOutcome::NoLease {
             self.edge.shields.record_failure(&shield, sent);
         }
-        self.edge.counters.shield_failures.add();
+        self.edge.counters.shield_failures.increment();
         self.unresponsive.push(shield);
     }
 
@@ -237,27 +238,27 @@
         response: ServerResponse,
     ) -> Option<ProxyResponse> {
         self.edge.shields.record_answer(shield, sent);
-        let report = SendReport::of_answer(response.headers()).unwrap_or_default();
-        let verdict = self.plan.ended(number, AskEnd::Answered(report));
+        let report = SendReport::from_response(response.headers()).unwrap_or_default();
+        let verdict = self.plan.end_attempt(number, AttemptEnd::Answered(report));
         let is_rejection = response.status() == StatusCode::SERVICE_UNAVAILABLE
             && response.shield_source() == Some(ShieldSource::Local);
         let response = self.client_response(response, shield, sent);
         match verdict {
             Verdict::Final => Some(self.final_response(response, is_rejection)),
-            Verdict::TryOn => self.keep_fallback(response, report),
+            Verdict::Retry => self.keep_fallback(response, report),
         }
     }
 
     fn server_attempt_ended(&mut self, number: usize, end: ServerAttemptEnd) -> Option<ProxyResponse> {
         let ServerAttemptEnd { outcome, report } = end;
-        let verdict = self.plan.ended(number, AskEnd::Answered(report));
+        let verdict = self.plan.end_attempt(number, AttemptEnd::Answered(report));
         let is_rejection = matches!(outcome, Outcome::NotRun(_));
         let response = self.edge.response_to(outcome, &Method::GET);
         // A shield that has been unresponsive so far may still answer.
         let may_be_answered = is_rejection && !self.pending.is_empty();
         match verdict {
             Verdict::Final if !may_be_answered => Some(self.final_response(response, is_rejection)),
-            Verdict::Final | Verdict::TryOn => self.keep_fallback(response, report),
+            Verdict::Final | Verdict::Retry => self.keep_fallback(response, report),
         }
     }
 
@@ -283,11 +284,11 @@
     fn client_response(&self, response: ServerResponse, shield: &ServerId, sent: Instant) -> ProxyResponse {
         let client_headers = &self.routed.request.head.headers;
         if let (StatusCode::NOT_MODIFIED, Some(stale)) = (response.status(), &self.stale) {
-            self.edge.counters.revalidated.add();
-            if let Some(born) = Copy::handed_on(&response, sent) {
-                stale.born.set(born);
+            self.edge.counters.revalidated.increment();
+            if let Some(born) = StoredResponse::fetched_at(&response, sent) {
+                stale.requested_at.set(born);
             }
-            return stale.answer(client_headers).into();
+            return stale.respond_to(client_headers).into();
         }
         let is_complete = !self.shield_headers.contains_key(header::RANGE);
         if is_complete && !self.edge.shields.is_same_zone(shield) {
@@ -295,8 +296,8 @@
         }
         if self.stale.is_some() && response.status() == StatusCode::OK {
             // The range was removed from the request for the revalidation; it is applied here.
-            if let Some(copy) = Copy::of(&response, sent) {
-                return copy.answer(client_headers).into();
+            if let Some(copy) = StoredResponse::from_response(&response, sent) {
+                return copy.respond_to(client_headers).into();
             }
         }
         response.forward_from_shield()
--- a/glenfall/src/edge/read/shield_request.rs
+++ b/glenfall/src/edge/read/shield_request.rs
@@ -12,9 +12,9 @@
 use super::attempt_log::AttemptOutcome;
 use crate::edge::routed_request::RoutedRequest;
 use crate::edge::Edge;
-use crate::http::headers::DEADLINE;
+use crate::http::headers::DEADLINE_HEADER;
 use crate::http::response::{ServerResponse, ShieldSource};
-use crate::http::send_budget::{Allowance, SENDS};
+use crate::http::send_budget::{Allowance, SENDS_HEADER};
 use crate::shield::{CONFIG_REV, REPEATED_REQUEST};
 use crate::upstream::pool::{ExchangeParams, SendError};
 
@@ -35,9 +35,9 @@
         let remaining = self.routed.deadline.saturating_duration_since(Instant::now());
         let headers = request.headers_mut();
         *headers = self.headers.clone();
-        headers.insert(DEADLINE, HeaderValue::from((remaining.as_millis() as u64).max(1)));
+        headers.insert(DEADLINE_HEADER, HeaderValue::from((remaining.as_millis() as u64).max(1)));
         headers.insert(CONFIG_REV, HeaderValue::from(self.routed.config.rev));
-        headers.insert(SENDS, self.allowance.encode());
+        headers.insert(SENDS_HEADER, self.allowance.encode());
         if self.is_retry {
             headers.insert(REPEATED_REQUEST, HeaderValue::from_static("1"));
         }
@@ -73,9 +73,11 @@
         };
         match response.shield_source() {
             None => (AttemptOutcome::ConnectionLost, None),
-            Some(ShieldSource::Behind) => (AttemptOutcome::ConfigOutdated, None),
+            Some(ShieldSource::ConfigOutdated) => (AttemptOutcome::ConfigOutdated, None),
             // A purge may have been acknowledged to its sender on behalf of the lease holders, and be unknown there.
-            Some(ShieldSource::Unvouched) if self.watch_client.vouches() => (AttemptOutcome::NoLease, None),
+            Some(ShieldSource::WithoutLease) if self.watch_client.may_serve_stored_responses() => {
+                (AttemptOutcome::NoLease, None)
+            }
             Some(_) => (AttemptOutcome::Answered, Some(response)),
         }
     }
--- a/glenfall/src/edge/read_plan.rs
+++ b/glenfall/src/edge/read_plan.rs
@@ -9,19 +9,19 @@
 use crate::http::send_budget::{Allowance, Loan, SendBudget, SendReport, Usage};
 
 /// Bound on the attempts of one read at shields, repeated attempts at one shield included.
-pub const MOST_ASKS: usize = 3;
+pub const MAX_SHIELD_ATTEMPTS: usize = 3;
 
 /// The next step of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
-    /// Send the request to a shield and call [`ReadPlan::asked`], or call [`ReadPlan::no_shield`] where no shield is
+pub enum NextStep {
+    /// Send the request to a shield and call [`ReadPlan::begin_attempt`], or call [`ReadPlan::no_shield_available`] where no shield is
     /// likely to answer.
-    AskShield {
+    TryShield {
         /// What the shield may send to servers.
         allowance: Allowance,
     },
-    /// Send the request to servers and call [`ReadPlan::asked`].
-    AskServers {
+    /// Send the request to servers and call [`ReadPlan::begin_attempt`].
+    TryServers {
         /// What may be sent to servers.
         allowance: Allowance,
     },
@@ -33,11 +33,11 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AskEnd {
+pub enum AttemptEnd {
     /// No server has received the request: the shield was unreachable, or lacks the version of the configuration.
-    NotAsked,
+    NotSent,
     /// No usable response came back.
-    Lost,
+    ResponseLost,
     /// There is a response.
     Answered(SendReport),
 }
@@ -48,7 +48,7 @@
     /// It is the client's response.
     Final,
     /// Another attempt may give a better one.
-    TryOn,
+    Retry,
 }
 
 #[derive(Debug)]
@@ -95,67 +95,69 @@
     }
 
     /// The next step, where this many shields are available that have not been found unresponsive.
-    pub fn next(&self, available_shields: usize) -> Next {
+    pub fn next(&self, available_shields: usize) -> NextStep {
         if self.attempts.iter().any(|attempt| matches!(attempt, AttemptState::InFlight(_))) {
-            return Next::Wait;
+            return NextStep::Wait;
         }
         if let Some(next) = self.next_attempt(available_shields) {
             return next;
         }
         match self.attempts.iter().any(|attempt| matches!(attempt, AttemptState::Unresponsive(_))) {
-            true => Next::Wait,
-            false => Next::GiveUp,
+            true => NextStep::Wait,
+            false => NextStep::GiveUp,
         }
     }
 
     /// Whether another attempt could be made in parallel to those in flight, with this many other shields available.
-    pub fn has_way_beside(&self, other_shields: usize) -> bool {
+    pub fn can_hedge(&self, other_shields: usize) -> bool {
         self.next_attempt(other_shields).is_some()
     }
 
-    fn next_attempt(&self, available_shields: usize) -> Option<Next> {
+    fn next_attempt(&self, available_shields: usize) -> Option<NextStep> {
         let left = self.budget.left();
         if self.may_try_shield(available_shields) {
             // One send is reserved for the attempt that follows, at the next shield or at the servers.
             let reserved = left.saturating_sub(1).min(1);
-            return Some(Next::AskShield {
-                allowance: Allowance { sends: left - reserved, held_back: reserved },
+            return Some(NextStep::TryShield {
+                allowance: Allowance { sends: left - reserved, reserved_sends: reserved },
             });
         }
         let may_try_servers = left > 0 && !self.tried_servers;
-        may_try_servers.then_some(Next::AskServers { allowance: Allowance { sends: left, held_back: 0 } })
+        may_try_servers
+            .then_some(NextStep::TryServers { allowance: Allowance { sends: left, reserved_sends: 0 } })
     }
 
     fn may_try_shield(&self, available_shields: usize) -> bool {
-        let has_shield = !self.shields_exhausted && available_shields > 0 && self.shield_attempts < MOST_ASKS;
+        let has_shield =
+            !self.shields_exhausted && available_shields > 0 && self.shield_attempts < MAX_SHIELD_ATTEMPTS;
         has_shield && (self.budget.left() > 0 || !self.tried_without_sends)
     }
 
     /// Begins the attempt that [`ReadPlan::next`] has named. Returns the number by which its end is reported.
-    pub fn asked(&mut self, next: Next) -> usize {
+    pub fn begin_attempt(&mut self, next: NextStep) -> usize {
         let sends = match next {
-            Next::AskShield { allowance } => {
+            NextStep::TryShield { allowance } => {
                 self.shield_attempts += 1;
                 self.tried_without_sends |= allowance.sends == 0;
                 allowance.sends
             }
-            Next::AskServers { allowance } => {
+            NextStep::TryServers { allowance } => {
                 self.tried_servers = true;
                 allowance.sends
             }
-            Next::Wait | Next::GiveUp => 0,
+            NextStep::Wait | NextStep::GiveUp => 0,
         };
         self.attempts.push(AttemptState::InFlight(self.budget.lend(sends)));
         self.attempts.len() - 1
     }
 
     /// No further shield is likely to answer.
-    pub fn no_shield(&mut self) {
+    pub fn no_shield_available(&mut self) {
         self.shields_exhausted = true;
     }
 
     /// The attempts in flight have been without a response for the hedge delay.
-    pub fn silent(&mut self) {
+    pub fn hedge_delay_passed(&mut self) {
         for attempt in &mut self.attempts {
             *attempt = match std::mem::replace(attempt, AttemptState::Ended) {
                 AttemptState::InFlight(loan) => AttemptState::Unresponsive(loan),
@@ -166,17 +168,17 @@
     }
 
     /// Takes the end of an attempt, by its number, and the sends that it has not used.
-    pub fn ended(&mut self, number: usize, end: AskEnd) -> Verdict {
+    pub fn end_attempt(&mut self, number: usize, end: AttemptEnd) -> Verdict {
         let (usage, verdict) = match end {
-            AskEnd::NotAsked => (Usage::Unused, Verdict::TryOn),
-            AskEnd::Lost => (Usage::Unknown, Verdict::TryOn),
-            AskEnd::Answered(report) if report.short => (Usage::Reported(report), Verdict::TryOn),
-            AskEnd::Answered(report) => (Usage::Reported(report), Verdict::Final),
+            AttemptEnd::NotSent => (Usage::Unused, Verdict::Retry),
+            AttemptEnd::ResponseLost => (Usage::Unknown, Verdict::Retry),
+            AttemptEnd::Answered(report) if report.exhausted => (Usage::Reported(report), Verdict::Retry),
+            AttemptEnd::Answered(report) => (Usage::Reported(report), Verdict::Final),
         };
         self.may_be_counted |= usage != Usage::Unused;
         let state = self.attempts.get_mut(number).map(|state| std::mem::replace(state, AttemptState::Ended));
         if let Some(AttemptState::InFlight(loan) | AttemptState::Unresponsive(loan)) = state {
-            self.budget.settle(loan, usage);
+            self.budget.repay(loan, usage);
         }
         verdict
     }
--- a/glenfall/src/edge/routed_request.rs
+++ b/glenfall/src/edge/routed_request.rs
@@ -45,13 +45,13 @@
             uri: &self.request.head.uri,
             headers,
             body: self.request.body.clone(),
-            repeatable: self.is_idempotent(),
-            tries: self.route.tries,
-            again: is_retry,
-            until: self.deadline,
-            aim: self.route.latency_target(),
-            rank: self.config.priority_rank(self.route),
-            per_s: self.config.backend(self.service).and_then(|backend| backend.rate_per_s),
+            idempotent: self.is_idempotent(),
+            max_attempts: self.route.tries,
+            is_retry,
+            deadline: self.deadline,
+            latency_target: self.route.latency_target(),
+            priority_rank: self.config.priority_rank(self.route),
+            rate_limit_per_s: self.config.backend(self.service).and_then(|backend| backend.rate_per_s),
         }
     }
 
--- a/glenfall/src/edge/shield_selector.rs
+++ b/glenfall/src/edge/shield_selector.rs
@@ -52,7 +52,7 @@
         let mut shields = self.shields.borrow_mut();
         for (shield, incarnation) in self.incarnations.borrow().iter() {
             if previous.get(shield).is_some_and(|previous| previous != incarnation) {
-                shields.heard(now, shield, now, false);
+                shields.record_outcome(now, shield, now, false);
             }
         }
     }
@@ -69,7 +69,7 @@
 
     /// Whether there are shields, and each of them failed this edge a short time ago and has not answered since.
     pub fn all_failing(&self) -> bool {
-        self.shields.borrow().all_fail(self.now())
+        self.shields.borrow().all_ejected(self.now())
     }
 
     /// Whether a shield is in this edge's zone.
@@ -90,7 +90,7 @@
 
     /// Records that a request sent at this time has got no usable answer from the shield.
     pub fn record_failure(&self, shield: &ServerId, sent: Instant) {
-        self.shields.borrow_mut().heard(self.now(), shield, self.seconds(sent), true);
+        self.shields.borrow_mut().record_outcome(self.now(), shield, self.seconds(sent), true);
     }
 
     /// Records that a shield has answered a request sent at this time. Where all shields had failed, the others are
@@ -99,12 +99,12 @@
     pub fn record_answer(&self, shield: &ServerId, sent: Instant) {
         let now = self.now();
         let mut shields = self.shields.borrow_mut();
-        if shields.all_fail(now) {
+        if shields.all_ejected(now) {
             for other in self.incarnations.borrow().keys() {
-                shields.heard(now, other, now, false);
+                shields.record_outcome(now, other, now, false);
             }
         }
-        shields.heard(now, shield, self.seconds(sent), false);
+        shields.record_outcome(now, shield, self.seconds(sent), false);
     }
 
     fn now(&self) -> Seconds {
--- a/glenfall/src/http/failure/description.rs
+++ b/glenfall/src/http/failure/description.rs
@@ -29,7 +29,7 @@
 
 impl Failure {
     /// A failure after these attempts.
-    pub fn after(cause: Cause, attempts: String) -> Self {
+    pub fn with_attempts(cause: Cause, attempts: String) -> Self {
         Failure { cause, attempts: Cow::Owned(attempts) }
     }
 
@@ -58,7 +58,7 @@
     pub fn decode(value: Option<&HeaderValue>) -> Self {
         let Some(text) = value.and_then(|value| value.to_str().ok()) else { return Cause::Unstated.into() };
         let (cause, attempts) = text.split_once(' ').unwrap_or((text, ""));
-        Failure::after(Cause::parse(cause).unwrap_or(Cause::Unstated), attempts.to_owned())
+        Failure::with_attempts(Cause::parse(cause).unwrap_or(Cause::Unstated), attempts.to_owned())
     }
 }
 
--- a/glenfall/src/http/failure/log.rs
+++ b/glenfall/src/http/failure/log.rs
@@ -33,9 +33,9 @@
     /// The version of the configuration in force; 0 where there was none.
     pub rev: u64,
     /// Whether this process held a lease, and so had received all updates and purges of control.
-    pub in_touch: bool,
+    pub holds_lease: bool,
     /// When the request had been read.
-    pub began: Instant,
+    pub started: Instant,
 }
 
 struct CauseState {
@@ -59,7 +59,7 @@
 
 impl FailureLog {
     /// Counts a failure and logs it. `request` is called only if the line is written.
-    pub fn note<'a>(&self, failure: &Failure, request: impl FnOnce() -> FailedRequest<'a>) {
+    pub fn record<'a>(&self, failure: &Failure, request: impl FnOnce() -> FailedRequest<'a>) {
         if let Some(suppressed_lines) = self.count(failure.cause) {
             log_failure(failure, &request(), suppressed_lines);
         }
@@ -96,8 +96,8 @@
         path = ?quoted(request.path),
         route = ?quoted(request.route),
         rev = request.rev,
-        holds_lease = request.in_touch,
-        elapsed_ms = request.began.elapsed().as_millis() as u64,
+        holds_lease = request.holds_lease,
+        elapsed_ms = request.started.elapsed().as_millis() as u64,
         not_logged = suppressed_lines,
         "request failed"
     );
--- a/glenfall/src/http/headers.rs
+++ b/glenfall/src/http/headers.rs
@@ -5,9 +5,9 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 
 /// The id of a client's attempt, as the client gave it.
-pub const TRY_ID: HeaderName = HeaderName::from_static("x-glenfall-try-id");
+pub const TRY_ID_HEADER: HeaderName = HeaderName::from_static("x-glenfall-try-id");
 /// How long the sender of a request waits for its response, in milliseconds.
-pub const DEADLINE: HeaderName = HeaderName::from_static("x-glenfall-deadline");
+pub const DEADLINE_HEADER: HeaderName = HeaderName::from_static("x-glenfall-deadline");
 
 /// Headers that the system sets itself, between its processes or for servers. They are never forwarded, so that nobody
 /// else can set them.
@@ -41,7 +41,7 @@
 const LEGACY_HOP_BY_HOP_HEADERS: [&str; 2] = ["keep-alive", "proxy-connection"];
 
 /// The headers that a proxy forwards: all but those of one connection, and the system's own.
-pub fn passed_on(headers: &HeaderMap) -> HeaderMap {
+pub fn forwardable_headers(headers: &HeaderMap) -> HeaderMap {
     let connection_options = connection_options(headers);
     headers
         .iter()
--- a/glenfall/src/http/response/cached.rs
+++ b/glenfall/src/http/response/cached.rs
@@ -6,7 +6,7 @@
 
 use super::accessors::response_accessors;
 use super::proxy::ProxyResponse;
-use super::SEAL;
+use super::SEAL_HEADER;
 
 /// A response made from a stored response, a server's 200. Its constructors determine the status: 200, 206, 304 or 416.
 #[derive(Clone, Debug)]
@@ -20,7 +20,7 @@
 
 impl CachedResponse {
     /// 200: the complete object.
-    pub fn whole(headers: HeaderMap, body: Bytes) -> Self {
+    pub fn full(headers: HeaderMap, body: Bytes) -> Self {
         CachedResponse { status: StatusCode::OK, headers, body }
     }
 
@@ -35,7 +35,7 @@
 
     /// 304: the client's stored response is still fresh. No server sent this status, so that it has no seal.
     pub fn not_modified(mut headers: HeaderMap) -> Self {
-        headers.remove(SEAL);
+        headers.remove(SEAL_HEADER);
         CachedResponse { status: StatusCode::NOT_MODIFIED, headers, body: Bytes::new() }
     }
 
--- a/glenfall/src/http/response/forward.rs
+++ b/glenfall/src/http/response/forward.rs
@@ -6,12 +6,12 @@
 use super::proxy::ProxyResponse;
 use super::server::ServerResponse;
 use super::shield_source::ShieldSource;
-use crate::http::headers::passed_on;
+use crate::http::headers::forwardable_headers;
 
 impl ServerResponse {
     /// The response to a request with this method, as the client receives it: without hop-by-hop headers.
     pub fn forward(self, method: &Method) -> ProxyResponse {
-        let mut headers = passed_on(self.headers());
+        let mut headers = forwardable_headers(self.headers());
         // The response to `HEAD` has no body, but the length of the body that `GET` would return.
         if method == Method::HEAD {
             if let Some(length) = self.headers().get(header::CONTENT_LENGTH) {
@@ -25,7 +25,7 @@
     /// seal.
     pub fn forward_from_shield(self) -> ProxyResponse {
         match self.shield_source() {
-            Some(ShieldSource::Local | ShieldSource::Behind) => LocalResponse::relayed(&self).into(),
+            Some(ShieldSource::Local | ShieldSource::ConfigOutdated) => LocalResponse::relayed(&self).into(),
             _ => self.forward(&Method::GET),
         }
     }
--- a/glenfall/src/http/response/local.rs
+++ b/glenfall/src/http/response/local.rs
@@ -30,7 +30,7 @@
     }
 
     /// 503: the request has not run and never will. The client may retry it after this time.
-    pub fn refused(failure: impl Into<Failure>, retry_after: Duration) -> Self {
+    pub fn rejected(failure: impl Into<Failure>, retry_after: Duration) -> Self {
         let unavailable = Self::new(StatusCode::SERVICE_UNAVAILABLE, failure);
         LocalResponse { retry_after: retry_after_value(retry_after), ..unavailable }
     }
@@ -70,7 +70,7 @@
     /// A server's failure, for requests that waited for the response to another request. The server did not send it to
     /// them, so that they get its status and nothing else of it.
     pub fn same_failure(failure: &ServerResponse) -> Self {
-        let cause = Failure::after(Cause::ServerError, failure.attempts().to_owned());
+        let cause = Failure::with_attempts(Cause::ServerError, failure.attempts().to_owned());
         Self::new(failure.status(), cause)
     }
 
--- a/glenfall/src/http/response/mod.rs
+++ b/glenfall/src/http/response/mod.rs
@@ -62,8 +62,8 @@
 pub use shield_source::ShieldSource;
 
 /// A server's signature of its response.
-pub const SEAL: HeaderName = HeaderName::from_static("x-glenfall-seal");
+pub const SEAL_HEADER: HeaderName = HeaderName::from_static("x-glenfall-seal");
 /// The labels of an object, by which it can be purged.
-pub const TAGS: HeaderName = HeaderName::from_static("x-glenfall-tags");
+pub const LABELS_HEADER: HeaderName = HeaderName::from_static("x-glenfall-tags");
 /// The age of a shield's stored response, in milliseconds.
-pub const AGE_MS: HeaderName = HeaderName::from_static("x-glenfall-age-ms");
+pub const AGE_HEADER: HeaderName = HeaderName::from_static("x-glenfall-age-ms");
--- a/glenfall/src/http/response/proxy.rs
+++ b/glenfall/src/http/response/proxy.rs
@@ -8,10 +8,10 @@
 use hyper::{Response, StatusCode};
 
 use super::shield_source::{ShieldSource, SHIELD_HEADER};
-use super::{AGE_MS, TAGS};
+use super::{AGE_HEADER, LABELS_HEADER};
 use crate::http::failure::{Failure, FAILURE_HEADER};
-use crate::http::headers::TRY_ID;
-use crate::http::send_budget::{SendReport, SENDS};
+use crate::http::headers::TRY_ID_HEADER;
+use crate::http::send_budget::{SendReport, SENDS_HEADER};
 
 /// What a proxy returns to its client. Only headers between the processes of this system can still be set.
 #[derive(Debug)]
@@ -50,7 +50,7 @@
     }
 
     /// Reports to an edge why the request failed, if it did.
-    pub fn tell_failure(&mut self) {
+    pub fn set_failure(&mut self) {
         if let Some(failure) = &self.failure {
             self.response.headers_mut().insert(FAILURE_HEADER, failure.encode());
         }
@@ -62,26 +62,26 @@
     }
 
     /// Adds what an edge needs to store the response: its age, and its labels separated by spaces.
-    pub fn set_copy_details(&mut self, age: Duration, labels: &str) {
+    pub fn set_cache_details(&mut self, age: Duration, labels: &str) {
         let headers = self.response.headers_mut();
-        headers.insert(AGE_MS, HeaderValue::from(age.as_millis() as u64));
+        headers.insert(AGE_HEADER, HeaderValue::from(age.as_millis() as u64));
         if let Ok(labels) = HeaderValue::from_str(labels) {
-            headers.insert(TAGS, labels);
+            headers.insert(LABELS_HEADER, labels);
         }
     }
 
     /// Reports to an edge how much of its allowance was used. There is no header where nothing was used.
     pub fn set_send_report(&mut self, report: SendReport) {
         if report != SendReport::default() {
-            self.response.headers_mut().insert(SENDS, report.encode());
+            self.response.headers_mut().insert(SENDS_HEADER, report.encode());
         }
     }
 
     /// Sets the id of the request that this responds to; `None` removes it.
     pub fn set_try_id(&mut self, id: Option<&HeaderValue>) {
         match id {
-            Some(id) => self.response.headers_mut().insert(TRY_ID, id.clone()),
-            None => self.response.headers_mut().remove(TRY_ID),
+            Some(id) => self.response.headers_mut().insert(TRY_ID_HEADER, id.clone()),
+            None => self.response.headers_mut().remove(TRY_ID_HEADER),
         };
     }
 }
--- a/glenfall/src/http/response/server.rs
+++ b/glenfall/src/http/response/server.rs
@@ -28,7 +28,7 @@
     }
 
     /// Records the servers that the request was sent to, for the log.
-    pub fn set_way(&mut self, attempts: String) {
+    pub fn set_attempts(&mut self, attempts: String) {
         self.attempts = attempts;
     }
 
@@ -43,7 +43,7 @@
             return self.headers.get(FAILURE_HEADER).map(|value| Failure::decode(Some(value)));
         }
         let is_failure = self.status.is_server_error();
-        is_failure.then(|| Failure::after(Cause::ServerError, self.attempts.clone()))
+        is_failure.then(|| Failure::with_attempts(Cause::ServerError, self.attempts.clone()))
     }
 
     /// Where a shield has this response from; `None` where it was not sent by a shield.
--- a/glenfall/src/http/response/shield_source.rs
+++ b/glenfall/src/http/response/shield_source.rs
@@ -14,23 +14,23 @@
     Miss,
     /// A stored response, or the response to a fetch that began before the request, while the shield holds no lease: it
     /// may have missed purges.
-    Unvouched,
+    WithoutLease,
     /// A server's response that can't be stored.
-    Passed,
+    Uncacheable,
     /// The shield itself.
     Local,
     /// The shield itself: it has not received the edge's configuration yet, and has sent the request to no server.
-    Behind,
+    ConfigOutdated,
 }
 
 impl ShieldSource {
     const ALL: [ShieldSource; 6] = [
         ShieldSource::Hit,
         ShieldSource::Miss,
-        ShieldSource::Unvouched,
-        ShieldSource::Passed,
+        ShieldSource::WithoutLease,
+        ShieldSource::Uncacheable,
         ShieldSource::Local,
-        ShieldSource::Behind,
+        ShieldSource::ConfigOutdated,
     ];
 
     /// The value of the header.
@@ -38,10 +38,10 @@
         match self {
             ShieldSource::Hit => "hit",
             ShieldSource::Miss => "miss",
-            ShieldSource::Unvouched => "unvouched",
-            ShieldSource::Passed => "pass",
+            ShieldSource::WithoutLease => "unvouched",
+            ShieldSource::Uncacheable => "pass",
             ShieldSource::Local => "own",
-            ShieldSource::Behind => "behind",
+            ShieldSource::ConfigOutdated => "behind",
         }
     }
 
--- a/glenfall/src/http/send_budget.rs
+++ b/glenfall/src/http/send_budget.rs
@@ -10,7 +10,7 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 
 /// The header that carries an [`Allowance`] to a shield and a [`SendReport`] back.
-pub const SENDS: HeaderName = HeaderName::from_static("x-glenfall-sends");
+pub const SENDS_HEADER: HeaderName = HeaderName::from_static("x-glenfall-sends");
 
 /// How many sends a process may use for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,29 +20,29 @@
     pub sends: u32,
     /// The number of servers that the lender of the allowance may still have the request sent to by another process. While
     /// there are any, a server that does not respond is not waited for until the deadline.
-    pub held_back: u32,
+    pub reserved_sends: u32,
 }
 
 impl Allowance {
     /// All sends that a route allows, with none reserved by a lender.
     pub fn all(tries: u32) -> Self {
-        Allowance { sends: tries.max(1), held_back: 0 }
+        Allowance { sends: tries.max(1), reserved_sends: 0 }
     }
 
     /// The value of its header.
     pub fn encode(self) -> HeaderValue {
-        header_value(&format!("allowed={}, held-back={}", self.sends, self.held_back))
+        header_value(&format!("allowed={}, held-back={}", self.sends, self.reserved_sends))
     }
 
     /// Reads the allowance of a request, bounded by the route's `tries`. A request without one comes from an edge of an
     /// earlier release, and may use all of them.
-    pub fn of_request(headers: &HeaderMap, tries: u32) -> Self {
+    pub fn from_request(headers: &HeaderMap, tries: u32) -> Self {
         let all = Allowance::all(tries);
         let Some(text) = text(headers) else { return all };
         let number = |name| member(text, name)?.parse::<u32>().ok();
         Allowance {
             sends: number("allowed=").unwrap_or(all.sends).min(all.sends),
-            held_back: number("held-back=").unwrap_or(0),
+            reserved_sends: number("held-back=").unwrap_or(0),
         }
     }
 }
@@ -53,21 +53,21 @@
     /// The number of servers that the request was sent to under its own id.
     pub used: u32,
     /// Whether it got no successful response because the allowance was used up.
-    pub short: bool,
+    pub exhausted: bool,
 }
 
 impl SendReport {
     /// The value of its header.
     pub fn encode(self) -> HeaderValue {
-        let short = if self.short { ", short" } else { "" };
+        let short = if self.exhausted { ", short" } else { "" };
         header_value(&format!("used={}{short}", self.used))
     }
 
     /// Reads the report of a response; `None` where it has no valid one.
-    pub fn of_answer(headers: &HeaderMap) -> Option<Self> {
+    pub fn from_response(headers: &HeaderMap) -> Option<Self> {
         let text = text(headers)?;
         let used = member(text, "used=")?.parse().ok()?;
-        Some(SendReport { used, short: member(text, "short").is_some() })
+        Some(SendReport { used, exhausted: member(text, "short").is_some() })
     }
 }
 
@@ -78,7 +78,7 @@
 
 /// The text of the header.
 fn text(headers: &HeaderMap) -> Option<&str> {
-    headers.get(SENDS)?.to_str().ok()
+    headers.get(SENDS_HEADER)?.to_str().ok()
 }
 
 /// The text after a name in a comma-separated list.
@@ -128,7 +128,7 @@
     }
 
     /// Adds the sends of a loan that were certainly not used to the budget again.
-    pub fn settle(&mut self, loan: Loan, usage: Usage) {
+    pub fn repay(&mut self, loan: Loan, usage: Usage) {
         self.left += match usage {
             Usage::Unused => loan.sends,
             Usage::Reported(report) => loan.sends.saturating_sub(report.used),
--- a/glenfall/src/http_server/listener.rs
+++ b/glenfall/src/http_server/listener.rs
@@ -31,7 +31,7 @@
     /// delay.
     pub drain_accept_time: Duration,
     /// How long after the stop signal the process waits for open connections, `drain_accept_time` included.
-    pub grace: Duration,
+    pub shutdown_timeout: Duration,
 }
 
 /// Binds the listening socket and serves until the process stops and all accepted requests are answered. Fails where the
@@ -66,7 +66,7 @@
         } => {}
     }
     drop(listener);
-    let drain_time = config.grace.saturating_sub(config.drain_accept_time);
+    let drain_time = config.shutdown_timeout.saturating_sub(config.drain_accept_time);
     if timeout(drain_time, limit.all_closed()).await.is_err() {
         tracing::warn!(
             open_connections = limit.open(),
--- a/glenfall/src/http_server/request_body.rs
+++ b/glenfall/src/http_server/request_body.rs
@@ -54,7 +54,7 @@
             RequestError::MalformedBody => LocalResponse::bad_request("broken body"),
             RequestError::BodyTimeout => LocalResponse::request_timeout(),
             RequestError::NoBodyMemory(_) => {
-                LocalResponse::refused(Cause::NoBodyMemory, BODY_MEMORY_RETRY_AFTER)
+                LocalResponse::rejected(Cause::NoBodyMemory, BODY_MEMORY_RETRY_AFTER)
             }
         }
     }
--- a/glenfall/src/memory_budget.rs
+++ b/glenfall/src/memory_budget.rs
@@ -53,19 +53,19 @@
     }
 
     /// Whether there is memory for new requests, beyond the reserve for responses in flight.
-    pub fn is_free(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.free_units.available_permits() > self.total_units / RESERVE_DIVISOR
     }
 
     /// How many bytes are reserved.
-    pub fn held(&self) -> usize {
+    pub fn reserved_bytes(&self) -> usize {
         let free_units = self.free_units.available_permits().min(self.total_units);
         (self.total_units - free_units) * UNIT_BYTES
     }
 
     /// Waits until this many bytes are free, in the order of the calls, and reserves them. `None` where the budget is
     /// smaller.
-    pub async fn hold(&self, bytes: usize) -> Option<Reservation> {
+    pub async fn reserve(&self, bytes: usize) -> Option<Reservation> {
         let units = units(bytes);
         if units as usize > self.total_units {
             return None;
@@ -84,7 +84,7 @@
 
     /// Waits until the reservation can grow to this many bytes in total. Where the budget is smaller this never ends: the
     /// caller bounds the time. `None` only if the budget was closed, which does not happen.
-    pub async fn grow(&mut self, bytes: usize) -> Option<()> {
+    pub async fn grow_to(&mut self, bytes: usize) -> Option<()> {
         let additional_units = units(bytes).saturating_sub(units(self.bytes()));
         let additional = Arc::clone(&self.free_units).acquire_many_owned(additional_units).await.ok()?;
         self.permit.merge(additional);
@@ -93,7 +93,7 @@
 
     /// The body for which the memory was reserved. The memory is returned once the last slice of the body is dropped; at
     /// once where the body is empty.
-    pub fn keeping(self, body: Bytes) -> Bytes {
+    pub fn attach_to(self, body: Bytes) -> Bytes {
         if body.is_empty() {
             return body;
         }
--- a/glenfall/src/metrics/counter.rs
+++ b/glenfall/src/metrics/counter.rs
@@ -8,12 +8,12 @@
 
 impl Counter {
     /// Counts one event.
-    pub fn add(&self) {
-        self.add_all(1);
+    pub fn increment(&self) {
+        self.increment_by(1);
     }
 
     /// Counts this many events.
-    pub fn add_all(&self, count: usize) {
+    pub fn increment_by(&self, count: usize) {
         self.0.set(self.0.get() + count as u64);
     }
 
--- a/glenfall/src/metrics/latency.rs
+++ b/glenfall/src/metrics/latency.rs
@@ -39,7 +39,7 @@
 
 impl Latency {
     /// Records one latency.
-    pub fn add(&self, latency: Duration) {
+    pub fn record(&self, latency: Duration) {
         if let Some(histograms) = self.histograms.borrow_mut().as_mut() {
             let microseconds = (latency.as_micros() as u64).clamp(1, MAX_LATENCY_US);
             histograms.current.saturating_record(microseconds);
--- a/glenfall/src/operator/commands/control_client.rs
+++ b/glenfall/src/operator/commands/control_client.rs
@@ -76,7 +76,7 @@
                 Ok(response) if response.status().is_success() => return Ok(response),
                 Ok(response) if response.status().is_client_error() || is_final(&response) => {
                     let status = response.status().as_u16();
-                    return Err(OperatorError::Refused { status, body: text(&response) });
+                    return Err(OperatorError::Rejected { status, body: text(&response) });
                 }
                 Ok(_) | Err(_) => sleep(RETRY_BACKOFF).await,
             }
--- a/glenfall/src/operator/commands/declared.rs
+++ b/glenfall/src/operator/commands/declared.rs
@@ -68,7 +68,7 @@
     let declared = Declared::read(folder)?;
     let active = ActiveConfig::get(at).await?;
     if let Some(expected) = if_rev.filter(|expected| *expected != active.rev) {
-        return Err(OperatorError::Moved { expected, current: active.rev });
+        return Err(OperatorError::VersionMismatch { expected, current: active.rev });
     }
     let differences = declared.differences(&active.document)?;
     if differences.is_empty() && active.rev > 0 {
@@ -106,7 +106,7 @@
 impl ActiveConfig {
     async fn get(at: &ControlAddresses) -> Result<ActiveConfig, OperatorError> {
         let response = match get(at, CONFIG_PATH).await {
-            Err(OperatorError::Refused { status: 404, .. }) => {
+            Err(OperatorError::Rejected { status: 404, .. }) => {
                 return Ok(ActiveConfig { rev: 0, document: Bytes::new() });
             }
             response => response?,
--- a/glenfall/src/operator/commands/error.rs
+++ b/glenfall/src/operator/commands/error.rs
@@ -18,10 +18,10 @@
     File(#[from] PathError<std::io::Error>),
     /// A file has been read and is not valid.
     #[error(transparent)]
-    Wrong(#[from] PathError<InvalidFile>),
+    InvalidFile(#[from] PathError<InvalidFile>),
     /// Control has rejected the request, and would reject it again.
     #[error("{status}: {body}")]
-    Refused {
+    Rejected {
         /// The HTTP status.
         status: u16,
         /// The body, which gives the reason.
@@ -38,7 +38,7 @@
     Declared(#[from] DeclareError),
     /// The active configuration is not the one that the operator has reviewed the change against.
     #[error("version {current} is in force, not {expected}: look at the change again")]
-    Moved {
+    VersionMismatch {
         /// The version that the operator has named.
         expected: u64,
         /// The active version.
--- a/glenfall/src/operator/declarative_config/mod.rs
+++ b/glenfall/src/operator/declarative_config/mod.rs
@@ -24,7 +24,7 @@
     File(#[from] PathError<std::io::Error>),
     /// A file is not valid.
     #[error(transparent)]
-    Wrong(#[from] PathError<InvalidItem>),
+    InvalidFile(#[from] PathError<InvalidItem>),
     /// The files do not make a valid configuration together.
     #[error("the declared configuration is invalid: {0}")]
     Invalid(#[from] InvalidConfig),
--- a/glenfall/src/operator/demo/client.rs
+++ b/glenfall/src/operator/demo/client.rs
@@ -11,8 +11,8 @@
 use tokio::time::{sleep, Instant};
 
 use super::{DemoError, DEMO_HOST, RETRY_INTERVAL, STEP_TIMEOUT};
-use crate::http::headers::TRY_ID;
-use crate::http::response::{ServerResponse, SEAL};
+use crate::http::headers::TRY_ID_HEADER;
+use crate::http::response::{ServerResponse, SEAL_HEADER};
 use crate::memory_budget::MemoryBudget;
 use crate::operator::commands::MAX_RESPONSE_BYTES;
 use crate::upstream::pool::{ExchangeParams, Pool};
@@ -31,7 +31,7 @@
     let pool = Pool::new(MAX_CONNECTIONS, MemoryBudget::new(MAX_RESPONSE_BYTES));
     let params = ExchangeParams::internal(edge, Instant::now() + REQUEST_TIMEOUT);
     let response = pool.exchange(params, || http_request(&method, path)).await.ok()?;
-    let is_from_server = response.headers().contains_key(SEAL);
+    let is_from_server = response.headers().contains_key(SEAL_HEADER);
     (response.status() == StatusCode::OK && is_from_server).then_some(response)
 }
 
@@ -40,7 +40,7 @@
     *request.method_mut() = method.clone();
     *request.uri_mut() = Uri::from_static(path);
     request.headers_mut().insert(header::HOST, HeaderValue::from_static(DEMO_HOST));
-    request.headers_mut().insert(TRY_ID, HeaderValue::from_static("demo-try"));
+    request.headers_mut().insert(TRY_ID_HEADER, HeaderValue::from_static("demo-try"));
     request
 }
 
@@ -56,5 +56,5 @@
         }
         sleep(RETRY_INTERVAL).await;
     }
-    Err(DemoError::TooLate { what })
+    Err(DemoError::StepTimeout { what })
 }
--- a/glenfall/src/operator/demo/mod.rs
+++ b/glenfall/src/operator/demo/mod.rs
@@ -15,7 +15,7 @@
 use self::client::{request, retry};
 use crate::operator::commands::{self, OperatorError};
 use crate::operator::local_system::{LocalSystem, SystemLayout};
-use crate::signals::terminated;
+use crate::signals::wait_for_termination;
 
 /// Bound on the time of each step of the demo, also on a busy machine.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
@@ -41,30 +41,30 @@
     Io(#[from] std::io::Error),
     /// A step has not succeeded in time.
     #[error("demo: {what} did not come within {} s", STEP_TIMEOUT.as_secs())]
-    TooLate {
+    StepTimeout {
         /// What the step waits for.
         what: &'static str,
     },
     /// An invariant is violated, by this log line.
     #[error("demo: {0}")]
-    Broken(String),
+    InvariantViolated(String),
     /// A call to control has failed.
     #[error("demo: {0}")]
-    Ops(#[from] OperatorError),
+    Operator(#[from] OperatorError),
 }
 
 /// Starts the system and shows the path of requests; then runs until a signal, or ends if `once`. The folder with
 /// the logs of a demo that fails is not removed.
 pub async fn run(once: bool) -> Result<(), DemoError> {
     let layout = SystemLayout {
-        beat_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
+        heartbeat_interval_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
         ..SystemLayout::new(NETWORK_NUMBER, CORE_MACHINES, EDGE_MACHINES)
     };
     let program = std::env::current_exe()?;
     let mut system = LocalSystem::start(layout, &program).await?;
     let shown = show(&system, &program, once).await;
     if shown.is_err() {
-        println!("logs:           {}", system.keep_folder().display());
+        println!("logs:           {}", system.retain_folder().display());
     }
     shown
 }
@@ -80,8 +80,8 @@
     set_up::await_published(&controls).await?;
     println!("all know {CORE_MACHINES} shields and {STAND_IN_SERVERS} servers");
     show_path(system).await?;
-    if let Some(violation) = system.broken_invariants().into_iter().next() {
-        return Err(DemoError::Broken(violation));
+    if let Some(violation) = system.invariant_violations().into_iter().next() {
+        return Err(DemoError::InvariantViolated(violation));
     }
     if once {
         println!("the whole path works");
@@ -91,7 +91,7 @@
     println!("see:    {} status --control {}", program.display(), controls.controls[0]);
     println!("logs:   {}", system.folder.display());
     println!("Ctrl-C ends it.");
-    terminated().await;
+    wait_for_termination().await;
     Ok(())
 }
 
@@ -107,14 +107,14 @@
     let other = retry("the same read at the other edge", read_at(1)).await?;
     print!("other edge:     {}", String::from_utf8_lossy(other.body()));
     if other.body() != first.body() {
-        return Err(DemoError::TooLate { what: "the shield's copy at the other edge" });
+        return Err(DemoError::StepTimeout { what: "the shield's copy at the other edge" });
     }
     let purge = json!({ "hostname": DEMO_HOST, "urlPath": DEMO_PATH }).to_string();
     commands::call_control(&system.controls(), Method::POST, "/api/purge", None, purge.into()).await?;
     let fresh = retry("the read after a purge", read_at(0)).await?;
     print!("after a purge:  {}", String::from_utf8_lossy(fresh.body()));
     if fresh.body() == first.body() {
-        return Err(DemoError::TooLate { what: "a fresh copy after the purge" });
+        return Err(DemoError::StepTimeout { what: "a fresh copy after the purge" });
     }
     let write = retry("a write", || request(edges[0], Method::POST, "/orders/1")).await?;
     print!("write:          {}", String::from_utf8_lossy(write.body()));
--- a/glenfall/src/operator/demo/set_up.rs
+++ b/glenfall/src/operator/demo/set_up.rs
@@ -52,7 +52,7 @@
         }
         sleep(RETRY_INTERVAL).await;
     }
-    Err(DemoError::TooLate { what: "the word of all shields and servers" })
+    Err(DemoError::StepTimeout { what: "the word of all shields and servers" })
 }
 
 fn is_published(nodes: &[Value]) -> bool {
--- a/glenfall/src/operator/demo/stand_in_server.rs
+++ b/glenfall/src/operator/demo/stand_in_server.rs
@@ -17,8 +17,8 @@
 use tokio::time::{sleep, Instant};
 
 use super::HEARTBEAT_INTERVAL;
-use crate::http::headers::TRY_ID;
-use crate::http::response::{SEAL, TAGS};
+use crate::http::headers::TRY_ID_HEADER;
+use crate::http::response::{LABELS_HEADER, SEAL_HEADER};
 use crate::http_server::{self, plain_response, FullRequest, FullResponse, Handler, ServerConfig};
 use crate::memory_budget::MemoryBudget;
 use crate::operator::commands::{ControlAddresses, MAX_RESPONSE_BYTES};
@@ -55,10 +55,10 @@
         let body = format!("{method} {uri} run {runs} at {}\n", self.id);
         let mut response = FullResponse::new(Full::new(Bytes::from(body)));
         let headers = response.headers_mut();
-        headers.insert(SEAL, HeaderValue::from_static("demo"));
-        headers.insert(TAGS, HeaderValue::from_static("demo-label"));
-        if let Some(id) = request.head.headers.get(TRY_ID) {
-            headers.insert(TRY_ID, id.clone());
+        headers.insert(SEAL_HEADER, HeaderValue::from_static("demo"));
+        headers.insert(LABELS_HEADER, HeaderValue::from_static("demo-label"));
+        if let Some(id) = request.head.headers.get(TRY_ID_HEADER) {
+            headers.insert(TRY_ID_HEADER, id.clone());
         }
         response
     }
@@ -78,7 +78,7 @@
     system: &LocalSystem,
     stopping: watch::Receiver<bool>,
 ) -> std::io::Result<()> {
-    let ip = system.machine(FIRST_MACHINE + number);
+    let ip = system.machine_address(FIRST_MACHINE + number);
     let listener = TcpListener::bind((ip, 0)).await?;
     let address = SocketAddrV4::new(ip, listener.local_addr()?.port());
     let id = format!("demo-{number}");
@@ -87,7 +87,7 @@
         max_connections: MAX_CONNECTIONS,
         max_body_bytes: MAX_BODY_BYTES,
         drain_accept_time: Duration::ZERO,
-        grace: Duration::ZERO,
+        shutdown_timeout: Duration::ZERO,
     };
     let server = Rc::new(StandInServer { id: id.clone(), runs: Cell::new(0) });
     spawn_local(http_server::serve_at(listener, config, server, stopping));
