--- a/glenfall/src/operator/local_system.rs
+++ b/glenfall/src/operator/local_system.rs
@@ -6,11 +6,11 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-use glenfall_control_plane::invariant::BROKEN;
+use glenfall_control_plane::invariant::VIOLATION_MESSAGE;
 use tokio::net::TcpListener;
 
 use crate::operator::commands::ControlAddresses;
-use crate::settings::VARIABLE;
+use crate::settings::SETTINGS_VARIABLE;
 
 /// Number of ports that a machine needs, next to each other.
 const PORT_COUNT: u16 = 6;
@@ -39,11 +39,11 @@
     /// Number of zones that the machines are distributed over.
     pub zones: u8,
     /// Interval of servers' heartbeats, in milliseconds.
-    pub beat_ms: u64,
+    pub heartbeat_interval_ms: u64,
     /// Memory of each process, in MiB.
     pub mem_mb: u64,
     /// Number of core machines that may be lost at once with their disks. Above 0, all core machines may vote.
-    pub losses: usize,
+    pub tolerated_losses: usize,
     /// Core processes listen at other addresses than they announce, so that relays can listen at the announced ones.
     pub relayed: bool,
 }
@@ -58,9 +58,9 @@
             seeds: cores,
             edges,
             zones: 3,
-            beat_ms: 500,
+            heartbeat_interval_ms: 500,
             mem_mb: 256,
-            losses: 0,
+            tolerated_losses: 0,
             relayed: false,
         }
     }
@@ -81,7 +81,7 @@
 }
 
 /// A running local system. When it is dropped, its processes are killed and its folder is removed, unless
-/// [`LocalSystem::keep_folder`] was called.
+/// [`LocalSystem::retain_folder`] was called.
 pub struct LocalSystem {
     layout: SystemLayout,
     program: PathBuf,
@@ -130,7 +130,7 @@
     }
 
     fn start_machine(&mut self, number: u8) -> std::io::Result<()> {
-        let node = self.node(number);
+        let node = self.machine_name(number);
         self.write_settings(&node, number)?;
         for role in self.roles(number) {
             let child = self.spawn(&node, role)?;
@@ -144,7 +144,7 @@
         let log = std::fs::File::options().create(true).append(true).open(log)?;
         Command::new(&self.program)
             .arg(role)
-            .env(VARIABLE, self.settings_file(node))
+            .env(SETTINGS_VARIABLE, self.settings_file(node))
             .stdin(Stdio::null())
             .stderr(log)
             .spawn()
@@ -155,7 +155,7 @@
     }
 
     /// The name of a machine. Core machines have the first numbers, from 1 on.
-    pub fn node(&self, number: u8) -> String {
+    pub fn machine_name(&self, number: u8) -> String {
         match number.checked_sub(self.layout.cores + 1) {
             None => format!("core-{number}"),
             Some(edge) => format!("edge-{}", edge + 1),
@@ -176,7 +176,7 @@
     }
 
     /// The address of a machine. Numbers after the last machine are free for servers.
-    pub fn machine(&self, number: u8) -> Ipv4Addr {
+    pub fn machine_address(&self, number: u8) -> Ipv4Addr {
         Ipv4Addr::new(127, 0, self.layout.net, number)
     }
 
@@ -184,16 +184,16 @@
     fn listen_ip(&self, number: u8) -> Ipv4Addr {
         match self.layout.relayed && self.layout.is_core(number) {
             true => Ipv4Addr::new(127, 1, self.layout.net, number),
-            false => self.machine(number),
+            false => self.machine_address(number),
         }
     }
 
     /// For each core machine, the addresses that it announces with those where it listens, for sessions, reads and calls
     /// of control.
-    pub fn relayed(&self) -> Vec<(u8, [(SocketAddrV4, SocketAddrV4); 3])> {
+    pub fn relayed_machines(&self) -> Vec<(u8, [(SocketAddrV4, SocketAddrV4); 3])> {
         let pair = |number, offset| {
             let port = self.first_port + offset;
-            let announced = SocketAddrV4::new(self.machine(number), port);
+            let announced = SocketAddrV4::new(self.machine_address(number), port);
             (announced, SocketAddrV4::new(self.listen_ip(number), port))
         };
         let ports = [SESSION_PORT, SHIELD_PORT, CONTROL_PORT];
@@ -207,7 +207,7 @@
     }
 
     fn control(&self, number: u8) -> SocketAddrV4 {
-        SocketAddrV4::new(self.machine(number), self.first_port + CONTROL_PORT)
+        SocketAddrV4::new(self.machine_address(number), self.first_port + CONTROL_PORT)
     }
 
     fn seeds(&self) -> Vec<SocketAddrV4> {
@@ -215,13 +215,13 @@
     }
 
     /// The control nodes that the settings name, and the port where all of them take sessions.
-    pub fn links(&self) -> (Vec<Ipv4Addr>, u16) {
+    pub fn session_addresses(&self) -> (Vec<Ipv4Addr>, u16) {
         (self.seeds().iter().map(|seed| *seed.ip()).collect(), self.first_port + SESSION_PORT)
     }
 
     /// The addresses where edges take clients.
     pub fn edges(&self) -> Vec<SocketAddrV4> {
-        let address = |number| SocketAddrV4::new(self.machine(number), self.first_port + HTTP_PORT);
+        let address = |number| SocketAddrV4::new(self.machine_address(number), self.first_port + HTTP_PORT);
         self.machine_numbers().filter(|number| !self.layout.is_core(*number)).map(address).collect()
     }
 
@@ -238,7 +238,7 @@
     }
 
     /// Processes that have ended: machine, role, and exit status.
-    pub fn ended(&mut self) -> std::io::Result<Vec<(String, &'static str, ExitStatus)>> {
+    pub fn exited_processes(&mut self) -> std::io::Result<Vec<(String, &'static str, ExitStatus)>> {
         let mut ended = Vec::new();
         for process in &mut self.processes {
             if let Some(status) = process.child.try_wait()? {
@@ -251,7 +251,7 @@
     /// Removes the state of a machine from disk. Its processes must have ended.
     pub fn wipe(&mut self, node: &str) -> std::io::Result<()> {
         self.wiped.insert(node.to_owned());
-        if let Some(number) = self.machine_numbers().find(|number| self.node(*number) == node) {
+        if let Some(number) = self.machine_numbers().find(|number| self.machine_name(*number) == node) {
             self.write_settings(node, number)?;
         }
         match std::fs::remove_dir_all(self.state_folder(node)) {
@@ -261,7 +261,7 @@
     }
 
     /// Restarts the processes of a machine that have ended.
-    pub fn start_again(&mut self, node: &str) -> std::io::Result<()> {
+    pub fn restart_node(&mut self, node: &str) -> std::io::Result<()> {
         for index in 0..self.processes.len() {
             let process = &mut self.processes[index];
             if process.node == node && process.child.try_wait()?.is_some() {
@@ -273,19 +273,20 @@
     }
 
     /// Log lines about violated invariants, of processes that have ended as well.
-    pub fn broken_invariants(&self) -> Vec<String> {
+    pub fn invariant_violations(&self) -> Vec<String> {
         let entries = std::fs::read_dir(&self.folder).into_iter().flatten().flatten();
         let paths = entries.map(|entry| entry.path());
         let logs = paths.filter(|path| path.extension().is_some_and(|extension| extension == "log"));
         let mut violations = Vec::new();
         for text in logs.filter_map(|path| std::fs::read_to_string(path).ok()) {
-            violations.extend(text.lines().filter(|line| line.contains(BROKEN)).map(str::to_owned));
+            violations
+                .extend(text.lines().filter(|line| line.contains(VIOLATION_MESSAGE)).map(str::to_owned));
         }
         violations
     }
 
     /// Keeps the folder with its logs and state when this is dropped, so that a failure can be examined.
-    pub fn keep_folder(&mut self) -> &Path {
+    pub fn retain_folder(&mut self) -> &Path {
         self.keeps_folder = true;
         &self.folder
     }
@@ -304,12 +305,12 @@
 
     fn settings(&self, node: &str, number: u8) -> String {
         let layout = &self.layout;
-        let (zone, ip, listen_ip) = (self.zone(number), self.machine(number), self.listen_ip(number));
+        let (zone, ip, listen_ip) = (self.zone(number), self.machine_address(number), self.listen_ip(number));
         let (first_port, last_port) = (self.first_port, self.first_port + WATCH_PORT);
         let seeds: Vec<String> = self.seeds().iter().map(|control| format!("\"{control}\"")).collect();
         let seeds = seeds.join(", ");
         let bootstrap = !self.wiped.contains(node);
-        let voter = layout.losses > 0 && layout.is_core(number);
+        let voter = layout.tolerated_losses > 0 && layout.is_core(number);
         let state_folder = self.state_folder(node);
         let [control, http, ready] =
             [CONTROL_PORT, HTTP_PORT, READY_PORT].map(|offset| self.first_port + offset);
@@ -320,8 +321,8 @@
              [listeners]\ncontrolAddr = \"{listen_ip}:{control}\"\nhttp = \"{ip}:{http}\"\n\
              readyAddr = \"{ip}:{ready}\"\n[reqLimits]\nmemMb = {}\nmaxFds = {MAX_DESCRIPTORS}\n",
             state_folder.display(),
-            layout.beat_ms,
-            layout.losses,
+            layout.heartbeat_interval_ms,
+            layout.tolerated_losses,
             layout.mem_mb,
         )
     }
--- a/glenfall/src/roles/edge.rs
+++ b/glenfall/src/roles/edge.rs
@@ -56,7 +56,7 @@
         max_connections: process.max_connections,
         max_body_bytes: settings.memory_share(REQUEST_BODY_MEMORY_SHARE),
         drain_accept_time: DRAIN_ACCEPT_TIME.min(settings.grace()),
-        grace: settings.grace(),
+        shutdown_timeout: settings.grace(),
     }
 }
 
@@ -67,6 +67,6 @@
         max_connections: MAX_READINESS_CONNECTIONS,
         max_body_bytes: 0,
         drain_accept_time: settings.grace(),
-        grace: settings.grace(),
+        shutdown_timeout: settings.grace(),
     }
 }
--- a/glenfall/src/roles/mod.rs
+++ b/glenfall/src/roles/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::memory_budget::MemoryBudget;
 use crate::settings::{Settings, SettingsError};
-use crate::signals::terminated;
+use crate::signals::wait_for_termination;
 use crate::upstream::pool::Pool;
 use crate::watch_client::WatchClient;
 
@@ -67,9 +67,9 @@
     let (sender, stopping) = watch::channel(false);
     let watch_client = Rc::clone(watch_client);
     spawn_local(async move {
-        terminated().await;
+        wait_for_termination().await;
         tracing::info!("draining");
-        watch_client.leave();
+        watch_client.start_draining();
         sender.send_replace(true);
         // Dropping the sender would end the waits of receivers that begin later.
         std::future::pending::<()>().await;
--- a/glenfall/src/roles/shield.rs
+++ b/glenfall/src/roles/shield.rs
@@ -29,7 +29,7 @@
         max_connections,
         max_body_bytes: 0,
         drain_accept_time: DRAIN_ACCEPT_TIME.min(settings.grace()),
-        grace: settings.grace(),
+        shutdown_timeout: settings.grace(),
     };
     Ok(http_server::serve(config, Rc::new(ShieldHandler(shield)), stopping).await?)
 }
--- a/glenfall/src/session/lease.rs
+++ b/glenfall/src/session/lease.rs
@@ -40,7 +40,7 @@
 
     /// The end of the lease; not later than now where there is none.
     pub fn until(&self) -> Instant {
-        self.clock_start + Duration::from_millis(self.lease.get().until())
+        self.clock_start + Duration::from_millis(self.lease.get().expires_at())
     }
 
     /// Whether the lease is valid now.
--- a/glenfall/src/session/link/connect.rs
+++ b/glenfall/src/session/link/connect.rs
@@ -23,7 +23,7 @@
 /// Configures the socket of a link. Both ends send all the time, and a pause tells that the other end is lost. Where what
 /// is sent does not arrive either, the kernel gives the connection up after the same time, so that the data in its send
 /// buffer is dropped as well.
-pub fn tune(stream: &TcpStream) -> io::Result<()> {
+pub fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_user_timeout(Some(LINK_TIMEOUT))
 }
@@ -31,7 +31,7 @@
 /// Opens a link and sends its first message, which states its purpose.
 pub async fn open(addr: SocketAddrV4, first: &impl Serialize) -> io::Result<(OwnedReadHalf, OwnedWriteHalf)> {
     let stream = timeout(CONNECT_TIMEOUT, connect(addr)).await??;
-    tune(&stream)?;
+    configure_socket(&stream)?;
     let (read, mut write) = stream.into_split();
     let mut buffer = Vec::new();
     encode(first, &mut buffer)?;
--- a/glenfall/src/session/link/frames.rs
+++ b/glenfall/src/session/link/frames.rs
@@ -67,7 +67,7 @@
 
     /// The next message; an error also where the link is lost because nothing was received for [`LINK_TIMEOUT`]. The
     /// time counts from the last bytes that were received, however often a wait is cancelled and begun again.
-    pub async fn next_in_time<T: DeserializeOwned>(&mut self) -> io::Result<T> {
+    pub async fn next_or_timeout<T: DeserializeOwned>(&mut self) -> io::Result<T> {
         timeout_at(self.last_received + LINK_TIMEOUT, self.next()).await?
     }
 
--- a/glenfall/src/session/link/mod.rs
+++ b/glenfall/src/session/link/mod.rs
@@ -6,7 +6,7 @@
 mod outbox;
 mod traffic;
 
-pub use connect::{open, tune};
+pub use connect::{configure_socket, open};
 pub use frames::FrameReader;
 pub use liveness::{KEEPALIVE_INTERVAL, LINK_TIMEOUT};
 pub use outbox::Outbox;
--- a/glenfall/src/session/publisher/acknowledgement.rs
+++ b/glenfall/src/session/publisher/acknowledgement.rs
@@ -22,7 +22,7 @@
 impl Sessions {
     /// Waits until every session has applied what it was sent before the call, or has ended; false where that takes longer
     /// than `most`.
-    pub async fn applied(&self, most: Duration) -> bool {
+    pub async fn wait_until_applied(&self, most: Duration) -> bool {
         let mut pending = self.pending_of_all();
         let is_complete = timeout(most, self.await_acknowledgements(&mut pending)).await.is_ok();
         self.note_overdue(&pending);
@@ -46,7 +46,7 @@
     ///
     /// Sessions that are overdue are granted no lease until they have applied it, so that the next caller does not wait for
     /// them for long.
-    pub async fn purged(&self, most: Duration) -> bool {
+    pub async fn wait_until_purged(&self, most: Duration) -> bool {
         let deadline = Instant::now() + most;
         let mut pending = self.pending_of_lease_holders();
         loop {
--- a/glenfall/src/session/publisher/lease_snapshot.rs
+++ b/glenfall/src/session/publisher/lease_snapshot.rs
@@ -14,7 +14,7 @@
 
 impl Sessions {
     /// The sessions that hold a lease, each with the number of the last update that it was sent.
-    pub fn leased(&self) -> Vec<LeasedSession> {
+    pub fn lease_holders(&self) -> Vec<LeasedSession> {
         let now = self.leases.now();
         let leased = |(id, session): (&SessionId, &Session)| {
             let lease_end = self.leases.end(now, *id)?;
@@ -26,7 +26,7 @@
     /// The nodes of those of these sessions that are still there, whose leases of then have neither ended nor been released,
     /// and that have not applied what they had been sent. A lease that was granted since follows that on the same
     /// connection.
-    pub fn still_behind(&self, leased: &[LeasedSession]) -> Vec<String> {
+    pub fn lease_holders_behind(&self, leased: &[LeasedSession]) -> Vec<String> {
         let now = self.leases.now();
         let sessions = self.by_id.borrow();
         leased
--- a/glenfall/src/session/publisher/leases.rs
+++ b/glenfall/src/session/publisher/leases.rs
@@ -49,19 +49,19 @@
 
     /// The end of a session's lease; `None` where it has none.
     pub(super) fn end(&self, now: Millis, holder: SessionId) -> Option<Millis> {
-        self.grants.borrow().ends(now, &holder)
+        self.grants.borrow().expiry(now, &holder)
     }
 
     /// The end of the last lease; `None` where there is none.
     pub(super) fn last_end(&self, now: Millis) -> Option<Millis> {
-        self.grants.borrow().last_end(now, |_| true)
+        self.grants.borrow().last_expiry(now, |_| true)
     }
 
     /// The sessions that hold leases, also those that have ended.
     pub(super) fn holders(&self) -> Vec<SessionId> {
         let now = self.now();
         let mut grants = self.grants.borrow_mut();
-        grants.forget_ended(now);
+        grants.remove_expired(now);
         grants.holders(now).collect()
     }
 }
--- a/glenfall/src/session/publisher/mod.rs
+++ b/glenfall/src/session/publisher/mod.rs
@@ -16,6 +16,6 @@
 
 pub use lease_snapshot::LeasedSession;
 pub use serve::{Reach, SubscriberConnection};
-pub use sessions::{Sessions, LONGEST_BEHIND};
+pub use sessions::{Sessions, MAX_ACKNOWLEDGEMENT_DELAY};
 pub use source::{Greeting, Publisher};
 pub use status::SessionStatus;
--- a/glenfall/src/session/publisher/serve.rs
+++ b/glenfall/src/session/publisher/serve.rs
@@ -62,7 +62,7 @@
     /// Serves one session until it ends.
     pub async fn serve(&self, connection: SubscriberConnection, publisher: &impl Publisher) {
         let SubscriberConnection { reach, mut frames, outbox } = connection;
-        let Ok(SubscriberMessage::Hello { node, member }) = frames.next_in_time().await else { return };
+        let Ok(SubscriberMessage::Hello { node, member }) = frames.next_or_timeout().await else { return };
         if self.by_id.borrow().len() >= MAX_SESSIONS {
             tracing::warn!(%node, "session rejected: too many sessions");
             return;
@@ -113,7 +113,7 @@
                         return SessionEnd::Lost;
                     }
                 }
-                received = frames.next_in_time() => match received {
+                received = frames.next_or_timeout() => match received {
                     Ok(message) => {
                         let is_answered = self.handle(message);
                         if is_answered {
--- a/glenfall/src/session/publisher/sessions.rs
+++ b/glenfall/src/session/publisher/sessions.rs
@@ -17,7 +17,7 @@
 /// Most sessions of one node: all proxies of a large system.
 pub(super) const MAX_SESSIONS: usize = 1024;
 /// A session that has not applied for so long an update that was waited for is ended: its subscriber opens a new one.
-pub const LONGEST_BEHIND: Duration = Duration::from_secs(5);
+pub const MAX_ACKNOWLEDGEMENT_DELAY: Duration = Duration::from_secs(5);
 
 /// The sessions of one publisher.
 #[derive(Default)]
@@ -52,7 +52,7 @@
     ///
     /// Where the process had no lease, sessions that have requested one meanwhile are granted it now: until they request it
     /// again, edges with a lease could not use their stored responses.
-    pub fn vouch_until(&self, until: Instant) {
+    pub fn set_own_lease_end(&self, until: Instant) {
         let had_lease = self.leases.has_own();
         self.leases.set_own_end(until);
         if self.grant_trigger == GrantTrigger::OwnRenewal || !had_lease {
@@ -74,7 +74,7 @@
     }
 
     /// The time until the last lease of the sessions has ended; `None` where none has one.
-    pub fn last_lease_ends(&self) -> Option<Duration> {
+    pub fn time_until_last_lease_end(&self) -> Option<Duration> {
         let now = self.leases.now();
         let end = self.leases.last_end(now)?;
         Some(Duration::from_millis(end - now))
@@ -90,7 +90,7 @@
     }
 
     /// Sends a message that is no update to all sessions.
-    pub fn tell(&self, message: &PublisherMessage) {
+    pub fn broadcast(&self, message: &PublisherMessage) {
         for session in self.by_id.borrow().values() {
             // A session that can't take it is ended by the next update.
             let _ = session.send(message.clone());
@@ -99,7 +99,7 @@
 
     /// Ends the sessions that have not applied for `behind_for` an update that was waited for in vain. What they were sent
     /// meanwhile is in flight, and does not count against them.
-    pub fn drop_behind(&self, behind_for: Duration) {
+    pub fn end_overdue(&self, behind_for: Duration) {
         for id in self.overdue.take_behind_for(behind_for) {
             if let Some(session) = self.by_id.borrow_mut().remove(&id) {
                 tracing::warn!(node = %session.node(), "session ended: it has not applied its updates in time");
@@ -113,7 +113,7 @@
     }
 
     /// All sessions, for `status`.
-    pub fn seen(&self) -> Vec<SessionStatus> {
+    pub fn statuses(&self) -> Vec<SessionStatus> {
         let now = self.leases.now();
         let sessions = self.by_id.borrow();
         sessions.iter().map(|(id, session)| session.status(self.has_lease(now, *id))).collect()
--- a/glenfall/src/session/subscriber.rs
+++ b/glenfall/src/session/subscriber.rs
@@ -46,7 +46,7 @@
     let mut checks = MessageChecks::default();
     loop {
         let is_up = tokio::select! {
-            received = frames.next_in_time::<PublisherMessage>() => {
+            received = frames.next_or_timeout::<PublisherMessage>() => {
                 let Ok(message) = received else { return };
                 if message == PublisherMessage::Draining {
                     return;
--- a/glenfall/src/settings/addresses.rs
+++ b/glenfall/src/settings/addresses.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use super::error::SettingsError;
-use super::model::{Listeners, Settings, VARIABLE};
+use super::model::{Listeners, Settings, SETTINGS_VARIABLE};
 
 /// Ports, counted from the first of the range, which is that of links between control nodes and from agents.
 const SHIELD_PORT_OFFSET: u16 = 1;
@@ -22,7 +22,7 @@
         pick: impl Fn(&Listeners) -> Option<SocketAddrV4>,
     ) -> Result<SocketAddrV4, SettingsError> {
         pick(&self.listeners).ok_or_else(|| {
-            let path = std::env::var(VARIABLE).unwrap_or_default();
+            let path = std::env::var(SETTINGS_VARIABLE).unwrap_or_default();
             SettingsError::MissingListener { path, name }
         })
     }
--- a/glenfall/src/settings/error.rs
+++ b/glenfall/src/settings/error.rs
@@ -5,14 +5,14 @@
 use glenfall_control_plane::chain::SyncTooShort;
 
 use super::bounds::{MAX_LOSSES, MAX_TIMING_VALUE};
-use super::model::VARIABLE;
+use super::model::SETTINGS_VARIABLE;
 use super::port_range::PortRange;
 
 /// Why the settings of this process can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The environment names no file.
-    #[error("{VARIABLE} is not set: the path of the settings file expected")]
+    #[error("{SETTINGS_VARIABLE} is not set: the path of the settings file expected")]
     NoPath,
     /// The file can't be read.
     #[error("{path}: {what}")]
--- a/glenfall/src/settings/file.rs
+++ b/glenfall/src/settings/file.rs
@@ -1,7 +1,7 @@
 //! Reads settings from their file.
 
 use super::error::{InvalidSettings, SettingsError};
-use super::model::{Settings, VARIABLE};
+use super::model::{Settings, SETTINGS_VARIABLE};
 use super::validation;
 
 impl Settings {
@@ -11,7 +11,7 @@
     ///
     /// When the environment names no file, or the file can't be read or is invalid.
     pub fn load() -> Result<Settings, SettingsError> {
-        let path = std::env::var(VARIABLE).map_err(|_| SettingsError::NoPath)?;
+        let path = std::env::var(SETTINGS_VARIABLE).map_err(|_| SettingsError::NoPath)?;
         match std::fs::read_to_string(&path) {
             Ok(text) => Settings::parse(&text).map_err(|what| SettingsError::Invalid { path, what }),
             Err(what) => Err(SettingsError::Unreadable { path, what }),
--- a/glenfall/src/settings/mod.rs
+++ b/glenfall/src/settings/mod.rs
@@ -12,5 +12,5 @@
 mod validation;
 
 pub use error::{InvalidSettings, Position, SettingsError};
-pub use model::{Listeners, ProcessLimits, Settings, Survive, Timing, VARIABLE};
+pub use model::{Listeners, ProcessLimits, Settings, Survive, Timing, SETTINGS_VARIABLE};
 pub use port_range::PortRange;
--- a/glenfall/src/settings/model.rs
+++ b/glenfall/src/settings/model.rs
@@ -8,7 +8,7 @@
 use super::port_range::PortRange;
 
 /// The environment variable that names the settings file.
-pub const VARIABLE: &str = "GLENFALL_CONFIG";
+pub const SETTINGS_VARIABLE: &str = "GLENFALL_CONFIG";
 
 /// The settings of all processes on a machine.
 #[derive(Clone, Debug, Deserialize)]
--- a/glenfall/src/shield/fetch.rs
+++ b/glenfall/src/shield/fetch.rs
@@ -13,48 +13,26 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
+use super::fetch_result::{FetchEnd, Fetched};
 use super::singleflight::{FetchReceiver, StartedFetch, TooManyFetches};
 use super::{Shield, REPEATED_REQUEST};
-use crate::cache::{Copy, ObjectKey};
-use crate::http::failure::Failure;
-use crate::http::headers::passed_on;
+use crate::cache::{ObjectKey, StoredResponse};
+use crate::http::headers::forwardable_headers;
 use crate::http::response::ServerResponse;
-use crate::http::send_budget::{Allowance, SendReport};
-use crate::upstream::forward::{Outcome, Refusal, UpstreamRequest};
+use crate::http::send_budget::Allowance;
+use crate::upstream::forward::{Outcome, UpstreamRequest};
 
 /// How long a fetch may outlive the read that has started it: its response serves the next read. Servers are given no
 /// more time than this beyond what the client has left.
 const MAX_OVERRUN: Duration = Duration::from_millis(400);
 
-/// The result of a fetch, for all reads that wait for it.
-#[derive(Clone)]
-pub(super) enum Fetched {
-    /// A response that may be stored.
-    Copy(Rc<Copy>),
-    /// A server's response that can't be stored.
-    Other(ServerResponse),
-    /// No server has run the request.
-    Rejected(Refusal),
-    /// A server may have run the request, and there is no response.
-    Unknown(Failure),
-    /// The same, and the deadline has passed.
-    TimedOut(Failure),
-}
-
-/// The end of a fetch, and what it used of the allowance of the read that started it.
-#[derive(Clone)]
-pub(super) struct FetchEnd {
-    pub fetched: Fetched,
-    pub report: SendReport,
-}
-
 /// What a fetch sends, and for how long.
 pub(super) struct FetchRequest {
     key: ObjectKey,
     uri: Uri,
     headers: HeaderMap,
     /// The stored response, which is stale.
-    stale: Option<Rc<Copy>>,
+    stale: Option<Rc<StoredResponse>>,
     /// Another shield may have counted the request and sent it to a server.
     is_retry: bool,
     allowance: Allowance,
@@ -92,11 +70,11 @@
         route: &Route,
         key: ObjectKey,
         request: &Parts,
-        stale: Option<Rc<Copy>>,
+        stale: Option<Rc<StoredResponse>>,
         allowance: Allowance,
         read_deadline: Instant,
     ) -> Self {
-        let mut headers = passed_on(&request.headers);
+        let mut headers = forwardable_headers(&request.headers);
         for name in [header::RANGE, header::IF_RANGE, header::IF_NONE_MATCH, header::IF_MODIFIED_SINCE] {
             headers.remove(name);
         }
@@ -116,13 +94,13 @@
             uri: &self.uri,
             headers: std::mem::take(&mut self.headers),
             body: Bytes::new(),
-            repeatable: true,
-            tries: self.terms.max_sends,
-            again: self.is_retry,
-            until: (started + self.terms.timeout).min(self.read_deadline + MAX_OVERRUN),
-            aim: self.terms.latency_target,
-            rank: self.terms.priority_rank,
-            per_s: self.terms.rate_per_s,
+            idempotent: true,
+            max_attempts: self.terms.max_sends,
+            is_retry: self.is_retry,
+            deadline: (started + self.terms.timeout).min(self.read_deadline + MAX_OVERRUN),
+            latency_target: self.terms.latency_target,
+            priority_rank: self.terms.priority_rank,
+            rate_limit_per_s: self.terms.rate_per_s,
         }
     }
 }
@@ -134,7 +112,7 @@
         request: FetchRequest,
     ) -> Result<FetchReceiver, TooManyFetches> {
         let (started, receiver) = self.fetches.start(&request.key)?;
-        self.counters.misses.add();
+        self.counters.misses.increment();
         let shield = Rc::clone(self);
         spawn_local(async move {
             let end = shield.fetch(request, &started).await;
@@ -147,7 +125,8 @@
     async fn fetch(&self, mut request: FetchRequest, started: &StartedFetch) -> FetchEnd {
         let began = Instant::now();
         let allowance = request.allowance;
-        let (outcome, report) = self.forwarder.send_within(request.upstream_request(began), allowance).await;
+        let (outcome, report) =
+            self.forwarder.send_with_allowance(request.upstream_request(began), allowance).await;
         let FetchRequest { key, stale, .. } = request;
         let fetched = match outcome {
             Outcome::Answered(response) => self.take_response(&key, response, began, stale.as_ref()),
@@ -155,7 +134,7 @@
             Outcome::Unknown(failure) => Fetched::Unknown(failure),
             Outcome::TimedOut(failure) => Fetched::TimedOut(failure),
         };
-        self.counters.fetch_latency.add(began.elapsed());
+        self.counters.fetch_latency.record(began.elapsed());
         self.fetches.finish(started);
         if let Fetched::Copy(copy) = &fetched {
             let is_revalidated = stale.is_some_and(|stale| Rc::ptr_eq(&stale, copy));
@@ -173,15 +152,15 @@
         key: &ObjectKey,
         response: ServerResponse,
         sent: Instant,
-        stale: Option<&Rc<Copy>>,
+        stale: Option<&Rc<StoredResponse>>,
     ) -> Fetched {
         if let (StatusCode::NOT_MODIFIED, Some(stale)) = (response.status(), stale) {
             tracing::debug!(path = %key.path, "stored response revalidated");
-            self.counters.revalidated.add();
-            stale.born.set(sent);
+            self.counters.revalidated.increment();
+            stale.requested_at.set(sent);
             return Fetched::Copy(Rc::clone(stale));
         }
-        match Copy::of(&response, sent) {
+        match StoredResponse::from_response(&response, sent) {
             Some(copy) => Fetched::Copy(Rc::new(copy)),
             None => Fetched::Other(response),
         }
--- /dev/null
+++ b/glenfall/src/shield/fetch_result.rs
@@ -0,0 +1,33 @@
+//! What a fetch has brought, as the reads that share it receive it.
+
+use std::rc::Rc;
+
+use crate::cache::StoredResponse;
+use crate::http::failure::Failure;
+use crate::http::response::ServerResponse;
+use crate::http::send_budget::SendReport;
+use crate::upstream::forward::Rejection;
+
+/// The result of a fetch, for all reads that wait for it.
+#[derive(Clone)]
+pub(super) enum Fetched {
+    /// A response that may be stored.
+    Copy(Rc<StoredResponse>),
+    /// A server's response that can't be stored.
+    Other(ServerResponse),
+    /// No server has run the request.
+    Rejected(Rejection),
+    /// A server may have run the request, and there is no response.
+    Unknown(Failure),
+    /// A server may have run the request, and the deadline has passed.
+    TimedOut(Failure),
+}
+
+/// The end of a fetch, and what it used of the allowance of the read that started it.
+#[derive(Clone)]
+pub(super) struct FetchEnd {
+    /// What the fetch has brought.
+    pub fetched: Fetched,
+    /// The sends that it has used.
+    pub report: SendReport,
+}
--- a/glenfall/src/shield/handler.rs
+++ b/glenfall/src/shield/handler.rs
@@ -7,7 +7,7 @@
 
 use super::read::ReadResult;
 use super::Shield;
-use crate::http::headers::TRY_ID;
+use crate::http::headers::TRY_ID_HEADER;
 use crate::http_server::{FullRequest, FullResponse, Handler};
 
 /// Limits for edges' requests. Edges have applied the operator's limits to clients; the headers that edges add must fit
@@ -28,10 +28,10 @@
         let ReadResult { mut response, source, report } = self.0.read(&request).await;
         response.set_shield_source(source);
         response.set_send_report(report);
-        response.tell_failure();
+        response.set_failure();
         // The edge checks by it that the response belongs to its request.
-        response.set_try_id(request.head.headers.get(TRY_ID));
-        self.0.counters.read_latency.add(received.elapsed());
+        response.set_try_id(request.head.headers.get(TRY_ID_HEADER));
+        self.0.counters.read_latency.record(received.elapsed());
         response.into()
     }
 
@@ -40,6 +40,6 @@
     }
 
     fn is_draining(&self) -> bool {
-        self.0.watch_client.leaving()
+        self.0.watch_client.is_draining()
     }
 }
--- a/glenfall/src/shield/mod.rs
+++ b/glenfall/src/shield/mod.rs
@@ -3,6 +3,7 @@
 
 mod counters;
 mod fetch;
+mod fetch_result;
 mod freshness;
 mod handler;
 mod object_hash;
@@ -28,7 +29,7 @@
 use self::singleflight::SingleFlight;
 use self::warm_start::WarmStart;
 use crate::cache::disk::DiskCache;
-use crate::cache::{Cache, Copy, ObjectKey};
+use crate::cache::{Cache, ObjectKey, StoredResponse};
 use crate::settings::Settings;
 use crate::upstream::forward::Forwarder;
 use crate::upstream::pool::Pool;
@@ -86,10 +87,10 @@
     /// Takes the responses found on disk into use, once that is allowed.
     fn finish_warm_start(&self) {
         let Some(found) = self.warm_start.take_ready() else { return };
-        self.counters.warm_start.add_all(found.len());
+        self.counters.warm_start.increment_by(found.len());
         tracing::info!(stored = found.len(), "disk cache in use");
         let mut cache = self.cache.borrow_mut();
-        for (key, copy) in found.into_all() {
+        for (key, copy) in found.into_entries() {
             // A response fetched since the start is newer.
             if cache.get(&key).is_none() {
                 cache.insert(key, copy);
@@ -98,10 +99,10 @@
     }
 
     /// Stores a response in memory and on disk.
-    fn store(&self, key: ObjectKey, copy: &Rc<Copy>, is_revalidated: bool) {
+    fn store(&self, key: ObjectKey, copy: &Rc<StoredResponse>, is_revalidated: bool) {
         if let Some(disk_cache) = &self.disk_cache {
             if is_revalidated {
-                disk_cache.refreshed(&key, copy.age());
+                disk_cache.revalidated(&key, copy.age());
             } else {
                 disk_cache.put(&key, &copy.headers, &copy.labels, &copy.body, copy.age());
             }
@@ -118,14 +119,14 @@
 }
 
 impl WatchHandler for Shield {
-    fn config(&self, _config: &Arc<Config>) {}
+    fn config_changed(&self, _config: &Arc<Config>) {}
 
-    fn fleet(&self, fleet: &Fleet) {
+    fn fleet_changed(&self, fleet: &Fleet) {
         self.forwarder.update(fleet);
         let ready = fleet.shields.iter().filter(|member| member.ready && member.proxy == ProxyRole::Shield);
         // A shield that does not know the complete fleet yet assumes that every core machine has a shield that sends.
         let sharing_shields = ready.count().max(if fleet.complete { 1 } else { fleet.cores as usize });
-        self.forwarder.hold(QuotaHolder::Shield { of: sharing_shields });
+        self.forwarder.set_quota_holder(QuotaHolder::Shield { of: sharing_shields });
     }
 
     fn purge(&self, purges: &[AgedPurge]) {
@@ -139,14 +140,14 @@
 
     /// Without control the cache stays in use, and its responses are marked as not covered by a lease: edges that are out
     /// of touch as well use them.
-    fn in_touch(&self, yes: bool) {
+    fn connection_changed(&self, yes: bool) {
         if yes {
             self.warm_start.caught_up();
             self.finish_warm_start();
         }
     }
 
-    fn report(&self) -> Vec<(String, u64)> {
+    fn counters(&self) -> Vec<(String, u64)> {
         let counts = self.counters.counts(&self.cache.borrow()).into_iter().chain(self.forwarder.report());
         let mut report: Vec<(String, u64)> = counts.map(|(name, count)| (name.to_owned(), count)).collect();
         report.extend(self.counters.latencies());
--- a/glenfall/src/shield/read.rs
+++ b/glenfall/src/shield/read.rs
@@ -9,17 +9,18 @@
 use hyper::Method;
 use tokio::time::{timeout_at, Instant};
 
-use super::fetch::{FetchEnd, FetchRequest, Fetched};
+use super::fetch::FetchRequest;
+use super::fetch_result::{FetchEnd, Fetched};
 use super::freshness::max_age;
 use super::singleflight::{FetchReceiver, TooManyFetches};
 use super::{object_draw, Shield, CONFIG_REV, REPEATED_REQUEST};
-use crate::cache::{Copy, ObjectKey};
+use crate::cache::{ObjectKey, StoredResponse};
 use crate::http::failure::Cause;
-use crate::http::headers::DEADLINE;
+use crate::http::headers::DEADLINE_HEADER;
 use crate::http::response::{LocalResponse, ProxyResponse, ServerResponse, ShieldSource};
 use crate::http::send_budget::{Allowance, SendReport};
 use crate::http_server::FullRequest;
-use crate::upstream::forward::{Refusal, NONE};
+use crate::upstream::forward::{Rejection, UNAVAILABLE_RETRY_AFTER};
 
 /// How long a read waits for a version of the configuration that its edge has and the shield has not. Updates reach the
 /// machines of one region within milliseconds of each other, and those of different regions within a round trip. One
@@ -41,16 +42,16 @@
 }
 
 impl ReadResult {
-    fn from_copy(copy: &Copy, request: &HeaderMap, source: ShieldSource) -> ReadResult {
-        let mut response = copy.answer(request).into();
-        copy.hand_on(&mut response);
+    fn from_copy(copy: &StoredResponse, request: &HeaderMap, source: ShieldSource) -> ReadResult {
+        let mut response = copy.respond_to(request).into();
+        copy.add_cache_details(&mut response);
         ReadResult { response, source, report: SendReport::default() }
     }
 
     /// A server's response that can't be stored.
     fn passed(response: ServerResponse) -> ReadResult {
         let response = response.forward(&Method::GET);
-        ReadResult { response, source: ShieldSource::Passed, report: SendReport::default() }
+        ReadResult { response, source: ShieldSource::Uncacheable, report: SendReport::default() }
     }
 
     fn local(response: LocalResponse) -> ReadResult {
@@ -70,47 +71,52 @@
             return ReadResult::local(LocalResponse::no_route());
         };
         if !request.head.headers.contains_key(REPEATED_REQUEST) {
-            self.forwarder.count(&key.service);
+            self.forwarder.record_client_request(&key.service);
         }
         let stored = self.cache.borrow_mut().get(&key);
         let max_age = max_age(route);
         if let Some(copy) = stored.as_ref().filter(|copy| copy.age() < max_age) {
-            self.counters.hits.add();
+            self.counters.hits.increment();
             return ReadResult::from_copy(copy, &request.head.headers, self.under_lease(ShieldSource::Hit));
         }
         if let Some(receiver) = self.fetches.join(&key) {
-            self.counters.collapsed.add();
+            self.counters.collapsed.increment();
             return self.await_shared(receiver, deadline, request).await;
         }
-        let allowance = Allowance::of_request(&request.head.headers, route.tries);
+        let allowance = Allowance::from_request(&request.head.headers, route.tries);
         if allowance.sends == 0 {
-            let report = SendReport { used: 0, short: true };
+            let report = SendReport { used: 0, exhausted: true };
             let no_send_left = LocalResponse::gateway_timeout(Cause::NoSendLeft);
             return ReadResult { report, ..ReadResult::local(no_send_left) };
         }
         let fetch = FetchRequest::new(&config, route, key, &request.head, stored, allowance, deadline);
         match self.start_fetch(fetch) {
             Ok(receiver) => self.await_own(receiver, deadline, allowance, request).await,
-            Err(TooManyFetches) => self.reject(Refusal::new(Cause::TooManyFetches, NONE)),
+            Err(TooManyFetches) => {
+                self.reject(Rejection::new(Cause::TooManyFetches, UNAVAILABLE_RETRY_AFTER))
+            }
         }
     }
 
     /// The source of a stored response, which says where this shield has no lease on it.
     fn under_lease(&self, source: ShieldSource) -> ShieldSource {
-        if self.watch_client.vouches() {
+        if self.watch_client.may_serve_stored_responses() {
             source
         } else {
-            ShieldSource::Unvouched
+            ShieldSource::WithoutLease
         }
     }
 
     /// The configuration, once it is as new as the edge's; a rejection that says so where it does not arrive in time.
     async fn config_for(&self, headers: &HeaderMap, deadline: Instant) -> Result<Arc<Config>, ReadResult> {
         let rev = number_in(headers, CONFIG_REV).unwrap_or(0);
-        let not_ready = |cause| ReadResult::local(LocalResponse::refused(cause, NOT_READY_RETRY_AFTER));
+        let not_ready = |cause| ReadResult::local(LocalResponse::rejected(cause, NOT_READY_RETRY_AFTER));
         let wait_until = deadline.min(Instant::now() + CONFIG_WAIT);
-        if timeout_at(wait_until, self.watch_client.reaches(rev)).await.is_err() {
-            return Err(ReadResult { source: ShieldSource::Behind, ..not_ready(Cause::ShieldBehind) });
+        if timeout_at(wait_until, self.watch_client.wait_for_version(rev)).await.is_err() {
+            return Err(ReadResult {
+                source: ShieldSource::ConfigOutdated,
+                ..not_ready(Cause::ShieldBehind)
+            });
         }
         self.watch_client.config().ok_or_else(|| not_ready(Cause::NoConfiguration))
     }
@@ -130,7 +136,7 @@
             Ok(FetchEnd { fetched, report }) => ReadResult { report, ..self.result_of(fetched, request) },
             Err(fetched) => {
                 // The fetch goes on, and may use all that it was allowed.
-                let report = SendReport { used: allowance.sends, short: false };
+                let report = SendReport { used: allowance.sends, exhausted: false };
                 ReadResult { report, ..self.result_of(fetched, request) }
             }
         }
@@ -148,7 +154,7 @@
         let source = self.under_lease(ShieldSource::Miss);
         let result = match await_end(receiver, deadline).await {
             Ok(FetchEnd { fetched, report }) => {
-                let report = SendReport { used: 0, short: report.short };
+                let report = SendReport { used: 0, exhausted: report.exhausted };
                 ReadResult { report, ..self.result_of(fetched, request) }
             }
             Err(fetched) => self.result_of(fetched, request),
@@ -173,15 +179,15 @@
         }
     }
 
-    fn reject(&self, refusal: Refusal) -> ReadResult {
-        self.counters.rejected.add();
-        ReadResult::local(LocalResponse::refused(refusal.failure, refusal.retry_after))
+    fn reject(&self, refusal: Rejection) -> ReadResult {
+        self.counters.rejected.increment();
+        ReadResult::local(LocalResponse::rejected(refusal.failure, refusal.retry_after))
     }
 }
 
 /// The time by which a read must be answered.
 fn deadline(headers: &HeaderMap) -> Instant {
-    let timeout_ms = number_in(headers, DEADLINE).unwrap_or(DEFAULT_DEADLINE_MS).min(MAX_DEADLINE_MS);
+    let timeout_ms = number_in(headers, DEADLINE_HEADER).unwrap_or(DEFAULT_DEADLINE_MS).min(MAX_DEADLINE_MS);
     Instant::now() + Duration::from_millis(timeout_ms)
 }
 
--- a/glenfall/src/shield/singleflight.rs
+++ b/glenfall/src/shield/singleflight.rs
@@ -7,8 +7,8 @@
 use glenfall_control_plane::messages::Purge;
 use tokio::sync::watch;
 
-use super::fetch::FetchEnd;
-use crate::cache::{Copy, ObjectKey};
+use super::fetch_result::FetchEnd;
+use crate::cache::{ObjectKey, StoredResponse};
 
 /// Bound on the fetches in flight; reads that miss beyond it are rejected.
 const MAX_FETCHES: usize = 1024;
@@ -34,8 +34,8 @@
 }
 
 impl PurgesDuringFetch {
-    fn name(&self, copy: &Copy) -> bool {
-        self.object.get() || self.labels.borrow().iter().any(|label| copy.labelled(label))
+    fn name(&self, copy: &StoredResponse) -> bool {
+        self.object.get() || self.labels.borrow().iter().any(|label| copy.has_label(label))
     }
 }
 
@@ -48,7 +48,7 @@
 
 impl StartedFetch {
     /// Whether a purge that was received since the fetch began names what it has brought.
-    pub fn is_purged(&self, copy: &Copy) -> bool {
+    pub fn is_purged(&self, copy: &StoredResponse) -> bool {
         self.purges.name(copy)
     }
 
@@ -107,7 +107,7 @@
                 }
             }
             Purge::Object { hostname, path } => {
-                for (_, fetch) in shared.extract_if(|key, _| key.at(hostname, path)) {
+                for (_, fetch) in shared.extract_if(|key, _| key.matches_location(hostname, path)) {
                     fetch.purges.object.set(true);
                 }
             }
--- a/glenfall/src/shield/warm_start.rs
+++ b/glenfall/src/shield/warm_start.rs
@@ -7,8 +7,8 @@
 use glenfall_control_plane::messages::AgedPurge;
 use tokio::time::Instant;
 
-use crate::cache::disk::Row;
-use crate::cache::{Cache, Copy, ObjectKey};
+use crate::cache::disk::StoredRow;
+use crate::cache::{Cache, ObjectKey, StoredResponse};
 
 /// The stored responses found on disk, until they are moved to the cache.
 pub(super) struct WarmStart {
@@ -33,14 +33,18 @@
     }
 
     /// Takes what was read from disk.
-    pub fn load(&self, rows: Vec<Row>) {
+    pub fn load(&self, rows: Vec<StoredRow>) {
         let now = Instant::now();
         let stored = rows.len();
         if let Some(responses) = self.responses.borrow_mut().as_mut() {
             for row in rows {
                 let Some(born) = now.checked_sub(row.age) else { continue };
-                let copy =
-                    Copy { headers: row.headers, body: row.body, born: Cell::new(born), labels: row.labels };
+                let copy = StoredResponse {
+                    headers: row.headers,
+                    body: row.body,
+                    requested_at: Cell::new(born),
+                    labels: row.labels,
+                };
                 responses.insert(row.key, Rc::new(copy));
             }
             for purge in self.purges_while_loading.take() {
--- a/glenfall/src/signals.rs
+++ b/glenfall/src/signals.rs
@@ -3,7 +3,7 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
 /// Ignores SIGHUP for as long as the process runs: it may come before the settings are read, and would end the process.
-pub fn survive_hangup() {
+pub fn ignore_hangup() {
     // Once a receiver was installed, the signal has no default effect any more, also after the receiver is dropped.
     if let Err(error) = signal(SignalKind::hangup()) {
         tracing::warn!(%error, "SIGHUP handler not installed: SIGHUP will end this process");
@@ -11,7 +11,7 @@
 }
 
 /// Resolves when SIGTERM or SIGINT is received.
-pub async fn terminated() {
+pub async fn wait_for_termination() {
     let (Ok(mut terminate), Ok(mut interrupt)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
--- a/glenfall/src/upstream/forward/attempts.rs
+++ b/glenfall/src/upstream/forward/attempts.rs
@@ -77,7 +77,7 @@
 
     /// Records that the request is sent to no further server, and why.
     pub fn stop(&mut self, cause: Cause) {
-        self.sends.settle();
+        self.sends.stop();
         self.trace.stopped_by = Some(cause);
         if let Outcome::NotRun(rejection) = &mut self.outcome_so_far {
             if self.trace.ends.is_empty() {
@@ -97,7 +97,7 @@
     pub fn record(&mut self, result: Result<ServerResponse, SendError>) -> SendOutcome {
         let status = result.as_ref().ok().map(ServerResponse::status);
         let end = AttemptEnd { event: event_of(&result), status };
-        let execution = self.sends.ended(stage_of(&result), end.event, end.is_server_error());
+        let execution = self.sends.record_end(stage_of(&result), end.event, end.is_server_error());
         self.trace.ends.push(end);
         // A token is used up only by a request that reached a server.
         self.has_rate_limit_token = end.event == SendEvent::NoConnection;
@@ -133,7 +133,7 @@
         let is_rate_limit = status == StatusCode::TOO_MANY_REQUESTS;
         if is_rate_limit {
             // Another server of the service has the same rate limit, and would count the request against it.
-            self.sends.settle();
+            self.sends.stop();
         }
         // The response of an earlier attempt is worth more to the client than a rejection.
         if matches!(self.outcome_so_far, Outcome::Answered(_)) {
@@ -147,7 +147,7 @@
 
     /// How many servers received the request, and whether it ended for want of further sends.
     pub fn report(&self) -> SendReport {
-        SendReport { used: self.sends.used(), short: self.sends.is_short() }
+        SendReport { used: self.sends.used(), exhausted: self.sends.is_exhausted() }
     }
 
     /// How the request ended, once it is sent to no further server. Failures carry the trace of all attempts.
@@ -156,13 +156,13 @@
         let is_broken_promise = promises_not_run && self.may_have_run;
         Invariant::RefusedNotRun.check(!is_broken_promise, || self.trace.describe());
         let trace = self.trace;
-        let with_trace = |failure: Failure| Failure::after(failure.cause, trace.describe());
+        let with_trace = |failure: Failure| Failure::with_attempts(failure.cause, trace.describe());
         match self.outcome_so_far {
             Outcome::Answered(response) if !response.status().is_server_error() => {
                 Outcome::Answered(response)
             }
             Outcome::Answered(mut response) => {
-                response.set_way(trace.describe());
+                response.set_attempts(trace.describe());
                 Outcome::Answered(response)
             }
             Outcome::NotRun(rejection) => {
--- a/glenfall/src/upstream/forward/forwarder.rs
+++ b/glenfall/src/upstream/forward/forwarder.rs
@@ -22,7 +22,7 @@
 use super::rate_limit_queue::{RateLimitExceeded, RateLimitQueue};
 use super::request::UpstreamRequest;
 use crate::http::failure::Cause;
-use crate::http::headers::DEADLINE;
+use crate::http::headers::DEADLINE_HEADER;
 use crate::http::response::ServerResponse;
 use crate::http::send_budget::{Allowance, SendReport};
 use crate::settings::Settings;
@@ -61,7 +61,7 @@
         let prefers_own_zone = sharers == ProxyRole::Shield;
         let origins = OriginBalancer::new(&boot.zone, prefers_own_zone, &boot.node);
         let started_at = Instant::now();
-        let rate_limit = RateLimitQueue::new(boot.rate_limit(), origins.draw(), started_at);
+        let rate_limit = RateLimitQueue::new(boot.rate_limit(), origins.next_random(), started_at);
         Forwarder {
             pool,
             origins,
@@ -87,7 +87,7 @@
             ("budget_spent", counters.retry_budget_exhausted.get()),
             ("limited", counters.concurrency_limited.get()),
             ("no_room", counters.out_of_memory.get()),
-            ("answer_bytes_held", self.pool.memory.held() as u64),
+            ("answer_bytes_held", self.pool.memory.reserved_bytes() as u64),
             ("waited", counters.rate_limit_queued.get()),
             ("above_ceiling", counters.rate_limited.get()),
             ("connections_opened", self.pool.connections_opened()),
@@ -135,7 +135,7 @@
     }
 
     /// Counts a client's request for a service towards the retry budget. Each request is counted by one machine only.
-    pub fn count(&self, service: &str) {
+    pub fn record_client_request(&self, service: &str) {
         self.retry_budget.borrow_mut().record_request(self.now(), service);
     }
 
@@ -143,14 +143,14 @@
     fn try_spend_retry(&self, service: &str) -> bool {
         let is_allowed = self.retry_budget.borrow_mut().try_spend(self.now(), service);
         match is_allowed {
-            true => self.counters.retries.add(),
-            false => self.counters.retry_budget_exhausted.add(),
+            true => self.counters.retries.increment(),
+            false => self.counters.retry_budget_exhausted.increment(),
         }
         is_allowed
     }
 
     /// Sets what this machine is among those that share the rate limits.
-    pub fn hold(&self, holder: QuotaHolder) {
+    pub fn set_quota_holder(&self, holder: QuotaHolder) {
         self.rate_limit.set_holder(holder);
     }
 
@@ -166,18 +166,24 @@
     /// Sends a request to a server of its service, and to others where it can do no harm; to none where the service is
     /// overloaded.
     pub async fn send(&self, job: UpstreamRequest<'_>) -> Outcome {
-        let allowance = Allowance::all(job.tries);
-        self.send_within(job, allowance).await.0
+        let allowance = Allowance::all(job.max_attempts);
+        self.send_with_allowance(job, allowance).await.0
     }
 
     /// As [`send`](Self::send), to no more servers than the allowance states; also reports how many were used.
-    pub async fn send_within(&self, job: UpstreamRequest<'_>, allowance: Allowance) -> (Outcome, SendReport) {
-        if !self.pool.memory.is_free() {
-            self.counters.out_of_memory.add();
+    pub async fn send_with_allowance(
+        &self,
+        job: UpstreamRequest<'_>,
+        allowance: Allowance,
+    ) -> (Outcome, SendReport) {
+        if !self.pool.memory.has_capacity() {
+            self.counters.out_of_memory.increment();
             return rejected_as_overloaded(Cause::NoMemory);
         }
-        let Some(mut permit) = self.concurrency_limits.admit(job.service, job.rank, job.aim) else {
-            self.counters.concurrency_limited.add();
+        let Some(mut permit) =
+            self.concurrency_limits.admit(job.service, job.priority_rank, job.latency_target)
+        else {
+            self.counters.concurrency_limited.increment();
             return rejected_as_overloaded(Cause::ConcurrencyLimit);
         };
         let (outcome, report) = self.send_admitted(job, allowance).await;
@@ -197,7 +203,7 @@
         mut request: UpstreamRequest<'_>,
         allowance: Allowance,
     ) -> (Outcome, SendReport) {
-        let mut attempts = Attempts::new(allowance.sends, request.repeatable);
+        let mut attempts = Attempts::new(allowance.sends, request.idempotent);
         while attempts.may_begin() {
             let server = match self.next_server(&request, &mut attempts).await {
                 Ok(server) => server,
@@ -208,7 +214,7 @@
             };
             let Ok(server_id) = HeaderValue::from_str(&server.id) else { continue };
             request.headers.insert(WANT_SERVER, server_id);
-            let lender_may_retry = request.repeatable && allowance.held_back > 0;
+            let lender_may_retry = request.idempotent && allowance.reserved_sends > 0;
             let retry_may_follow = attempts.another_may_follow() || lender_may_retry;
             attempts.check_send();
             let in_flight = self.origins.track(&server.id);
@@ -237,10 +243,10 @@
             .choose(Instant::now(), request.service, attempts.tried(), has_idle_connection)
             .ok_or(Cause::NoServer)?;
         attempts.server_selected(&server.id);
-        if Instant::now() >= request.until {
+        if Instant::now() >= request.deadline {
             return Err(Cause::DeadlineBeforeSend);
         }
-        let is_retry = request.again || attempts.was_sent();
+        let is_retry = request.is_retry || attempts.was_sent();
         if is_retry && !self.try_spend_retry(request.service) {
             return Err(Cause::RetryBudget);
         }
@@ -256,7 +262,7 @@
         retry_may_follow: bool,
     ) -> Result<ServerResponse, SendError> {
         let now = Instant::now();
-        let deadline = if retry_may_follow { now + (request.until - now) / 2 } else { request.until };
+        let deadline = if retry_may_follow { now + (request.deadline - now) / 2 } else { request.deadline };
         let is_ready = || self.origins.is_ready(&server.id);
         let params = ExchangeParams {
             address: server.addr.into(),
@@ -281,6 +287,6 @@
     *http_request.method_mut() = request.method.clone();
     *http_request.uri_mut() = request.uri.clone();
     *http_request.headers_mut() = request.headers.clone();
-    http_request.headers_mut().insert(DEADLINE, HeaderValue::from(time_for_server_ms.max(1)));
+    http_request.headers_mut().insert(DEADLINE_HEADER, HeaderValue::from(time_for_server_ms.max(1)));
     http_request
 }
--- a/glenfall/src/upstream/forward/mod.rs
+++ b/glenfall/src/upstream/forward/mod.rs
@@ -14,7 +14,5 @@
 mod response_event;
 
 pub use self::forwarder::Forwarder;
-pub use self::outcome::{
-    Outcome, Rejection, Rejection as Refusal, UNAVAILABLE_RETRY_AFTER, UNAVAILABLE_RETRY_AFTER as NONE,
-};
+pub use self::outcome::{Outcome, Rejection, UNAVAILABLE_RETRY_AFTER};
 pub use self::request::UpstreamRequest;
--- a/glenfall/src/upstream/forward/rate_limit_queue.rs
+++ b/glenfall/src/upstream/forward/rate_limit_queue.rs
@@ -41,19 +41,19 @@
         may_wait: bool,
         counters: &ForwarderCounters,
     ) -> Result<(), RateLimitExceeded> {
-        let Some(requests_per_s) = request.per_s else { return Ok(()) };
-        let max_wait = if may_wait { max_queue_time(request.aim) } else { Duration::ZERO };
-        let give_up_at = (Instant::now() + max_wait).min(request.until);
+        let Some(requests_per_s) = request.rate_limit_per_s else { return Ok(()) };
+        let max_wait = if may_wait { max_queue_time(request.latency_target) } else { Duration::ZERO };
+        let give_up_at = (Instant::now() + max_wait).min(request.deadline);
         let mut has_waited = false;
         loop {
             let Err(wait_ms) = self.try_acquire(request, requests_per_s) else { return Ok(()) };
             let retry_at = Instant::now() + Duration::from_millis(wait_ms.max(1));
             if retry_at > give_up_at {
-                counters.rate_limited.add();
+                counters.rate_limited.increment();
                 return Err(RateLimitExceeded);
             }
             if !has_waited {
-                counters.rate_limit_queued.add();
+                counters.rate_limit_queued.increment();
                 has_waited = true;
             }
             sleep_until(retry_at).await;
@@ -63,7 +63,7 @@
     /// Takes a token, or returns the milliseconds until one may be free.
     fn try_acquire(&self, request: &UpstreamRequest<'_>, requests_per_s: f64) -> Result<(), Millis> {
         let mut limiter = self.limiter.borrow_mut();
-        limiter.try_acquire(self.now(), request.service, requests_per_s, request.rank)
+        limiter.try_acquire(self.now(), request.service, requests_per_s, request.priority_rank)
     }
 
     fn now(&self) -> Millis {
--- a/glenfall/src/upstream/forward/request.rs
+++ b/glenfall/src/upstream/forward/request.rs
@@ -20,17 +20,17 @@
     /// The complete body; empty where there is none.
     pub body: Bytes,
     /// Whether it is idempotent and may run more than once.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// The maximum number of servers that it may be sent to.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Whether it may have reached a server already, by another process.
-    pub again: bool,
+    pub is_retry: bool,
     /// When its response is due.
-    pub until: Instant,
+    pub deadline: Instant,
     /// The latency target of its route.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// Priority from 0, the highest, to 1.
-    pub rank: f64,
+    pub priority_rank: f64,
     /// The rate limit of the service for all machines together, in requests per second.
-    pub per_s: Option<f64>,
+    pub rate_limit_per_s: Option<f64>,
 }
--- a/glenfall/src/upstream/origins/load_balancer.rs
+++ b/glenfall/src/upstream/origins/load_balancer.rs
@@ -90,7 +90,7 @@
             let address = candidate.origin.server().addr;
             scores.push(scoring.score(candidate, has_idle_connection(address.into())));
         }
-        let position = self.draw() * scores.iter().sum::<f64>();
+        let position = self.next_random() * scores.iter().sum::<f64>();
         let selected = candidates[weighted_index(&scores, position)?].server();
         Some(SelectedOrigin { id: selected.id.clone(), addr: selected.addr })
     }
@@ -125,7 +125,7 @@
     }
 
     /// The next random number, from 0 to 1.
-    pub fn draw(&self) -> f64 {
+    pub fn next_random(&self) -> f64 {
         let mut state = self.random_state.borrow_mut();
         *state = state.wrapping_add(1);
         // The upper 53 bits, as many as the mantissa of a double has.
@@ -148,21 +148,21 @@
     }
 
     /// Counts a request that is sent to a server.
-    pub fn enter(&self, id: &str) {
+    pub fn request_started(&self, id: &str) {
         if let Some(origin) = self.origins.borrow_mut().get_mut(id) {
             origin.request_started();
         }
     }
 
     /// Stops counting a request to a server.
-    pub fn exit(&self, id: &str) {
+    pub fn request_finished(&self, id: &str) {
         if let Some(origin) = self.origins.borrow_mut().get_mut(id) {
             origin.request_finished();
         }
     }
 
     /// Takes the outcome of a request to a server, and how long it took.
-    pub fn heard(&self, now: Instant, id: &str, end: SendOutcome, took: Duration) {
+    pub fn record_outcome(&self, now: Instant, id: &str, end: SendOutcome, took: Duration) {
         if let Some(origin) = self.origins.borrow_mut().get_mut(id) {
             origin.record(now, end, took);
         }
@@ -170,7 +170,7 @@
 
     /// Counts a request that is sent to a server until the returned guard is dropped.
     pub fn track<'a>(&'a self, id: &'a str) -> InFlight<'a> {
-        self.enter(id);
+        self.request_started(id);
         InFlight { balancer: self, id, started_at: Instant::now() }
     }
 }
@@ -205,12 +205,12 @@
     /// Records the outcome of the request, with the time since it was sent.
     pub fn finish(self, outcome: SendOutcome) {
         let now = Instant::now();
-        self.balancer.heard(now, self.id, outcome, now - self.started_at);
+        self.balancer.record_outcome(now, self.id, outcome, now - self.started_at);
     }
 }
 
 impl Drop for InFlight<'_> {
     fn drop(&mut self) {
-        self.balancer.exit(self.id);
+        self.balancer.request_finished(self.id);
     }
 }
--- a/glenfall/src/upstream/pool/connection_pool.rs
+++ b/glenfall/src/upstream/pool/connection_pool.rs
@@ -138,7 +138,7 @@
                 continue;
             }
             if kind == UpstreamKind::Origin && now - last.idle_since >= MAX_TRUSTED_IDLE_TIME {
-                last.connection.be_wary();
+                last.connection.delay_last_byte();
             }
             return Some(last.connection);
         }
@@ -173,7 +173,7 @@
         mut connection: Connection,
         idle_timeout: Duration,
     ) {
-        if connection.is_free().await {
+        if connection.is_reusable().await {
             let idle_since = Instant::now();
             let idle = IdleConnection { connection, idle_since, expires_at: idle_since + idle_timeout };
             self.idle.borrow_mut().entry(address).or_default().push(idle);
--- a/glenfall/src/upstream/pool/exchange.rs
+++ b/glenfall/src/upstream/pool/exchange.rs
@@ -14,7 +14,7 @@
 use super::connection_pool::{AcquiredConnection, Pool, UpstreamKind};
 use super::error::SendError;
 use super::response_reader::{CompleteResponse, ResponseReader};
-use crate::http::headers::TRY_ID;
+use crate::http::headers::TRY_ID_HEADER;
 use crate::http::response::ServerResponse;
 
 /// A response has to be complete within this time from its first byte, or the request is sent to another server. Where
@@ -125,10 +125,10 @@
         let response_progress = Rc::clone(&connection.progress);
         let reader = ResponseReader::new(&self.memory);
         let exchange = async {
-            match connection.send(request, Some(&TRY_ID), request_progress).await {
+            match connection.send(request, Some(&TRY_ID_HEADER), request_progress).await {
                 Ok(response) => reader.read(response, &method).await.map_err(|_| SendEvent::Malformed),
-                Err(ExchangeError::Unsent | ExchangeError::Broken(_)) => Err(SendEvent::Broken),
-                Err(ExchangeError::Foreign) => Err(SendEvent::WrongRequest),
+                Err(ExchangeError::NotSent | ExchangeError::ConnectionLost(_)) => Err(SendEvent::Broken),
+                Err(ExchangeError::WrongRequest) => Err(SendEvent::WrongRequest),
             }
         };
         tokio::select! {
--- a/glenfall/src/upstream/pool/response_reader.rs
+++ b/glenfall/src/upstream/pool/response_reader.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use glenfall_http_client::{BodyEnd, Progress};
+use glenfall_http_client::{BodyFraming, Progress};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::http::response::Parts;
@@ -106,7 +106,7 @@
             let length = buffer.len() + data.len();
             if buffer.is_empty() && body.is_end_stream() && length <= reservation.bytes() {
                 // The only frame is the body: it need not be copied.
-                return Ok(reservation.keeping(data));
+                return Ok(reservation.attach_to(data));
             }
             if length > MAX_BODY_BYTES {
                 return Err(ReadError::TooLarge);
@@ -117,19 +117,19 @@
             }
             buffer.extend_from_slice(&data);
         }
-        Ok(reservation.keeping(buffer.freeze()))
+        Ok(reservation.attach_to(buffer.freeze()))
     }
 
     async fn reserve(&self, bytes: usize) -> Result<Reservation, ReadError> {
         self.is_waiting_for_memory.set(true);
-        let reservation = self.memory.hold(bytes).await.ok_or(ReadError::ExceedsMemoryBudget)?;
+        let reservation = self.memory.reserve(bytes).await.ok_or(ReadError::ExceedsMemoryBudget)?;
         self.is_waiting_for_memory.set(false);
         Ok(reservation)
     }
 
     async fn grow(&self, reservation: &mut Reservation, bytes: usize) -> Result<(), ReadError> {
         self.is_waiting_for_memory.set(true);
-        reservation.grow(bytes).await.ok_or(ReadError::ExceedsMemoryBudget)?;
+        reservation.grow_to(bytes).await.ok_or(ReadError::ExceedsMemoryBudget)?;
         self.is_waiting_for_memory.set(false);
         Ok(())
     }
@@ -138,5 +138,5 @@
 fn has_clear_end(head: &Parts, method: &Method) -> bool {
     let has_no_body =
         method == Method::HEAD || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
-    has_no_body || BodyEnd::of(&head.headers) != BodyEnd::Unclear
+    has_no_body || BodyFraming::of(&head.headers) != BodyFraming::Ambiguous
 }
--- a/glenfall/src/watch_client.rs
+++ b/glenfall/src/watch_client.rs
@@ -28,15 +28,15 @@
 /// What a proxy does upon updates.
 pub trait WatchHandler {
     /// Called when a configuration is about to be applied.
-    fn config(&self, config: &Arc<Config>);
+    fn config_changed(&self, config: &Arc<Config>);
     /// Called when servers, shields or edges have changed; `fleet` has all of them.
-    fn fleet(&self, fleet: &Fleet);
+    fn fleet_changed(&self, fleet: &Fleet);
     /// Called for purges: stored responses that they name must not be served any more.
     fn purge(&self, purges: &[AgedPurge]);
     /// Called with whether the publisher sends everything that happens.
-    fn in_touch(&self, yes: bool);
+    fn connection_changed(&self, yes: bool);
     /// The counters of the proxy for `status`.
-    fn report(&self) -> Vec<(String, u64)>;
+    fn counters(&self) -> Vec<(String, u64)>;
 }
 
 /// The state that a proxy has from its publisher.
@@ -80,42 +80,42 @@
     }
 
     /// Waits until the applied configuration has version `rev` or a newer one.
-    pub async fn reaches(&self, rev: u64) {
+    pub async fn wait_for_version(&self, rev: u64) {
         // It can't fail, as the sender lives as long as this value.
         let _ = self.rev.subscribe().wait_for(|applied| *applied >= rev).await;
     }
 
     /// Whether the proxy knows enough to serve requests, and is not draining.
-    pub fn ready(&self) -> bool {
-        self.config.borrow().is_some() && self.fleet.borrow().fleet().is_some() && !self.leaving()
+    pub fn is_ready(&self) -> bool {
+        self.config.borrow().is_some() && self.fleet.borrow().fleet().is_some() && !self.is_draining()
     }
 
     /// Whether no purge can have been acknowledged that this process has not applied. To be checked whenever a stored
     /// response is served.
-    pub fn vouches(&self) -> bool {
+    pub fn may_serve_stored_responses(&self) -> bool {
         self.is_connected.get() && self.lease.is_valid()
     }
 
     /// Whether the process is draining.
-    pub fn leaving(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.drain_deadline.get().is_some()
     }
 
     /// When a process that is draining abandons requests that have no response yet; `None` where it is not draining.
-    pub fn grace_ends(&self) -> Option<Instant> {
+    pub fn drain_deadline(&self) -> Option<Instant> {
         self.drain_deadline.get()
     }
 
     /// Starts draining: the publisher is informed, so that new requests go elsewhere.
-    pub fn leave(&self) {
+    pub fn start_draining(&self) {
         self.drain_deadline.set(Some(Instant::now() + self.settings.grace()));
         self.member_changed.notify_one();
     }
 
     /// Handles a message of the publisher; false where it does not build on what is known, so that a new session is needed.
-    pub fn hear(&self, message: PublisherMessage, handler: &impl WatchHandler) -> bool {
+    pub fn handle_message(&self, message: PublisherMessage, handler: &impl WatchHandler) -> bool {
         match message {
-            PublisherMessage::Push { update, .. } => return self.take(update, handler),
+            PublisherMessage::Push { update, .. } => return self.apply_update(update, handler),
             PublisherMessage::LeaseGranted { sent_at, duration } => self.renew_lease(sent_at, duration),
             PublisherMessage::ControlNodes(_) | PublisherMessage::Draining | PublisherMessage::Ping => {}
         }
@@ -123,8 +123,8 @@
     }
 
     /// Applies an update; false where it does not build on what is known.
-    pub fn take(&self, update: Update, handler: &impl WatchHandler) -> bool {
-        let was_ready = self.ready();
+    pub fn apply_update(&self, update: Update, handler: &impl WatchHandler) -> bool {
+        let was_ready = self.is_ready();
         match update {
             Update::Config { rev, document } => self.apply_config(rev, &document, handler),
             Update::Fleet(update) => {
@@ -135,7 +135,7 @@
             Update::Purges(purges) => handler.purge(&purges),
             Update::Connected(is_connected) => self.set_connected(is_connected, handler),
         }
-        if self.ready() != was_ready {
+        if self.is_ready() != was_ready {
             self.member_changed.notify_one();
         }
         true
@@ -149,7 +149,7 @@
         match Config::read(document) {
             Ok(config) => {
                 let config = Arc::new(config);
-                handler.config(&config);
+                handler.config_changed(&config);
                 self.config.replace(Some(config));
                 self.rev.send_replace(rev);
                 tracing::info!(rev, "configuration applied");
@@ -170,7 +170,7 @@
             }
         }
         if let Some(fleet) = self.fleet.borrow().fleet() {
-            handler.fleet(fleet);
+            handler.fleet_changed(fleet);
         }
         true
     }
@@ -189,7 +189,7 @@
             self.lease.end();
         }
         self.is_connected.set(is_connected);
-        handler.in_touch(is_connected);
+        handler.connection_changed(is_connected);
     }
 
     /// Keeps a session with the publisher for as long as the process runs.
@@ -210,7 +210,7 @@
         outbox: Outbox<SubscriberMessage>,
         handler: &impl WatchHandler,
     ) {
-        let counters = || handler.report().into_iter().chain(link::report("")).collect();
+        let counters = || handler.counters().into_iter().chain(link::report("")).collect();
         tokio::select! {
             () = subscriber::follow(
                 frames,
@@ -218,7 +218,7 @@
                 || self.hello(),
                 || self.lease.now(),
                 &self.member_changed,
-                async |message| self.hear(message, handler),
+                async |message| self.handle_message(message, handler),
             ) => {}
             () = subscriber::send_reports(&outbox, counters) => {}
         }
@@ -234,7 +234,7 @@
             zone: self.settings.zone.clone(),
             proxy: self.proxy,
             http: self.http_address(),
-            ready: self.ready(),
+            ready: self.is_ready(),
             incarnation: self.incarnation,
         };
         SubscriberMessage::Hello { node: self.settings.node.clone(), member: Some(member) }
--- a/glenfall/tests/bounds.rs
+++ b/glenfall/tests/bounds.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use glenfall::cache::disk::{DiskCache, MOST_WAITING};
+use glenfall::cache::disk::{DiskCache, MAX_QUEUED_BODY_BYTES};
 use glenfall::cache::ObjectKey;
 use glenfall::control::purge_log::PurgeLog;
 use glenfall_control_plane::messages::{AgedPurge, Purge, PurgeRecord, MAX_FRAME_BYTES};
@@ -58,7 +58,7 @@
     assert_eq!(found.len(), MAX_PURGES + 1, "one more than are remembered");
     assert_eq!(found.last().unwrap().number, 3 * MAX_PURGES as u64 - 1, "the newest");
     let mut purges = PurgeHistory::default();
-    purges.record(0, found);
+    purges.add(0, found);
     assert_eq!(
         purges.missed(0),
         [AgedPurge { purge: Purge::Everything, age_ms: 0 }],
@@ -84,7 +84,7 @@
     // 48 MB of copies, of pages that are then touched all at once, again and again, and all removed.
     for n in 0..8000 {
         // What finds no place in the queue is not written: the thread that writes may be far behind on a busy machine.
-        while kept.waiting() + body.len() > MOST_WAITING {
+        while kept.queued_bytes() + body.len() > MAX_QUEUED_BODY_BYTES {
             look();
         }
         kept.put(&key(n), &HeaderMap::new(), &[], &body, Duration::ZERO);
@@ -93,7 +93,7 @@
         }
     }
     for _ in 0..5 {
-        (0..8000).for_each(|n| kept.refreshed(&key(n), Duration::ZERO));
+        (0..8000).for_each(|n| kept.revalidated(&key(n), Duration::ZERO));
         (0..50).for_each(|_| look());
     }
     kept.remove(&(0..8000).map(key).collect::<Vec<_>>());
@@ -115,7 +115,7 @@
         PurgeRecord { origin: [10, 0, 0, 1].into(), incarnation: u64::MAX, number, age_ms: 0, purge }
     };
     for number in 0..1000 {
-        assert_eq!(purges.record(number, vec![long(number)]).len(), 1);
+        assert_eq!(purges.add(number, vec![long(number)]).len(), 1);
         let frame = postcard::to_stdvec(&purges.snapshot(number)).unwrap().len();
         assert!(frame < MAX_FRAME_BYTES - (MAX_FRAME_BYTES >> 4), "{frame} bytes after {number}");
     }
@@ -132,7 +132,7 @@
             purge,
         }
     };
-    purges.record(0, (0..MAX_PURGES as u64).map(short).collect());
+    purges.add(0, (0..MAX_PURGES as u64).map(short).collect());
     assert_eq!(purges.snapshot(0).len(), MAX_PURGES);
     assert!(postcard::to_stdvec(&purges.snapshot(0)).unwrap().len() < MAX_FRAME_BYTES / 2);
 }
--- a/glenfall/tests/common/mod.rs
+++ b/glenfall/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use glenfall_control_plane::invariant::BROKEN;
+use glenfall_control_plane::invariant::VIOLATION_MESSAGE;
 
 /// Conditions are waited for so long, also on a busy machine.
 pub const PATIENCE: Duration = Duration::from_secs(60);
@@ -36,7 +36,9 @@
         }
         let logs = (1..=EDGE).filter_map(|n| std::fs::read_to_string(self.log(n)).ok());
         let broken: Vec<String> = logs
-            .flat_map(|log| log.lines().filter(|l| l.contains(BROKEN)).map(str::to_owned).collect::<Vec<_>>())
+            .flat_map(|log| {
+                log.lines().filter(|l| l.contains(VIOLATION_MESSAGE)).map(str::to_owned).collect::<Vec<_>>()
+            })
             .collect();
         if std::thread::panicking() {
             // For whoever looks for the cause.
--- a/glenfall/tests/hostile.rs
+++ b/glenfall/tests/hostile.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall::http::headers::TRY_ID;
+use glenfall::http::headers::TRY_ID_HEADER;
 use glenfall::memory_budget::MemoryBudget;
 use glenfall::settings::Settings;
 use glenfall::upstream::forward::{Forwarder, Outcome, UpstreamRequest};
@@ -373,21 +373,21 @@
         if rng.random_bool(0.1) { rng.random_range(1 << 20..6 << 20) } else { rng.random_range(0..64) };
     let uri: Uri = format!("/w/{id}").parse().expect("a path");
     let mut headers = HeaderMap::new();
-    headers.insert(TRY_ID, HeaderValue::from_str(id).expect("an id"));
-    direct.count("s");
+    headers.insert(TRY_ID_HEADER, HeaderValue::from_str(id).expect("an id"));
+    direct.record_client_request("s");
     let job = UpstreamRequest {
         service: "s",
         method: &Method::POST,
         uri: &uri,
         headers,
         body: Bytes::from(body_of(id, length)),
-        repeatable,
-        tries: 3,
-        again: false,
-        until: Instant::now() + PATIENCE,
-        aim: PATIENCE,
-        rank: 0.0,
-        per_s: None,
+        idempotent: repeatable,
+        max_attempts: 3,
+        is_retry: false,
+        deadline: Instant::now() + PATIENCE,
+        latency_target: PATIENCE,
+        priority_rank: 0.0,
+        rate_limit_per_s: None,
     };
     let gone = rng.random_bool(0.05).then(|| Duration::from_millis(rng.random_range(0..20)));
     let outcome = tokio::select! {
--- a/glenfall/tests/send_budget.rs
+++ b/glenfall/tests/send_budget.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeSet;
 
-use glenfall::edge::read_plan::{AskEnd, Next, ReadPlan, Verdict, MOST_ASKS};
-use glenfall::http::send_budget::{Allowance, SendBudget, SendReport, Usage, SENDS};
+use glenfall::edge::read_plan::{AttemptEnd, NextStep, ReadPlan, Verdict, MAX_SHIELD_ATTEMPTS};
+use glenfall::http::send_budget::{Allowance, SendBudget, SendReport, Usage, SENDS_HEADER};
 use glenfall_http_client::send::{SendEvent, SendSequence, SendStage};
 use hyper::header::{HeaderMap, HeaderValue};
 
@@ -85,13 +85,13 @@
 /// How an ask ends for the edge, and when; `None` where it never does.
 struct Due {
     at: Option<Ms>,
-    end: AskEnd,
+    end: AttemptEnd,
     good: bool,
 }
 
 impl<'a> World<'a> {
     fn new(shields: &'a [ShieldActs], servers: &'a [ServerActs; SERVERS]) -> Self {
-        let senders = (0..=MOST_ASKS).map(|next| Sender { next }).collect();
+        let senders = (0..=MAX_SHIELD_ATTEMPTS).map(|next| Sender { next }).collect();
         let reached = BTreeSet::new();
         World { shields, servers, senders, reached, sent: 0, good_under_way: false, unreported: 0 }
     }
@@ -105,7 +105,7 @@
             self.senders[sender].next += 1;
             self.reached.insert(server);
             self.sent += 1;
-            let another = sends.another_may_follow() || allowance.held_back > 0;
+            let another = sends.another_may_follow() || allowance.reserved_sends > 0;
             let until = if another { now + (DEADLINE - now) / 2 } else { DEADLINE };
             let (at, event) = match self.servers[server] {
                 ServerActs::Answers => (now + PROMPT, SendEvent::Success),
@@ -117,22 +117,22 @@
             let (at, event) = if at > until { (until, SendEvent::TimedOut) } else { (at, event) };
             now = at;
             good = event == SendEvent::Success;
-            sends.ended(SendStage::Answering, event, event == SendEvent::Failure);
+            sends.record_end(SendStage::Answering, event, event == SendEvent::Failure);
         }
-        (now, good, SendReport { used: sends.used(), short: sends.is_short() })
+        (now, good, SendReport { used: sends.used(), exhausted: sends.is_exhausted() })
     }
 
     fn ask_shield(&mut self, shield: usize, now: Ms, allowance: Allowance) -> Due {
         let nothing_sent = |at, good, short| Due {
             at: Some(at),
-            end: AskEnd::Answered(SendReport { used: 0, short }),
+            end: AttemptEnd::Answered(SendReport { used: 0, exhausted: short }),
             good,
         };
         let acts = self.shields[shield];
         match acts {
-            ShieldActs::Unreachable => Due { at: Some(now + CONNECT), end: AskEnd::NotAsked, good: false },
-            ShieldActs::Behind => Due { at: Some(now + PROMPT), end: AskEnd::NotAsked, good: false },
-            ShieldActs::Frozen => Due { at: None, end: AskEnd::Lost, good: false },
+            ShieldActs::Unreachable => Due { at: Some(now + CONNECT), end: AttemptEnd::NotSent, good: false },
+            ShieldActs::Behind => Due { at: Some(now + PROMPT), end: AttemptEnd::NotSent, good: false },
+            ShieldActs::Frozen => Due { at: None, end: AttemptEnd::ResponseLost, good: false },
             ShieldActs::HasCopy => nothing_sent(now + PROMPT, true, false),
             ShieldActs::JoinsGood => nothing_sent(now + PROMPT, true, false),
             ShieldActs::JoinsShort => nothing_sent(now + PROMPT, false, true),
@@ -140,19 +140,19 @@
             ShieldActs::Well | ShieldActs::AnswersLate => {
                 let (at, good, report) = self.fetch(shield, now, allowance);
                 let at = if acts == ShieldActs::Well { at } else { at + LATE };
-                Due { at: Some(at), end: AskEnd::Answered(report), good }
+                Due { at: Some(at), end: AttemptEnd::Answered(report), good }
             }
             ShieldActs::AnswerLost | ShieldActs::Resets => {
                 self.fetch(shield, now, allowance);
                 let at = (acts == ShieldActs::Resets).then_some(now + PROMPT);
-                Due { at, end: AskEnd::Lost, good: false }
+                Due { at, end: AttemptEnd::ResponseLost, good: false }
             }
         }
     }
 
     fn ask_servers(&mut self, now: Ms, allowance: Allowance) -> Due {
-        let (at, good, report) = self.fetch(MOST_ASKS, now, allowance);
-        Due { at: Some(at), end: AskEnd::Answered(report), good }
+        let (at, good, report) = self.fetch(MAX_SHIELD_ATTEMPTS, now, allowance);
+        Due { at: Some(at), end: AttemptEnd::Answered(report), good }
     }
 
     /// Plays one read as an edge does; says whether it got a good answer by its deadline.
@@ -164,24 +164,24 @@
         loop {
             let shields_left = self.shields.len() - unresponsive.len();
             match plan.next(shields_left) {
-                next @ Next::AskShield { allowance } => {
+                next @ NextStep::TryShield { allowance } => {
                     let shield = (0..self.shields.len()).find(|shield| !unresponsive.contains(shield));
                     let shield = shield.expect("one is left");
-                    let number = plan.asked(next);
-                    let beside = plan.has_way_beside(shields_left - 1);
+                    let number = plan.begin_attempt(next);
+                    let beside = plan.can_hedge(shields_left - 1);
                     silent_at = beside.then(|| (shield, now + ((DEADLINE - now) / 4).max(200)));
                     let due = self.ask_shield(shield, now, allowance);
                     self.under_way(&due, allowance);
                     asks.push((number, Some(shield), due));
                 }
-                next @ Next::AskServers { allowance } => {
-                    let number = plan.asked(next);
+                next @ NextStep::TryServers { allowance } => {
+                    let number = plan.begin_attempt(next);
                     let due = self.ask_servers(now, allowance);
                     self.under_way(&due, allowance);
                     asks.push((number, None, due));
                 }
-                Next::GiveUp => return false,
-                Next::Wait => {
+                NextStep::GiveUp => return false,
+                NextStep::Wait => {
                     let first =
                         (0..asks.len()).filter(|at| asks[*at].2.at.is_some()).min_by_key(|at| asks[*at].2.at);
                     let due = first.and_then(|first| asks[first].2.at).unwrap_or(Ms::MAX);
@@ -195,14 +195,14 @@
                         if silent_at.is_some_and(|(silent, _)| Some(silent) == shield) {
                             silent_at = None;
                         }
-                        if plan.ended(number, due.end) == Verdict::Final {
+                        if plan.end_attempt(number, due.end) == Verdict::Final {
                             return due.good;
                         }
-                        if !matches!(due.end, AskEnd::Answered(_)) {
+                        if !matches!(due.end, AttemptEnd::Answered(_)) {
                             unresponsive.extend(shield.filter(|shield| !unresponsive.contains(shield)));
                         }
                     } else if let Some((shield, _)) = silent_at.take() {
-                        plan.silent();
+                        plan.hedge_delay_passed();
                         unresponsive.push(shield);
                     }
                 }
@@ -212,7 +212,7 @@
 
     fn under_way(&mut self, due: &Due, allowance: Allowance) {
         self.good_under_way |= due.good && due.at.is_some_and(|at| at <= DEADLINE);
-        if due.end == AskEnd::Lost {
+        if due.end == AttemptEnd::ResponseLost {
             self.unreported += allowance.sends;
         }
     }
@@ -287,7 +287,7 @@
 
 #[test]
 fn a_budget_takes_back_what_was_certainly_not_used_and_nothing_else() {
-    let report = |used| Usage::Reported(SendReport { used, short: true });
+    let report = |used| Usage::Reported(SendReport { used, exhausted: true });
     for (usage, left) in [
         (Usage::Unused, 3),
         (Usage::Unknown, 1),
@@ -300,7 +300,7 @@
         let mut budget = SendBudget::new(3);
         let loan = budget.lend(2);
         assert_eq!(budget.left(), 1);
-        budget.settle(loan, usage);
+        budget.repay(loan, usage);
         assert_eq!(budget.left(), left, "{usage:?}");
     }
     let mut budget = SendBudget::new(1);
@@ -310,24 +310,24 @@
 
 #[test]
 fn allowances_and_reports_are_read_as_they_were_written() {
-    let headers = |value: HeaderValue| HeaderMap::from_iter([(SENDS, value)]);
+    let headers = |value: HeaderValue| HeaderMap::from_iter([(SENDS_HEADER, value)]);
     for sends in 0..=3 {
         for held_back in 0..=1 {
-            let allowance = Allowance { sends, held_back };
-            assert_eq!(Allowance::of_request(&headers(allowance.encode()), 3), allowance);
+            let allowance = Allowance { sends, reserved_sends: held_back };
+            assert_eq!(Allowance::from_request(&headers(allowance.encode()), 3), allowance);
         }
         for short in [false, true] {
-            let report = SendReport { used: sends, short };
-            assert_eq!(SendReport::of_answer(&headers(report.encode())), Some(report));
+            let report = SendReport { used: sends, exhausted: short };
+            assert_eq!(SendReport::from_response(&headers(report.encode())), Some(report));
         }
     }
     let all = Allowance::all(2);
-    assert_eq!(Allowance::of_request(&HeaderMap::new(), 2), all, "an edge of an earlier release");
+    assert_eq!(Allowance::from_request(&HeaderMap::new(), 2), all, "an edge of an earlier release");
     for value in ["allowed=7", "allowed=-1", "allowed=", "", "noise", "allowed=99999999999999"] {
-        let read = Allowance::of_request(&headers(HeaderValue::from_static(value)), 2);
+        let read = Allowance::from_request(&headers(HeaderValue::from_static(value)), 2);
         assert_eq!(read, all, "never more than the route allows: {value}");
     }
     for value in ["used=", "used=-1", "short", ""] {
-        assert_eq!(SendReport::of_answer(&headers(HeaderValue::from_static(value))), None, "{value}");
+        assert_eq!(SendReport::from_response(&headers(HeaderValue::from_static(value))), None, "{value}");
     }
 }
--- a/glenfall/tests/sessions.rs
+++ b/glenfall/tests/sessions.rs
@@ -48,9 +48,9 @@
     });
     let (read, write) = link::open(addr, &ConnectionOpening::Session).await.unwrap();
     let outbox = Outbox::start(write);
-    let standing = sessions.seen().len();
+    let standing = sessions.statuses().len();
     assert!(outbox.send(SubscriberMessage::Hello { node: node.into(), member: None }));
-    until(|| sessions.seen().len() > standing).await;
+    until(|| sessions.statuses().len() > standing).await;
     (FrameReader::new(read), outbox)
 }
 
@@ -64,7 +64,7 @@
 }
 
 fn names(sessions: &Sessions) -> Vec<String> {
-    sessions.seen().into_iter().map(|seen| seen.node).collect()
+    sessions.statuses().into_iter().map(|seen| seen.node).collect()
 }
 
 fn local<T>(work: impl std::future::Future<Output = T>) -> T {
@@ -80,15 +80,15 @@
         let (_frames, says) = follower(&sessions, "well").await;
         sessions.push(&Update::Connected(true));
         assert!(says.send(SubscriberMessage::Applied(1)));
-        until(|| sessions.seen().iter().any(|seen| seen.applied == 1)).await;
-        assert!(!sessions.applied(VAIN).await);
+        until(|| sessions.statuses().iter().any(|seen| seen.applied == 1)).await;
+        assert!(!sessions.wait_until_applied(VAIN).await);
         // On its way to both when the one that is behind is let go of.
         sessions.push(&Update::Connected(true));
-        sessions.drop_behind(Duration::ZERO);
+        sessions.end_overdue(Duration::ZERO);
         assert_eq!(names(&sessions), ["well"]);
         assert!(says.send(SubscriberMessage::Applied(2)));
-        assert!(sessions.applied(PATIENCE).await);
-        sessions.drop_behind(Duration::ZERO);
+        assert!(sessions.wait_until_applied(PATIENCE).await);
+        sessions.end_overdue(Duration::ZERO);
         assert_eq!(names(&sessions), ["well"]);
     });
 }
@@ -104,8 +104,8 @@
         sessions.push(&Update::Connected(true));
         for (at, done) in [(4, false), (1, false), (0, false), (3, false), (2, true)] {
             assert!(followers[at].1.send(SubscriberMessage::Applied(1)));
-            until(|| sessions.seen()[at].applied == 1).await;
-            assert_eq!(sessions.applied(VAIN).await, done, "after {at}");
+            until(|| sessions.statuses()[at].applied == 1).await;
+            assert_eq!(sessions.wait_until_applied(VAIN).await, done, "after {at}");
         }
     });
 }
@@ -120,7 +120,7 @@
         for _ in 0..most {
             sessions.push(&Update::Connected(true));
         }
-        assert!(sessions.seen().is_empty(), "it has missed a push and still stands");
+        assert!(sessions.statuses().is_empty(), "it has missed a push and still stands");
         let mut last = 0;
         let ended = async {
             while let Ok(down) = frames.next::<PublisherMessage>().await {
@@ -144,8 +144,8 @@
         assert!(says.send(SubscriberMessage::RenewLease { sent_at: 7 }));
         // What follows on the same connection has been taken after it.
         assert!(says.send(SubscriberMessage::Counters(vec![Counter { name: "marker".into(), value: 1 }])));
-        until(|| sessions.seen().iter().any(|seen| !seen.counters.is_empty())).await;
-        sessions.vouch_until(Instant::now() + PATIENCE);
+        until(|| sessions.statuses().iter().any(|seen| !seen.counters.is_empty())).await;
+        sessions.set_own_lease_end(Instant::now() + PATIENCE);
         // It asks no second time. Something is said on a link again and again, so that these waits end.
         for _ in 0..3 {
             match timeout(PATIENCE, frames.next::<PublisherMessage>())
--- a/glenfall/tests/store.rs
+++ b/glenfall/tests/store.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-use glenfall::control::store::{create, database_path, Found, Store};
+use glenfall::control::store::{create, database_path, RecoveredState, Store};
 use glenfall_control_plane::chain::{HardState, JointConfig, Record};
 use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey};
 use recorder::{await_recorder, crashes, read_folder, record, say, write_folder, Files, Step};
@@ -38,7 +38,7 @@
     let document = (0..size).map(|at| (at * (n + 6) % 251) as u8).collect();
     // Some chunks of the table of taken orders with each.
     let order = |rev: u64| AppliedOrder { rev, key: IdempotencyKey([rev as u8; 32]) };
-    let taken = DeduplicationTable::listed(0, &(1..=n * 90).map(order).collect::<Vec<_>>()).unwrap();
+    let taken = DeduplicationTable::from_orders(0, &(1..=n * 90).map(order).collect::<Vec<_>>()).unwrap();
     let record = Record { seq: n, rev: n, document, applied_orders: taken };
     let members = JointConfig::of(vec![[10, 0, 0, 1].into()]);
     HardState { members, votes: true, promised: n, accepted: n, record: Arc::new(record) }
@@ -68,9 +68,9 @@
 fn found(folder: &Path, case: &str) -> String {
     let found = Store::open(folder).unwrap_or_else(|error| panic!("{case}: {error}")).1;
     match found {
-        Found::Nothing => "nothing".into(),
-        Found::Damaged(_) => "damaged".into(),
-        Found::Kept(kept) => {
+        RecoveredState::Missing => "nothing".into(),
+        RecoveredState::Damaged(_) => "damaged".into(),
+        RecoveredState::Intact(kept) => {
             let n = kept.record.seq;
             assert_eq!(kept, state(n), "{case}: a mixture");
             n.to_string()
--- a/glenfall/tests/unit/api_error.rs
+++ b/glenfall/tests/unit/api_error.rs
@@ -31,11 +31,11 @@
             "this node is in no view that stands: ask another one, or again in a moment",
         ),
         (
-            VoterChangeError::UnderWay.into(),
+            VoterChangeError::InProgress.into(),
             503,
             "a change of the voters is under way: ask again in a moment",
         ),
-        (VoterChangeError::Votes([127, 0, 8, 1].into()).into(), 409, "127.0.8.1 is a voter already"),
+        (VoterChangeError::AlreadyVoter([127, 0, 8, 1].into()).into(), 409, "127.0.8.1 is a voter already"),
         (ApiError::VoterChangePending, 503, "not all views stand yet: look at who votes, and ask again"),
         (ApiError::InvalidServerName, 400, "names of 1 to 128 bytes expected"),
         (ApiError::RegistryFull, 507, "no room for more servers"),
--- a/glenfall/tests/unit/backup.rs
+++ b/glenfall/tests/unit/backup.rs
@@ -6,7 +6,7 @@
 
 fn backup() -> Backup {
     let order = |(rev, byte)| AppliedOrder { rev, key: IdempotencyKey([byte; 32]) };
-    let taken = DeduplicationTable::listed(5, &[(7, 0x1a), (9, 0x2b)].map(order)).unwrap();
+    let taken = DeduplicationTable::from_orders(5, &[(7, 0x1a), (9, 0x2b)].map(order)).unwrap();
     let record = Record {
         seq: 4,
         rev: 9,
@@ -52,10 +52,7 @@
 fn of_what_was_taken_since_the_export_no_version_is_taken_again() {
     for (acknowledged, up_to) in [(0, 5), (5, 5), (12, 12)] {
         let state = backup().state(vec![[10, 0, 0, 9].into()], acknowledged).unwrap();
-        assert_eq!(
-            (state.record.applied_orders.forgotten_up_to(), state.record.applied_orders.len()),
-            (up_to, 2)
-        );
+        assert_eq!((state.record.applied_orders.horizon(), state.record.applied_orders.len()), (up_to, 2));
     }
 }
 
@@ -72,7 +69,7 @@
     let before = BEFORE.replace("CRC", &crc.to_string());
     let state = Backup::read(before.as_bytes()).unwrap().state(vec![[10, 0, 0, 9].into()], 0).unwrap();
     assert_eq!((state.record.seq, state.record.rev), (4, 9));
-    assert_eq!(state.record.applied_orders, DeduplicationTable::forgotten(9));
+    assert_eq!(state.record.applied_orders, DeduplicationTable::with_horizon(9));
     let spoilt = before.replace("[9, 2]", "[9, 3]");
     assert!(matches!(Backup::read(spoilt.as_bytes()), Err(BackupError::Checksum)));
 }
--- a/glenfall/tests/unit/cache.rs
+++ b/glenfall/tests/unit/cache.rs
@@ -27,7 +27,7 @@
 
 fn stored(body: &str, tags: &'static str) -> Rc<StoredResponse> {
     let response = ServerResponse::new(head(tags), Bytes::from(body.to_owned()));
-    Rc::new(StoredResponse::of(&response, Instant::now()).expect("it may be stored"))
+    Rc::new(StoredResponse::from_response(&response, Instant::now()).expect("it may be stored"))
 }
 
 fn purge_now(purge: Purge) -> AgedPurge {
@@ -94,7 +94,7 @@
     let response_to = |name: HeaderName, value: &'static str| {
         let mut request = HeaderMap::new();
         request.insert(name, HeaderValue::from_static(value));
-        let response = stored.answer(&request);
+        let response = stored.respond_to(&request);
         let range = response.headers().get(header::CONTENT_RANGE).map(|v| v.to_str().unwrap().to_owned());
         (response.status().as_u16(), String::from_utf8(response.body().to_vec()).unwrap(), range)
     };
@@ -114,7 +114,8 @@
     let is_stored = |change: fn(&mut Parts)| {
         let mut head = head("");
         change(&mut head);
-        StoredResponse::of(&ServerResponse::new(head, Bytes::from_static(b"body")), Instant::now()).is_some()
+        StoredResponse::from_response(&ServerResponse::new(head, Bytes::from_static(b"body")), Instant::now())
+            .is_some()
     };
     fn set(head: &mut Parts, name: HeaderName, value: &'static str) {
         head.headers.insert(name, HeaderValue::from_static(value));
--- a/glenfall/tests/unit/client_disconnect.rs
+++ b/glenfall/tests/unit/client_disconnect.rs
@@ -76,7 +76,7 @@
         max_connections: 64,
         max_body_bytes: 1 << 20,
         drain_accept_time: still_accepting,
-        grace,
+        shutdown_timeout: grace,
     };
     spawn_local(serve_at(listener, terms, Rc::new(edge::EdgeHandler(edge)), stopping));
     TestSystem { edge: address, observed, _running: running }
--- a/glenfall/tests/unit/deadline_propagation.rs
+++ b/glenfall/tests/unit/deadline_propagation.rs
@@ -136,8 +136,8 @@
         while record.borrow().is_empty() {
             sleep(Duration::from_millis(5)).await;
         }
-        watch_client.leave();
-        let grace_ends = watch_client.grace_ends().expect("it is draining");
+        watch_client.start_draining();
+        let grace_ends = watch_client.drain_deadline().expect("it is draining");
         let after = send(&edge, request("POST", "/w/x", "u"));
         assert_eq!(after.await.expect("no panic").0, StatusCode::GATEWAY_TIMEOUT);
         assert!(
--- a/glenfall/tests/unit/deadlines.rs
+++ b/glenfall/tests/unit/deadlines.rs
@@ -47,7 +47,7 @@
     async fn run(&self, servers: &[Server], stopping: &watch::Receiver<bool>) -> Duration {
         let shields = start_shields(&self.shields, servers, stopping).await;
         let memory = MemoryBudget::new(BODY + 2048);
-        let _other_response = memory.hold(BODY).await;
+        let _other_response = memory.reserve(BODY).await;
         let pool = match self.request {
             Request::ReadWithoutMemory => Pool::new(64, memory),
             _ => pool(),
--- a/glenfall/tests/unit/edge_cache.rs
+++ b/glenfall/tests/unit/edge_cache.rs
@@ -24,9 +24,12 @@
 
 /// In touch, and with a lease of this duration from the start of the test.
 fn in_touch(edge: &Edge, watch_client: &WatchClient, duration: Duration) {
-    assert!(watch_client.hear(PublisherMessage::Push { number: 1, update: Update::Connected(true) }, edge));
     assert!(watch_client
-        .hear(PublisherMessage::LeaseGranted { sent_at: 0, duration: duration.as_millis() as u64 }, edge));
+        .handle_message(PublisherMessage::Push { number: 1, update: Update::Connected(true) }, edge));
+    assert!(watch_client.handle_message(
+        PublisherMessage::LeaseGranted { sent_at: 0, duration: duration.as_millis() as u64 },
+        edge
+    ));
 }
 
 fn from_shield(tags: &'static str) -> ServerResponse {
@@ -83,21 +86,28 @@
 #[tokio::test(start_paused = true)]
 async fn nothing_is_stored_without_a_lease_and_an_expired_lease_returns_with_the_next_grant() {
     let (edge, watch_client) = edge();
-    assert!(watch_client.hear(PublisherMessage::Push { number: 1, update: Update::Connected(true) }, &*edge));
+    assert!(watch_client
+        .handle_message(PublisherMessage::Push { number: 1, update: Update::Connected(true) }, &*edge));
     edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
-    assert!(!is_cached(&edge, "/a") && !watch_client.vouches(), "in touch, and no lease");
+    assert!(!is_cached(&edge, "/a") && !watch_client.may_serve_stored_responses(), "in touch, and no lease");
     in_touch(&edge, &watch_client, Duration::from_millis(1200));
     edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
-    assert!(is_cached(&edge, "/a") && watch_client.vouches());
+    assert!(is_cached(&edge, "/a") && watch_client.may_serve_stored_responses());
     // A frozen process resumes: it has received no message yet that its lease is over.
     tokio::time::advance(Duration::from_millis(1200)).await;
-    assert!(!watch_client.vouches());
+    assert!(!watch_client.may_serve_stored_responses());
     // A grant that was delayed meanwhile is as old as its request.
-    assert!(watch_client.hear(PublisherMessage::LeaseGranted { sent_at: 100, duration: 1100 }, &*edge));
-    assert!(!watch_client.vouches());
-    assert!(watch_client.hear(PublisherMessage::LeaseGranted { sent_at: 1200, duration: 1000 }, &*edge));
-    assert!(watch_client.vouches());
-    assert!(watch_client.hear(PublisherMessage::Push { number: 2, update: Update::Connected(false) }, &*edge));
-    assert!(watch_client.hear(PublisherMessage::Push { number: 3, update: Update::Connected(true) }, &*edge));
-    assert!(!watch_client.vouches(), "a lease from before contact was lost");
+    assert!(
+        watch_client.handle_message(PublisherMessage::LeaseGranted { sent_at: 100, duration: 1100 }, &*edge)
+    );
+    assert!(!watch_client.may_serve_stored_responses());
+    assert!(
+        watch_client.handle_message(PublisherMessage::LeaseGranted { sent_at: 1200, duration: 1000 }, &*edge)
+    );
+    assert!(watch_client.may_serve_stored_responses());
+    assert!(watch_client
+        .handle_message(PublisherMessage::Push { number: 2, update: Update::Connected(false) }, &*edge));
+    assert!(watch_client
+        .handle_message(PublisherMessage::Push { number: 3, update: Update::Connected(true) }, &*edge));
+    assert!(!watch_client.may_serve_stored_responses(), "a lease from before contact was lost");
 }
--- a/glenfall/tests/unit/failure.rs
+++ b/glenfall/tests/unit/failure.rs
@@ -11,15 +11,15 @@
 fn a_failure_survives_the_header_between_shield_and_edge() {
     for cause in Cause::ALL {
         for attempts in ["", "s-1: no connection, s-2: not run (503)"] {
-            let failure = Failure::after(*cause, attempts.into());
+            let failure = Failure::with_attempts(*cause, attempts.into());
             assert_eq!(Failure::decode(Some(&failure.encode())), failure);
         }
     }
     assert_eq!(Failure::decode(None).cause, Cause::Unstated);
     assert_eq!(Failure::decode(Some(&HeaderValue::from_static("another-release x"))).cause, Cause::Unstated);
     // A server name that is invalid in a header, and attempts longer than the limit.
-    assert_eq!(Failure::after(Cause::NoServer, "a\nb".into()).encode(), "no-server");
-    assert!(Failure::after(Cause::NoServer, "ä".repeat(1000)).encode().len() < 500);
+    assert_eq!(Failure::with_attempts(Cause::NoServer, "a\nb".into()).encode(), "no-server");
+    assert!(Failure::with_attempts(Cause::NoServer, "ä".repeat(1000)).encode().len() < 500);
     let failure = Failure::from(Cause::NoAnswer).preceded_by("shield a silent");
     assert_eq!(failure.attempts, "shield a silent");
     assert_eq!(failure.preceded_by("").preceded_by("b").attempts, "b, shield a silent");
--- a/glenfall/tests/unit/forward.rs
+++ b/glenfall/tests/unit/forward.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use glenfall::http::headers::TRY_ID;
+use glenfall::http::headers::TRY_ID_HEADER;
 use glenfall::memory_budget::MemoryBudget;
 use glenfall::upstream::forward::{Forwarder, Outcome, UpstreamRequest};
 use glenfall::upstream::pool::Pool;
@@ -42,26 +42,26 @@
     let settings = settings("[timing]\nretryRatio = 1.2\nretrySlack = 0\n");
     let forwarder = Forwarder::new(Pool::new(8, MemoryBudget::new(1 << 20)), &settings, ProxyRole::Edge);
     forwarder.update(&Fleet { complete: true, servers, shields: Vec::new(), edges: vec![1], cores: 1 });
-    (0..client_requests).for_each(|_| forwarder.count("s"));
+    (0..client_requests).for_each(|_| forwarder.record_client_request("s"));
     forwarder
 }
 
 fn request(uri: &Uri, idempotent: bool, max_sends: u32) -> UpstreamRequest<'_> {
     let mut headers = HeaderMap::new();
-    headers.insert(TRY_ID, HeaderValue::from_static("t"));
+    headers.insert(TRY_ID_HEADER, HeaderValue::from_static("t"));
     UpstreamRequest {
         service: "s",
         method: &Method::POST,
         uri,
         headers,
         body: Bytes::from_static(b"body"),
-        repeatable: idempotent,
-        tries: max_sends,
-        again: false,
-        until: Instant::now() + Duration::from_secs(20),
-        aim: Duration::from_secs(1),
-        rank: 0.0,
-        per_s: None,
+        idempotent,
+        max_attempts: max_sends,
+        is_retry: false,
+        deadline: Instant::now() + Duration::from_secs(20),
+        latency_target: Duration::from_secs(1),
+        priority_rank: 0.0,
+        rate_limit_per_s: None,
     }
 }
 
@@ -92,9 +92,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_first_attempt_waits_a_little_for_the_rate_limit_and_a_retry_does_not() {
     let forwarder = forwarder(Vec::new(), 0);
-    forwarder.hold(QuotaHolder::Shield { of: 1 });
+    forwarder.set_quota_holder(QuotaHolder::Shield { of: 1 });
     let uri = Uri::from_static("/x");
-    let limited = |per_s| UpstreamRequest { per_s, ..request(&uri, true, 2) };
+    let limited = |per_s| UpstreamRequest { rate_limit_per_s: per_s, ..request(&uri, true, 2) };
     let acquire = async |request: &UpstreamRequest<'_>, may_wait| {
         forwarder.acquire_rate_limit(request, may_wait).await.is_ok()
     };
--- a/glenfall/tests/unit/headers.rs
+++ b/glenfall/tests/unit/headers.rs
@@ -1,6 +1,6 @@
 //! Which headers a proxy forwards.
 
-use glenfall::http::headers::passed_on;
+use glenfall::http::headers::forwardable_headers;
 use hyper::header::{HeaderMap, HeaderValue};
 
 #[test]
@@ -23,7 +23,7 @@
     for name in forwarded.iter().chain(&removed) {
         headers.insert(*name, HeaderValue::from_static("x-named"));
     }
-    let names: Vec<String> = passed_on(&headers).keys().map(ToString::to_string).collect();
+    let names: Vec<String> = forwardable_headers(&headers).keys().map(ToString::to_string).collect();
     let expected = forwarded.map(str::to_owned);
     assert!(names.len() == expected.len() && expected.iter().all(|name| names.contains(name)), "{names:?}");
 }
--- a/glenfall/tests/unit/http_server.rs
+++ b/glenfall/tests/unit/http_server.rs
@@ -60,7 +60,7 @@
         max_connections: 2,
         max_body_bytes: 5000,
         drain_accept_time: Duration::ZERO,
-        grace: Duration::ZERO,
+        shutdown_timeout: Duration::ZERO,
     };
     let handler = Rc::new(LengthHandler { limits: Cell::new(limits), pending: Notify::new() });
     spawn_local(serve_at(listener, config, Rc::clone(&handler), stopping));
--- a/glenfall/tests/unit/proxies.rs
+++ b/glenfall/tests/unit/proxies.rs
@@ -147,10 +147,11 @@
 
 /// Tells a proxy what control would.
 fn tell(feed: &WatchClient, follower: &impl WatchHandler, fleet: &Fleet) {
-    assert!(feed.take(Update::Config { rev: 1, document: document() }, follower));
-    assert!(feed.take(Update::Fleet(FleetUpdate::Snapshot { version: 1, fleet: fleet.clone() }), follower));
-    assert!(feed.take(Update::Connected(true), follower));
-    assert!(feed.hear(PublisherMessage::LeaseGranted { sent_at: 0, duration: 600_000 }, follower));
+    assert!(feed.apply_update(Update::Config { rev: 1, document: document() }, follower));
+    assert!(feed
+        .apply_update(Update::Fleet(FleetUpdate::Snapshot { version: 1, fleet: fleet.clone() }), follower));
+    assert!(feed.apply_update(Update::Connected(true), follower));
+    assert!(feed.handle_message(PublisherMessage::LeaseGranted { sent_at: 0, duration: 600_000 }, follower));
 }
 
 /// A pool with room for all answers of a test.
@@ -220,7 +221,7 @@
         max_connections: 64,
         max_body_bytes: 0,
         drain_accept_time: still_accepting,
-        grace,
+        shutdown_timeout: grace,
     };
     spawn_local(serve_at(listener, terms, Rc::new(shield::ShieldHandler(shield)), stopping.clone()));
 }
--- a/glenfall/tests/unit/shield_recovery.rs
+++ b/glenfall/tests/unit/shield_recovery.rs
@@ -25,7 +25,7 @@
 
 /// How many reads a shield has received.
 fn reads(shield: &Rc<Shield>) -> u64 {
-    let counters = shield.report();
+    let counters = shield.counters();
     let count = |name: &str| counters.iter().find(|(known, _)| known == name).map_or(0, |(_, count)| *count);
     count("hits") + count("misses") + count("joined")
 }
@@ -54,7 +54,7 @@
         assert_eq!(read(&edge, &path).await, StatusCode::OK);
         assert_eq!((reads(&first), reads(&second)), (0, 2), "it failed a short time ago");
         let fleet = fleet_of(2, &servers, &shields);
-        assert!(watch_client.take(Update::Fleet(FleetUpdate::Snapshot { version: 2, fleet }), &*edge));
+        assert!(watch_client.apply_update(Update::Fleet(FleetUpdate::Snapshot { version: 2, fleet }), &*edge));
         assert_eq!(read(&edge, &path).await, StatusCode::OK);
         assert_eq!((reads(&first), reads(&second)), (1, 2), "another process, which is ready");
     });
@@ -95,12 +95,12 @@
             start_edge_with("[reqLimits]\nmemMb = 0\n", &servers, &shields, pool()).await;
         let path = path_at_first_shield(&shields, 2);
         assert_eq!(read(&edge, &path).await, StatusCode::OK);
-        assert!(first_watch_client.take(Update::Connected(false), &*first));
+        assert!(first_watch_client.apply_update(Update::Connected(false), &*first));
         assert_eq!(read(&edge, &path).await, StatusCode::OK);
         assert_eq!((reads(&first), reads(&second)), (2, 1), "its stored response is not used");
-        assert!(first_watch_client.take(Update::Connected(true), &*first));
+        assert!(first_watch_client.apply_update(Update::Connected(true), &*first));
         assert!(first_watch_client
-            .hear(PublisherMessage::LeaseGranted { sent_at: 0, duration: 600_000 }, &*first));
+            .handle_message(PublisherMessage::LeaseGranted { sent_at: 0, duration: 600_000 }, &*first));
         assert_eq!(read(&edge, &path).await, StatusCode::OK);
         assert_eq!((reads(&first), reads(&second)), (3, 1), "it has a lease");
     });
--- a/glenfall/tests/unit/store.rs
+++ b/glenfall/tests/unit/store.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 
 use glenfall::control::store::writer::HardStateWriter;
-use glenfall::control::store::{database_path, verify, Found, Store};
+use glenfall::control::store::{database_path, verify, RecoveredState, Store};
 use glenfall_control_plane::chain::{HardState, JointConfig, Record};
 use glenfall_control_plane::deduplication::{
-    AppliedOrder, DeduplicationTable, IdempotencyKey, CHUNK, MAX_APPLIED_ORDERS,
+    AppliedOrder, DeduplicationTable, IdempotencyKey, CHUNK_ORDERS, MAX_APPLIED_ORDERS,
 };
 use rusqlite::Connection;
 use serde::Serialize;
@@ -27,8 +27,8 @@
 fn state(promised: u64, size: usize) -> HardState {
     let document = (0..size).map(|n| (n * 7 % 251) as u8).collect();
     // One chunk that is full, and three orders more.
-    let orders: Vec<AppliedOrder> = (1..=CHUNK as u64 + 3).map(order).collect();
-    let taken = DeduplicationTable::listed(0, &orders).unwrap();
+    let orders: Vec<AppliedOrder> = (1..=CHUNK_ORDERS as u64 + 3).map(order).collect();
+    let taken = DeduplicationTable::from_orders(0, &orders).unwrap();
     let record = Record { seq: 67, rev: 67, document, applied_orders: taken };
     let members = JointConfig::of(vec![[10, 0, 0, 1].into()]);
     HardState { members, votes: true, promised, accepted: 16, record: Arc::new(record) }
@@ -49,7 +49,7 @@
 fn each_layout_before_is_taken_over_once_and_its_prints_confirm_and_refuse_nothing() {
     let whole = state(64, 100);
     let HardState { members, votes, promised, accepted, record } = whole.clone();
-    let taken = DeduplicationTable::forgotten(67);
+    let taken = DeduplicationTable::with_horizon(67);
     let expected =
         HardState { record: Arc::new(Record { applied_orders: taken, ..(*record).clone() }), ..whole };
     let prints = [(7u64, 1u64), (9, 2)].as_slice();
@@ -62,7 +62,7 @@
             written_before(&folder, before, &(&members, votes, promised, accepted, record));
         }
         for _ in 0..2 {
-            assert_eq!(Store::open(&folder).unwrap().1, Found::Kept(expected.clone()), "{before}");
+            assert_eq!(Store::open(&folder).unwrap().1, RecoveredState::Intact(expected.clone()), "{before}");
             let db = Connection::open(database_path(&folder)).unwrap();
             let now: i64 = db.query_row("PRAGMA user_version", [], |row| row.get(0)).unwrap();
             assert_eq!(now, LAYOUT, "{before}");
@@ -81,7 +81,7 @@
         writer.submit(number, state(number * 16, 9000));
         assert_eq!(synced.blocking_recv(), Some(number));
         copy_files(&folder, &then);
-        assert_eq!(Store::open(&then).unwrap().1, Found::Kept(state(number * 16, 9000)));
+        assert_eq!(Store::open(&then).unwrap().1, RecoveredState::Intact(state(number * 16, 9000)));
     }
 }
 
@@ -89,7 +89,7 @@
 fn what_was_written_last_is_read_back() {
     let folder = Folder::new("store-back");
     let (store, found) = Store::open(&folder).unwrap();
-    assert_eq!(found, Found::Nothing);
+    assert_eq!(found, RecoveredState::Missing);
     let (tell, mut synced) = tokio::sync::mpsc::unbounded_channel();
     let writer = HardStateWriter::start(store, tell).unwrap();
     for number in 1..=5 {
@@ -100,14 +100,14 @@
     drop(writer);
     assert_eq!(synced.blocking_recv(), None);
     assert_eq!(verify(&folder).unwrap(), Some(state(80, 2)));
-    assert_eq!(Store::open(&folder).unwrap().1, Found::Kept(state(80, 2)));
+    assert_eq!(Store::open(&folder).unwrap().1, RecoveredState::Intact(state(80, 2)));
 }
 
 /// A state with these orders in its table.
 fn with(orders: RangeInclusive<u64>) -> HardState {
     let (rev, forgotten) = (*orders.end(), orders.start() - 1);
     let orders: Vec<AppliedOrder> = orders.map(order).collect();
-    let taken = DeduplicationTable::listed(forgotten, &orders).unwrap();
+    let taken = DeduplicationTable::from_orders(forgotten, &orders).unwrap();
     let record = Record { seq: rev, rev, document: b"{}".to_vec(), applied_orders: taken };
     HardState { record: Arc::new(record), ..state(16, 0) }
 }
@@ -116,7 +116,7 @@
 fn taken_orders_are_written_once_and_those_that_leave_the_table_leave_the_file() {
     let folder = Folder::new("store-taken");
     let (store, _) = Store::open(&folder).unwrap();
-    let (most, chunk) = (MAX_APPLIED_ORDERS as u64, CHUNK as u64);
+    let (most, chunk) = (MAX_APPLIED_ORDERS as u64, CHUNK_ORDERS as u64);
     // The table grows, is full, lets go of its oldest chunk, and begins anew as a restored one does. Rows that are
     // written or deleted, that of the state included.
     let cases = [
@@ -138,7 +138,7 @@
     drop(store);
     // What has a row is known after a start as well.
     let (store, found) = Store::open(&folder).unwrap();
-    assert_eq!(found, Found::Kept(with(1..=chunk)));
+    assert_eq!(found, RecoveredState::Intact(with(1..=chunk)));
     let before = store.rows_changed();
     store.save(&with(1..=chunk + 1)).unwrap();
     assert_eq!(store.rows_changed() - before, 1);
@@ -164,22 +164,22 @@
     std::fs::write(database_path(folder), bytes).unwrap();
     let (store, found) = Store::open(folder).unwrap_or_else(|e| panic!("{case}: {e}"));
     match found {
-        Found::Kept(state) => {
+        RecoveredState::Intact(state) => {
             assert_eq!(&state, whole, "{case}: read as if it were whole");
             false
         }
-        Found::Nothing => {
+        RecoveredState::Missing => {
             assert!(bytes.is_empty(), "{case}: as if nothing had been there");
             false
         }
-        Found::Damaged(why) => {
+        RecoveredState::Damaged(why) => {
             assert!(!why.contains('\n'), "{case}: {why}");
             drop(store);
             let (store, found) = Store::open(folder).unwrap();
-            assert!(matches!(found, Found::Damaged(_)), "{case}: forgotten by the next start");
+            assert!(matches!(found, RecoveredState::Damaged(_)), "{case}: forgotten by the next start");
             store.save(whole).unwrap();
             drop(store);
-            assert_eq!(Store::open(folder).unwrap().1, Found::Kept(whole.clone()), "{case}");
+            assert_eq!(Store::open(folder).unwrap().1, RecoveredState::Intact(whole.clone()), "{case}");
             true
         }
     }
--- a/glenfall/tests/unit/stored_data.rs
+++ b/glenfall/tests/unit/stored_data.rs
@@ -12,9 +12,9 @@
 use glenfall::cache::disk::{DiskCache, FILE_NAME as COPIES};
 use glenfall::control::backup::Backup;
 use glenfall::control::purge_log::{PurgeLog, MAX_CLOCK_ERROR_MS};
-use glenfall::control::store::{self, Found, Store};
+use glenfall::control::store::{self, RecoveredState, Store};
 use glenfall_control_plane::chain::{HardState, JointConfig, Record};
-use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey, CHUNK};
+use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey, CHUNK_ORDERS};
 use glenfall_control_plane::messages::{Purge, PurgeRecord};
 use hyper::header::{HeaderMap, HeaderValue};
 use rusqlite::Connection;
@@ -27,7 +27,7 @@
 const DOCUMENT: &[u8] =
     br#"{"rev": 90, "paths": [], "backends": [{"name": "s"}], "unknown": {"kept": true}}"#;
 /// One full chunk of orders, and some that do not fill another.
-const ORDERS: u64 = CHUNK as u64 + 6;
+const ORDERS: u64 = CHUNK_ORDERS as u64 + 6;
 const FIRST_ORDER: u64 = 20;
 
 fn fixture(name: &str) -> PathBuf {
@@ -62,7 +62,7 @@
     let members = JointConfig { voters: vec![ip(1), ip(2), ip(3)], outgoing: vec![ip(1), ip(2)] };
     let order = |rev: u64| AppliedOrder { rev, key: IdempotencyKey([rev as u8; 32]) };
     let orders: Vec<AppliedOrder> = (FIRST_ORDER..FIRST_ORDER + ORDERS).map(order).collect();
-    let taken = DeduplicationTable::listed(FIRST_ORDER - 1, &orders).expect("a table");
+    let taken = DeduplicationTable::from_orders(FIRST_ORDER - 1, &orders).expect("a table");
     let record = Arc::new(Record { seq: 71, rev: 90, document: DOCUMENT.to_vec(), applied_orders: taken });
     HardState { members, votes: true, promised: 1025, accepted: 513, record }
 }
@@ -77,12 +77,12 @@
     let folder = folder_with(STATE);
     assert_eq!(store::verify(&folder).expect("whole"), Some(state()));
     let (store, found) = Store::open(&folder).expect("opened");
-    assert_eq!(found, Found::Kept(state()));
+    assert_eq!(found, RecoveredState::Intact(state()));
     // What this version writes beside it is found as well.
     let next = HardState { promised: 2049, ..state() };
     store.save(&next).expect("saved");
     drop(store);
-    assert_eq!(Store::open(&folder).expect("opened again").1, Found::Kept(next));
+    assert_eq!(Store::open(&folder).expect("opened again").1, RecoveredState::Intact(next));
 }
 
 fn purge(number: u64, purge: Purge) -> PurgeRecord {
--- a/http-client/src/connection.rs
+++ b/http-client/src/connection.rs
@@ -51,11 +51,11 @@
 #[derive(Debug)]
 pub enum ExchangeError {
     /// The request was not written completely: the server has not run it.
-    Unsent,
+    NotSent,
     /// The connection failed after the request was written completely: the server may have run it.
-    Broken(hyper::Error),
+    ConnectionLost(hyper::Error),
     /// The response names another request. The request was written completely: the server may have run it.
-    Foreign,
+    WrongRequest,
 }
 
 impl Connection {
@@ -92,10 +92,10 @@
         self.progress.watch_informational(&mut request);
         match self.sender.try_send_request(request).await {
             Ok(response) if self.is_response_to(expected_id, &response) => Ok(response),
-            Ok(_) if sent.whole() => Err(ExchangeError::Foreign),
-            Ok(_) => Err(ExchangeError::Unsent),
-            Err(error) if sent.whole() => Err(ExchangeError::Broken(error.into_error())),
-            Err(_) => Err(ExchangeError::Unsent),
+            Ok(_) if sent.is_sent() => Err(ExchangeError::WrongRequest),
+            Ok(_) => Err(ExchangeError::NotSent),
+            Err(error) if sent.is_sent() => Err(ExchangeError::ConnectionLost(error.into_error())),
+            Err(_) => Err(ExchangeError::NotSent),
         }
     }
 
@@ -114,7 +114,7 @@
 
     /// Delays the last byte of the next request until a server that has forgotten this connection would have reset it.
     /// A request that fails before that has certainly not run, and may go to another server.
-    pub fn be_wary(&self) {
+    pub fn delay_last_byte(&self) {
         let reset_wait = self.connect_time * RESET_WAIT_ROUND_TRIPS + SCHEDULING_ALLOWANCE;
         self.progress.delay_last_byte(reset_wait.min(MAX_RESET_WAIT));
     }
@@ -126,7 +126,7 @@
 
     /// Whether the connection can carry another request: its last response was read completely, and began only after
     /// its request was written completely.
-    pub async fn is_free(&mut self) -> bool {
+    pub async fn is_reusable(&mut self) -> bool {
         self.progress.is_in_sequence()
             && matches!(tokio::time::timeout(READY_TIMEOUT, self.sender.ready()).await, Ok(Ok(())))
     }
--- a/http-client/src/lib.rs
+++ b/http-client/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod send;
 mod socket;
 
-pub use body_framing::BodyEnd;
+pub use body_framing::BodyFraming;
 pub use connection::{is_unreadable, Connection, ExchangeError};
 pub use progress::{Progress, RequestProgress};
 pub use socket::OpenSocket;
--- a/http-client/src/progress.rs
+++ b/http-client/src/progress.rs
@@ -130,7 +130,7 @@
     }
 
     /// Whether the request was written completely.
-    pub fn whole(&self) -> bool {
+    pub fn is_sent(&self) -> bool {
         self.stage().is_sent()
     }
 
--- a/http-client/src/send.rs
+++ b/http-client/src/send.rs
@@ -185,12 +185,12 @@
     }
 
     /// Whether the request would be sent to another server if more sends were allowed.
-    pub fn is_short(&self) -> bool {
+    pub fn is_exhausted(&self) -> bool {
         !self.stopped && self.used > 0 && self.used == self.max_sends
     }
 
     /// Records the end of a send. `failure`: the server responded with an error of its own.
-    pub fn ended(&mut self, stage: SendStage, event: SendEvent, failure: bool) -> ExecutionStatus {
+    pub fn record_end(&mut self, stage: SendStage, event: SendEvent, failure: bool) -> ExecutionStatus {
         let status = execution_status(stage, event, self.idempotent);
         if event == SendEvent::NoConnection {
             self.unreachable += 1;
@@ -202,7 +202,7 @@
     }
 
     /// Stops the sequence: the request is sent to no other server.
-    pub fn settle(&mut self) {
+    pub fn stop(&mut self) {
         self.stopped = true;
     }
 }
--- a/http-client/tests/early_response.rs
+++ b/http-client/tests/early_response.rs
@@ -77,10 +77,10 @@
                     assert_eq!(response.into_body().collect().await.unwrap().to_bytes(), "no");
                 }
                 Err(error) => {
-                    assert!(!is_accepted && matches!(error, ExchangeError::Unsent), "{own:?}, {named}")
+                    assert!(!is_accepted && matches!(error, ExchangeError::NotSent), "{own:?}, {named}")
                 }
             }
-            assert!(!connection.is_free().await, "it is not reused");
+            assert!(!connection.is_reusable().await, "it is not reused");
             let read_remaining = async {
                 let mut remaining = Vec::new();
                 while stream.read_buf(&mut remaining).await.is_ok_and(|count| count > 0) {}
@@ -110,8 +110,8 @@
                     stream.write_all(response("z").as_bytes()).await.unwrap();
                 });
             result.expect("its own response").into_body().collect().await.unwrap();
-            assert!(first.whole() && connection.is_free().await);
-            connection.be_wary();
+            assert!(first.is_sent() && connection.is_reusable().await);
+            connection.delay_last_byte();
             let sent = RequestProgress::default();
             let (result, mut stream) =
                 tokio::join!(connection.send(request(Some("a"), 4), Some(&ID_HEADER), &sent), async {
@@ -123,7 +123,7 @@
             drop(result);
             // The delay is over, and the last byte is still not written.
             tokio::time::sleep(Duration::from_millis(30)).await;
-            assert!(!connection.is_free().await);
+            assert!(!connection.is_reusable().await);
             drop(connection);
             assert_eq!(
                 stream.read(&mut [0; 8]).await.unwrap_or(0),
--- a/http-client/tests/retry_safety.rs
+++ b/http-client/tests/retry_safety.rs
@@ -1,7 +1,7 @@
 //! Every stage of a send with every event, and how response bodies are delimited.
 
 use glenfall_http_client::send::{execution_status, ExecutionStatus, SendEvent, SendSequence, SendStage};
-use glenfall_http_client::BodyEnd;
+use glenfall_http_client::BodyFraming;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 
 /// The execution status of a non-idempotent request for each event, by stage: unconnected, connected, partly sent, sent,
@@ -63,13 +63,13 @@
 #[test]
 fn a_body_end_is_stated_by_one_header_or_by_the_close_of_the_connection() {
     for (lines, end) in [
-        (&["content-length: 5"][..], BodyEnd::Stated),
-        (&["transfer-encoding: Chunked "], BodyEnd::Stated),
-        (&[], BodyEnd::Close),
-        (&["transfer-encoding: gzip"], BodyEnd::Unclear),
-        (&["transfer-encoding: gzip, chunked"], BodyEnd::Unclear),
-        (&["transfer-encoding: chunked", "transfer-encoding: gzip"], BodyEnd::Unclear),
-        (&["transfer-encoding: chunked", "content-length: 5"], BodyEnd::Unclear),
+        (&["content-length: 5"][..], BodyFraming::Delimited),
+        (&["transfer-encoding: Chunked "], BodyFraming::Delimited),
+        (&[], BodyFraming::UntilClose),
+        (&["transfer-encoding: gzip"], BodyFraming::Ambiguous),
+        (&["transfer-encoding: gzip, chunked"], BodyFraming::Ambiguous),
+        (&["transfer-encoding: chunked", "transfer-encoding: gzip"], BodyFraming::Ambiguous),
+        (&["transfer-encoding: chunked", "content-length: 5"], BodyFraming::Ambiguous),
     ] {
         let parts = lines.iter().map(|line| line.split_once(": ").expect("a header"));
         let headers = parts.map(|(name, value)| {
@@ -79,14 +79,14 @@
         for (name, value) in headers {
             header_map.append(name, value);
         }
-        assert_eq!(BodyEnd::of(&header_map), end, "{lines:?}");
+        assert_eq!(BodyFraming::of(&header_map), end, "{lines:?}");
     }
 }
 
 #[test]
 fn sends_end_at_their_limit_at_a_final_response_or_after_four_unreachable_servers() {
     let ended = |sends: &mut SendSequence, event| {
-        sends.ended(SendStage::Answering, event, event == SendEvent::Failure)
+        sends.record_end(SendStage::Answering, event, event == SendEvent::Failure)
     };
     for (case, idempotent, events, used, may_begin, is_short) in [
         ("none yet", true, &[][..], 0, true, false),
@@ -105,7 +105,7 @@
             ended(&mut sends, *event);
         }
         assert_eq!(
-            (sends.used(), sends.may_begin(), sends.is_short()),
+            (sends.used(), sends.may_begin(), sends.is_exhausted()),
             (used, may_begin, is_short),
             "{case}"
         );
@@ -113,15 +113,15 @@
     let mut sends = SendSequence::new(2, false);
     for _ in 0..4 {
         assert!(sends.may_begin());
-        sends.ended(SendStage::Unconnected, SendEvent::NoConnection, false);
+        sends.record_end(SendStage::Unconnected, SendEvent::NoConnection, false);
     }
     assert_eq!(
-        (sends.used(), sends.may_begin(), sends.is_short()),
+        (sends.used(), sends.may_begin(), sends.is_exhausted()),
         (0, false, false),
         "no server was reached"
     );
     let mut sends = SendSequence::new(2, true);
     ended(&mut sends, SendEvent::NotRun);
-    sends.settle();
-    assert!(!sends.may_begin() && !sends.is_short(), "no other server is to be asked");
+    sends.stop();
+    assert!(!sends.may_begin() && !sends.is_exhausted(), "no other server is to be asked");
 }
