--- a/balancer-adapter/src/messages.rs
+++ b/balancer-adapter/src/messages.rs
@@ -2,7 +2,10 @@
 
 use std::io::BufRead;
 
-use glenfall_balancer::*;
+use glenfall_balancer::{
+    AttemptId, CacheStatus, Event, Key, NewRequest, Outcome, RequestId, RosterEntry, RosterUpdate, Seconds,
+    ServerState, Settings, Status, TimerToken,
+};
 use glenfall_balancer_settings::Names;
 
 use crate::error::AdapterError;
--- a/balancer-adapter/tests/wire.rs
+++ b/balancer-adapter/tests/wire.rs
@@ -196,13 +196,13 @@
     let sound = day(&[1, 2]).into_bytes();
     let mut seed = 9u64;
     let mut next = |n: usize| {
-        seed = seed.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (seed >> 33) as usize % n
     };
     let mut errors = 0;
     for _ in 0..150 {
         let mut input = sound.clone();
-        for _ in 0..1 + next(3) {
+        for _ in 0..=next(3) {
             let at = next(input.len());
             match next(3) {
                 0 => input[at] = b" -\n0{\"z9.\xff"[next(10)],
--- a/balancer-node/src/host.rs
+++ b/balancer-node/src/host.rs
@@ -207,7 +207,7 @@
             let result = tokio::select! {
                 biased;
                 result = upstreams.exchange(&server, &payload, timeout, &attempt.progress) => result,
-                _ = sleep(timeout) => attempt.aborted(Status::TimedOut, Status::Unreachable),
+                () = sleep(timeout) => attempt.aborted(Status::TimedOut, Status::Unreachable),
                 _ = cancelled => attempt.aborted(Status::Cancelled, Status::NotSent),
             };
             attempt.report(result);
--- a/balancer-node/src/server.rs
+++ b/balancer-node/src/server.rs
@@ -106,7 +106,7 @@
         }
         () = async {
             if timeout(FIRST_REQUEST_TIMEOUT, client.first_request()).await.is_ok() {
-                std::future::pending().await
+                std::future::pending::<()>().await;
             }
         } => return,
         // hyper would close a new connection at once, and with it a request that is in transit: what the
--- a/balancer-settings/src/settings.rs
+++ b/balancer-settings/src/settings.rs
@@ -1,6 +1,9 @@
 //! The settings' names in JSON and their meaning for the balancer.
 
-use glenfall_balancer::*;
+use glenfall_balancer::{
+    CacheMode, Class, DeduplicationScope, Effect, Guarantees, Limits, Membership, Prices, RetryBudgetRule,
+    Settings, Tenant, WeightSource,
+};
 use serde_json::Value;
 
 use crate::fields::{flag, list, number, object, required, text, whole_number, Object, ParseError};
--- a/balancer/tests/random.rs
+++ b/balancer/tests/random.rs
@@ -11,7 +11,7 @@
 
 impl Rng {
     fn next(&mut self) -> u64 {
-        self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) ^ (self.0 >> 7 & 0xffff)
     }
 
@@ -304,7 +304,7 @@
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let trace = |_: ()| {
+    let trace = |(): ()| {
         let log = std::cell::RefCell::new(String::new());
         play(5, 3000, |actions| log.borrow_mut().push_str(&format!("{actions:?}\n"))).unwrap();
         log.into_inner()
--- a/control-plane-sim/src/world/step.rs
+++ b/control-plane-sim/src/world/step.rs
@@ -56,7 +56,7 @@
         self.handle_notifications(number);
         self.handle_queued_calls(number);
         if self.now.is_multiple_of(CHAIN_TICK_INTERVAL) {
-            self.with_chain(number, |chain, now| chain.tick(now));
+            self.with_chain(number, glenfall_control_plane::chain::Chain::tick);
         }
         self.note_view(number);
     }
--- a/control-plane/src/chain/message.rs
+++ b/control-plane/src/chain/message.rs
@@ -91,7 +91,7 @@
         /// The view's ballot.
         view: u64,
     },
-    /// All members have made the view durable (StartView in Viewstamped Replication, 4.2).
+    /// All members have made the view durable (`StartView` in Viewstamped Replication, 4.2).
     StartView {
         /// The view.
         view: View,
@@ -123,7 +123,7 @@
         /// The call.
         call: Call,
     },
-    /// Confirms a claim before it is answered (ReadIndex in Raft, 6.4). It goes down the chain after the call has begun.
+    /// Confirms a claim before it is answered (`ReadIndex` in Raft, 6.4). It goes down the chain after the call has begun.
     /// Each member forwards it only if no promise has fenced the view, and the tail answers. The chain contains a quorum,
     /// and so do the acceptors that promised a newer view: they have a member in common, which had not promised yet when it
     /// forwarded this message.
--- a/control-plane/src/chain/quorum_read.rs
+++ b/control-plane/src/chain/quorum_read.rs
@@ -1,4 +1,4 @@
-//! Linearizable reads and rejections (ReadIndex in Raft, 6.4).
+//! Linearizable reads and rejections (`ReadIndex` in Raft, 6.4).
 //!
 //! An answer that depends on the newest version is sent only after the whole chain has confirmed, since the call began, that
 //! its view is not fenced. The chain contains a quorum, and a newer view needs promises of a quorum: the two have a member
--- a/control-plane/src/chain/replication.rs
+++ b/control-plane/src/chain/replication.rs
@@ -47,16 +47,13 @@
     pub(super) fn accept(&mut self, entry: &Arc<LogEntry>) {
         let Some(installed) = &self.installed else { return };
         let view = &installed.view;
-        let follow_up = match view.successor(self.me) {
-            Some(next) => {
-                let update = Message::Update { view: view.number, entry: Arc::clone(entry) };
-                vec![Output::Send(next, update)]
-            }
-            None => {
-                // The tail acknowledges to itself as well, last: it commits when its own write is durable.
-                let ack = Message::Acked { view: view.number, seq: entry.seq };
-                view.chain.iter().map(|member| Output::Send(*member, ack.clone())).collect()
-            }
+        let follow_up = if let Some(next) = view.successor(self.me) {
+            let update = Message::Update { view: view.number, entry: Arc::clone(entry) };
+            vec![Output::Send(next, update)]
+        } else {
+            // The tail acknowledges to itself as well, last: it commits when its own write is durable.
+            let ack = Message::Acked { view: view.number, seq: entry.seq };
+            view.chain.iter().map(|member| Output::Send(*member, ack.clone())).collect()
         };
         self.hard_state.record = Arc::new(self.hard_state.record.after(entry));
         self.persist(follow_up);
--- a/control-plane/tests/contact.rs
+++ b/control-plane/tests/contact.rs
@@ -210,7 +210,7 @@
                 assert!(!was_acknowledged, "an acknowledged change is invalid when it is retried: {why}");
             }
             (Call::Change { .. }, Outcome::Forgotten { .. }) => {
-                assert!(!was_acknowledged, "an acknowledged change is forgotten")
+                assert!(!was_acknowledged, "an acknowledged change is forgotten");
             }
             (_, Outcome::Document(record)) => {
                 assert!(
--- a/control-plane/tests/deduplication.rs
+++ b/control-plane/tests/deduplication.rs
@@ -46,7 +46,7 @@
     record.decide(order.0, &order.1)
 }
 
-/// Applies PUTs and PATCHes in turn, each on the one before, two versions apart.
+/// Applies PUTs and `PATCHes` in turn, each on the one before, two versions apart.
 fn apply_orders(record: &mut Record, changes: usize) {
     for n in 0..changes {
         let (rev, make) = (record.rev, if n % 2 == 0 { put } else { patch });
@@ -143,7 +143,7 @@
 fn the_table_is_bounded_and_invalid_tables_are_rejected() {
     let mut record = Record { rev: u64::MAX - (1 << 20), ..Record::default() };
     let mut longest = 0;
-    for _ in 0..MAX_APPLIED_ORDERS + CHUNK_ORDERS + 1 {
+    for _ in 0..=(MAX_APPLIED_ORDERS + CHUNK_ORDERS) {
         apply_orders(&mut record, 1);
         longest = longest.max(record.applied_orders.len());
     }
@@ -211,7 +211,7 @@
             position.is_some_and(|position| self.applied.len() - 1 - position <= MIN_RETAINED);
         match decision {
             Decision::AlreadyApplied { rev: decided } => {
-                assert!(position.is_some() && *decided == rev, "{case}")
+                assert!(position.is_some() && *decided == rev, "{case}");
             }
             Decision::Expired { .. } => {
                 // Only after so many orders with higher versions that its key may have been evicted.
@@ -402,7 +402,7 @@
         while self.now < until {
             self.now += TICK;
             for n in self.running() {
-                self.with(n, |chain, now| chain.tick(now));
+                self.with(n, glenfall_control_plane::chain::Chain::tick);
             }
             while self.step() {}
         }
--- a/control-plane/tests/exhaustive/members.rs
+++ b/control-plane/tests/exhaustive/members.rs
@@ -171,7 +171,7 @@
 /// `EXHAUSTIVE_THREADS`, or as many as there are processors, eight at most.
 fn threads() -> usize {
     let wanted = std::env::var("EXHAUSTIVE_THREADS").ok().and_then(|n| n.parse().ok());
-    wanted.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, |n| n.get()).min(8))
+    wanted.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, std::num::NonZero::get).min(8))
 }
 
 /// Visits the states that can follow each moment of a reconfiguration.
--- a/control-plane/tests/exhaustive/world.rs
+++ b/control-plane/tests/exhaustive/world.rs
@@ -191,7 +191,7 @@
         self.now += TIME_STEP;
         for n in 0..self.nodes() {
             // Time alone acknowledges nothing.
-            self.with_chain(n, |chain, now| chain.tick(now)).unwrap();
+            self.with_chain(n, glenfall_control_plane::chain::Chain::tick).unwrap();
         }
         let arrives = |event: &Event| matches!(event, Event::Deliver(..) | Event::Sync(_));
         while let Some(event) = self.events().into_iter().find(arrives) {
@@ -276,7 +276,7 @@
     pub fn pass(&mut self, due: Millis) -> Result<(), String> {
         self.now += due;
         for n in 0..self.nodes() {
-            self.with_chain(n, |chain, now| chain.tick(now))?;
+            self.with_chain(n, glenfall_control_plane::chain::Chain::tick)?;
         }
         self.deliver_heartbeats()
     }
--- a/control-plane/tests/lease_world/control.rs
+++ b/control-plane/tests/lease_world/control.rs
@@ -92,7 +92,7 @@
             let link = self.processes[me].control.links.get(&peer).map(|link| (link.connection, link.up));
             match link {
                 Some((connection, true)) => {
-                    self.send(me, connection, Message::PeerRenew { incarnation, sent })
+                    self.send(me, connection, Message::PeerRenew { incarnation, sent });
                 }
                 Some(_) => {}
                 None if me < peer && self.reaches(me, peer) => {
--- a/control-plane/tests/lease_world/mod.rs
+++ b/control-plane/tests/lease_world/mod.rs
@@ -287,7 +287,7 @@
         let [lower, upper] = self.connections[connection].ends;
         match (lower < CONTROLS, to == upper) {
             (true, _) => {
-                self.handle_control(to, connection, if to == upper { lower } else { upper }, message)
+                self.handle_control(to, connection, if to == upper { lower } else { upper }, message);
             }
             (false, true) => self.handle_from_subscriber(to, connection, message),
             (false, false) => self.handle_from_publisher(to, connection, message),
@@ -304,9 +304,9 @@
 
     fn tick(&mut self, process: usize) {
         if process < CONTROLS {
-            self.tick_control(process)
+            self.tick_control(process);
         } else {
-            self.tick_subscriber(process)
+            self.tick_subscriber(process);
         }
     }
 
--- a/control-plane/tests/members.rs
+++ b/control-plane/tests/members.rs
@@ -206,12 +206,11 @@
                     }
                     assert!(now < until, "seed {}: {n} is still needed when its time is over", self.seed);
                     self.world.kill(n);
-                    match restart_after {
-                        Some(after) => self.losses.insert(n, Loss::Killed { until: now + after }),
-                        None => {
-                            self.world.machine(n).removed = true;
-                            self.losses.remove(&n)
-                        }
+                    if let Some(after) = restart_after {
+                        self.losses.insert(n, Loss::Killed { until: now + after })
+                    } else {
+                        self.world.machine(n).removed = true;
+                        self.losses.remove(&n)
                     };
                     false
                 }
@@ -398,7 +397,7 @@
     });
     println!("{changes} changes acknowledged, {losses} losses");
     for ((losses, sync), (mut replaced_after, back)) in longest {
-        replaced_after.sort();
+        replaced_after.sort_unstable();
         let (seats, last) = (replaced_after.len(), replaced_after.last().copied().unwrap_or(0));
         let nearly = replaced_after.get(seats * 99 / 100).copied().unwrap_or(0);
         let over = replaced_after.iter().filter(|took| **took > sync).count();
--- a/control-plane/tests/unit/peers.rs
+++ b/control-plane/tests/unit/peers.rs
@@ -15,7 +15,7 @@
         votes: true,
         promised: 1,
         accepted: 1,
-        record: Default::default(),
+        record: std::sync::Arc::default(),
     };
     let settings = ChainSettings { losses: 1, eligible: true, ..ChainSettings::default() };
     Chain::new(node(3), settings, Start::Recovered(state))
--- a/control-plane/tests/unit/voters.rs
+++ b/control-plane/tests/unit/voters.rs
@@ -8,8 +8,13 @@
 fn a_voter_that_was_replaced_does_not_count_a_quorum_of_the_old_set() {
     let node = |n: u8| NodeId::from([10, 0, 0, n]);
     let old = JointConfig::of(vec![node(1), node(2), node(3)]);
-    let state =
-        HardState { members: old.clone(), votes: true, promised: 1, accepted: 1, record: Default::default() };
+    let state = HardState {
+        members: old.clone(),
+        votes: true,
+        promised: 1,
+        accepted: 1,
+        record: std::sync::Arc::default(),
+    };
     let settings = ChainSettings { losses: 1, eligible: true, ..ChainSettings::default() };
     let mut chain = Chain::new(node(1), settings, Start::Recovered(state));
     chain.peer_connected(0, node(2));
--- a/experiments/src/experiment/faults.rs
+++ b/experiments/src/experiment/faults.rs
@@ -27,23 +27,23 @@
     let restarts = fault.duration_s > 0.0;
     match &fault.kind {
         FaultKind::Kill { node, role } => {
-            signal(&local, node, role, Signal::SIGKILL);
+            signal(&local, node, role.as_deref(), Signal::SIGKILL);
             if restarts {
                 sleep_until(ends_at).await;
                 restart(&local, node);
             }
         }
         FaultKind::Terminate { node, role } => {
-            signal(&local, node, role, Signal::SIGTERM);
+            signal(&local, node, role.as_deref(), Signal::SIGTERM);
             if restarts {
                 sleep_until(ends_at.max(Instant::now() + TERMINATION_TIMEOUT)).await;
                 restart(&local, node);
             }
         }
         FaultKind::Pause { node, role } => {
-            signal(&local, node, role, Signal::SIGSTOP);
+            signal(&local, node, role.as_deref(), Signal::SIGSTOP);
             sleep_until(ends_at).await;
-            signal(&local, node, role, Signal::SIGCONT);
+            signal(&local, node, role.as_deref(), Signal::SIGCONT);
         }
         FaultKind::Slow { service, count, factor } => {
             let slow = healthy_origins(&origins, service, *count);
@@ -60,8 +60,8 @@
     }
 }
 
-fn signal(local: &RefCell<LocalSystem>, node: &str, role: &Option<String>, signal: Signal) {
-    for pid in local.borrow().pids(node, role.as_deref()) {
+fn signal(local: &RefCell<LocalSystem>, node: &str, role: Option<&str>, signal: Signal) {
+    for pid in local.borrow().pids(node, role) {
         // One that has exited already needs no signal.
         let _ = kill(Pid::from_raw(pid as i32), signal);
     }
--- a/experiments/src/experiment/setup.rs
+++ b/experiments/src/experiment/setup.rs
@@ -19,7 +19,7 @@
 use crate::status::{control_nodes, count_ready, has_applied_all, sessions};
 
 /// The system is up within this time, also on a busy machine.
-const START_TIMEOUT: Duration = Duration::from_secs(60);
+const START_TIMEOUT: Duration = Duration::from_mins(1);
 /// The machine number of the first server.
 const FIRST_SERVER_MACHINE: u8 = 100;
 /// How often it is looked whether the system is ready.
--- a/experiments/src/fleet/writes.rs
+++ b/experiments/src/fleet/writes.rs
@@ -210,7 +210,7 @@
         };
         let balancer = &self.balancers[write.edge];
         let chosen = balancer.choose(self.instant(), SERVICE_NAME, &write.tried, has_idle_connection)?;
-        Some(chosen.id.to_string())
+        Some(chosen.id.clone())
     }
 
     /// Takes the connection that was used last, or opens another.
--- a/experiments/src/hollow/nodes/mod.rs
+++ b/experiments/src/hollow/nodes/mod.rs
@@ -243,7 +243,7 @@
             }
             Update::Purges(purges) => self.observations.add_purges(&purges, self.number),
             Update::Connected(connected) => knowledge.in_contact = connected,
-            _ => {}
+            Update::Config { .. } => {}
         }
         true
     }
--- a/experiments/src/hollow/observations.rs
+++ b/experiments/src/hollow/observations.rs
@@ -101,12 +101,12 @@
     /// Notes that a node has applied a version.
     pub fn add_applied(&self, rev: u64) {
         let applied = AppliedVersion { rev, at: self.now() };
-        self.applied.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push(applied);
+        self.applied.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push(applied);
     }
 
     /// Returns when nodes applied a version, in seconds of the run.
     pub fn applied_at(&self, rev: u64) -> Vec<f64> {
-        let applied = self.applied.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let applied = self.applied.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         applied.iter().filter(|version| version.rev == rev).map(|version| version.at).collect()
     }
 
--- a/experiments/src/hollow/waiting.rs
+++ b/experiments/src/hollow/waiting.rs
@@ -5,7 +5,7 @@
 use tokio::time::{sleep, Instant};
 
 /// Control is up, and all nodes are in contact, within this time.
-pub const READY_TIMEOUT: Duration = Duration::from_secs(60);
+pub const READY_TIMEOUT: Duration = Duration::from_mins(1);
 /// How often a state that is waited for is polled; where nodes do not measure times themselves, they are no finer.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
--- a/experiments/src/origin/heartbeats.rs
+++ b/experiments/src/origin/heartbeats.rs
@@ -18,7 +18,7 @@
 /// How often a server sends a heartbeat.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// A server serves on for this time after its draining or deregistration was acknowledged; later no request may arrive.
-pub(super) const DRAIN_TIME: Duration = Duration::from_millis(3000);
+pub(super) const DRAIN_TIME: Duration = Duration::from_secs(3);
 /// How often it is looked whether a server is to drain.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Connections to control.
--- a/experiments/src/schedules.rs
+++ b/experiments/src/schedules.rs
@@ -212,7 +212,7 @@
     let seconds = batch.began_at.elapsed().as_secs_f64();
     let coverage = batch.coverage.into_inner().unwrap_or_default();
     let mut failed_seeds = batch.failed_seeds.into_inner().unwrap_or_default();
-    failed_seeds.sort();
+    failed_seeds.sort_unstable();
     println!(
         "{} {} schedules from seed {} in {seconds:.1} s with {threads} threads: {} failed; {}",
         options.count,
--- a/experiments/src/soak/mod.rs
+++ b/experiments/src/soak/mod.rs
@@ -101,7 +101,7 @@
             scope.spawn(move || run_seeds(options, program, net, next_seed, report));
         }
     });
-    let report = report.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
+    let report = report.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
     report.print_summary(options.count, options.first);
     Ok(report.has_no_failures())
 }
@@ -120,7 +120,7 @@
             return;
         }
         let outcome = options.schedule(seed).and_then(|schedule| run_one(schedule, net, program));
-        let mut report = report.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let mut report = report.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         report.add(seed, outcome, &options.out);
     }
 }
--- a/experiments/src/soak/operators/mod.rs
+++ b/experiments/src/soak/operators/mod.rs
@@ -236,7 +236,7 @@
     async fn send_again(&self, change: &ConfigChange) {
         let response = self.control.call_any(&self.put_call(change)).await;
         let status = response.map(|response| response.status());
-        if let Some(status) = status.filter(|status| status.is_client_error()) {
+        if let Some(status) = status.filter(hyper::StatusCode::is_client_error) {
             let details = format!("order {}: {status}", change.number);
             self.oracle.violated(Invariant::RetryAcknowledged, details);
         }
--- a/experiments/src/soak/run.rs
+++ b/experiments/src/soak/run.rs
@@ -28,7 +28,7 @@
 use crate::plan::Plan;
 
 /// The system is up within this time.
-const START_TIMEOUT: Duration = Duration::from_secs(60);
+const START_TIMEOUT: Duration = Duration::from_mins(1);
 /// The system has recovered within this time after the last fault: `recoverS`.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 /// After the recovery ejected servers are used again within this time; then all requests are served for as long.
--- a/glenfall/src/control/api/voters.rs
+++ b/glenfall/src/control/api/voters.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-use glenfall_control_plane::chain::{VoterChange, VoterChangeError};
+use glenfall_control_plane::chain::{View, VoterChange, VoterChangeError};
 use hyper::StatusCode;
 use serde::Deserialize;
 use serde_json::json;
@@ -51,7 +51,7 @@
         .collect();
     let body = json!({
         "node": control.settings.bind_ip,
-        "view": chain.view().map(|view| view.name()),
+        "view": chain.view().map(View::name),
         "voters": voters,
         "outgoingVoters": members.outgoing,
         // The name before version 0.4.
--- a/glenfall/src/control/peer_events.rs
+++ b/glenfall/src/control/peer_events.rs
@@ -44,7 +44,7 @@
                 self.purges.durable_on(peer, incarnation, number);
             }
             PeerMessage::Acknowledged { id, complete } => {
-                self.peers.requests.acknowledged(peer, id, complete)
+                self.peers.requests.acknowledged(peer, id, complete);
             }
             PeerMessage::RenewLease { id } => self.leases.grant(peer, id),
             PeerMessage::LeaseGranted { id, duration } => self.leases.granted_by(peer, id, duration),
--- a/glenfall/src/control/peers/members.rs
+++ b/glenfall/src/control/peers/members.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 /// How long the members of a disconnected peer are retained: the peer may be connected again at once.
-const DISCONNECTED_RETENTION: Duration = Duration::from_millis(1000);
+const DISCONNECTED_RETENTION: Duration = Duration::from_secs(1);
 
 /// The members that one peer has reported.
 #[derive(Default)]
--- a/glenfall/src/edge/handler.rs
+++ b/glenfall/src/edge/handler.rs
@@ -48,7 +48,7 @@
     }
 
     fn on_slow_head(&self) {
-        let (head, _) = hyper::Request::new(()).into_parts();
+        let (head, ()) = hyper::Request::new(()).into_parts();
         let failure = Cause::HeadTooSlow.into();
         self.0.log_failure(&failure, &head, StatusCode::REQUEST_TIMEOUT, Instant::now());
     }
--- a/glenfall/src/metrics/latency.rs
+++ b/glenfall/src/metrics/latency.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 /// How long one histogram is filled. A report covers the current histogram and the one before.
-pub const WINDOW_DURATION: Duration = Duration::from_secs(60);
+pub const WINDOW_DURATION: Duration = Duration::from_mins(1);
 /// The longest latency that is distinguished, in microseconds: 2 minutes, longer than any deadline. Longer ones count as
 /// this.
 pub const MAX_LATENCY_US: u64 = 120_000_000;
--- a/glenfall/src/shield/read.rs
+++ b/glenfall/src/shield/read.rs
@@ -207,7 +207,7 @@
 /// Waits for the end of a fetch until a deadline; an error is what the read gets where the end does not arrive.
 async fn await_end(mut receiver: FetchReceiver, deadline: Instant) -> Result<FetchEnd, Fetched> {
     let lost = || Fetched::Unknown(Cause::AnswerLost.into());
-    match timeout_at(deadline, receiver.wait_for(|end| end.is_some())).await {
+    match timeout_at(deadline, receiver.wait_for(Option::is_some)).await {
         Ok(Ok(end)) => end.clone().ok_or_else(lost),
         Ok(Err(_)) => Err(lost()),
         Err(_) => Err(Fetched::TimedOut(Cause::NoAnswer.into())),
--- a/glenfall/src/signals.rs
+++ b/glenfall/src/signals.rs
@@ -15,7 +15,7 @@
     let (Ok(mut terminate), Ok(mut interrupt)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
-        return std::future::pending().await;
+        return std::future::pending::<()>().await;
     };
     let hangup = signal(SignalKind::hangup()).ok();
     tokio::select! {
@@ -32,5 +32,5 @@
             tracing::info!("SIGHUP received: settings may have changed");
         }
     }
-    std::future::pending().await
+    std::future::pending::<()>().await;
 }
--- a/glenfall/tests/changes.rs
+++ b/glenfall/tests/changes.rs
@@ -13,7 +13,7 @@
 const ROUTES: usize = 700;
 /// Enough for each page of the store to be written over many times, in a few seconds.
 const CHANGES: u64 = 200;
-/// SQLite's pages of one version, of the next beside it and of the journal, with what is lost in half-filled ones.
+/// `SQLite`'s pages of one version, of the next beside it and of the journal, with what is lost in half-filled ones.
 const VERSIONS_ON_DISK: u64 = 5;
 
 fn document(rev: u64) -> String {
--- a/glenfall/tests/common/mod.rs
+++ b/glenfall/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use glenfall_control_plane::invariant::VIOLATION_MESSAGE;
 
 /// Conditions are waited for so long, also on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const PATIENCE: Duration = Duration::from_mins(1);
 
 /// One system at a time: ports that are found free stay so until they are used.
 static ONE: Mutex<()> = Mutex::new(());
@@ -158,7 +158,7 @@
         beat_ms: u64,
         settings: &str,
     ) -> System {
-        let one = ONE.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let one = ONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let base = free_ports();
         let folder = std::env::temp_dir().join(format!("glenfall-system-{}-{base}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
--- a/glenfall/tests/contact.rs
+++ b/glenfall/tests/contact.rs
@@ -33,7 +33,7 @@
     }
 
     fn fill(&mut self) {
-        let mut bytes = [0; 64 << 10];
+        let mut bytes = vec![0; 64 << 10];
         match self.stream.read(&mut bytes) {
             Ok(0) => self.ended = true,
             Ok(count) => self.buffer.extend(&bytes[..count]),
--- a/glenfall/tests/core.rs
+++ b/glenfall/tests/core.rs
@@ -332,7 +332,7 @@
     let peers =
         |core: &System| core.status(EDGE).map(|status| status["peers"].as_array().map_or(0, Vec::len));
     // The longest pause of a node that calls others.
-    std::thread::sleep(Duration::from_millis(1000));
+    std::thread::sleep(Duration::from_secs(1));
     assert_eq!(peers(&core), Some(0), "nobody is there");
     core.edit_settings(EDGE, &[("127.0.9.", "127.0.8.")]);
     await_that("it finds the others", || peers(&core) == Some(3));
--- a/glenfall/tests/hostile.rs
+++ b/glenfall/tests/hostile.rs
@@ -27,7 +27,7 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// A request that has no final answer by then never gets one; none has over a second of its own.
-const FINAL: Duration = Duration::from_secs(120);
+const FINAL: Duration = Duration::from_mins(2);
 /// How long a request may take: shorter than some servers are silent.
 const PATIENCE: Duration = Duration::from_millis(300);
 const SERVERS: usize = 4;
--- a/glenfall/tests/recorder/mod.rs
+++ b/glenfall/tests/recorder/mod.rs
@@ -166,20 +166,17 @@
                     self.open.insert(result, None);
                 }
                 Begun::Open { name, flags } => {
-                    let file = match self.names.get(&name) {
-                        Some(file) => {
-                            if flags & TRUNCATE != 0 {
-                                self.steps.push(Step::Cut { file: *file, length: 0 });
-                            }
-                            *file
-                        }
-                        None => {
-                            assert!(flags & CREATE != 0, "{name} is not known");
-                            self.files += 1;
-                            self.names.insert(name.clone(), self.files - 1);
-                            self.steps.push(Step::Make { name, file: self.files - 1 });
-                            self.files - 1
+                    let file = if let Some(file) = self.names.get(&name) {
+                        if flags & TRUNCATE != 0 {
+                            self.steps.push(Step::Cut { file: *file, length: 0 });
                         }
+                        *file
+                    } else {
+                        assert!(flags & CREATE != 0, "{name} is not known");
+                        self.files += 1;
+                        self.names.insert(name.clone(), self.files - 1);
+                        self.steps.push(Step::Make { name, file: self.files - 1 });
+                        self.files - 1
                     };
                     self.open.insert(result, Some(file));
                 }
--- a/glenfall/tests/sessions.rs
+++ b/glenfall/tests/sessions.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// Conditions are waited for so long, also on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(60);
+const PATIENCE: Duration = Duration::from_mins(1);
 /// Something that is waited for in vain.
 const VAIN: Duration = Duration::from_millis(50);
 
--- a/glenfall/tests/silence.rs
+++ b/glenfall/tests/silence.rs
@@ -145,7 +145,7 @@
 #[test]
 fn a_server_that_says_goodbye_to_a_core_that_has_just_started_gets_nothing_more() {
     // No control node has heard of all servers before the end of the test.
-    let (mut system, servers) = start(Duration::from_secs(120));
+    let (mut system, servers) = start(Duration::from_mins(2));
     await_that("both take part", || {
         ask(&system, "POST /w/x");
         servers.iter().all(|server| server.runs.load(Ordering::Relaxed) > 2)
@@ -167,7 +167,7 @@
 #[test]
 fn a_shield_serves_on_by_the_servers_it_knows_when_all_control_nodes_have_started_again() {
     // Servers say nothing more before the end of the test.
-    let (mut system, _servers) = start(Duration::from_secs(120));
+    let (mut system, _servers) = start(Duration::from_mins(2));
     system.await_ready();
     system.kill_all(|_| ());
     system.await_chain(&[1, 2, 3], 3);
--- a/glenfall/tests/unit/agent.rs
+++ b/glenfall/tests/unit/agent.rs
@@ -69,7 +69,7 @@
         let number = rng.random_range(0..12);
         match rng.random_range(0..6) {
             0 | 1 => {
-                next.servers.insert(0, server(&format!("i-{number}"), 1 + number / 2, rng.random_bool(0.8)))
+                next.servers.insert(0, server(&format!("i-{number}"), 1 + number / 2, rng.random_bool(0.8)));
             }
             2 => next.servers.retain(|server| server.id != format!("i-{number}")),
             3 => next.edges.push(u64::from(number)),
--- a/glenfall/tests/unit/edge_cache.rs
+++ b/glenfall/tests/unit/edge_cache.rs
@@ -49,7 +49,7 @@
 async fn a_purge_removes_stored_responses_and_keeps_them_out_for_the_barrier_time() {
     tokio::time::advance(Duration::from_secs(10)).await;
     let (edge, watch_client) = edge();
-    in_touch(&edge, &watch_client, Duration::from_secs(600));
+    in_touch(&edge, &watch_client, Duration::from_mins(10));
     edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
     edge.cache_response(&object("/b"), &from_shield("u"), Instant::now());
     let age = edge.cached(&object("/a")).map(|copy| copy.age());
@@ -73,7 +73,7 @@
     let (edge, watch_client) = edge();
     edge.cache_response(&object("/a"), &from_shield("t"), Instant::now());
     assert!(!is_cached(&edge, "/a"));
-    in_touch(&edge, &watch_client, Duration::from_secs(600));
+    in_touch(&edge, &watch_client, Duration::from_mins(10));
     let purges: Vec<Purge> = (0..2 * MAX_RECENT_PURGES).map(|n| Purge::Label(n.to_string())).collect();
     for purge in purges {
         edge.purge(&[AgedPurge { purge, age_ms: 0 }]);
--- a/glenfall/tests/unit/http_server.rs
+++ b/glenfall/tests/unit/http_server.rs
@@ -196,7 +196,7 @@
         let limits = RequestLimits { idle_timeout_ms: 3000, ..RequestLimits::default() };
         let (handler, addr, _stop) = start_server(limits).await;
         let mut stream = TcpStream::connect(addr).await.expect("a connection");
-        sleep(Duration::from_millis(2000)).await;
+        sleep(Duration::from_secs(2)).await;
         assert!(post_four_bytes(&mut stream).await.is_some());
         // The idle timeout is far shorter from now on; the timer of the connection fires 3 s after it was opened.
         handler.limits.set(RequestLimits { idle_timeout_ms: 50, ..limits });
--- a/glenfall/tests/unit/peer_requests.rs
+++ b/glenfall/tests/unit/peer_requests.rs
@@ -10,7 +10,7 @@
 use glenfall_control_plane::messages::{CallId, PeerMessage, ProcessId};
 use tokio::time::sleep;
 
-const LOCAL_PROCESS: ProcessId = ProcessId { ip: Ipv4Addr::new(127, 0, 0, 1), incarnation: 7 };
+const LOCAL_PROCESS: ProcessId = ProcessId { ip: Ipv4Addr::LOCALHOST, incarnation: 7 };
 const FIRST_PEER: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
 const SECOND_PEER: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 3);
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
--- a/glenfall/tests/unit/proxies.rs
+++ b/glenfall/tests/unit/proxies.rs
@@ -27,7 +27,7 @@
 use crate::support::{listener, server, settings, stand_in};
 
 /// How long a route lets its requests take, and after how long nothing is sent for them any more.
-pub const DEADLINE: Duration = Duration::from_millis(3000);
+pub const DEADLINE: Duration = Duration::from_secs(3);
 pub const ALL_SENT: Duration = Duration::from_millis(3300);
 /// The part of the retry budget that is shared out comes into force after its window.
 pub const RETRY_WINDOW: Duration = Duration::from_millis(60);
--- a/glenfall/tests/unit/tries.rs
+++ b/glenfall/tests/unit/tries.rs
@@ -47,7 +47,7 @@
                 ShieldActs::Well => return self.servers == ServerActs::Answers,
                 ShieldActs::Unreachable | ShieldActs::Behind => {}
                 ShieldActs::Frozen | ShieldActs::Resets | ShieldActs::Mute => {
-                    sends_left = u32::from(sends_left > 1)
+                    sends_left = u32::from(sends_left > 1);
                 }
             }
         }
--- a/http-client/tests/early_response.rs
+++ b/http-client/tests/early_response.rs
@@ -31,7 +31,7 @@
 }
 
 async fn open(addr: SocketAddr) -> Connection {
-    Connection::open(addr, OpenSocket::claim(&Default::default()), 16 << 10).await.expect("a connection")
+    Connection::open(addr, OpenSocket::claim(&std::rc::Rc::default()), 16 << 10).await.expect("a connection")
 }
 
 /// Reads until this many bytes of a body have arrived; returns how many there are.
@@ -77,7 +77,7 @@
                     assert_eq!(response.into_body().collect().await.unwrap().to_bytes(), "no");
                 }
                 Err(error) => {
-                    assert!(!is_accepted && matches!(error, ExchangeError::NotSent), "{own:?}, {named}")
+                    assert!(!is_accepted && matches!(error, ExchangeError::NotSent), "{own:?}, {named}");
                 }
             }
             assert!(!connection.is_reusable().await, "it is not reused");
