--- a/glenfall/tests/common/mod.rs
+++ b/glenfall/tests/common/mod.rs
@@ -332,6 +332,16 @@
         await_that("all shields are ready, and known to be", || (1..EDGE).all(|n| settled(n) == Some(true)));
     }
 
+    /// Waits until each session holds a lease: until then a shield's copies are not used, and reads of its objects go to
+    /// another shield.
+    pub fn await_leases(&self) {
+        let holds_leases = |n| {
+            let status = self.status(n)?;
+            Some(status["sessions"].as_array()?.iter().all(|session| session["leased"] == true))
+        };
+        await_that("each session holds a lease", || (1..EDGE).all(|n| holds_leases(n) == Some(true)));
+    }
+
     pub fn log(&self, n: u8) -> PathBuf {
         self.folder.join(format!("{n}.log"))
     }
--- a/glenfall/tests/system.rs
+++ b/glenfall/tests/system.rs
@@ -100,6 +100,7 @@
             "backends": [{"name": "s"}, {"name": "t"}]}"#;
         path.change("put", 0, document);
         path.system.await_ready();
+        path.system.await_leases();
         await_that("reads and writes are served", || {
             path.ask("GET /r/first").is_some_and(|heard| heard.0 == 200)
                 && path.ask("POST /w/first").is_some_and(|heard| heard.0 == 200)
