--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -6,6 +6,8 @@
 cd "$(dirname "$0")/.."
 
 cargo fmt --check
+# The names that leave the process stand as they were.
+scripts/external-names.sh
 cargo clippy --workspace --all-targets --locked -- -D warnings
 # Bounds on functions are in clippy.toml. They do not hold for tests, which are tables.
 cargo clippy --workspace --no-deps --locked -- -D warnings \
