--- a/glenfall/tests/store.rs
+++ b/glenfall/tests/store.rs
@@ -1,7 +1,7 @@
 //! Losses of power at every write, cut, rename, removal and sync that the store really does, as its process is followed.
 #![cfg(all(target_os = "linux", target_arch = "x86_64"))]
 
-mod recorder;
+mod crash_simulation;
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -9,10 +9,12 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
+use crash_simulation::{
+    crash_states, read_folder, record_events, report_progress, wait_for_recorder, write_folder, Event, Files,
+};
 use glenfall::control::store::{create, database_path, RecoveredState, Store};
 use glenfall_control_plane::chain::{HardState, JointConfig, Record};
 use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey};
-use recorder::{await_recorder, crashes, read_folder, record, say, write_folder, Files, Step};
 
 /// The test that is run as a process of its own, and followed.
 const FOLLOWED: &str = "followed";
@@ -49,19 +51,19 @@
 fn followed() {
     let folder = PathBuf::from(std::env::var("FOLDER").unwrap());
     let writes = std::env::var("SCENARIO").unwrap();
-    await_recorder();
+    wait_for_recorder();
     if writes == IMPORT {
         create(&folder, &state(1)).unwrap();
-        say("done 1");
-        return say("end");
+        report_progress("done 1");
+        return report_progress("end");
     }
     let (store, _) = Store::open(&folder).unwrap();
     for n in writes.split_whitespace().map(|n| n.parse().unwrap()) {
-        say(&format!("begin {n}"));
+        report_progress(&format!("begin {n}"));
         store.save(&state(n)).unwrap();
-        say(&format!("done {n}"));
+        report_progress(&format!("done {n}"));
     }
-    say("end");
+    report_progress("end");
 }
 
 /// What is found after a loss of power: a state's number, or what else there is.
@@ -83,20 +85,20 @@
 fn lose_power(name: &str, before: &Files, first: &str, writes: &str) -> Vec<Files> {
     let folder = folder(name);
     write_folder(&folder, before);
-    let steps = record(FOLLOWED, writes, &folder);
+    let steps = record_events(FOLLOWED, writes, &folder);
     let (mut acked, mut begun) = (first.to_owned(), None);
     let (mut seen, mut all, mut syncs) = (HashSet::new(), Vec::new(), 0);
     for after in 0..steps.len() {
         match &steps[after] {
-            Step::Said(said) => match said.split_once(' ') {
+            Event::Progress(said) => match said.split_once(' ') {
                 Some(("begin", n)) => begun = Some(n.to_owned()),
                 Some((_, n)) => (acked, begun) = (n.to_owned(), None),
                 None => {}
             },
-            Step::Sync { .. } | Step::SyncFolder => syncs += 1,
+            Event::Sync { .. } | Event::SyncFolder => syncs += 1,
             _ => {}
         }
-        for left in crashes(before, &steps[..=after], after as u64) {
+        for left in crash_states(before, &steps[..=after], after as u64) {
             let mut hash = DefaultHasher::new();
             (&left, &acked, &begun).hash(&mut hash);
             if !seen.insert(hash.finish()) {
@@ -174,11 +176,11 @@
 #[test]
 fn a_restore_that_was_cut_short_leaves_no_voter_that_has_promised_nothing() {
     let folder = folder("import");
-    let steps = record(FOLLOWED, IMPORT, &folder);
+    let steps = record_events(FOLLOWED, IMPORT, &folder);
     let (mut done, mut cut_short) = (false, 0);
     for after in 0..steps.len() {
-        done |= matches!(&steps[after], Step::Said(said) if said == "done 1");
-        for left in crashes(&Files::new(), &steps[..=after], after as u64) {
+        done |= matches!(&steps[after], Event::Progress(said) if said == "done 1");
+        for left in crash_states(&Files::new(), &steps[..=after], after as u64) {
             write_folder(&folder, &left);
             let begun = database_path(&folder).exists();
             let case = format!("after step {after}, left {:?}", left.keys());
