--- a/glenfall/tests/added_routes.rs
+++ b/glenfall/tests/added_routes.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use common::{await_that, receive, request, System, EDGE};
+use common::{receive_request, request, wait_until, System, EDGE_MACHINE};
 
 const ADDED: u64 = 24;
 /// Every so many routes bring a service of their own.
@@ -32,7 +32,7 @@
 
 fn serve(mut stream: TcpStream, busy: &AtomicUsize, places: usize, work: Duration) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
-    while let Some(received) = receive(&mut reader) {
+    while let Some(received) = receive_request(&mut reader) {
         let id = received.try_id();
         let full = busy.fetch_add(1, Ordering::Relaxed) >= places;
         if !full {
@@ -73,19 +73,19 @@
         let status = system.status(n)?;
         Some(status["servers"].as_array()?.iter().any(|server| server["id"] == id))
     };
-    await_that("a server is known", || (1..EDGE).all(|n| knows(n) == Some(true)));
+    wait_until("a server is known", || (1..EDGE_MACHINE).all(|n| knows(n) == Some(true)));
 }
 
 fn start(places: usize, work: Duration, routes: &[String]) -> (System, SocketAddrV4) {
     let system = System::start(&["control", "shield"], &["agent", "edge"]);
-    system.await_chain(&[1, 2, 3], 3);
+    system.wait_for_chain(&[1, 2, 3], 3);
     let addr = server(places, work);
-    system.beat("first", "s", addr, "ready", 1);
+    system.send_heartbeat("first", "s", addr, "ready", 1);
     let document = format!(r#"{{"rev":1,"paths":[{}],"backends":[{{"name":"s"}}]}}"#, routes.join(","));
     system.configure("put", 0, &document);
-    system.await_ready();
-    await_that("writes are served", || served(&system, "w-first", 0));
-    await_that("reads are served", || served(&system, "r-first", 0));
+    system.wait_until_ready();
+    wait_until("writes are served", || served(&system, "w-first", 0));
+    wait_until("reads are served", || served(&system, "r-first", 0));
     (system, addr)
 }
 
@@ -99,7 +99,7 @@
         let (mut backends, mut service) = (String::new(), "s".to_owned());
         if new {
             service = format!("service-{n}");
-            system.beat(&service, &service, server(64, Duration::from_millis(2)), "ready", 1);
+            system.send_heartbeat(&service, &service, server(64, Duration::from_millis(2)), "ready", 1);
             await_server(&system, &service);
             // Every other one under a ceiling, of which there must be something for its reads at once.
             let ceiling = if n % (2 * NEW_SERVICE) == 0 { r#","ratePerS":100.0"# } else { "" };
@@ -117,8 +117,8 @@
         );
         system.configure("patch", n, &document);
         let in_force = format!("configuration applied rev={}", n + 1);
-        await_that("the edge knows it", || {
-            std::fs::read_to_string(system.log(EDGE)).unwrap().contains(&in_force)
+        wait_until("the edge knows it", || {
+            std::fs::read_to_string(system.log_path(EDGE_MACHINE)).unwrap().contains(&in_force)
         });
         for name in names.iter().map(String::as_str).chain(["r-first", "w-first"]) {
             let base = FIRST_REQUESTS * n as usize;
@@ -145,7 +145,7 @@
     let counts: Vec<[AtomicUsize; 2]> = kinds.iter().map(|_| Default::default()).collect();
     std::thread::scope(|scope| {
         // The calls that servers make are admitted by control, whatever edges have to do: each is acknowledged.
-        scope.spawn(|| (2..40).for_each(|seq| system.beat("first", "s", addr, "ready", seq)));
+        scope.spawn(|| (2..40).for_each(|seq| system.send_heartbeat("first", "s", addr, "ready", seq)));
         for client in 0..40usize {
             let (counts, system, kinds) = (&counts, &system, &kinds);
             scope.spawn(move || {
--- a/glenfall/tests/changes.rs
+++ b/glenfall/tests/changes.rs
@@ -7,7 +7,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{await_that, request, System, EDGE, PATIENCE};
+use common::{request, wait_until, System, EDGE_MACHINE, WAIT_TIMEOUT};
 
 /// Routes of the largest configuration of the users' days.
 const ROUTES: usize = 700;
@@ -31,7 +31,7 @@
 /// Puts a version at these nodes in turn until it is acknowledged; gives how many calls that took.
 fn put(core: &System, nodes: &[u8], rev: u64) -> usize {
     let (mut calls, head, document) = (0, format!("Host: c\r\nIf-Match: {}\r\n", rev - 1), document(rev));
-    await_that("a change is acknowledged", || {
+    wait_until("a change is acknowledged", || {
         calls += 1;
         let at = core.control_addr(nodes[(rev as usize + calls) % nodes.len()]);
         request(at, "PUT /api/config", &head, &document).is_some_and(|heard| heard.0 == 200)
@@ -70,27 +70,28 @@
 fn state_stays_as_large_as_one_version_however_many_changes_come() {
     let changes = std::env::var("CHANGES").ok().and_then(|n| n.parse().ok()).unwrap_or(CHANGES);
     let mut core = System::start(&["control"], &["agent", "edge"]);
-    core.await_chain(&[1, 2, 3], 3);
+    core.wait_for_chain(&[1, 2, 3], 3);
     let (began, mut calls, mut since) = (Instant::now(), 0, (Instant::now(), 0));
     let bytes = document(1).len() as u64;
     println!("{ROUTES} routes, {bytes} bytes; resident and peak in KB");
     for rev in 1..=changes {
         calls += put(&core, &[1, 2, 3], rev);
         if [changes / 100, changes / 10, changes].contains(&rev) {
-            let disks: Vec<u64> = (1..EDGE).map(|n| on_disk(&core, n)).collect();
-            let control: Vec<_> = (1..EDGE).map(|n| resident(&mut core, n, "control")).collect();
-            let (agent, edge) = (resident(&mut core, EDGE, "agent"), resident(&mut core, EDGE, "edge"));
+            let disks: Vec<u64> = (1..EDGE_MACHINE).map(|n| on_disk(&core, n)).collect();
+            let control: Vec<_> = (1..EDGE_MACHINE).map(|n| resident(&mut core, n, "control")).collect();
+            let (agent, edge) =
+                (resident(&mut core, EDGE_MACHINE, "agent"), resident(&mut core, EDGE_MACHINE, "edge"));
             let each = since.0.elapsed().as_secs_f64() * 1000.0 / (rev - since.1) as f64;
             let heard = |n: u8| {
                 core.status(n).and_then(|s| s["counters"]["message_bytes_heard"].as_u64()).unwrap_or(0)
             };
-            let versions = (1..EDGE).map(heard).sum::<u64>() as f64 / (rev * bytes) as f64;
+            let versions = (1..EDGE_MACHINE).map(heard).sum::<u64>() as f64 / (rev * bytes) as f64;
             println!("{rev}: {each:.1} ms and {versions:.2} versions heard each; on disk {disks:?}; control {control:?}, agent {agent:?}, edge {edge:?}");
             since = (Instant::now(), rev);
         }
     }
     println!("{changes} changes, {calls} calls, {:.1} s", began.elapsed().as_secs_f64());
-    for n in 1..EDGE {
+    for n in 1..EDGE_MACHINE {
         let size = on_disk(&core, n);
         assert!(size <= bytes * VERSIONS_ON_DISK, "{size} bytes on disk {n} for {bytes} of one version");
     }
@@ -101,12 +102,12 @@
 fn whoever_was_away_is_sent_one_whole_state_however_much_it_missed() {
     let missed = std::env::var("MISSED").unwrap_or_else(|_| "1,25".into());
     let mut core = System::start(&["control"], &["agent"]);
-    core.await_chain(&[1, 2, 3], 3);
+    core.wait_for_chain(&[1, 2, 3], 3);
     let (mut rev, one) = (1, document(1).len() as u64);
     put(&core, &[1, 2], rev);
     let back = |core: &mut System, rev: &mut u64, missed: u64, lost: bool| {
         core.kill(3, "control");
-        core.await_chain(&[1, 2], 2);
+        core.wait_for_chain(&[1, 2], 2);
         for _ in 0..missed {
             *rev += 1;
             put(core, &[1, 2], *rev);
@@ -118,8 +119,8 @@
             std::fs::write(settings, text.replace("bootstrap = true", "bootstrap = false")).unwrap();
         }
         let began = Instant::now();
-        core.start_again(3, "control");
-        await_that("it is in the chain again", || caught_up(core, 3, *rev).is_some());
+        core.respawn(3, "control");
+        wait_until("it is in the chain again", || caught_up(core, 3, *rev).is_some());
         let took = began.elapsed().as_millis();
         let status = caught_up(core, 3, *rev).unwrap();
         let heard = status["counters"]["message_bytes_heard"].as_u64().unwrap();
@@ -138,9 +139,9 @@
 #[test]
 fn a_node_comes_into_the_chain_while_changes_go_on() {
     let mut core = System::start(&["control"], &["agent"]);
-    core.await_chain(&[1, 2, 3], 3);
+    core.wait_for_chain(&[1, 2, 3], 3);
     core.kill(3, "control");
-    core.await_chain(&[1, 2], 2);
+    core.wait_for_chain(&[1, 2], 2);
     let (mut rev, mut began, mut longest, mut after) = (0, None, Duration::ZERO, 0);
     // Some before it starts, and until it has been there for some.
     while after < 10 {
@@ -150,11 +151,11 @@
         longest = longest.max(sent.elapsed());
         std::thread::sleep(Duration::from_millis(100).saturating_sub(sent.elapsed()));
         if rev == 10 {
-            core.start_again(3, "control");
+            core.respawn(3, "control");
             began = Some((Instant::now(), rev));
         }
         let (started, at) = began.unwrap_or((Instant::now(), rev));
-        assert!(started.elapsed() < PATIENCE, "in the chain within {} changes", rev - at);
+        assert!(started.elapsed() < WAIT_TIMEOUT, "in the chain within {} changes", rev - at);
         if caught_up(&core, 3, at).is_some() {
             if after == 0 {
                 println!("in the chain after {} ms and {} changes", started.elapsed().as_millis(), rev - at);
@@ -169,22 +170,22 @@
 #[test]
 fn a_head_begins_with_the_newest_state_of_a_majority_though_its_own_is_old() {
     let mut core = System::start(&["control"], &["agent"]);
-    core.await_chain(&[1, 2, 3], 3);
+    core.wait_for_chain(&[1, 2, 3], 3);
     put(&core, &[1, 2, 3], 1);
     core.kill(1, "control");
-    core.await_chain(&[2, 3], 2);
+    core.wait_for_chain(&[2, 3], 2);
     for rev in 2..8 {
         put(&core, &[2, 3], rev);
     }
     // The first of the addresses proposes first, with a disk of before.
-    core.kill_others(1, "control");
-    core.await_chain(&[1, 2, 3], 3);
+    core.kill_others_and_respawn_all(1, "control");
+    core.wait_for_chain(&[1, 2, 3], 3);
     let head = core.status(1).unwrap()["view"]["chain"][0].clone();
     assert_eq!(head, core.control_addr(1).ip().to_string());
-    for n in 1..EDGE {
+    for n in 1..EDGE_MACHINE {
         assert_eq!(read(&core, n), Some((200, document(7))));
         // Not even for a moment did anybody go back to it.
-        let told = std::fs::read_to_string(core.log(n)).unwrap();
+        let told = std::fs::read_to_string(core.log_path(n)).unwrap();
         assert_eq!(told.matches("configuration committed rev=1 ").count(), 1, "{told}");
     }
     put(&core, &[1, 2, 3], 8);
@@ -193,13 +194,13 @@
 #[test]
 fn a_voter_that_comes_back_with_the_disk_and_the_voters_of_before_moves_nobody() {
     let mut core = System::start(&["control"], &["agent"]);
-    core.await_chain(&[1, 2, 3], 3);
+    core.wait_for_chain(&[1, 2, 3], 3);
     put(&core, &[1, 2, 3], 1);
     core.kill(3, "control");
-    core.await_chain(&[1, 2], 2);
+    core.wait_for_chain(&[1, 2], 2);
     let ask = |core: &System, what: &str| {
-        let at = core.control(1);
-        core.verb(&["core", what, "--control", &at, &core.control_addr(3).ip().to_string()])
+        let at = core.control_addr_text(1);
+        core.run_command(&["core", what, "--control", &at, &core.control_addr(3).ip().to_string()])
     };
     let (removed, why) = ask(&core, "remove");
     assert!(removed, "{why}");
@@ -208,15 +209,15 @@
         put(&core, &[1, 2], rev);
     }
     let view = core.status(1).unwrap()["view"].clone();
-    core.start_again(3, "control");
-    await_that("it knows the newest", || core.status(3).is_some_and(|status| status["rev"] == 11));
+    core.respawn(3, "control");
+    wait_until("it knows the newest", || core.status(3).is_some_and(|status| status["rev"] == 11));
     for rev in 12..20 {
         put(&core, &[1, 2, 3], rev);
     }
     assert_eq!(core.status(1).unwrap()["view"], view, "its old disk makes no view");
     assert_eq!(read(&core, 3), Some((200, document(19))));
     // Refused until all voters have heard it.
-    await_that("it is taken in", || ask(&core, "add").0);
-    core.await_chain(&[1, 2, 3], 3);
+    wait_until("it is taken in", || ask(&core, "add").0);
+    core.wait_for_chain(&[1, 2, 3], 3);
     put(&core, &[3], 20);
 }
--- a/glenfall/tests/common/mod.rs
+++ b/glenfall/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! The system as processes on loopback: three core machines and one edge's, each an address of its own.
+//! Starts the whole system as processes on loopback: three core machines and one edge machine, each with its own
+//! address.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -11,21 +12,21 @@
 
 use glenfall_control_plane::invariant::VIOLATION_MESSAGE;
 
-/// Conditions are waited for so long, also on a busy machine.
-pub const PATIENCE: Duration = Duration::from_mins(1);
+/// How long `wait_until` waits; long enough for a busy machine.
+pub const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// One system at a time: ports that are found free stay so until they are used.
-static ONE: Mutex<()> = Mutex::new(());
+/// Held while a system runs: one system at a time, so that ports found free stay free until they are used.
+static SYSTEM_LOCK: Mutex<()> = Mutex::new(());
 
-/// The edge's machine; those before it are the core's.
-pub const EDGE: u8 = 4;
+/// Number of the edge machine; machines with lower numbers are core machines.
+pub const EDGE_MACHINE: u8 = 4;
 
 pub struct System {
-    _one: MutexGuard<'static, ()>,
-    /// By machine and role.
+    _system_lock: MutexGuard<'static, ()>,
+    /// Machine number, role and process.
     children: Vec<(u8, &'static str, Child)>,
     pub folder: PathBuf,
-    base: u16,
+    base_port: u16,
 }
 
 impl Drop for System {
@@ -34,27 +35,27 @@
             let _ = child.kill();
             let _ = child.wait();
         }
-        let logs = (1..=EDGE).filter_map(|n| std::fs::read_to_string(self.log(n)).ok());
-        let broken: Vec<String> = logs
+        let logs = (1..=EDGE_MACHINE).filter_map(|n| std::fs::read_to_string(self.log_path(n)).ok());
+        let violations: Vec<String> = logs
             .flat_map(|log| {
                 log.lines().filter(|l| l.contains(VIOLATION_MESSAGE)).map(str::to_owned).collect::<Vec<_>>()
             })
             .collect();
         if std::thread::panicking() {
-            // For whoever looks for the cause.
+            // Logs and state are kept for diagnosis.
             eprintln!("logs and state are left in {}", self.folder.display());
             return;
         }
         let _ = std::fs::remove_dir_all(&self.folder);
-        assert!(broken.is_empty(), "{broken:?}");
+        assert!(violations.is_empty(), "invariant violations in the logs: {violations:?}");
     }
 }
 
-fn machine(n: u8) -> Ipv4Addr {
+fn machine_ip(n: u8) -> Ipv4Addr {
     Ipv4Addr::new(127, 0, 8, n)
 }
 
-fn free_ports() -> u16 {
+fn free_port_range() -> u16 {
     loop {
         let port = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().port();
         let free =
@@ -65,24 +66,24 @@
     }
 }
 
-/// Waits until something holds.
-pub fn await_that(what: &str, mut holds: impl FnMut() -> bool) {
+/// Polls until the condition is true; panics after `WAIT_TIMEOUT`, naming what was expected.
+pub fn wait_until(expected: &str, mut condition: impl FnMut() -> bool) {
     let began = Instant::now();
-    while !holds() {
-        assert!(began.elapsed() < PATIENCE, "{what}");
+    while !condition() {
+        assert!(began.elapsed() < WAIT_TIMEOUT, "timed out waiting for: {expected}");
         std::thread::sleep(Duration::from_millis(30));
     }
 }
 
-/// A request as a server reads it.
-pub struct Received {
+/// A request as a server receives it, without its body.
+pub struct ReceivedRequest {
     /// Method, path and version.
-    pub line: String,
-    /// Names and values, the names in lower case.
+    pub request_line: String,
+    /// Names and values; names are in lower case.
     headers: Vec<(String, String)>,
 }
 
-impl Received {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
@@ -92,17 +93,17 @@
     }
 
     pub fn path(&self) -> &str {
-        self.line.split(' ').nth(1).unwrap_or("")
+        self.request_line.split(' ').nth(1).unwrap_or("")
     }
 }
 
-/// Reads one request whole, as a server. `None` where the connection ends.
-pub fn receive(reader: &mut impl BufRead) -> Option<Received> {
+/// Reads one complete request as a server does. `None` when the connection closes first.
+pub fn receive_request(reader: &mut impl BufRead) -> Option<ReceivedRequest> {
     let mut next_line = || {
         let mut line = String::new();
         (reader.read_line(&mut line).unwrap_or(0) > 0).then(|| line.trim_end().to_owned())
     };
-    let mut received = Received { line: next_line()?, headers: Vec::new() };
+    let mut received = ReceivedRequest { request_line: next_line()?, headers: Vec::new() };
     loop {
         let line = next_line()?;
         if line.is_empty() {
@@ -116,16 +117,16 @@
     Some(received)
 }
 
-/// Reads one request whole, as a server: its try's id. `None` where the connection ends.
-pub fn read_request(reader: &mut impl BufRead) -> Option<String> {
-    receive(reader).map(|received| received.try_id().to_owned())
+/// Reads one complete request and returns its try id, empty if it has none. `None` when the connection closes first.
+pub fn receive_try_id(reader: &mut impl BufRead) -> Option<String> {
+    receive_request(reader).map(|received| received.try_id().to_owned())
 }
 
-/// An answer: its status, its head and its body.
-pub type Heard = (u16, String, String);
+/// Status, head (in lower case) and body of a response.
+pub type Response = (u16, String, String);
 
-/// Sends one request on a connection of its own. `None` where no whole answer comes.
-pub fn request(addr: SocketAddrV4, line: &str, headers: &str, body: &str) -> Option<Heard> {
+/// Sends one request on a new connection. `None` when no complete response arrives.
+pub fn request(addr: SocketAddrV4, line: &str, headers: &str, body: &str) -> Option<Response> {
     let mut stream = TcpStream::connect_timeout(&addr.into(), Duration::from_secs(2)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(20))).ok()?;
     let length = body.len();
@@ -140,36 +141,37 @@
 }
 
 impl System {
-    /// Starts these roles on each core machine and on the edge's.
+    /// Starts the roles in `core` on each core machine and the roles in `edge` on the edge machine.
     pub fn start(core: &[&'static str], edge: &[&'static str]) -> System {
-        System::start_with(core, edge, "")
+        System::start_with_settings(core, edge, "")
     }
 
-    /// The same, with more lines of settings.
-    pub fn start_with(core: &[&'static str], edge: &[&'static str], settings: &str) -> System {
-        // Servers are not heard of again within a test.
-        System::start_beating(core, edge, 120_000, settings)
+    /// Like `start`, with lines appended to each settings file.
+    pub fn start_with_settings(core: &[&'static str], edge: &[&'static str], settings: &str) -> System {
+        // Longer than a test: servers need to send only one heartbeat.
+        System::start_with_heartbeat_interval(core, edge, 120_000, settings)
     }
 
-    /// The same, where servers call this often.
-    pub fn start_beating(
+    /// Like `start_with_settings`, with the interval at which servers must send heartbeats.
+    pub fn start_with_heartbeat_interval(
         core: &[&'static str],
         edge: &[&'static str],
-        beat_ms: u64,
+        heartbeat_ms: u64,
         settings: &str,
     ) -> System {
-        let one = ONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let base = free_ports();
-        let folder = std::env::temp_dir().join(format!("glenfall-system-{}-{base}", std::process::id()));
+        let system_lock = SYSTEM_LOCK.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let base_port = free_port_range();
+        let folder = std::env::temp_dir().join(format!("glenfall-system-{}-{base_port}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let mut system = System { _one: one, children: Vec::new(), folder, base };
-        let seeds: Vec<String> = (1..EDGE).map(|n| format!("\"{}\"", system.control(n))).collect();
-        for n in 1..=EDGE {
-            let ip = machine(n);
-            let ports = [2, 3, 4, 5].map(|offset| base + offset);
+        let mut system = System { _system_lock: system_lock, children: Vec::new(), folder, base_port };
+        let seeds: Vec<String> =
+            (1..EDGE_MACHINE).map(|n| format!("\"{}\"", system.control_addr_text(n))).collect();
+        for n in 1..=EDGE_MACHINE {
+            let ip = machine_ip(n);
+            let ports = [2, 3, 4, 5].map(|offset| base_port + offset);
             let text = format!(
-                "node = \"node-{n}\"\nzone = \"z\"\nbindIp = \"{ip}\"\nfeedIp = \"{ip}\"\nbeatMs = {beat_ms}\nvoter = true\n\
-                 portRange = [{base}, {}]\nseedNodes = [{}]\nbootstrap = true\nstateDir = \"{}\"\n\
+                "node = \"node-{n}\"\nzone = \"z\"\nbindIp = \"{ip}\"\nfeedIp = \"{ip}\"\nbeatMs = {heartbeat_ms}\nvoter = true\n\
+                 portRange = [{base_port}, {}]\nseedNodes = [{}]\nbootstrap = true\nstateDir = \"{}\"\n\
                  [listeners]\ncontrolAddr = \"{ip}:{}\"\nhttp = \"{ip}:{}\"\nreadyAddr = \"{ip}:{}\"\n{settings}",
                 ports[0],
                 seeds.join(", "),
@@ -179,7 +181,7 @@
                 ports[3],
             );
             std::fs::write(system.folder.join(format!("{n}.toml")), text).unwrap();
-            for role in if n < EDGE { core } else { edge } {
+            for role in if n < EDGE_MACHINE { core } else { edge } {
                 let child = system.spawn(n, role);
                 system.children.push((n, *role, child));
             }
@@ -187,68 +189,68 @@
         system
     }
 
-    /// Starts one more process.
-    pub fn add(&mut self, n: u8, role: &'static str) {
+    /// Starts one more process on a machine.
+    pub fn start_process(&mut self, n: u8, role: &'static str) {
         let child = self.spawn(n, role);
         self.children.push((n, role, child));
     }
 
-    /// Replaces words in a machine's settings file, all at once.
-    pub fn edit_settings(&self, n: u8, words: &[(&str, &str)]) {
+    /// Replaces texts in a machine's settings file; the file changes atomically.
+    pub fn edit_settings(&self, n: u8, replacements: &[(&str, &str)]) {
         let file = self.folder.join(format!("{n}.toml"));
         let text = std::fs::read_to_string(&file).unwrap();
-        let text = words.iter().fold(text, |text, (from, to)| text.replace(from, to));
+        let text = replacements.iter().fold(text, |text, (from, to)| text.replace(from, to));
         std::fs::write(file.with_extension("new"), text).unwrap();
         std::fs::rename(file.with_extension("new"), file).unwrap();
     }
 
     fn spawn(&self, n: u8, role: &str) -> Child {
-        let log = std::fs::File::options().create(true).append(true).open(self.log(n)).unwrap();
+        let log = std::fs::File::options().create(true).append(true).open(self.log_path(n)).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_glenfall"));
         let settings = self.folder.join(format!("{n}.toml"));
         command.arg(role).env("GLENFALL_CONFIG", settings).stderr(log).spawn().unwrap()
     }
 
     fn child(&mut self, n: u8, role: &str) -> &mut Child {
-        let found = self.children.iter_mut().find(|(at, is, _)| *at == n && *is == role);
-        &mut found.expect("such a process").2
+        let found = self.children.iter_mut().find(|(machine, known, _)| *machine == n && *known == role);
+        &mut found.expect("a process of this machine and role").2
     }
 
-    /// Kills all control nodes; `meanwhile` is done before they start again.
-    pub fn kill_all(&mut self, meanwhile: impl FnOnce(&System)) {
-        self.kill_role("control", meanwhile);
+    /// Kills all control nodes, calls `meanwhile`, and starts them again.
+    pub fn restart_control_nodes(&mut self, meanwhile: impl FnOnce(&System)) {
+        self.restart_role("control", meanwhile);
     }
 
-    /// Kills all core processes of a role; `meanwhile` is done before they start again.
-    pub fn kill_role(&mut self, role: &'static str, meanwhile: impl FnOnce(&System)) {
-        for n in 1..EDGE {
+    /// Kills all core processes of a role, calls `meanwhile`, and starts them again.
+    pub fn restart_role(&mut self, role: &'static str, meanwhile: impl FnOnce(&System)) {
+        for n in 1..EDGE_MACHINE {
             self.kill(n, role);
         }
         meanwhile(self);
-        for n in 1..EDGE {
-            self.start_again(n, role);
+        for n in 1..EDGE_MACHINE {
+            self.respawn(n, role);
         }
     }
 
-    /// Ends a process at once.
+    /// Kills a process and waits until it has exited.
     pub fn kill(&mut self, n: u8, role: &str) {
         let child = self.child(n, role);
         child.kill().unwrap();
         child.wait().unwrap();
     }
 
-    /// Kills the other core processes of a role, and starts all.
-    pub fn kill_others(&mut self, but: u8, role: &'static str) {
-        for n in (1..EDGE).filter(|n| *n != but) {
+    /// Kills the core processes of a role except one that has exited already, and starts all of them again.
+    pub fn kill_others_and_respawn_all(&mut self, except: u8, role: &'static str) {
+        for n in (1..EDGE_MACHINE).filter(|n| *n != except) {
             self.kill(n, role);
         }
-        for n in 1..EDGE {
-            self.start_again(n, role);
+        for n in 1..EDGE_MACHINE {
+            self.respawn(n, role);
         }
     }
 
-    /// Starts a process again that has ended.
-    pub fn start_again(&mut self, n: u8, role: &str) {
+    /// Starts a process again that has exited.
+    pub fn respawn(&mut self, n: u8, role: &str) {
         *self.child(n, role) = self.spawn(n, role);
     }
 
@@ -261,8 +263,8 @@
         assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
     }
 
-    /// Whether a process has ended, and in order.
-    pub fn ended(&mut self, n: u8, role: &str) -> Option<bool> {
+    /// Whether a process exited successfully; `None` while it runs.
+    pub fn exit_success(&mut self, n: u8, role: &str) -> Option<bool> {
         self.child(n, role).try_wait().unwrap().map(|status| status.success())
     }
 
@@ -270,79 +272,89 @@
         self.folder.join(format!("state-{n}"))
     }
 
-    /// What a verb says, and whether it succeeded.
-    pub fn verb(&self, words: &[&str]) -> (bool, String) {
+    /// Runs an operator command: whether it succeeded, and its standard output, or its standard error on failure.
+    pub fn run_command(&self, args: &[&str]) -> (bool, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_glenfall"));
-        let output = command.args(words).current_dir(&self.folder).output().unwrap();
-        let said = if output.status.success() { output.stdout } else { output.stderr };
-        (output.status.success(), String::from_utf8(said).unwrap())
+        let output = command.args(args).current_dir(&self.folder).output().unwrap();
+        let text = if output.status.success() { output.stdout } else { output.stderr };
+        (output.status.success(), String::from_utf8(text).unwrap())
     }
 
     pub fn control_addr(&self, n: u8) -> SocketAddrV4 {
-        SocketAddrV4::new(machine(n), self.base + 3)
+        SocketAddrV4::new(machine_ip(n), self.base_port + 3)
     }
 
-    /// Where sessions open at a core machine: agents, and the shield beside.
+    /// Where a control node accepts sessions: from agents, and from the shield on the same machine.
     pub fn session_addrs(&self, n: u8) -> [SocketAddrV4; 2] {
-        [0, 2].map(|offset| SocketAddrV4::new(machine(n), self.base + offset))
+        [0, 2].map(|offset| SocketAddrV4::new(machine_ip(n), self.base_port + offset))
     }
 
-    pub fn control(&self, n: u8) -> String {
+    pub fn control_addr_text(&self, n: u8) -> String {
         self.control_addr(n).to_string()
     }
 
-    /// Where the edge takes clients, and tells whether it is ready.
+    /// The edge's address for client requests, and the one for readiness checks.
     pub fn edge_addrs(&self) -> [SocketAddrV4; 2] {
-        [4, 5].map(|offset| SocketAddrV4::new(machine(EDGE), self.base + offset))
+        [4, 5].map(|offset| SocketAddrV4::new(machine_ip(EDGE_MACHINE), self.base_port + offset))
     }
 
-    /// Says a server's word to the first control node.
-    pub fn beat(&self, id: &str, service: &str, addr: SocketAddrV4, status: &str, seq: u32) {
+    /// Sends a server's heartbeat to the first control node.
+    pub fn send_heartbeat(&self, id: &str, service: &str, addr: SocketAddrV4, status: &str, seq: u32) {
         let body = format!(
             r#"{{"backend":"{service}","addr":"{addr}","zone":"z","capacity":8,"status":"{status}","callSeq":{seq}}}"#
         );
         let line = format!("PUT /api/servers/{id}");
-        let heard = request(self.control_addr(1), &line, "Host: c\r\n", &body);
-        assert_eq!(heard.map(|heard| heard.0), Some(200));
+        let response = request(self.control_addr(1), &line, "Host: c\r\n", &body);
+        assert_eq!(response.map(|response| response.0), Some(200));
     }
 
-    /// Puts (`put`) or changes (`patch`) the configuration, as an operator's verb does.
-    pub fn configure(&self, verb: &str, builds_on: u64, document: &str) {
-        let file = format!("{verb}-{builds_on}.json");
+    /// Replaces (`put`) or changes (`patch`) the configuration through the operator's command.
+    pub fn configure(&self, subcommand: &str, builds_on: u64, document: &str) {
+        let file = format!("{subcommand}-{builds_on}.json");
         std::fs::write(self.folder.join(&file), document).unwrap();
-        let (at, builds_on) = (self.control(2), builds_on.to_string());
-        let told = self.verb(&["config", verb, "--control", &at, "--builds-on", &builds_on, &file]);
-        assert!(told.0, "{}", told.1);
-    }
-
-    /// Waits until the edge is ready and control knows three shields that are.
-    pub fn await_ready(&self) {
+        let (control, builds_on) = (self.control_addr_text(2), builds_on.to_string());
+        let outcome = self.run_command(&[
+            "config",
+            subcommand,
+            "--control",
+            &control,
+            "--builds-on",
+            &builds_on,
+            &file,
+        ]);
+        assert!(outcome.0, "{}", outcome.1);
+    }
+
+    /// Waits until the edge is ready and each control node knows three ready shields.
+    pub fn wait_until_ready(&self) {
         let ready = self.edge_addrs()[1];
-        await_that("the edge is ready", || {
-            request(ready, "GET /api/ready", "Host: e\r\n", "").is_some_and(|heard| heard.0 == 200)
+        wait_until("the edge is ready", || {
+            request(ready, "GET /api/ready", "Host: e\r\n", "").is_some_and(|response| response.0 == 200)
         });
-        // What a status tells of the shields has been pushed; an edge that has not applied it yet chooses among fewer of
-        // them, and its objects move once more.
+        // The shields in a status have been pushed to the sessions. An edge that has not applied them yet chooses among
+        // fewer shields, and its objects move to other shields once it does.
         let settled = |n| {
             let status = self.status(n)?;
             let ready = status["shields"].as_array()?.iter().filter(|shield| shield["ready"] == true).count();
             let mut sessions = status["sessions"].as_array()?.iter();
             Some(ready == 3 && sessions.all(|session| session["applied"] == session["pushed"]))
         };
-        await_that("all shields are ready, and known to be", || (1..EDGE).all(|n| settled(n) == Some(true)));
+        wait_until("three ready shields are known and applied everywhere", || {
+            (1..EDGE_MACHINE).all(|n| settled(n) == Some(true))
+        });
     }
 
-    /// Waits until each session holds a lease: until then a shield's copies are not used, and reads of its objects go to
-    /// another shield.
-    pub fn await_leases(&self) {
+    /// Waits until each session holds a lease: until then a shield's cached responses are not used, and reads of its
+    /// objects go to another shield.
+    pub fn wait_for_leases(&self) {
         let holds_leases = |n| {
             let status = self.status(n)?;
             Some(status["sessions"].as_array()?.iter().all(|session| session["leased"] == true))
         };
-        await_that("each session holds a lease", || (1..EDGE).all(|n| holds_leases(n) == Some(true)));
+        wait_until("each session holds a lease", || (1..EDGE_MACHINE).all(|n| holds_leases(n) == Some(true)));
     }
 
-    pub fn log(&self, n: u8) -> PathBuf {
+    pub fn log_path(&self, n: u8) -> PathBuf {
         self.folder.join(format!("{n}.log"))
     }
 
@@ -351,20 +363,25 @@
         serde_json::from_str(&body).ok()
     }
 
-    /// All given nodes know a view with so many members.
-    pub fn await_chain(&self, nodes: &[u8], members: usize) {
-        let stands = |n: &u8| {
+    /// Waits until each given node knows a view whose chain has this many members.
+    pub fn wait_for_chain(&self, nodes: &[u8], members: usize) {
+        let has_chain = |n: &u8| {
             self.status(*n).is_some_and(|s| s["view"]["chain"].as_array().is_some_and(|c| c.len() == members))
         };
-        await_that(&format!("a chain of {members} at {nodes:?}"), || nodes.iter().all(stands));
+        wait_until(&format!("nodes {nodes:?} know a chain of {members} members"), || {
+            nodes.iter().all(has_chain)
+        });
     }
 
-    pub fn agents_at(&self, n: u8) -> Option<usize> {
+    /// Number of open sessions at a control node, of agents and of its shield; `None` when it does not respond.
+    pub fn session_count(&self, n: u8) -> Option<usize> {
         Some(self.status(n)?["sessions"].as_array()?.len())
     }
 
-    pub fn losses(&self) -> usize {
-        let lost = |n| std::fs::read_to_string(self.log(n)).unwrap().matches("peer disconnected").count();
-        (1..EDGE).map(lost).sum()
+    /// How often the control nodes have logged the loss of a link to a peer.
+    pub fn disconnect_count(&self) -> usize {
+        let count =
+            |n| std::fs::read_to_string(self.log_path(n)).unwrap().matches("peer disconnected").count();
+        (1..EDGE_MACHINE).map(count).sum()
     }
 }
--- a/glenfall/tests/contact.rs
+++ b/glenfall/tests/contact.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use common::{await_that, request, System, PATIENCE};
+use common::{request, wait_until, System, WAIT_TIMEOUT};
 use glenfall_control_plane::messages::{
     ConnectionOpening, PeerMessage, PublisherMessage, SubscriberMessage, Update,
 };
@@ -90,11 +90,19 @@
 /// Three control nodes with a configuration in force.
 fn core() -> System {
     let core = System::start(&["control"], &[]);
-    core.await_chain(&[1, 2, 3], 3);
+    core.wait_for_chain(&[1, 2, 3], 3);
     std::fs::write(core.folder.join("five.json"), r#"{"rev": 5, "backends": [{"name": "s"}]}"#).unwrap();
-    let put = core.verb(&["config", "put", "--control", &core.control(1), "--builds-on", "0", "five.json"]);
+    let put = core.run_command(&[
+        "config",
+        "put",
+        "--control",
+        &core.control_addr_text(1),
+        "--builds-on",
+        "0",
+        "five.json",
+    ]);
     assert!(put.0, "{}", put.1);
-    await_that("all know it", || (1..=3).all(|n| core.status(n).is_some_and(|status| status["rev"] == 5)));
+    wait_until("all know it", || (1..=3).all(|n| core.status(n).is_some_and(|status| status["rev"] == 5)));
     core
 }
 
@@ -109,7 +117,7 @@
     let mut core = core();
     let [agents, beside] = core.session_addrs(1);
     let mut agent = Agent::open(agents);
-    await_that("it is told at once while all is well", || {
+    wait_until("it is told at once while all is well", || {
         agent.hear();
         agent.configured()
     });
@@ -118,14 +126,14 @@
     let (mut agent, mut shield) = (Agent::open(agents), Agent::open(beside));
     let began = Instant::now();
     while !agent.end.ended {
-        assert!(began.elapsed() < PATIENCE, "the agent is kept");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "the agent is kept");
         agent.hear();
         shield.hear();
     }
     assert!(!agent.configured() && !shield.configured(), "{:?}, {:?}", agent.heard, shield.heard);
     assert!(!shield.end.ended, "the shield beside knows no other node");
     both(&mut core, "-CONT");
-    await_that("the shield is told once it is proved", || {
+    wait_until("the shield is told once it is proved", || {
         shield.hear();
         shield.configured()
     });
@@ -163,8 +171,8 @@
     });
     assert_eq!(told, [503; 8]);
     both(&mut core, "-CONT");
-    core.await_chain(&[1, 2, 3], 3);
-    await_that("all goes on", || calls.map(ask) == [412, 400, 200, 200, 200, 200, 200, 409]);
+    core.wait_for_chain(&[1, 2, 3], 3);
+    wait_until("all goes on", || calls.map(ask) == [412, 400, 200, 200, 200, 200, 200, 409]);
 }
 
 /// An agent that applies nothing asks for leases while a purge is asked for; what that is answered.
@@ -184,21 +192,21 @@
     let core = core();
     let mut agent = Agent::open(core.session_addrs(1)[0]);
     // Not where this process was stopped for longer than a lease lasts.
-    await_that("a purge meets a lease that stands, and is not acknowledged", || {
+    wait_until("a purge meets a lease that stands, and is not acknowledged", || {
         agent = Agent::open(core.session_addrs(1)[0]);
-        await_that("a lease is granted", || {
+        wait_until("a lease is granted", || {
             agent.hear();
             agent.leases > 0
         });
         purge_beside(&core, &mut agent) == Some(503)
     });
     // It goes on asking for leases.
-    await_that("its lease is over", || purge_beside(&core, &mut agent) == Some(200));
-    await_that("it ends", || {
+    wait_until("its lease is over", || purge_beside(&core, &mut agent) == Some(200));
+    wait_until("it ends", || {
         purge_beside(&core, &mut agent);
         agent.end.ended
     });
-    await_that("no session stands", || core.agents_at(1) == Some(0));
+    wait_until("no session stands", || core.session_count(1) == Some(0));
 }
 
 /// What a control node that was asked that a server leaves does.
@@ -270,7 +278,7 @@
     let stopped = AtomicBool::new(false);
     std::thread::scope(|scope| {
         let stand_in = scope.spawn(|| stand_in(core, reached, asked, &stopped));
-        await_that("the stand-in is there", || {
+        wait_until("the stand-in is there", || {
             let up = |n: &u8| {
                 core.status(*n).is_some_and(|status| {
                     status["peers"].as_array().is_some_and(|peers| peers.iter().any(|p| p == "127.0.8.2"))
@@ -290,7 +298,7 @@
 fn a_drain_is_told_by_others_to_whom_this_node_does_not_reach() {
     let mut core = core();
     core.kill(2, "control");
-    core.await_chain(&[1, 3], 2);
+    core.wait_for_chain(&[1, 3], 2);
     // Cut off from the first, but not from the third: its sessions are in touch.
     assert_eq!(drains(&core, &[3], Asked::Silent).0, Some(503));
     let (told, times) = drains(&core, &[3], Asked::Answers);
@@ -301,7 +309,7 @@
 fn a_node_that_is_lost_before_it_answers_has_not_said_that_it_knows() {
     let mut core = core();
     core.kill(2, "control");
-    core.await_chain(&[1, 3], 2);
+    core.wait_for_chain(&[1, 3], 2);
     let (told, times) = drains(&core, &[1, 3], Asked::Breaks);
     assert!(told == Some(503) && times > 0, "{told:?}, asked {times} times");
 }
--- a/glenfall/tests/http_forms.rs
+++ b/glenfall/tests/http_forms.rs
@@ -11,7 +11,7 @@
 use std::net::{SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
-use common::{await_that, request, Heard, System, EDGE};
+use common::{request, wait_until, Response, System, EDGE_MACHINE};
 use serde_json::Value;
 
 const FIXTURE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/http-forms.txt");
@@ -82,7 +82,7 @@
 /// and those of the edge and of a shield have told of the requests.
 fn counter_names(system: &System) -> Option<BTreeSet<String>> {
     let mut names = BTreeSet::new();
-    for node in 1..EDGE {
+    for node in 1..EDGE_MACHINE {
         for session in system.status(node)?["sessions"].as_array()? {
             let counters = session["counters"].as_object().filter(|counters| !counters.is_empty())?;
             names.extend(counters.keys().cloned());
@@ -123,7 +123,7 @@
         answer.0
     }
 
-    fn note_answer(&mut self, title: &str, (_, head, body): &Heard) {
+    fn note_answer(&mut self, title: &str, (_, head, body): &Response) {
         let form = body_form(body);
         let mut head = head_form(head);
         if form.contains("(number)") {
@@ -282,14 +282,14 @@
 /// Once each session has sent its counters, and the system has settled.
 fn note_status(transcript: &mut Transcript, system: &System) {
     let mut names = None;
-    await_that("each session has sent its counters", || {
+    wait_until("each session has sent its counters", || {
         names = counter_names(system);
         names.is_some()
     });
     let names: Vec<String> = names.into_iter().flatten().collect();
     transcript.note("counters of sessions", &names.join("\n"));
     let mut answer = None;
-    await_that("the status is complete", || {
+    wait_until("the status is complete", || {
         answer =
             request(system.control_addr(1), "GET /api/status", "Host: h\r\n", "").filter(|(_, _, body)| {
                 serde_json::from_str(body).is_ok_and(|status| is_complete_status(&status))
@@ -309,11 +309,11 @@
     command: &[&str],
     is_complete: fn(&Value) -> bool,
 ) {
-    let control = system.control(1);
+    let control = system.control_addr_text(1);
     let words = [command, &["--control", &control]].concat();
     let mut printed = String::new();
-    await_that(title, || {
-        printed = system.verb(&words).1;
+    wait_until(title, || {
+        printed = system.run_command(&words).1;
         serde_json::from_str::<Value>(&printed).is_ok_and(|nodes| is_complete(&nodes[0]))
     });
     transcript.note(title, &body_form(&printed));
@@ -324,7 +324,7 @@
                    X-Glenfall-Other: kept\r\nX-Glenfall-Want-Server: dropped\r\nKeep-Alive: dropped\r\n";
     let ask =
         |line: &str, headers: &str, body: &str| request(edge, line, headers, body).map(|answer| answer.0);
-    await_that("reads and writes are served", || {
+    wait_until("reads and writes are served", || {
         ask("GET /r/first", "Host: h\r\n", "") == Some(200)
             && ask("POST /w/first", "Host: h\r\n", "") == Some(200)
     });
@@ -343,17 +343,17 @@
 #[test]
 fn what_is_said_over_http_has_the_forms_of_the_fixture() {
     let system = System::start(&["control", "shield"], &["agent", "edge"]);
-    system.await_chain(&[1, 2, 3], 3);
+    system.wait_for_chain(&[1, 2, 3], 3);
     let recorder = Recorder::start();
     let mut transcript = Transcript::default();
     let control = system.control_addr(1);
-    await_that("control reaches a majority", || {
+    wait_until("control reaches a majority", || {
         request(control, "GET /api/ready", "Host: h\r\n", "").is_some_and(|answer| answer.0 == 200)
     });
     let [edge, ready] = system.edge_addrs();
     note_calls_of_servers(&mut transcript, control, recorder.addr);
     note_calls_of_operators(&mut transcript, control);
-    system.await_ready();
+    system.wait_until_ready();
     assert_eq!(transcript.call(ready, "GET /api/ready", "", ""), 200);
     note_calls_of_clients(&mut transcript, edge, &recorder);
     note_status(&mut transcript, &system);
--- a/glenfall/tests/lives.rs
+++ b/glenfall/tests/lives.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::Duration;
 
-use common::{await_that, request, System, EDGE};
+use common::{request, wait_until, System, EDGE_MACHINE};
 use glenfall_control_plane::messages::{CallId, ConnectionOpening, PeerMessage};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -64,15 +64,18 @@
 #[test]
 fn what_a_peer_owes_the_last_process_acknowledges_nothing_in_this_one() {
     let core = System::start(&["control"], &[]);
-    core.await_chain(&[1, 2, 3], 3);
+    core.wait_for_chain(&[1, 2, 3], 3);
     let link = |n| SocketAddrV4::new(*core.control_addr(n).ip(), core.control_addr(1).port() - 3);
-    let asked = listen(link(EDGE));
+    let asked = listen(link(EDGE_MACHINE));
     let stream = TcpStream::connect(link(1)).unwrap();
     let mut reader = stream.try_clone().unwrap();
     thread::spawn(move || while hear::<PeerMessage>(&mut reader).is_some() {});
     let stream = Arc::new(Mutex::new(stream));
-    say(&stream, &ConnectionOpening::Peer { ip: *link(EDGE).ip(), incarnation: 9, known_peers: Vec::new() })
-        .unwrap();
+    say(
+        &stream,
+        &ConnectionOpening::Peer { ip: *link(EDGE_MACHINE).ip(), incarnation: 9, known_peers: Vec::new() },
+    )
+    .unwrap();
     keep_alive(&stream);
     // Whether a purge is acknowledged where the peer answers so.
     let purged = |change: fn(CallId) -> CallId| {
@@ -86,10 +89,10 @@
             (id, told.join().unwrap().map(|heard| heard.0))
         })
     };
-    await_that("the peer is asked, and its answer acknowledges", || purged(|id| id).1 == Some(200));
+    wait_until("the peer is asked, and its answer acknowledges", || purged(|id| id).1 == Some(200));
     let (id, told) = purged(|id| CallId { incarnation: id.incarnation ^ 1, ..id });
     assert!(id.is_some() && told != Some(200), "the same number in another life: {id:?}, {told:?}");
     let (id, told) = purged(|id| CallId { number: id.number + 1, ..id });
     assert!(id.is_some() && told != Some(200), "another number in this life: {id:?}, {told:?}");
-    await_that("its own answer still acknowledges", || purged(|id| id).1 == Some(200));
+    wait_until("its own answer still acknowledges", || purged(|id| id).1 == Some(200));
 }
--- a/glenfall/tests/lost.rs
+++ b/glenfall/tests/lost.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use common::{await_that, receive, request, System, EDGE};
+use common::{receive_request, request, wait_until, System, EDGE_MACHINE};
 
 /// Servers whose answers take a while, and which know what they have answered whole.
 #[derive(Default)]
@@ -24,10 +24,10 @@
 impl Servers {
     fn serve(&self, mut stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        while let Some(received) = receive(&mut reader) {
+        while let Some(received) = receive_request(&mut reader) {
             let number = self.began.fetch_add(1, Ordering::Relaxed);
             // Some take longer than connections are accepted by a process that leaves.
-            let slow = received.line.starts_with("POST") && number % 8 == 7;
+            let slow = received.request_line.starts_with("POST") && number % 8 == 7;
             let work = if slow { 4500 } else { 20 + 90 * (number % 8) as u64 };
             std::thread::sleep(Duration::from_millis(work));
             let id = received.try_id();
@@ -193,16 +193,17 @@
 }
 
 fn start() -> (System, Arc<Servers>) {
-    let system = System::start_with(&["control", "shield"], &["agent", "edge"], "[timing]\ngraceS = 12\n");
-    system.await_chain(&[1, 2, 3], 3);
+    let system =
+        System::start_with_settings(&["control", "shield"], &["agent", "edge"], "[timing]\ngraceS = 12\n");
+    system.wait_for_chain(&[1, 2, 3], 3);
     let servers = Arc::new(Servers::default());
     for (id, service) in [("a", "s"), ("b", "s"), ("c", "t"), ("d", "t")] {
-        system.beat(id, service, Servers::start(&servers), "ready", 1);
+        system.send_heartbeat(id, service, Servers::start(&servers), "ready", 1);
     }
     let (verb, first) = &changes()[0];
     system.configure(verb, 0, first);
-    system.await_ready();
-    await_that("writes are served", || {
+    system.wait_until_ready();
+    wait_until("writes are served", || {
         let headers = "Host: h\r\nX-Glenfall-Try-Id: first\r\n";
         request(system.edge_addrs()[0], "POST /writes/x", headers, "").is_some_and(|heard| heard.0 == 200)
     });
@@ -214,7 +215,7 @@
 /// What a server has answered whole, its client has got, whatever was done meanwhile; and nothing but an answer ended
 /// a request that was read.
 fn check(clients: &Clients, servers: &Servers) {
-    await_that("servers are done", || {
+    wait_until("servers are done", || {
         servers.finished.load(Ordering::Relaxed) == servers.began.load(Ordering::Relaxed)
     });
     let answered = servers.answered.lock().unwrap();
@@ -235,21 +236,21 @@
         (0..12).for_each(|_| drop(scope.spawn(|| clients.run(edge, &LINES))));
         let (mut rev, later) = (1, changes().split_off(1));
         for (n, (verb, document)) in later.iter().enumerate() {
-            let core = n as u8 % (EDGE - 1) + 1;
-            system.signal(EDGE, "edge", "-HUP");
-            system.signal(EDGE, "agent", "-HUP");
+            let core = n as u8 % (EDGE_MACHINE - 1) + 1;
+            system.signal(EDGE_MACHINE, "edge", "-HUP");
+            system.signal(EDGE_MACHINE, "agent", "-HUP");
             system.signal(core, "shield", "-TERM");
             system.signal(core, "control", "-HUP");
             system.signal(core, "shield", "-HUP");
             system.configure(verb, rev, document);
             rev += 1;
             let (before, began) = (clients.answered(), servers.began.load(Ordering::Relaxed));
-            await_that("requests go on", || {
+            wait_until("requests go on", || {
                 clients.answered() >= before + 25 && servers.began.load(Ordering::Relaxed) >= began + 25
             });
-            await_that("it ends", || system.ended(core, "shield").is_some());
-            assert_eq!(system.ended(core, "shield"), Some(true), "in order");
-            system.start_again(core, "shield");
+            wait_until("it ends", || system.exit_success(core, "shield").is_some());
+            assert_eq!(system.exit_success(core, "shield"), Some(true), "in order");
+            system.respawn(core, "shield");
         }
         clients.stop.store(true, Ordering::Relaxed);
     });
@@ -267,21 +268,21 @@
     let edge = system.edge_addrs()[0];
     std::thread::scope(|scope| {
         (0..12).for_each(|_| drop(scope.spawn(|| clients.run(edge, &LINES))));
-        await_that("requests go on", || clients.answered() >= 25);
+        wait_until("requests go on", || clients.answered() >= 25);
         // A change is on its way as the signals come, and more come after them.
         let (verb, document) = &changes()[1];
-        system.signal(EDGE, "edge", "-HUP");
-        system.signal(EDGE, "edge", "-TERM");
-        system.signal(EDGE, "edge", "-HUP");
+        system.signal(EDGE_MACHINE, "edge", "-HUP");
+        system.signal(EDGE_MACHINE, "edge", "-TERM");
+        system.signal(EDGE_MACHINE, "edge", "-HUP");
         system.configure(verb, 1, document);
         let before = clients.answered();
-        await_that("those who still come are served", || clients.answered() >= before + 25);
-        system.signal(EDGE, "agent", "-TERM");
-        system.signal(EDGE, "edge", "-TERM");
-        await_that("it ends", || system.ended(EDGE, "edge").is_some());
+        wait_until("those who still come are served", || clients.answered() >= before + 25);
+        system.signal(EDGE_MACHINE, "agent", "-TERM");
+        system.signal(EDGE_MACHINE, "edge", "-TERM");
+        wait_until("it ends", || system.exit_success(EDGE_MACHINE, "edge").is_some());
         clients.stop.store(true, Ordering::Relaxed);
     });
-    assert_eq!(system.ended(EDGE, "edge"), Some(true), "in order");
+    assert_eq!(system.exit_success(EDGE_MACHINE, "edge"), Some(true), "in order");
     check(&clients, &servers);
 }
 
--- a/glenfall/tests/memory.rs
+++ b/glenfall/tests/memory.rs
@@ -6,7 +6,7 @@
 use std::io::{BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
 
-use common::{await_that, read_request, request, System, EDGE};
+use common::{receive_try_id, request, wait_until, System, EDGE_MACHINE};
 
 const MEMORY_MB: u64 = 96;
 /// An answer of a server.
@@ -29,7 +29,7 @@
 fn answers(mut stream: TcpStream) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let body = vec![b'x'; LARGE];
-    while let Some(id) = read_request(&mut reader) {
+    while let Some(id) = receive_try_id(&mut reader) {
         let head = format!(
             "HTTP/1.1 200 OK\r\nX-Glenfall-Try-Id: {id}\r\nX-Glenfall-Seal: s\r\nContent-Length: {LARGE}\r\n\r\n"
         );
@@ -49,8 +49,8 @@
 #[test]
 fn an_edge_keeps_to_its_memory_under_slow_readers_and_endless_bodies() {
     let settings = format!("[reqLimits]\nmemMb = {MEMORY_MB}\nmaxFds = 2048\n");
-    let mut system = System::start_with(&["control", "shield"], &["agent", "edge"], &settings);
-    system.await_chain(&[1, 2, 3], 3);
+    let mut system = System::start_with_settings(&["control", "shield"], &["agent", "edge"], &settings);
+    system.wait_for_chain(&[1, 2, 3], 3);
     let addr = server();
     let beat = format!(
         r#"{{"backend":"s","addr":"{addr}","zone":"z","capacity":1000,"status":"ready","callSeq":1}}"#
@@ -62,12 +62,12 @@
         "reqLimits": {"maxHeaderBytes": 16384, "maxBodyBytes": 67108864, "headerTimeoutMs": 3000,
         "idleTimeoutMs": 3000}}"#;
     std::fs::write(system.folder.join("c.json"), document).unwrap();
-    let at = system.control(2);
-    let told = system.verb(&["config", "put", "--control", &at, "--builds-on", "0", "c.json"]);
+    let at = system.control_addr_text(2);
+    let told = system.run_command(&["config", "put", "--control", &at, "--builds-on", "0", "c.json"]);
     assert!(told.0, "{}", told.1);
     let [edge, _] = system.edge_addrs();
     let ask = || request(edge, "POST /x", "Host: h\r\nX-Glenfall-Try-Id: ab\r\n", "").map(|heard| heard.0);
-    await_that("writes are served", || ask() == Some(200));
+    wait_until("writes are served", || ask() == Some(200));
 
     let open = |head: &str| {
         let mut stream = TcpStream::connect(edge).unwrap();
@@ -84,12 +84,12 @@
         let _ = stream.write_all(&vec![b'y'; LARGE / 2]);
         held.push(stream);
     }
-    await_that("there is no more room, and that is said at once", || ask() == Some(503));
+    wait_until("there is no more room, and that is said at once", || ask() == Some(503));
     // Whoever takes nothing is let go of after `idleTimeoutMs`, and there is room again.
-    await_that("writes are served again", || ask() == Some(200));
-    let pid = system.pid(EDGE, "edge");
+    wait_until("writes are served again", || ask() == Some(200));
+    let pid = system.pid(EDGE_MACHINE, "edge");
     let peak = peak_mb(pid);
     assert!(peak < MEMORY_MB, "{peak} MB");
-    assert_eq!(system.ended(EDGE, "edge"), None, "it runs on");
+    assert_eq!(system.exit_success(EDGE_MACHINE, "edge"), None, "it runs on");
     drop(held);
 }
--- a/glenfall/tests/mixed.rs
+++ b/glenfall/tests/mixed.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use common::{await_that, receive, request, Heard, System};
+use common::{receive_request, request, wait_until, Response, System};
 
 /// What a server does with a request.
 #[derive(Clone, Copy, Debug)]
@@ -78,7 +78,7 @@
 
     fn serve(&self, mut stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        while let Some(received) = receive(&mut reader) {
+        while let Some(received) = receive_request(&mut reader) {
             self.arrivals.fetch_add(1, Ordering::Relaxed);
             let sealed = |status, not_run| self.sealed(status, not_run, received.try_id());
             let text = match self.reaction(received.path()) {
@@ -129,12 +129,15 @@
 
 impl Setup {
     fn start() -> Setup {
-        let system =
-            System::start_with(&["control", "shield"], &["agent", "edge"], "[timing]\nretryRatio = 4.0\n");
-        system.await_chain(&[1, 2, 3], 3);
+        let system = System::start_with_settings(
+            &["control", "shield"],
+            &["agent", "edge"],
+            "[timing]\nretryRatio = 4.0\n",
+        );
+        system.wait_for_chain(&[1, 2, 3], 3);
         let script = Arc::new(Script::default());
         for id in ["a", "b"] {
-            system.beat(id, "s", Script::start(&script), "ready", 1);
+            system.send_heartbeat(id, "s", Script::start(&script), "ready", 1);
         }
         let route = |name: &str, kind: &str, more: &str| {
             format!(
@@ -150,14 +153,14 @@
         ];
         let document = format!(r#"{{"rev":1,"paths":[{}],"backends":[{{"name":"s"}}]}}"#, routes.join(","));
         system.configure("put", 0, &document);
-        system.await_ready();
+        system.wait_until_ready();
         let setup = Setup { system, script, tries: AtomicUsize::new(0) };
-        await_that("writes are served", || setup.ask("POST /once/warm", "").0 == 200);
-        await_that("reads come from shields", || setup.ask("GET /kept/warm", "").1.contains("\r\nage: "));
+        wait_until("writes are served", || setup.ask("POST /once/warm", "").0 == 200);
+        wait_until("reads come from shields", || setup.ask("GET /kept/warm", "").1.contains("\r\nage: "));
         setup
     }
 
-    fn ask(&self, line: &str, headers: &str) -> Heard {
+    fn ask(&self, line: &str, headers: &str) -> Response {
         let id = self.tries.fetch_add(1, Ordering::Relaxed);
         let headers = format!("Host: h\r\nX-Glenfall-Try-Id: {id:x}\r\n{headers}");
         let heard = request(self.system.edge_addrs()[0], line, &headers, "").expect("a whole answer");
@@ -167,7 +170,7 @@
 
     /// A seal stands with the status and the body that it was given for, or, with 206, for an object and its range;
     /// and a failure's with the request that failed.
-    fn check(&self, line: &str, try_id: &str, (status, head, body): &Heard) {
+    fn check(&self, line: &str, try_id: &str, (status, head, body): &Response) {
         let Some(seal) = seal(head) else {
             assert!(!(200..300).contains(status), "{line}: a success without a seal: {head}");
             return;
@@ -246,7 +249,7 @@
     let reactions = vec![Reaction::Slow(500)];
     setup.script.reactions.lock().unwrap().insert("/kept/joined".to_owned(), reactions);
     let before = setup.script.arrivals.load(Ordering::Relaxed);
-    let heard: Vec<Heard> = std::thread::scope(|scope| {
+    let heard: Vec<Response> = std::thread::scope(|scope| {
         let asked: Vec<_> = (0..6).map(|_| scope.spawn(|| setup.ask("GET /kept/joined", ""))).collect();
         asked.into_iter().map(|asked| asked.join().unwrap()).collect()
     });
--- a/glenfall/tests/purge_durability.rs
+++ b/glenfall/tests/purge_durability.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{await_that, request, System};
+use common::{request, wait_until, System};
 
 /// Takes the purge log of a machine away for good: where its file should be lies a folder.
 fn break_log(system: &System, n: u8) {
@@ -12,15 +12,15 @@
 
 /// How a purge ends whose order goes to the first of three control nodes, while the disks of some take no purges.
 fn purge_status(broken: &[u8]) -> u16 {
-    let mut system = System::start_with(&["control"], &["agent"], "[survive]\nhosts = 1\n");
-    system.await_chain(&[1, 2, 3], 3);
+    let mut system = System::start_with_settings(&["control"], &["agent"], "[survive]\nhosts = 1\n");
+    system.wait_for_chain(&[1, 2, 3], 3);
     for n in broken {
         system.kill(*n, "control");
         std::fs::remove_dir_all(system.state_dir(*n)).unwrap();
         system.edit_settings(*n, &[("bootstrap = true", "bootstrap = false")]);
         break_log(&system, *n);
-        system.start_again(*n, "control");
-        system.await_chain(&[1, 2, 3], 3);
+        system.respawn(*n, "control");
+        system.wait_for_chain(&[1, 2, 3], 3);
     }
     // Leases of before are over, and every node has its session and links.
     std::thread::sleep(std::time::Duration::from_secs(2));
@@ -32,7 +32,7 @@
     let mut status = purge();
     if broken.len() < 2 {
         // A purge that is refused at first may be sent again.
-        await_that("a purge is acknowledged", || {
+        wait_until("a purge is acknowledged", || {
             status = if status == 200 { 200 } else { purge() };
             status == 200
         });
--- a/glenfall/tests/sight.rs
+++ b/glenfall/tests/sight.rs
@@ -6,7 +6,7 @@
 use std::io::{BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
 
-use common::{await_that, read_request, request, System, EDGE};
+use common::{receive_try_id, request, wait_until, System, EDGE_MACHINE};
 
 /// What a stand-in server does with each request that it has whole.
 #[derive(Clone, Copy)]
@@ -34,7 +34,7 @@
 
 fn serve(mut stream: TcpStream, acts: Acts) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
-    while let Some(id) = read_request(&mut reader) {
+    while let Some(id) = receive_try_id(&mut reader) {
         let (status, more) = match acts {
             Acts::Answers(status, more) => (status, more),
             Acts::Closes => return,
@@ -78,7 +78,7 @@
 #[test]
 fn the_log_names_each_failed_request_by_its_try_with_the_cause_and_whom_it_was_sent_to() {
     let system = System::start(&["control", "shield"], &["agent", "edge"]);
-    system.await_chain(&[1, 2, 3], 3);
+    system.wait_for_chain(&[1, 2, 3], 3);
     let servers = [
         ("well", Some(start_server(OK))),
         ("full", Some(start_server(FULL))),
@@ -100,19 +100,19 @@
                 request(system.control_addr(1), &line, "Host: c\r\n", &body)
                     .is_some_and(|heard| heard.0 == 200)
             };
-            await_that("a beat is acknowledged", beat);
+            wait_until("a beat is acknowledged", beat);
         }
     }
     let services: Vec<&str> = servers.iter().map(|(service, _)| *service).collect();
     system.configure("put", 0, &document(&services));
-    system.await_ready();
+    system.wait_until_ready();
     let edge = system.edge_addrs()[0];
     let ask = |id: &str, line: &str, headers: &str, body: &str| {
         let headers = format!("X-Glenfall-Try-Id: {id}\r\n{headers}");
         request(edge, line, &headers, body).map_or(0, |heard| heard.0)
     };
     let (host, brief) = ("Host: h\r\n", "Host: h\r\nX-Glenfall-Deadline: 400\r\n");
-    await_that("reads and writes are served", || {
+    wait_until("reads and writes are served", || {
         ask("first", "GET /r/well/x", host, "") == 200 && ask("first", "POST /w/well/x", host, "") == 200
     });
     let long = "b".repeat(2000);
@@ -157,10 +157,10 @@
     let refused = request(system.control_addr(1), "PUT /api/config", "Host: c\r\nIf-Match: 1\r\n", "{");
     assert_eq!(refused.map(|heard| heard.0), Some(400));
 
-    let log = |n: u8| std::fs::read_to_string(system.log(n)).unwrap();
-    await_that("the slow head is logged", || log(EDGE).contains("head-too-slow"));
+    let log = |n: u8| std::fs::read_to_string(system.log_path(n)).unwrap();
+    wait_until("the slow head is logged", || log(EDGE_MACHINE).contains("head-too-slow"));
     for (id, _, _, _, status, cause, way) in table {
-        let log = log(EDGE);
+        let log = log(EDGE_MACHINE);
         let lines: Vec<&str> =
             log.lines().filter(|line| line.contains(&format!("try_id=\"{id}\""))).collect();
         assert_eq!(lines.len(), 1, "{id}: {lines:?}");
@@ -177,5 +177,5 @@
         let sessions = status.flat_map(|s| s["sessions"].as_array().cloned().unwrap_or_default());
         sessions.filter_map(|session| session["counters"]["failed_no_route"].as_u64()).sum::<u64>()
     };
-    await_that("status counts failures by their causes", || counted() == 1);
+    wait_until("status counts failures by their causes", || counted() == 1);
 }
--- a/glenfall/tests/silence.rs
+++ b/glenfall/tests/silence.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{await_that, read_request, request, System, EDGE};
+use common::{receive_try_id, request, wait_until, System, EDGE_MACHINE};
 
 const BEAT: Duration = Duration::from_millis(300);
 /// Longer than servers are remembered that say nothing.
@@ -49,7 +49,7 @@
 
 fn serve(mut stream: TcpStream, runs: &AtomicUsize) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
-    while let Some(id) = read_request(&mut reader) {
+    while let Some(id) = receive_try_id(&mut reader) {
         runs.fetch_add(1, Ordering::Relaxed);
         let answer = format!(
             "HTTP/1.1 200 OK\r\nX-Glenfall-Try-Id: {id}\r\nX-Glenfall-Seal: s\r\nContent-Length: 6\r\n\r\nanswer"
@@ -67,12 +67,16 @@
 
 /// The system with two servers of a service, a route for reads and one for writes.
 fn start(beat: Duration) -> (System, [Server; 2]) {
-    let system =
-        System::start_beating(&["control", "shield"], &["agent", "edge"], beat.as_millis() as u64, "");
-    system.await_chain(&[1, 2, 3], 3);
+    let system = System::start_with_heartbeat_interval(
+        &["control", "shield"],
+        &["agent", "edge"],
+        beat.as_millis() as u64,
+        "",
+    );
+    system.wait_for_chain(&[1, 2, 3], 3);
     let servers = ["a", "b"].map(Server::start);
     for server in &servers {
-        await_that("a beat is acknowledged", || server.beat(system.control_addr(1), 1));
+        wait_until("a beat is acknowledged", || server.beat(system.control_addr(1), 1));
     }
     let document = r#"{"rev": 1, "paths": [
         {"name": "reads", "hostname": "h", "pathPrefix": "/r/", "type": "cacheable", "deadlineMs": 5000,
@@ -81,13 +85,13 @@
          "targetMs": 2000, "backend": "s", "tries": 2}],
         "backends": [{"name": "s"}]}"#;
     system.configure("put", 0, document);
-    await_that("reads and writes are served", || {
+    wait_until("reads and writes are served", || {
         ask(&system, "GET /r/first") == 200 && ask(&system, "POST /w/first") == 200
     });
     // The shield of the first read is one of three: a control node that is stopped before it has pushed the servers to its
     // own leaves a shield that has never known them.
-    await_that("each proxy has applied that there are two servers", || {
-        (1..EDGE).all(|n| has_pushed_servers(&system, n))
+    wait_until("each proxy has applied that there are two servers", || {
+        (1..EDGE_MACHINE).all(|n| has_pushed_servers(&system, n))
     });
     (system, servers)
 }
@@ -146,17 +150,17 @@
 fn a_server_that_says_goodbye_to_a_core_that_has_just_started_gets_nothing_more() {
     // No control node has heard of all servers before the end of the test.
     let (mut system, servers) = start(Duration::from_mins(2));
-    await_that("both take part", || {
+    wait_until("both take part", || {
         ask(&system, "POST /w/x");
         servers.iter().all(|server| server.runs.load(Ordering::Relaxed) > 2)
     });
-    system.kill_all(|_| ());
-    system.await_chain(&[1, 2, 3], 3);
-    await_that("the agent has its session again", || {
-        (1..=3).filter_map(|n| system.agents_at(n)).sum::<usize>() == 4
+    system.restart_control_nodes(|_| ());
+    system.wait_for_chain(&[1, 2, 3], 3);
+    wait_until("the agent has its session again", || {
+        (1..=3).filter_map(|n| system.session_count(n)).sum::<usize>() == 4
     });
     let goodbye = || request(system.control_addr(2), "DELETE /api/servers/a", "Host: c\r\n", "").map(|h| h.0);
-    await_that("a goodbye is acknowledged", || goodbye() == Some(200));
+    wait_until("a goodbye is acknowledged", || goodbye() == Some(200));
     let before = servers[0].runs.load(Ordering::Relaxed);
     for number in 0..60 {
         assert_eq!(ask(&system, &format!("POST /w/{number}")), 200);
@@ -168,11 +172,11 @@
 fn a_shield_serves_on_by_the_servers_it_knows_when_all_control_nodes_have_started_again() {
     // Servers say nothing more before the end of the test.
     let (mut system, _servers) = start(Duration::from_mins(2));
-    system.await_ready();
-    system.kill_all(|_| ());
-    system.await_chain(&[1, 2, 3], 3);
-    await_that("all have their sessions again", || {
-        (1..=3).filter_map(|n| system.agents_at(n)).sum::<usize>() == 4
+    system.wait_until_ready();
+    system.restart_control_nodes(|_| ());
+    system.wait_for_chain(&[1, 2, 3], 3);
+    wait_until("all have their sessions again", || {
+        (1..=3).filter_map(|n| system.session_count(n)).sum::<usize>() == 4
     });
     let refused = (0..60).filter(|number| ask(&system, &format!("GET /r/again-{number}")) != 200).count();
     assert_eq!(refused, 0, "reads of objects that no shield has, while the servers are there");
--- a/glenfall/tests/system.rs
+++ b/glenfall/tests/system.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-use common::{await_that, read_request, request, Heard, System, EDGE};
+use common::{receive_try_id, request, wait_until, Response, System, EDGE_MACHINE};
 
 /// A server that counts what it runs, and can be made to hold its answers back.
 #[derive(Default)]
@@ -40,7 +40,7 @@
 
     fn connection(&self, mut stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        while let Some(id) = read_request(&mut reader) {
+        while let Some(id) = receive_try_id(&mut reader) {
             let run = self.runs.fetch_add(1, Ordering::Relaxed) + 1;
             self.waiting.fetch_add(1, Ordering::Relaxed);
             let mut held = self.held.lock().unwrap();
@@ -85,7 +85,7 @@
     /// Two services of two servers and one, a route for reads and one for writes.
     fn start() -> (Path, [Arc<Server>; 3]) {
         let system = System::start(&["control", "shield"], &["agent", "edge"]);
-        system.await_chain(&[1, 2, 3], 3);
+        system.wait_for_chain(&[1, 2, 3], 3);
         let path = Path { system, tries: AtomicUsize::new(0) };
         let servers = [("a", "s"), ("b", "s"), ("c", "t")].map(|(id, service)| {
             let (server, addr) = Server::start();
@@ -99,9 +99,9 @@
              "targetMs": 5000, "backend": "s", "tries": 2}],
             "backends": [{"name": "s"}, {"name": "t"}]}"#;
         path.change("put", 0, document);
-        path.system.await_ready();
-        path.system.await_leases();
-        await_that("reads and writes are served", || {
+        path.system.wait_until_ready();
+        path.system.wait_for_leases();
+        wait_until("reads and writes are served", || {
             path.ask("GET /r/first").is_some_and(|heard| heard.0 == 200)
                 && path.ask("POST /w/first").is_some_and(|heard| heard.0 == 200)
         });
@@ -113,7 +113,7 @@
     }
 
     fn beat(&self, id: &str, service: &str, addr: SocketAddrV4, status: &str, seq: u32) {
-        self.system.beat(id, service, addr, status, seq);
+        self.system.send_heartbeat(id, service, addr, status, seq);
     }
 
     fn change(&self, verb: &str, builds_on: u64, document: &str) {
@@ -121,12 +121,12 @@
     }
 
     fn purge(&self, what: &[&str]) {
-        let at = self.system.control(3);
-        let told = self.system.verb(&[&["purge", "--control", &at], what].concat());
+        let at = self.system.control_addr_text(3);
+        let told = self.system.run_command(&[&["purge", "--control", &at], what].concat());
         assert!(told.0, "{}", told.1);
     }
 
-    fn ask(&self, line: &str) -> Option<Heard> {
+    fn ask(&self, line: &str) -> Option<Response> {
         let id = self.tries.fetch_add(1, Ordering::Relaxed);
         let headers = format!("Host: h\r\nX-Glenfall-Try-Id: {id:x}\r\nX-Glenfall-Deadline: 9000\r\n");
         request(self.system.edge_addrs()[0], line, &headers, "")
@@ -163,7 +163,7 @@
     let before = runs(&servers);
     std::thread::scope(|scope| {
         let asked: Vec<_> = (0..5).map(|_| scope.spawn(|| path.body("GET /r/joined"))).collect();
-        await_that("a server has the request", || runs(&servers) > before);
+        wait_until("a server has the request", || runs(&servers) > before);
         // The others have come as well by the time that a purge takes.
         path.purge(&["--host", "h", "--path", "/r/other"]);
         path.purge(&["--host", "h", "--path", "/r/joined"]);
@@ -199,28 +199,28 @@
     for (turn, with_core) in [(2, false), (3, true)] {
         let line = format!("GET /r/{turn}");
         let again = |path: &mut Path| {
-            path.system.kill_role("shield", |_| ());
+            path.system.restart_role("shield", |_| ());
             if with_core {
-                path.system.kill_role("control", |_| ());
-                path.system.await_chain(&[1, 2, 3], 3);
+                path.system.restart_role("control", |_| ());
+                path.system.wait_for_chain(&[1, 2, 3], 3);
                 for (id, addr) in ["a", "b"].iter().zip(&addrs) {
                     path.beat(id, "s", *addr, "ready", turn);
                 }
             }
         };
         let mut first = None;
-        await_that("a copy", || {
+        wait_until("a copy", || {
             first = from_copy(&path, &line);
             first.is_some()
         });
         // Whichever shield is in the array first may have fetched it as well.
         let mut known = BTreeSet::from([first.unwrap_or_default()]);
         // They are on disk a moment after they were fetched.
-        await_that("a copy outlives its process", || {
+        wait_until("a copy outlives its process", || {
             std::thread::sleep(Duration::from_millis(400));
             again(&mut path);
             let mut now = None;
-            await_that("a copy", || {
+            wait_until("a copy", || {
                 now = from_copy(&path, &line);
                 now.is_some()
             });
@@ -230,15 +230,15 @@
             same
         });
         // What is purged while no shield runs is not what lay on disk, nor where all the core has forgotten it since.
-        path.system.kill_role("shield", |system| {
-            let (at, what) = (system.control(3), format!("/r/{turn}"));
-            await_that("a purge", || {
-                system.verb(&["purge", "--control", &at, "--host", "h", "--path", &what]).0
+        path.system.restart_role("shield", |system| {
+            let (at, what) = (system.control_addr_text(3), format!("/r/{turn}"));
+            wait_until("a purge", || {
+                system.run_command(&["purge", "--control", &at, "--host", "h", "--path", &what]).0
             });
         });
         again(&mut path);
         let mut now = None;
-        await_that("a copy", || {
+        wait_until("a copy", || {
             now = from_copy(&path, &line);
             now.is_some()
         });
@@ -249,7 +249,7 @@
 #[test]
 fn a_server_that_drains_gets_nothing_more_and_a_route_moves_for_good() {
     let (path, servers) = Path::start();
-    await_that("both take part", || {
+    wait_until("both take part", || {
         path.body("POST /w/x");
         servers[..2].iter().all(|server| server.runs() > 4)
     });
@@ -268,7 +268,7 @@
          "backend": "t", "tries": 2}]}, "remove": {"paths": ["reads"]}}"#;
     path.change("patch", 1, moved);
     let (began, before) = (Instant::now(), servers[2].runs());
-    await_that("the route has moved", || {
+    wait_until("the route has moved", || {
         path.body("POST /w/x");
         servers[2].runs() > before
     });
@@ -289,13 +289,13 @@
     let [edge, ready] = path.system.edge_addrs();
     std::thread::scope(|scope| {
         let asked = scope.spawn(|| request(edge, "POST /w/held", "Host: h\r\nX-Glenfall-Try-Id: ab\r\n", ""));
-        await_that("the request is at a server", || waiting() == 1);
-        path.system.signal(EDGE, "edge", "-TERM");
-        await_that("it is not ready any more", || {
+        wait_until("the request is at a server", || waiting() == 1);
+        path.system.signal(EDGE_MACHINE, "edge", "-TERM");
+        wait_until("it is not ready any more", || {
             request(ready, "GET /api/ready", "Host: e\r\n", "").is_some_and(|heard| heard.0 == 503)
         });
         let late = scope.spawn(|| request(edge, "POST /w/late", "Host: h\r\nX-Glenfall-Try-Id: ac\r\n", ""));
-        await_that("a late one is at a server too", || waiting() == 2);
+        wait_until("a late one is at a server too", || waiting() == 2);
         servers.iter().for_each(|server| server.hold(false));
         for asked in [asked, late] {
             let (status, head, body) = asked.join().unwrap().expect("a whole answer");
@@ -303,14 +303,14 @@
             assert!(head.contains("connection: close") && body.starts_with("run "), "{head} {body}");
         }
     });
-    await_that("it ends", || path.system.ended(EDGE, "edge").is_some());
-    assert_eq!(path.system.ended(EDGE, "edge"), Some(true), "in order");
+    wait_until("it ends", || path.system.exit_success(EDGE_MACHINE, "edge").is_some());
+    assert_eq!(path.system.exit_success(EDGE_MACHINE, "edge"), Some(true), "in order");
 }
 
 #[test]
 fn shields_that_leave_answer_what_they_have_asked_servers_for() {
     let (mut path, servers) = Path::start();
-    await_that("reads come from copies", || {
+    wait_until("reads come from copies", || {
         path.ask("GET /r/copy").is_some_and(|heard| heard.0 == 200 && heard.1.contains("\r\nage: "))
     });
     servers.iter().for_each(|server| server.hold(true));
@@ -320,8 +320,8 @@
     std::thread::scope(|scope| {
         let headers = "Host: h\r\nX-Glenfall-Try-Id: ad\r\nX-Glenfall-Deadline: 9000\r\n";
         let asked = scope.spawn(move || request(edge, "GET /r/held", headers, ""));
-        await_that("the request is at a server", || waiting() == 1);
-        for n in 1..EDGE {
+        wait_until("the request is at a server", || waiting() == 1);
+        for n in 1..EDGE_MACHINE {
             path.system.signal(n, "shield", "-TERM");
         }
         // Long enough for one that does not wait to end, and for the edge to ask elsewhere.
@@ -331,29 +331,34 @@
         assert!(status == 200 && body.starts_with("run "), "{status} {head} {body}");
     });
     assert_eq!(runs(&servers) - before, 1, "nothing was broken off and asked for again");
-    await_that("they end", || (1..EDGE).all(|n| path.system.ended(n, "shield").is_some()));
-    assert!((1..EDGE).all(|n| path.system.ended(n, "shield") == Some(true)), "in order");
+    wait_until("they end", || (1..EDGE_MACHINE).all(|n| path.system.exit_success(n, "shield").is_some()));
+    assert!((1..EDGE_MACHINE).all(|n| path.system.exit_success(n, "shield") == Some(true)), "in order");
 }
 
 #[test]
 fn a_shield_that_does_not_hear_of_a_version_sends_edges_to_another() {
     let (mut path, _servers) = Path::start();
-    await_that("reads come from copies", || {
+    wait_until("reads come from copies", || {
         path.ask("GET /r/copy").is_some_and(|heard| heard.0 == 200 && heard.1.contains("\r\nage: "))
     });
     // Control beside one shield stands still, and the edge's agent has its session elsewhere.
-    let at =
-        [1, 3].into_iter().find(|n| path.system.agents_at(*n) == Some(1)).expect("no more than its shield");
+    let at = [1, 3]
+        .into_iter()
+        .find(|n| path.system.session_count(*n) == Some(1))
+        .expect("no more than its shield");
     path.system.signal(at, "control", "-STOP");
-    await_that("the others go on", || {
+    wait_until("the others go on", || {
         path.system
             .status(2)
             .is_some_and(|status| status["view"]["chain"].as_array().map(Vec::len) == Some(2))
     });
     path.change("patch", 1, r#"{"rev": 2, "upsert": {"backends": [{"name": "u"}]}}"#);
-    let known =
-        || std::fs::read_to_string(path.system.log(EDGE)).unwrap().contains("configuration applied rev=2");
-    await_that("the edge knows it", known);
+    let known = || {
+        std::fs::read_to_string(path.system.log_path(EDGE_MACHINE))
+            .unwrap()
+            .contains("configuration applied rev=2")
+    };
+    wait_until("the edge knows it", known);
     for n in 0..12 {
         let (status, head, _) = path.ask(&format!("GET /r/{n}")).expect("an answer");
         assert_eq!(status, 200, "{head}");
@@ -371,7 +376,7 @@
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
             let mut reader = BufReader::new(stream.try_clone().unwrap());
-            while let Some(id) = read_request(&mut reader) {
+            while let Some(id) = receive_try_id(&mut reader) {
                 let head = format!("HTTP/1.1 200 OK\r\nX-Glenfall-Try-Id: {id}\r\nX-Glenfall-Seal: s\r\n");
                 let _ = write!(stream, "{head}Content-Length: 10\r\n\r\nfirst");
                 std::thread::sleep(pause);
@@ -385,7 +390,7 @@
          "targetMs": 5000, "backend": "p", "tries": 2}]}}"#;
     path.change("patch", 1, added);
     let mut heard = None;
-    await_that("the route is known, and the server", || {
+    wait_until("the route is known, and the server", || {
         heard = path.ask("POST /p/x");
         !heard.as_ref().is_some_and(|heard| matches!(heard.0, 404 | 503))
     });
@@ -402,9 +407,9 @@
     std::thread::scope(|scope| {
         let line = "POST /w/broken";
         let asked = scope.spawn(move || request(edge, line, "Host: h\r\nX-Glenfall-Try-Id: ad\r\n", ""));
-        await_that("the request is at a server", || runs(&servers) == before + 1);
-        path.system.signal(EDGE, "edge", "-TERM");
-        await_that("it is not ready any more", || {
+        wait_until("the request is at a server", || runs(&servers) == before + 1);
+        path.system.signal(EDGE_MACHINE, "edge", "-TERM");
+        wait_until("it is not ready any more", || {
             request(ready, "GET /api/ready", "Host: e\r\n", "").is_some_and(|heard| heard.0 == 503)
         });
         servers.iter().for_each(|server| {
@@ -414,7 +419,7 @@
         let (status, head, _) = asked.join().unwrap().expect("a whole answer");
         assert!(status == 502 && head.contains("connection: close"), "no promise: {head}");
     });
-    await_that("it ends", || path.system.ended(EDGE, "edge").is_some());
+    wait_until("it ends", || path.system.exit_success(EDGE_MACHINE, "edge").is_some());
     assert_eq!(runs(&servers), before + 1, "it went to one server");
 }
 
@@ -422,7 +427,7 @@
     /// Reads these until each comes from a copy that was there; what the copies hold.
     fn copies(&self, lines: &[String]) -> Vec<String> {
         let mut bodies = Vec::new();
-        await_that("copies of all", || {
+        wait_until("copies of all", || {
             let before: Vec<String> = lines.iter().map(|line| self.body(line)).collect();
             bodies = lines.iter().map(|line| self.body(line)).collect();
             before == bodies
@@ -443,7 +448,7 @@
     fn stale_after_purge(&self, lines: &[String], before: &[String]) -> usize {
         let purge =
             || request(self.system.control_addr(3), "POST /api/purge", "Host: c\r\n", r#"{"label":"label"}"#);
-        await_that("the purge is acknowledged", || purge().is_some_and(|heard| heard.0 == 200));
+        wait_until("the purge is acknowledged", || purge().is_some_and(|heard| heard.0 == 200));
         lines.iter().zip(before).filter(|(line, before)| self.body(line) == **before).count()
     }
 }
@@ -466,20 +471,20 @@
 #[test]
 fn an_edge_whose_agent_is_frozen_serves_no_copy_that_a_purge_has_ended() {
     let (mut path, _servers) = Path::start();
-    path.system.edit_settings(EDGE, &[("zone = \"z\"", "zone = \"y\"")]);
+    path.system.edit_settings(EDGE_MACHINE, &[("zone = \"z\"", "zone = \"y\"")]);
     for role in ["agent", "edge"] {
-        path.system.kill(EDGE, role);
-        path.system.start_again(EDGE, role);
+        path.system.kill(EDGE_MACHINE, role);
+        path.system.respawn(EDGE_MACHINE, role);
     }
-    path.system.await_ready();
+    path.system.wait_until_ready();
     let lines: Vec<String> = (0..8).map(|n| format!("GET /r/agent-{n}")).collect();
-    await_that("it is served again", || path.ask(&lines[0]).is_some_and(|heard| heard.0 == 200));
+    wait_until("it is served again", || path.ask(&lines[0]).is_some_and(|heard| heard.0 == 200));
     // For a while after its start it keeps none.
-    await_that("the edge serves copies of its own", || {
+    wait_until("the edge serves copies of its own", || {
         path.copies(&lines);
         path.own_copies() > 0
     });
     let before = path.copies(&lines);
-    path.system.signal(EDGE, "agent", "-STOP");
+    path.system.signal(EDGE_MACHINE, "agent", "-STOP");
     assert_eq!(path.stale_after_purge(&lines, &before), 0);
 }
