--- a/control-plane/src/config/document.rs
+++ b/control-plane/src/config/document.rs
@@ -4,9 +4,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Upper bound of a latency target, whatever a document says: one hour. It keeps the conversion to [`Duration`] in range.
+/// Upper bound of a latency target: one hour. Larger values in a document are reduced to it, so that the conversion to
+/// [`Duration`] cannot overflow.
 const MAX_LATENCY_TARGET_MS: f64 = 3_600_000.0;
-/// Attempts of a request whose route does not say a number.
+/// Maximum number of attempts of a request if its route does not specify `tries`.
 const DEFAULT_TRIES: u32 = 1;
 
 /// Which requests of a route may be sent more than once, and whether their responses may be stored.
@@ -15,20 +16,21 @@
 pub enum RouteKind {
     /// Object reads: requests may be retried, and responses may be stored.
     Cacheable,
-    /// Requests may be retried.
+    /// Requests may be retried; responses are not stored.
     Idempotent,
-    /// Requests are sent at most once. A kind that this version does not know is handled as this one.
+    /// Requests are sent at most once. Kinds that this version does not know are read as this one.
     #[default]
     #[serde(other)]
     Mutating,
 }
 
-/// A service among several that share the requests of a route.
+/// A service that receives a weighted share of the requests of a route.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WeightedBackend {
     /// Name of the service.
     pub backend: String,
-    /// Weight of the service: its share of the requests is its weight divided by the sum of all weights.
+    /// The service's share of the requests is its weight divided by the sum of all weights of the split. A weight that is
+    /// not above 0 gives no requests.
     pub weight: f64,
 }
 
@@ -38,28 +40,28 @@
 pub struct Route {
     /// Name of the route, unique in the document.
     pub name: String,
-    /// Host that the route matches, without a port and in any case.
+    /// Host that the route matches, without a port; compared case-insensitively.
     pub hostname: String,
-    /// Prefix that the route matches paths by, with a slash at both ends.
+    /// Path prefix that the route matches; begins and ends with a slash.
     pub path_prefix: String,
     /// Whether requests may be retried, and responses stored.
     #[serde(rename = "type", default)]
     pub kind: RouteKind,
     /// Deadline of a request, in milliseconds.
     pub deadline_ms: u64,
-    /// Latency target in milliseconds; the deadline where it is missing.
+    /// Latency target in milliseconds; the deadline if `None`.
     #[serde(default)]
     pub target_ms: Option<f64>,
     /// Priority of the route's requests: 0 is the highest.
     #[serde(default)]
     pub prio: u32,
-    /// The service; `None` where `split` names several.
+    /// Name of the service; `None` if `split` names several.
     #[serde(default)]
     pub backend: Option<String>,
-    /// The services that share the requests; empty where `backend` names one.
+    /// The services that share the requests; empty if `backend` names one.
     #[serde(default)]
     pub split: Vec<WeightedBackend>,
-    /// Attempts of a request at most, the first included.
+    /// Maximum number of attempts of a request, including the first one.
     #[serde(default = "default_tries")]
     pub tries: u32,
     /// How long a stored response is fresh, in seconds.
@@ -72,8 +74,8 @@
 }
 
 impl Route {
-    /// The service for a request. `draw` is a number from 0 to 1 that the caller draws for the request; equal numbers give
-    /// the same service.
+    /// Name of the service for a request. `draw` is a number from 0 to 1 that the caller draws at random for the request;
+    /// equal numbers give the same service. `None` if the route has no backend and no split with a positive weight.
     pub fn service(&self, draw: f64) -> Option<&str> {
         if let Some(backend) = &self.backend {
             return Some(backend);
@@ -95,23 +97,23 @@
         self.split.iter().map(|share| share.weight.max(0.0)).sum()
     }
 
-    /// The time within which a response has its full value to the client.
+    /// The latency that clients of this route expect; at least one millisecond.
     pub fn latency_target(&self) -> Duration {
         let ms = self.target_ms.unwrap_or(self.deadline_ms as f64);
         Duration::from_secs_f64(ms.clamp(1.0, MAX_LATENCY_TARGET_MS) / 1000.0)
     }
 }
 
-/// A service.
+/// A service that routes send requests to.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Backend {
     /// Name of the service, unique in the document.
     pub name: String,
-    /// Path of health checks, as the operator writes it. No process reads it at present.
+    /// Path for health checks. Accepted in documents, but not used at present.
     #[serde(default)]
     pub health_path: Option<String>,
-    /// Bound of the connections to one server, as the operator writes it. No process reads it at present.
+    /// Maximum number of connections to one server. Accepted in documents, but not used at present.
     #[serde(default)]
     pub max_conns: Option<u32>,
     /// Rate limit of the service over all proxies, in requests per second; `None` for no limit.
@@ -119,15 +121,15 @@
     pub rate_per_s: Option<f64>,
 }
 
-/// What clients may send, and how long they may take for it.
+/// Limits of the size of client requests, and of the time that a client may take to send one.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "camelCase", default)]
 pub struct RequestLimits {
-    /// Bytes of a request line and its headers at most.
+    /// Maximum size of a request line and its headers, in bytes.
     pub max_header_bytes: usize,
-    /// Bytes of a request body at most.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Time for the headers of a request, in milliseconds.
+    /// Time within which all headers of a request have to arrive, in milliseconds.
     pub header_timeout_ms: u64,
     /// How long a connection may be idle between requests, and how long a body may make no progress, in milliseconds.
     pub idle_timeout_ms: u64,
--- a/control-plane/src/config/mod.rs
+++ b/control-plane/src/config/mod.rs
@@ -1,7 +1,7 @@
-//! Configuration documents: parsing, checking and changing them, and finding the route of a request.
+//! Configuration documents: parsing, validation, changes, and the lookup of the route of a request.
 //!
-//! A document is stored as the JSON that the operator sent, with the fields that this version does not know, so that it
-//! reads back unchanged. [`Config`] is the form that the data plane uses.
+//! A document is stored as the JSON that the operator sent, including fields that this version does not know, so that a
+//! later read returns it unchanged. [`Config`] is the parsed form that the data plane uses.
 
 mod change;
 mod document;
@@ -16,20 +16,21 @@
 pub use document::{Backend, RequestLimits, Route, RouteKind, WeightedBackend};
 pub use validation::InvalidConfig;
 
-/// Largest document, also of one that grows by patches. With the deduplication table and a view it fits into a frame
-/// ([`MAX_FRAME_BYTES`](crate::messages::MAX_FRAME_BYTES)); a larger one could not be sent to another member of the chain.
+/// Maximum size of a document, also after a patch. A document of this size fits into one frame
+/// ([`MAX_FRAME_BYTES`](crate::messages::MAX_FRAME_BYTES)) together with the deduplication table and a view; a larger one
+/// could not be sent to the other members of the chain.
 pub const MAX_DOCUMENT_BYTES: usize = 3 << 20;
 
-/// A document in the form that the data plane uses.
+/// A parsed and validated document.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Config {
-    /// Version of the document.
+    /// Version of the document; each change raises it.
     pub rev: u64,
-    /// The routes.
+    /// The routes, each with a unique name and a unique pair of host and path prefix.
     #[serde(default)]
     pub paths: Vec<Route>,
-    /// The services.
+    /// The services, each with a unique name.
     #[serde(default)]
     pub backends: Vec<Backend>,
     /// Limits of client requests.
@@ -38,17 +39,17 @@
     /// Index of `paths`.
     #[serde(skip)]
     route_table: RouteTable,
-    /// The distinct priorities of all routes, the highest first, which is the lowest number.
+    /// The distinct priorities of all routes, in ascending order of the number: the highest priority first.
     #[serde(skip)]
     priorities: Vec<u32>,
 }
 
 impl Config {
-    /// Parses a document and checks it.
+    /// Parses and validates a document.
     ///
     /// # Errors
     ///
-    /// [`InvalidConfig`] says what is wrong with the document.
+    /// [`InvalidConfig`] if the document is malformed or inconsistent.
     pub fn read(document: &[u8]) -> Result<Config, InvalidConfig> {
         let mut config: Config =
             serde_json::from_slice(document).map_err(|error| InvalidConfig::Unreadable(error.to_string()))?;
@@ -58,8 +59,8 @@
         Ok(config)
     }
 
-    /// The route of a request: among the routes of its host, the one with the longest prefix of the path. `host` may have
-    /// a port, which is ignored.
+    /// The route of a request: among the routes of its host, the one with the longest matching path prefix. A port in
+    /// `host` is ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let index = self.route_table.find(host, path)?;
         self.paths.get(index)
--- a/control-plane/src/config/routing.rs
+++ b/control-plane/src/config/routing.rs
@@ -10,12 +10,12 @@
 /// Index of the routes of a document, by host and path prefix.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RouteTable {
-    /// By host in lower case.
+    /// Routes by host in lower case.
     by_host: HashMap<String, RoutesByPrefix>,
 }
 
 impl RouteTable {
-    /// The index of these routes. Each pair of host and prefix is expected once.
+    /// Builds the index. Each pair of host and prefix is expected to occur once.
     pub(super) fn new(routes: &[Route]) -> Self {
         let mut table = RouteTable::default();
         for (index, route) in routes.iter().enumerate() {
@@ -25,10 +25,10 @@
         table
     }
 
-    /// Index of the route with the longest prefix of the path, among the routes of the host. `host` may have a port.
+    /// Index of the route of this host that has the longest matching path prefix. `host` may have a port.
     pub(super) fn find(&self, host: &str, path: &str) -> Option<usize> {
         let prefixes = self.prefixes_of(without_port(host))?;
-        // Prefixes end with a slash, so that only the parts of the path up to one of its slashes are candidates.
+        // Prefixes end with a slash, so that only the parts of the path that end with a slash can match.
         let mut end = path.len();
         while let Some(slash) = path[..end].rfind('/') {
             if let Some(index) = prefixes.get(&path[..=slash]) {
@@ -39,7 +39,7 @@
         None
     }
 
-    /// Most clients send hosts in lower case: the copy in lower case is made only where the host as sent is unknown.
+    /// Most clients send the host in lower case, so that the host is looked up as sent first, without a copy.
     fn prefixes_of(&self, host: &str) -> Option<&RoutesByPrefix> {
         self.by_host.get(host).or_else(|| self.by_host.get(&host.to_ascii_lowercase()))
     }
--- a/control-plane/src/config/validation.rs
+++ b/control-plane/src/config/validation.rs
@@ -1,4 +1,4 @@
-//! Checks of a configuration document beyond its JSON form.
+//! Validation of a parsed configuration document.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,15 +7,15 @@
 use crate::config::document::{Backend, Route};
 use crate::config::MAX_DOCUMENT_BYTES;
 
-/// Why a document or a change is rejected. The texts are answers of the HTTP interface and output of commands.
+/// Why a document or a change is rejected. The texts are part of the HTTP interface and of the output of commands.
 ///
 /// Control nodes exchange this type: the order of the variants and of their fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 pub enum InvalidConfig {
-    /// The text is no JSON, or its JSON is no configuration; with the parser's message.
+    /// The text is not JSON, or the JSON does not have the structure of a document or patch; with the reason.
     #[error("not a configuration: {0}")]
     Unreadable(String),
-    /// The version is not above the current one.
+    /// The version of the change is not above the current one.
     #[error("rev: a version above {current} expected, got {got}")]
     OldVersion {
         /// The current version.
@@ -29,7 +29,7 @@
     /// Two backends have this name.
     #[error("backends: {0:?} is named twice")]
     DuplicateBackend(String),
-    /// A route names a backend that the document does not have.
+    /// A route refers to a backend that is not in the document.
     #[error("path {path:?}: no backend is named {backend:?}")]
     UnknownBackend {
         /// Name of the route.
@@ -37,7 +37,7 @@
         /// Name of the missing backend.
         backend: String,
     },
-    /// Two routes match the same requests.
+    /// Two routes have the same hostname and path prefix.
     #[error("path {path:?}: {other:?} has the same hostname and pathPrefix")]
     DuplicatePrefix {
         /// Name of the later route in the document.
@@ -54,22 +54,23 @@
     /// The prefix of this route does not begin and end with a slash.
     #[error("path {0:?}: pathPrefix must begin and end with a slash")]
     InvalidPrefix(String),
-    /// This route has both a backend and a split, or neither.
+    /// This route has both `backend` and `split`, or neither.
     #[error("path {0:?}: exactly one of backend and split expected")]
     BackendOrSplit(String),
-    /// The document has this many bytes, more than [`MAX_DOCUMENT_BYTES`].
+    /// The document is larger than [`MAX_DOCUMENT_BYTES`]; with its size in bytes.
     #[error("{MAX_DOCUMENT_BYTES} bytes are the most, got {0}")]
     TooLarge(usize),
 }
 
-/// What makes a route match a request: its host in lower case, and its path prefix.
+/// The criteria by which a route matches requests. The hostname is in lower case.
 #[derive(PartialEq, Eq, Hash)]
 struct MatchKey<'a> {
     hostname: String,
     path_prefix: &'a str,
 }
 
-/// Checks the routes and backends of a document. Of several faults, the one that comes first in the document is returned.
+/// Checks the routes and backends of a document, and returns the first error that it finds. Duplicate backends are reported
+/// first, then errors of routes in the order of the document.
 pub(super) fn check(routes: &[Route], backends: &[Backend]) -> Result<(), InvalidConfig> {
     let backend_names = unique_backend_names(backends)?;
     let mut route_names = HashSet::new();
@@ -98,7 +99,7 @@
     Ok(names)
 }
 
-/// Checks one route by itself.
+/// Checks one route independently of the other routes.
 fn check_route(route: &Route, backend_names: &HashSet<&str>) -> Result<(), InvalidConfig> {
     let name = || route.name.clone();
     if !(route.path_prefix.starts_with('/') && route.path_prefix.ends_with('/')) {
