--- a/control-plane/src/fleet/list_delta.rs
+++ b/control-plane/src/fleet/list_delta.rs
@@ -1,4 +1,4 @@
-//! Difference of two sorted lists, by the keys of their entries.
+//! Delta between two sorted lists, by the keys of their entries.
 
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
@@ -7,16 +7,15 @@
 
 use crate::nodes::{Member, Server};
 
-/// An entry of a list that is sorted by a key, each key once.
+/// An entry of a list that is sorted by a unique key.
 pub(super) trait Keyed {
     /// Identifies the entry in its list.
     type Key: Ord + Clone;
 
-    /// The key of this entry.
     fn key(&self) -> &Self::Key;
 
-    /// Whether a receiver of this entry needs no update to `other`, which has the same key.
-    fn needs_no_update_to(&self, other: &Self) -> bool;
+    /// Whether a receiver that has this entry does not need an update to `other`, an entry with the same key.
+    fn is_equivalent_to(&self, other: &Self) -> bool;
 }
 
 impl Keyed for Server {
@@ -26,8 +25,8 @@
         &self.id
     }
 
-    /// The remaining slow start is left out: it changes with time alone, and each receiver counts it down itself.
-    fn needs_no_update_to(&self, other: &Self) -> bool {
+    /// Ignores the remaining slow start: it decreases with time, and each receiver computes the decrease itself.
+    fn is_equivalent_to(&self, other: &Self) -> bool {
         self.backend == other.backend
             && self.addr == other.addr
             && self.zone == other.zone
@@ -43,12 +42,12 @@
         &self.node
     }
 
-    fn needs_no_update_to(&self, other: &Self) -> bool {
+    fn is_equivalent_to(&self, other: &Self) -> bool {
         self == other
     }
 }
 
-/// The hash of an edge, which is its own key.
+/// The hash of an edge, which serves as its key.
 impl Keyed for u64 {
     type Key = u64;
 
@@ -56,12 +55,12 @@
         self
     }
 
-    fn needs_no_update_to(&self, other: &Self) -> bool {
+    fn is_equivalent_to(&self, other: &Self) -> bool {
         self == other
     }
 }
 
-/// The entries to insert or replace, and the keys to remove, that make one list of another.
+/// The changes that turn one list into another: entries to insert or replace, and keys to remove.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct ListDelta<T, K> {
     upserted: Vec<T>,
@@ -69,12 +68,12 @@
 }
 
 impl<T: Keyed<Key = K> + Clone, K: Ord + Clone> ListDelta<T, K> {
-    /// The difference that inserts all entries of a list into an empty one.
+    /// The delta from an empty list to `entries`.
     pub(super) fn from_empty(entries: &[T]) -> Self {
         ListDelta { upserted: entries.to_vec(), removed: Vec::new() }
     }
 
-    /// The difference from `old` to `new`, both sorted by key.
+    /// The delta from `old` to `new`, both of which are sorted by key.
     pub(super) fn between(old: &[T], new: &[T]) -> Self {
         let mut delta = ListDelta { upserted: Vec::new(), removed: Vec::new() };
         let mut old = old.iter().peekable();
@@ -88,21 +87,22 @@
             };
             let old_entry = if order.is_le() { old.next() } else { None };
             let new_entry = if order.is_ge() { new.next() } else { None };
-            delta.add_difference(old_entry, new_entry);
+            delta.add_change(old_entry, new_entry);
         }
     }
 
-    /// Adds the difference of two entries of the same key, either of which may be missing.
-    fn add_difference(&mut self, old: Option<&T>, new: Option<&T>) {
+    /// Adds the change from `old` to `new`, which have the same key. `None` stands for an entry that is missing from its
+    /// list.
+    fn add_change(&mut self, old: Option<&T>, new: Option<&T>) {
         match (old, new) {
             (Some(old), None) => self.removed.push(old.key().clone()),
-            (Some(old), Some(new)) if old.needs_no_update_to(new) => {}
+            (Some(old), Some(new)) if old.is_equivalent_to(new) => {}
             (_, Some(new)) => self.upserted.push(new.clone()),
             (None, None) => {}
         }
     }
 
-    /// Makes the new list of the old one.
+    /// Applies the delta to the old list, which must be sorted by key.
     pub(super) fn apply(&self, list: &mut Vec<T>) {
         if !self.removed.is_empty() {
             let removed: BTreeSet<&K> = self.removed.iter().collect();
@@ -116,12 +116,12 @@
         }
     }
 
-    /// Whether both lists are the same to a receiver.
+    /// Whether a receiver of the old list needs no update.
     pub(super) fn is_empty(&self) -> bool {
         self.upserted.is_empty() && self.removed.is_empty()
     }
 
-    /// Whether no entry is removed.
+    /// Whether the delta only inserts or replaces entries.
     pub(super) fn removes_nothing(&self) -> bool {
         self.removed.is_empty()
     }
--- a/control-plane/src/fleet/mod.rs
+++ b/control-plane/src/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! The fleet, which is the list of servers, shields and edges that control publishes to proxies.
+//! The fleet: the servers, shields and edges that control nodes publish to proxies.
 //!
-//! A session starts with a snapshot and goes on with differences, so that an update costs as much as has changed, whatever
-//! the size of the fleet. Each publisher numbers the versions of its fleet, and a receiver rejects a difference that does
-//! not build on the version that it has.
+//! A session starts with a snapshot and continues with deltas, so that the size of an update depends on what has changed and
+//! not on the size of the fleet. Each publisher numbers the versions of its fleet, and a receiver rejects a delta whose base
+//! version differs from its own version.
 
 mod list_delta;
 mod members_update;
@@ -18,20 +18,20 @@
 /// All servers, shields and edges, each list sorted by the keys of its entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// The publisher knows every live server and proxy, so that whatever the lists lack is gone. A receiver of an
-    /// incomplete fleet retains what it knew before.
+    /// Whether the publisher knows every live server and proxy, so that an entry that is not in the lists no longer exists.
+    /// A receiver of an incomplete fleet retains the entries that it knew before.
     pub complete: bool,
     /// The origin servers, by id.
     pub servers: Vec<Server>,
     /// The shields, by the names of their machines.
     pub shields: Vec<Member>,
-    /// Hashes of the edges, see [`edge_hash`].
+    /// Hashes of the edges in ascending order, see [`edge_hash`].
     pub edges: Vec<u64>,
-    /// Number of core machines that should be running: the voters of control, each with a shield on its machine.
+    /// Number of core machines that should be running. Each of them runs a voter of the control plane and a shield.
     pub cores: u32,
 }
 
-/// Hash of an edge, which identifies it among all edges, from the name of its machine.
+/// Hash of the name of an edge's machine. It identifies the edge among all edges.
 pub fn edge_hash(node: &str) -> u64 {
     node.bytes().fold(0, |hash, byte| mix(hash ^ u64::from(byte)))
 }
@@ -42,7 +42,7 @@
         self.servers.len() + self.shields.len() + self.edges.len()
     }
 
-    /// Sorts lists that were concatenated, and retains the first entry of each key.
+    /// Sorts lists that were concatenated. Of several entries with the same key, the first one is retained.
     pub fn sort(&mut self) {
         self.servers.sort_by(|a, b| a.id.cmp(&b.id));
         self.servers.dedup_by(|a, b| a.id == b.id);
@@ -53,7 +53,7 @@
     }
 }
 
-/// The difference between two versions of a fleet.
+/// The delta between two consecutive versions of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetDelta {
     base_version: u64,
@@ -66,7 +66,7 @@
 }
 
 impl FleetDelta {
-    /// Whether it only inserts or replaces entries.
+    /// Whether the delta only inserts or replaces entries.
     pub fn removes_nothing(&self) -> bool {
         self.servers.removes_nothing() && self.shields.removes_nothing() && self.edges.removes_nothing()
     }
@@ -76,7 +76,7 @@
         self.complete
     }
 
-    /// Whether all lists stay as they are.
+    /// Whether the deltas of all lists are empty.
     fn changes_no_list(&self) -> bool {
         self.servers.is_empty() && self.shields.is_empty() && self.edges.is_empty()
     }
@@ -85,28 +85,28 @@
 /// An update of the fleet, as a publisher sends it on a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetUpdate {
-    /// The complete fleet.
+    /// The full content of the fleet, which replaces the receiver's.
     Snapshot {
         /// Version of the fleet at the publisher.
         version: u64,
-        /// The fleet.
+        /// All entries. This may still be an incomplete fleet: see [`Fleet::complete`].
         fleet: Fleet,
     },
-    /// The difference from the version before.
+    /// The delta from the previous version.
     Delta(FleetDelta),
 }
 
-/// A difference does not build on the version that the receiver has: the receiver has missed an update.
+/// The base version of a delta is not the version that the receiver has: the receiver has missed an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("fleet update builds on version {base_version}, but the local version is {local_version}")]
 pub struct Gap {
-    /// The version that the difference builds on.
+    /// The version that the delta applies to.
     pub base_version: u64,
     /// The version that the receiver has.
     pub local_version: u64,
 }
 
-/// A fleet with its version, which is the number of changes so far at its publisher.
+/// A fleet with its version, which counts the changes at its publisher.
 #[derive(Clone, Debug, Default)]
 pub struct VersionedFleet {
     version: u64,
@@ -114,7 +114,7 @@
 }
 
 impl VersionedFleet {
-    /// The fleet.
+    /// The current version's content.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
@@ -124,9 +124,9 @@
         FleetUpdate::Snapshot { version: self.version, fleet: self.fleet.clone() }
     }
 
-    /// Replaces the fleet by `next`, and returns the update for receivers of the present version; `None` where they need
-    /// none. The remaining slow start of a server changes with time alone: it is sent when the server is new or changes
-    /// otherwise.
+    /// Replaces the fleet by `next`, and returns the update for receivers of the current version; `None` if they need none.
+    /// A change of a server's remaining slow start alone causes no update, as it only decreases with time. It is sent
+    /// when the server is new or another field of it changes.
     pub fn advance_to(&mut self, next: Fleet) -> Option<FleetUpdate> {
         let current = &self.fleet;
         let delta = FleetDelta {
@@ -138,8 +138,8 @@
             shields: ListDelta::between(&current.shields, &next.shields),
             edges: ListDelta::between(&current.edges, &next.edges),
         };
-        let same_flags = current.complete == next.complete && current.cores == next.cores;
-        if same_flags && delta.changes_no_list() {
+        let scalars_unchanged = current.complete == next.complete && current.cores == next.cores;
+        if scalars_unchanged && delta.changes_no_list() {
             return None;
         }
         self.version = delta.version;
@@ -147,20 +147,20 @@
         Some(FleetUpdate::Delta(delta))
     }
 
-    /// Applies a difference from another publisher whose fleet is the same as this one, though its versions differ.
-    /// Returns the update for receivers of the present version.
-    pub fn adopt(&mut self, delta: &FleetDelta) -> FleetUpdate {
+    /// Applies a delta from another publisher, whose fleet equals this one but has other version numbers. Returns the same
+    /// delta with this fleet's version numbers, for receivers of the current version.
+    pub fn apply_renumbered(&mut self, delta: &FleetDelta) -> FleetUpdate {
         let renumbered =
             FleetDelta { base_version: self.version, version: self.version + 1, ..delta.clone() };
         self.apply(&renumbered);
         FleetUpdate::Delta(renumbered)
     }
 
-    /// Applies an update at its receiver.
+    /// Applies an update from the publisher.
     ///
     /// # Errors
     ///
-    /// A difference that builds on another version is rejected, and the fleet stays as it is.
+    /// [`Gap`] if the delta has another base version than the local one. The fleet is not changed then.
     pub fn apply_update(&mut self, update: FleetUpdate) -> Result<(), Gap> {
         match update {
             FleetUpdate::Snapshot { version, fleet } => {
--- a/control-plane/src/known_fleet.rs
+++ b/control-plane/src/known_fleet.rs
@@ -1,7 +1,7 @@
-//! The fleet that an agent or a proxy uses, merged from what one publisher after another sends.
+//! The fleet that an agent or a proxy uses, merged from the updates of successive publishers.
 //!
 //! A control node that has just started does not know all servers yet, and marks its fleet as incomplete. A process that
-//! connects to it retains what it knew before until the fleet is complete.
+//! connects to it retains the entries that it knew before until the published fleet is complete.
 
 use std::collections::HashSet;
 
@@ -10,11 +10,11 @@
 /// The fleet that a process uses, and may publish to others.
 #[derive(Default)]
 pub struct KnownFleet {
-    /// The fleet of the present publisher, with the publisher's versions.
+    /// The fleet of the current publisher, with the publisher's version numbers.
     published: VersionedFleet,
-    /// The fleet that this process uses, with versions of its own; `None` until the first update.
+    /// The fleet that this process uses, with its own version numbers; `None` until the first update.
     merged: Option<VersionedFleet>,
-    /// Whether both fleets are equal, so that a difference of one is a difference of the other.
+    /// Whether both fleets are equal, so that a delta of one applies to the other.
     in_sync: bool,
 }
 
@@ -29,27 +29,27 @@
         self.merged.as_ref().map(VersionedFleet::snapshot)
     }
 
-    /// Applies an update from the publisher. Returns the update for receivers of the present merged fleet; `None` where
-    /// they need none.
+    /// Applies an update from the publisher. Returns the update for receivers of the current merged fleet; `None` if they
+    /// need none.
     ///
     /// # Errors
     ///
-    /// A difference that does not build on the publisher's last version is rejected, and nothing changes.
+    /// [`Gap`] if the update is a delta whose base version is not the publisher's last known version. Nothing changes then.
     pub fn apply_update(&mut self, update: FleetUpdate) -> Result<Option<FleetUpdate>, Gap> {
-        let adoptable = match &update {
-            FleetUpdate::Delta(delta) if self.can_adopt(delta) => Some(delta.clone()),
+        let direct_delta = match &update {
+            FleetUpdate::Delta(delta) if self.can_apply_directly(delta) => Some(delta.clone()),
             FleetUpdate::Delta(_) | FleetUpdate::Snapshot { .. } => None,
         };
         self.published.apply_update(update)?;
-        match (&mut self.merged, adoptable) {
-            (Some(merged), Some(delta)) => Ok(Some(merged.adopt(&delta))),
+        match (&mut self.merged, direct_delta) {
+            (Some(merged), Some(delta)) => Ok(Some(merged.apply_renumbered(&delta))),
             _ => Ok(self.merge()),
         }
     }
 
-    /// Whether a difference applies to the merged fleet as it is. With thousands of servers, merging is most of what an
-    /// update costs.
-    fn can_adopt(&self, delta: &FleetDelta) -> bool {
+    /// Whether a delta can be applied to the merged fleet directly, without merging. With thousands of servers, merging is
+    /// most of the cost of an update.
+    fn can_apply_directly(&self, delta: &FleetDelta) -> bool {
         self.in_sync && (delta.is_complete() || delta.removes_nothing())
     }
 
@@ -67,8 +67,8 @@
     }
 }
 
-/// The fleet that follows from a published one. Where that is incomplete, it is extended by what was known before; a known
-/// server whose address has another server now is left out.
+/// Merges a published fleet with the known one. A complete fleet replaces the known one. An incomplete fleet is extended by
+/// the known entries, except servers whose address now belongs to a published server.
 fn merge(known: &Fleet, mut published: Fleet) -> Fleet {
     if published.complete {
         return published;
@@ -78,7 +78,7 @@
     published.servers.extend(retained.cloned());
     published.shields.extend(known.shields.iter().cloned());
     published.edges.extend(&known.edges);
-    // Of two entries with the same key, sorting retains the first, which is the published one.
+    // Of two entries with the same key, `sort` retains the first one, which is the published one.
     published.sort();
     published
 }
--- a/control-plane/src/nodes.rs
+++ b/control-plane/src/nodes.rs
@@ -1,37 +1,37 @@
-//! Proxies and origin servers, as control nodes describe them to other processes. This module depends on no other module of
-//! the crate.
+//! Descriptions of proxies and origin servers that control nodes exchange with other processes. This module depends on no
+//! other module of the crate.
 
 use std::net::SocketAddrV4;
 
 use serde::{Deserialize, Serialize};
 
-/// The role of a proxy.
+/// The tier of the cache that a proxy belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProxyRole {
-    /// Accepts the requests of clients.
+    /// Accepts requests from clients.
     Edge,
     /// Caches responses of the origin servers for the edges.
     Shield,
 }
 
-/// A proxy, as it describes itself on its session.
+/// A proxy, as it describes itself when it opens a session with a control node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Name of its machine.
+    /// Name of the proxy's machine.
     pub node: String,
-    /// Zone of its machine.
+    /// Zone of the proxy's machine.
     pub zone: String,
-    /// Its role.
+    /// Whether the proxy is an edge or a shield.
     pub proxy: ProxyRole,
-    /// Address where a shield accepts the requests of edges.
+    /// Address where a shield accepts requests from edges.
     pub http: SocketAddrV4,
-    /// Whether it accepts requests.
+    /// Whether the proxy accepts requests.
     pub ready: bool,
-    /// Distinguishes this process from the earlier ones on its machine.
+    /// Distinguishes this process from earlier processes on the same machine.
     pub incarnation: u64,
 }
 
-/// An origin server, as proxies know it.
+/// An origin server, as it is published to proxies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
     /// Id of the server, unique among all servers.
