--- a/control-plane/src/registry/acceptance.rs
+++ b/control-plane/src/registry/acceptance.rs
@@ -1,12 +1,12 @@
-//! Record of when this node could accept heartbeats.
+//! Tracks when this node could accept heartbeats.
 //!
-//! A missing heartbeat is evidence of a crashed server only while this node could have accepted one. The node cannot do so
-//! while its process is stopped, and while it rejects heartbeats because it has no quorum. Both are *downtime* here.
+//! A missing heartbeat indicates a crashed server only if this node could have accepted one. The node cannot do so while its
+//! process is stopped, or while it rejects heartbeats because it has no quorum. In this module, both are *downtime*.
 
 use crate::Millis;
 
-/// A longer time between two updates means that the process was stopped, and may have missed heartbeats. The value is
-/// shorter than a heartbeat interval, and longer than a busy machine takes between two updates.
+/// Time between two updates from which on the process is considered to have been stopped, and may have missed heartbeats.
+/// It is shorter than a heartbeat interval, and longer than the time between two updates on a busy machine.
 const STALL_THRESHOLD: Millis = 400;
 
 /// Downtime of this node.
@@ -14,11 +14,11 @@
 pub(super) struct HeartbeatAcceptance {
     /// Time of the last update.
     updated_at: Option<Millis>,
-    /// Sum of all downtime so far.
+    /// Sum of all downtime since the process started.
     total_downtime: Millis,
-    /// Length of the downtime that lasts until now; 0 while the node accepts heartbeats.
+    /// Length of the ongoing downtime; 0 while the node accepts heartbeats.
     current_downtime: Millis,
-    /// End of the last downtime that was long enough to miss a heartbeat of every server.
+    /// End of the last downtime of at least one heartbeat interval, in which a heartbeat of every server may have been missed.
     accepting_since: Millis,
 }
 
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Sum of all downtime so far. The difference of two readings is the downtime between them.
+    /// Sum of all downtime since the process started. The difference between two results is the downtime between the calls.
     pub(super) fn total_downtime(&self) -> Millis {
         self.total_downtime
     }
 
-    /// End of the last downtime that was long enough to miss a heartbeat of every server; 0 where there was none.
+    /// End of the last downtime of at least one heartbeat interval; 0 if there was none.
     pub(super) fn accepting_since(&self) -> Millis {
         self.accepting_since
     }
--- a/control-plane/src/registry/entry.rs
+++ b/control-plane/src/registry/entry.rs
@@ -1,4 +1,4 @@
-//! What is known of one server: the body of its heartbeat, and the entry that control nodes exchange.
+//! Data about one server: the body of its heartbeat, and the registry entry that control nodes exchange.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -7,8 +7,8 @@
 use crate::nodes::Server;
 use crate::Millis;
 
-/// Longest id, backend name or zone name that is accepted. Names come from callers of the HTTP interface, and each entry is
-/// sent to every control node and every proxy, so that their length has to be bounded.
+/// Maximum length of an id, backend name or zone name. Names come from callers of the HTTP interface, and each entry is sent
+/// to every control node and every proxy, so that their length has to be bounded.
 pub(super) const MAX_NAME_BYTES: usize = 128;
 
 /// Status that a server reports in its heartbeat.
@@ -17,9 +17,9 @@
 pub enum ReportedStatus {
     /// The server accepts requests.
     Ready,
-    /// The server finishes its requests and accepts no new ones.
+    /// The server finishes its current requests and accepts no new ones.
     Draining,
-    /// This version does not know the status. The server is treated as draining, so that it gets no new requests.
+    /// A status that this version does not know. It is treated as draining, so that the server gets no new requests.
     #[serde(other)]
     Unknown,
 }
@@ -32,7 +32,7 @@
     pub backend: String,
     /// Address where the server accepts requests.
     pub addr: SocketAddrV4,
-    /// Zone of the server's machine; empty where the server does not say.
+    /// Zone of the server's machine; empty if the heartbeat does not contain it.
     #[serde(default)]
     pub zone: String,
     /// Version of the server's software. The registry does not store it.
@@ -46,7 +46,8 @@
     /// Remaining time of the server's slow start, in milliseconds.
     #[serde(default)]
     pub warmup_left_ms: u64,
-    /// Sequence number of the call, rising with each call of the server. It orders calls that overtake each other.
+    /// Sequence number of the call, which increases with each call of the server. It detects calls that arrive out of order.
+    /// 0 for a server that sends no sequence numbers.
     #[serde(default)]
     pub call_seq: u64,
 }
@@ -58,7 +59,7 @@
     Ready,
     /// The server accepts no new requests.
     Draining,
-    /// The server has deregistered, or another server has taken over its address. This status is final: the entry is a
+    /// The server has deregistered, or its address is now used by another server. This status is final: the entry is a
     /// tombstone.
     Deregistered,
 }
@@ -85,7 +86,7 @@
 }
 
 impl ServerEntry {
-    /// Makes the entry of a server from its heartbeat. Returns `None` where the id is empty or a name is too long.
+    /// Creates the entry of a server from its heartbeat. Returns `None` if the id is empty, or the id or a name is too long.
     pub fn from_heartbeat(id: &str, heartbeat: HeartbeatRequest) -> Option<ServerEntry> {
         if !is_valid_id(id) || !is_valid_name(&heartbeat.backend) || !is_valid_name(&heartbeat.zone) {
             return None;
@@ -106,7 +107,7 @@
         })
     }
 
-    /// Makes the tombstone of a server of which nothing but its id is known.
+    /// Creates the tombstone of a server of which only the id is known.
     pub(super) fn tombstone(id: &str) -> ServerEntry {
         ServerEntry {
             id: id.to_owned(),
@@ -120,14 +121,13 @@
         }
     }
 
-    /// Whether this entry is a tombstone.
     pub(super) fn is_deregistered(&self) -> bool {
         self.status == EntryStatus::Deregistered
     }
 
-    /// Whether proxies see the same server in both entries. The remaining slow start is left out, as it changes with time
-    /// alone, and so is the sequence number, which proxies do not know.
-    pub(super) fn looks_same_to_proxies(&self, other: &ServerEntry) -> bool {
+    /// Whether the entries are the same to proxies. Ignores the remaining slow start, as it only decreases with time, and the
+    /// sequence number, as it is not sent to proxies.
+    pub(super) fn is_equivalent_for_proxies(&self, other: &ServerEntry) -> bool {
         self.backend == other.backend
             && self.addr == other.addr
             && self.zone == other.zone
@@ -135,8 +135,8 @@
             && self.status == other.status
     }
 
-    /// The server as proxies see it, `age` after its heartbeat.
-    pub(super) fn for_proxies(&self, age: Millis) -> Server {
+    /// The description of the server that is published to proxies, `age` milliseconds after its heartbeat.
+    pub(super) fn to_published_server(&self, age: Millis) -> Server {
         Server {
             id: self.id.clone(),
             backend: self.backend.clone(),
@@ -149,7 +149,6 @@
     }
 }
 
-/// Whether a server may have this id.
 pub(super) fn is_valid_id(id: &str) -> bool {
     !id.is_empty() && is_valid_name(id)
 }
@@ -158,18 +157,18 @@
     name.len() <= MAX_NAME_BYTES
 }
 
-/// An entry with its age, as control nodes send it to each other. An age is sent instead of a time, as the clocks of two
-/// nodes are not compared.
+/// An entry with its age, as control nodes exchange it. An age is sent instead of a timestamp, as the clocks of different
+/// nodes are not comparable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObservedServer {
-    /// Entry of the server.
+    /// The server's entry at the sender.
     pub entry: ServerEntry,
     /// Time since the sender received the server's heartbeat, in milliseconds.
     pub age_ms: Millis,
 }
 
 impl ObservedServer {
-    /// An entry that the sender observes now.
+    /// An entry whose heartbeat the sender has just received.
     pub fn now(entry: ServerEntry) -> ObservedServer {
         ObservedServer { entry, age_ms: 0 }
     }
