--- a/control-plane/src/purge_history.rs
+++ b/control-plane/src/purge_history.rs
@@ -1,4 +1,4 @@
-//! History of purges at a control node, so that a session that was disconnected for a while receives all that it missed.
+//! History of the purges at a control node, from which a session that reconnects receives the purges that it missed.
 
 use std::collections::{HashSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -9,13 +9,13 @@
 /// How long purges are retained. No route stores responses for longer without revalidation, and a process that was
 /// disconnected for longer starts with an empty cache.
 pub const PURGE_RETENTION: Millis = 120_000;
-/// Bound of the purges retained. Where it is exceeded, a session that connects has to purge everything.
+/// Maximum number of retained purges. After an overflow, a session that connects has to purge everything.
 pub const MAX_PURGES: usize = 4096;
-/// Bound of the bytes of all hosts, paths and labels. The history is sent to a peer in one frame; the other half of the
-/// frame is for the remaining fields.
+/// Maximum total size of the hosts, paths and labels of all retained purges, in bytes. The history is sent to a peer in one
+/// frame; the other half of the frame is for the remaining fields.
 pub const MAX_PURGE_BYTES: usize = MAX_FRAME_BYTES / 2;
 
-/// Identity of a purge at all control nodes.
+/// Identifies a purge across all control nodes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct PurgeId {
     origin: Ipv4Addr,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Length of the texts in a purge, in bytes.
+/// Total length of the strings in a purge, in bytes.
 fn text_bytes(purge: &Purge) -> usize {
     match purge {
         Purge::Object { hostname, path } => hostname.len() + path.len(),
@@ -57,12 +57,12 @@
     ids: HashSet<PurgeId>,
     /// Sum of [`text_bytes`] over all retained purges.
     bytes: usize,
-    /// When a purge was last evicted before the end of its retention, within the last [`PURGE_RETENTION`].
+    /// When a purge was last evicted before the end of its retention; `None` if that was more than [`PURGE_RETENTION`] ago.
     overflowed_at: Option<Millis>,
 }
 
 impl PurgeHistory {
-    /// Adds purges, and returns those that this node had not received before.
+    /// Adds purges, and returns those that are not in the history yet.
     pub fn add(&mut self, now: Millis, purges: Vec<PurgeRecord>) -> Vec<PurgeRecord> {
         let mut new = Vec::new();
         for record in purges {
@@ -79,7 +79,7 @@
         new
     }
 
-    /// Removes the oldest purges while there are too many, and those at the end of their retention.
+    /// Removes the oldest purges while the history exceeds a limit, and those at the end of their retention.
     fn evict(&mut self, now: Millis) {
         while self.purges.len() > MAX_PURGES || self.bytes > MAX_PURGE_BYTES {
             self.overflowed_at = Some(now);
@@ -100,12 +100,12 @@
         }
     }
 
-    /// All retained purges, for a peer.
+    /// All retained purges, oldest first, to be sent to a peer.
     pub fn snapshot(&self, now: Millis) -> Vec<PurgeRecord> {
         self.purges.iter().map(|retained| retained.record(now)).collect()
     }
 
-    /// The purges that a session which has just connected has to apply.
+    /// The purges that a session has to apply after it has connected.
     pub fn missed(&self, now: Millis) -> Vec<AgedPurge> {
         if self.overflowed_at.is_some() {
             return vec![AgedPurge { purge: Purge::Everything, age_ms: 0 }];
--- a/control-plane/src/rate_limit.rs
+++ b/control-plane/src/rate_limit.rs
@@ -1,73 +1,75 @@
 //! Rate limit of a service, which bounds the requests that all machines together send to its servers.
 //!
-//! The operator's limit holds for the sum over all machines, in any window. Each machine has a *quota*, a share of the
-//! rate, and a token bucket that is filled at that rate. The quotas sum to one, so that the limit holds without
+//! The operator's limit applies to the sum over all machines, in any window. Each machine has a *quota*, which is its share of
+//! the rate, and a token bucket that is refilled at that share. The quotas sum to one, so that the limit holds without
 //! coordination.
 //!
-//! Saved tokens count on top, for each machine. Their number is bounded by what the machine's quota yields in a set time, so
-//! that the sum over all machines does not grow with their number. A quota that yields less than one token in that time gets
-//! single tokens, at other moments on each machine, and a token that is not used in that time expires.
+//! Each machine may send its saved tokens in addition. A bucket holds at most as many tokens as the quota yields in the burst
+//! time, so that the total over all machines does not depend on their number. A quota that yields less than one token in the
+//! burst time gets single tokens, at different times on each machine, and an unused token expires after the burst time.
 //!
-//! A process starts without saved tokens, as the previous process on the machine may have just spent them. From then on it
-//! also saves tokens for services that it has sent no request to.
+//! A process starts without saved tokens, as the previous process on the same machine may have just spent them. From then on
+//! it also accumulates tokens for services that it has not sent requests to yet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::Millis;
 
-/// Share of the limit that is divided into quotas. The remainder is for saved tokens, for requests that arrive later than they
-/// were sent, and for moments in which the machines do not agree on their number.
+/// Share of the limit that is divided into quotas. The remainder allows for saved tokens, for requests that arrive later than
+/// they were sent, and for moments in which machines have different views of how many machines there are.
 const LIMIT_UTILIZATION: f64 = 0.91;
-/// Share of a window whose tokens may be saved.
+/// Burst time, as a share of the window.
 const BURST_WINDOW_SHARE: f64 = 0.05;
-/// Share of the quotas that edges have while shields send the requests.
-const EDGE_QUOTA: f64 = 0.03;
-/// Share of the saved tokens that requests of the lowest priority leave to the others.
-const RESERVED_FOR_PRIORITY: f64 = 0.3;
-/// Bound of the services counted; requests to a further one are rejected.
+/// Sum of the quotas of all edges while there are shields.
+const EDGE_QUOTA_SHARE: f64 = 0.03;
+/// Share of the saved tokens that requests of the lowest priority may not use.
+const HIGH_PRIORITY_RESERVE: f64 = 0.3;
+/// Maximum number of services with a token bucket. Requests to further services are rejected.
 const MAX_SERVICES: usize = 1024;
-/// Longest wait that a rejection reports, in milliseconds.
+/// Maximum wait that a rejection reports, in milliseconds.
 const MAX_RETRY_AFTER_MS: f64 = 60_000.0;
-/// Lower bound of a rate in tokens per millisecond, where a wait is computed from it.
+/// Lower bound of a rate in tokens per millisecond when a wait is computed from it. Avoids a division by zero.
 const MIN_RATE_PER_MS: f64 = 1e-9;
 
-/// A request may wait for a token for this part of its latency target, one in so many: its response is in time then.
+/// A request may wait for a token for at most the latency target divided by this number, so that its response can still meet
+/// the target.
 const QUEUE_TIME_DIVISOR: u32 = 5;
-/// A rejection is early if the client has it within this part of the latency target, one in so many.
+/// A rejection is early if the client receives it within the latency target divided by this number.
 const EARLY_REJECTION_DIVISOR: u32 = 4;
-/// Time of a request and its rejection between the client and the proxy of the server: two times 3 ms to the client, two
-/// times 1.4 ms between zones, and the time that machines take to wake up.
-const NETWORK_TIME: Duration = Duration::from_millis(12);
+/// Network time of a request and its rejection between the client and the proxy that sends to the server: a round trip of
+/// 2 x 3 ms to the client, one of 2 x 1.4 ms between zones, and the wake-up delays of the machines.
+const NETWORK_ROUND_TRIP: Duration = Duration::from_millis(12);
 
-/// How long a request may wait for a token. A rejection after that is still an early one.
+/// Maximum time that a request may wait for a token. A rejection after this time still reaches the client early.
 pub fn max_queue_time(latency_target: Duration) -> Duration {
-    let in_time = latency_target / QUEUE_TIME_DIVISOR;
-    let early_rejection = (latency_target / EARLY_REJECTION_DIVISOR).saturating_sub(NETWORK_TIME);
-    in_time.min(early_rejection)
+    let within_target = latency_target / QUEUE_TIME_DIVISOR;
+    let early_rejection = (latency_target / EARLY_REJECTION_DIVISOR).saturating_sub(NETWORK_ROUND_TRIP);
+    within_target.min(early_rejection)
 }
 
-/// The operator's limit: in any window, the requests are at most `over` times what the rate yields.
+/// The operator's limit: in any window, there are at most `over` times as many requests as the rate yields.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimitSettings {
     /// Length of the window in milliseconds.
     pub window: Millis,
-    /// Tolerated factor over the rate.
+    /// Factor by which the rate may be exceeded; 1.1 allows 10 % more requests.
     pub over: f64,
 }
 
 impl RateLimitSettings {
-    /// Tokens per millisecond for a quota of a rate in requests per second.
+    /// Refill rate of a token bucket, in tokens per millisecond. `quota` is the machine's share of `rate_per_s`, which is in
+    /// requests per second.
     fn tokens_per_ms(&self, quota: f64, rate_per_s: f64) -> f64 {
         rate_per_s.max(0.0) * self.over * LIMIT_UTILIZATION * quota / 1000.0
     }
 
-    /// Time whose tokens may be saved, in milliseconds.
+    /// Burst time: how long a bucket may accumulate tokens, in milliseconds.
     fn burst_ms(&self) -> f64 {
         self.window as f64 * BURST_WINDOW_SHARE
     }
 
-    /// Capacity of a token bucket that is filled at this rate.
+    /// Capacity of a token bucket with this refill rate; at least one token.
     fn burst(&self, tokens_per_ms: f64) -> f64 {
         (tokens_per_ms * self.burst_ms()).max(1.0)
     }
@@ -76,32 +78,32 @@
 /// The role of a machine among those that send requests to servers, which determines its quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum QuotaHolder {
-    /// A shield.
+    /// A shield. Shields share most of the rate.
     Shield {
         /// Number of shields.
         of: usize,
     },
-    /// An edge.
+    /// An edge. Edges share a small part of the rate while there are shields.
     Edge {
         /// Number of edges.
         of: usize,
-        /// Whether there is no shield, so that edges have the quotas of shields.
+        /// Whether there are no shields. Edges share the part of the shields then.
         alone: bool,
     },
 }
 
 impl QuotaHolder {
-    /// The machine's share of the rate.
+    /// The share of the rate for one machine with this role.
     fn quota(self) -> f64 {
         match self {
-            QuotaHolder::Shield { of } => (1.0 - EDGE_QUOTA) / of.max(1) as f64,
-            QuotaHolder::Edge { of, alone: false } => EDGE_QUOTA / of.max(1) as f64,
-            QuotaHolder::Edge { of, alone: true } => (1.0 - EDGE_QUOTA) / of.max(1) as f64,
+            QuotaHolder::Shield { of } => (1.0 - EDGE_QUOTA_SHARE) / of.max(1) as f64,
+            QuotaHolder::Edge { of, alone: false } => EDGE_QUOTA_SHARE / of.max(1) as f64,
+            QuotaHolder::Edge { of, alone: true } => (1.0 - EDGE_QUOTA_SHARE) / of.max(1) as f64,
         }
     }
 }
 
-/// Tokens of one service.
+/// Token bucket of one service.
 struct TokenBucket {
     rate_per_s: f64,
     tokens: f64,
@@ -109,7 +111,7 @@
 }
 
 impl TokenBucket {
-    /// Adds the tokens since the last call.
+    /// Adds the tokens for the time since the last call.
     fn fill(&mut self, now: Millis, settings: RateLimitSettings, quota: f64) {
         let tokens_per_ms = settings.tokens_per_ms(quota, self.rate_per_s);
         let tokens = self.tokens + tokens_per_ms * now.saturating_sub(self.filled_at) as f64;
@@ -118,7 +120,7 @@
         self.tokens = if burst > 1.0 {
             tokens.min(burst)
         } else {
-            // A whole token expires after the burst time. What has come in since counts towards the next token.
+            // A complete token expires after the burst time. The fraction added since then counts towards the next token.
             let usable_fraction = tokens_per_ms * settings.burst_ms();
             let expired = (tokens - usable_fraction).floor().max(0.0);
             (tokens - expired).min(1.0 + usable_fraction)
@@ -126,16 +128,16 @@
     }
 }
 
-/// One machine's part of the rate limits of all services.
+/// Enforces one machine's share of the rate limits of all services.
 pub struct RateLimiter {
     settings: RateLimitSettings,
     /// This machine's share of each rate.
     quota: f64,
-    /// Number from 0 to 1 that differs between machines: the fraction of the first token of a small quota that is there at
-    /// the start, so that machines get their single tokens at different moments.
+    /// Initial fraction of a token in the bucket of a small quota, from 0 to 1. It differs between machines, so that they
+    /// get their single tokens at different times.
     phase: f64,
     buckets: BTreeMap<String, TokenBucket>,
-    /// When this process first had a quota.
+    /// When this process first got a quota.
     started_at: Option<Millis>,
 }
 
@@ -153,7 +155,7 @@
         if quota == self.quota {
             return;
         }
-        // The time so far counts by the old quota.
+        // The time until now counts with the old quota.
         let (settings, old_quota) = (self.settings, self.quota);
         for bucket in self.buckets.values_mut() {
             bucket.fill(now, settings, old_quota);
@@ -161,12 +163,12 @@
         self.quota = quota;
     }
 
-    /// Takes a token for a request to a service with this rate limit. `rank` is the priority of the request, from 0, the
-    /// highest, to 1.
+    /// Takes a token for a request to a service with this rate limit. `rank` is the rank of the request's priority, from 0
+    /// for the highest to 1 for the lowest.
     ///
     /// # Errors
     ///
-    /// Where no token is left, the time in milliseconds until the next one.
+    /// The time in milliseconds until the next token if none is available.
     pub fn try_acquire(
         &mut self,
         now: Millis,
@@ -179,7 +181,7 @@
         bucket.fill(now, settings, quota);
         bucket.rate_per_s = rate_per_s;
         let tokens_per_ms = settings.tokens_per_ms(quota, rate_per_s);
-        let needed = 1.0 + rank * RESERVED_FOR_PRIORITY * (settings.burst(tokens_per_ms) - 1.0);
+        let needed = 1.0 + rank * HIGH_PRIORITY_RESERVE * (settings.burst(tokens_per_ms) - 1.0);
         if bucket.tokens >= needed {
             bucket.tokens -= 1.0;
             return Ok(());
@@ -188,7 +190,7 @@
         Err(wait_ms.ceil().min(MAX_RETRY_AFTER_MS) as Millis)
     }
 
-    /// The bucket of a service; `None` where too many services are counted.
+    /// The bucket of a service, which is created if it is missing; `None` if there are already [`MAX_SERVICES`] others.
     fn bucket(&mut self, now: Millis, service: &str, rate_per_s: f64) -> Option<&mut TokenBucket> {
         if !self.buckets.contains_key(service) {
             if self.buckets.len() >= MAX_SERVICES {
--- a/control-plane/src/retry_budget.rs
+++ b/control-plane/src/retry_budget.rs
@@ -1,53 +1,53 @@
-//! Retry budget, which bounds the attempts that one machine may send to a service beyond the first one of each request.
+//! Retry budget, which limits the retries that one machine may send to a service.
 //!
-//! The operator's bound holds for the sum over all machines: in any window, the retries are at most `ratio` times the
-//! requests, plus `slack`. The first part needs no coordination. Each machine keeps to `ratio` times the requests that it
-//! counts itself, and no request is counted by two machines, so that the sum keeps to the bound. The slack is divided by
-//! the number of machines, which control publishes.
+//! The operator's limit applies to the sum over all machines: in any window, there are at most `ratio` times as many retries
+//! as requests, plus `slack`. The first part needs no coordination: each machine sends at most `ratio` times the requests
+//! that it counts itself, and no request is counted by two machines, so that the sum is within the limit. The slack is
+//! divided by the number of machines, which the control plane publishes.
 //!
-//! A share of the slack that grows takes effect a window later, as the machine that had it before may have just spent it;
-//! that includes the previous process on the same machine. A machine that is disconnected from control goes on with the
-//! share that it has, and cannot learn of a larger one.
+//! An increase of a machine's share of the slack takes effect one window later, as another machine, or the previous process
+//! on the same machine, may have just spent that share. A machine that is disconnected from the control plane keeps its
+//! current share, and cannot learn of a larger one.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::Millis;
 
-/// Buckets that a window is counted in.
+/// Number of buckets that a window is divided into for counting.
 const BUCKETS_PER_WINDOW: u64 = 10;
-/// Share of the operator's bound that is used. The remainder is for requests that are counted where they arrive a little later
-/// than where they were sent, and for machines that learn at different moments that another one has come or gone.
+/// Share of the operator's limit that is used. The remainder allows for requests that are counted later at the receiver than
+/// at the sender, and for machines that learn at different times that a machine was added or removed.
 const BOUND_UTILIZATION: f64 = 0.85;
-/// Bound of the services counted. A further one is treated as one without requests, and gets first attempts only.
+/// Maximum number of services that are counted. Requests to further services are not retried.
 pub const MAX_SERVICES: usize = 1024;
 
-/// The operator's bound.
+/// The operator's limit on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// Retries for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
     /// Length of the window in milliseconds.
     pub window: Millis,
-    /// Retries in a window beyond the ratio, for all machines together.
+    /// Retries allowed in a window in addition to the ratio, for all machines together.
     pub slack: f64,
 }
 
-/// Counts of one bucket of a window.
+/// Requests and retries in one bucket of a window.
 #[derive(Clone, Copy, Default)]
 struct Bucket {
-    /// Number of the bucket since the start of the clock.
+    /// Index of the bucket, counted from time 0.
     number: u64,
     requests: u32,
     retries: u32,
 }
 
 impl Bucket {
-    /// Whether a part of the bucket lies in the window that ends in the bucket `current`.
+    /// Whether at least a part of the bucket is in the window that ends in the bucket `current`.
     fn overlaps_window(&self, current: u64) -> bool {
         self.number + BUCKETS_PER_WINDOW >= current
     }
 
-    /// Whether all of the bucket lies in the window that ends in the bucket `current`.
+    /// Whether the bucket is completely in the window that ends in the bucket `current`.
     fn is_within_window(&self, current: u64) -> bool {
         self.number + BUCKETS_PER_WINDOW > current
     }
@@ -60,14 +60,14 @@
     effective_at: Millis,
 }
 
-/// The retry budget of one machine, for each service.
+/// The retry budgets of one machine, one for each service.
 pub struct RetryBudget {
     settings: RetryBudgetSettings,
     /// This machine's share of the slack.
     share: f64,
-    /// A larger share, until it takes effect.
+    /// A larger share that has not taken effect yet.
     pending_share: Option<PendingShare>,
-    /// Buckets of the window by service, the newest last.
+    /// Buckets of the current window by service, the newest last.
     services: BTreeMap<String, VecDeque<Bucket>>,
 }
 
@@ -77,12 +77,13 @@
         RetryBudget { settings, share: 0.0, pending_share: None, services: BTreeMap::new() }
     }
 
-    /// Number of services that are counted.
+    /// Number of services that are counted; at most [`MAX_SERVICES`].
     pub fn services(&self) -> usize {
         self.services.len()
     }
 
-    /// Sets the number of machines that share the slack. A smaller share takes effect at once, a larger one after a window.
+    /// Sets the number of machines that share the slack. A smaller share takes effect immediately, a larger one after one
+    /// window.
     pub fn set_machine_count(&mut self, now: Millis, machines: usize) {
         self.apply_pending_share(now);
         let share = self.settings.slack / machines.max(1) as f64;
@@ -94,7 +95,7 @@
         if self.pending_share.is_some_and(|pending| pending.share == share) {
             return;
         }
-        // A share below the pending one is part of it, and so takes effect as early as that would have.
+        // A share that is smaller than the pending one is a part of it, so that it takes effect at the same time.
         let larger_pending = self.pending_share.filter(|pending| share < pending.share);
         let effective_at = larger_pending.map_or(now + self.settings.window, |pending| pending.effective_at);
         self.pending_share = Some(PendingShare { share, effective_at });
@@ -111,7 +112,7 @@
         now / bucket_length
     }
 
-    /// The buckets of a service, of which the last one is the present. `None` where too many services are counted.
+    /// The buckets of a service, the last of which is the current one. `None` if too many services are counted.
     fn buckets(&mut self, now: Millis, service: &str) -> Option<&mut VecDeque<Bucket>> {
         let current = self.bucket_number(now);
         if !self.services.contains_key(service) {
@@ -127,7 +128,8 @@
         Some(buckets)
     }
 
-    /// Begins to count a service. Services without a bucket in the window are removed where there are too many.
+    /// Starts to count a service. If there are too many, services without a bucket in the window are removed first. Returns
+    /// `None` if there are still too many.
     fn insert_service(&mut self, current: u64, service: &str) -> Option<()> {
         if self.services.len() >= MAX_SERVICES {
             self.services
@@ -147,13 +149,13 @@
         }
     }
 
-    /// Takes one retry to a service out of the budget. Returns false where the budget is exhausted.
+    /// Takes one retry out of the budget of a service. Returns false if the budget is exhausted.
     pub fn try_spend(&mut self, now: Millis, service: &str) -> bool {
         self.apply_pending_share(now);
         let (ratio, share) = (self.settings.ratio, self.share);
         let current = self.bucket_number(now);
         let Some(buckets) = self.buckets(now, service) else { return false };
-        // The window begins within a bucket: its retries count in full, its requests do not count.
+        // The window begins within the oldest bucket. To be safe, all retries of that bucket count, but none of its requests.
         let retries: u32 = buckets.iter().map(|bucket| bucket.retries).sum();
         let counted = buckets.iter().filter(|bucket| bucket.is_within_window(current));
         let requests: u32 = counted.map(|bucket| bucket.requests).sum();
--- a/control-plane/src/subset.rs
+++ b/control-plane/src/subset.rs
@@ -1,17 +1,17 @@
 //! Subsets of a service's servers: which servers an edge sends its requests to first.
 //!
-//! With as many edges as servers, and each edge using all servers, an edge sends to a given server so seldom that no
-//! connection stays open from one request to the next: connections, and the connections that a server has to accept, grow
-//! with edges times servers. So each edge has a *subset* of the servers (SRE, chapter 20). All edges compute the same
-//! subsets from the same fleet, without coordination:
+//! If every edge used all servers, the number of connections would grow with edges times servers. With as many edges as
+//! servers, an edge would send to a given server so rarely that no connection stays open until the next request. Therefore,
+//! each edge uses a *subset* of the servers (Site Reliability Engineering, chapter 20). All edges compute the same subsets
+//! from the same fleet, without coordination:
 //!
-//! - Servers have points on a consistent-hashing ring, in proportion to their capacity. Each edge starts at points of its
-//!   own and takes the next server along the ring with a free slot. A server has slots in proportion to its capacity, so
-//!   that every server is in about equally many subsets, and none is in no subset.
-//! - An edge or server that is added or removed changes the subsets near it on the ring, and hardly any others.
+//! - Servers have points on a consistent-hashing ring, in proportion to their capacity. Each edge starts at its own points
+//!   and takes the next server along the ring that has a free slot. A server has slots in proportion to its capacity, so that
+//!   servers of equal capacity are in about equally many subsets, and every server is in at least one.
+//! - Adding or removing an edge or server changes the subsets near it on the ring, and hardly any others.
 //!
-//! The size of a subset grows with the number of servers for each edge, so that every server is used by at least
-//! [`MIN_EDGES_PER_SERVER`] edges, whose different loads even out. In a small system a subset has all servers.
+//! The size of a subset grows with the ratio of servers to edges, so that each server is used by [`MIN_EDGES_PER_SERVER`] or
+//! more edges on average, whose different loads even out. In a small system, a subset contains all servers.
 
 use std::collections::BTreeMap;
 
@@ -19,15 +19,15 @@
 
 use crate::fleet::edge_hash;
 
-/// Edges that use a server, at least. Clients are not spread evenly over edges; with eight edges the difference in load
-/// between servers is a third.
+/// Minimum number of edges that use a server, on average. Clients are not distributed evenly over edges; with eight edges,
+/// the load of servers differs by a third.
 pub const MIN_EDGES_PER_SERVER: usize = 8;
-/// Servers in a subset, at least: two may fail, and there is still a choice of two.
+/// Minimum number of servers in a subset: if two fail, there is still a choice of two.
 pub const MIN_SUBSET_SIZE: usize = 4;
-/// Points on the ring of a server with the mean capacity.
+/// Number of points on the ring for a server with the mean capacity.
 const POINTS_PER_SERVER: usize = 32;
 
-/// A server of the service.
+/// A server that may be in subsets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubsetServer<'a> {
     /// Id of the server.
@@ -47,7 +47,7 @@
     (MIN_EDGES_PER_SERVER * servers).div_ceil(edges.max(1)).max(MIN_SUBSET_SIZE).min(servers)
 }
 
-/// The subset of each edge, as indexes into `servers`. Edges are identified by their hashes, see [`edge_hash`].
+/// Computes the subset of each edge, as indexes into `servers`. Edges are identified by their hashes, see [`edge_hash`].
 pub fn subsets(edges: &[u64], servers: &[SubsetServer]) -> BTreeMap<u64, Vec<usize>> {
     let size = size(edges.len(), servers.len());
     if size == servers.len() {
@@ -59,7 +59,7 @@
     let mut edges = edges.to_vec();
     edges.sort_unstable_by_key(|edge| mix(*edge));
     let mut subsets: BTreeMap<u64, Vec<usize>> = edges.iter().map(|edge| (*edge, Vec::new())).collect();
-    // Edges choose one server each in turn, so that no edge is left with the servers that all others have rejected.
+    // In each turn, every edge chooses one server, so that no edge has to take all its servers from the last free slots.
     for turn in 0..size {
         for edge in &edges {
             let Some(subset) = subsets.get_mut(edge) else { continue };
@@ -73,7 +73,8 @@
     subsets
 }
 
-/// Slots of each server: how many subsets it may be in, of `total` in all.
+/// Number of slots of each server, which is the number of subsets that it should be in. `total` is the sum over all servers,
+/// before rounding.
 fn slots(total: usize, servers: &[SubsetServer], total_capacity: f64) -> Vec<usize> {
     let slots = |server: &SubsetServer| {
         let share = total as f64 * server.capacity() / total_capacity;
@@ -82,7 +83,7 @@
     servers.iter().map(slots).collect()
 }
 
-/// A point of a server on the ring. Points are ordered by hash first.
+/// A point of a server on the ring. The order of the fields matters: points are sorted by hash.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Point {
     hash: u64,
@@ -90,7 +91,7 @@
     server: usize,
 }
 
-/// The points of all servers, sorted.
+/// Consistent-hashing ring: the points of all servers, sorted.
 struct Ring(Vec<Point>);
 
 impl Ring {
@@ -107,8 +108,8 @@
         Ring(points)
     }
 
-    /// The next server from `start` on that is not in the subset and has a free slot. Slots are rounded: where no server
-    /// has a free slot, the next one that is not in the subset.
+    /// The next server from `start` on that is not in the subset and has a free slot. As slots are rounded, there may be no
+    /// server with a free slot; then it is the next one that is not in the subset.
     fn choose(&self, start: u64, subset: &[usize], free_slots: &[usize]) -> Option<usize> {
         let first = self.0.partition_point(|point| point.hash < start);
         let (before, after) = self.0.split_at(first);
