--- a/control-plane/src/config/change.rs
+++ b/control-plane/src/config/change.rs
@@ -71,8 +71,8 @@
     serde_json::from_slice(bytes).map_err(|error| InvalidConfig::Unreadable(error.to_string()))
 }
 
-/// Applies a patch to the current document. Removals come first, so that a patch can remove an item and insert another one
-/// with the same name.
+/// Applies a patch to the current document. Removals come first, so that a patch can remove an item and insert another
+/// one with the same name.
 fn apply_patch(current: &[u8], patch: &[u8]) -> Result<Vec<u8>, InvalidConfig> {
     let mut document = if current.is_empty() { Map::new() } else { parse_object(current)? };
     let mut patch = parse_object(patch)?;
--- a/control-plane/src/config/document.rs
+++ b/control-plane/src/config/document.rs
@@ -29,8 +29,8 @@
 pub struct WeightedBackend {
     /// Name of the service.
     pub backend: String,
-    /// The service's share of the requests is its weight divided by the sum of all weights of the split. A weight that is
-    /// not above 0 gives no requests.
+    /// The service's share of the requests is its weight divided by the sum of all weights of the split. A weight that
+    /// is not above 0 gives no requests.
     pub weight: f64,
 }
 
@@ -74,8 +74,9 @@
 }
 
 impl Route {
-    /// Name of the service for a request. `draw` is a number from 0 to 1 that the caller draws at random for the request;
-    /// equal numbers give the same service. `None` if the route has no backend and no split with a positive weight.
+    /// Name of the service for a request. `draw` is a number from 0 to 1 that the caller draws at random for the
+    /// request; equal numbers give the same service. `None` if the route has no backend and no split with a positive
+    /// weight.
     pub fn service(&self, draw: f64) -> Option<&str> {
         if let Some(backend) = &self.backend {
             return Some(backend);
--- a/control-plane/src/config/mod.rs
+++ b/control-plane/src/config/mod.rs
@@ -17,8 +17,8 @@
 pub use validation::InvalidConfig;
 
 /// Maximum size of a document, also after a patch. A document of this size fits into one frame
-/// ([`MAX_FRAME_BYTES`](crate::messages::MAX_FRAME_BYTES)) together with the deduplication table and a view; a larger one
-/// could not be sent to the other members of the chain.
+/// ([`MAX_FRAME_BYTES`](crate::messages::MAX_FRAME_BYTES)) together with the deduplication table and a view; a larger
+/// one could not be sent to the other members of the chain.
 pub const MAX_DOCUMENT_BYTES: usize = 3 << 20;
 
 /// A parsed and validated document.
--- a/control-plane/src/config/validation.rs
+++ b/control-plane/src/config/validation.rs
@@ -69,8 +69,8 @@
     path_prefix: &'a str,
 }
 
-/// Checks the routes and backends of a document, and returns the first error that it finds. Duplicate backends are reported
-/// first, then errors of routes in the order of the document.
+/// Checks the routes and backends of a document, and returns the first error that it finds. Duplicate backends are
+/// reported first, then errors of routes in the order of the document.
 pub(super) fn check(routes: &[Route], backends: &[Backend]) -> Result<(), InvalidConfig> {
     let backend_names = unique_backend_names(backends)?;
     let mut route_names = HashSet::new();
--- a/control-plane/src/fleet/list_delta.rs
+++ b/control-plane/src/fleet/list_delta.rs
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Adds the change from `old` to `new`, which have the same key. `None` stands for an entry that is missing from its
-    /// list.
+    /// Adds the change from `old` to `new`, which have the same key. `None` stands for an entry that is missing from
+    /// its list.
     fn add_change(&mut self, old: Option<&T>, new: Option<&T>) {
         match (old, new) {
             (Some(old), None) => self.removed.push(old.key().clone()),
--- a/control-plane/src/fleet/mod.rs
+++ b/control-plane/src/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! The fleet: the servers, shields and edges that control nodes publish to proxies.
 //!
-//! A session starts with a snapshot and continues with deltas, so that the size of an update depends on what has changed and
-//! not on the size of the fleet. Each publisher numbers the versions of its fleet, and a receiver rejects a delta whose base
-//! version differs from its own version.
+//! A session starts with a snapshot and continues with deltas, so that the size of an update depends on what has
+//! changed and not on the size of the fleet. Each publisher numbers the versions of its fleet, and a receiver rejects a
+//! delta whose base version differs from its own version.
 
 mod list_delta;
 mod members_update;
@@ -18,8 +18,8 @@
 /// All servers, shields and edges, each list sorted by the keys of its entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// Whether the publisher knows every live server and proxy, so that an entry that is not in the lists no longer exists.
-    /// A receiver of an incomplete fleet retains the entries that it knew before.
+    /// Whether the publisher knows every live server and proxy, so that an entry that is not in the lists no longer
+    /// exists. A receiver of an incomplete fleet retains the entries that it knew before.
     pub complete: bool,
     /// The origin servers, by id.
     pub servers: Vec<Server>,
@@ -124,9 +124,9 @@
         FleetUpdate::Snapshot { version: self.version, fleet: self.fleet.clone() }
     }
 
-    /// Replaces the fleet by `next`, and returns the update for receivers of the current version; `None` if they need none.
-    /// A change of a server's remaining slow start alone causes no update, as it only decreases with time. It is sent
-    /// when the server is new or another field of it changes.
+    /// Replaces the fleet by `next`, and returns the update for receivers of the current version; `None` if they need
+    /// none. A change of a server's remaining slow start alone causes no update, as it only decreases with time. It is
+    /// sent when the server is new or another field of it changes.
     pub fn advance_to(&mut self, next: Fleet) -> Option<FleetUpdate> {
         let current = &self.fleet;
         let delta = FleetDelta {
@@ -147,8 +147,8 @@
         Some(FleetUpdate::Delta(delta))
     }
 
-    /// Applies a delta from another publisher, whose fleet equals this one but has other version numbers. Returns the same
-    /// delta with this fleet's version numbers, for receivers of the current version.
+    /// Applies a delta from another publisher, whose fleet equals this one but has other version numbers. Returns the
+    /// same delta with this fleet's version numbers, for receivers of the current version.
     pub fn apply_renumbered(&mut self, delta: &FleetDelta) -> FleetUpdate {
         let renumbered =
             FleetDelta { base_version: self.version, version: self.version + 1, ..delta.clone() };
--- a/control-plane/src/known_fleet.rs
+++ b/control-plane/src/known_fleet.rs
@@ -1,7 +1,7 @@
 //! The fleet that an agent or a proxy uses, merged from the updates of successive publishers.
 //!
-//! A control node that has just started does not know all servers yet, and marks its fleet as incomplete. A process that
-//! connects to it retains the entries that it knew before until the published fleet is complete.
+//! A control node that has just started does not know all servers yet, and marks its fleet as incomplete. A process
+//! that connects to it retains the entries that it knew before until the published fleet is complete.
 
 use std::collections::HashSet;
 
@@ -29,12 +29,13 @@
         self.merged.as_ref().map(VersionedFleet::snapshot)
     }
 
-    /// Applies an update from the publisher. Returns the update for receivers of the current merged fleet; `None` if they
-    /// need none.
+    /// Applies an update from the publisher. Returns the update for receivers of the current merged fleet; `None` if
+    /// they need none.
     ///
     /// # Errors
     ///
-    /// [`Gap`] if the update is a delta whose base version is not the publisher's last known version. Nothing changes then.
+    /// [`Gap`] if the update is a delta whose base version is not the publisher's last known version. Nothing changes
+    /// then.
     pub fn apply_update(&mut self, update: FleetUpdate) -> Result<Option<FleetUpdate>, Gap> {
         let direct_delta = match &update {
             FleetUpdate::Delta(delta) if self.can_apply_directly(delta) => Some(delta.clone()),
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Whether a delta can be applied to the merged fleet directly, without merging. With thousands of servers, merging is
-    /// most of the cost of an update.
+    /// Whether a delta can be applied to the merged fleet directly, without merging. With thousands of servers, merging
+    /// is most of the cost of an update.
     fn can_apply_directly(&self, delta: &FleetDelta) -> bool {
         self.in_sync && (delta.is_complete() || delta.removes_nothing())
     }
@@ -67,8 +68,8 @@
     }
 }
 
-/// Merges a published fleet with the known one. A complete fleet replaces the known one. An incomplete fleet is extended by
-/// the known entries, except servers whose address now belongs to a published server.
+/// Merges a published fleet with the known one. A complete fleet replaces the known one. An incomplete fleet is
+/// extended by the known entries, except servers whose address now belongs to a published server.
 fn merge(known: &Fleet, mut published: Fleet) -> Fleet {
     if published.complete {
         return published;
--- a/control-plane/src/nodes.rs
+++ b/control-plane/src/nodes.rs
@@ -1,5 +1,5 @@
-//! Descriptions of proxies and origin servers that control nodes exchange with other processes. This module depends on no
-//! other module of the crate.
+//! Descriptions of proxies and origin servers that control nodes exchange with other processes. This module depends on
+//! no other module of the crate.
 
 use std::net::SocketAddrV4;
 
--- a/control-plane/src/purge_history.rs
+++ b/control-plane/src/purge_history.rs
@@ -11,8 +11,8 @@
 pub const PURGE_RETENTION: Millis = 120_000;
 /// Maximum number of retained purges. After an overflow, a session that connects has to purge everything.
 pub const MAX_PURGES: usize = 4096;
-/// Maximum total size of the hosts, paths and labels of all retained purges, in bytes. The history is sent to a peer in one
-/// frame; the other half of the frame is for the remaining fields.
+/// Maximum total size of the hosts, paths and labels of all retained purges, in bytes. The history is sent to a peer in
+/// one frame; the other half of the frame is for the remaining fields.
 pub const MAX_PURGE_BYTES: usize = MAX_FRAME_BYTES / 2;
 
 /// Identifies a purge across all control nodes.
@@ -57,7 +57,8 @@
     ids: HashSet<PurgeId>,
     /// Sum of [`text_bytes`] over all retained purges.
     bytes: usize,
-    /// When a purge was last evicted before the end of its retention; `None` if that was more than [`PURGE_RETENTION`] ago.
+    /// When a purge was last evicted before the end of its retention; `None` if that was more than [`PURGE_RETENTION`]
+    /// ago.
     overflowed_at: Option<Millis>,
 }
 
--- a/control-plane/src/rate_limit.rs
+++ b/control-plane/src/rate_limit.rs
@@ -1,23 +1,24 @@
 //! Rate limit of a service, which bounds the requests that all machines together send to its servers.
 //!
-//! The operator's limit applies to the sum over all machines, in any window. Each machine has a *quota*, which is its share of
-//! the rate, and a token bucket that is refilled at that share. The quotas sum to one, so that the limit holds without
-//! coordination.
+//! The operator's limit applies to the sum over all machines, in any window. Each machine has a *quota*, which is its
+//! share of the rate, and a token bucket that is refilled at that share. The quotas sum to one, so that the limit holds
+//! without coordination.
 //!
-//! Each machine may send its saved tokens in addition. A bucket holds at most as many tokens as the quota yields in the burst
-//! time, so that the total over all machines does not depend on their number. A quota that yields less than one token in the
-//! burst time gets single tokens, at different times on each machine, and an unused token expires after the burst time.
+//! Each machine may send its saved tokens in addition. A bucket holds at most as many tokens as the quota yields in the
+//! burst time, so that the total over all machines does not depend on their number. A quota that yields less than one
+//! token in the burst time gets single tokens, at different times on each machine, and an unused token expires after
+//! the burst time.
 //!
-//! A process starts without saved tokens, as the previous process on the same machine may have just spent them. From then on
-//! it also accumulates tokens for services that it has not sent requests to yet.
+//! A process starts without saved tokens, as the previous process on the same machine may have just spent them. From
+//! then on it also accumulates tokens for services that it has not sent requests to yet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::Millis;
 
-/// Share of the limit that is divided into quotas. The remainder allows for saved tokens, for requests that arrive later than
-/// they were sent, and for moments in which machines have different views of how many machines there are.
+/// Share of the limit that is divided into quotas. The remainder allows for saved tokens, for requests that arrive
+/// later than they were sent, and for moments in which machines have different views of how many machines there are.
 const LIMIT_UTILIZATION: f64 = 0.91;
 /// Burst time, as a share of the window.
 const BURST_WINDOW_SHARE: f64 = 0.05;
@@ -32,13 +33,13 @@
 /// Lower bound of a rate in tokens per millisecond when a wait is computed from it. Avoids a division by zero.
 const MIN_RATE_PER_MS: f64 = 1e-9;
 
-/// A request may wait for a token for at most the latency target divided by this number, so that its response can still meet
-/// the target.
+/// A request may wait for a token for at most the latency target divided by this number, so that its response can still
+/// meet the target.
 const QUEUE_TIME_DIVISOR: u32 = 5;
 /// A rejection is early if the client receives it within the latency target divided by this number.
 const EARLY_REJECTION_DIVISOR: u32 = 4;
-/// Network time of a request and its rejection between the client and the proxy that sends to the server: a round trip of
-/// 2 x 3 ms to the client, one of 2 x 1.4 ms between zones, and the wake-up delays of the machines.
+/// Network time of a request and its rejection between the client and the proxy that sends to the server: a round trip
+/// of 2 x 3 ms to the client, one of 2 x 1.4 ms between zones, and the wake-up delays of the machines.
 const NETWORK_ROUND_TRIP: Duration = Duration::from_millis(12);
 
 /// Maximum time that a request may wait for a token. A rejection after this time still reaches the client early.
@@ -58,8 +59,8 @@
 }
 
 impl RateLimitSettings {
-    /// Refill rate of a token bucket, in tokens per millisecond. `quota` is the machine's share of `rate_per_s`, which is in
-    /// requests per second.
+    /// Refill rate of a token bucket, in tokens per millisecond. `quota` is the machine's share of `rate_per_s`, which
+    /// is in requests per second.
     fn tokens_per_ms(&self, quota: f64, rate_per_s: f64) -> f64 {
         rate_per_s.max(0.0) * self.over * LIMIT_UTILIZATION * quota / 1000.0
     }
@@ -120,7 +121,8 @@
         self.tokens = if burst > 1.0 {
             tokens.min(burst)
         } else {
-            // A complete token expires after the burst time. The fraction added since then counts towards the next token.
+            // A complete token expires after the burst time. The fraction added since then counts towards the next
+            // token.
             let usable_fraction = tokens_per_ms * settings.burst_ms();
             let expired = (tokens - usable_fraction).floor().max(0.0);
             (tokens - expired).min(1.0 + usable_fraction)
@@ -133,8 +135,8 @@
     settings: RateLimitSettings,
     /// This machine's share of each rate.
     quota: f64,
-    /// Initial fraction of a token in the bucket of a small quota, from 0 to 1. It differs between machines, so that they
-    /// get their single tokens at different times.
+    /// Initial fraction of a token in the bucket of a small quota, from 0 to 1. It differs between machines, so that
+    /// they get their single tokens at different times.
     phase: f64,
     buckets: BTreeMap<String, TokenBucket>,
     /// When this process first got a quota.
@@ -163,8 +165,8 @@
         self.quota = quota;
     }
 
-    /// Takes a token for a request to a service with this rate limit. `rank` is the rank of the request's priority, from 0
-    /// for the highest to 1 for the lowest.
+    /// Takes a token for a request to a service with this rate limit. `rank` is the rank of the request's priority,
+    /// from 0 for the highest to 1 for the lowest.
     ///
     /// # Errors
     ///
--- a/control-plane/src/registry/acceptance.rs
+++ b/control-plane/src/registry/acceptance.rs
@@ -1,12 +1,13 @@
 //! Tracks when this node could accept heartbeats.
 //!
-//! A missing heartbeat indicates a crashed server only if this node could have accepted one. The node cannot do so while its
-//! process is stopped, or while it rejects heartbeats because it has no quorum. In this module, both are *downtime*.
+//! A missing heartbeat indicates a crashed server only if this node could have accepted one. The node cannot do so
+//! while its process is stopped, or while it rejects heartbeats because it has no quorum. In this module, both are
+//! *downtime*.
 
 use crate::Millis;
 
-/// Time between two updates from which on the process is considered to have been stopped, and may have missed heartbeats.
-/// It is shorter than a heartbeat interval, and longer than the time between two updates on a busy machine.
+/// Time between two updates from which on the process is considered to have been stopped, and may have missed
+/// heartbeats. It is shorter than a heartbeat interval, and longer than the time between two updates on a busy machine.
 const STALL_THRESHOLD: Millis = 400;
 
 /// Downtime of this node.
@@ -18,13 +19,14 @@
     total_downtime: Millis,
     /// Length of the ongoing downtime; 0 while the node accepts heartbeats.
     current_downtime: Millis,
-    /// End of the last downtime of at least one heartbeat interval, in which a heartbeat of every server may have been missed.
+    /// End of the last downtime of at least one heartbeat interval, in which a heartbeat of every server may have been
+    /// missed.
     accepting_since: Millis,
 }
 
 impl HeartbeatAcceptance {
-    /// Records whether this node accepts heartbeats now. The time since the last update counts as downtime if it does not,
-    /// or if that time is so long that the process was stopped. Downtime of a heartbeat interval or more restarts
+    /// Records whether this node accepts heartbeats now. The time since the last update counts as downtime if it does
+    /// not, or if that time is so long that the process was stopped. Downtime of a heartbeat interval or more restarts
     /// [`accepting_since`](Self::accepting_since).
     pub(super) fn update(&mut self, now: Millis, accepting: bool, heartbeat_interval: Millis) {
         let elapsed = now.saturating_sub(self.updated_at.unwrap_or(now));
@@ -40,7 +42,8 @@
         }
     }
 
-    /// Sum of all downtime since the process started. The difference between two results is the downtime between the calls.
+    /// Sum of all downtime since the process started. The difference between two results is the downtime between the
+    /// calls.
     pub(super) fn total_downtime(&self) -> Millis {
         self.total_downtime
     }
--- a/control-plane/src/registry/entry.rs
+++ b/control-plane/src/registry/entry.rs
@@ -7,8 +7,8 @@
 use crate::nodes::Server;
 use crate::Millis;
 
-/// Maximum length of an id, backend name or zone name. Names come from callers of the HTTP interface, and each entry is sent
-/// to every control node and every proxy, so that their length has to be bounded.
+/// Maximum length of an id, backend name or zone name. Names come from callers of the HTTP interface, and each entry is
+/// sent to every control node and every proxy, so that their length has to be bounded.
 pub(super) const MAX_NAME_BYTES: usize = 128;
 
 /// Status that a server reports in its heartbeat.
@@ -46,8 +46,8 @@
     /// Remaining time of the server's slow start, in milliseconds.
     #[serde(default)]
     pub warmup_left_ms: u64,
-    /// Sequence number of the call, which increases with each call of the server. It detects calls that arrive out of order.
-    /// 0 for a server that sends no sequence numbers.
+    /// Sequence number of the call, which increases with each call of the server. It detects calls that arrive out of
+    /// order. 0 for a server that sends no sequence numbers.
     #[serde(default)]
     pub call_seq: u64,
 }
@@ -86,7 +86,8 @@
 }
 
 impl ServerEntry {
-    /// Creates the entry of a server from its heartbeat. Returns `None` if the id is empty, or the id or a name is too long.
+    /// Creates the entry of a server from its heartbeat. Returns `None` if the id is empty, or the id or a name is too
+    /// long.
     pub fn from_heartbeat(id: &str, heartbeat: HeartbeatRequest) -> Option<ServerEntry> {
         if !is_valid_id(id) || !is_valid_name(&heartbeat.backend) || !is_valid_name(&heartbeat.zone) {
             return None;
@@ -125,8 +126,8 @@
         self.status == EntryStatus::Deregistered
     }
 
-    /// Whether the entries are the same to proxies. Ignores the remaining slow start, as it only decreases with time, and the
-    /// sequence number, as it is not sent to proxies.
+    /// Whether the entries are the same to proxies. Ignores the remaining slow start, as it only decreases with time,
+    /// and the sequence number, as it is not sent to proxies.
     pub(super) fn is_equivalent_for_proxies(&self, other: &ServerEntry) -> bool {
         self.backend == other.backend
             && self.addr == other.addr
@@ -157,8 +158,8 @@
     name.len() <= MAX_NAME_BYTES
 }
 
-/// An entry with its age, as control nodes exchange it. An age is sent instead of a timestamp, as the clocks of different
-/// nodes are not comparable.
+/// An entry with its age, as control nodes exchange it. An age is sent instead of a timestamp, as the clocks of
+/// different nodes are not comparable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObservedServer {
     /// The server's entry at the sender.
--- a/control-plane/src/registry/mod.rs
+++ b/control-plane/src/registry/mod.rs
@@ -1,10 +1,10 @@
 //! Registry of the origin servers that one control node knows, built from their heartbeats.
 //!
-//! The registry is soft state: it is not stored, and a node that restarts rebuilds it from heartbeats. Each control node
-//! forwards the heartbeats that it receives to its peers. A server expires if no heartbeat of it has arrived for
+//! The registry is soft state: it is not stored, and a node that restarts rebuilds it from heartbeats. Each control
+//! node forwards the heartbeats that it receives to its peers. A server expires if no heartbeat of it has arrived for
 //! `HEARTBEAT_TIMEOUT_INTERVALS` intervals; time during which this node could not accept heartbeats does not count (see
-//! `acceptance`). After a downtime of a heartbeat interval or more, the registry is incomplete until this node has accepted
-//! heartbeats for as long as a server takes to expire.
+//! `acceptance`). After a downtime of a heartbeat interval or more, the registry is incomplete until this node has
+//! accepted heartbeats for as long as a server takes to expire.
 //!
 //! Calls of a server may arrive out of order, and a peer that was stopped or partitioned sends old entries. Three rules
 //! prevent such messages from reviving a server:
@@ -25,12 +25,13 @@
 
 pub use entry::{EntryStatus, HeartbeatRequest, ObservedServer, ReportedStatus, ServerEntry};
 
-/// Heartbeat intervals without a heartbeat after which a server expires. One heartbeat may be lost, and a second one delayed.
+/// Heartbeat intervals without a heartbeat after which a server expires. One heartbeat may be lost, and a second one
+/// delayed.
 const HEARTBEAT_TIMEOUT_INTERVALS: u64 = 4;
 /// Maximum number of entries, tombstones included. Heartbeats of further servers are rejected.
 pub const MAX_SERVERS: usize = 4096;
-/// Number of entries from which on the registry creates no tombstones for unknown ids. It reserves the other half of the
-/// registry for servers, so that callers cannot fill it by deregistering arbitrary ids.
+/// Number of entries from which on the registry creates no tombstones for unknown ids. It reserves the other half of
+/// the registry for servers, so that callers cannot fill it by deregistering arbitrary ids.
 const MAX_ENTRIES_FOR_UNKNOWN_IDS: usize = MAX_SERVERS / 2;
 /// How long a tombstone is retained. It has to outlast heartbeats of the server that are still in transit.
 const TOMBSTONE_RETENTION: Millis = 60_000;
@@ -55,8 +56,8 @@
     pub id: String,
     /// Name of the server's service.
     pub backend: String,
-    /// Last status: [`EntryStatus::Deregistered`] for a tombstone at the end of its retention, and any other for a server
-    /// whose heartbeats have stopped.
+    /// Last status: [`EntryStatus::Deregistered`] for a tombstone at the end of its retention, and any other for a
+    /// server whose heartbeats have stopped.
     pub status: EntryStatus,
     /// Time since the last heartbeat, or since the deregistration of a tombstone, in milliseconds.
     pub last_heartbeat_age_ms: Millis,
@@ -96,8 +97,8 @@
     heartbeat_interval: Millis,
     servers: BTreeMap<String, RegisteredServer>,
     acceptance: HeartbeatAcceptance,
-    /// The last calls of expired servers, by id. Earlier calls may still be in transit, or in the registry of a node that
-    /// was partitioned.
+    /// The last calls of expired servers, by id. Earlier calls may still be in transit, or in the registry of a node
+    /// that was partitioned.
     last_calls: BTreeMap<String, LastCall>,
 }
 
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Records whether this node accepts heartbeats now. Must be called at short intervals: a long time between two calls
-    /// means that the process was stopped, and counts as downtime.
+    /// Records whether this node accepts heartbeats now. Must be called at short intervals: a long time between two
+    /// calls means that the process was stopped, and counts as downtime.
     pub fn set_accepting(&mut self, now: Millis, accepting: bool) {
         self.acceptance.update(now, accepting, self.heartbeat_interval);
     }
@@ -146,8 +147,8 @@
         HeartbeatOutcome::Changed
     }
 
-    /// Whether an entry of a server that is not in the registry is not newer than the server's last known call, or is older
-    /// than the entry of another server at the same address. A tombstone is never stale.
+    /// Whether an entry of a server that is not in the registry is not newer than the server's last known call, or is
+    /// older than the entry of another server at the same address. A tombstone is never stale.
     fn is_stale(&self, observed_at: Millis, entry: &ServerEntry) -> bool {
         if entry.is_deregistered() {
             return false;
@@ -179,14 +180,15 @@
             .insert(id, RegisteredServer { entry, observed_at, downtime_when_observed, replicated: false });
     }
 
-    /// Whether an entry was created from a later call of its server than the known one. Such an entry has to be forwarded to
-    /// the peers that its sender cannot reach. An entry that arrives over two paths is newer only once.
+    /// Whether an entry was created from a later call of its server than the known one. Such an entry has to be
+    /// forwarded to the peers that its sender cannot reach. An entry that arrives over two paths is newer only once.
     pub fn is_newer(&self, entry: &ServerEntry) -> bool {
         self.entry(&entry.id).is_none_or(|known| entry.call_seq > known.call_seq)
     }
 
-    /// Deregisters a server and returns its tombstone. An unknown server also gets a tombstone, as it may be in the registry
-    /// of a node that is partitioned. Returns `None` if there is no capacity for that, or if the id is invalid.
+    /// Deregisters a server and returns its tombstone. An unknown server also gets a tombstone, as it may be in the
+    /// registry of a node that is partitioned. Returns `None` if there is no capacity for that, or if the id is
+    /// invalid.
     pub fn deregister(&mut self, now: Millis, id: &str) -> Option<ServerEntry> {
         if !self.servers.contains_key(id) {
             if self.servers.len() >= MAX_ENTRIES_FOR_UNKNOWN_IDS || !entry::is_valid_id(id) {
@@ -208,8 +210,8 @@
         self.servers.get(id).is_some_and(|known| known.replicated)
     }
 
-    /// Records that every reachable control node has acknowledged `status`. Has no effect if the status of the server has
-    /// changed since.
+    /// Records that every reachable control node has acknowledged `status`. Has no effect if the status of the server
+    /// has changed since.
     pub fn mark_replicated(&mut self, id: &str, status: EntryStatus) {
         if let Some(known) = self.servers.get_mut(id).filter(|known| known.entry.status == status) {
             known.replicated = true;
@@ -218,8 +220,8 @@
 
     // ---- Expiry ----
 
-    /// Removes servers whose heartbeats have stopped, and tombstones at the end of their retention. Returns what was removed;
-    /// if that is not empty, proxies have to be notified.
+    /// Removes servers whose heartbeats have stopped, and tombstones at the end of their retention. Returns what was
+    /// removed; if that is not empty, proxies have to be notified.
     pub fn expire(&mut self, now: Millis) -> Vec<ExpiredServer> {
         let expired_ids: Vec<String> = self
             .servers
@@ -277,9 +279,9 @@
         self.entry(id).is_some_and(ServerEntry::is_deregistered)
     }
 
-    /// The servers in the form that is published to proxies, sorted by id. `include_tombstones` adds the deregistered ones,
-    /// as servers that are not ready. An incomplete list needs them: its receiver retains known servers that are not in the
-    /// list, and would retain deregistered ones as ready.
+    /// The servers in the form that is published to proxies, sorted by id. `include_tombstones` adds the deregistered
+    /// ones, as servers that are not ready. An incomplete list needs them: its receiver retains known servers that are
+    /// not in the list, and would retain deregistered ones as ready.
     pub fn servers(&self, now: Millis, include_tombstones: bool) -> Vec<Server> {
         let listed =
             self.servers.values().filter(|known| include_tombstones || !known.entry.is_deregistered());
@@ -294,8 +296,8 @@
     }
 }
 
-/// Applies an entry to the known server with the same id. Deregistration is final, and an earlier call does not replace a
-/// later one: a heartbeat that was sent before a drain does not undo the drain.
+/// Applies an entry to the known server with the same id. Deregistration is final, and an earlier call does not replace
+/// a later one: a heartbeat that was sent before a drain does not undo the drain.
 fn update_known(
     known: &mut RegisteredServer,
     observed_at: Millis,
--- a/control-plane/src/retry_budget.rs
+++ b/control-plane/src/retry_budget.rs
@@ -1,13 +1,13 @@
 //! Retry budget, which limits the retries that one machine may send to a service.
 //!
-//! The operator's limit applies to the sum over all machines: in any window, there are at most `ratio` times as many retries
-//! as requests, plus `slack`. The first part needs no coordination: each machine sends at most `ratio` times the requests
-//! that it counts itself, and no request is counted by two machines, so that the sum is within the limit. The slack is
-//! divided by the number of machines, which the control plane publishes.
+//! The operator's limit applies to the sum over all machines: in any window, there are at most `ratio` times as many
+//! retries as requests, plus `slack`. The first part needs no coordination: each machine sends at most `ratio` times
+//! the requests that it counts itself, and no request is counted by two machines, so that the sum is within the limit.
+//! The slack is divided by the number of machines, which the control plane publishes.
 //!
-//! An increase of a machine's share of the slack takes effect one window later, as another machine, or the previous process
-//! on the same machine, may have just spent that share. A machine that is disconnected from the control plane keeps its
-//! current share, and cannot learn of a larger one.
+//! An increase of a machine's share of the slack takes effect one window later, as another machine, or the previous
+//! process on the same machine, may have just spent that share. A machine that is disconnected from the control plane
+//! keeps its current share, and cannot learn of a larger one.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,8 +15,8 @@
 
 /// Number of buckets that a window is divided into for counting.
 const BUCKETS_PER_WINDOW: u64 = 10;
-/// Share of the operator's limit that is used. The remainder allows for requests that are counted later at the receiver than
-/// at the sender, and for machines that learn at different times that a machine was added or removed.
+/// Share of the operator's limit that is used. The remainder allows for requests that are counted later at the receiver
+/// than at the sender, and for machines that learn at different times that a machine was added or removed.
 const BOUND_UTILIZATION: f64 = 0.85;
 /// Maximum number of services that are counted. Requests to further services are not retried.
 pub const MAX_SERVICES: usize = 1024;
@@ -82,8 +82,8 @@
         self.services.len()
     }
 
-    /// Sets the number of machines that share the slack. A smaller share takes effect immediately, a larger one after one
-    /// window.
+    /// Sets the number of machines that share the slack. A smaller share takes effect immediately, a larger one after
+    /// one window.
     pub fn set_machine_count(&mut self, now: Millis, machines: usize) {
         self.apply_pending_share(now);
         let share = self.settings.slack / machines.max(1) as f64;
@@ -128,8 +128,8 @@
         Some(buckets)
     }
 
-    /// Starts to count a service. If there are too many, services without a bucket in the window are removed first. Returns
-    /// `None` if there are still too many.
+    /// Starts to count a service. If there are too many, services without a bucket in the window are removed first.
+    /// Returns `None` if there are still too many.
     fn insert_service(&mut self, current: u64, service: &str) -> Option<()> {
         if self.services.len() >= MAX_SERVICES {
             self.services
@@ -155,7 +155,8 @@
         let (ratio, share) = (self.settings.ratio, self.share);
         let current = self.bucket_number(now);
         let Some(buckets) = self.buckets(now, service) else { return false };
-        // The window begins within the oldest bucket. To be safe, all retries of that bucket count, but none of its requests.
+        // The window begins within the oldest bucket. To be safe, all retries of that bucket count, but none of its
+        // requests.
         let retries: u32 = buckets.iter().map(|bucket| bucket.retries).sum();
         let counted = buckets.iter().filter(|bucket| bucket.is_within_window(current));
         let requests: u32 = counted.map(|bucket| bucket.requests).sum();
--- a/control-plane/src/subset.rs
+++ b/control-plane/src/subset.rs
@@ -1,17 +1,19 @@
 //! Subsets of a service's servers: which servers an edge sends its requests to first.
 //!
 //! If every edge used all servers, the number of connections would grow with edges times servers. With as many edges as
-//! servers, an edge would send to a given server so rarely that no connection stays open until the next request. Therefore,
-//! each edge uses a *subset* of the servers (Site Reliability Engineering, chapter 20). All edges compute the same subsets
-//! from the same fleet, without coordination:
+//! servers, an edge would send to a given server so rarely that no connection stays open until the next request.
+//! Therefore, each edge uses a *subset* of the servers (Site Reliability Engineering, chapter 20). All edges compute
+//! the same subsets from the same fleet, without coordination:
 //!
-//! - Servers have points on a consistent-hashing ring, in proportion to their capacity. Each edge starts at its own points
-//!   and takes the next server along the ring that has a free slot. A server has slots in proportion to its capacity, so that
-//!   servers of equal capacity are in about equally many subsets, and every server is in at least one.
+//! - Servers have points on a consistent-hashing ring, in proportion to their capacity. Each edge starts at its own
+//!   points and takes the next server along the ring that has a free slot. A server has slots in proportion to its
+//!   capacity, so that servers of equal capacity are in about equally many subsets, and every server is in at least
+//!   one.
 //! - Adding or removing an edge or server changes the subsets near it on the ring, and hardly any others.
 //!
-//! The size of a subset grows with the ratio of servers to edges, so that each server is used by [`MIN_EDGES_PER_SERVER`] or
-//! more edges on average, whose different loads even out. In a small system, a subset contains all servers.
+//! The size of a subset grows with the ratio of servers to edges, so that each server is used by
+//! [`MIN_EDGES_PER_SERVER`] or more edges on average, whose different loads even out. In a small system, a subset
+//! contains all servers.
 
 use std::collections::BTreeMap;
 
@@ -19,8 +21,8 @@
 
 use crate::fleet::edge_hash;
 
-/// Minimum number of edges that use a server, on average. Clients are not distributed evenly over edges; with eight edges,
-/// the load of servers differs by a third.
+/// Minimum number of edges that use a server, on average. Clients are not distributed evenly over edges; with eight
+/// edges, the load of servers differs by a third.
 pub const MIN_EDGES_PER_SERVER: usize = 8;
 /// Minimum number of servers in a subset: if two fail, there is still a choice of two.
 pub const MIN_SUBSET_SIZE: usize = 4;
@@ -47,7 +49,8 @@
     (MIN_EDGES_PER_SERVER * servers).div_ceil(edges.max(1)).max(MIN_SUBSET_SIZE).min(servers)
 }
 
-/// Computes the subset of each edge, as indexes into `servers`. Edges are identified by their hashes, see [`edge_hash`].
+/// Computes the subset of each edge, as indexes into `servers`. Edges are identified by their hashes, see
+/// [`edge_hash`].
 pub fn subsets(edges: &[u64], servers: &[SubsetServer]) -> BTreeMap<u64, Vec<usize>> {
     let size = size(edges.len(), servers.len());
     if size == servers.len() {
@@ -59,7 +62,8 @@
     let mut edges = edges.to_vec();
     edges.sort_unstable_by_key(|edge| mix(*edge));
     let mut subsets: BTreeMap<u64, Vec<usize>> = edges.iter().map(|edge| (*edge, Vec::new())).collect();
-    // In each turn, every edge chooses one server, so that no edge has to take all its servers from the last free slots.
+    // In each turn, every edge chooses one server, so that no edge has to take all its servers from the last free
+    // slots.
     for turn in 0..size {
         for edge in &edges {
             let Some(subset) = subsets.get_mut(edge) else { continue };
@@ -73,8 +77,8 @@
     subsets
 }
 
-/// Number of slots of each server, which is the number of subsets that it should be in. `total` is the sum over all servers,
-/// before rounding.
+/// Number of slots of each server, which is the number of subsets that it should be in. `total` is the sum over all
+/// servers, before rounding.
 fn slots(total: usize, servers: &[SubsetServer], total_capacity: f64) -> Vec<usize> {
     let slots = |server: &SubsetServer| {
         let share = total as f64 * server.capacity() / total_capacity;
@@ -108,8 +112,8 @@
         Ring(points)
     }
 
-    /// The next server from `start` on that is not in the subset and has a free slot. As slots are rounded, there may be no
-    /// server with a free slot; then it is the next one that is not in the subset.
+    /// The next server from `start` on that is not in the subset and has a free slot. As slots are rounded, there may
+    /// be no server with a free slot; then it is the next one that is not in the subset.
     fn choose(&self, start: u64, subset: &[usize], free_slots: &[usize]) -> Option<usize> {
         let first = self.0.partition_point(|point| point.hash < start);
         let (before, after) = self.0.split_at(first);
