--- a/control-plane/tests/unit/config.rs
+++ b/control-plane/tests/unit/config.rs
@@ -1,4 +1,4 @@
-//! Configuration documents.
+//! Configuration documents: route lookup, validation and patches.
 
 use glenfall_control_plane::config::{Config, ConfigChange, InvalidConfig, NewDocument};
 use serde_json::Value;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_split_follows_its_weights() {
+fn a_split_divides_requests_by_weight() {
     let config = read(&document()).unwrap();
     let route = config.route("one.example", "/a/b/").unwrap();
     let drawn = (0..1000).filter(|n| route.service(f64::from(*n) / 1000.0) == Some("t")).count();
@@ -46,21 +46,25 @@
 }
 
 #[test]
-fn each_kind_of_invalid_document_is_named() {
+fn each_kind_of_invalid_document_is_rejected_with_its_error() {
     type Case = (&'static str, fn(&mut Value), &'static str);
     let cases: [Case; 8] = [
         ("unknown service", |d| d["paths"][0]["backend"] = "x".into(), "no backend is named \"x\""),
-        ("same place", |d| d["paths"][1]["pathPrefix"] = "/a/".into(), "same hostname and pathPrefix"),
         (
-            "no weight",
+            "duplicate host and prefix",
+            |d| d["paths"][1]["pathPrefix"] = "/a/".into(),
+            "same hostname and pathPrefix",
+        ),
+        (
+            "split without a positive weight",
             |d| d["paths"][1]["split"] = serde_json::json!([{"backend": "s", "weight": 0}]),
             "sum to 0",
         ),
-        ("no time", |d| d["paths"][0]["deadlineMs"] = 0.into(), "deadlineMs above 0"),
-        ("no slash", |d| d["paths"][0]["pathPrefix"] = "/a".into(), "a slash"),
-        ("two names", |d| d["paths"][1]["name"] = "a".into(), "named twice"),
-        ("no target", |d| d["paths"][0]["backend"] = Value::Null, "exactly one"),
-        ("no rev", |d| d["rev"] = Value::Null, "not a configuration"),
+        ("zero deadline", |d| d["paths"][0]["deadlineMs"] = 0.into(), "deadlineMs above 0"),
+        ("prefix without a closing slash", |d| d["paths"][0]["pathPrefix"] = "/a".into(), "a slash"),
+        ("duplicate route name", |d| d["paths"][1]["name"] = "a".into(), "named twice"),
+        ("neither backend nor split", |d| d["paths"][0]["backend"] = Value::Null, "exactly one"),
+        ("no version", |d| d["rev"] = Value::Null, "not a configuration"),
     ];
     for (case, invalidate, expected) in cases {
         let mut document = document();
@@ -68,12 +72,15 @@
         let error = read(&document).expect_err(case).to_string();
         assert!(error.contains(expected), "{case}: {error}");
     }
-    let whole = document().to_string();
-    assert!(matches!(Config::read(&whole.as_bytes()[..whole.len() - 9]), Err(InvalidConfig::Unreadable(_))));
+    let json_text = document().to_string();
+    assert!(matches!(
+        Config::read(&json_text.as_bytes()[..json_text.len() - 9]),
+        Err(InvalidConfig::Unreadable(_))
+    ));
 }
 
 #[test]
-fn a_patch_replaces_adds_and_removes_by_name_and_leaves_other_items() {
+fn a_patch_upserts_and_removes_items_by_name_and_keeps_the_others() {
     let patch = serde_json::json!({
         "rev": 8,
         "upsert": {
@@ -84,10 +91,10 @@
     });
     let current = document().to_string().into_bytes();
     let change = ConfigChange::Patch(patch.to_string().into_bytes());
-    let NewDocument { rev, document: made } = change.apply(&current, 5).unwrap();
-    let made_value: Value = serde_json::from_slice(&made).unwrap();
-    assert_eq!((rev, &made_value["extra"]["kept"]), (8, &Value::from(1.5)));
-    let config = Config::read(&made).unwrap();
+    let NewDocument { rev, document: patched } = change.apply(&current, 5).unwrap();
+    let patched_json: Value = serde_json::from_slice(&patched).unwrap();
+    assert_eq!((rev, &patched_json["extra"]["kept"]), (8, &Value::from(1.5)));
+    let config = Config::read(&patched).unwrap();
     let names: Vec<_> = config.paths.iter().map(|route| route.name.as_str()).collect();
     assert_eq!(names, ["ab", "c"]);
     assert_eq!(config.backend("s").unwrap().rate_per_s, Some(9.0));
--- a/control-plane/tests/unit/fleet.rs
+++ b/control-plane/tests/unit/fleet.rs
@@ -1,4 +1,4 @@
-//! Updates of the fleet and of members, by differences.
+//! Snapshots and deltas of the fleet and of the member lists.
 
 use std::net::SocketAddrV4;
 
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn differences_of_random_fleets_lead_a_receiver_to_each_version() {
+fn applying_each_delta_reproduces_the_publishers_fleet() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let (mut publisher, mut receiver) = (VersionedFleet::default(), VersionedFleet::default());
     receiver.apply_update(publisher.snapshot()).unwrap();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_difference_from_another_version_is_rejected_and_changes_nothing() {
+fn a_delta_with_another_base_version_is_rejected_and_changes_nothing() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let (mut publisher, mut receiver) = (VersionedFleet::default(), VersionedFleet::default());
     let first = publisher.advance_to(random_fleet(&mut rng)).unwrap();
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_remaining_slow_start_is_no_difference_and_is_sent_with_a_new_server() {
+fn remaining_slow_start_is_sent_with_new_servers_but_alone_causes_no_update() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let warming_up = |left| Server { warmup_left_ms: left, ready: true, ..server(1, &mut rng.clone()) };
     let fleet = |servers| Fleet { servers, ..Fleet::default() };
@@ -90,12 +90,12 @@
 }
 
 #[test]
-fn differences_of_members_lead_a_receiver_to_each_list() {
+fn applying_each_member_delta_reproduces_the_list() {
     let mut rng = ChaCha8Rng::seed_from_u64(4);
     let (mut sent, mut received) = (Vec::new(), vec![member(99, true)]);
     MembersUpdate::snapshot(&sent).apply(&mut received);
     for _ in 0..2000 {
-        // A member that moves to another control node has two sessions for a moment.
+        // A member that moves to another control node has two sessions for a short time, and is listed twice.
         let members = (0..8).map(|_| member(rng.random_range(0..6), rng.random())).collect();
         let next = MembersUpdate::sorted_by_name(members);
         match MembersUpdate::delta(&sent, &next) {
--- a/control-plane/tests/unit/invariant.rs
+++ b/control-plane/tests/unit/invariant.rs
@@ -1,4 +1,4 @@
-//! Invariants that are checked at run time: a violation is counted under its name.
+//! Run-time checks of invariants, and the counters of their violations.
 
 use glenfall_control_plane::invariant::{report, violations, Invariant, COUNTER_PREFIX};
 
--- a/control-plane/tests/unit/main.rs
+++ b/control-plane/tests/unit/main.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the modules, by their public interfaces.
+//! Unit tests of the modules through their public interfaces.
 
 mod config;
 mod fleet;
--- a/control-plane/tests/unit/peers.rs
+++ b/control-plane/tests/unit/peers.rs
@@ -1,4 +1,4 @@
-//! What a node reports of its links.
+//! Reports of a node about the peers that it reaches.
 
 use glenfall_control_plane::chain::{
     Chain, ChainSettings, HardState, JointConfig, Message, NodeId, Output, Start,
@@ -8,7 +8,7 @@
     NodeId::from([10, 0, 0, number])
 }
 
-/// A voter of three that starts from its disk.
+/// One of three voters, restarted with its stored state.
 fn restarted_voter() -> Chain {
     let state = HardState {
         members: JointConfig::of(vec![node(1), node(2), node(3)]),
@@ -21,7 +21,7 @@
     Chain::new(node(3), settings, Start::Recovered(state))
 }
 
-/// The receiver of a heartbeat that reports that its sender reaches `reachable`.
+/// The receiver of `output` if it is a heartbeat that lists `reachable` as reachable from the sender.
 fn receiver_of(output: &Output, reachable: NodeId) -> Option<NodeId> {
     match output {
         Output::Send(receiver, Message::Heartbeat(heartbeat))
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_new_link_is_announced_to_all_peers_at_once() {
+fn a_new_connection_is_reported_to_all_peers_immediately() {
     let mut chain = restarted_voter();
     chain.tick(0);
     chain.peer_connected(100, node(1));
--- a/control-plane/tests/unit/purge_history.rs
+++ b/control-plane/tests/unit/purge_history.rs
@@ -1,4 +1,4 @@
-//! The purges that a control node retains, and what a session that was disconnected has missed.
+//! The purges that a control node retains, and those that a reconnecting session has missed.
 
 use std::net::Ipv4Addr;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_purge_is_new_once_and_is_removed_after_its_retention() {
+fn a_purge_is_new_only_once_and_is_removed_after_its_retention() {
     let mut purges = PurgeHistory::default();
     assert_eq!(purges.add(1000, vec![purge(1, 0), purge(2, 500), purge(1, 0)]).len(), 2);
     assert!(purges.add(1000, vec![purge(2, 0)]).is_empty());
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn past_the_bound_a_session_that_connects_purges_everything() {
+fn a_session_that_connects_after_an_overflow_purges_everything() {
     let mut purges = PurgeHistory::default();
     purges.add(0, (0..=MAX_PURGES as u64).map(|number| purge(number, 0)).collect());
     assert_eq!(purges.missed(0), [AgedPurge { purge: Purge::Everything, age_ms: 0 }]);
--- a/control-plane/tests/unit/rate_limit.rs
+++ b/control-plane/tests/unit/rate_limit.rs
@@ -1,4 +1,4 @@
-//! The rate limit of a service: what all machines together may send, and how long a request may wait.
+//! The rate limit of a service: the requests of all machines together, and the queue time of a request.
 
 use std::time::Duration;
 
@@ -7,26 +7,27 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const BOUND: RateLimitSettings = RateLimitSettings { window: 5000, over: 1.1 };
-const PER_S: f64 = 280.0;
+const LIMIT: RateLimitSettings = RateLimitSettings { window: 5000, over: 1.1 };
+const RATE_PER_S: f64 = 280.0;
 
-/// Requests that were sent in a simulation.
-struct Sent {
-    most_in_a_window: usize,
+/// Numbers of requests that were sent in a simulation.
+struct SentRequests {
+    max_in_window: usize,
     total: usize,
 }
 
-/// Simulates machines that each have more requests than they may send. With faults, machines stop, restart, and learn late
-/// how many others there are.
-fn simulate(seed: u64, shields: usize, edges: usize, faults: bool) -> Sent {
-    const SECONDS: u64 = 30;
-    const STEP: usize = 4;
+/// Simulates machines that each have more requests than they may send. With faults, machines stop, restart, and learn
+/// with a delay how many shields there are.
+fn simulate(seed: u64, shields: usize, edges: usize, faults: bool) -> SentRequests {
+    const DURATION_S: u64 = 30;
+    const STEP_MS: usize = 4;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut limiters: Vec<Option<RateLimiter>> = (0..shields + edges).map(|_| None).collect();
-    // The number of shields that each machine knows, and when it learns of the present one.
+    // For each machine, the number of shields that it knows, and the time from which on it may learn the current
+    // number.
     let mut known_shields: Vec<(usize, Millis)> = vec![(shields, 0); shields + edges];
     let mut sent: Vec<Millis> = Vec::new();
-    for now in (0..SECONDS * 1000).step_by(STEP) {
+    for now in (0..DURATION_S * 1000).step_by(STEP_MS) {
         let present = limiters[..shields].iter().flatten().count();
         if faults && rng.random_bool(0.004) {
             let victim = rng.random_range(0..limiters.len());
@@ -37,8 +38,8 @@
         }
         for n in 0..limiters.len() {
             if limiters[n].is_none() && (!faults || rng.random_bool(0.002)) || now == 0 {
-                limiters[n] = Some(RateLimiter::new(BOUND, rng.random()));
-                // A machine that starts knows only how many shields there should be.
+                limiters[n] = Some(RateLimiter::new(LIMIT, rng.random()));
+                // A machine that starts knows only the configured number of shields.
                 known_shields[n] = (shields, now);
             }
             let Some(limiter) = &mut limiters[n] else { continue };
@@ -52,28 +53,28 @@
                 QuotaHolder::Edge { of: edges, alone: known == 0 }
             };
             limiter.set_holder(now, holder);
-            // Shields send requests while there are any; edges send requests all the time.
-            while limiter.try_acquire(now, "s", PER_S, 0.0).is_ok() {
+            // Shields send whenever they run. Edges always send, with a small quota while there are shields.
+            while limiter.try_acquire(now, "s", RATE_PER_S, 0.0).is_ok() {
                 sent.push(now);
             }
         }
     }
     let mut first = 0;
-    let in_windows = (0..sent.len()).map(|last| {
-        while sent[first] + BOUND.window <= sent[last] {
+    let window_counts = (0..sent.len()).map(|last| {
+        while sent[first] + LIMIT.window <= sent[last] {
             first += 1;
         }
         last + 1 - first
     });
-    Sent { most_in_a_window: in_windows.max().unwrap_or(0), total: sent.len() }
+    SentRequests { max_in_window: window_counts.max().unwrap_or(0), total: sent.len() }
 }
 
 #[test]
-fn no_window_has_more_requests_than_the_limit_whatever_happens_to_machines() {
-    let allowed = (PER_S * 5.0 * BOUND.over) as usize + 5;
+fn no_window_exceeds_the_limit_while_machines_stop_and_restart() {
+    let allowed = (RATE_PER_S * 5.0 * LIMIT.over) as usize + 5;
     for (shields, edges) in [(3, 10), (5, 90), (5, 900)] {
         for seed in 0..4 {
-            let most = simulate(seed, shields, edges, true).most_in_a_window;
+            let most = simulate(seed, shields, edges, true).max_in_window;
             assert!(most <= allowed, "{shields} shields, {edges} edges, seed {seed}: {most} of {allowed}");
         }
     }
@@ -83,19 +84,19 @@
 fn most_of_the_limit_is_used_without_faults() {
     for (shields, edges) in [(5, 90), (0, 90), (0, 900)] {
         let total = simulate(1, shields, edges, false).total;
-        let share = total as f64 / (30.0 * PER_S);
+        let share = total as f64 / (30.0 * RATE_PER_S);
         assert!((0.9..1.03).contains(&share), "{shields} shields, {edges} edges: {share}");
     }
 }
 
 #[test]
-fn a_process_starts_without_tokens_and_low_priority_leaves_saved_tokens_to_high() {
-    let mut limiter = RateLimiter::new(BOUND, 0.0);
+fn a_process_starts_without_tokens_and_reserves_saved_tokens_for_high_priority() {
+    let mut limiter = RateLimiter::new(LIMIT, 0.0);
     limiter.set_holder(0, QuotaHolder::Shield { of: 1 });
     let wait = limiter.try_acquire(0, "s", 100.0, 0.0).expect_err("nothing saved yet");
     assert!((10..12).contains(&wait), "one in about 10 ms, got {wait}");
     assert_eq!(limiter.try_acquire(wait, "s", 100.0, 0.0), Ok(()));
-    // Of the saved tokens, requests of the lowest priority leave a part to the highest.
+    // Requests of the lowest priority cannot use a part of the saved tokens.
     let acquired = |limiter: &mut RateLimiter, rank| {
         (0..100).take_while(|_| limiter.try_acquire(10_000, "s", 100.0, rank).is_ok()).count()
     };
@@ -106,11 +107,11 @@
 
 #[test]
 fn a_small_quota_yields_single_tokens_that_do_not_accumulate() {
-    let mut limiter = RateLimiter::new(BOUND, 0.5);
+    let mut limiter = RateLimiter::new(LIMIT, 0.5);
     limiter.set_holder(0, QuotaHolder::Edge { of: 1000, alone: false });
     assert!(limiter.try_acquire(0, "s", 100.0, 1.0).is_err());
     let (mut sent, mut wait) = (0, 0);
-    // After a long time without requests, one token at most.
+    // After a long time without requests, there is at most one token.
     for now in [1_000_000, 1_000_001, 1_000_002] {
         match limiter.try_acquire(now, "s", 100.0, 1.0) {
             Ok(()) => sent += 1,
@@ -121,8 +122,8 @@
 }
 
 #[test]
-fn a_client_has_a_rejection_within_a_quarter_of_the_latency_target() {
-    // Round trips between client and edge, and between edge and shield in zones that are 1.4 ms apart.
+fn a_rejection_reaches_the_client_within_a_quarter_of_the_latency_target() {
+    // Round trips: 2 x 3 ms between client and edge, and 2 x 1.4 ms between edge and shield in different zones.
     let round_trips = Duration::from_micros(2 * 3000 + 2 * 1400);
     for target in (1..2000).map(Duration::from_millis) {
         let wait = max_queue_time(target);
--- a/control-plane/tests/unit/registry.rs
+++ b/control-plane/tests/unit/registry.rs
@@ -1,5 +1,5 @@
-//! The registry of servers, and what a control node that was partitioned or stopped contributes to it when it is back: its
-//! entries may be old, and so may the heartbeats that it finds in its socket buffers.
+//! The registry of servers. A control node that was partitioned or stopped may send old entries when it returns, and
+//! may receive old heartbeats from its socket buffers; neither may revive a server.
 
 use std::net::SocketAddrV4;
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_delayed_heartbeat_undoes_no_drain_and_nothing_undoes_a_deregistration() {
+fn a_delayed_heartbeat_does_not_undo_a_drain_and_a_deregistration_is_final() {
     let mut registry = Registry::new(HEARTBEAT_INTERVAL);
     assert_eq!(registry.observe(0, 0, entry("a", 1, EntryStatus::Ready, 1)), HeartbeatOutcome::Changed);
     assert_eq!(registry.observe(10, 0, entry("a", 1, EntryStatus::Draining, 3)), HeartbeatOutcome::Changed);
@@ -58,7 +58,7 @@
     registry.mark_replicated("a", EntryStatus::Draining);
     registry.observe(10, 0, entry("a", 1, EntryStatus::Draining, 2));
     assert!(registry.is_replicated("a"));
-    // It deregistered while its drain was being replicated.
+    // The server deregistered while its drain was being replicated.
     registry.deregister(20, "a");
     registry.mark_replicated("a", EntryStatus::Draining);
     assert!(!registry.is_replicated("a"));
@@ -92,14 +92,14 @@
 }
 
 #[test]
-fn an_old_snapshot_revives_no_server_and_undoes_no_drain() {
+fn an_old_snapshot_does_not_revive_servers_or_undo_a_drain() {
     let mut majority = Registry::new(HEARTBEAT_INTERVAL);
     let mut partitioned = Registry::new(HEARTBEAT_INTERVAL);
     for (id, port) in [("gone", 1), ("drained", 2), ("crashed", 3), ("alive", 4)] {
         majority.observe(0, 0, entry(id, port, EntryStatus::Ready, 5));
         partitioned.observe(0, 0, entry(id, port, EntryStatus::Ready, 5));
     }
-    // Observed by the partitioned node alone, before it noticed the partition.
+    // Observed only by the partitioned node, before it detected the partition.
     assert_eq!(
         partitioned.observe(500, 0, entry("early", 5, EntryStatus::Ready, 1)),
         HeartbeatOutcome::Changed
@@ -126,11 +126,11 @@
 }
 
 #[test]
-fn heartbeats_that_a_stopped_node_receives_late_revive_no_expired_server() {
+fn heartbeats_that_arrive_late_do_not_revive_an_expired_server() {
     let mut registry = Registry::new(HEARTBEAT_INTERVAL);
     registry.observe(0, 0, entry("s", 1, EntryStatus::Ready, 9));
     assert_eq!(registry.expire(4 * HEARTBEAT_INTERVAL), [expired("s", 4 * HEARTBEAT_INTERVAL)]);
-    // The last call or an earlier one is received late, and an entry of a peer is old enough to have expired.
+    // The last call and an earlier one arrive late, and a peer sends an entry that is old enough to have expired.
     let now = 5 * HEARTBEAT_INTERVAL;
     assert_eq!(registry.observe(now, 0, entry("s", 1, EntryStatus::Ready, 9)), HeartbeatOutcome::Stale);
     assert_eq!(registry.observe(now, 0, entry("s", 1, EntryStatus::Draining, 8)), HeartbeatOutcome::Stale);
@@ -139,7 +139,7 @@
         HeartbeatOutcome::Stale
     );
     assert_eq!(registry.servers(now, true), []);
-    // The server itself was partitioned, and calls again.
+    // The server was partitioned rather than crashed, and sends a new heartbeat.
     assert_eq!(registry.observe(now, 0, entry("s", 1, EntryStatus::Ready, 10)), HeartbeatOutcome::Changed);
 }
 
@@ -151,27 +151,27 @@
     assert_eq!(ready(&registry, 4000), ["new"]);
 }
 
-/// State of a control node during a part of a test.
+/// State of a control node during a phase of a test.
 #[derive(Clone, Copy)]
 enum NodeState {
-    /// It accepts heartbeats.
+    /// The node accepts heartbeats.
     Accepting,
-    /// It rejects heartbeats, as it has no quorum.
+    /// The node rejects heartbeats, as it has no quorum.
     Rejecting,
-    /// Its process is stopped.
+    /// The process of the node is stopped.
     Stopped,
 }
 
-/// What a node knows at the end of a test.
+/// Content of a node's registry at the end of a test.
 #[derive(Debug, PartialEq, Eq)]
-struct Knowledge {
-    /// The server whose only heartbeat arrived at 0 is ready.
+struct RegistryState {
+    /// Whether the server whose only heartbeat arrived at time 0 is still listed as ready.
     server_is_ready: bool,
     registry_is_complete: bool,
 }
 
-/// Goes through the states of a node, each until a time.
-fn knowledge_after(states: &[(NodeState, Millis)]) -> Knowledge {
+/// Simulates a node that goes through these states, each of which lasts until the given time.
+fn registry_state_after(states: &[(NodeState, Millis)]) -> RegistryState {
     let mut registry = Registry::new(HEARTBEAT_INTERVAL);
     registry.observe(0, 0, entry("s", 1, EntryStatus::Ready, 1));
     registry.set_accepting(0, true);
@@ -183,7 +183,7 @@
             registry.expire(now);
         }
     }
-    Knowledge {
+    RegistryState {
         server_is_ready: !ready(&registry, now).is_empty(),
         registry_is_complete: registry.is_complete(now, 0),
     }
@@ -217,23 +217,27 @@
         ),
         case("rejects, then accepts for four", &[(Rejecting, 9000), (Accepting, 15_000)], false, true),
         case("is stopped, then accepts for four", &[(Stopped, 9000), (Accepting, 15_000)], false, true),
-        // The time before the downtime and the time after it count together.
+        // The time before the downtime and the time after it are added up.
         case(
             "is stopped in between",
             &[(Accepting, 3000), (Stopped, 9000), (Accepting, 12_000)],
             false,
             false,
         ),
-        // A downtime shorter than a heartbeat interval leaves the registry as complete as it was.
+        // A downtime shorter than a heartbeat interval does not make the registry incomplete.
         case("rejects for a moment", &[(Accepting, 5000), (Rejecting, 6000), (Accepting, 6500)], true, true),
     ];
     for Case { name, states, server_is_ready, registry_is_complete } in cases {
-        assert_eq!(knowledge_after(states), Knowledge { server_is_ready, registry_is_complete }, "{name}");
+        assert_eq!(
+            registry_state_after(states),
+            RegistryState { server_is_ready, registry_is_complete },
+            "{name}"
+        );
     }
 }
 
 #[test]
-fn an_entry_that_arrives_by_two_routes_is_newer_once() {
+fn an_entry_that_arrives_over_two_paths_is_newer_only_once() {
     let mut registry = Registry::new(HEARTBEAT_INTERVAL);
     let observed = |call_seq| entry("s", 1, EntryStatus::Ready, call_seq);
     assert!(registry.is_newer(&observed(1)));
@@ -247,7 +251,7 @@
 }
 
 #[test]
-fn a_tombstone_expires_with_its_status() {
+fn an_expired_tombstone_is_reported_as_deregistered() {
     let mut registry = Registry::new(HEARTBEAT_INTERVAL);
     registry.observe(0, 0, entry("a", 1, EntryStatus::Ready, 1));
     registry.deregister(1000, "a");
--- a/control-plane/tests/unit/retry_budget.rs
+++ b/control-plane/tests/unit/retry_budget.rs
@@ -1,20 +1,20 @@
-//! The retry budget, on one machine and on many.
+//! The retry budget of one machine, and the sum of the budgets of several machines.
 
 use glenfall_control_plane::retry_budget::{RetryBudget, RetryBudgetSettings, MAX_SERVICES};
 use glenfall_control_plane::Millis;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const BOUND: RetryBudgetSettings = RetryBudgetSettings { ratio: 0.2, window: 10_000, slack: 60.0 };
+const SETTINGS: RetryBudgetSettings = RetryBudgetSettings { ratio: 0.2, window: 10_000, slack: 60.0 };
 
-/// How many of a hundred retries are allowed.
+/// Number of retries that the budget allows, out of 100 attempts.
 fn allowed_retries(budget: &mut RetryBudget, now: Millis, service: &str) -> usize {
     (0..100).filter(|_| budget.try_spend(now, service)).count()
 }
 
 #[test]
-fn without_a_share_of_the_slack_only_own_requests_add_to_the_budget() {
-    let mut budget = RetryBudget::new(BOUND);
+fn without_a_share_of_the_slack_only_counted_requests_add_to_the_budget() {
+    let mut budget = RetryBudget::new(SETTINGS);
     assert!(!budget.try_spend(0, "s"));
     budget.set_machine_count(0, 10);
     assert!(!budget.try_spend(9_999, "s"), "the previous process may have spent its share");
@@ -27,7 +27,7 @@
 
 #[test]
 fn a_smaller_share_takes_effect_at_once_and_a_larger_one_after_a_window() {
-    let mut budget = RetryBudget::new(BOUND);
+    let mut budget = RetryBudget::new(SETTINGS);
     budget.set_machine_count(0, 3);
     budget.set_machine_count(5_000, 2);
     budget.set_machine_count(12_000, 6);
@@ -40,14 +40,14 @@
     assert_eq!(allowed_retries(&mut budget, 41_000, "c"), 17);
 }
 
-/// Machines with different loads, whose requests come in bursts, retry as often as they are allowed.
+/// Simulates machines with different loads and bursts of requests, which retry as often as their budgets allow.
 #[test]
 fn the_sum_over_machines_is_within_the_bound_in_every_window() {
-    const MACHINES: usize = 13;
+    const MACHINE_COUNT: usize = 13;
     for seed in 0..20u64 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut budgets: Vec<RetryBudget> = (0..MACHINES).map(|_| RetryBudget::new(BOUND)).collect();
-        budgets.iter_mut().for_each(|budget| budget.set_machine_count(0, MACHINES));
+        let mut budgets: Vec<RetryBudget> = (0..MACHINE_COUNT).map(|_| RetryBudget::new(SETTINGS)).collect();
+        budgets.iter_mut().for_each(|budget| budget.set_machine_count(0, MACHINE_COUNT));
         let mut requests: Vec<Millis> = Vec::new();
         let mut retries: Vec<Millis> = Vec::new();
         let mut mean_interval = 1;
@@ -68,22 +68,25 @@
         let within = |all: &[Millis], from: i64| {
             all.iter().filter(|at| (**at as i64) >= from && (**at as i64) < from + 10_000).count() as f64
         };
-        let mut spent = 0.0f64;
+        let mut max_used_share = 0.0f64;
         for from in (-10_000..60_000i64).step_by(100) {
             let counted_requests = [from, from - 10_000, from - 5_000].map(|from| within(&requests, from));
             let counted_requests = counted_requests.into_iter().fold(0.0, f64::max);
-            let allowed = BOUND.ratio * counted_requests + BOUND.slack;
-            let sent = within(&retries, from);
-            assert!(sent <= allowed, "seed {seed}: {sent} retries from {from} on, {allowed} allowed");
-            spent = spent.max(sent / allowed);
+            let allowed = SETTINGS.ratio * counted_requests + SETTINGS.slack;
+            let retry_count = within(&retries, from);
+            assert!(
+                retry_count <= allowed,
+                "seed {seed}: {retry_count} retries from {from} on, {allowed} allowed"
+            );
+            max_used_share = max_used_share.max(retry_count / allowed);
         }
-        assert!(spent > 0.5, "seed {seed}: only {spent} of the budget was used");
+        assert!(max_used_share > 0.5, "seed {seed}: only {max_used_share} of the budget was used");
     }
 }
 
 #[test]
 fn the_number_of_counted_services_is_bounded() {
-    let mut budget = RetryBudget::new(BOUND);
+    let mut budget = RetryBudget::new(SETTINGS);
     budget.set_machine_count(0, 1);
     for n in 0..3 * MAX_SERVICES as u64 {
         budget.record_request(n, &n.to_string());
@@ -91,7 +94,7 @@
     assert!(budget.services() <= MAX_SERVICES);
     assert!(!budget.try_spend(3 * MAX_SERVICES as u64, "one more"));
     assert!(
-        budget.try_spend(BOUND.window * 9, "one more"),
+        budget.try_spend(SETTINGS.window * 9, "one more"),
         "services without requests in the window are removed"
     );
 }
--- a/control-plane/tests/unit/settings.rs
+++ b/control-plane/tests/unit/settings.rs
@@ -1,30 +1,30 @@
-//! Time-outs of the chain that follow from the promised losses and the time for catching up.
+//! Time-outs of the chain, which are derived from the tolerated losses and the sync time.
 
 use glenfall_control_plane::chain::{Chain, ChainSettings, NodeId, Start, SyncTooShort};
 use glenfall_control_plane::Millis;
 
-const STEP: Millis = 10;
+const STEP_MS: Millis = 10;
 
 fn settings(losses: usize, sync: Millis) -> ChainSettings {
     ChainSettings { losses, eligible: true, sync }
 }
 
-/// Time without a message until a node counts a peer as failed.
+/// Time without a message after which a node considers a peer as failed.
 fn detection_time(settings: ChainSettings) -> Millis {
-    let (me, peer) = (NodeId::new(10, 0, 0, 1), NodeId::new(10, 0, 0, 2));
-    let mut chain = Chain::new(me, settings, Start::Fresh(vec![me, peer]));
+    let (local, peer) = (NodeId::new(10, 0, 0, 1), NodeId::new(10, 0, 0, 2));
+    let mut chain = Chain::new(local, settings, Start::Fresh(vec![local, peer]));
     chain.tick(0);
     chain.peer_connected(0, peer);
     let mut now = 0;
     while chain.has_quorum() {
-        now += STEP;
+        now += STEP_MS;
         chain.tick(now);
     }
     now
 }
 
 #[test]
-fn more_promised_losses_in_the_same_time_are_detected_sooner() {
+fn more_tolerated_losses_in_the_same_time_shorten_failure_detection() {
     for (losses, sync, detected, replaced, needed) in [
         (1, 4000, 1000, 2000, 3200),
         (2, 4000, 1000, 1500, 4000),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn settings_pass_the_check_if_the_repair_fits_into_the_time() {
+fn settings_are_valid_if_the_repair_fits_into_the_sync_time() {
     let too_short = |losses, needed, sync| Err(SyncTooShort { losses, needed, sync });
     assert_eq!(settings(4, 4000).check(), too_short(4, 4900, 4000));
     assert_eq!(settings(1, 1000).check(), too_short(1, 1900, 1000));
@@ -50,9 +50,9 @@
             let settings = settings(losses, sync);
             let fits = settings.replacement_time() <= sync;
             assert_eq!(settings.check().is_ok(), fits, "{losses} losses, {sync} ms");
-            let more = ChainSettings { sync: sync + 100, ..settings };
+            let longer = ChainSettings { sync: sync + 100, ..settings };
             assert!(
-                !fits || more.check().is_ok(),
+                !fits || longer.check().is_ok(),
                 "{losses} losses: {sync} ms suffice, and 100 ms more do not"
             );
         }
