--- a/control-plane-sim/src/action.rs
+++ b/control-plane-sim/src/action.rs
@@ -3,7 +3,7 @@
 use glenfall_control_plane::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Two machines, and the direction from one to the other where an action has one. In JSON it is an array of two numbers.
+/// Two machines, and the direction between them where an action has one. Serialized as an array of two numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u8, u8)", into = "(u8, u8)")]
 pub struct MachinePair {
@@ -41,13 +41,13 @@
     Put,
     /// A patch of the configuration.
     Patch,
-    /// A document that is no valid configuration.
+    /// A document that fails the validation of configurations.
     Invalid,
 }
 
 /// A fault that is injected, or a request that an operator makes.
 ///
-/// In the fields, `receiver` is the node that receives a request, and durations are in milliseconds.
+/// Nodes and machines are given by their numbers, durations and delays in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
@@ -56,13 +56,13 @@
         /// The node that receives the first attempt.
         #[serde(rename = "at")]
         receiver: u8,
-        /// How much higher the new version is than the newest known one.
+        /// The new version less the newest known one.
         #[serde(rename = "raise")]
         version_step: u64,
-        /// What the request contains.
+        /// The kind of document in the request.
         #[serde(rename = "content")]
         document: DocumentKind,
-        /// How many answers are lost before they reach the operator.
+        /// How many definite answers are lost before one reaches the operator.
         #[serde(rename = "lost")]
         lost_answers: u32,
     },
@@ -71,7 +71,7 @@
         /// The node that receives the request.
         #[serde(rename = "at")]
         receiver: u8,
-        /// How much higher the new version is than the newest known one.
+        /// The new version less the newest known one.
         #[serde(rename = "raise")]
         version_step: u64,
     },
@@ -80,7 +80,7 @@
         /// The node that receives the request.
         #[serde(rename = "at")]
         receiver: u8,
-        /// Which request, counted back from the newest.
+        /// The position of the request counted back from the newest, which is 0.
         #[serde(rename = "back")]
         requests_back: usize,
     },
@@ -90,9 +90,9 @@
         #[serde(rename = "at")]
         receiver: u8,
     },
-    /// A session opens.
+    /// A client opens a session, which waits for its configuration.
     OpenSession {
-        /// The node where it opens.
+        /// The node where the session opens.
         #[serde(rename = "at")]
         receiver: u8,
     },
@@ -114,7 +114,7 @@
     },
     /// Processes are killed.
     Kill {
-        /// Their machines.
+        /// The machines of the processes.
         nodes: Vec<u8>,
     },
     /// Machines lose power.
@@ -122,23 +122,26 @@
         /// The machines.
         nodes: Vec<u8>,
     },
-    /// Machines that do not run start.
+    /// Machines start, except for those that run or were removed.
     PowerOn {
         /// The machines.
         nodes: Vec<u8>,
     },
-    /// Machines lose power and disk and restart at once, as many of them as the cluster has to tolerate at that time.
+    /// Machines lose power and their disks and restart at once. Each is skipped if the cluster need not tolerate the
+    /// loss of another disk at that time.
     Wipe {
         /// The machines, in the order in which they are tried.
         nodes: Vec<u8>,
     },
-    /// Machines lose power and disk and restart at once, as many of them as the user documentation permits: a removed
-    /// machine no longer counts as lost once its successor has synchronized.
+    /// Machines lose power and their disks and restart at once. Each is skipped if the user documentation does not
+    /// permit another loss at that time; by its rule a removed machine no longer counts as lost once its successor has
+    /// synchronized.
     WipeAfterRepair {
         /// The machines, in the order in which they are tried.
         nodes: Vec<u8>,
     },
-    /// A machine loses power and disk and does not come back.
+    /// A machine loses power and its disk and does not come back while faults last. Skipped if the cluster need not
+    /// tolerate the loss of another disk at that time.
     Lose {
         /// The machine.
         node: u8,
@@ -162,13 +165,13 @@
     },
     /// Messages take longer.
     Delay {
-        /// The directions that are slow.
+        /// The directions in which messages are delayed.
         #[serde(rename = "channels")]
         pairs: Vec<MachinePair>,
-        /// How much longer each message takes.
+        /// The time that is added to the delay of each message.
         #[serde(rename = "by")]
         extra_delay: Millis,
-        /// How long this lasts.
+        /// How long messages are delayed.
         #[serde(rename = "lasts")]
         duration: Millis,
     },
@@ -181,9 +184,9 @@
     },
     /// Processes are paused.
     Pause {
-        /// Their machines.
+        /// The machines of the processes.
         nodes: Vec<u8>,
-        /// How long they are paused.
+        /// How long the processes are paused.
         #[serde(rename = "lasts")]
         duration: Millis,
     },
@@ -191,7 +194,7 @@
     StallDisk {
         /// The machine of the disk.
         node: u8,
-        /// How long this lasts.
+        /// How long the disk stalls.
         #[serde(rename = "lasts")]
         duration: Millis,
     },
@@ -203,8 +206,9 @@
 }
 
 impl Action {
-    /// Returns the largest of the action's figures: duration, version step and number of lost answers.
-    pub(crate) fn largest_figure(&self) -> u64 {
+    /// Returns the largest of the action's durations, delays, version steps and numbers of lost answers; 0 if it has
+    /// none.
+    pub(crate) fn largest_field_value(&self) -> u64 {
         match self {
             Action::Change { version_step, lost_answers, .. } => {
                 (*version_step).max(u64::from(*lost_answers))
@@ -215,7 +219,7 @@
             | Action::Pause { duration, .. }
             | Action::StallDisk { duration, .. } => *duration,
             Action::Delay { extra_delay, duration, .. } => (*extra_delay).max(*duration),
-            Action::OnAcknowledged { then } => then.largest_figure(),
+            Action::OnAcknowledged { then } => then.largest_field_value(),
             _ => 0,
         }
     }
@@ -252,6 +256,6 @@
 pub struct Event {
     /// Milliseconds since the start of the schedule.
     pub at: Millis,
-    /// What happens.
+    /// The fault, or the request of an operator.
     pub action: Action,
 }
--- a/control-plane-sim/src/cluster.rs
+++ b/control-plane-sim/src/cluster.rs
@@ -4,7 +4,7 @@
 
 use glenfall_control_plane::chain::{ChainSettings, NodeId};
 
-/// The number of voters that an operator names for the first start.
+/// The number of seeds, which are the voters until the first view.
 const SEED_COUNT: u8 = 3;
 
 /// Returns the address of a machine by its number. Numbers start at 1.
@@ -17,27 +17,27 @@
     node.octets()[3]
 }
 
-/// Returns the voters of the first start.
+/// Returns the nodes that every node is given as the initial voters.
 pub fn seeds() -> Vec<NodeId> {
     (1..=SEED_COUNT).map(node).collect()
 }
 
-/// The number of machine losses that the replicated chain has to tolerate, and of spare machines.
+/// How many machine losses the replicated chain has to tolerate, and how many spare machines there are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ClusterSize {
-    /// Machine losses at a time that the chain has to tolerate.
+    /// The number of simultaneous machine losses that the chain has to tolerate.
     pub losses: u8,
-    /// Spare machines, which are ready but have no vote.
+    /// The number of spare machines, which can become voters but are none at first.
     pub spare: u8,
 }
 
 impl ClusterSize {
-    /// A cluster that tolerates `losses` and has `spare` machines.
+    /// Creates the size of a cluster that tolerates `losses` machine losses and has `spare` more machines than voters.
     pub const fn new(losses: u8, spare: u8) -> ClusterSize {
         ClusterSize { losses, spare }
     }
 
-    /// Returns the number of voters that tolerate these losses.
+    /// Returns the number of voters that tolerate the losses: of `2 * losses + 1` a majority remains.
     pub fn voters(self) -> u8 {
         2 * self.losses + 1
     }
--- a/control-plane-sim/src/coverage.rs
+++ b/control-plane-sim/src/coverage.rs
@@ -1,8 +1,8 @@
-//! Counts of what a simulation run exercised, which show whether the schedules cover anything.
+//! Counts of what a simulation run exercised, which show whether the schedules reach the states that they should cover.
 
 use serde::Serialize;
 
-/// What a run without a violation exercised.
+/// The counts of what a run without a violation exercised.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Coverage {
     /// Acknowledged changes.
@@ -11,9 +11,9 @@
     pub reads: u64,
     /// Rejected change requests.
     pub refusals: u64,
-    /// Change requests that were sent again.
+    /// Change requests that were sent again, after a time-out or as duplicates.
     pub repeats: u64,
-    /// Sessions that were handed a configuration.
+    /// Sessions that received a configuration.
     pub sessions: u64,
     /// Views that became active.
     pub views: u64,
--- a/control-plane-sim/src/lib.rs
+++ b/control-plane-sim/src/lib.rs
@@ -1,11 +1,11 @@
 //! A deterministic simulation of the replicated chain: the real state machines run on a simulated network and disk.
 //!
-//! Links delay messages, break and reconnect. Faults are partitions in both directions or one, pauses, killed processes,
-//! power failures and wiped disks. Simulated operators race each other, retry requests and replace voters, and every
-//! answer that they get is checked against what was committed.
+//! Links delay messages, break and reconnect. Faults are partitions in one or both directions, pauses, killed
+//! processes, power failures, and wiped or stalled disks. Simulated operators send concurrent changes, retry requests
+//! and replace voters. Every answer that they receive is checked against the committed changes.
 //!
-//! Everything follows from a seed. [`World`] is driven step by step; [`Schedule`] is a list of events that replays
-//! exactly, also when some of its events are left out, so that a failing one can be shrunk.
+//! All randomness comes from a seed. [`World`] is driven step by step. [`Schedule`] is a list of events that replays
+//! exactly, even if some of its events are left out, so that a failing schedule can be shrunk.
 
 mod action;
 mod cluster;
--- a/control-plane-sim/src/machine/disk.rs
+++ b/control-plane-sim/src/machine/disk.rs
@@ -1,5 +1,5 @@
-//! A simulated disk: one write is in progress at a time. Of the states that are queued meanwhile only the newest is
-//! written next, and after a crash a write is either complete or without effect.
+//! A simulated disk with one write in progress at a time. Of the states that are queued during a write only the newest
+//! is written. Writes are atomic: after a crash a write is either complete or has no effect.
 
 use std::collections::VecDeque;
 use std::ops::Range;
@@ -9,7 +9,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// How long a disk that reports syncs too early withholds what it has reported as written.
+/// How long after the report of a sync the state becomes durable, on a disk that reports syncs too early.
 const WITHHOLD_DURATION: Millis = 500;
 /// How long a sync takes unless a test changes it.
 const SYNC_DURATION: Range<Millis> = 1..20;
@@ -27,7 +27,7 @@
     state: HardState,
 }
 
-/// A state that a disk has reported as written too early.
+/// A state that the disk has reported as written although it is not durable yet.
 struct WithheldState {
     durable_at: Millis,
     state: HardState,
@@ -35,13 +35,13 @@
 
 /// The disk of one machine.
 pub struct Disk {
-    /// The state that has reached it.
+    /// The state that survives a crash; `None` before the first write, and after a wipe.
     pub durable: Option<HardState>,
     writing: Option<Write>,
     queued: Option<QueuedWrite>,
     withheld: VecDeque<WithheldState>,
     stalled_until: Millis,
-    /// How long a sync takes: each duration is drawn from this range.
+    /// The range from which the duration of each sync is drawn, in milliseconds.
     pub sync_duration: Range<Millis>,
 }
 
@@ -57,14 +57,14 @@
         }
     }
 
-    /// Returns all states that the disk holds or is to hold.
+    /// Returns the durable state, the one being written, and the queued one.
     pub(crate) fn states(&self) -> impl Iterator<Item = &HardState> {
         let writing = self.writing.as_ref().map(|write| &write.state);
         let queued = self.queued.as_ref().map(|write| &write.state);
         self.durable.iter().chain(writing).chain(queued)
     }
 
-    /// Writes a state, once the write in progress is complete.
+    /// Queues a state to be written once the write in progress is complete. Replaces a state that is still queued.
     pub(crate) fn write(&mut self, now: Millis, number: u64, state: HardState, rng: &mut ChaCha8Rng) {
         self.queued = Some(QueuedWrite { number, state });
         self.begin_write(now, rng);
@@ -81,10 +81,16 @@
         }
     }
 
-    /// Returns the number of a write that is complete by now. With `withholds`, its state is not durable yet.
-    pub(crate) fn take_synced(&mut self, now: Millis, withholds: bool, rng: &mut ChaCha8Rng) -> Option<u64> {
+    /// Returns the number of the write in progress if it is complete by now. With `reports_early`, its state becomes
+    /// durable only after [`WITHHOLD_DURATION`].
+    pub(crate) fn take_synced(
+        &mut self,
+        now: Millis,
+        reports_early: bool,
+        rng: &mut ChaCha8Rng,
+    ) -> Option<u64> {
         let Write { number, state, .. } = self.writing.take_if(|write| write.done_at <= now)?;
-        if withholds {
+        if reports_early {
             self.withheld.push_back(WithheldState { durable_at: now + WITHHOLD_DURATION, state });
         } else {
             self.durable = Some(state);
@@ -93,14 +99,14 @@
         Some(number)
     }
 
-    /// Makes durable what was withheld for long enough.
+    /// Makes withheld states durable whose time has come.
     pub(crate) fn release_withheld(&mut self, now: Millis) {
         while let Some(withheld) = self.withheld.pop_front_if(|withheld| withheld.durable_at <= now) {
             self.durable = Some(withheld.state);
         }
     }
 
-    /// Delays the completion of the write in progress, and of those that begin meanwhile, until then.
+    /// Delays the completion of the write in progress, and of writes that begin before `until`, until that time.
     pub(crate) fn stall(&mut self, until: Millis) {
         self.stalled_until = until;
         if let Some(write) = &mut self.writing {
@@ -112,7 +118,7 @@
         self.stalled_until = 0;
     }
 
-    /// Ends the process that writes, while the disk goes on.
+    /// Ends the process that writes. The disk keeps its power, so a withheld state becomes durable.
     pub(crate) fn process_ended(&mut self, rng: &mut ChaCha8Rng) {
         if let Some(newest) = self.withheld.pop_back() {
             self.durable = Some(newest.state);
@@ -121,13 +127,13 @@
         self.crash(rng);
     }
 
-    /// Takes the power, and with it what was withheld.
+    /// Cuts the power: withheld states are lost.
     pub(crate) fn power_off(&mut self, rng: &mut ChaCha8Rng) {
         self.crash(rng);
         self.withheld.clear();
     }
 
-    /// The write in progress is either complete or without effect.
+    /// Drops the queued write; the write in progress either completes or has no effect, at random.
     fn crash(&mut self, rng: &mut ChaCha8Rng) {
         self.queued = None;
         if let Some(write) = self.writing.take().filter(|_| rng.random()) {
--- a/control-plane-sim/src/machine/mod.rs
+++ b/control-plane-sim/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated machine: the node's state machine, its disk, and the faults that were injected on it.
+//! A simulated machine: the node's state machine, its disk, and the faults injected into it.
 
 pub(crate) mod disk;
 pub(crate) mod sessions;
@@ -12,7 +12,7 @@
 use disk::Disk;
 use sessions::SessionQueue;
 
-/// A call that waits for a paused process to go on.
+/// A call that waits until a paused process resumes.
 pub(crate) struct QueuedCall {
     pub(crate) number: u64,
     pub(crate) call: Call,
@@ -22,28 +22,29 @@
 pub struct Machine {
     /// The state machine of its process; `None` while no process runs.
     pub chain: Option<Chain>,
-    /// Its disk.
+    /// The disk, whose state survives the process unless the machine is wiped.
     pub disk: Disk,
-    /// Whether its disk was ever lost: a machine without state that was wiped is no node that starts for the first time.
+    /// Whether the disk was ever lost, which distinguishes a wiped machine from one that starts for the first time.
+    /// Spare machines count as wiped from the start.
     pub wiped: bool,
-    /// When its disk was lost last.
+    /// When the disk was last lost.
     pub(crate) wiped_at: Option<Millis>,
-    /// Whether it is lost for good: it does not start again until an empty machine replaces it.
+    /// Whether the machine was removed permanently. It does not start again until an empty machine replaces it.
     pub removed: bool,
     pub(crate) removed_at: Millis,
     pub(crate) first_started_at: Option<Millis>,
-    /// When the last fault that was injected here ends.
+    /// The latest end of any fault that was injected into this machine; 0 if there was none.
     pub(crate) faulty_until: Millis,
-    /// When its process goes on; in the past unless it is paused.
+    /// When the process resumes; not in the future unless it is paused.
     pub paused_until: Millis,
     pub(crate) paused_since: Millis,
     pub(crate) queued_calls: Vec<QueuedCall>,
     pub(crate) sessions: SessionQueue,
-    /// Counts its processes.
+    /// The number of processes that have ended on this machine; identifies the current process.
     pub(crate) incarnation: u64,
     /// The sequence number of the newest change that this process has published.
     pub(crate) published: u64,
-    /// Draws the durations of its disk writes, and the order in which it handles simultaneous inputs.
+    /// The random stream of disk write durations, and of the order in which simultaneous inputs are handled.
     pub(crate) rng: ChaCha8Rng,
 }
 
@@ -73,13 +74,13 @@
         self.paused_until > now
     }
 
-    /// Returns what the network has to know of the machine.
+    /// Returns the state of the machine that its network links depend on.
     pub(crate) fn endpoint(&self, now: Millis) -> Endpoint {
         let paused_since = self.is_paused(now).then_some(self.paused_since);
         Endpoint { running: self.chain.is_some(), paused_since }
     }
 
-    /// Ends the process; what it had not written yet is lost.
+    /// Ends the process; its state in memory is lost.
     pub(crate) fn stop(&mut self) {
         self.chain = None;
         self.incarnation += 1;
--- a/control-plane-sim/src/machine/sessions.rs
+++ b/control-plane-sim/src/machine/sessions.rs
@@ -1,14 +1,14 @@
-//! The sessions that wait at a process for their configuration: a node hands a session its configuration once a quorum
-//! read that it began after the session opened has returned.
+//! The sessions that wait at a process for their configuration. A session is served once a quorum read that the node
+//! began after the session opened has returned.
 
 use glenfall_control_plane::Millis;
 
-/// A read that has not returned within this time is followed by another.
+/// A read that has not returned within this time is retried.
 const READ_RETRY_INTERVAL: Millis = 150;
 
-/// A session that has not been handed a configuration yet.
+/// A session that has not received a configuration yet.
 pub(crate) struct WaitingSession {
-    /// Counts the sessions of this process.
+    /// The position among the sessions that were opened at this process, starting at 1.
     number: u64,
     /// The newest version that was acknowledged when the session opened.
     pub(crate) acknowledged: u64,
@@ -17,40 +17,39 @@
 /// The last read for waiting sessions.
 struct LastRead {
     began_at: Millis,
-    /// The newest session that it covers.
-    newest: u64,
+    /// The number of the newest session that the read covers.
+    newest_session: u64,
 }
 
 /// The sessions that wait at one process.
 #[derive(Default)]
 pub(crate) struct SessionQueue {
     waiting: Vec<WaitingSession>,
-    opened: u64,
+    opened_count: u64,
     last_read: Option<LastRead>,
 }
 
 impl SessionQueue {
     pub(crate) fn open(&mut self, acknowledged: u64) {
-        self.opened += 1;
-        self.waiting.push(WaitingSession { number: self.opened, acknowledged });
+        self.opened_count += 1;
+        self.waiting.push(WaitingSession { number: self.opened_count, acknowledged });
     }
 
-    /// Returns the newest waiting session, if a read has to begin for it now.
+    /// Returns the number of the newest waiting session, if a read has to begin for it now.
     pub(crate) fn due_read(&self, now: Millis) -> Option<u64> {
-        let newest = self.waiting.last()?.number;
-        let in_flight = self
-            .last_read
-            .as_ref()
-            .is_some_and(|read| read.newest >= newest && now < read.began_at + READ_RETRY_INTERVAL);
-        (!in_flight).then_some(newest)
+        let newest_session = self.waiting.last()?.number;
+        let in_flight = self.last_read.as_ref().is_some_and(|read| {
+            read.newest_session >= newest_session && now < read.began_at + READ_RETRY_INTERVAL
+        });
+        (!in_flight).then_some(newest_session)
     }
 
-    pub(crate) fn read_began(&mut self, now: Millis, newest: u64) {
-        self.last_read = Some(LastRead { began_at: now, newest });
+    pub(crate) fn record_read(&mut self, now: Millis, newest_session: u64) {
+        self.last_read = Some(LastRead { began_at: now, newest_session });
     }
 
-    /// Removes and returns the sessions that a read covers.
-    pub(crate) fn take_covered(&mut self, newest: u64) -> Vec<WaitingSession> {
-        self.waiting.extract_if(.., |session| session.number <= newest).collect()
+    /// Removes and returns the sessions that a read covers, which are those up to number `newest_session`.
+    pub(crate) fn take_covered(&mut self, newest_session: u64) -> Vec<WaitingSession> {
+        self.waiting.extract_if(.., |session| session.number <= newest_session).collect()
     }
 }
--- a/control-plane-sim/src/network/channel.rs
+++ b/control-plane-sim/src/network/channel.rs
@@ -1,4 +1,4 @@
-//! One direction of a link: messages arrive in order, after a delay that is drawn for each.
+//! One direction of a link. Messages arrive in order, each after a random delay.
 
 use std::collections::VecDeque;
 use std::ops::Range;
@@ -10,11 +10,11 @@
 
 use crate::rng;
 
-/// An end that can be notified of a lost link is notified within this time.
+/// Upper bound of the time until a reachable end is notified that a link is up or lost.
 pub(super) const MAX_NOTIFICATION_DELAY: Millis = 20;
-/// How long a message takes where no packet is lost.
-const DELAY: Range<Millis> = 1..12;
-/// How long a message takes where its packet is lost and retransmitted.
+/// How long a message takes if no packet is lost.
+const TRANSIT_DELAY: Range<Millis> = 1..12;
+/// How long a message takes if its packet is lost and retransmitted.
 pub(super) const RETRANSMISSION_DELAY: Millis = 200;
 /// One in this many packets is lost.
 const PACKETS_PER_LOSS: u32 = 50;
@@ -22,7 +22,7 @@
 /// A message that has not arrived yet.
 struct InFlightMessage {
     arrives_at: Millis,
-    /// The connection that it was sent on.
+    /// The number of the connection that the message was sent on.
     connection: u64,
     message: Message,
 }
@@ -30,12 +30,12 @@
 /// One direction of a link.
 pub(super) struct Channel {
     messages: VecDeque<InFlightMessage>,
-    /// Nothing arrives in this time; what was sent arrives after it, if the connection lasts.
+    /// Nothing arrives within this range of time. Messages sent in it arrive later, if the connection lasts.
     blocked: Range<Millis>,
-    /// What is sent before then takes longer by `extra_delay`.
+    /// Messages that are sent before this time take longer by `extra_delay`.
     delayed_until: Millis,
     extra_delay: Millis,
-    /// The connection that the receiver reads from, until it is notified that it is lost.
+    /// The connection that the receiver reads from; `None` once the receiver is notified that it is lost.
     open_connection: Option<u64>,
     pub(super) rng: ChaCha8Rng,
 }
@@ -55,8 +55,8 @@
     pub(super) fn send(&mut self, now: Millis, connection: u64, message: Message) {
         let previous = self.messages.back().map_or(0, |message| message.arrives_at);
         let lost = self.rng.random_ratio(1, PACKETS_PER_LOSS);
-        let usual = if lost { RETRANSMISSION_DELAY } else { self.rng.random_range(DELAY) };
-        let delay = if now < self.delayed_until { usual + self.extra_delay } else { usual };
+        let normal_delay = if lost { RETRANSMISSION_DELAY } else { self.rng.random_range(TRANSIT_DELAY) };
+        let delay = if now < self.delayed_until { normal_delay + self.extra_delay } else { normal_delay };
         let blocked_until = if self.blocked.contains(&now) { self.blocked.end } else { 0 };
         let arrives_at = (now + delay).max(previous).max(blocked_until + delay);
         self.messages.push_back(InFlightMessage { arrives_at, connection, message });
@@ -77,13 +77,13 @@
         self.messages.iter().map(|in_flight| &in_flight.message)
     }
 
-    /// Opens a connection for reading.
+    /// Opens a connection for reading. Messages of earlier connections are lost.
     pub(super) fn open(&mut self, connection: u64) {
         self.messages.clear();
         self.open_connection = Some(connection);
     }
 
-    /// Closes the receiver's end: nothing is read any more.
+    /// Closes the receiver's end: nothing is read until the next connection opens.
     pub(super) fn close(&mut self) {
         self.open_connection = None;
     }
@@ -93,7 +93,7 @@
         self.messages.clear();
     }
 
-    /// Lets nothing arrive for `duration`.
+    /// Blocks the channel for `duration`: messages in flight arrive after that, in order.
     pub(super) fn block(&mut self, now: Millis, duration: Millis) {
         self.blocked = now..(now + duration).max(self.blocked.end);
         let (end, mut previous) = (self.blocked.end, 0);
@@ -107,18 +107,18 @@
         self.blocked.end > now
     }
 
-    /// Returns since when nothing arrives, while the channel is blocked.
+    /// Returns since when the channel has been blocked, or `None` if it is not blocked now.
     pub(super) fn blocked_since(&self, now: Millis) -> Option<Millis> {
         self.is_blocked(now).then_some(self.blocked.start)
     }
 
-    /// Makes what is sent before `until` take longer.
+    /// Adds `extra_delay` to each message that is sent before `until`.
     pub(super) fn delay(&mut self, extra_delay: Millis, until: Millis) {
         self.extra_delay = extra_delay;
         self.delayed_until = until;
     }
 
-    /// Ends all faults: what was blocked arrives soon, in order.
+    /// Ends all faults. Blocked messages arrive within [`RETRANSMISSION_DELAY`], in order.
     pub(super) fn heal(&mut self, now: Millis) {
         self.blocked.end = self.blocked.end.min(now);
         self.delayed_until = 0;
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Draws how long it takes until an end is notified.
+    /// Draws the time until an end is notified that the link is up or lost.
     pub(super) fn notification_delay(&mut self) -> Millis {
         self.rng.random_range(0..MAX_NOTIFICATION_DELAY)
     }
--- a/control-plane-sim/src/network/mod.rs
+++ b/control-plane-sim/src/network/mod.rs
@@ -13,10 +13,10 @@
 
 use channel::{Channel, MAX_NOTIFICATION_DELAY};
 
-/// An end closes a link on which nothing arrives after a time that is drawn from this range, less what has passed since
-/// the last message.
+/// An end closes a link after a time without messages that is drawn from this range, less the time that has passed
+/// since the last message.
 const READ_TIMEOUT: Range<Millis> = 1000..1500;
-/// A link that may come up does so with a probability of one in this many at each step.
+/// A link that can connect does so with a probability of one in this many at each step.
 const STEPS_PER_CONNECT: u32 = 5;
 /// An end whose read timeout has begun to expire closes the link with a probability of one in this many at each step.
 const STEPS_PER_TIMEOUT: u32 = 25;
@@ -25,9 +25,9 @@
 #[derive(Clone, Default)]
 struct Link {
     up: bool,
-    /// The current connection, or the last one.
+    /// The number of the current connection, or of the last one.
     connection: u64,
-    /// No connection comes up before then.
+    /// No connection is made before this time.
     partitioned_until: Millis,
 }
 
@@ -40,23 +40,24 @@
     pub(crate) up: bool,
 }
 
-/// How the end of a link at one machine is notified that the link is lost.
+/// How the loss of a link affects its end at one machine.
 #[derive(Clone, Copy)]
-struct LostEnd {
+struct LinkEndLoss {
     machine: u8,
+    /// The time until the machine is notified of the loss.
     notified_after: Millis,
-    /// Whether the messages that are in flight to it still arrive.
-    delivers: bool,
+    /// Whether the messages in flight to the machine still arrive.
+    delivers_in_flight: bool,
 }
 
-/// What the network has to know of a machine.
+/// The state of a machine that its links depend on.
 #[derive(Clone, Copy)]
 pub(crate) struct Endpoint {
     pub(crate) running: bool,
     pub(crate) paused_since: Option<Millis>,
 }
 
-/// A machine and its state.
+/// The machine at one end of a link, and its state.
 #[derive(Clone, Copy)]
 struct LinkEnd {
     machine: u8,
@@ -66,9 +67,9 @@
 /// All links between the machines of a cluster.
 pub(crate) struct Network {
     nodes: u8,
-    /// By sender and receiver.
+    /// Indexed by sender and receiver, see [`Network::pair_index`].
     channels: Vec<Channel>,
-    /// By the lower and the higher machine.
+    /// Indexed by the lower and the higher machine number, see [`Network::pair_index`].
     links: Vec<Link>,
     notifications: Vec<LinkNotification>,
 }
@@ -104,7 +105,7 @@
 
     // ---- Messages ----
 
-    /// Sends a message, if there is such a link and it is up.
+    /// Sends a message. Drops it if there is no link between the machines or the link is down.
     pub(crate) fn send(&mut self, now: Millis, from: u8, to: u8, message: Message) {
         if from == to || to == 0 || to > self.nodes || !self.link(from, to).up {
             return;
@@ -129,7 +130,7 @@
         self.notifications.iter().any(|notification| notification.machine == machine)
     }
 
-    /// Returns the next notification that is due at a machine. One of a lost link closes its end.
+    /// Returns the next notification that is due at a machine. A notification of a lost link closes the machine's end.
     pub(crate) fn next_notification(&mut self, now: Millis, machine: u8) -> Option<LinkNotification> {
         let is_due =
             |notification: &LinkNotification| notification.machine == machine && notification.due_at <= now;
@@ -143,7 +144,7 @@
 
     // ---- Lost links ----
 
-    fn break_link(&mut self, now: Millis, ends: [LostEnd; 2]) {
+    fn break_link(&mut self, now: Millis, ends: [LinkEndLoss; 2]) {
         let [first, second] = ends;
         if !std::mem::take(&mut self.link(first.machine, second.machine).up) {
             return;
@@ -152,23 +153,23 @@
         self.break_end(now, second, first.machine);
     }
 
-    fn break_end(&mut self, now: Millis, end: LostEnd, peer: u8) {
-        let LostEnd { machine, notified_after, delivers } = end;
-        if !delivers {
+    fn break_end(&mut self, now: Millis, end: LinkEndLoss, peer: u8) {
+        let LinkEndLoss { machine, notified_after, delivers_in_flight } = end;
+        if !delivers_in_flight {
             self.channel(peer, machine).drop_messages();
         }
-        // It is not notified of the loss before it was notified that the link is up.
+        // The machine is notified that the link is up before it is notified of the loss.
         let earlier = self.notifications.iter().filter(|n| n.machine == machine && n.peer == peer);
         let earliest = earlier.map(|notification| notification.due_at).max().unwrap_or(0);
         let due_at = (now + notified_after).max(earliest);
         self.notifications.push(LinkNotification { due_at, machine, peer, up: false });
     }
 
-    /// Resets a connection, with the messages in flight on it.
+    /// Resets a connection; the messages in flight on it are lost.
     pub(crate) fn reset(&mut self, now: Millis, a: u8, b: u8) {
         let ends = [(a, b), (b, a)].map(|(machine, peer)| {
             let notified_after = self.channel(machine, peer).notification_delay();
-            LostEnd { machine, notified_after, delivers: false }
+            LinkEndLoss { machine, notified_after, delivers_in_flight: false }
         });
         self.break_link(now, ends);
     }
@@ -178,9 +179,9 @@
         self.link(a, b).partitioned_until = now + duration;
         let ends = [(a, b), (b, a)].map(|(machine, peer)| {
             let notified_after = self.channel(machine, peer).rng.random_range(READ_TIMEOUT);
-            LostEnd { machine, notified_after, delivers: false }
+            LinkEndLoss { machine, notified_after, delivers_in_flight: false }
         });
-        // Where the partition ends before a read timeout, lost packets are retransmitted.
+        // If the partition ends before any read timeout, the connection survives and lost packets are retransmitted.
         if duration < READ_TIMEOUT.start {
             self.block(now, a, b, duration);
             self.block(now, b, a, duration);
@@ -189,32 +190,38 @@
         self.break_link(now, ends);
     }
 
-    /// Lets nothing from one machine arrive at another; the opposite direction works.
+    /// Blocks everything that one machine sends to another; the opposite direction still works.
     pub(crate) fn block(&mut self, now: Millis, from: u8, to: u8, duration: Millis) {
         self.channel(from, to).block(now, duration);
     }
 
-    /// Makes what one machine sends to another before `until` take longer.
+    /// Adds `extra_delay` to each message that one machine sends to another before `until`.
     pub(crate) fn delay(&mut self, from: u8, to: u8, extra_delay: Millis, until: Millis) {
         self.channel(from, to).delay(extra_delay, until);
     }
 
-    /// Ends a process: what it sent still arrives, and the operating system notifies its peers.
+    /// Ends a process: messages that it has sent still arrive, and the operating system notifies its peers.
     pub(crate) fn kill(&mut self, now: Millis, machine: u8) {
         for peer in self.peers(machine) {
             let notified_after = self.channel(machine, peer).notification_delay();
-            let own = LostEnd { machine, notified_after: 0, delivers: false };
-            self.break_link(now, [own, LostEnd { machine: peer, notified_after, delivers: true }]);
+            let own = LinkEndLoss { machine, notified_after: 0, delivers_in_flight: false };
+            self.break_link(
+                now,
+                [own, LinkEndLoss { machine: peer, notified_after, delivers_in_flight: true }],
+            );
         }
         self.close_ends(machine);
     }
 
-    /// Takes the power of a machine: its peers detect it by their read timeouts.
+    /// Cuts the power of a machine: its peers detect the loss by their read timeouts.
     pub(crate) fn power_off(&mut self, now: Millis, machine: u8) {
         for peer in self.peers(machine) {
             let notified_after = self.channel(machine, peer).rng.random_range(READ_TIMEOUT);
-            let own = LostEnd { machine, notified_after: 0, delivers: false };
-            self.break_link(now, [own, LostEnd { machine: peer, notified_after, delivers: false }]);
+            let own = LinkEndLoss { machine, notified_after: 0, delivers_in_flight: false };
+            self.break_link(
+                now,
+                [own, LinkEndLoss { machine: peer, notified_after, delivers_in_flight: false }],
+            );
         }
         self.close_ends(machine);
     }
@@ -226,7 +233,7 @@
         }
     }
 
-    /// Starts a machine: it knows no earlier connections and resets them.
+    /// Starts a machine. It resets connections of its earlier process, so that peers are notified of their loss soon.
     pub(crate) fn start(&mut self, now: Millis, machine: u8) {
         for notification in self.notifications.iter_mut().filter(|n| n.peer == machine) {
             notification.due_at = notification.due_at.min(now + 2 * MAX_NOTIFICATION_DELAY);
@@ -245,7 +252,7 @@
 
     // ---- Time ----
 
-    /// Breaks links whose read timeout expires, and connects others where both ends run and no partition is between.
+    /// Breaks links whose read timeout expires, and connects others if both ends run and no partition separates them.
     pub(crate) fn tick(&mut self, now: Millis, endpoints: &[Endpoint]) {
         let end = |machine: u8| LinkEnd { machine, endpoint: endpoints[usize::from(machine) - 1] };
         for a in 1..=self.nodes {
@@ -286,13 +293,13 @@
         }
     }
 
-    /// Ends a link of which one end has received nothing for too long.
+    /// Closes a link if one of its ends has received nothing for longer than the read timeout.
     fn expire_read_timeouts(&mut self, now: Millis, ends: [LinkEnd; 2]) {
         let [first, second] = ends;
         for (own, peer) in [(first, second), (second, first)] {
             let channel = self.channel(peer.machine, own.machine);
-            let since = peer.endpoint.paused_since.or(channel.blocked_since(now));
-            let expires = since.is_some_and(|since| now >= since + READ_TIMEOUT.start);
+            let silent_since = peer.endpoint.paused_since.or(channel.blocked_since(now));
+            let expires = silent_since.is_some_and(|since| now >= since + READ_TIMEOUT.start);
             if expires && channel.rng.random_ratio(1, STEPS_PER_TIMEOUT) {
                 self.close_link(now, own.machine, peer.machine);
                 return;
@@ -300,10 +307,11 @@
         }
     }
 
-    /// A process closes a connection, and the other end is notified where its process is not paused.
+    /// Closes a connection at one machine; the other end is notified, and a paused process handles that when it
+    /// resumes.
     fn close_link(&mut self, now: Millis, machine: u8, peer: u8) {
         let notified_after = self.channel(machine, peer).notification_delay();
-        let own = LostEnd { machine, notified_after: 0, delivers: true };
-        self.break_link(now, [own, LostEnd { machine: peer, notified_after, delivers: true }]);
+        let own = LinkEndLoss { machine, notified_after: 0, delivers_in_flight: true };
+        self.break_link(now, [own, LinkEndLoss { machine: peer, notified_after, delivers_in_flight: true }]);
     }
 }
--- a/control-plane-sim/src/operators.rs
+++ b/control-plane-sim/src/operators.rs
@@ -9,16 +9,17 @@
 
 /// A request to change the configuration, sent as often as necessary.
 pub(crate) struct ChangeRequest {
-    /// The version that it makes.
+    /// The version that the change creates.
     pub(crate) rev: u64,
-    /// The version that it changes.
+    /// The version that the change is based on.
     pub(crate) builds_on: u64,
     pub(crate) change: ConfigChange,
-    /// Its document is no valid configuration.
+    /// Whether the document is no valid configuration.
     pub(crate) invalid: bool,
     /// How many more answers are lost before they reach the operator.
     pub(crate) lost_answers: u32,
-    /// When it is sent next; `None` once it was answered or abandoned, and for a request that is sent once.
+    /// When the request is sent next; `None` once it is answered or abandoned, and for a request that is sent only
+    /// once.
     pub(crate) next_attempt_at: Option<Millis>,
     pub(crate) attempts: u32,
     /// The node that received the last attempt.
@@ -57,20 +58,20 @@
     }
 }
 
-/// What a call is made for.
+/// The purpose of a call.
 #[derive(Clone, Copy)]
 pub(crate) enum CallPurpose {
-    /// To send the change request with this index.
+    /// Sends a change request.
     Change {
-        /// Its index in [`Operators::requests`].
+        /// The index of the request in [`Operators::requests`].
         request: u64,
     },
-    /// To read the newest document.
+    /// Reads the newest document.
     Read,
-    /// To read for the sessions that wait at a node.
+    /// Reads for the sessions that wait at a node.
     Sessions {
-        /// The newest session that the read covers.
-        newest: u64,
+        /// The number of the newest session that the read covers.
+        newest_session: u64,
     },
 }
 
@@ -86,20 +87,20 @@
     pub(crate) committed: u64,
 }
 
-/// A committed change, as any node published it.
+/// A committed change, as the first node published it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CommittedChange {
     /// The version.
     pub rev: u64,
-    /// The index of the change request whose document it is, where it has one.
+    /// The index of the change request that made it; `None` if the document names no request.
     pub request: Option<u64>,
 }
 
-/// A document that an operator is about to send, and its versions.
+/// The contents of the next document that an operator sends.
 pub(crate) struct NextDocument {
     pub(crate) builds_on: u64,
     pub(crate) rev: u64,
-    /// The index that its request will have.
+    /// The index that the request of the document will have.
     pub(crate) request: usize,
 }
 
@@ -123,13 +124,13 @@
     pub(crate) requests: Vec<ChangeRequest>,
     pub(crate) pending_calls: BTreeMap<u64, PendingCall>,
     last_call: u64,
-    /// What each call was answered.
+    /// The outcome of each answered call.
     pub(crate) outcomes: BTreeMap<u64, Outcome>,
-    /// The acknowledged change request of each version that one builds on.
+    /// The index of the first acknowledged change request that builds on each version.
     pub(crate) acknowledged: BTreeMap<u64, u64>,
     pub(crate) newest_acknowledged: u64,
     pub(crate) newest_committed: u64,
-    /// The newest version that a conflict named, which may have been committed without an answer to its operator.
+    /// The newest version that a conflict named. It may have been committed without an answer to its operator.
     pub(crate) newest_in_conflicts: u64,
 }
 
@@ -149,7 +150,7 @@
         self.requests.iter().filter(|request| request.next_attempt_at.is_some()).count()
     }
 
-    /// Returns the newest version that operators know.
+    /// Returns the newest version that operators know, from acknowledgements and conflicts.
     pub(crate) fn newest_known(&self) -> u64 {
         self.newest_acknowledged.max(self.newest_in_conflicts)
     }
@@ -160,7 +161,7 @@
         NextDocument { builds_on, rev: builds_on + version_step, request: self.requests.len() }
     }
 
-    /// Notes that a call begins, and returns its number.
+    /// Records that a call begins, and returns its number.
     pub(crate) fn begin_call(&mut self, receiver: u8, incarnation: u64, purpose: CallPurpose) -> u64 {
         self.last_call += 1;
         let pending = PendingCall {
--- a/control-plane-sim/src/rng.rs
+++ b/control-plane-sim/src/rng.rs
@@ -4,7 +4,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// The stream of the operators that act without a schedule.
+/// The stream of the operators' requests that are not part of a schedule.
 pub(crate) const OPERATOR_STREAM: u64 = 0;
 /// The stream of the events of a random schedule.
 pub(crate) const EVENT_STREAM: u64 = 1;
--- a/control-plane-sim/src/schedule/generator.rs
+++ b/control-plane-sim/src/schedule/generator.rs
@@ -1,4 +1,4 @@
-//! Generates random schedules of faults and operators from a seed, of several kinds.
+//! Generates random schedules of several kinds, with faults and operator requests, from a seed.
 
 use std::ops::{Range, RangeInclusive};
 
@@ -12,22 +12,21 @@
 use crate::rng;
 use crate::world::{STEP_INTERVAL, SYNC_TIME};
 
-/// How long the cluster runs at least after all faults of a short schedule have ended.
+/// The minimum time that the cluster runs after all faults of a short schedule have ended.
 pub(super) const SHORT_RECOVERY: Millis = 1_500;
-/// How long faults go on in a long schedule.
+/// When faults end in a long schedule.
 const LONG_FAULTS: Millis = 20_000;
-/// How long faults go on in a short schedule.
+/// When faults end in a short schedule, unless it is a loss after a repair.
 const SHORT_FAULTS: Range<Millis> = 4_000..9_000;
-/// One in this many seeds is a long schedule, and one a loss after a repair where a machine is spare.
+/// Of this many seeds, one is a long schedule, and one is a loss after a repair if its cluster has a spare machine.
 const SEEDS_PER_KIND: u64 = 16;
-/// The seeds of losses after repairs have this remainder.
+/// The remainder modulo [`SEEDS_PER_KIND`] of the seeds of losses after repairs.
 const REPAIR_REMAINDER: u64 = 4;
-/// A machine without power gets it back with a probability of one in this many in each step: after half a second on
-/// average.
+/// A machine is powered on again with a probability of one in this many at each step: after half a second on average.
 const STEPS_PER_POWER_ON: u32 = 50;
-/// At times operators send this many changes within 100 ms.
+/// The number of changes in a burst, which operators send within 100 ms.
 const CHANGES_PER_BURST: usize = 8;
-/// The clusters of long schedules.
+/// The cluster sizes of long schedules.
 const LONG_SIZES: [ClusterSize; 5] = [
     ClusterSize::new(1, 0),
     ClusterSize::new(2, 0),
@@ -35,7 +34,7 @@
     ClusterSize::new(1, 1),
     ClusterSize::new(3, 1),
 ];
-/// The clusters of short schedules.
+/// The cluster sizes of short schedules.
 const SHORT_SIZES: [ClusterSize; 7] = [
     ClusterSize::new(1, 0),
     ClusterSize::new(2, 0),
@@ -45,13 +44,13 @@
     ClusterSize::new(3, 1),
     ClusterSize::new(2, 1),
 ];
-/// How long partitions usually last.
+/// The usual duration of a partition, see [`Generator::duration`].
 const USUAL_PARTITION: Millis = 2500;
-/// How long pauses usually last.
+/// The usual duration of a pause.
 const USUAL_PAUSE: Millis = 1800;
-/// How long disks usually stall.
+/// The usual duration of a disk stall.
 const USUAL_STALL: Millis = 1500;
-/// Faults end so long after the loss that follows a repair.
+/// The time between the loss that follows a repair and the end of all faults.
 const FAULTS_AFTER_REPAIR: Millis = 1500;
 
 /// Builds the events of a schedule.
@@ -91,7 +90,7 @@
         }
     }
 
-    /// Starts the spare machines early on.
+    /// Powers the spare machines on, each after half a second on average.
     fn start_spares(&mut self) {
         for spare in self.size.voters() + 1..=self.size.nodes() {
             self.power_on_later(0, spare);
@@ -116,8 +115,9 @@
         self.add(at, Action::Change { receiver, version_step, document, lost_answers });
     }
 
-    /// Adds requests of operators: changes, reads, sessions, and at times voter changes.
-    pub(super) fn operate(&mut self, at: Millis) {
+    /// Adds requests of operators: changes, a read, a session, and sometimes a burst of changes, a
+    /// resent request, or a voter change.
+    pub(super) fn add_operator_requests(&mut self, at: Millis) {
         for _ in 0..self.rng.random_range(1..=2) {
             if self.rng.random_ratio(1, 4) {
                 let receiver = self.any_node();
@@ -166,7 +166,7 @@
 
     // ---- Faults ----
 
-    /// Gives a machine without power its power back, after half a second on average.
+    /// Powers a machine on after half a second on average.
     fn power_on_later(&mut self, at: Millis, node: u8) {
         let mut power_on_at = at;
         while !self.rng.random_ratio(1, STEPS_PER_POWER_ON) {
@@ -175,7 +175,7 @@
         self.add(power_on_at, Action::PowerOn { nodes: vec![node] });
     }
 
-    /// Kills processes or takes the power of their machines, and starts them again later.
+    /// Kills processes or cuts the power of their machines, and starts them again later.
     fn crash(&mut self, at: Millis, nodes: Vec<u8>) {
         let crashed = nodes.clone();
         let action = match self.rng.random() {
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Draws how long a fault lasts: at times it ends soon or takes twice as long as usual.
+    /// Draws how long a fault lasts: most often `usual`, sometimes twice that, or a random shorter time.
     fn duration(&mut self, usual: Millis) -> Millis {
         match self.rng.random_range(0..8) {
             0 => self.rng.random_range(50..1500),
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Partitions one link, all links of a machine, or the cluster into two sides; in both directions or one.
+    /// Partitions one link, all links of a machine, or the cluster into two sides, in one or both directions.
     fn partition(&mut self, at: Millis, duration: Millis) {
         let nodes = self.size.nodes();
         let machine = self.any_node();
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Wipes as many disks as may be lost; at times all machines crash with them.
+    /// Wipes as many disks as the cluster has to tolerate; sometimes all machines crash at the same time.
     fn wipe(&mut self, at: Millis) {
         let nodes = (0..self.size.losses).map(|_| self.any_node()).collect();
         self.add(at, Action::Wipe { nodes });
@@ -248,13 +248,13 @@
                 let duration = self.duration(USUAL_STALL);
                 self.add(at, Action::StallDisk { node, duration });
             }
-            // Lost for good; a spare machine has to replace it.
+            // The machine is lost permanently, and a spare one has to replace it.
             10 if self.size.spare > 0 => self.add(at, Action::Lose { node }),
             _ => self.fault_on_acknowledgement(at),
         }
     }
 
-    /// Pauses one process, or at times all.
+    /// Pauses one process, or sometimes all.
     fn pause(&mut self, at: Millis, node: u8) {
         let pauses_all = self.rng.random_ratio(1, 6);
         let nodes = if pauses_all { self.all_nodes() } else { vec![node] };
@@ -275,12 +275,12 @@
 
     // ---- Kinds of schedules ----
 
-    /// Adds faults at pauses that are drawn from a range.
-    fn faults(&mut self, from: Millis, until: Millis, pause: Range<Millis>) {
+    /// Adds faults at random intervals from a range.
+    fn faults(&mut self, from: Millis, until: Millis, interval: Range<Millis>) {
         let mut at = from;
         while at < until {
             self.fault(at);
-            at += self.rng.random_range(pause.clone());
+            at += self.rng.random_range(interval.clone());
         }
     }
 
@@ -295,15 +295,16 @@
         }
     }
 
-    /// Partitions a machine or a half of the cluster for most of the time, while operators go on there.
+    /// Partitions one link, one machine or a part of the cluster for the whole time, and adds other faults from a third
+    /// of it on.
     fn long_partition(&mut self, from: Millis, until: Millis) {
         let duration = until - from;
         self.partition(from, duration);
         self.faults(from + duration / 3, until, 800..3000);
     }
 
-    /// Removes a machine for good, starts its successor, and as soon as that has synchronized wipes as many disks as may
-    /// be lost, at times while all machines crash. Returns when faults end.
+    /// Removes a machine permanently, starts its successor, and as soon as that has synchronized wipes as many disks as
+    /// the user documentation permits, sometimes while all machines crash. Returns when faults end.
     fn loss_after_repair(&mut self, from: Millis) -> Millis {
         let lost = self.rng.random_range(1..=self.size.voters());
         let successor = self.size.nodes();
@@ -327,19 +328,19 @@
 }
 
 impl Schedule {
-    /// Generates a schedule of 20 s, with a fault every 1.3 s on average, and 8 s after that.
+    /// Generates a schedule with 20 s of faults, one every 1.3 s on average, and at least 8 s of recovery.
     pub fn long(seed: u64) -> Schedule {
         let size = LONG_SIZES[(seed % LONG_SIZES.len() as u64) as usize];
         let mut generator = Generator::new(seed, size, rng::EVENT_STREAM);
         generator.start_spares();
         for at in (OPERATOR_INTERVAL..=LONG_FAULTS).step_by(OPERATOR_INTERVAL as usize) {
-            generator.operate(at);
+            generator.add_operator_requests(at);
         }
         generator.faults(1500, LONG_FAULTS, 100..2500);
         generator.finish(seed, LONG_FAULTS, RECOVERY_TIMEOUT)
     }
 
-    /// Generates a schedule of one of several kinds, most of them short.
+    /// Generates a schedule of a kind that the seed selects; most are short.
     pub fn generate(seed: u64) -> Schedule {
         match seed.is_multiple_of(SEEDS_PER_KIND) {
             true => Schedule::long(seed),
@@ -358,7 +359,7 @@
             if is_repair { generator.loss_after_repair(faults_begin_at + 1000) } else { drawn_end };
         let mut at = 200;
         while at < faults_end_at {
-            generator.operate(at);
+            generator.add_operator_requests(at);
             at += generator.rng.random_range(50..500);
         }
         match generator.rng.random_range(0..8) {
--- a/control-plane-sim/src/schedule/mod.rs
+++ b/control-plane-sim/src/schedule/mod.rs
@@ -1,5 +1,5 @@
-//! A schedule: which faults happen and what operators do, each at its time. It is generated from a seed before it runs,
-//! and no event depends on another, so that some of them can be left out.
+//! Schedules: lists of faults and operator requests, each with its time. A schedule is generated from a seed before it
+//! runs, and its events do not refer to each other, so that any of them can be left out.
 
 mod generator;
 pub(crate) mod shrink;
@@ -18,73 +18,71 @@
 use crate::violation::Violation;
 use crate::world::World;
 
-/// After all faults have ended, the cluster has to commit a change and to be in one chain within this time.
+/// After all faults have ended, the cluster has to commit a change and return to one view within this time.
 const RECOVERY_TIMEOUT: Millis = 8_000;
-/// Operators act at this interval in long schedules, and once all faults have ended.
+/// Interval of the operators' requests in long schedules, and after all faults have ended.
 const OPERATOR_INTERVAL: Millis = 250;
 
-/// A schedule file may ask for so many losses.
+/// The most tolerated losses that a schedule file may specify.
 const MAX_LOSSES: u8 = 3;
-/// A schedule file may ask for so many spare machines.
+/// The most spare machines that a schedule file may specify.
 const MAX_SPARE_MACHINES: u8 = 3;
-/// A schedule file may name no longer time, in milliseconds, and no larger figure in an event.
-const MAX_FIGURE: Millis = 600_000;
+/// The longest time, in milliseconds, and the largest other number in an event that a schedule file may specify.
+const MAX_FIELD_VALUE: Millis = 600_000;
 
-/// Events at their times, and how long the cluster runs.
+/// A list of events, and the cluster that they happen in.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// The seed of delays, and of what operators do once all faults have ended.
+    /// The seed of the simulated delays, and of the operators' requests after all faults have ended.
     pub seed: u64,
-    /// The size of the cluster.
+    /// How many machine losses the cluster has to tolerate, and how many spare machines it has.
     pub size: ClusterSize,
-    /// The bug that the simulated machines have, if any.
+    /// The bug that all machines are given, if any.
     #[serde(rename = "fault")]
     pub injected_bug: Option<InjectedBug>,
     /// When all faults end, in milliseconds since the start.
     #[serde(rename = "troubles")]
     pub faults_end_at: Millis,
-    /// How long the cluster runs at least after all faults have ended, in milliseconds.
+    /// The minimum time that the cluster runs after all faults have ended, in milliseconds.
     #[serde(rename = "watched")]
     pub min_recovery: Millis,
-    /// The events, by time.
+    /// The events, sorted by time.
     pub events: Vec<Event>,
 }
 
-/// Why a schedule can't run. Times are in milliseconds.
+/// Why a schedule file can't run. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidSchedule {
-    /// The size is out of bounds.
-    #[error(
-        "size: 1 to {MAX_LOSSES} losses and at most {MAX_SPARE_MACHINES} machines that stand by expected"
-    )]
+    /// The number of losses or of spare machines is out of bounds.
+    #[error("size: losses must be between 1 and {MAX_LOSSES}, spare at most {MAX_SPARE_MACHINES}")]
     Size,
-    /// A time of the schedule is too long.
-    #[error("troubles, watched: {MAX_FIGURE} ms at most expected")]
+    /// The time of the faults or of the recovery is too long.
+    #[error("troubles and watched must be at most {MAX_FIELD_VALUE} ms")]
     Time,
     /// The event at this time names a machine that does not exist.
-    #[error("event at {0} ms: no machine has that number")]
+    #[error("event at {0} ms: names a machine that the cluster does not have")]
     Machine(Millis),
-    /// The event at this time comes after a later one.
-    #[error("event at {0} ms: out of order")]
+    /// The event at this time stands behind a later one in the list.
+    #[error("event at {0} ms: listed after an event of a later time")]
     Order(Millis),
-    /// The event at this time has a figure that is too large.
-    #[error("event at {0} ms: lasts, raise, lost: {MAX_FIGURE} at most expected")]
-    Figure(Millis),
+    /// A duration, delay, version step or number of lost answers of the event at this time is too large.
+    #[error("event at {0} ms: lasts, by, raise and lost must be at most {MAX_FIELD_VALUE}")]
+    FieldValue(Millis),
 }
 
 /// A run that violated an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FailedRun {
-    /// The invariant.
+    /// The violated invariant.
     pub violation: Violation,
     /// When it was violated, in milliseconds since the start.
     pub at: Millis,
-    /// The state of all nodes at that time, for people.
+    /// A human-readable description of the state of all nodes at that time.
     pub nodes: String,
 }
 
 impl Schedule {
-    /// Checks a schedule that was not generated.
+    /// Checks a schedule that was read from a file.
     ///
     /// # Errors
     ///
@@ -93,7 +91,7 @@
         if !(1..=MAX_LOSSES).contains(&self.size.losses) || self.size.spare > MAX_SPARE_MACHINES {
             return Err(InvalidSchedule::Size);
         }
-        if self.faults_end_at.max(self.min_recovery) > MAX_FIGURE {
+        if self.faults_end_at.max(self.min_recovery) > MAX_FIELD_VALUE {
             return Err(InvalidSchedule::Time);
         }
         let machines = 1..=self.size.nodes();
@@ -102,18 +100,20 @@
         if let Some(event) = self.events.iter().find(is_unknown) {
             return Err(InvalidSchedule::Machine(event.at));
         }
-        if let Some(event) = self.events.iter().find(|event| event.action.largest_figure() > MAX_FIGURE) {
-            return Err(InvalidSchedule::Figure(event.at));
+        if let Some(event) =
+            self.events.iter().find(|event| event.action.largest_field_value() > MAX_FIELD_VALUE)
+        {
+            return Err(InvalidSchedule::FieldValue(event.at));
         }
         let out_of_order = self.events.windows(2).find(|pair| pair[0].at > pair[1].at);
         out_of_order.map_or(Ok(()), |pair| Err(InvalidSchedule::Order(pair[1].at)))
     }
 
-    /// Runs the schedule from the start.
+    /// Runs the schedule in a new cluster.
     ///
     /// # Errors
     ///
-    /// Returns the first invariant that was violated; a node that panics counts as one.
+    /// Returns the first invariant that was violated. A panic of a node counts as a violation.
     pub fn run(&self) -> Result<Coverage, FailedRun> {
         let mut world = World::new(self.seed, self.size);
         world.injected_bug = self.injected_bug;
@@ -152,7 +152,7 @@
         if world.coverage.changes == changes {
             return Err(Violation::NoProgress(RECOVERY_TIMEOUT));
         }
-        world.in_one_view().then_some(()).ok_or(Violation::NotReunited)
+        world.in_one_view().then_some(()).ok_or(Violation::NotInOneView)
     }
 }
 
--- a/control-plane-sim/src/schedule/shrink.rs
+++ b/control-plane-sim/src/schedule/shrink.rs
@@ -1,4 +1,4 @@
-//! Shrinks a failing schedule to a short one that violates the same invariant.
+//! Shrinks a failing schedule to a shorter one that violates the same invariant.
 
 use glenfall_control_plane::Millis;
 
@@ -7,18 +7,19 @@
 use crate::violation::Violation;
 use crate::world::STEP_INTERVAL;
 
-/// How many schedules are run at most.
+/// At most this many schedules are run to shrink one.
 const MAX_ATTEMPTS: usize = 5000;
-/// A shorter duration is half of the longer one, rounded down to a multiple of this, in milliseconds.
+/// Halved durations are rounded down to a multiple of this, in milliseconds.
 const DURATION_UNIT: Millis = 10;
 /// Durations below this, in milliseconds, are not shortened.
 const MIN_SHORTENED_DURATION: Millis = 100;
-/// How long after the last event faults end, in milliseconds: the shortest time that still fails is used.
+/// Candidate times between the last event and the end of all faults, in milliseconds. The shortest one with which the
+/// schedule still fails is used.
 const TIMES_AFTER_LAST_EVENT: [Millis; 4] = [0, 500, 1500, 4000];
 
-/// A short schedule that fails, and how it was found.
+/// The result of [`shrink`].
 pub struct ShrunkSchedule {
-    /// The schedule.
+    /// The shortest schedule found that violates the same invariant.
     pub schedule: Schedule,
     /// How many schedules were run to find it.
     pub attempts: usize,
@@ -31,7 +32,7 @@
 }
 
 impl Shrinker {
-    /// Accepts a shorter schedule if it violates the same invariant.
+    /// Runs a simpler schedule and keeps it if it violates the same invariant. Returns whether it was kept.
     fn try_schedule(&mut self, shorter: Schedule) -> bool {
         if self.attempts == MAX_ATTEMPTS || shorter == self.shortest {
             return false;
@@ -50,7 +51,7 @@
         self.try_schedule(Schedule { events, ..self.shortest.clone() })
     }
 
-    /// Drops what comes after the violation, if that was not found at the end.
+    /// Drops the events after the violation, if that occurred before all faults had ended.
     fn drop_later_events(&mut self, violated_at: Millis) {
         let before = self.shortest.clone();
         if violated_at < before.faults_end_at {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Delta debugging: drops ranges of events, at first half of them, in the end single ones.
+    /// Delta debugging: tries to drop ranges of events, first half of all events, finally single ones.
     fn drop_events(&mut self) {
         let mut length = self.shortest.events.len().div_ceil(2);
         while length > 0 {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Replaces each event by a simpler one.
+    /// Replaces each event by simpler ones for as long as the schedule still fails.
     fn simplify_events(&mut self) {
         for index in 0..self.shortest.events.len() {
             while self.simplify_event(index) {}
@@ -91,7 +92,7 @@
         })
     }
 
-    /// Ends faults with the last event, or soon after it.
+    /// Ends all faults with the last event, or soon after it.
     fn end_faults_earlier(&mut self) {
         let last = self.shortest.events.last().map_or(0, |event| event.at);
         for time_after in TIMES_AFTER_LAST_EVENT {
@@ -136,7 +137,7 @@
     }
 }
 
-/// Returns the action without one of the machines or pairs that it names, for each where there are several.
+/// Returns variants of an action that each lack one of its machines or pairs; none if it has fewer than two.
 fn with_fewer_targets(action: &Action) -> Vec<Action> {
     let count = match targets_of(&mut action.clone()) {
         Some(Targets::Nodes(nodes)) => nodes.len(),
@@ -162,7 +163,7 @@
     }
 }
 
-/// Returns the action with half its duration, unless that is short already.
+/// Returns the action with half its duration, or `None` if it has none or that is short already.
 fn with_shorter_duration(action: &Action) -> Option<Action> {
     let mut shorter = action.clone();
     let duration = duration_of(&mut shorter).filter(|duration| **duration >= MIN_SHORTENED_DURATION)?;
@@ -181,7 +182,7 @@
     }
 }
 
-/// Shrinks a failing schedule; `None` where it does not fail.
+/// Shrinks a failing schedule. Returns `None` if the schedule does not fail.
 pub fn shrink(schedule: &Schedule) -> Option<ShrunkSchedule> {
     let failed = schedule.run().err()?;
     let mut shrinker = Shrinker { shortest: schedule.clone(), violation: failed.violation, attempts: 0 };
--- a/control-plane-sim/src/violation.rs
+++ b/control-plane-sim/src/violation.rs
@@ -1,23 +1,23 @@
-//! The invariants that a schedule may violate.
+//! The invariants that every run of a schedule has to keep.
 
 use glenfall_control_plane::Millis;
 
-/// An invariant that was violated, with the figures of the case. Versions are those of configuration documents; a
-/// sequence number counts the committed changes.
+/// A violated invariant, with the values observed. Versions are those of configuration documents; sequence numbers
+/// count the committed changes.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// A process published an older change after a newer one.
-    #[error("node {node} published change {seq} after change {before}")]
+    #[error("node {node} published change {seq} after change {published_before}")]
     PublishedOutOfOrder {
         /// The machine of the process.
         node: u8,
         /// The sequence number of the change that was published last.
         seq: u64,
         /// The sequence number of the change that was published before it.
-        before: u64,
+        published_before: u64,
     },
     /// Two documents were committed under one sequence number.
-    #[error("versions {first} and {second}, or two contents of one, were committed as change {seq}")]
+    #[error("two documents were committed as change {seq}: version {first}, then version {second}")]
     TwoCommitted {
         /// The sequence number.
         seq: u64,
@@ -26,8 +26,8 @@
         /// The version that was committed second.
         second: u64,
     },
-    /// A committed version is not above the one before it.
-    #[error("change {seq} was committed as version {rev}, which is not above the one before")]
+    /// A committed version is not higher than the one before it.
+    #[error("change {seq} was committed as version {rev}, which is not higher than the version before it")]
     VersionNotIncreased {
         /// The sequence number of the change.
         seq: u64,
@@ -35,15 +35,15 @@
         rev: u64,
     },
     /// A change was committed on top of a version other than the one that its request named.
-    #[error("version {rev}, which builds on {builds_on}, was committed upon another")]
+    #[error("version {rev} was requested on top of version {builds_on} but committed on top of another one")]
     WrongBaseVersion {
         /// The committed version.
         rev: u64,
         /// The version that the request named.
         builds_on: u64,
     },
-    /// Two changes of one version were acknowledged.
-    #[error("versions {first} and {second}, which both build on {builds_on}, were acknowledged")]
+    /// Two changes that build on the same version were acknowledged.
+    #[error("versions {first} and {second}, which both build on version {builds_on}, were acknowledged")]
     TwoAcknowledged {
         /// The version that both build on.
         builds_on: u64,
@@ -53,51 +53,51 @@
         second: u64,
     },
     /// Two requests with different contents were acknowledged as the same version.
-    #[error("two orders of version {rev} with other contents were acknowledged")]
+    #[error("two requests with different contents were acknowledged as version {rev}")]
     TwoContentsOfOneVersion {
         /// The version.
         rev: u64,
     },
     /// An acknowledgement names a version other than the requested one.
-    #[error("version {answered} was acknowledged to the order of version {ordered}")]
+    #[error("the request of version {requested_rev} was acknowledged as version {acknowledged_rev}")]
     WrongVersionAcknowledged {
         /// The version that was requested.
-        ordered: u64,
+        requested_rev: u64,
         /// The version that was acknowledged.
-        answered: u64,
+        acknowledged_rev: u64,
     },
     /// A change was acknowledged before any node published it.
-    #[error("version {rev} was acknowledged, and no node had published it by then")]
+    #[error("version {rev} was acknowledged before any node published it")]
     AcknowledgedUncommitted {
         /// The version.
         rev: u64,
     },
     /// A document that is no valid configuration was committed.
-    #[error("version {rev} was taken, which is no configuration")]
+    #[error("version {rev} was committed although its document is no valid configuration")]
     InvalidCommitted {
         /// The version.
         rev: u64,
     },
     /// A committed change was rejected when its request was sent again.
-    #[error("the order of version {rev} was taken, and refused when it was sent again")]
+    #[error("the request of version {rev} was committed, and rejected when it was sent again")]
     CommittedThenRejected {
         /// The version.
         rev: u64,
     },
     /// A rejected change was committed later.
-    #[error("the order of version {rev} was refused, and taken after that")]
+    #[error("the request of version {rev} was rejected, and committed later")]
     RejectedThenCommitted {
         /// The version.
         rev: u64,
     },
     /// A request was rejected for a conflict although the version that it builds on was the newest throughout the call.
-    #[error("an order upon version {builds_on} was refused, while that was the newest")]
+    #[error("a request was rejected for a conflict although version {builds_on}, which it builds on, was the newest")]
     FalseConflict {
         /// The version that the request builds on.
         builds_on: u64,
     },
     /// A rejection names a version older than one that was acknowledged before the call.
-    #[error("a refusal named version {current} after version {acknowledged} was acknowledged")]
+    #[error("a rejection named version {current} after version {acknowledged} was acknowledged")]
     StaleRejection {
         /// The version that the rejection names.
         current: u64,
@@ -105,13 +105,13 @@
         acknowledged: u64,
     },
     /// A rejection names a version that was not committed.
-    #[error("a refusal named version {current}, which was not in force by then")]
+    #[error("a rejection named version {current}, which was not committed")]
     UncommittedRejection {
         /// The version that the rejection names.
         current: u64,
     },
     /// A read returned a version older than one that was acknowledged before the call.
-    #[error("a read gave version {read} after version {acknowledged} was acknowledged")]
+    #[error("a read returned version {read} after version {acknowledged} was acknowledged")]
     StaleRead {
         /// The version that was read.
         read: u64,
@@ -119,43 +119,43 @@
         acknowledged: u64,
     },
     /// A read returned a version that was not committed.
-    #[error("a read gave version {read}, which was not in force by then")]
+    #[error("a read returned version {read}, which was not committed")]
     UncommittedRead {
         /// The version that was read.
         read: u64,
     },
-    /// A session was handed a version older than one that was acknowledged before it opened.
-    #[error("a session was handed version {given} after version {acknowledged} was acknowledged")]
+    /// A session received a version older than one that was acknowledged before the session opened.
+    #[error("a session received version {served_rev}, but version {acknowledged} was acknowledged before it opened")]
     StaleSession {
-        /// The version that the session was handed.
-        given: u64,
+        /// The version that the session received.
+        served_rev: u64,
         /// The newest version that was acknowledged before the session opened.
         acknowledged: u64,
     },
-    /// A voter change that was accepted results in fewer voters than are needed.
-    #[error("{voters} voters were promised to an operator, {needed} are needed")]
+    /// An accepted voter change results in fewer voters than are needed to tolerate the losses.
+    #[error("an accepted voter change results in {voters} voters, at least {needed} are needed")]
     TooFewVoters {
-        /// The voters after the change.
+        /// The number of voters after the change.
         voters: usize,
-        /// The voters that are needed.
+        /// The minimum number of voters.
         needed: usize,
     },
     /// A rejected voter change has no error text.
-    #[error("a refusal says nothing")]
-    EmptyRejection,
+    #[error("a voter change was rejected with an empty error text")]
+    RejectionWithoutReason,
     /// No change was committed within this time, in milliseconds, after all faults had ended.
-    #[error("no change went through in {0} ms after all was mended")]
+    #[error("no change was committed within {0} ms after all faults had ended")]
     NoProgress(Millis),
-    /// The voters are not all in one chain again after all faults had ended.
-    #[error("not all are in one chain again")]
-    NotReunited,
+    /// The nodes did not all return to one view, with all voters in its chain, after all faults had ended.
+    #[error("the nodes did not return to one view with all voters after all faults had ended")]
+    NotInOneView,
     /// A node panicked with this message.
     #[error("a node panicked: {0}")]
     Panic(String),
 }
 
 impl Violation {
-    /// Whether the same invariant is violated, whatever the figures.
+    /// Whether both violate the same invariant, regardless of the values.
     pub fn is_same_kind(&self, other: &Violation) -> bool {
         std::mem::discriminant(self) == std::mem::discriminant(other)
     }
--- a/control-plane-sim/src/world/actions.rs
+++ b/control-plane-sim/src/world/actions.rs
@@ -28,18 +28,18 @@
                 self.request_voter_change(*receiver, VoterChange::Remove(node(*voter)));
             }
             Action::OnAcknowledged { then } => self.on_acknowledged.push((**then).clone()),
-            fault => self.inject(fault),
+            fault => self.inject_fault(fault),
         }
     }
 
-    fn inject(&mut self, fault: &Action) {
+    fn inject_fault(&mut self, fault: &Action) {
         match fault {
             Action::Kill { nodes } => nodes.iter().for_each(|number| self.kill(*number)),
             Action::PowerOff { nodes } => nodes.iter().for_each(|number| self.power_off(*number, false)),
             Action::PowerOn { nodes } => nodes.iter().for_each(|number| self.power_on(*number)),
             Action::Wipe { nodes } => nodes.iter().for_each(|number| self.wipe_if_tolerated(*number)),
             Action::WipeAfterRepair { nodes } => {
-                nodes.iter().for_each(|number| self.wipe_if_documented(*number));
+                nodes.iter().for_each(|number| self.wipe_if_documented_as_tolerated(*number));
             }
             Action::Lose { node } if self.tolerated_disk_losses() > 0 => self.remove(*node),
             Action::Partition { pairs, duration } => {
@@ -72,7 +72,7 @@
         }
     }
 
-    fn wipe_if_documented(&mut self, number: u8) {
+    fn wipe_if_documented_as_tolerated(&mut self, number: u8) {
         if self.documented_machine_losses() > 0 && self.chain(number).is_some() {
             self.wipe(number);
         }
--- a/control-plane-sim/src/world/faults.rs
+++ b/control-plane-sim/src/world/faults.rs
@@ -9,15 +9,15 @@
 use crate::machine::Machine;
 
 impl World {
-    /// Notes a fault: the machine counts as lost until then, and for a time after that.
-    fn note_fault(&mut self, number: u8, until: Millis) {
+    /// Records a fault: the machine counts as lost until its end, and for `SYNC_TIME` after that.
+    fn record_fault(&mut self, number: u8, until: Millis) {
         let machine = self.machine(number);
         machine.faulty_until = machine.faulty_until.max(until);
     }
 
     // ---- Network ----
 
-    /// Resets a connection, with the messages in flight on it.
+    /// Resets the connection between two machines; the messages in flight on it are lost.
     pub fn reset_link(&mut self, a: u8, b: u8) {
         self.network.reset(self.now, a, b);
     }
@@ -25,8 +25,8 @@
     /// Partitions two machines in both directions for `duration`.
     pub fn partition(&mut self, a: u8, b: u8, duration: Millis) {
         let now = self.now;
-        self.note_fault(a, now + duration);
-        self.note_fault(b, now + duration);
+        self.record_fault(a, now + duration);
+        self.record_fault(b, now + duration);
         self.network.partition(now, a, b, duration);
     }
 
@@ -37,15 +37,16 @@
         }
     }
 
-    /// Lets nothing from one machine arrive at another for `duration`; the opposite direction works.
+    /// Blocks everything that one machine sends to another for `duration`; the opposite direction still works.
     pub fn partition_one_way(&mut self, from: u8, to: u8, duration: Millis) {
         let now = self.now;
-        self.note_fault(from, now + duration);
-        self.note_fault(to, now + duration);
+        self.record_fault(from, now + duration);
+        self.record_fault(to, now + duration);
         self.network.block(now, from, to, duration);
     }
 
-    /// Makes what one machine sends to another within `duration` take longer. No machine counts as lost for it.
+    /// Adds `extra_delay` to each message that one machine sends to another within `duration`. Neither machine counts
+    /// as lost for this.
     pub fn delay(&mut self, from: u8, to: u8, extra_delay: Millis, duration: Millis) {
         self.network.delay(from, to, extra_delay, self.now + duration);
     }
@@ -55,7 +56,7 @@
     /// Pauses a process for `duration`.
     pub fn pause(&mut self, number: u8, duration: Millis) {
         let now = self.now;
-        self.note_fault(number, now + duration);
+        self.record_fault(number, now + duration);
         let machine = self.machine(number);
         if !machine.is_paused(now) {
             machine.paused_since = now;
@@ -63,14 +64,14 @@
         machine.paused_until = now + duration;
     }
 
-    /// Delays the completion of each write that is in progress or begins within `duration` to its end.
+    /// Stalls a disk: writes that are in progress or begin within `duration` do not complete before its end.
     pub fn stall_disk(&mut self, number: u8, duration: Millis) {
         let until = self.now + duration;
-        self.note_fault(number, until);
+        self.record_fault(number, until);
         self.machine(number).disk.stall(until);
     }
 
-    /// Kills a process. What it sent is still in flight, and the operating system closes its connections.
+    /// Kills a process. Messages that it has sent still arrive, and the operating system closes its connections.
     pub fn kill(&mut self, number: u8) {
         self.network.kill(self.now, number);
         let Machine { disk, rng, .. } = self.machine(number);
@@ -78,7 +79,8 @@
         self.machine(number).stop();
     }
 
-    /// Takes the power of a machine: what is not on disk is lost. With `wipe` the disk is lost too. No peer is notified.
+    /// Cuts the power of a machine: all state that is not on disk is lost, and with `wipe` the disk too. Its peers are
+    /// not notified and detect the loss by their read timeouts.
     pub fn power_off(&mut self, number: u8, wipe: bool) {
         let now = self.now;
         self.network.power_off(now, number);
@@ -93,18 +95,18 @@
         }
     }
 
-    /// Starts a machine from what is on its disk, unless its process runs or the machine was removed.
+    /// Starts a machine from the state on its disk, unless its process runs or the machine was removed.
     pub fn power_on(&mut self, number: u8) {
         let (now, settings) = (self.now, self.settings);
-        let forgets = self.injected_bug == Some(InjectedBug::FreshAfterWipe);
+        let ignores_wipe = self.injected_bug == Some(InjectedBug::FreshAfterWipe);
         let machine = self.machine(number);
         if machine.chain.is_some() || machine.removed {
             return;
         }
         let start = match machine.disk.durable.clone() {
             Some(state) => Start::Recovered(state),
-            None if machine.wiped && !forgets => Start::Wiped,
-            // It ended before its first write: it has promised nothing.
+            None if machine.wiped && !ignores_wipe => Start::Wiped,
+            // The process ended before its first write was durable, so the node has not promised anything.
             None => Start::Fresh(seeds()),
         };
         machine.chain = Some(Chain::new(node(number), settings, start));
@@ -114,7 +116,7 @@
         self.network.start(now, number);
     }
 
-    /// Removes a machine for good, with its disk.
+    /// Removes a machine and its disk permanently.
     pub fn remove(&mut self, number: u8) {
         let now = self.now;
         self.power_off(number, true);
@@ -123,13 +125,13 @@
         machine.removed_at = now;
     }
 
-    /// Takes the power and the disk of a machine, which restarts at once.
+    /// Cuts the power of a machine and wipes its disk; the machine restarts at once.
     pub fn wipe(&mut self, number: u8) {
         self.power_off(number, true);
         self.power_on(number);
     }
 
-    /// Ends all faults.
+    /// Ends all faults, cancels pending actions, and starts all machines that do not run. Removed ones come back empty.
     pub fn end_faults(&mut self) {
         self.on_acknowledged.clear();
         self.pending_actions.clear();
--- a/control-plane-sim/src/world/loss_budget.rs
+++ b/control-plane-sim/src/world/loss_budget.rs
@@ -1,5 +1,5 @@
-//! How many machines and disks may be lost now: the losses that the cluster has to tolerate, less those that it already
-//! has.
+//! How many more machines and disks may be lost now: the losses that the cluster has to tolerate, less the current
+//! ones.
 
 use glenfall_control_plane::chain::{JointConfig, Message, NodeId};
 use glenfall_control_plane::Millis;
@@ -8,14 +8,15 @@
 use crate::cluster::node;
 use crate::machine::Machine;
 
-/// A machine counts as lost for this time after its fault has ended, in which it synchronizes.
+/// A machine still counts as lost for this time after its fault has ended, while it catches up with the others.
 pub(crate) const SYNC_TIME: Millis = 4000;
 
 impl World {
-    /// Returns how many disks may be lost now.
+    /// Returns how many more disks may be lost now.
     ///
     /// That is as many as the voters tolerate, less the voters that have lost their vote and have not been in an active
-    /// view since, and less the spare machines that lost their disks lately. At first only the seeds are voters.
+    /// view since, and less the spare machines that lost their disks within the last `SYNC_TIME`. Until the first view
+    /// is active, the seeds are the voters.
     pub fn tolerated_disk_losses(&self) -> usize {
         let newest = self.newest_members();
         let members = [Some(&self.newest_view.members), newest.as_ref()].into_iter().flatten();
@@ -49,10 +50,11 @@
         self.machines.iter().zip(1..).filter(is_lost).count()
     }
 
-    /// Returns how many machines may be lost now as the user documentation counts them, whatever the voters are.
+    /// Returns how many more machines may be lost now by the rule of the user documentation, which does not consider
+    /// who the voters are.
     ///
-    /// A machine is lost while it has a fault and for `SYNC_TIME` after that; a removed one is lost until its successor
-    /// has run for that time.
+    /// A machine counts as lost while it has a fault and for `SYNC_TIME` after that. A removed machine counts as lost
+    /// until its successor has run for `SYNC_TIME`.
     pub fn documented_machine_losses(&self) -> usize {
         let lost = self.machines.iter().filter(|machine| self.is_lost(machine)).count();
         usize::from(self.size.losses).saturating_sub(lost)
@@ -64,7 +66,7 @@
         }
         match machine.chain {
             Some(_) => machine.faulty_until > 0 && self.now < machine.faulty_until + SYNC_TIME,
-            // One that has never run is no loss.
+            // A machine that has never been started does not count as lost.
             None => machine.first_started_at.is_some(),
         }
     }
--- a/control-plane-sim/src/world/mod.rs
+++ b/control-plane-sim/src/world/mod.rs
@@ -29,13 +29,13 @@
 pub(crate) use loss_budget::SYNC_TIME;
 pub use step::STEP_INTERVAL;
 
-/// An action that happens at its time.
+/// An action that is carried out at the first step at or after `due_at`.
 struct PendingAction {
     due_at: Millis,
     action: Action,
 }
 
-/// The newest view that any node ever knew to be active.
+/// The newest view that any node has known to be active.
 struct NewestView {
     number: u64,
     members: JointConfig,
@@ -44,38 +44,38 @@
 /// A simulated cluster. The first violated invariant is stored as a [`Violation`] and returned by [`World::step`] from
 /// then on.
 pub struct World {
-    /// The size of the cluster.
+    /// How many machine losses the cluster has to tolerate, and how many spare machines it has.
     pub size: ClusterSize,
     /// The settings of each node.
     pub settings: ChainSettings,
-    /// Draws what operators do without a schedule.
+    /// The random stream of [`World::run_operators`].
     pub rng: ChaCha8Rng,
     /// Milliseconds since the start.
     pub now: Millis,
-    /// The machines; number 1 comes first.
+    /// The machines by number, starting with number 1 at index 0.
     pub machines: Vec<Machine>,
     network: Network,
     operators: Operators,
-    /// What was ever committed, by sequence number.
+    /// All changes committed so far, by sequence number.
     pub committed: BTreeMap<u64, CommittedChange>,
     /// What the run has exercised so far.
     pub coverage: Coverage,
     newest_view: NewestView,
-    /// What happens after the next acknowledgement.
+    /// Actions to carry out once the next change is acknowledged.
     on_acknowledged: Vec<Action>,
     pending_actions: Vec<PendingAction>,
-    /// The bug of the machines, if any.
+    /// The bug that all machines are given, if any.
     pub injected_bug: Option<InjectedBug>,
     violation: Option<Violation>,
 }
 
 impl World {
-    /// Creates a cluster whose voters all run from the start; spare machines start later, without any state.
+    /// Creates a cluster whose voters all run from the start. Spare machines are powered on later and have no state.
     pub fn new(seed: u64, size: ClusterSize) -> Self {
         World::with_settings(seed, size, size.settings())
     }
 
-    /// Creates a cluster whose nodes have these settings.
+    /// Like [`World::new`], with these settings at each node.
     pub fn with_settings(seed: u64, size: ClusterSize, settings: ChainSettings) -> Self {
         let machine = |number| {
             let starts = number <= size.voters();
@@ -100,12 +100,12 @@
         }
     }
 
-    /// Returns a machine by its number.
+    /// Returns the machine with this number; numbers start at 1.
     pub fn machine(&mut self, number: u8) -> &mut Machine {
         &mut self.machines[usize::from(number) - 1]
     }
 
-    /// Returns the chain of a node, if its process runs.
+    /// Returns the state machine of a node, or `None` while its process does not run.
     pub fn chain(&self, number: u8) -> Option<&Chain> {
         self.machines[usize::from(number) - 1].chain.as_ref()
     }
@@ -123,7 +123,8 @@
         self.nodes().filter(move |peer| *peer != number)
     }
 
-    /// Whether all nodes are in the same view, whose voters are all in its chain and as many as the size demands.
+    /// Whether all running nodes are in the same view, no voter change is in progress in it, its chain contains all of
+    /// its voters, and these are at least as many as the cluster size requires.
     pub fn in_one_view(&self) -> bool {
         let running = || self.machines.iter().filter_map(|machine| machine.chain.as_ref());
         let views: BTreeSet<_> = running().map(|chain| chain.view().map(|view| view.number)).collect();
@@ -135,12 +136,16 @@
             && voters.iter().all(|voter| view.chain.contains(voter))
     }
 
-    /// Describes the state of each node in a line, for people.
+    /// Describes the state of each node in one human-readable line.
     pub fn describe(&self) -> String {
         self.machines.iter().zip(1..).map(|(machine, number)| describe_machine(machine, number)).collect()
     }
 
-    /// Returns the first invariant that was violated, if any.
+    /// Returns the first invariant that was violated as an error.
+    ///
+    /// # Errors
+    ///
+    /// Returns the violation, if there was one since the start.
     pub fn check(&self) -> Result<(), Violation> {
         self.violation.clone().map_or(Ok(()), Err)
     }
--- a/control-plane-sim/src/world/nodes.rs
+++ b/control-plane-sim/src/world/nodes.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of nodes: hands an input to a node's state machine and carries out what follows from it.
+//! Inputs and outputs of nodes: passes an input to a node's state machine and carries out the resulting outputs.
 
 use glenfall_control_plane::chain::{Chain, Output};
 use glenfall_control_plane::Millis;
@@ -8,7 +8,7 @@
 use crate::machine::Machine;
 
 impl World {
-    /// Hands an input to a node, if its process runs, and carries out its outputs.
+    /// Passes an input to a node's state machine and carries out its outputs. Does nothing while no process runs.
     pub fn with_chain(&mut self, number: u8, input: impl FnOnce(&mut Chain, Millis) -> Vec<Output>) {
         let now = self.now;
         if let Some(chain) = &mut self.machine(number).chain {
--- a/control-plane-sim/src/world/oracle.rs
+++ b/control-plane-sim/src/world/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle: checks what nodes publish and answer against what was committed and acknowledged before.
+//! The oracle: checks the publications and answers of nodes against what was committed and acknowledged before.
 
 use glenfall_control_plane::chain::{Outcome, Record};
 use glenfall_control_plane::Millis;
@@ -7,26 +7,26 @@
 use crate::operators::{CallPurpose, CommittedChange, PendingCall};
 use crate::violation::Violation;
 
-/// After a failure an operator backs off for this time, doubled for each attempt up to [`MAX_BACKOFF_DOUBLINGS`].
+/// Base of the exponential backoff after a failed attempt, doubled for each attempt up to [`MAX_BACKOFF_DOUBLINGS`].
 const RETRY_BACKOFF: Millis = 100;
-/// How often the backoff is doubled at most.
+/// The backoff is doubled at most this many times.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Returns the pause after a failed attempt.
+/// Returns how long an operator waits after its last attempt failed; `attempts` includes that one.
 pub(super) fn backoff(attempts: u32) -> Millis {
     RETRY_BACKOFF << attempts.min(MAX_BACKOFF_DOUBLINGS)
 }
 
-/// Returns the index of the change request that a document was made by.
+/// Returns the index of the change request that a document belongs to, or `None` if the document contains none.
 fn request_of(document: &[u8]) -> Option<u64> {
     #[derive(serde::Deserialize)]
-    struct RequestMark {
+    struct DocumentRequest {
         order: u64,
     }
-    serde_json::from_slice::<RequestMark>(document).ok().map(|mark| mark.order)
+    serde_json::from_slice::<DocumentRequest>(document).ok().map(|parsed| parsed.order)
 }
 
-/// The committed change before another.
+/// The committed change with the next lower known sequence number.
 #[derive(Clone, Copy)]
 struct PreviousChange {
     seq: u64,
@@ -34,12 +34,12 @@
 }
 
 impl World {
-    /// Returns what a call was answered, if it was.
+    /// Returns the outcome of a call, or `None` while it is not answered.
     pub fn outcome(&self, call: u64) -> Option<&Outcome> {
         self.operators.outcomes.get(&call)
     }
 
-    /// Returns the newest acknowledged version.
+    /// Returns the newest acknowledged version, 0 before the first.
     pub fn newest_acknowledged(&self) -> u64 {
         self.operators.newest_acknowledged
     }
@@ -49,12 +49,16 @@
     /// Checks a record that a process has published.
     pub(super) fn check_published(&mut self, number: u8, record: &Record) {
         let seq = record.seq;
-        let before = std::mem::replace(&mut self.machine(number).published, seq);
-        self.require(seq > before, || Violation::PublishedOutOfOrder { node: number, seq, before });
+        let published_before = std::mem::replace(&mut self.machine(number).published, seq);
+        self.require(seq > published_before, || Violation::PublishedOutOfOrder {
+            node: number,
+            seq,
+            published_before,
+        });
         self.check_committed(record);
     }
 
-    /// Checks a record that is committed; it may have been published elsewhere before.
+    /// Checks a committed record, which other nodes may have published before.
     fn check_committed(&mut self, record: &Record) {
         let (seq, rev) = (record.seq, record.rev);
         let change = CommittedChange { rev, request: request_of(&record.document) };
@@ -79,13 +83,13 @@
         request.committed = true;
         let (rejected, invalid, builds_on) = (request.rejected, request.invalid, request.builds_on);
         self.require(!rejected, || Violation::RejectedThenCommitted { rev });
-        // Unknown where no node has published the change before.
+        // `None` if no node has published the preceding change, so that the base version is unknown.
         let base = match seq {
             1 => Some(0),
             _ => previous.filter(|previous| previous.seq + 1 == seq).map(|previous| previous.rev),
         };
-        let has_base = base.is_none_or(|base| base == builds_on);
-        self.require(has_base, || Violation::WrongBaseVersion { rev, builds_on });
+        let has_right_base = base.is_none_or(|base| base == builds_on);
+        self.require(has_right_base, || Violation::WrongBaseVersion { rev, builds_on });
         self.require(!invalid, || Violation::InvalidCommitted { rev });
     }
 
@@ -94,13 +98,13 @@
     /// Checks the answer of a call.
     pub(super) fn check_answer(&mut self, number: u8, call: u64, outcome: Outcome) {
         let Some(pending) = self.operators.pending_calls.remove(&call) else { return };
-        // The calls of a process end with it.
+        // The calls of a process end with the process.
         assert!(
             pending.receiver == number && pending.incarnation == self.machine(number).incarnation,
             "an answer comes from the process that received the call"
         );
         match pending.purpose {
-            CallPurpose::Sessions { newest } => self.serve_sessions(number, newest, &outcome),
+            CallPurpose::Sessions { newest_session } => self.serve_sessions(number, newest_session, &outcome),
             CallPurpose::Read => self.check_read(&pending, &outcome),
             CallPurpose::Change { request } => self.check_change_answer(&pending, request, &outcome),
         }
@@ -127,25 +131,28 @@
             _ => {
                 let now = self.now;
                 let request = self.operators.request(request);
-                let pause = backoff(request.attempts);
-                request.next_attempt_at = request.next_attempt_at.map(|_| now + pause);
+                let retry_delay = backoff(request.attempts);
+                request.next_attempt_at = request.next_attempt_at.map(|_| now + retry_delay);
             }
         }
     }
 
-    fn check_acknowledgement(&mut self, index: u64, answered: u64) {
+    fn check_acknowledgement(&mut self, index: u64, acknowledged_rev: u64) {
         let request = self.operators.request(index);
-        let (ordered, builds_on, committed) = (request.rev, request.builds_on, request.committed);
-        self.require(answered == ordered, || Violation::WrongVersionAcknowledged { ordered, answered });
+        let (requested_rev, builds_on, committed) = (request.rev, request.builds_on, request.committed);
+        self.require(acknowledged_rev == requested_rev, || Violation::WrongVersionAcknowledged {
+            requested_rev,
+            acknowledged_rev,
+        });
         let first_index = *self.operators.acknowledged.entry(builds_on).or_insert(index);
         let first = self.operators.request(first_index).rev;
-        let is_only_one = first_index == index;
-        self.require(is_only_one, || match first == ordered {
-            true => Violation::TwoContentsOfOneVersion { rev: ordered },
-            false => Violation::TwoAcknowledged { builds_on, first, second: ordered },
+        let is_first = first_index == index;
+        self.require(is_first, || match first == requested_rev {
+            true => Violation::TwoContentsOfOneVersion { rev: requested_rev },
+            false => Violation::TwoAcknowledged { builds_on, first, second: requested_rev },
         });
-        self.require(committed, || Violation::AcknowledgedUncommitted { rev: ordered });
-        self.operators.newest_acknowledged = self.operators.newest_acknowledged.max(ordered);
+        self.require(committed, || Violation::AcknowledgedUncommitted { rev: requested_rev });
+        self.operators.newest_acknowledged = self.operators.newest_acknowledged.max(requested_rev);
         self.coverage.changes += 1;
         self.operators.request(index).receive_answer();
         let due_at = self.now;
@@ -162,7 +169,8 @@
         self.operators.request(index).receive_answer();
     }
 
-    /// Checks a conflict, which names the newest version: it must have been the newest at a moment of the call.
+    /// Checks a rejection for a conflict. The version that it names must have been the newest one at some time during
+    /// the call, and the version that the request builds on must not have been the newest one throughout the call.
     fn check_conflict(&mut self, pending: &PendingCall, index: u64, current: u64) {
         let builds_on = self.operators.request(index).builds_on;
         let newest = self.operators.newest_committed;
--- a/control-plane-sim/src/world/step.rs
+++ b/control-plane-sim/src/world/step.rs
@@ -1,4 +1,4 @@
-//! Steps of time: what has arrived by a step is handled in it, at each node that runs.
+//! Steps of time: in each step, every running node handles the inputs that have arrived by then.
 
 use glenfall_control_plane::chain::Chain;
 use glenfall_control_plane::Millis;
@@ -11,13 +11,13 @@
 use crate::network::Endpoint;
 use crate::violation::Violation;
 
-/// How much time passes in a step.
+/// The simulated time that a step takes, in milliseconds.
 pub const STEP_INTERVAL: Millis = 10;
-/// How often a process hands the time to its chain; the real one does so every 25 ms.
+/// How often a process ticks its state machine; the production process does so every 25 ms.
 const CHAIN_TICK_INTERVAL: Millis = 2 * STEP_INTERVAL;
 
 impl World {
-    /// Lets time pass, and handles what has arrived by then.
+    /// Advances the time by [`STEP_INTERVAL`], and handles all actions and inputs that are due by then.
     ///
     /// # Errors
     ///
@@ -43,7 +43,7 @@
     fn run_node(&mut self, number: u8) {
         self.finish_writes(number);
         self.read_for_sessions(number);
-        // Simultaneous inputs are handled in any order.
+        // Simultaneous inputs are handled in random order.
         let calls_first = !self.machine(number).queued_calls.is_empty() && self.machine(number).rng.random();
         if calls_first {
             self.handle_queued_calls(number);
@@ -58,7 +58,7 @@
         if self.now.is_multiple_of(CHAIN_TICK_INTERVAL) {
             self.with_chain(number, glenfall_control_plane::chain::Chain::tick);
         }
-        self.note_view(number);
+        self.record_view(number);
     }
 
     /// Handles the calls that arrived while the process was paused.
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Handles the notifications of links that are up or lost.
+    /// Handles the notifications that links are up or lost.
     fn handle_notifications(&mut self, number: u8) {
         while let Some(notification) = self.network.next_notification(self.now, number) {
             let peer = node(notification.peer);
@@ -88,15 +88,16 @@
     }
 
     fn finish_writes(&mut self, number: u8) {
-        let (now, withholds) = (self.now, self.injected_bug == Some(InjectedBug::LyingDisk));
-        let take_synced = |machine: &mut Machine| machine.disk.take_synced(now, withholds, &mut machine.rng);
+        let (now, reports_early) = (self.now, self.injected_bug == Some(InjectedBug::EarlySyncReport));
+        let take_synced =
+            |machine: &mut Machine| machine.disk.take_synced(now, reports_early, &mut machine.rng);
         while let Some(write) = take_synced(self.machine(number)) {
             self.with_chain(number, |chain, now| chain.write_completed(now, write));
         }
         self.machine(number).disk.release_withheld(now);
     }
 
-    fn note_view(&mut self, number: u8) {
+    fn record_view(&mut self, number: u8) {
         let Some(view) = self.chain(number).and_then(Chain::view) else { return };
         if view.number <= self.newest_view.number {
             return;
--- a/control-plane-sim/src/world/workload.rs
+++ b/control-plane-sim/src/world/workload.rs
@@ -1,5 +1,5 @@
-//! The workload: operators send change requests, retry them at other nodes where no definite answer came, read, and
-//! request other voters.
+//! The workload of the operators: they send change requests, retry them at other nodes until there is a definite
+//! answer, read, and request voter changes.
 
 use glenfall_control_plane::chain::{Call, Outcome, VoterChange};
 use glenfall_control_plane::config::ConfigChange;
@@ -14,15 +14,16 @@
 use crate::operators::{CallPurpose, ChangeRequest};
 use crate::violation::Violation;
 
-/// An operator moves on to another node after this time without an answer.
+/// An operator retries at the next node after this time without an answer.
 const ANSWER_TIMEOUT: Millis = 1000;
-/// How often a request is sent at most; after that its operator abandons it.
+/// An operator abandons a request after sending it this many times.
 const MAX_ATTEMPTS: u32 = 8;
-/// How many requests are retried at the same time at most.
+/// Operators make no new change until fewer requests than this are being retried.
 const MAX_OPEN_REQUESTS: usize = 8;
 
 impl World {
-    /// Sends a call to a node; `None` where no process runs. A paused process finds the call when it goes on.
+    /// Sends a call to a node and returns the number of the call, or `None` if no process runs there. A paused process
+    /// handles the call when it resumes.
     fn send_call(&mut self, number: u8, call: Call, purpose: CallPurpose) -> Option<u64> {
         self.chain(number)?;
         let incarnation = self.machine(number).incarnation;
@@ -35,28 +36,29 @@
         Some(call_number)
     }
 
-    /// Reads the newest document at a node; `None` where no process runs.
+    /// Reads the newest document at a node. Returns the number of the call, or `None` if no process runs there.
     pub fn read(&mut self, number: u8) -> Option<u64> {
         self.send_call(number, Call::Read, CallPurpose::Read)
     }
 
-    /// Begins a quorum read for the sessions that wait at a node; it covers all that have opened before it.
+    /// Begins a quorum read for the sessions that wait at a node. It covers all sessions that opened before it began.
     pub(super) fn read_for_sessions(&mut self, number: u8) {
         let now = self.now;
         let machine = self.machine(number);
-        let Some(newest) = machine.sessions.due_read(now) else { return };
+        let Some(newest_session) = machine.sessions.due_read(now) else { return };
         let Some(chain) = &machine.chain else { return };
         let known_seq = chain.committed().seq;
-        machine.sessions.read_began(now, newest);
-        if self.injected_bug == Some(InjectedBug::UnprovenSession) {
-            return self.serve_sessions(number, newest, &Outcome::Unchanged);
+        machine.sessions.record_read(now, newest_session);
+        if self.injected_bug == Some(InjectedBug::SessionWithoutQuorumRead) {
+            return self.serve_sessions(number, newest_session, &Outcome::Unchanged);
         }
-        self.send_call(number, Call::ReadNewer { known_seq }, CallPurpose::Sessions { newest });
+        self.send_call(number, Call::ReadNewer { known_seq }, CallPurpose::Sessions { newest_session });
     }
 
     // ---- Changes ----
 
-    /// Sends a change request once. `rev` is the version that it makes. `None` where no process runs.
+    /// Sends a change request once, which creates version `rev` from version `builds_on`. Returns the number of the
+    /// call, or `None` if no process runs at the node.
     pub fn send_change(&mut self, number: u8, change: ConfigChange, rev: u64, builds_on: u64) -> Option<u64> {
         let request = ChangeRequest::new(number, change, rev, builds_on);
         let index = self.operators.add_request(request);
@@ -68,15 +70,15 @@
         self.send_call(number, call, CallPurpose::Change { request: index })
     }
 
-    /// Sends, once, a change to a version that is higher by `version_step` than the newest that operators know.
+    /// Sends a change request once. Its version is the newest that operators know plus `version_step`.
     pub fn change_once(&mut self, number: u8, version_step: u64) -> Option<u64> {
         let next = self.operators.next_document(version_step);
         let change = ConfigChange::Put(next.complete().into_bytes());
         self.send_change(number, change, next.rev, next.builds_on)
     }
 
-    /// Sends a change to a version that is higher by `version_step` than the newest that operators know, and retries
-    /// until there is a definite answer. The first `lost_answers` answers are lost.
+    /// Sends a change request and retries it until there is a definite answer. Its version is the newest that operators
+    /// know plus `version_step`. The first `lost_answers` answers are lost.
     pub fn change_until_answered(
         &mut self,
         number: u8,
@@ -98,10 +100,11 @@
         request.lost_answers = lost_answers;
         request.next_attempt_at = Some(self.now);
         let index = self.operators.add_request(request);
-        self.attempt(index);
+        self.send_attempt(index);
     }
 
-    /// Sends a change request again as it was, counted back from the newest, unless it was rejected.
+    /// Sends an earlier change request again unchanged, unless it was rejected. `requests_back` is 0 for the newest
+    /// request.
     pub fn resend(&mut self, number: u8, requests_back: usize) {
         let requests = &self.operators.requests;
         let Some(index) = requests.len().checked_sub(1 + requests_back) else { return };
@@ -112,17 +115,17 @@
         self.send_request(number, index as u64);
     }
 
-    /// Retries the requests that have had no definite answer for too long.
+    /// Retries the requests whose next attempt is due.
     pub(super) fn retry_requests(&mut self) {
         for index in 0..self.operators.requests.len() {
             let next_attempt_at = self.operators.requests[index].next_attempt_at;
             if next_attempt_at.is_some_and(|at| at <= self.now) {
-                self.attempt(index as u64);
+                self.send_attempt(index as u64);
             }
         }
     }
 
-    fn attempt(&mut self, index: u64) {
+    fn send_attempt(&mut self, index: u64) {
         let (now, nodes) = (self.now, self.size.nodes());
         let request = self.operators.request(index);
         if request.attempts >= MAX_ATTEMPTS {
@@ -135,39 +138,40 @@
         }
         request.attempts += 1;
         request.next_attempt_at = Some(now + ANSWER_TIMEOUT);
-        let (receiver, pause) = (request.receiver, backoff(request.attempts));
+        let (receiver, retry_delay) = (request.receiver, backoff(request.attempts));
         self.coverage.repeats += u64::from(is_retry);
-        // Where no process runs, the connection is refused at once.
+        // If no process runs, the connection is refused at once, and the retry need not wait for the answer timeout.
         if self.send_request(receiver, index).is_none() {
-            self.operators.request(index).next_attempt_at = Some(now + pause);
+            self.operators.request(index).next_attempt_at = Some(now + retry_delay);
         }
     }
 
     // ---- Voters ----
 
-    /// Requests other voters at a node.
+    /// Requests a voter change at a node. Does nothing while its process is paused or does not run.
     pub fn request_voter_change(&mut self, number: u8, change: VoterChange) {
         let (now, losses) = (self.now, usize::from(self.size.losses));
         if self.is_paused(number) {
             return;
         }
         let Some(chain) = &mut self.machine(number).chain else { return };
-        let before = chain.members().voters.len();
+        let voters_before = chain.members().voters.len();
         match chain.request_voter_change(now, change) {
             Ok(voters) => {
-                let (voters, needed) = (voters.len(), (2 * losses + 1).min(before));
+                let (voters, needed) = (voters.len(), (2 * losses + 1).min(voters_before));
                 self.require(voters >= needed, || Violation::TooFewVoters { voters, needed });
                 self.coverage.requested_voter_changes += 1;
             }
             Err(rejection) => {
-                self.require(!rejection.to_string().is_empty(), || Violation::EmptyRejection);
+                self.require(!rejection.to_string().is_empty(), || Violation::RejectionWithoutReason);
             }
         }
     }
 
     // ---- Without a schedule ----
 
-    /// Lets one operator, or two at the same time, change the newest version that they know, and another one read.
+    /// Sends one or two concurrent changes of the newest version that operators know to random nodes; another random
+    /// node receives a read and a new session.
     pub fn run_operators(&mut self) {
         let (builds_on, nodes) = (self.operators.newest_known(), self.size.nodes());
         for _ in 0..self.rng.random_range(1..=2) {
--- a/control-plane-sim/tests/schedules.rs
+++ b/control-plane-sim/tests/schedules.rs
@@ -1,15 +1,15 @@
-//! Runs some thousands of schedules of all kinds, and verifies that bugs which are injected on purpose are detected.
-//! `SCHEDULES=n cargo test -p glenfall-control-plane-sim` runs more random schedules, and `AIMED_SCHEDULES=n` more
-//! targeted ones. A failing seed replays with `glenfall-lab schedules`.
+//! Runs thousands of schedules of all kinds, and verifies that injected bugs are detected. `SCHEDULES=n cargo test -p
+//! glenfall-control-plane-sim` sets the number of random schedules, and `AIMED_SCHEDULES=n` that of targeted ones. A
+//! failing seed replays with `glenfall-lab schedules`.
 
 use glenfall_control_plane_sim::{
     shrink, Action, Coverage, Event, InjectedBug, InvalidSchedule, Schedule, Violation,
 };
 
-/// A schedule with one event of each kind, as it was written before fields were renamed.
+/// A schedule with one event of each kind, in the file format of earlier versions: the names in it must not change.
 const SCHEDULE_FILE: &str = include_str!("fixtures/schedule.json");
 
-/// What the seeds of a range brought about.
+/// The combined results of the schedules of several seeds.
 #[derive(Default)]
 struct Runs {
     coverage: Coverage,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Runs the seeds of a range in as many threads as there are processors.
+/// Runs the schedules of a range of seeds, with one thread for each processor.
 fn run_all(seeds: std::ops::Range<u64>, schedule: impl Fn(u64) -> Schedule + Sync) -> Runs {
     let threads = std::thread::available_parallelism().map_or(1, |threads| threads.get() as u64);
     let run_every_nth = |first: u64| {
@@ -40,7 +40,7 @@
     std::thread::scope(|scope| {
         let run_every_nth = &run_every_nth;
         let workers: Vec<_> = (0..threads).map(|first| scope.spawn(move || run_every_nth(first))).collect();
-        let results = workers.into_iter().map(|worker| worker.join().expect("a thread ends"));
+        let results = workers.into_iter().map(|worker| worker.join().expect("a worker thread panicked"));
         results.fold(Runs::default(), Runs::add)
     })
 }
@@ -105,9 +105,9 @@
 
 #[test]
 fn a_schedule_file_keeps_its_text() {
-    let schedule: Schedule = serde_json::from_str(SCHEDULE_FILE).expect("the file is a schedule");
+    let schedule: Schedule = serde_json::from_str(SCHEDULE_FILE).expect("the file is no schedule");
     assert_eq!(schedule.check(), Ok(()));
-    let text = serde_json::to_string_pretty(&schedule).expect("a schedule can be written");
+    let text = serde_json::to_string_pretty(&schedule).expect("the schedule can't be serialized");
     assert_eq!(text, SCHEDULE_FILE.trim_end());
 }
 
@@ -121,33 +121,33 @@
     assert_eq!(check_changed(|s| s.size.losses = 0), Err(InvalidSchedule::Size));
     assert_eq!(check_changed(|s| s.faults_end_at = u64::MAX), Err(InvalidSchedule::Time));
     assert_eq!(
-        check_changed(|s| s.events[0] = at(3, Action::Read { receiver: 0 })),
+        check_changed(|s| s.events[0] = event_at(3, Action::Read { receiver: 0 })),
         Err(InvalidSchedule::Machine(3))
     );
     let lose = |s: &mut Schedule| {
-        s.events[0] = at(3, Action::OnAcknowledged { then: Box::new(Action::Lose { node: 99 }) });
+        s.events[0] = event_at(3, Action::OnAcknowledged { then: Box::new(Action::Lose { node: 99 }) });
     };
     assert_eq!(check_changed(lose), Err(InvalidSchedule::Machine(3)));
-    let forever =
-        |s: &mut Schedule| s.events[0] = at(3, Action::Pause { nodes: vec![1], duration: u64::MAX });
-    assert_eq!(check_changed(forever), Err(InvalidSchedule::Figure(3)));
+    let endless_pause =
+        |s: &mut Schedule| s.events[0] = event_at(3, Action::Pause { nodes: vec![1], duration: u64::MAX });
+    assert_eq!(check_changed(endless_pause), Err(InvalidSchedule::FieldValue(3)));
     assert!(matches!(check_changed(|s| s.events.reverse()), Err(InvalidSchedule::Order(_))));
 }
 
-fn at(at: u64, action: Action) -> Event {
+fn event_at(at: u64, action: Action) -> Event {
     Event { at, action }
 }
 
-/// Returns the first schedule that detects a bug, shrunk, and what it violates.
+/// Returns the first generated schedule that detects a bug, shrunk, and the invariant that it violates.
 fn detect(bug: InjectedBug) -> (Schedule, Violation) {
     let with_bug = |seed| Schedule { injected_bug: Some(bug), ..Schedule::generate(seed) };
     let failed = run_all(0..200, with_bug).failed;
-    let seed = failed.iter().map(|(seed, _)| *seed).min().expect("some seed fails");
+    let seed = failed.iter().map(|(seed, _)| *seed).min().expect("no seed detects the bug");
     let schedule = with_bug(seed);
-    let failed_run = schedule.run().expect_err("it fails again");
-    let shrunk = shrink(&schedule).expect("it fails");
+    let failed_run = schedule.run().expect_err("the schedule does not fail again");
+    let shrunk = shrink(&schedule).expect("the schedule does not fail when it is shrunk");
     let short = shrunk.schedule;
-    let violation = short.run().expect_err("the short one fails").violation;
+    let violation = short.run().expect_err("the shrunk schedule does not fail").violation;
     println!(
         "{bug:?}: seed {seed}, {} events, {} after {} attempts: {violation}",
         schedule.events.len(),
@@ -156,21 +156,21 @@
     );
     assert!(
         violation.is_same_kind(&failed_run.violation),
-        "{violation} in place of {}",
+        "the shrunk schedule violates another invariant: {violation}, instead of {}",
         failed_run.violation
     );
-    // The bug is the cause: without it the short schedule runs to its end.
+    // The bug is the cause: without it, the shrunk schedule violates nothing.
     assert_eq!(Schedule { injected_bug: None, ..short.clone() }.run().err(), None);
     (short, violation)
 }
 
 #[test]
 fn a_disk_that_reports_syncs_too_early_is_detected_and_the_schedule_shrunk_to_a_few_events() {
-    let (short, _) = detect(InjectedBug::LyingDisk);
+    let (short, _) = detect(InjectedBug::EarlySyncReport);
     assert!(short.events.len() <= 8, "{:?}", short.events);
-    let takes_power =
+    let cuts_power =
         |event: &Event| matches!(event.action, Action::PowerOff { .. } | Action::OnAcknowledged { .. });
-    assert!(short.events.iter().any(takes_power), "{:?}", short.events);
+    assert!(short.events.iter().any(cuts_power), "{:?}", short.events);
 }
 
 #[test]
@@ -187,7 +187,7 @@
 
 #[test]
 fn a_session_served_without_a_quorum_read_is_detected() {
-    let (short, violation) = detect(InjectedBug::UnprovenSession);
+    let (short, violation) = detect(InjectedBug::SessionWithoutQuorumRead);
     assert!(matches!(violation, Violation::StaleSession { .. }), "{violation}");
     assert!(short.events.len() <= 6, "{:?}", short.events);
 }
