--- a/control-plane-sim/src/machine/disk.rs
+++ b/control-plane-sim/src/machine/disk.rs
@@ -99,7 +99,7 @@
         Some(number)
     }
 
-    /// Makes withheld states durable whose time has come.
+    /// Makes the states durable that have been withheld for [`WITHHOLD_DURATION`].
     pub(crate) fn release_withheld(&mut self, now: Millis) {
         while let Some(withheld) = self.withheld.pop_front_if(|withheld| withheld.durable_at <= now) {
             self.durable = Some(withheld.state);
--- a/control-plane-sim/src/machine/sessions.rs
+++ b/control-plane-sim/src/machine/sessions.rs
@@ -37,11 +37,12 @@
 
     /// Returns the number of the newest waiting session, if a read has to begin for it now.
     pub(crate) fn due_read(&self, now: Millis) -> Option<u64> {
-        let newest_session = self.waiting.last()?.number;
-        let in_flight = self.last_read.as_ref().is_some_and(|read| {
-            read.newest_session >= newest_session && now < read.began_at + READ_RETRY_INTERVAL
-        });
-        (!in_flight).then_some(newest_session)
+        let newest = self.waiting.last()?.number;
+        let in_flight = self
+            .last_read
+            .as_ref()
+            .is_some_and(|read| read.newest_session >= newest && now < read.began_at + READ_RETRY_INTERVAL);
+        (!in_flight).then_some(newest)
     }
 
     pub(crate) fn record_read(&mut self, now: Millis, newest_session: u64) {
--- a/control-plane-sim/src/operators.rs
+++ b/control-plane-sim/src/operators.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// The purpose of a call.
+/// Why a call was made, which selects the checks of its answer.
 #[derive(Clone, Copy)]
 pub(crate) enum CallPurpose {
     /// Sends a change request.
--- a/control-plane-sim/src/schedule/generator.rs
+++ b/control-plane-sim/src/schedule/generator.rs
@@ -15,9 +15,9 @@
 /// The minimum time that the cluster runs after all faults of a short schedule have ended.
 pub(super) const SHORT_RECOVERY: Millis = 1_500;
 /// When faults end in a long schedule.
-const LONG_FAULTS: Millis = 20_000;
+const LONG_FAULTS_END: Millis = 20_000;
 /// When faults end in a short schedule, unless it is a loss after a repair.
-const SHORT_FAULTS: Range<Millis> = 4_000..9_000;
+const SHORT_FAULTS_END: Range<Millis> = 4_000..9_000;
 /// Of this many seeds, one is a long schedule, and one is a loss after a repair if its cluster has a spare machine.
 const SEEDS_PER_KIND: u64 = 16;
 /// The remainder modulo [`SEEDS_PER_KIND`] of the seeds of losses after repairs.
@@ -44,12 +44,10 @@
     ClusterSize::new(3, 1),
     ClusterSize::new(2, 1),
 ];
-/// The usual duration of a partition, see [`Generator::duration`].
-const USUAL_PARTITION: Millis = 2500;
-/// The usual duration of a pause.
-const USUAL_PAUSE: Millis = 1800;
-/// The usual duration of a disk stall.
-const USUAL_STALL: Millis = 1500;
+/// The usual durations of faults, from which [`Generator::duration`] deviates at random.
+const USUAL_PARTITION_DURATION: Millis = 2500;
+const USUAL_PAUSE_DURATION: Millis = 1800;
+const USUAL_STALL_DURATION: Millis = 1500;
 /// The time between the loss that follows a repair and the end of all faults.
 const FAULTS_AFTER_REPAIR: Millis = 1500;
 
@@ -115,8 +113,8 @@
         self.add(at, Action::Change { receiver, version_step, document, lost_answers });
     }
 
-    /// Adds requests of operators: changes, a read, a session, and sometimes a burst of changes, a
-    /// resent request, or a voter change.
+    /// Adds requests of operators: changes, a read, a session, and sometimes a burst of changes, a resent request
+    /// or a voter change.
     pub(super) fn add_operator_requests(&mut self, at: Millis) {
         for _ in 0..self.rng.random_range(1..=2) {
             if self.rng.random_ratio(1, 4) {
@@ -239,13 +237,13 @@
             2 => self.crash(at, self.all_nodes()),
             3 => self.wipe(at),
             4..=6 => {
-                let duration = self.duration(USUAL_PARTITION);
+                let duration = self.duration(USUAL_PARTITION_DURATION);
                 self.partition(at, duration);
             }
             7 => self.add(at, Action::ResetLink { a: node, b: node % nodes + 1 }),
             8 => self.pause(at, node),
             9 => {
-                let duration = self.duration(USUAL_STALL);
+                let duration = self.duration(USUAL_STALL_DURATION);
                 self.add(at, Action::StallDisk { node, duration });
             }
             // The machine is lost permanently, and a spare one has to replace it.
@@ -258,7 +256,7 @@
     fn pause(&mut self, at: Millis, node: u8) {
         let pauses_all = self.rng.random_ratio(1, 6);
         let nodes = if pauses_all { self.all_nodes() } else { vec![node] };
-        let duration = self.duration(USUAL_PAUSE);
+        let duration = self.duration(USUAL_PAUSE_DURATION);
         self.add(at, Action::Pause { nodes, duration });
     }
 
@@ -333,11 +331,11 @@
         let size = LONG_SIZES[(seed % LONG_SIZES.len() as u64) as usize];
         let mut generator = Generator::new(seed, size, rng::EVENT_STREAM);
         generator.start_spares();
-        for at in (OPERATOR_INTERVAL..=LONG_FAULTS).step_by(OPERATOR_INTERVAL as usize) {
+        for at in (OPERATOR_INTERVAL..=LONG_FAULTS_END).step_by(OPERATOR_INTERVAL as usize) {
             generator.add_operator_requests(at);
         }
-        generator.faults(1500, LONG_FAULTS, 100..2500);
-        generator.finish(seed, LONG_FAULTS, RECOVERY_TIMEOUT)
+        generator.faults(1500, LONG_FAULTS_END, 100..2500);
+        generator.finish(seed, LONG_FAULTS_END, RECOVERY_TIMEOUT)
     }
 
     /// Generates a schedule of a kind that the seed selects; most are short.
@@ -353,10 +351,10 @@
         let mut generator = Generator::new(seed, size, rng::EVENT_STREAM);
         generator.start_spares();
         let faults_begin_at = generator.rng.random_range(300..1200);
-        let drawn_end = generator.rng.random_range(SHORT_FAULTS);
+        let random_end = generator.rng.random_range(SHORT_FAULTS_END);
         let is_repair = seed % SEEDS_PER_KIND == REPAIR_REMAINDER && size.spare > 0;
         let faults_end_at =
-            if is_repair { generator.loss_after_repair(faults_begin_at + 1000) } else { drawn_end };
+            if is_repair { generator.loss_after_repair(faults_begin_at + 1000) } else { random_end };
         let mut at = 200;
         while at < faults_end_at {
             generator.add_operator_requests(at);
--- a/control-plane-sim/src/schedule/mod.rs
+++ b/control-plane-sim/src/schedule/mod.rs
@@ -62,7 +62,7 @@
     /// The event at this time names a machine that does not exist.
     #[error("event at {0} ms: names a machine that the cluster does not have")]
     Machine(Millis),
-    /// The event at this time stands behind a later one in the list.
+    /// The event at this time is listed after one of a later time.
     #[error("event at {0} ms: listed after an event of a later time")]
     Order(Millis),
     /// A duration, delay, version step or number of lost answers of the event at this time is too large.
@@ -129,7 +129,7 @@
         while world.now < self.faults_end_at {
             world.step()?;
             while let Some(event) = events.next_if(|event| event.at <= world.now) {
-                world.act(&event.action);
+                world.perform(&event.action);
             }
         }
         world.end_faults();
--- a/control-plane-sim/src/schedule/targeted.rs
+++ b/control-plane-sim/src/schedule/targeted.rs
@@ -18,7 +18,7 @@
 use crate::world::SYNC_TIME;
 
 /// Without faults, the first view is active by this time.
-const FIRST_VIEW_BY: Millis = 800;
+const FIRST_VIEW_DEADLINE: Millis = 800;
 /// The number of scenarios in one schedule.
 const SCENARIOS_PER_SCHEDULE: usize = 2;
 /// How long the cluster takes to recover after a scenario.
@@ -94,8 +94,8 @@
         let mut generator = Generator::new(seed, kind.sizes[size_index as usize], rng::TARGETED_EVENT_STREAM);
         let spares: Vec<u8> = (generator.size.voters() + 1..=generator.size.nodes()).collect();
         generator.add(0, Action::PowerOn { nodes: spares });
-        let mut at = FIRST_VIEW_BY + generator.rng.random_range(0..400);
-        generator.add_operator_requests_until(FIRST_VIEW_BY / 2, at);
+        let mut at = FIRST_VIEW_DEADLINE + generator.rng.random_range(0..400);
+        generator.add_operator_requests_until(FIRST_VIEW_DEADLINE / 2, at);
         for _ in 0..SCENARIOS_PER_SCHEDULE {
             let next = (kind.scenario)(&mut generator, at) + generator.rng.random_range(0..500);
             generator.add_operator_requests_until(at, next);
--- a/control-plane-sim/src/violation.rs
+++ b/control-plane-sim/src/violation.rs
@@ -17,7 +17,9 @@
         published_before: u64,
     },
     /// Two documents were committed under one sequence number.
-    #[error("two documents were committed as change {seq}: version {first}, then version {second}")]
+    #[error(
+        "two different documents were committed as change {seq}: version {first}, then version {second}"
+    )]
     TwoCommitted {
         /// The sequence number.
         seq: u64,
--- a/control-plane-sim/src/world/actions.rs
+++ b/control-plane-sim/src/world/actions.rs
@@ -8,7 +8,7 @@
 
 impl World {
     /// Carries out an action now.
-    pub fn act(&mut self, action: &Action) {
+    pub fn perform(&mut self, action: &Action) {
         match action {
             Action::Change { receiver, version_step, document, lost_answers } => {
                 self.change_until_answered(*receiver, *version_step, *document, *lost_answers);
--- a/control-plane-sim/src/world/mod.rs
+++ b/control-plane-sim/src/world/mod.rs
@@ -136,16 +136,16 @@
             && voters.iter().all(|voter| view.chain.contains(voter))
     }
 
-    /// Describes the state of each node in one human-readable line.
+    /// Returns a human-readable description of the state of all nodes, one line for each.
     pub fn describe(&self) -> String {
         self.machines.iter().zip(1..).map(|(machine, number)| describe_machine(machine, number)).collect()
     }
 
-    /// Returns the first invariant that was violated as an error.
+    /// Checks that no invariant has been violated so far.
     ///
     /// # Errors
     ///
-    /// Returns the violation, if there was one since the start.
+    /// Returns the first violation.
     pub fn check(&self) -> Result<(), Violation> {
         self.violation.clone().map_or(Ok(()), Err)
     }
@@ -163,7 +163,7 @@
         (state.votes, state.promised, state.accepted, state.members.clone(), state.record.seq)
     };
     format!(
-        "node {number}: view {:?} members {:?} majority {:?} disk {:?}\n",
+        "node {number}: view {:?} members {:?} quorum {:?} disk {:?}\n",
         chain.and_then(|chain| chain.view().cloned()),
         chain.map(|chain| chain.members().clone()),
         chain.map(Chain::has_quorum),
--- a/control-plane-sim/src/world/oracle.rs
+++ b/control-plane-sim/src/world/oracle.rs
@@ -95,13 +95,12 @@
 
     // ---- Answers ----
 
-    /// Checks the answer of a call.
     pub(super) fn check_answer(&mut self, number: u8, call: u64, outcome: Outcome) {
         let Some(pending) = self.operators.pending_calls.remove(&call) else { return };
         // The calls of a process end with the process.
         assert!(
             pending.receiver == number && pending.incarnation == self.machine(number).incarnation,
-            "an answer comes from the process that received the call"
+            "call {call} was answered by a process other than the one that received it"
         );
         match pending.purpose {
             CallPurpose::Sessions { newest_session } => self.serve_sessions(number, newest_session, &outcome),
--- a/control-plane-sim/src/world/step.rs
+++ b/control-plane-sim/src/world/step.rs
@@ -27,7 +27,7 @@
         let now = self.now;
         while let Some(due) = self.pending_actions.iter().position(|pending| pending.due_at <= now) {
             let pending = self.pending_actions.remove(due);
-            self.act(&pending.action);
+            self.perform(&pending.action);
         }
         let endpoints: Vec<Endpoint> = self.machines.iter().map(|machine| machine.endpoint(now)).collect();
         self.network.tick(now, &endpoints);
