--- a/control-plane/tests/contact.rs
+++ b/control-plane/tests/contact.rs
@@ -1,8 +1,10 @@
-//! Nodes that are partitioned without knowing it: links that lose messages in one or both directions until a connection times
-//! out, nodes whose process is stopped and that find calls in their queues afterwards, and nodes that restart within a
-//! partition. Each answer on the newest version, a rejection as well, has to be linearizable: it holds at a moment after
-//! the call began. The seeds are fixed; `CONTACT_SEED=n cargo test -p glenfall-control-plane --test contact` replays one,
-//! `CONTACT_RUNS=n` plays more.
+//! Linearizability while nodes are partitioned and have not detected it: links on which nothing arrives in one or both
+//! directions until the connection times out, processes that are paused and find queued calls when they resume, and
+//! nodes that restart within a partition. Each answer that depends on the newest version, also a rejection, has to be true
+//! at a moment after the call began.
+//!
+//! The seeds are fixed. `CONTACT_SEED=n cargo test -p glenfall-control-plane --test contact` replays one schedule, and
+//! `CONTACT_RUNS=n` sets the number of schedules.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -15,7 +17,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const TICK: Millis = 10;
+const TICK_INTERVAL: Millis = 10;
 /// A connection is closed after this time without a message.
 const CONNECTION_TIMEOUT: Millis = 1500;
 /// How long faults are injected.
@@ -27,9 +29,8 @@
     Ipv4Addr::new(10, 0, 0, n as u8 + 1)
 }
 
-/// One end of a connection, with the number of the connection.
 #[derive(Clone, Copy)]
-struct End {
+struct ConnectionEnd {
     connection: u64,
     last_received: Millis,
 }
@@ -47,8 +48,8 @@
 struct Machine {
     chain: Option<Chain>,
     disk: Option<HardState>,
-    stopped_until: Millis,
-    /// Calls that arrived while the process is stopped.
+    paused_until: Millis,
+    /// Calls that arrived while the process was paused.
     queued_calls: Vec<PendingCall>,
 }
 
@@ -70,16 +71,19 @@
     document: Vec<u8>,
 }
 
-/// Number of answers of two kinds.
+/// Numbers of the answers that depend on the newest version and return no document.
 #[derive(Clone, Copy, Debug, Default)]
-struct Counts {
+struct AnswerCounts {
     conflicts: u64,
     unchanged: u64,
 }
 
-impl Counts {
-    fn plus(self, other: Counts) -> Counts {
-        Counts { conflicts: self.conflicts + other.conflicts, unchanged: self.unchanged + other.unchanged }
+impl AnswerCounts {
+    fn plus(self, other: AnswerCounts) -> AnswerCounts {
+        AnswerCounts {
+            conflicts: self.conflicts + other.conflicts,
+            unchanged: self.unchanged + other.unchanged,
+        }
     }
 }
 
@@ -87,11 +91,11 @@
     rng: ChaCha8Rng,
     now: Millis,
     machines: Vec<Machine>,
-    ends: BTreeMap<(usize, usize), End>,
-    connections: u64,
+    ends: BTreeMap<(usize, usize), ConnectionEnd>,
+    last_connection: u64,
     /// Messages in transit, by sender and receiver.
     links: BTreeMap<(usize, usize), Link>,
-    /// Pairs of sender and receiver between which nothing arrives until a time.
+    /// Directions of links, as sender and receiver, in which nothing arrives until the given time.
     blocked: BTreeMap<(usize, usize), Millis>,
     pending: BTreeMap<(usize, u64), PendingCall>,
     next_call: u64,
@@ -103,7 +107,7 @@
     committed: BTreeMap<u64, u64>,
     /// The newest version in an answer to an operator, which may be committed without an acknowledgement.
     answered_rev: u64,
-    counts: Counts,
+    counts: AnswerCounts,
 }
 
 impl World {
@@ -117,13 +121,13 @@
             n => Chain::new(node(n), settings, Start::Wiped),
         };
         let machine =
-            |n| Machine { chain: Some(chain(n)), disk: None, stopped_until: 0, queued_calls: Vec::new() };
+            |n| Machine { chain: Some(chain(n)), disk: None, paused_until: 0, queued_calls: Vec::new() };
         World {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
             machines: (0..=voters).map(machine).collect(),
             ends: BTreeMap::new(),
-            connections: 0,
+            last_connection: 0,
             links: BTreeMap::new(),
             blocked: BTreeMap::new(),
             pending: BTreeMap::new(),
@@ -132,7 +136,7 @@
             acknowledged: BTreeMap::new(),
             committed: BTreeMap::new(),
             answered_rev: 0,
-            counts: Counts::default(),
+            counts: AnswerCounts::default(),
         }
     }
 
@@ -140,17 +144,17 @@
         self.machines.len()
     }
 
-    fn newest(&self) -> u64 {
+    fn newest_acknowledged(&self) -> u64 {
         self.acknowledged.values().copied().max().unwrap_or(0)
     }
 
-    fn runs(&self, n: usize) -> bool {
-        self.machines[n].chain.is_some() && self.machines[n].stopped_until <= self.now
+    fn is_running(&self, n: usize) -> bool {
+        self.machines[n].chain.is_some() && self.machines[n].paused_until <= self.now
     }
 
-    fn with(&mut self, n: usize, act: impl FnOnce(&mut Chain, Millis) -> Vec<Output>) {
+    fn with_chain(&mut self, n: usize, input: impl FnOnce(&mut Chain, Millis) -> Vec<Output>) {
         let now = self.now;
-        let outputs = self.machines[n].chain.as_mut().map(|chain| act(chain, now)).unwrap_or_default();
+        let outputs = self.machines[n].chain.as_mut().map(|chain| input(chain, now)).unwrap_or_default();
         self.carry_out(n, outputs);
     }
 
@@ -161,15 +165,15 @@
                 Output::Send(to, message) => {
                     let to = usize::from(to.octets()[3]) - 1;
                     let Some(end) = self.ends.get(&(n, to)) else { continue };
-                    // A message in a blocked direction is sent again once it is open.
-                    let open = self.blocked.get(&(n, to)).copied().unwrap_or(0);
+                    // A message in a blocked direction is retransmitted when the direction is open again.
+                    let opens_at = self.blocked.get(&(n, to)).copied().unwrap_or(0);
                     let link = self.links.entry((n, to)).or_default();
                     let last_arrival = link.back().map_or(0, |last| last.arrives_at);
                     let delay = if self.rng.random_bool(0.03) { 200 } else { self.rng.random_range(1..15) };
-                    let arrives_at = (now.max(open) + delay).max(last_arrival);
+                    let arrives_at = (now.max(opens_at) + delay).max(last_arrival);
                     link.push_back(InTransit { arrives_at, connection: end.connection, message });
                 }
-                // Disks are not slow here; `chain.rs` covers that.
+                // Disk writes complete at once; `chain.rs` covers slow disks.
                 Output::Persist(number, state) => {
                     self.machines[n].disk = Some(state);
                     let chain = self.machines[n].chain.as_mut().expect("the process runs");
@@ -182,8 +186,12 @@
                     }
                 }
                 Output::Publish(record) => {
-                    let same = self.committed.entry(record.seq).or_insert(record.rev);
-                    assert_eq!(*same, record.rev, "two changes were published as number {}", record.seq);
+                    let published_rev = self.committed.entry(record.seq).or_insert(record.rev);
+                    assert_eq!(
+                        *published_rev, record.rev,
+                        "two changes were published with log index {}",
+                        record.seq
+                    );
                 }
             }
         }
@@ -193,61 +201,70 @@
         let PendingCall { call, acknowledged_rev, was_acknowledged, known_rev } = pending;
         match (call, outcome) {
             (Call::Change { builds_on, .. }, Outcome::Done { rev }) => {
-                let other = self.acknowledged.insert(builds_on, rev);
-                assert!(other.is_none_or(|other| other == rev), "two changes upon {builds_on}");
+                let earlier_rev = self.acknowledged.insert(builds_on, rev);
+                assert!(
+                    earlier_rev.is_none_or(|earlier_rev| earlier_rev == rev),
+                    "two changes that build on version {builds_on} were acknowledged"
+                );
             }
             (Call::Change { builds_on, .. }, Outcome::Conflict { current }) => {
-                assert!(!was_acknowledged, "an acknowledged change is rejected when it is retried");
+                assert!(!was_acknowledged, "an acknowledged change was rejected when it was retried");
                 assert!(
                     current >= acknowledged_rev,
-                    "rejected as {current} is current, {acknowledged_rev} was acknowledged before"
+                    "a change was rejected with the current version {current}, but {acknowledged_rev} was acknowledged before"
                 );
                 assert_ne!(current, builds_on);
                 self.counts.conflicts += 1;
                 self.answered_rev = self.answered_rev.max(current);
             }
-            (Call::Change { .. }, Outcome::Invalid(why)) => {
-                assert!(!was_acknowledged, "an acknowledged change is invalid when it is retried: {why}");
+            (Call::Change { .. }, Outcome::Invalid(reason)) => {
+                assert!(
+                    !was_acknowledged,
+                    "an acknowledged change was invalid when it was retried: {reason}"
+                );
             }
             (Call::Change { .. }, Outcome::Forgotten { .. }) => {
-                assert!(!was_acknowledged, "an acknowledged change is forgotten");
+                assert!(
+                    !was_acknowledged,
+                    "a recently acknowledged change was not recognised when it was retried"
+                );
             }
             (_, Outcome::Document(record)) => {
                 assert!(
                     record.rev >= acknowledged_rev,
-                    "a read of {}, {acknowledged_rev} was acknowledged before",
+                    "a read returned version {}, but {acknowledged_rev} was acknowledged before",
                     record.rev
                 );
             }
             (Call::ReadNewer { .. }, Outcome::Unchanged) => {
                 assert!(
                     known_rev >= acknowledged_rev,
-                    "nothing newer than {known_rev}, {acknowledged_rev} was acknowledged before"
+                    "a read found nothing newer than version {known_rev}, but {acknowledged_rev} was acknowledged before"
                 );
                 self.counts.unchanged += 1;
             }
             (_, Outcome::Unavailable) => {}
-            (call, outcome) => panic!("{outcome:?} to {call:?}"),
+            (call, outcome) => panic!("unexpected outcome {outcome:?} of {call:?}"),
         }
     }
 
     fn start_call(&mut self, n: usize, pending: PendingCall) {
-        if !self.runs(n) {
+        if !self.is_running(n) {
             return self.machines[n].queued_calls.push(pending);
         }
         let number = self.next_call;
         self.next_call += 1;
         let call = pending.call.clone();
         self.pending.insert((n, number), pending);
-        self.with(n, |chain, now| chain.call(now, number, call));
+        self.with_chain(n, |chain, now| chain.call(now, number, call));
     }
 
-    /// Operators call random nodes, also partitioned and stopped ones, with new, stale and retried changes. A session
-    /// opens at a random node, which reads the newest version.
+    /// Operators send new, stale and retried changes to random nodes, also to partitioned and paused ones. A session opens
+    /// at a random node, which reads the newest version for it.
     fn send_calls(&mut self) {
         for _ in 0..2 {
             let n = self.rng.random_range(0..self.nodes());
-            let acknowledged_rev = self.newest();
+            let acknowledged_rev = self.newest_acknowledged();
             let SentChange { builds_on, rev, document } = match self.rng.random_range(0..3) {
                 0 if !self.sent.is_empty() => self.sent[self.rng.random_range(0..self.sent.len())].clone(),
                 kind => {
@@ -268,7 +285,7 @@
             let call = Call::Change { builds_on, change: ConfigChange::Put(document) };
             self.start_call(n, PendingCall { call, acknowledged_rev, was_acknowledged, known_rev: 0 });
         }
-        let (n, acknowledged_rev) = (self.rng.random_range(0..self.nodes()), self.newest());
+        let (n, acknowledged_rev) = (self.rng.random_range(0..self.nodes()), self.newest_acknowledged());
         let Some(chain) = &self.machines[n].chain else { return };
         let committed = chain.committed();
         let (known_rev, known_seq) = (committed.rev, committed.seq);
@@ -278,7 +295,7 @@
 
     fn drop_connection(&mut self, n: usize, other: usize) {
         if self.ends.remove(&(n, other)).is_some() {
-            self.with(n, |chain, now| chain.peer_disconnected(now, node(other)));
+            self.with_chain(n, |chain, now| chain.peer_disconnected(now, node(other)));
         }
     }
 
@@ -287,30 +304,31 @@
         self.blocked.retain(|_, until| *until > now);
         let nodes = self.nodes();
         for (n, other) in (0..nodes).flat_map(|n| (0..nodes).map(move |other| (n, other))) {
-            if n == other || !self.runs(n) {
+            if n == other || !self.is_running(n) {
                 continue;
             }
-            let open = |a: usize, b: usize| !self.blocked.contains_key(&(a, b));
+            let is_open = |a: usize, b: usize| !self.blocked.contains_key(&(a, b));
             match (self.ends.get(&(n, other)).copied(), self.ends.get(&(other, n)).copied()) {
-                (Some(end), back) => {
-                    // The other end is closed, and the message of that arrives.
-                    let closed = back.is_none_or(|back| back.connection != end.connection) && open(other, n);
+                (Some(end), other_end) => {
+                    // The other end is closed, and this end is notified of that.
+                    let closed = other_end.is_none_or(|other_end| other_end.connection != end.connection)
+                        && is_open(other, n);
                     if closed || now >= end.last_received + CONNECTION_TIMEOUT {
                         self.drop_connection(n, other);
                     }
                 }
                 (None, None)
                     if n < other
-                        && open(n, other)
-                        && open(other, n)
-                        && self.runs(other)
+                        && is_open(n, other)
+                        && is_open(other, n)
+                        && self.is_running(other)
                         && self.rng.random_bool(0.2) =>
                 {
-                    self.connections += 1;
-                    let end = End { connection: self.connections, last_received: now };
+                    self.last_connection += 1;
+                    let end = ConnectionEnd { connection: self.last_connection, last_received: now };
                     self.ends.extend([((n, other), end), ((other, n), end)]);
-                    self.with(n, |chain, now| chain.peer_connected(now, node(other)));
-                    self.with(other, |chain, now| chain.peer_connected(now, node(n)));
+                    self.with_chain(n, |chain, now| chain.peer_connected(now, node(other)));
+                    self.with_chain(other, |chain, now| chain.peer_connected(now, node(n)));
                 }
                 _ => {}
             }
@@ -318,20 +336,20 @@
     }
 
     fn step(&mut self) {
-        self.now += TICK;
-        for n in (0..self.nodes()).filter(|n| self.runs(*n)).collect::<Vec<_>>() {
-            // A node that wakes finds calls, what came on its links, and its timers, in any order.
-            let mut turns = [0, 1, 2];
-            turns.rotate_left(self.rng.random_range(0..3));
-            for turn in turns {
-                match turn {
+        self.now += TICK_INTERVAL;
+        for n in (0..self.nodes()).filter(|n| self.is_running(*n)).collect::<Vec<_>>() {
+            // A node that resumes handles queued calls, received messages and expired timers in any order.
+            let mut tasks = [0, 1, 2];
+            tasks.rotate_left(self.rng.random_range(0..3));
+            for task in tasks {
+                match task {
                     0 => {
                         for pending in std::mem::take(&mut self.machines[n].queued_calls) {
                             self.start_call(n, pending);
                         }
                     }
                     1 => self.receive(n),
-                    _ => self.with(n, Chain::tick),
+                    _ => self.with_chain(n, Chain::tick),
                 }
             }
         }
@@ -350,7 +368,7 @@
                     continue;
                 };
                 end.last_received = now;
-                self.with(n, |chain, now| chain.message_received(now, node(from), message));
+                self.with_chain(n, |chain, now| chain.message_received(now, node(from), message));
             }
         }
     }
@@ -359,14 +377,18 @@
         let n = self.rng.random_range(0..self.nodes());
         let until = self.now + self.rng.random_range(300..5000);
         // Most faults hit the head.
-        let head = self.machines.iter().filter_map(|m| m.chain.as_ref()?.view()).max_by_key(|v| v.number);
+        let head = self
+            .machines
+            .iter()
+            .filter_map(|machine| machine.chain.as_ref()?.view())
+            .max_by_key(|view| view.number);
         let head = head.map_or(0, |view| usize::from(view.chain[0].octets()[3]) - 1);
         let victim = if self.rng.random_bool(0.6) { head } else { n };
-        let except = self.rng.random_range(0..2 * self.nodes());
+        let spared = self.rng.random_range(0..2 * self.nodes());
         let others: BTreeSet<usize> =
-            (0..self.nodes()).filter(|other| *other != victim && *other != except).collect();
+            (0..self.nodes()).filter(|other| *other != victim && *other != spared).collect();
         match self.rng.random_range(0..5) {
-            0 => self.machines[victim].stopped_until = until,
+            0 => self.machines[victim].paused_until = until,
             direction @ 1..=3 => {
                 for other in others {
                     if direction != 1 {
@@ -378,7 +400,7 @@
                 }
             }
             _ => {
-                // It restarts within its partition.
+                // The process restarts; a partition continues.
                 for other in 0..self.nodes() {
                     self.ends.remove(&(victim, other));
                 }
@@ -395,8 +417,8 @@
     }
 }
 
-/// Plays one schedule, and counts the conflicts and the reads without a newer version.
-fn play(seed: u64) -> Counts {
+/// Runs the schedule of a seed, and counts its conflicts and its reads without a newer version.
+fn run_schedule(seed: u64) -> AnswerCounts {
     let mut world = World::new(seed);
     let mut next_fault = 2000;
     while world.now < FAULT_PHASE {
@@ -410,8 +432,8 @@
         }
     }
     world.blocked.clear();
-    world.machines.iter_mut().for_each(|machine| machine.stopped_until = 0);
-    let before = world.newest();
+    world.machines.iter_mut().for_each(|machine| machine.paused_until = 0);
+    let newest_before = world.newest_acknowledged();
     let until = world.now + RECOVERY_PHASE;
     while world.now < until {
         world.step();
@@ -420,34 +442,35 @@
         }
     }
     assert!(
-        world.newest() > before,
+        world.newest_acknowledged() > newest_before,
         "no change is committed within {RECOVERY_PHASE} ms after the last fault"
     );
     world.counts
 }
 
 #[test]
-fn answers_on_the_newest_version_are_linearizable_while_a_node_is_partitioned_without_knowing_it() {
-    let number = |variable: &str| std::env::var(variable).ok()?.parse::<u64>().ok();
-    if let Some(seed) = number("CONTACT_SEED") {
-        println!("seed {seed}: {:?}", play(seed));
+fn answers_stay_linearizable_while_partitioned_nodes_have_not_detected_the_partition() {
+    let env_number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
+    if let Some(seed) = env_number("CONTACT_SEED") {
+        println!("seed {seed}: {:?}", run_schedule(seed));
         return;
     }
-    let runs = number("CONTACT_RUNS").unwrap_or(600);
+    let runs = env_number("CONTACT_RUNS").unwrap_or(600);
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
-    let part = |first: u64| {
-        let played = |seed| {
-            let result = std::panic::catch_unwind(|| play(seed));
+    let run_share = |first: u64| {
+        let run_seed = |seed| {
+            let result = std::panic::catch_unwind(|| run_schedule(seed));
             result.unwrap_or_else(|_| panic!("seed {seed} failed; see above"))
         };
-        let parts = (first..runs).step_by(threads as usize).map(played);
-        parts.fold(Counts::default(), Counts::plus)
+        let parts = (first..runs).step_by(threads as usize).map(run_seed);
+        parts.fold(AnswerCounts::default(), AnswerCounts::plus)
     };
-    let parts: Vec<Counts> = std::thread::scope(|scope| {
-        let parts: Vec<_> = (0..threads).map(|first| scope.spawn(move || part(first))).collect();
-        parts.into_iter().map(|part| part.join().expect("a schedule failed")).collect()
+    let parts: Vec<AnswerCounts> = std::thread::scope(|scope| {
+        let parts: Vec<_> = (0..threads).map(|first| scope.spawn(move || run_share(first))).collect();
+        parts.into_iter().map(|worker| worker.join().expect("a schedule failed")).collect()
     });
-    let Counts { conflicts, unchanged } = parts.into_iter().fold(Counts::default(), Counts::plus);
-    println!("{conflicts} conflicts, {unchanged} times nothing newer");
+    let AnswerCounts { conflicts, unchanged } =
+        parts.into_iter().fold(AnswerCounts::default(), AnswerCounts::plus);
+    println!("{conflicts} conflicts, {unchanged} reads without a newer version");
     assert!(conflicts > 10 * runs && unchanged > 10 * runs, "{conflicts} conflicts, {unchanged} unchanged");
 }
