--- a/control-plane/tests/documents.rs
+++ b/control-plane/tests/documents.rs
@@ -1,6 +1,7 @@
-//! Changes of documents against a plain reference: random PUT and PATCH, valid and not. The reference keeps
-//! routes and services as lists of its own and judges them by looking at every pair; it shares no code with the
-//! library. `DOCUMENTS_SEED` and `DOCUMENTS_RUNS` choose other runs.
+//! Random PUT and PATCH changes of the configuration, valid and invalid, compared with a reference model. The model keeps
+//! routes and backends as plain lists, validates every pair of them, and shares no code with the library.
+//!
+//! `DOCUMENTS_SEED` sets the first seed, and `DOCUMENTS_RUNS` the number of seeds.
 
 use glenfall_control_plane::config::{Config, ConfigChange, NewDocument};
 use rand::seq::IndexedRandom;
@@ -8,40 +9,40 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::{json, Value};
 
-const HOSTS: [&str; 3] = ["one.example", "ONE.example", "two.example"];
-const PREFIXES: [&str; 6] = ["/", "/a/", "/a/b/", "/a/b/c/", "/ab/", "/b/"];
-const NAMES: [&str; 5] = ["r1", "r2", "r3", "r4", "r5"];
-const SERVICES: [&str; 3] = ["s", "t", "u"];
+const HOSTNAMES: [&str; 3] = ["one.example", "ONE.example", "two.example"];
+const PATH_PREFIXES: [&str; 6] = ["/", "/a/", "/a/b/", "/a/b/c/", "/ab/", "/b/"];
+const ROUTE_NAMES: [&str; 5] = ["r1", "r2", "r3", "r4", "r5"];
+const BACKEND_NAMES: [&str; 3] = ["s", "t", "u"];
 
 #[derive(Clone, Debug, PartialEq)]
-struct Item {
+struct Route {
     name: String,
     host: String,
     prefix: String,
     deadline: u64,
-    /// Service and weight; a lone service with weight -1 is no split.
-    to: Vec<(String, i64)>,
+    /// Backends with their weights. A single backend with the weight -1 stands for a route without a split.
+    targets: Vec<(String, i64)>,
     note: u64,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Reference {
+struct ReferenceModel {
     rev: u64,
-    routes: Vec<Item>,
-    services: Vec<String>,
+    routes: Vec<Route>,
+    backends: Vec<String>,
 }
 
-impl Item {
+impl Route {
     fn json(&self) -> Value {
         let mut value = json!({
             "name": self.name, "hostname": self.host, "pathPrefix": self.prefix,
             "deadlineMs": self.deadline, "note": self.note,
         });
-        match &self.to[..] {
-            [(service, -1)] => value["backend"] = service.clone().into(),
+        match &self.targets[..] {
+            [(backend, -1)] => value["backend"] = backend.clone().into(),
             split => {
                 let split =
-                    split.iter().map(|(service, weight)| json!({"backend": service, "weight": weight}));
+                    split.iter().map(|(backend, weight)| json!({"backend": backend, "weight": weight}));
                 value["split"] = split.collect();
             }
         }
@@ -49,137 +50,148 @@
     }
 }
 
-impl Reference {
+impl ReferenceModel {
     fn json(&self) -> Value {
-        let services: Vec<Value> = self.services.iter().map(|name| json!({"name": name})).collect();
-        let routes: Vec<Value> = self.routes.iter().map(Item::json).collect();
-        json!({"rev": self.rev, "paths": routes, "backends": services})
+        let backends: Vec<Value> = self.backends.iter().map(|name| json!({"name": name})).collect();
+        let routes: Vec<Value> = self.routes.iter().map(Route::json).collect();
+        json!({"rev": self.rev, "paths": routes, "backends": backends})
     }
 
     fn is_valid(&self) -> bool {
         let pairs = |n: usize| (0..n).flat_map(|a| (0..a).map(move |b| (a, b)));
-        let services = pairs(self.services.len()).all(|(a, b)| self.services[a] != self.services[b]);
-        let routes = pairs(self.routes.len()).all(|(a, b)| {
+        let valid_backends = pairs(self.backends.len()).all(|(a, b)| self.backends[a] != self.backends[b]);
+        let valid_routes = pairs(self.routes.len()).all(|(a, b)| {
             let (a, b) = (&self.routes[a], &self.routes[b]);
-            let same_place = a.host.eq_ignore_ascii_case(&b.host) && a.prefix == b.prefix;
-            a.name != b.name && !same_place
+            let same_prefix = a.host.eq_ignore_ascii_case(&b.host) && a.prefix == b.prefix;
+            a.name != b.name && !same_prefix
         });
-        let each = self.routes.iter().all(|route| {
-            let known = route.to.iter().all(|(service, _)| self.services.contains(service));
-            let lone = route.to.len() == 1 && route.to[0].1 == -1;
-            let weighs = lone || route.to.iter().any(|(_, weight)| *weight > 0);
-            let slashes = route.prefix.starts_with('/') && route.prefix.ends_with('/');
-            known && weighs && slashes && route.deadline > 0
+        let all_valid = self.routes.iter().all(|route| {
+            let known_backends = route.targets.iter().all(|(backend, _)| self.backends.contains(backend));
+            let single_backend = route.targets.len() == 1 && route.targets[0].1 == -1;
+            let has_weight = single_backend || route.targets.iter().any(|(_, weight)| *weight > 0);
+            let valid_prefix = route.prefix.starts_with('/') && route.prefix.ends_with('/');
+            known_backends && has_weight && valid_prefix && route.deadline > 0
         });
-        services && routes && each
+        valid_backends && valid_routes && all_valid
     }
 
-    /// Of the routes of the host, the one with the longest prefix.
+    /// The name of the route with the longest matching prefix among the routes of the host.
     fn route(&self, host: &str, path: &str) -> Option<&str> {
-        let here = self.routes.iter().filter(|r| r.host.eq_ignore_ascii_case(host));
-        here.filter(|r| path.starts_with(&r.prefix)).max_by_key(|r| r.prefix.len()).map(|r| r.name.as_str())
+        let routes_of_host = self.routes.iter().filter(|r| r.host.eq_ignore_ascii_case(host));
+        routes_of_host
+            .filter(|r| path.starts_with(&r.prefix))
+            .max_by_key(|r| r.prefix.len())
+            .map(|r| r.name.as_str())
     }
 }
 
-fn item(rng: &mut ChaCha8Rng) -> Item {
-    let any = |rng: &mut ChaCha8Rng, of: &[&str]| of.choose(rng).map_or(String::new(), |s| (*s).to_owned());
+fn random_route(rng: &mut ChaCha8Rng) -> Route {
+    let random_text =
+        |rng: &mut ChaCha8Rng, values: &[&str]| values.choose(rng).map_or(String::new(), |s| (*s).to_owned());
     let split = rng.random_bool(0.4);
-    let to = if split {
+    let targets = if split {
         let count = rng.random_range(1..=2);
-        (0..count).map(|_| (any(rng, &SERVICES), rng.random_range(0..3))).collect()
+        (0..count).map(|_| (random_text(rng, &BACKEND_NAMES), rng.random_range(0..3))).collect()
     } else {
-        vec![(any(rng, &SERVICES), -1)]
+        vec![(random_text(rng, &BACKEND_NAMES), -1)]
     };
-    Item {
-        name: any(rng, &NAMES),
-        host: any(rng, &HOSTS),
-        prefix: if rng.random_bool(0.03) { "/a".into() } else { any(rng, &PREFIXES) },
+    Route {
+        name: random_text(rng, &ROUTE_NAMES),
+        host: random_text(rng, &HOSTNAMES),
+        prefix: if rng.random_bool(0.03) { "/a".into() } else { random_text(rng, &PATH_PREFIXES) },
         deadline: if rng.random_bool(0.03) { 0 } else { rng.random_range(1..2000) },
-        to,
+        targets,
         note: rng.random(),
     }
 }
 
-/// A change and what the reference makes of it; `None` where its text is no document.
-fn change(rng: &mut ChaCha8Rng, now: &Reference) -> (ConfigChange, Option<Reference>) {
-    let mut next = now.clone();
+/// A random change, and the state that the model has after it; `None` where the change is not valid JSON.
+fn random_change(rng: &mut ChaCha8Rng, current: &ReferenceModel) -> (ConfigChange, Option<ReferenceModel>) {
+    let mut next = current.clone();
     // The new version is mostly above the current one, and at times equal or below.
-    next.rev = (now.rev + rng.random_range(0..9)).saturating_sub(1);
+    next.rev = (current.rev + rng.random_range(0..9)).saturating_sub(1);
     let patch = rng.random_bool(0.6);
-    let text = if patch {
-        let upserts: Vec<Item> = (0..rng.random_range(0..3)).map(|_| item(rng)).collect();
-        let removes: Vec<&str> = NAMES.iter().filter(|_| rng.random_bool(0.15)).copied().collect();
-        let gone: Vec<&str> = SERVICES.iter().filter(|_| rng.random_bool(0.05)).copied().collect();
-        let new: Vec<&str> = SERVICES.iter().filter(|_| rng.random_bool(0.3)).copied().collect();
-        next.routes.retain(|route| !removes.contains(&route.name.as_str()));
-        next.services.retain(|service| !gone.contains(&service.as_str()));
-        for service in &new {
-            if !next.services.iter().any(|known| known == service) {
-                next.services.push((*service).to_owned());
+    let document = if patch {
+        let upserted_routes: Vec<Route> = (0..rng.random_range(0..3)).map(|_| random_route(rng)).collect();
+        let removed_routes: Vec<&str> =
+            ROUTE_NAMES.iter().filter(|_| rng.random_bool(0.15)).copied().collect();
+        let removed_backends: Vec<&str> =
+            BACKEND_NAMES.iter().filter(|_| rng.random_bool(0.05)).copied().collect();
+        let added_backends: Vec<&str> =
+            BACKEND_NAMES.iter().filter(|_| rng.random_bool(0.3)).copied().collect();
+        next.routes.retain(|route| !removed_routes.contains(&route.name.as_str()));
+        next.backends.retain(|backend| !removed_backends.contains(&backend.as_str()));
+        for backend in &added_backends {
+            if !next.backends.iter().any(|known| known == backend) {
+                next.backends.push((*backend).to_owned());
             }
         }
-        for upsert in &upserts {
-            match next.routes.iter_mut().find(|route| route.name == upsert.name) {
-                Some(route) => *route = upsert.clone(),
-                None => next.routes.push(upsert.clone()),
+        for upserted in &upserted_routes {
+            match next.routes.iter_mut().find(|route| route.name == upserted.name) {
+                Some(route) => *route = upserted.clone(),
+                None => next.routes.push(upserted.clone()),
             }
         }
-        let services: Vec<Value> = new.iter().map(|name| json!({"name": name})).collect();
-        let routes: Vec<Value> = upserts.iter().map(Item::json).collect();
+        let backends: Vec<Value> = added_backends.iter().map(|name| json!({"name": name})).collect();
+        let routes: Vec<Value> = upserted_routes.iter().map(Route::json).collect();
         json!({
             "rev": next.rev,
-            "upsert": {"paths": routes, "backends": services},
-            "remove": {"paths": removes, "backends": gone},
+            "upsert": {"paths": routes, "backends": backends},
+            "remove": {"paths": removed_routes, "backends": removed_backends},
         })
     } else {
-        next.routes = (0..rng.random_range(0..4)).map(|_| item(rng)).collect();
-        next.services = SERVICES.iter().map(|s| (*s).to_owned()).filter(|_| rng.random_bool(0.9)).collect();
+        next.routes = (0..rng.random_range(0..4)).map(|_| random_route(rng)).collect();
+        next.backends =
+            BACKEND_NAMES.iter().map(|s| (*s).to_owned()).filter(|_| rng.random_bool(0.9)).collect();
         if rng.random_bool(0.03) {
-            next.services.push("s".into());
+            next.backends.push("s".into());
         }
         next.json()
     };
-    let mut bytes = text.to_string().into_bytes();
-    let cut = rng.random_bool(0.05);
-    if cut {
+    let mut bytes = document.to_string().into_bytes();
+    let is_truncated = rng.random_bool(0.05);
+    if is_truncated {
         bytes.truncate(rng.random_range(0..bytes.len()));
     }
     let change = if patch { ConfigChange::Patch(bytes) } else { ConfigChange::Put(bytes) };
-    (change, (!cut).then_some(next))
+    (change, (!is_truncated).then_some(next))
 }
 
 #[test]
-fn changes_of_documents_match_a_plain_reference() {
-    let number = |name: &str, or: u64| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(or);
-    let (first, runs) = (number("DOCUMENTS_SEED", 0), number("DOCUMENTS_RUNS", 200));
+fn config_changes_match_a_reference_model() {
+    let env_number =
+        |name: &str, default: u64| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(default);
+    let (first, runs) = (env_number("DOCUMENTS_SEED", 0), env_number("DOCUMENTS_RUNS", 200));
     let (mut applied, mut rejected) = (0, 0);
     for seed in first..first + runs {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (mut now, mut document) = (Reference::default(), Vec::new());
+        let (mut current, mut document) = (ReferenceModel::default(), Vec::new());
         for step in 0..60 {
-            let at = format!("seed {seed}, step {step}");
-            let (change, next) = change(&mut rng, &now);
-            let good = next.filter(|next| next.is_valid() && next.rev > now.rev);
-            match (change.apply(&document, now.rev), good) {
-                (Ok(NewDocument { rev, document: made }), Some(next)) => {
-                    assert_eq!(rev, next.rev, "{at}");
-                    let value: Value = serde_json::from_slice(&made).unwrap();
-                    assert_eq!(value, next.json(), "{at}");
-                    let config = Config::read(&made).unwrap();
-                    for host in HOSTS.iter().chain(&["three.example"]) {
+            let case = format!("seed {seed}, step {step}");
+            let (change, next) = random_change(&mut rng, &current);
+            let expected = next.filter(|next| next.is_valid() && next.rev > current.rev);
+            match (change.apply(&document, current.rev), expected) {
+                (Ok(NewDocument { rev, document: new_document }), Some(next)) => {
+                    assert_eq!(rev, next.rev, "{case}");
+                    let value: Value = serde_json::from_slice(&new_document).unwrap();
+                    assert_eq!(value, next.json(), "{case}");
+                    let config = Config::read(&new_document).unwrap();
+                    for host in HOSTNAMES.iter().chain(&["three.example"]) {
                         for path in ["/", "/a", "/a/", "/a/b", "/a/b/c/d", "/ab/x", "/b/b/", "*", "/c"] {
                             let found = config.route(host, path).map(|route| route.name.as_str());
-                            assert_eq!(found, next.route(host, path), "{at}: {host}{path}");
+                            assert_eq!(found, next.route(host, path), "{case}: {host}{path}");
                         }
                     }
-                    (now, document) = (next, made);
+                    (current, document) = (next, new_document);
                     applied += 1;
                 }
-                (Err(why), None) => {
-                    assert!(!why.to_string().contains('\n'), "{at}: {why}");
+                (Err(error), None) => {
+                    assert!(!error.to_string().contains('\n'), "{case}: {error}");
                     rejected += 1;
                 }
-                (made, good) => panic!("{at}: {change:?} gave {made:?}, the reference says {good:?}"),
+                (new_document, expected) => {
+                    panic!("{case}: {change:?} gave {new_document:?}, the model expects {expected:?}")
+                }
             }
         }
     }
