--- a/control-plane/tests/exhaustive/reconfiguration.rs
+++ b/control-plane/tests/exhaustive/reconfiguration.rs
@@ -5,24 +5,24 @@
 
 use glenfall_control_plane::chain::{Chain, JointConfig, NodeId, Start, VoterChange};
 
-use crate::world::{hash_of, index_of, pairs, seeds, Event, Machine, World, REPAIR_TIMEOUT, SEEDS};
+use crate::world::{hash_of, index_of, pairs, seeds, Event, Machine, World, FIRST_VOTERS, REPAIR_TIMEOUT};
 
-/// Events from each moment of a reconfiguration on; `EXHAUSTIVE_DEPTH` plays more.
+/// Number of events from each moment of a reconfiguration on, unless `EXHAUSTIVE_DEPTH` is set.
 const DEFAULT_DEPTH: usize = 2;
-/// Events until an operator without an answer retries its change.
+/// Number of events after which an operator retries its change.
 const EVENTS_BEFORE_RETRY: usize = 25;
 
 impl World {
-    /// Plays the next message or disk write in flight, or a time step where there is none.
-    fn play_next(&mut self) -> Result<(), String> {
-        let arrives = |event: &Event| matches!(event, Event::Deliver(..) | Event::Sync(_));
-        let event = self.events().into_iter().find(arrives).unwrap_or(Event::AdvanceTime);
+    /// Applies the next message or disk write in flight, or a time step where there is none.
+    fn apply_next(&mut self) -> Result<(), String> {
+        let is_arrival = |event: &Event| matches!(event, Event::Deliver(..) | Event::CompleteWrite(_));
+        let event = self.events().into_iter().find(is_arrival).unwrap_or(Event::AdvanceTime);
         self.time_steps_left = 1;
-        self.play(event)
+        self.apply(event)
     }
 
-    /// Whether the reconfiguration is complete: there are enough voters, one set of them, and all nodes know the view whose
-    /// chain they are.
+    /// Whether the reconfiguration is complete: all nodes know the same view, which has a single set of enough voters, and
+    /// whose chain consists of these voters.
     fn is_repaired(&self) -> bool {
         let views = || self.machines.iter().filter_map(|machine| machine.chain.as_ref()).map(Chain::view);
         let Some(view) = views().next().flatten() else { return false };
@@ -33,54 +33,56 @@
             && view.chain == *voters
     }
 
-    /// Whether the promised losses include the loss of these disks now: each voter set, by the newest view that has started
-    /// or is on a disk, still has a majority with a vote.
-    fn covers(&self, lost: [usize; 2]) -> bool {
-        let newest = self.machines.iter().filter_map(|m| m.disk.as_ref()).max_by_key(|disk| disk.accepted);
+    /// Whether the promised losses include the loss of these disks in this state: a majority of the voters still has a vote,
+    /// both by the newest view that has started and by the newest one on a disk.
+    fn tolerates_loss_of(&self, lost: [usize; 2]) -> bool {
+        let newest =
+            self.machines.iter().filter_map(|machine| machine.disk.as_ref()).max_by_key(|disk| disk.accepted);
         let first = JointConfig::of(seeds());
-        let started_members = self.newest_started_view().map_or(first, |view| view.members.clone());
-        let sets = [Some(&started_members), newest.map(|disk| &disk.members)];
+        let started_config = self.newest_started_view().map_or(first, |view| view.members.clone());
+        let configs = [Some(&started_config), newest.map(|disk| &disk.members)];
         let votes = |id: &NodeId| {
             let (n, disk) = (index_of(*id), &self.machines[index_of(*id)].disk);
-            // Before its first disk write, a first voter starts as at its first start.
-            !lost.contains(&n) && disk.as_ref().map_or(n < SEEDS, |disk| disk.votes)
+            // A first voter without a disk write starts again as for the first time, with a vote.
+            !lost.contains(&n) && disk.as_ref().map_or(n < FIRST_VOTERS, |disk| disk.votes)
         };
-        let mut sets = sets.into_iter().flatten();
-        sets.all(|members| members.majority(votes))
+        let mut configs = configs.into_iter().flatten();
+        configs.all(|members| members.majority(votes))
     }
 
-    /// All nodes lose their power, and these their disks. After the restart the acknowledged change is committed.
+    /// Checks that the acknowledged change is committed after all nodes have lost power, and these their disks, and restarted.
     fn check_restart(&self, lost: [usize; 2]) -> Result<(), String> {
         let start = |(n, machine): (usize, &Machine)| match &machine.disk {
             Some(disk) if !lost.contains(&n) => Some(Start::Recovered(disk.clone())),
-            None if n < SEEDS && !lost.contains(&n) => Some(Start::Fresh(seeds())),
+            None if n < FIRST_VOTERS && !lost.contains(&n) => Some(Start::Fresh(seeds())),
             _ => Some(Start::Wiped),
         };
-        let mut world = World::of(self.losses, self.machines.iter().enumerate().map(start).collect());
-        while !world.is_repaired() {
-            if world.now >= REPAIR_TIMEOUT {
+        let mut restarted =
+            World::with_starts(self.losses, self.machines.iter().enumerate().map(start).collect());
+        while !restarted.is_repaired() {
+            if restarted.now >= REPAIR_TIMEOUT {
                 return Err("the chain is not repaired after the restart".into());
             }
-            world.run();
+            restarted.run_step();
         }
         for _ in 0..10 {
-            world.run();
+            restarted.run_step();
         }
-        let newest = world.versions();
-        let all_same = newest.iter().all(|rev| *rev == newest[0]);
-        if all_same && self.acknowledged.is_none_or(|rev| rev == newest[0]) {
+        let revs = restarted.known_revs();
+        let all_same = revs.iter().all(|rev| *rev == revs[0]);
+        if all_same && self.acknowledged.is_none_or(|rev| rev == revs[0]) {
             Ok(())
         } else {
             Err(format!(
-                "{:?} was acknowledged, and {newest:?} is committed after the restart",
+                "version {:?} was acknowledged, and the nodes have the versions {revs:?} after the restart",
                 self.acknowledged
             ))
         }
     }
 }
 
-/// The moments of a reconfiguration, one event after the other, until it is complete. An operator retries a change in the
-/// meantime, and another operator may send one in its place at any moment.
+/// The states of a reconfiguration after each event, until it is complete. An operator retries a change in the meantime,
+/// and in each state another operator may still send one more change.
 fn moments(mut world: World) -> Vec<World> {
     let mut moments = Vec::new();
     let before = world.newest_started_view().map(|view| view.members.clone());
@@ -90,39 +92,39 @@
     {
         if moments.len() % EVENTS_BEFORE_RETRY == 0 {
             world.calls_left = 2;
-            world.play(Event::Call(3)).expect("the call is accepted");
+            world.apply(Event::Call(3)).expect("the call is accepted");
         }
         moments.push(world.clone());
-        world.play_next().expect("this path violates nothing");
-        assert!(moments.len() < 2000, "the reconfiguration completes");
+        world.apply_next().expect("this sequence of events violates no property");
+        assert!(moments.len() < 2000, "the reconfiguration is not complete after 2000 events");
     }
     moments.push(world);
     moments
 }
 
-/// The states that were visited from all moments.
+/// The states that were visited from any moment.
 #[derive(Default)]
-struct Known {
+struct Visited {
     states: HashSet<u64>,
     acknowledged: usize,
-    /// Hashes of the disks from which a restart was checked.
+    /// Hashes of the disk states, and of the disks lost, from which a restart was checked.
     restarted_from: HashSet<u64>,
 }
 
-/// Plays every order of `depth` events from a moment on.
-fn visit(moment: &World, depth: usize, known: &Mutex<Known>) -> Result<(), String> {
+/// Visits every order of `depth` events from a moment on.
+fn visit(moment: &World, depth: usize, visited: &Mutex<Visited>) -> Result<(), String> {
     let mut seen = HashSet::new();
-    let mut stage = vec![(moment.clone(), Vec::new())];
+    let mut frontier = vec![(moment.clone(), Vec::new())];
     for _ in 0..depth {
         let mut next = Vec::new();
-        for (world, path) in stage {
+        for (world, path) in frontier {
             for event in world.events() {
                 let mut after = world.clone();
                 let mut extended_path: Vec<Event> = path.clone();
                 extended_path.push(event);
                 let after_path = |violation| format!("{violation}, after {extended_path:?}");
                 after
-                    .play(event)
+                    .apply(event)
                     .and_then(|()| after.deliver_heartbeats())
                     .and_then(|()| after.check())
                     .map_err(after_path)?;
@@ -130,103 +132,107 @@
                 if !seen.insert(fingerprint) {
                     continue;
                 }
-                let new = {
-                    let mut known = known.lock().expect("no thread panics while it has the lock");
-                    let new = known.states.insert(fingerprint);
-                    known.acknowledged += usize::from(new && after.acknowledged.is_some());
-                    new
+                let is_new = {
+                    let mut visited = visited.lock().expect("no thread panics while it holds the lock");
+                    let is_new = visited.states.insert(fingerprint);
+                    visited.acknowledged += usize::from(is_new && after.acknowledged.is_some());
+                    is_new
                 };
-                if new {
-                    check_power_loss(&after, known).map_err(after_path)?;
+                if is_new {
+                    check_power_loss(&after, visited).map_err(after_path)?;
                 }
                 next.push((after, extended_path));
             }
         }
-        stage = next;
+        frontier = next;
     }
     Ok(())
 }
 
-/// All nodes lose their power at this moment, and any two their disks, where the promised losses include that.
-fn check_power_loss(world: &World, known: &Mutex<Known>) -> Result<(), String> {
+/// Checks the loss of all power together with any two disks, where the promised losses include that.
+fn check_power_loss(world: &World, visited: &Mutex<Visited>) -> Result<(), String> {
     let disks: Vec<_> = world.machines.iter().map(|machine| &machine.disk).collect();
     for (a, b) in pairs(world.nodes()) {
         let fingerprint = hash_of(&format!("{disks:?}{:?}{a},{b}", world.acknowledged));
-        let covered = world.covers([a, b]);
+        let covered = world.tolerates_loss_of([a, b]);
         if covered
-            && known
+            && visited
                 .lock()
-                .expect("no thread panics while it has the lock")
+                .expect("no thread panics while it holds the lock")
                 .restarted_from
                 .insert(fingerprint)
         {
-            world
-                .check_restart([a, b])
-                .map_err(|broken| format!("{broken}; disks of {a} and {b} were lost"))?;
+            world.check_restart([a, b]).map_err(|violation| {
+                format!("{violation}; all nodes had lost power, and nodes {a} and {b} their disks")
+            })?;
         }
     }
     Ok(())
 }
 
-/// `EXHAUSTIVE_THREADS`, or as many as there are processors, eight at most.
+/// Number of threads: `EXHAUSTIVE_THREADS`, or the number of processors, eight at most.
 fn threads() -> usize {
-    let wanted = std::env::var("EXHAUSTIVE_THREADS").ok().and_then(|n| n.parse().ok());
-    wanted.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, std::num::NonZero::get).min(8))
+    let configured = std::env::var("EXHAUSTIVE_THREADS").ok().and_then(|n| n.parse().ok());
+    configured
+        .unwrap_or_else(|| std::thread::available_parallelism().map_or(1, std::num::NonZero::get).min(8))
 }
 
 /// Visits the states that can follow each moment of a reconfiguration.
-fn visited_around(what: &str, world: World) -> Known {
+fn visit_around_reconfiguration(label: &str, world: World) -> Visited {
     let depth = std::env::var("EXHAUSTIVE_DEPTH").ok().and_then(|n| n.parse().ok()).unwrap_or(DEFAULT_DEPTH);
     let moments = moments(world);
-    let known = Mutex::new(Known::default());
-    let next = std::sync::atomic::AtomicUsize::new(0);
-    let broken = Mutex::new(Vec::new());
+    let visited = Mutex::new(Visited::default());
+    let next_index = std::sync::atomic::AtomicUsize::new(0);
+    let violations = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..threads() {
             scope.spawn(|| loop {
-                let index = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+                let index = next_index.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
                 let Some(moment) = moments.get(index) else { return };
-                if let Err(violation) = visit(moment, depth, &known) {
-                    broken.lock().expect("no thread panics while it has the lock").push((index, violation));
+                if let Err(violation) = visit(moment, depth, &visited) {
+                    violations
+                        .lock()
+                        .expect("no thread panics while it holds the lock")
+                        .push((index, violation));
                 }
             });
         }
     });
-    let mut broken = broken.into_inner().expect("no thread has panicked");
-    broken.sort();
-    let known = known.into_inner().expect("no thread has panicked");
+    let mut violations = violations.into_inner().expect("no thread has panicked");
+    violations.sort();
+    let visited = visited.into_inner().expect("no thread has panicked");
     println!(
-        "{what}: {depth} events from each of {} moments: {} states, {} with a change acknowledged, {} losses repaired",
+        "{label}: {depth} events from each of {} moments: {} states, {} with a change acknowledged, {} power losses repaired",
         moments.len(),
-        known.states.len(),
-        known.acknowledged,
-        known.restarted_from.len()
+        visited.states.len(),
+        visited.acknowledged,
+        visited.restarted_from.len()
     );
-    assert_eq!(broken.first(), None, "{} moments lead to a violation", broken.len());
-    known
+    assert_eq!(violations.first(), None, "{} moments lead to a violation", violations.len());
+    visited
 }
 
 #[test]
 fn no_interleaving_while_three_voters_become_five_loses_a_change_or_the_quorum() {
-    let fresh = (0..SEEDS).map(|_| Some(Start::Fresh(seeds())));
-    let mut world = World::of(2, fresh.chain([Some(Start::Wiped), Some(Start::Wiped)]).collect());
+    let fresh = (0..FIRST_VOTERS).map(|_| Some(Start::Fresh(seeds())));
+    let mut world = World::with_starts(2, fresh.chain([Some(Start::Wiped), Some(Start::Wiped)]).collect());
     (world.link_losses_left, world.time_steps_left) = (1, 1);
-    let known = visited_around("three voters become five", world);
-    assert!(known.states.len() > 3000 && known.restarted_from.len() > 300);
+    let visited = visit_around_reconfiguration("three voters become five", world);
+    assert!(visited.states.len() > 3000 && visited.restarted_from.len() > 300);
 }
 
 #[test]
 fn no_interleaving_while_one_of_five_voters_is_replaced_loses_a_change_or_the_quorum() {
-    let fresh = (0..SEEDS).map(|_| Some(Start::Fresh(seeds())));
-    let others = (SEEDS..6).map(|_| Some(Start::Wiped));
-    let mut world = World::of(2, fresh.chain(others).collect());
+    let fresh = (0..FIRST_VOTERS).map(|_| Some(Start::Fresh(seeds())));
+    let others = (FIRST_VOTERS..6).map(|_| Some(Start::Wiped));
+    let mut world = World::with_starts(2, fresh.chain(others).collect());
     let until = 10_000;
     while !world.is_repaired() {
-        world.run();
-        assert!(world.now < until, "there are five voters");
+        world.run_step();
+        assert!(world.now < until, "there are not five voters after {until} ms");
     }
-    // A node tries to complete a request for 3 s, and it takes three views.
-    (world.link_losses_left, world.time_steps_left, world.due) = (1, 1, 100);
+    // A node abandons a voter change after 3 s, and the change takes three views: time steps must be short.
+    (world.link_losses_left, world.time_steps_left, world.advance_duration) = (1, 1, 100);
     let voters = world.chain(0).members().voters.clone();
     let now = world.now;
     let result = world.machines[0]
@@ -235,6 +241,6 @@
         .expect("the node runs")
         .request_voter_change(now, VoterChange::Remove(voters[4]));
     assert!(result.is_ok(), "{result:?}");
-    let known = visited_around("one of five voters is replaced", world);
-    assert!(known.states.len() > 3000 && known.restarted_from.len() > 300);
+    let visited = visit_around_reconfiguration("one of five voters is replaced", world);
+    assert!(visited.states.len() > 3000 && visited.restarted_from.len() > 300);
 }
--- a/control-plane/tests/exhaustive/world.rs
+++ b/control-plane/tests/exhaustive/world.rs
@@ -1,4 +1,4 @@
-//! A small cluster whose events are played one by one, and the properties of each of its states.
+//! A small cluster whose events are applied one by one, and the properties that each of its states has to have.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, VecDeque};
@@ -11,14 +11,15 @@
 use glenfall_control_plane::config::ConfigChange;
 use glenfall_control_plane::Millis;
 
-pub const SEEDS: usize = 3;
-/// Time step while the chain is repaired.
+/// Number of voters that a cluster starts with.
+pub const FIRST_VOTERS: usize = 3;
+/// Length of a step of [`World::run_step`].
 pub const TIME_STEP: Millis = 20;
-/// How long a repair may take.
+/// Upper bound of the time of a repair.
 pub const REPAIR_TIMEOUT: Millis = 6000;
-/// Longer than any node waits until it may propose.
+/// Longer than any node waits before it proposes a view.
 pub const PROPOSAL_DELAY: Millis = 500;
-/// Longer than the first proposer waits, and shorter than the next one does.
+/// Longer than the first proposer waits, and shorter than the second one does.
 pub const FIRST_PROPOSAL_DELAY: Millis = 100;
 
 pub fn node(n: usize) -> NodeId {
@@ -30,7 +31,7 @@
 }
 
 pub fn seeds() -> Vec<NodeId> {
-    (0..SEEDS).map(node).collect()
+    (0..FIRST_VOTERS).map(node).collect()
 }
 
 pub fn pairs(nodes: usize) -> impl Iterator<Item = (usize, usize)> {
@@ -42,22 +43,22 @@
     /// The next message between two nodes arrives.
     Deliver(usize, usize),
     /// The next disk write of a node is durable.
-    Sync(usize),
+    CompleteWrite(usize),
     /// An operator sends a node a change that builds on version 0.
     Call(usize),
-    /// A link is lost with the messages on it, and is up again at once; then the first node may propose a view.
-    Break(usize, usize),
-    /// Time passes until a view may be proposed.
+    /// A link is lost with the messages on it and is up again at once; then the first proposer may propose a view.
+    ResetLink(usize, usize),
+    /// Time passes until any node may propose a view.
     AdvanceTime,
     /// The links of the excluded node come up.
-    Return,
+    Reconnect,
 }
 
 #[derive(Clone)]
 pub struct Machine {
     pub chain: Option<Chain>,
     pub disk: Option<HardState>,
-    pub syncing: VecDeque<(u64, HardState)>,
+    pub pending_writes: VecDeque<(u64, HardState)>,
     /// Hash of the fields above, if they have not changed since it was computed.
     pub fingerprint: Option<u64>,
 }
@@ -72,8 +73,8 @@
 pub struct World {
     pub losses: usize,
     pub now: Millis,
-    /// Length of a time step.
-    pub due: Millis,
+    /// Duration of [`Event::AdvanceTime`].
+    pub advance_duration: Millis,
     pub machines: Vec<Machine>,
     pub links: BTreeMap<(usize, usize), Link>,
     /// Numbers of events that may still happen: calls, link losses and time steps.
@@ -81,27 +82,29 @@
     pub link_losses_left: usize,
     pub time_steps_left: usize,
     /// A voter that the others have excluded and do not reach.
-    pub away: Option<usize>,
-    /// The version that was acknowledged to an operator, and the version that nodes published as the first change.
+    pub excluded: Option<usize>,
+    /// The version that was acknowledged to an operator.
     pub acknowledged: Option<u64>,
+    /// The version that nodes published as the first committed change.
     pub published: Option<u64>,
 }
 
 impl World {
-    /// A cluster whose first view has started, and the numbers of events that may happen.
+    /// A cluster whose first view has started, with the numbers of events that may still happen.
     pub fn new(calls_left: u64, link_losses_left: usize, time_steps_left: usize) -> Self {
-        let mut world = World::of(1, (0..SEEDS).map(|_| Some(Start::Fresh(seeds()))).collect());
-        while !(0..SEEDS).all(|n| world.chain(n).view().is_some()) {
-            world.run();
-            assert!(world.now < REPAIR_TIMEOUT, "the first view starts");
+        let mut world =
+            World::with_starts(1, (0..FIRST_VOTERS).map(|_| Some(Start::Fresh(seeds()))).collect());
+        while !(0..FIRST_VOTERS).all(|n| world.chain(n).view().is_some()) {
+            world.run_step();
+            assert!(world.now < REPAIR_TIMEOUT, "the first view has not started");
         }
         (world.calls_left, world.link_losses_left, world.time_steps_left) =
             (calls_left, link_losses_left, time_steps_left);
         world
     }
 
-    /// Nodes that start from these states, all connected; `None` is not running.
-    pub fn of(losses: usize, starts: Vec<Option<Start>>) -> World {
+    /// Nodes that start from these states, all connected to each other. A node with `None` does not run.
+    pub fn with_starts(losses: usize, starts: Vec<Option<Start>>) -> World {
         let settings = ChainSettings { losses, eligible: true, ..ChainSettings::default() };
         let machine = |(n, start): (usize, Option<Start>)| Machine {
             disk: match &start {
@@ -109,25 +112,25 @@
                 _ => None,
             },
             chain: start.map(|start| Chain::new(node(n), settings, start)),
-            syncing: VecDeque::new(),
+            pending_writes: VecDeque::new(),
             fingerprint: None,
         };
         let mut world = World {
             losses,
             now: 0,
-            due: PROPOSAL_DELAY,
+            advance_duration: PROPOSAL_DELAY,
             machines: starts.into_iter().enumerate().map(machine).collect(),
             links: BTreeMap::new(),
             calls_left: 0,
             link_losses_left: 0,
             time_steps_left: 0,
-            away: None,
+            excluded: None,
             acknowledged: None,
             published: None,
         };
         for (a, b) in pairs(world.nodes()) {
             if [a, b].iter().all(|n| world.machines[*n].chain.is_some()) {
-                world.link(a, b);
+                world.connect(a, b);
             }
         }
         world
@@ -141,7 +144,7 @@
         self.machines[n].chain.as_ref().expect("the node runs")
     }
 
-    pub fn link(&mut self, a: usize, b: usize) {
+    pub fn connect(&mut self, a: usize, b: usize) {
         for (n, other) in [(a, b), (b, a)] {
             self.links.insert((n, other), Link::default());
         }
@@ -153,12 +156,12 @@
     pub fn with_chain(
         &mut self,
         n: usize,
-        act: impl FnOnce(&mut Chain, Millis) -> Vec<Output>,
+        input: impl FnOnce(&mut Chain, Millis) -> Vec<Output>,
     ) -> Result<(), String> {
         let now = self.now;
         self.machines[n].fingerprint = None;
         let Some(chain) = &mut self.machines[n].chain else { return Ok(()) };
-        for output in act(chain, now) {
+        for output in input(chain, now) {
             match output {
                 Output::Send(to, message) => {
                     if let Some(link) = self.links.get_mut(&(n, index_of(to))) {
@@ -166,17 +169,23 @@
                         link.fingerprint = None;
                     }
                 }
-                Output::Persist(number, state) => self.machines[n].syncing.push_back((number, state)),
+                Output::Persist(number, state) => self.machines[n].pending_writes.push_back((number, state)),
                 Output::Publish(record) if record.seq == 1 => {
                     if self.published.is_some_and(|rev| rev != record.rev) {
-                        return Err(format!("{:?} and {} were committed", self.published, record.rev));
+                        return Err(format!(
+                            "versions {:?} and {} were both committed as the first change",
+                            self.published, record.rev
+                        ));
                     }
                     self.published = Some(record.rev);
                 }
                 Output::Publish(_) => {}
                 Output::Answer(_, Outcome::Done { rev }) => {
                     if self.acknowledged.is_some_and(|other| other != rev) {
-                        return Err(format!("{:?} and {rev} were acknowledged", self.acknowledged));
+                        return Err(format!(
+                            "versions {:?} and {rev} were both acknowledged",
+                            self.acknowledged
+                        ));
                     }
                     self.acknowledged = Some(rev);
                 }
@@ -186,26 +195,26 @@
         Ok(())
     }
 
-    /// Time passes, and all messages and disk writes in flight arrive, link after link.
-    pub fn run(&mut self) {
+    /// Advances the time by one step, then delivers all messages and completes all disk writes in flight.
+    pub fn run_step(&mut self) {
         self.now += TIME_STEP;
         for n in 0..self.nodes() {
-            // Time alone acknowledges nothing.
+            // A tick acknowledges no change.
             self.with_chain(n, glenfall_control_plane::chain::Chain::tick).unwrap();
         }
-        let arrives = |event: &Event| matches!(event, Event::Deliver(..) | Event::Sync(_));
-        while let Some(event) = self.events().into_iter().find(arrives) {
-            self.play(event).unwrap();
+        let is_arrival = |event: &Event| matches!(event, Event::Deliver(..) | Event::CompleteWrite(_));
+        while let Some(event) = self.events().into_iter().find(is_arrival) {
+            self.apply(event).unwrap();
         }
     }
 
-    /// Delivers the heartbeats that are next on their links. Their order makes no difference.
+    /// Delivers the heartbeats that are next on their links. Their order makes no difference to the state.
     pub fn deliver_heartbeats(&mut self) -> Result<(), String> {
         let is_heartbeat = |(_, link): &(&(usize, usize), &Link)| {
             matches!(link.messages.front(), Some(Message::Heartbeat(_)))
         };
         while let Some((from, to)) = self.links.iter().find(is_heartbeat).map(|(ends, _)| *ends) {
-            self.play(Event::Deliver(from, to))?;
+            self.apply(Event::Deliver(from, to))?;
         }
         Ok(())
     }
@@ -219,26 +228,26 @@
             }
         }
         for n in 0..self.nodes() {
-            if running(n) && !self.machines[n].syncing.is_empty() {
-                events.push(Event::Sync(n));
+            if running(n) && !self.machines[n].pending_writes.is_empty() {
+                events.push(Event::CompleteWrite(n));
             }
             if running(n) && self.calls_left > 0 {
                 events.push(Event::Call(n));
             }
         }
         if self.link_losses_left > 0 {
-            events.extend(pairs(self.nodes()).map(|(a, b)| Event::Break(a, b)));
+            events.extend(pairs(self.nodes()).map(|(a, b)| Event::ResetLink(a, b)));
         }
         if self.time_steps_left > 0 {
             events.push(Event::AdvanceTime);
         }
-        if self.away.is_some() {
-            events.push(Event::Return);
+        if self.excluded.is_some() {
+            events.push(Event::Reconnect);
         }
         events
     }
 
-    pub fn play(&mut self, event: Event) -> Result<(), String> {
+    pub fn apply(&mut self, event: Event) -> Result<(), String> {
         match event {
             Event::Deliver(from, to) => {
                 let Some(link) = self.links.get_mut(&(from, to)) else { return Ok(()) };
@@ -246,8 +255,10 @@
                 let Some(message) = link.messages.pop_front() else { return Ok(()) };
                 self.with_chain(to, |chain, now| chain.message_received(now, node(from), message))
             }
-            Event::Sync(n) => {
-                let Some((number, state)) = self.machines[n].syncing.pop_front() else { return Ok(()) };
+            Event::CompleteWrite(n) => {
+                let Some((number, state)) = self.machines[n].pending_writes.pop_front() else {
+                    return Ok(());
+                };
                 self.machines[n].disk = Some(state);
                 self.with_chain(n, |chain, now| chain.write_completed(now, number))
             }
@@ -257,40 +268,40 @@
                 let change = ConfigChange::Put(format!("{{\"rev\":{rev}}}").into_bytes());
                 self.with_chain(n, |chain, now| chain.call(now, rev, Call::Change { builds_on: 0, change }))
             }
-            Event::Break(a, b) => {
+            Event::ResetLink(a, b) => {
                 self.link_losses_left -= 1;
-                self.break_link(a, b)?;
-                self.pass(FIRST_PROPOSAL_DELAY)
+                self.reset_link(a, b)?;
+                self.advance_time(FIRST_PROPOSAL_DELAY)
             }
             Event::AdvanceTime => {
                 self.time_steps_left -= 1;
-                self.pass(self.due)
+                self.advance_time(self.advance_duration)
             }
-            Event::Return => {
-                self.reconnect_away();
+            Event::Reconnect => {
+                self.reconnect_excluded();
                 self.deliver_heartbeats()
             }
         }
     }
 
-    pub fn pass(&mut self, due: Millis) -> Result<(), String> {
-        self.now += due;
+    pub fn advance_time(&mut self, duration: Millis) -> Result<(), String> {
+        self.now += duration;
         for n in 0..self.nodes() {
             self.with_chain(n, glenfall_control_plane::chain::Chain::tick)?;
         }
         self.deliver_heartbeats()
     }
 
-    pub fn break_link(&mut self, a: usize, b: usize) -> Result<(), String> {
+    pub fn reset_link(&mut self, a: usize, b: usize) -> Result<(), String> {
         for (n, other) in [(a, b), (b, a)] {
             self.links.remove(&(n, other));
             self.with_chain(n, |chain, now| chain.peer_disconnected(now, node(other)))?;
         }
-        self.link(a, b);
+        self.connect(a, b);
         self.deliver_heartbeats()
     }
 
-    /// Disconnects a voter, and waits until the others have formed a view without it.
+    /// Disconnects a voter, and runs until the others have started a view without it.
     pub fn exclude(&mut self, n: usize) {
         for other in (0..self.nodes()).filter(|other| *other != n) {
             for (from, to) in [(n, other), (other, n)] {
@@ -298,30 +309,31 @@
                 self.with_chain(to, |chain, now| chain.peer_disconnected(now, node(from))).unwrap();
             }
         }
-        let without =
-            |world: &World, at: usize| world.chain(at).view().is_some_and(|v| !v.chain.contains(&node(n)));
+        let without = |world: &World, at: usize| {
+            world.chain(at).view().is_some_and(|view| !view.chain.contains(&node(n)))
+        };
         while !(0..self.nodes()).filter(|other| *other != n).all(|other| without(self, other)) {
-            self.run();
-            assert!(self.now < REPAIR_TIMEOUT, "a view without the node starts");
+            self.run_step();
+            assert!(self.now < REPAIR_TIMEOUT, "no view without node {n} has started");
         }
-        self.away = Some(n);
+        self.excluded = Some(n);
     }
 
-    fn reconnect_away(&mut self) {
-        let Some(n) = self.away.take() else { return };
+    fn reconnect_excluded(&mut self) {
+        let Some(n) = self.excluded.take() else { return };
         for other in 0..self.nodes() {
             let running = |n: usize| self.machines[n].chain.is_some();
             if other != n && running(other) && running(n) {
-                self.link(n, other);
+                self.connect(n, other);
             }
         }
     }
 
-    /// A node loses its power with the disk writes in flight, and its disk as well if `disk` is set.
-    pub fn lose_power(&mut self, n: usize, disk: bool) -> Result<(), String> {
+    /// Powers a node off, which loses its disk writes in flight, and erases its disk if `erase_disk` is set.
+    pub fn lose_power(&mut self, n: usize, erase_disk: bool) -> Result<(), String> {
         let machine = &mut self.machines[n];
-        (machine.chain, machine.syncing, machine.fingerprint) = (None, VecDeque::new(), None);
-        if disk {
+        (machine.chain, machine.pending_writes, machine.fingerprint) = (None, VecDeque::new(), None);
+        if erase_disk {
             machine.disk = None;
         }
         for other in (0..self.nodes()).filter(|other| *other != n) {
@@ -332,11 +344,12 @@
         Ok(())
     }
 
-    /// The other nodes repair the chain. The acknowledged change is committed then, and all nodes have the same version.
+    /// Lets the running nodes repair the chain, and checks that all have the same version then, and that it is the
+    /// acknowledged one if there is any.
     pub fn check_repair(mut self) -> Result<(), String> {
         (self.calls_left, self.link_losses_left, self.time_steps_left) = (0, 0, 0);
-        self.reconnect_away();
-        let until = self.now + REPAIR_TIMEOUT;
+        self.reconnect_excluded();
+        let deadline = self.now + REPAIR_TIMEOUT;
         let is_repaired = |world: &World| {
             let views: Vec<_> =
                 (0..world.nodes()).filter_map(|n| world.machines[n].chain.as_ref()?.view()).collect();
@@ -345,26 +358,29 @@
             views.len() == running.len() && views.iter().all(|view| view.chain == running)
         };
         while !is_repaired(&self) {
-            if self.now >= until {
+            if self.now >= deadline {
                 return Err("the chain is not repaired".into());
             }
-            self.run();
+            self.run_step();
         }
         for _ in 0..20 {
-            self.run();
+            self.run_step();
         }
-        let newest = self.versions();
-        let all_same = newest.iter().all(|rev| *rev == newest[0]);
-        if all_same && self.acknowledged.is_none_or(|rev| rev == newest[0]) {
+        let revs = self.known_revs();
+        let all_same = revs.iter().all(|rev| *rev == revs[0]);
+        if all_same && self.acknowledged.is_none_or(|rev| rev == revs[0]) {
             Ok(())
         } else {
-            Err(format!("{:?} was acknowledged, and {newest:?} is committed", self.acknowledged))
+            Err(format!(
+                "version {:?} was acknowledged, and the nodes have the versions {revs:?}",
+                self.acknowledged
+            ))
         }
     }
 
-    /// The versions that running nodes know to be committed, and those on the disks of the chain. They may differ while a
-    /// change is in flight, and where a view has started from an older record.
-    pub fn versions(&self) -> Vec<u64> {
+    /// The versions that running nodes know to be committed, and those on the disks of the chain's members. They may differ
+    /// while a change is in flight, and where a view has started from an older record.
+    pub fn known_revs(&self) -> Vec<u64> {
         let chains = self.machines.iter().filter_map(|machine| machine.chain.as_ref());
         let committed = chains.map(|chain| chain.committed().rev);
         let members = self.newest_started_view().map_or(&[][..], |view| &view.chain);
@@ -373,7 +389,7 @@
         committed.chain(on_disks).collect()
     }
 
-    /// The acknowledged change is durable at a quorum of the voters.
+    /// Checks that the acknowledged change is durable at a quorum of the voters.
     pub fn check(&self) -> Result<(), String> {
         let Some(rev) = self.acknowledged else { return Ok(()) };
         let has_change = |machine: &Machine| machine.disk.as_ref().is_some_and(|disk| disk.record.rev == rev);
@@ -382,8 +398,8 @@
         if self.newest_started_view().is_some_and(|view| is_replicated(&view.members)) {
             Ok(())
         } else {
-            let holding = self.machines.iter().filter(|machine| has_change(machine)).count();
-            Err(format!("{rev} was acknowledged and is on {holding} disks"))
+            let replicas = self.machines.iter().filter(|machine| has_change(machine)).count();
+            Err(format!("version {rev} was acknowledged, and is on {replicas} disks only"))
         }
     }
 
@@ -395,12 +411,12 @@
 
     pub fn fingerprint(&mut self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        let left = (self.calls_left, self.link_losses_left, self.time_steps_left, self.away);
-        (self.now, left, self.acknowledged, self.published).hash(&mut hasher);
+        let remaining = (self.calls_left, self.link_losses_left, self.time_steps_left, self.excluded);
+        (self.now, remaining, self.acknowledged, self.published).hash(&mut hasher);
         for machine in &mut self.machines {
-            let Machine { chain, disk, syncing, fingerprint } = machine;
+            let Machine { chain, disk, pending_writes, fingerprint } = machine;
             fingerprint
-                .get_or_insert_with(|| hash_of(&format!("{chain:?}{disk:?}{syncing:?}")))
+                .get_or_insert_with(|| hash_of(&format!("{chain:?}{disk:?}{pending_writes:?}")))
                 .hash(&mut hasher);
         }
         for (ends, link) in &mut self.links {
@@ -411,8 +427,8 @@
     }
 }
 
-pub fn hash_of(what: &impl Hash) -> u64 {
+pub fn hash_of(value: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
-    what.hash(&mut hasher);
+    value.hash(&mut hasher);
     hasher.finish()
 }
