--- a/control-plane/tests/lease_world/mod.rs
+++ b/control-plane/tests/lease_world/mod.rs
@@ -1,6 +1,6 @@
-//! Control nodes, agents and proxies with the real leases, on clocks with different rates and links with different delays, in
-//! simulated time. As in the system, connections keep the order of messages, and each end notices the loss of a connection
-//! at another time.
+//! Simulation of control nodes, agents and proxies with the leases of the library, on clocks with different rates and links
+//! with different delays. As in the system, connections keep the order of messages, and the two ends of a connection
+//! notice its loss at different times.
 
 mod control;
 mod sessions;
@@ -16,14 +16,14 @@
 use control::Control;
 use sessions::Sessions;
 
-/// Simulated time in microseconds, which no process reads directly.
+/// Simulated time in microseconds. Processes read it only through their clocks.
 pub type Time = u64;
-pub const MS: Time = 1000;
+pub const MILLISECOND: Time = 1000;
 
-const CONTROLS: usize = 3;
+const CONTROL_NODES: usize = 3;
 const AGENTS: usize = 3;
-const PROCESSES: usize = CONTROLS + 2 * AGENTS;
-const TICK: Time = 100 * MS;
+const PROCESSES: usize = CONTROL_NODES + 2 * AGENTS;
+const TICK_INTERVAL: Time = 100 * MILLISECOND;
 
 /// The part of the mechanism that is disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     SendTime,
     /// A renewal is granted in full, whatever time is left of the granter's own lease.
     NestedExpiry,
-    /// A lease stays valid when the connection is lost.
+    /// A lease remains valid after the connection to its granter is lost.
     EndOnDisconnect,
 }
 
@@ -53,11 +53,11 @@
     Push { number: u64, purges: BTreeSet<u32>, connected: bool },
     Applied(u64),
     Released,
-    Open { incarnation: u64, purges: BTreeSet<u32>, back: bool },
+    Open { incarnation: u64, purges: BTreeSet<u32>, is_reply: bool },
     Purges(BTreeSet<u32>),
     PeerRenew { incarnation: u64, sent: Millis },
     PeerGranted { incarnation: u64, sent: Millis, duration: Millis },
-    Purge { id: u64, purge: u32, asked: Option<Vec<ProcessId>> },
+    Purge { id: u64, purge: u32, already_notified: Option<Vec<ProcessId>> },
     Done { id: u64, complete: bool },
 }
 
@@ -70,10 +70,10 @@
 pub struct Connection {
     ends: [usize; 2],
     is_up: bool,
-    /// Messages in transit when the connection ended arrive until then.
+    /// After the connection has ended, messages in transit arrive until this time.
     lost_from: Time,
-    /// When the last message to each end arrives.
-    arrives: [Time; 2],
+    /// When the last message to each of the `ends` arrives.
+    last_arrival: [Time; 2],
 }
 
 #[derive(Clone, Copy)]
@@ -93,16 +93,19 @@
     incarnation: u64,
     paused_until: Time,
     purges: BTreeSet<u32>,
-    /// The connection to the publisher, its state, and the lease.
-    up: Option<usize>,
+    /// The connection to the publisher.
+    upstream: Option<usize>,
+    /// Whether the publisher has reported that it is connected to control.
     connected: bool,
     lease: Lease,
     sessions: Sessions,
-    /// An update that an agent has applied and its proxies have not, and the sessions that it waits for.
-    applying: Option<(u64, Vec<(usize, u64)>)>,
-    waiting: VecDeque<Message>,
-    /// The connection on which an agent releases its lease, once its proxies serve no stored responses.
-    releasing: Option<(usize, Vec<(usize, u64)>)>,
+    /// The number of an update that an agent has applied and its proxies have not, and the session updates that it waits
+    /// for.
+    pending_update: Option<(u64, Vec<(usize, u64)>)>,
+    queued_messages: VecDeque<Message>,
+    /// The connection on which an agent releases its lease once its proxies serve no stored responses, and the session
+    /// updates that it waits for.
+    pending_release: Option<(usize, Vec<(usize, u64)>)>,
     control: Control,
 }
 
@@ -111,7 +114,7 @@
     rng: ChaCha8Rng,
     disabled: Disabled,
     queue: BTreeMap<(Time, u64), Event>,
-    events: u64,
+    last_event: u64,
     connections: Vec<Connection>,
     processes: Vec<Process>,
     /// Pairs of machines that do not reach each other.
@@ -130,8 +133,8 @@
             parts_per_million: rng.random_range(-4500..=4500),
         };
         let mut clocks: Vec<Clock> = (0..PROCESSES).map(|_| clock(&mut rng)).collect();
-        // A proxy is on the machine of its agent.
-        for agent in CONTROLS..CONTROLS + AGENTS {
+        // A proxy runs on the machine of its agent, and so has the same clock.
+        for agent in CONTROL_NODES..CONTROL_NODES + AGENTS {
             clocks[agent + AGENTS] = clocks[agent];
         }
         let process = |clock: Clock| Process {
@@ -139,13 +142,13 @@
             incarnation: 1,
             paused_until: 0,
             purges: BTreeSet::new(),
-            up: None,
+            upstream: None,
             connected: false,
             lease: Lease::default(),
             sessions: Sessions::default(),
-            applying: None,
-            waiting: VecDeque::new(),
-            releasing: None,
+            pending_update: None,
+            queued_messages: VecDeque::new(),
+            pending_release: None,
             control: Control::default(),
         };
         let mut world = World {
@@ -153,7 +156,7 @@
             rng,
             disabled,
             queue: BTreeMap::new(),
-            events: 0,
+            last_event: 0,
             connections: Vec::new(),
             processes: clocks.into_iter().map(process).collect(),
             partitioned: BTreeSet::new(),
@@ -161,12 +164,12 @@
             requested_purges: 0,
             violation: None,
         };
-        (0..PROCESSES).for_each(|process| world.at(process as Time, Event::Tick(process)));
+        (0..PROCESSES).for_each(|process| world.schedule(process as Time, Event::Tick(process)));
         world
     }
 
     /// Injects random faults until a time, and returns whether a proxy could serve a purged response.
-    pub fn play(&mut self, until: Time) -> bool {
+    pub fn run(&mut self, until: Time) -> bool {
         while self.now < until && self.violation.is_none() {
             let Some(((at, number), event)) = self.queue.pop_first() else { break };
             self.now = at;
@@ -180,19 +183,19 @@
     }
 
     fn check_proxies(&mut self) {
-        for proxy in CONTROLS + AGENTS..PROCESSES {
+        for proxy in CONTROL_NODES + AGENTS..PROCESSES {
             let process = &self.processes[proxy];
             let serves = process.connected && process.lease.is_valid(process.clock.read(self.now));
-            let missed = self.acknowledged.difference(&process.purges).next();
-            if let (true, true, Some(purge)) = (serves, process.paused_until <= self.now, missed) {
+            let missed_purge = self.acknowledged.difference(&process.purges).next();
+            if let (true, true, Some(purge)) = (serves, process.paused_until <= self.now, missed_purge) {
                 self.violation = Some((proxy, *purge));
             }
         }
     }
 
-    fn at(&mut self, at: Time, event: Event) {
-        self.events += 1;
-        self.queue.insert((at, self.events), event);
+    fn schedule(&mut self, at: Time, event: Event) {
+        self.last_event += 1;
+        self.queue.insert((at, self.last_event), event);
     }
 
     fn clock(&self, process: usize) -> Millis {
@@ -200,7 +203,7 @@
     }
 
     fn machine(process: usize) -> usize {
-        if process >= CONTROLS + AGENTS {
+        if process >= CONTROL_NODES + AGENTS {
             process - AGENTS
         } else {
             process
@@ -214,15 +217,15 @@
 
     // ---- Connections ----
 
-    fn connect(&mut self, from: usize, to: usize, first: Message) -> usize {
+    fn connect(&mut self, from: usize, to: usize, first_message: Message) -> usize {
         self.connections.push(Connection {
             ends: [from, to],
             is_up: true,
             lost_from: 0,
-            arrives: [self.now; 2],
+            last_arrival: [self.now; 2],
         });
         let connection = self.connections.len() - 1;
-        self.send(from, connection, first);
+        self.send(from, connection, first_message);
         connection
     }
 
@@ -233,24 +236,25 @@
         }
         let side = usize::from(link.ends[0] == from);
         let to = link.ends[side];
-        // The sender may be stopped between its decision and the message.
-        let said = self.now.max(self.processes[from].paused_until);
-        let delay = if self.rng.random_bool(0.03) { 300 * MS } else { 5 * MS };
-        let arrives = (said + self.rng.random_range(MS / 10..delay)).max(link.arrives[side] + 1);
-        link.arrives[side] = arrives;
-        self.at(arrives, Event::Deliver { connection, to, message });
+        // The sender may be paused between its decision to send and the transmission.
+        let sent_at = self.now.max(self.processes[from].paused_until);
+        let delay = if self.rng.random_bool(0.03) { 300 * MILLISECOND } else { 5 * MILLISECOND };
+        let arrives_at =
+            (sent_at + self.rng.random_range(MILLISECOND / 10..delay)).max(link.last_arrival[side] + 1);
+        link.last_arrival[side] = arrives_at;
+        self.schedule(arrives_at, Event::Deliver { connection, to, message });
     }
 
-    /// Ends a connection. Each running side notices at a time of its own.
-    fn end(&mut self, connection: usize, at_once: Option<usize>) {
+    /// Ends a connection. Each end notices after a delay of its own; `closed_by` is the end that notices at once.
+    fn end_connection(&mut self, connection: usize, closed_by: Option<usize>) {
         if !std::mem::replace(&mut self.connections[connection].is_up, false) {
             return;
         }
-        self.connections[connection].lost_from = self.now + self.rng.random_range(0..400 * MS);
+        self.connections[connection].lost_from = self.now + self.rng.random_range(0..400 * MILLISECOND);
         for end in self.connections[connection].ends {
-            let most = if at_once == Some(end) { 1 } else { 1500 * MS };
-            let notices = self.now + self.rng.random_range(0..most);
-            self.at(notices, Event::Closed { connection, at: end });
+            let max_delay = if closed_by == Some(end) { 1 } else { 1500 * MILLISECOND };
+            let notices_at = self.now + self.rng.random_range(0..max_delay);
+            self.schedule(notices_at, Event::Closed { connection, at: end });
         }
     }
 
@@ -262,40 +266,45 @@
     fn handle(&mut self, number: u64, event: Event) {
         let (Event::Deliver { to: process, .. } | Event::Closed { at: process, .. } | Event::Tick(process)) =
             event;
-        let resumes = self.processes[process].paused_until;
-        if resumes > self.now {
-            // With its number, so that waiting events keep their order.
-            self.queue.insert((resumes, number), event);
+        let resumes_at = self.processes[process].paused_until;
+        if resumes_at > self.now {
+            // The event keeps its number, so that delayed events keep their order.
+            self.queue.insert((resumes_at, number), event);
             return;
         }
         match event {
             Event::Deliver { connection, .. } if self.is_lost(connection) => {}
             Event::Deliver { connection, to, message } => self.deliver(connection, to, message),
-            Event::Closed { connection, at } => self.closed(connection, at),
+            Event::Closed { connection, at } => self.connection_closed(connection, at),
             Event::Tick(process) => {
                 self.tick(process);
-                self.at(self.now + TICK, Event::Tick(process));
+                self.schedule(self.now + TICK_INTERVAL, Event::Tick(process));
             }
         }
-        if process < CONTROLS {
+        if process < CONTROL_NODES {
             self.complete_purges(process);
         }
         self.complete_agents();
     }
 
     fn deliver(&mut self, connection: usize, to: usize, message: Message) {
-        let [lower, upper] = self.connections[connection].ends;
-        match (lower < CONTROLS, to == upper) {
+        let [initiator, acceptor] = self.connections[connection].ends;
+        match (initiator < CONTROL_NODES, to == acceptor) {
             (true, _) => {
-                self.handle_control(to, connection, if to == upper { lower } else { upper }, message);
+                self.handle_control(
+                    to,
+                    connection,
+                    if to == acceptor { initiator } else { acceptor },
+                    message,
+                );
             }
             (false, true) => self.handle_from_subscriber(to, connection, message),
             (false, false) => self.handle_from_publisher(to, connection, message),
         }
     }
 
-    fn closed(&mut self, connection: usize, at: usize) {
-        if self.connections[connection].ends[0] < CONTROLS {
+    fn connection_closed(&mut self, connection: usize, at: usize) {
+        if self.connections[connection].ends[0] < CONTROL_NODES {
             self.link_closed(at, connection);
         } else {
             self.session_closed(connection, at);
@@ -303,7 +312,7 @@
     }
 
     fn tick(&mut self, process: usize) {
-        if process < CONTROLS {
+        if process < CONTROL_NODES {
             self.tick_control(process);
         } else {
             self.tick_subscriber(process);
@@ -316,15 +325,15 @@
         let process = self.rng.random_range(0..PROCESSES);
         match self.rng.random_range(0..11) {
             0..4 => self.request_purge(),
-            10 => self.move_agent(CONTROLS + process % AGENTS),
+            10 => self.move_agent(CONTROL_NODES + process % AGENTS),
             4..6 => {
-                let pause = self.rng.random_range(50..3000) * MS;
+                let pause = self.rng.random_range(50..3000) * MILLISECOND;
                 let until = &mut self.processes[process].paused_until;
                 *until = (self.now + pause).max(*until);
             }
             6..8 => self.crash(process),
             8 => {
-                let (a, b) = (self.rng.random_range(0..CONTROLS), Self::machine(process));
+                let (a, b) = (self.rng.random_range(0..CONTROL_NODES), Self::machine(process));
                 if a != b {
                     self.partitioned.insert((a.min(b), a.max(b)));
                     self.end_partitioned();
@@ -338,7 +347,7 @@
         for connection in 0..self.connections.len() {
             let [a, b] = self.connections[connection].ends;
             if !self.reaches(a, b) {
-                self.end(connection, None);
+                self.end_connection(connection, None);
             }
         }
     }
@@ -346,18 +355,19 @@
     fn crash(&mut self, process: usize) {
         for connection in 0..self.connections.len() {
             if self.connections[connection].ends.contains(&process) {
-                self.end(connection, Some(process));
+                self.end_connection(connection, Some(process));
             }
         }
         let control = Control::started(self.clock(process));
         let crashed = &mut self.processes[process];
-        // Control nodes have their purges on disk or from a quorum; proxies start without stored responses.
+        // Control nodes recover their purges from disk or from a quorum. Proxies start without stored responses, and so
+        // count as having applied all purges.
         crashed.incarnation += 1;
-        (crashed.up, crashed.connected, crashed.lease) = (None, false, Lease::default());
-        (crashed.sessions, crashed.applying, crashed.control) = (Sessions::default(), None, control);
-        crashed.waiting.clear();
-        crashed.releasing = None;
-        if process >= CONTROLS + AGENTS {
+        (crashed.upstream, crashed.connected, crashed.lease) = (None, false, Lease::default());
+        (crashed.sessions, crashed.pending_update, crashed.control) = (Sessions::default(), None, control);
+        crashed.queued_messages.clear();
+        crashed.pending_release = None;
+        if process >= CONTROL_NODES + AGENTS {
             crashed.purges = (0..self.requested_purges).collect();
         }
     }
