--- a/control-plane/tests/wire_format.rs
+++ b/control-plane/tests/wire_format.rs
@@ -26,7 +26,7 @@
 
 /// Compares samples with the fixture, or writes it.
 struct Samples {
-    /// A name and its bytes in hexadecimal digits, a line each.
+    /// The fixture: a line for each sample, with its name and its bytes in hexadecimal digits.
     expected: String,
     actual: String,
 }
@@ -34,20 +34,20 @@
 impl Samples {
     /// Encodes a sample, and decodes the bytes of the fixture under its name.
     fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, sample: &T) {
-        let bytes = postcard::to_stdvec(sample).expect("encodes");
-        self.actual.push_str(&format!("{name} {}\n", hexadecimal(&bytes)));
+        let bytes = postcard::to_stdvec(sample).expect("the sample can be encoded");
+        self.actual.push_str(&format!("{name} {}\n", to_hex(&bytes)));
         let prefix = format!("{name} ");
         let Some(digits) = self.expected.lines().find_map(|line| line.strip_prefix(&prefix)) else { return };
-        let decoded: T = postcard::from_bytes(&bytes_of(digits)).expect(name);
+        let decoded: T = postcard::from_bytes(&from_hex(digits)).expect(name);
         assert_eq!(&decoded, sample, "{name}");
     }
 }
 
-fn hexadecimal(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes_of(digits: &str) -> Vec<u8> {
+fn from_hex(digits: &str) -> Vec<u8> {
     let pairs = digits.as_bytes().chunks(2);
     pairs.map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap()).collect()
 }
@@ -112,7 +112,8 @@
 }
 
 fn record() -> Arc<Record> {
-    let applied_orders = DeduplicationTable::from_orders(5, &[order(7), order(9)]).expect("a table");
+    let applied_orders =
+        DeduplicationTable::from_orders(5, &[order(7), order(9)]).expect("the table is valid");
     Arc::new(Record { seq: 4, rev: 9, document: br#"{"rev": 9}"#.to_vec(), applied_orders })
 }
 
@@ -154,25 +155,25 @@
         AgedPurge { purge: Purge::Label("l".into()), age_ms: 300 },
         AgedPurge { purge: Purge::Everything, age_ms: 0 },
     ];
-    let mut numbered = VersionedFleet::default();
-    let first = numbered.advance_to(fleet()).expect("a change");
+    let mut versioned_fleet = VersionedFleet::default();
+    let first = versioned_fleet.advance_to(fleet()).expect("the fleet has changed");
     let mut next = fleet();
     next.servers.remove(0);
     next.shields.push(member("shield-2", ProxyRole::Shield));
     next.edges = vec![4];
-    let change = numbered.advance_to(next).expect("a change");
+    let delta = versioned_fleet.advance_to(next).expect("the fleet has changed");
     let updates = [
         ("config", Update::Config { rev: 9, document: Arc::new(br#"{"rev": 9}"#.to_vec()) }),
         ("fleet.whole", Update::Fleet(FleetUpdate::Snapshot { version: 6, fleet: fleet() })),
         ("fleet.first", Update::Fleet(first)),
-        ("fleet.change", Update::Fleet(change)),
+        ("fleet.change", Update::Fleet(delta)),
         ("purges", Update::Purges(purges)),
         ("in-touch", Update::Connected(true)),
     ];
-    for (number, (name, news)) in updates.into_iter().enumerate() {
+    for (number, (name, pushed)) in updates.into_iter().enumerate() {
         samples.check(
             &format!("down.push.{name}"),
-            &PublisherMessage::Push { number: number as u64 + 1, update: news },
+            &PublisherMessage::Push { number: number as u64 + 1, update: pushed },
         );
     }
 }
@@ -181,24 +182,25 @@
     let id = call_id();
     let edges = [member("edge-1", ProxyRole::Edge)];
     samples.check("peer.sessions.whole", &PeerMessage::Members(MembersUpdate::snapshot(&edges)));
-    let difference =
-        MembersUpdate::delta(&edges, &[member("edge-2", ProxyRole::Edge)]).expect("a difference");
-    samples.check("peer.sessions.change", &PeerMessage::Members(difference));
+    let delta =
+        MembersUpdate::delta(&edges, &[member("edge-2", ProxyRole::Edge)]).expect("the members differ");
+    samples.check("peer.sessions.change", &PeerMessage::Members(delta));
     let statuses = [EntryStatus::Ready, EntryStatus::Draining, EntryStatus::Deregistered];
     let servers = statuses.map(|status| ObservedServer { entry: server_entry(status), age_ms: 250 }).to_vec();
     samples.check("peer.servers", &PeerMessage::Servers(servers));
     let entry = server_entry(EntryStatus::Draining);
     samples.check("peer.urgent", &PeerMessage::ReplicateServer { id, entry, forward: true });
     let purge = Purge::Label("l".into());
-    let stamped = PurgeRecord { origin: ip(1), incarnation: 1_000_000_007, number: 3, age_ms: 12, purge };
+    let purge_record =
+        PurgeRecord { origin: ip(1), incarnation: 1_000_000_007, number: 3, age_ms: 12, purge };
     samples.check(
         "peer.purges.history",
-        &PeerMessage::Purges { id: None, purges: vec![stamped.clone()], already_notified: None },
+        &PeerMessage::Purges { id: None, purges: vec![purge_record.clone()], already_notified: None },
     );
-    let asked = Some(vec![ProcessId { ip: ip(2), incarnation: 8 }]);
+    let notified = Some(vec![ProcessId { ip: ip(2), incarnation: 8 }]);
     samples.check(
         "peer.purges.call",
-        &PeerMessage::Purges { id: Some(id), purges: vec![stamped], already_notified: asked },
+        &PeerMessage::Purges { id: Some(id), purges: vec![purge_record], already_notified: notified },
     );
     samples.check("peer.purge-written", &PeerMessage::PurgeDurable { incarnation: 1_000_000_007, number: 3 });
     samples.check("peer.done", &PeerMessage::Acknowledged { id, complete: true });
@@ -273,7 +275,7 @@
     samples.check("chain.confirm.committed", &PeerMessage::Chain(confirm));
 }
 
-/// The number of each variant on the wire, also of those without a sample above.
+/// Each variant with its number on the wire, also those that no sample above contains.
 fn check_invalid_documents(samples: &mut Samples) {
     let invalid = [
         InvalidConfig::Unreadable("w".into()),
@@ -293,14 +295,14 @@
     }
 }
 
-/// The form on disk before layout 3, and in snapshots.
+/// The durable state in the form that snapshots have, and that files on disk had before layout 3.
 fn check_hard_state(samples: &mut Samples) {
     let state = HardState { members: voters(), votes: true, promised: 1025, accepted: 513, record: record() };
     samples.check("hard-state", &state);
 }
 
 #[test]
-fn each_message_has_the_bytes_of_the_fixture_and_is_read_from_them() {
+fn each_message_encodes_to_the_bytes_of_the_fixture_and_decodes_from_them() {
     let expected = std::fs::read_to_string(Path::new(FIXTURE)).unwrap_or_default();
     let mut samples = Samples { expected, actual: String::new() };
     check_connection_openings(&mut samples);
