--- a/control-plane/src/chain/ballot.rs
+++ b/control-plane/src/chain/ballot.rs
@@ -39,7 +39,7 @@
 /// Another proposer, whose proposal this node lets finish before it proposes itself. Two proposers that interrupt each
 /// other would make no progress (*Paxos Made Simple*, 2.4).
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Deference {
+pub(super) struct ProposerBackoff {
     pub(super) proposer: NodeId,
     pub(super) until: Millis,
 }
@@ -51,8 +51,9 @@
     /// chain but does not count for a quorum.
     pub(super) fn handle_prepare(&mut self, from: NodeId, ballot: u64) {
         self.note_ballot(ballot);
-        if from != self.me {
-            self.deference = Some(Deference { proposer: from, until: self.now + PROPOSAL_TIMEOUT });
+        if from != self.node_id {
+            self.proposer_backoff =
+                Some(ProposerBackoff { proposer: from, until: self.now + PROPOSAL_TIMEOUT });
         }
         if !self.hard_state.votes {
             let (accepted, members, record) = (None, JointConfig::default(), Arc::default());
--- a/control-plane/src/chain/client_calls.rs
+++ b/control-plane/src/chain/client_calls.rs
@@ -105,15 +105,15 @@
         let Some(view) = &self.known_view else { return };
         let Some(head) = view.head() else { return };
         let ballot = view.number;
-        let mut due = Vec::new();
+        let mut forwards = Vec::new();
         for (number, pending) in &mut self.calls {
             if pending.forwarded_in.is_none_or(|last| last < ballot) {
                 pending.forwarded_in = Some(ballot);
                 let id = CallId { incarnation: self.incarnation, number: *number };
-                due.push(Message::Forward { id, call: pending.call.clone() });
+                forwards.push(Message::Forward { id, call: pending.call.clone() });
             }
         }
-        for forward in due {
+        for forward in forwards {
             self.send(head, forward);
         }
     }
@@ -140,7 +140,7 @@
     /// The ballot of the active view, if this node is its head and no later promise has fenced the view.
     fn ballot_as_head(&self) -> Option<u64> {
         let view = &self.active_view()?.view;
-        let is_head = view.head() == Some(self.me) && self.hard_state.promised == view.number;
+        let is_head = view.head() == Some(self.node_id) && self.hard_state.promised == view.number;
         is_head.then_some(view.number)
     }
 
--- a/control-plane/src/chain/message.rs
+++ b/control-plane/src/chain/message.rs
@@ -15,7 +15,7 @@
 use crate::record::Record;
 
 /// Bound of the members of a chain: all voters of two sets.
-const MAX_CHAIN: usize = 2 * MAX_VOTERS;
+const MAX_CHAIN_LENGTH: usize = 2 * MAX_VOTERS;
 
 /// State that a node reports to its peers at every [`HEARTBEAT_INTERVAL`](crate::chain::HEARTBEAT_INTERVAL).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -150,56 +150,56 @@
     /// Whether the message is well-formed. Malformed ones are ignored, so that a faulty peer does not make others fail.
     pub fn is_well_formed(&self) -> bool {
         match self {
-            Message::Heartbeat(heartbeat) => is_sound_heartbeat(heartbeat),
+            Message::Heartbeat(heartbeat) => is_valid_heartbeat(heartbeat),
             Message::Prepare { view } | Message::Installed { view } => ballot::is_valid(*view),
             Message::Promise { view, accepted, members, record } => {
                 ballot::is_valid(*view)
                     && accepted.is_none_or(ballot::is_valid)
-                    && is_sound_config(members)
-                    && is_sound_record(record)
+                    && is_valid_config(members)
+                    && is_valid_record(record)
             }
             Message::Nack { promised } => ballot::is_valid(*promised),
-            Message::Install { view, record } => is_sound_view(view) && is_sound_record(record),
-            Message::StartView { view } => is_sound_view(view),
+            Message::Install { view, record } => is_valid_view(view) && is_valid_record(record),
+            Message::StartView { view } => is_valid_view(view),
             Message::Update { view, entry } => ballot::is_valid(*view) && ballot::is_valid(entry.seq),
             Message::Acked { view, seq } => ballot::is_valid(*view) && ballot::is_valid(*seq),
-            Message::Committed { record } => is_sound_record(record),
-            Message::Confirm { view, claim, .. } => ballot::is_valid(*view) && is_sound_claim(claim),
-            Message::Answer { outcome: Outcome::Document(record), .. } => is_sound_record(record),
+            Message::Committed { record } => is_valid_record(record),
+            Message::Confirm { view, claim, .. } => ballot::is_valid(*view) && is_valid_claim(claim),
+            Message::Answer { outcome: Outcome::Document(record), .. } => is_valid_record(record),
             Message::Forward { .. } | Message::Answer { .. } => true,
         }
     }
 }
 
 /// The bound of the deduplication table is checked where it is deserialised.
-fn is_sound_record(record: &Record) -> bool {
+fn is_valid_record(record: &Record) -> bool {
     ballot::is_valid(record.seq) && record.applied_orders.newest_rev() <= record.rev
 }
 
-fn is_sound_config(config: &JointConfig) -> bool {
+fn is_valid_config(config: &JointConfig) -> bool {
     config.voters.len() <= MAX_VOTERS && config.outgoing.len() <= MAX_VOTERS
 }
 
-fn is_sound_view(view: &View) -> bool {
+fn is_valid_view(view: &View) -> bool {
     // A member that is in the chain twice would forward messages to itself for ever.
     let distinct = view.chain.iter().collect::<BTreeSet<_>>().len() == view.chain.len();
     ballot::is_valid(view.number)
         && distinct
         && !view.chain.is_empty()
-        && view.chain.len() <= MAX_CHAIN
-        && is_sound_config(&view.members)
+        && view.chain.len() <= MAX_CHAIN_LENGTH
+        && is_valid_config(&view.members)
         && !view.members.voters.is_empty()
 }
 
-fn is_sound_heartbeat(heartbeat: &Heartbeat) -> bool {
+fn is_valid_heartbeat(heartbeat: &Heartbeat) -> bool {
     ballot::is_valid(heartbeat.promised)
         && ballot::is_valid(heartbeat.committed)
-        && is_sound_config(&heartbeat.members)
+        && is_valid_config(&heartbeat.members)
         && heartbeat.reachable_peers.len() <= MAX_NODES
-        && heartbeat.view.as_ref().is_none_or(is_sound_view)
+        && heartbeat.view.as_ref().is_none_or(is_valid_view)
 }
 
-fn is_sound_claim(claim: &Claim) -> bool {
+fn is_valid_claim(claim: &Claim) -> bool {
     match claim {
         Claim::Committed { .. } => true,
         Claim::Decided(outcome) => matches!(
--- a/control-plane/src/chain/mod.rs
+++ b/control-plane/src/chain/mod.rs
@@ -57,7 +57,7 @@
 use std::sync::Arc;
 
 use crate::Millis;
-use ballot::Deference;
+use ballot::ProposerBackoff;
 use client_calls::{PendingCall, QueuedChange};
 use peers::Peers;
 use proposal::{Accepted, Proposal};
@@ -87,7 +87,7 @@
 /// One control node of the chain.
 #[derive(Clone, Debug)]
 pub struct Chain {
-    me: NodeId,
+    node_id: NodeId,
     /// Distinguishes this process from all others that run at this address.
     incarnation: u64,
     settings: ChainSettings,
@@ -108,7 +108,7 @@
     accepted_config: Option<JointConfig>,
     /// Since when a new view has been needed and possible.
     needed_since: Option<Millis>,
-    deference: Option<Deference>,
+    proposer_backoff: Option<ProposerBackoff>,
     last_heartbeat: Option<Millis>,
     /// At the head: the change that is being replicated.
     in_flight: Option<InFlight>,
@@ -127,10 +127,10 @@
 
 impl Chain {
     /// Creates a node that starts.
-    pub fn new(me: NodeId, settings: ChainSettings, start: Start) -> Self {
+    pub fn new(node_id: NodeId, settings: ChainSettings, start: Start) -> Self {
         let hard_state = HardState::from(start);
         Chain {
-            me,
+            node_id,
             incarnation: 0,
             settings,
             highest_ballot: hard_state.promised,
@@ -144,7 +144,7 @@
             proposal: None,
             accepted_config: None,
             needed_since: None,
-            deference: None,
+            proposer_backoff: None,
             last_heartbeat: None,
             in_flight: None,
             requested_voters: None,
@@ -176,7 +176,7 @@
 
     /// Whether the voters are enough to survive the losses that the settings promise.
     pub fn tolerates_losses(&self) -> bool {
-        self.members().survives(self.settings.losses)
+        self.members().tolerates(self.settings.losses)
     }
 
     /// The newest view that is known to have started.
@@ -295,7 +295,7 @@
     /// Adds an output for the caller. A message of this node to itself goes to its inbox.
     fn emit(&mut self, output: Output) {
         match output {
-            Output::Send(to, message) if to == self.me => self.inbox.push_back(message),
+            Output::Send(to, message) if to == self.node_id => self.inbox.push_back(message),
             output => self.outputs.push(output),
         }
     }
@@ -314,7 +314,7 @@
     /// Handles the messages of this node to itself, and returns all outputs.
     fn take_outputs(&mut self) -> Vec<Output> {
         while let Some(message) = self.inbox.pop_front() {
-            self.handle(self.me, message);
+            self.handle(self.node_id, message);
         }
         std::mem::take(&mut self.outputs)
     }
--- a/control-plane/src/chain/peers.rs
+++ b/control-plane/src/chain/peers.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::chain::settings::{
-    DISK_STALL, MAX_EXCLUSION, MIN_EXCLUSION, RESEND_INTERVAL, SLOW_PEER_EXCLUSION,
+    DISK_STALL_TIMEOUT, MAX_EXCLUSION, MIN_EXCLUSION, RESEND_INTERVAL, SLOW_PEER_EXCLUSION,
 };
 use crate::chain::{Chain, Heartbeat, JointConfig, Message, Output};
 use crate::ids::NodeId;
@@ -86,14 +86,14 @@
     }
 
     /// Whether the predicate selects a peer; false for an unknown one.
-    pub(super) fn check(&self, node: NodeId, predicate: impl Fn(&Peer) -> bool) -> bool {
+    pub(super) fn matches(&self, node: NodeId, predicate: impl Fn(&Peer) -> bool) -> bool {
         self.0.get(&node).is_some_and(predicate)
     }
 
     /// Whether two peers receive messages from each other, by their last heartbeats.
     fn connected(&self, one: NodeId, other: NodeId) -> bool {
-        self.check(one, |peer| peer.heartbeat.reachable_peers.contains(&other))
-            && self.check(other, |peer| peer.heartbeat.reachable_peers.contains(&one))
+        self.matches(one, |peer| peer.heartbeat.reachable_peers.contains(&other))
+            && self.matches(other, |peer| peer.heartbeat.reachable_peers.contains(&one))
     }
 
     /// Excludes peers that did not answer a proposal.
@@ -209,27 +209,27 @@
     /// Whether this node must not be in a chain, as it is draining or its disk stalls.
     pub(super) fn is_unfit(&self) -> bool {
         self.draining
-            || self.disk_writes.front().is_some_and(|write| self.now >= write.started_at + DISK_STALL)
+            || self.disk_writes.front().is_some_and(|write| self.now >= write.started_at + DISK_STALL_TIMEOUT)
     }
 
     /// Whether the link to a peer is up and a message was received within the time-out.
     pub(super) fn is_reachable(&self, node: NodeId) -> bool {
         let timeout = self.settings.peer_timeout();
-        self.peers.check(node, |peer| peer.up && self.now < peer.last_received + timeout)
+        self.peers.matches(node, |peer| peer.up && self.now < peer.last_received + timeout)
     }
 
     /// Whether a peer counts as failed at this node. A node never counts itself as failed.
     pub(super) fn has_failed(&self, node: NodeId) -> bool {
-        node != self.me && !self.is_reachable(node)
+        node != self.node_id && !self.is_reachable(node)
     }
 
     /// Whether a peer can be in a chain: it and this node reach each other, it is not unfit, and it is not excluded.
     fn can_take_part(&self, node: NodeId) -> bool {
         let can_take_part = |peer: &Peer| {
-            let reaches_this_node = peer.heartbeat.reachable_peers.contains(&self.me);
+            let reaches_this_node = peer.heartbeat.reachable_peers.contains(&self.node_id);
             reaches_this_node && !peer.heartbeat.unfit && self.now >= peer.excluded_until
         };
-        self.is_reachable(node) && self.peers.check(node, can_take_part)
+        self.is_reachable(node) && self.peers.matches(node, can_take_part)
     }
 
     /// The nodes that may be in the chain: the voters, and the nodes that may become voters.
@@ -247,13 +247,13 @@
     /// member is dropped for a node that is back and not connected to all others yet. Standbys come last.
     pub(super) fn reachable_candidates(&self) -> Vec<NodeId> {
         let members = self.members();
-        if !members.contains(self.me) || self.is_unfit() {
+        if !members.contains(self.node_id) || self.is_unfit() {
             return Vec::new();
         }
         let in_known_chain =
             |node: &NodeId| self.known_view.as_ref().is_some_and(|view| view.chain.contains(node));
         let mut others = self.candidates();
-        others.retain(|node| *node != self.me && self.can_take_part(*node));
+        others.retain(|node| *node != self.node_id && self.can_take_part(*node));
         others.sort_by_key(|node| (!members.contains(*node), !in_known_chain(node), *node));
         let mut chosen: Vec<NodeId> = Vec::new();
         for node in others {
@@ -261,7 +261,7 @@
                 chosen.push(node);
             }
         }
-        chosen.push(self.me);
+        chosen.push(self.node_id);
         chosen.sort();
         chosen
     }
@@ -278,10 +278,10 @@
 
     /// Whether a node may have forgotten promises, and so has no vote.
     pub(super) fn is_wiped(&self, node: NodeId) -> bool {
-        if node == self.me {
+        if node == self.node_id {
             return !self.hard_state.votes;
         }
-        self.peers.check(node, |peer| peer.heartbeat.wiped)
+        self.peers.matches(node, |peer| peer.heartbeat.wiped)
     }
 
     /// Whether this node reaches a quorum of the voters, itself included.
@@ -299,7 +299,7 @@
     /// that each of the peers knows: this node may have been replaced without having learned so.
     pub fn is_quorum(&self, answered: &[NodeId]) -> bool {
         let is_quorum =
-            |members: &JointConfig| members.majority(|node| *node == self.me || answered.contains(node));
+            |members: &JointConfig| members.majority(|node| *node == self.node_id || answered.contains(node));
         let known_to_peers =
             answered.iter().filter_map(|node| self.peers.get(*node)).map(|peer| &peer.heartbeat.members);
         is_quorum(self.members())
--- a/control-plane/src/chain/proposal.rs
+++ b/control-plane/src/chain/proposal.rs
@@ -148,7 +148,7 @@
     }
 
     /// The newest accepted state among the promises, once all are received or [`PROMISE_TIMEOUT`] has passed.
-    pub(super) fn gathered(&self, now: Millis) -> Option<Accepted> {
+    pub(super) fn phase_one_result(&self, now: Millis) -> Option<Accepted> {
         let Phase::Gathering(gathering) = &self.phase else { return None };
         let all_answered = self.target.iter().all(|node| gathering.promises.contains_key(node));
         if !all_answered && now < self.started_at + PROMISE_TIMEOUT {
--- a/control-plane/src/chain/quorum.rs
+++ b/control-plane/src/chain/quorum.rs
@@ -40,7 +40,7 @@
     }
 
     /// Whether any `losses` voters may fail, with their disks, and the others are still a quorum.
-    pub(super) fn survives(&self, losses: usize) -> bool {
+    pub(super) fn tolerates(&self, losses: usize) -> bool {
         self.every_set(|set| set.len() > 2 * losses)
     }
 
--- a/control-plane/src/chain/quorum_read.rs
+++ b/control-plane/src/chain/quorum_read.rs
@@ -19,7 +19,7 @@
         }
         self.start_view_if_proved(ballot);
         let Some(view) = self.unfenced_view(ballot) else { return };
-        if let Some(next) = view.successor(self.me) {
+        if let Some(next) = view.successor(self.node_id) {
             return self.send(next, Message::Confirm { view: ballot, origin, id, claim });
         }
         let outcome = self.answer_claim(claim);
--- a/control-plane/src/chain/reconfiguration.rs
+++ b/control-plane/src/chain/reconfiguration.rs
@@ -92,7 +92,7 @@
     ) -> Result<Vec<NodeId>, VoterChangeError> {
         self.now = now;
         let members = self.members();
-        if self.active_view().is_none() || !members.contains(self.me) || !self.has_quorum() {
+        if self.active_view().is_none() || !members.contains(self.node_id) || !self.has_quorum() {
             return Err(VoterChangeError::NoView);
         }
         if members.is_joint() || self.requested_voters.is_some() {
@@ -119,10 +119,10 @@
         if voters.len() >= MAX_VOTERS {
             return Err(VoterChangeError::TooManyVoters);
         }
-        if !self.peers.check(node, |peer| peer.up) {
+        if !self.peers.matches(node, |peer| peer.up) {
             return Err(VoterChangeError::Unreachable(node));
         }
-        if !self.peers.check(node, |peer| peer.heartbeat.eligible) {
+        if !self.peers.matches(node, |peer| peer.heartbeat.eligible) {
             return Err(VoterChangeError::NotEligible(node));
         }
         if !reachable.contains(&node) {
@@ -224,7 +224,7 @@
     /// Whether a voter has to be replaced: it has been unreachable for too long, or it is draining. A draining voter may
     /// never come back, and is replaced before it stops.
     fn has_to_be_replaced(&self, voter: NodeId) -> bool {
-        self.peers.check(voter, |peer| peer.draining)
+        self.peers.matches(voter, |peer| peer.draining)
             || self.time_since_last_message(voter) >= self.settings.replaced_after()
     }
 
@@ -242,13 +242,13 @@
         let installed = self.installed.as_ref().map(|installed| &installed.view);
         let views = [installed, self.known_view.as_ref()].into_iter().flatten();
         let newest = views.max_by_key(|view| view.number);
-        let in_chain = newest.is_some_and(|view| view.chain.contains(&self.me) && view.chain.len() > 1);
+        let in_chain = newest.is_some_and(|view| view.chain.contains(&self.node_id) && view.chain.len() > 1);
         let members = self.members();
         // During a reconfiguration this node may be an outgoing voter, which a quorum still needs.
         let can_be_replaced = || {
             let is_fit = |peer: &Peer| !peer.heartbeat.unfit;
-            members.is_joint() || self.standbys().iter().any(|node| self.peers.check(*node, is_fit))
+            members.is_joint() || self.standbys().iter().any(|node| self.peers.matches(*node, is_fit))
         };
-        in_chain || members.contains(self.me) && can_be_replaced()
+        in_chain || members.contains(self.node_id) && can_be_replaced()
     }
 }
--- a/control-plane/src/chain/replication.rs
+++ b/control-plane/src/chain/replication.rs
@@ -37,7 +37,7 @@
         let Some(view) = self.unfenced_view(ballot) else { return };
         let record = &self.hard_state.record;
         let is_next = entry.seq == record.seq + 1 && entry.order.rev > record.rev;
-        if is_next && view.predecessor(self.me) == Some(from) {
+        if is_next && view.predecessor(self.node_id) == Some(from) {
             self.start_view_if_proved(ballot);
             self.accept(entry);
         }
@@ -47,7 +47,7 @@
     pub(super) fn accept(&mut self, entry: &Arc<LogEntry>) {
         let Some(installed) = &self.installed else { return };
         let view = &installed.view;
-        let follow_up = if let Some(next) = view.successor(self.me) {
+        let follow_up = if let Some(next) = view.successor(self.node_id) {
             let update = Message::Update { view: view.number, entry: Arc::clone(entry) };
             vec![Output::Send(next, update)]
         } else {
@@ -83,7 +83,7 @@
     }
 
     fn is_tail(&self) -> bool {
-        self.installed.as_ref().and_then(|installed| installed.view.tail()) == Some(self.me)
+        self.installed.as_ref().and_then(|installed| installed.view.tail()) == Some(self.node_id)
     }
 
     /// Sends a committed record to the nodes outside the chain.
--- a/control-plane/src/chain/settings.rs
+++ b/control-plane/src/chain/settings.rs
@@ -31,7 +31,7 @@
 /// Exclusion of a peer whose promise came too late for a proposal. A slow machine would lead to view after view otherwise.
 pub(super) const SLOW_PEER_EXCLUSION: Millis = 1000;
 /// A disk write that takes longer means that the disk stalls: the chain continues without this node.
-pub(super) const DISK_STALL: Millis = 600;
+pub(super) const DISK_STALL_TIMEOUT: Millis = 600;
 /// Time that a machine has for catching up, where the settings do not say.
 const DEFAULT_SYNC: Millis = 4000;
 /// Time of the three views of a reconfiguration on slow disks (50 ms for each sync), each after one stagger: see
@@ -99,7 +99,7 @@
     }
 
     /// Time of a reconfiguration with all further losses during it, without the time to detect any loss.
-    fn views_time(&self) -> Millis {
+    fn view_changes_time(&self) -> Millis {
         RECONFIGURATION_TIME + self.further_losses() * FURTHER_VIEW_TIME
     }
 
@@ -107,14 +107,14 @@
     /// all have to be detected within `sync`: more losses, or a shorter `sync`, need a shorter time-out.
     pub(super) fn peer_timeout(&self) -> Millis {
         let detections = (self.losses as Millis).max(1);
-        let time_left = self.sync.saturating_sub(self.views_time());
+        let time_left = self.sync.saturating_sub(self.view_changes_time());
         (time_left / detections).clamp(MIN_PEER_TIMEOUT, MAX_PEER_TIMEOUT)
     }
 
     /// Upper bound of the time from the start of a standby until the machine that it replaces is no voter, with all further
     /// promised losses during the reconfiguration. It has to be within `sync`.
     pub fn replacement_time(&self) -> Millis {
-        self.replaced_after() + self.views_time() + self.further_losses() * self.peer_timeout()
+        self.replaced_after() + self.view_changes_time() + self.further_losses() * self.peer_timeout()
     }
 
     /// Checks that the promised losses can be repaired within `sync`, one after the other.
@@ -134,7 +134,7 @@
     /// loss, so that the remaining part of `sync` has to suffice for the reconfiguration, with all other promised losses
     /// during it. Where there is time, a machine that only restarts keeps its vote.
     pub fn replaced_after(&self) -> Millis {
-        let reconfiguration = self.views_time() + self.further_losses() * self.peer_timeout();
+        let reconfiguration = self.view_changes_time() + self.further_losses() * self.peer_timeout();
         let time_left = self.sync.saturating_sub(reconfiguration);
         time_left.min(self.sync / 2).max(self.peer_timeout())
     }
--- a/control-plane/src/chain/view_change.rs
+++ b/control-plane/src/chain/view_change.rs
@@ -35,8 +35,9 @@
     }
 
     fn break_view_with_failed_member(&mut self) {
-        let lost = |installed: &InstalledView| installed.view.chain.iter().any(|node| self.has_failed(*node));
-        if self.active_view().is_some_and(lost) {
+        let has_failed_member =
+            |installed: &InstalledView| installed.view.chain.iter().any(|node| self.has_failed(*node));
+        if self.active_view().is_some_and(has_failed_member) {
             self.break_view();
         }
     }
@@ -49,8 +50,8 @@
         let reachable = self.reachable_candidates();
         let wanted_voters = self.wanted_voters(&reachable);
         let target = self.next_chain(reachable, wanted_voters.as_deref());
-        let changing = wanted_voters.is_some() || self.members().is_joint();
-        let needed = changing || self.active_view().is_none_or(|active| active.view.chain != target);
+        let reconfiguring = wanted_voters.is_some() || self.members().is_joint();
+        let needed = reconfiguring || self.active_view().is_none_or(|active| active.view.chain != target);
         let possible = self.proposal.is_none() && self.can_gather_quorum(&target);
         if !needed || !possible || self.waits_to_be_included() {
             self.needed_since = None;
@@ -58,7 +59,7 @@
         }
         let since = *self.needed_since.get_or_insert(self.now);
         let stagger = PROPOSER_STAGGER * self.proposers_before(&target) as Millis;
-        if !self.defers() && self.now >= since + PROPOSAL_DELAY + stagger {
+        if !self.backs_off() && self.now >= since + PROPOSAL_DELAY + stagger {
             self.propose(target, wanted_voters);
         }
     }
@@ -95,9 +96,9 @@
             return false;
         }
         let known = self.known_view.as_ref().map_or(0, |view| view.number);
-        let excludes_this_node = |view: &View| view.number >= known && !view.chain.contains(&self.me);
+        let excludes_this_node = |view: &View| view.number >= known && !view.chain.contains(&self.node_id);
         self.peers.ids().filter(|peer| self.is_reachable(*peer)).any(|peer| {
-            self.peers.check(peer, |peer| peer.heartbeat.view.as_ref().is_some_and(excludes_this_node))
+            self.peers.matches(peer, |peer| peer.heartbeat.view.as_ref().is_some_and(excludes_this_node))
         })
     }
 
@@ -113,16 +114,16 @@
                 && !self.is_wiped(node)
                 && self.active_view().is_none_or(|active| active.view.chain.contains(&node))
         };
-        target.iter().filter(|node| **node < self.me && may_propose(**node)).count()
+        target.iter().filter(|node| **node < self.node_id && may_propose(**node)).count()
     }
 
     /// Whether this node lets the proposal of another node finish first.
-    fn defers(&self) -> bool {
-        self.deference.is_some_and(|other| self.now < other.until && self.is_reachable(other.proposer))
+    fn backs_off(&self) -> bool {
+        self.proposer_backoff.is_some_and(|other| self.now < other.until && self.is_reachable(other.proposer))
     }
 
     fn propose(&mut self, target: Vec<NodeId>, wanted_voters: Option<Vec<NodeId>>) {
-        let ballot = ballot::next(self.highest_ballot, self.me);
+        let ballot = ballot::next(self.highest_ballot, self.node_id);
         self.highest_ballot = ballot;
         self.needed_since = None;
         self.proposal = Some(Proposal::begin(ballot, self.now, target.clone(), wanted_voters));
@@ -164,13 +165,13 @@
             return;
         };
         let mut unresponsive = proposal.unanswered();
-        unresponsive.retain(|node| *node != self.me);
+        unresponsive.retain(|node| *node != self.node_id);
         self.peers.exclude_unresponsive(&unresponsive, self.now);
     }
 
     fn choose_view(&mut self) -> Option<ChosenView> {
         let proposal = self.proposal.as_mut()?;
-        let newest = proposal.gathered(self.now)?;
+        let newest = proposal.phase_one_result(self.now)?;
         let slow = proposal.unanswered();
         let started = self.known_view.as_ref().is_some_and(|known| known.number >= newest.ballot);
         let chosen = proposal.choose_view(&newest, started);
@@ -227,7 +228,7 @@
 
     /// Handles the message that all members have made a view durable.
     pub(super) fn handle_start_view(&mut self, view: View) {
-        self.deference = None;
+        self.proposer_backoff = None;
         self.accepted_config = None;
         self.peers.readmit(&view.chain);
         if self.known_view.as_ref().is_none_or(|known| known.number < view.number) {
--- a/control-plane/src/deduplication.rs
+++ b/control-plane/src/deduplication.rs
@@ -93,7 +93,7 @@
 #[serde(try_from = "WireTable", into = "WireTable")]
 pub struct DeduplicationTable {
     /// The horizon.
-    forgotten_up_to: u64,
+    horizon: u64,
     /// Chunks of [`CHUNK`] orders, the oldest first. Successive records share them.
     full_chunks: Vec<Arc<[AppliedOrder]>>,
     /// The newest orders, fewer than [`CHUNK`].
@@ -129,7 +129,7 @@
 impl DeduplicationTable {
     /// The empty table of a node that has lost, or was never sent, the keys of orders up to a version.
     pub fn with_horizon(up_to: u64) -> Self {
-        DeduplicationTable { forgotten_up_to: up_to, ..DeduplicationTable::default() }
+        DeduplicationTable { horizon: up_to, ..DeduplicationTable::default() }
     }
 
     /// The table of these orders, the oldest first.
@@ -137,7 +137,7 @@
     /// # Errors
     ///
     /// [`InvalidTable`] where there are too many orders, or their versions do not rise.
-    pub fn from_orders(forgotten_up_to: u64, orders: &[AppliedOrder]) -> Result<Self, InvalidTable> {
+    pub fn from_orders(horizon: u64, orders: &[AppliedOrder]) -> Result<Self, InvalidTable> {
         if orders.len() > MAX_APPLIED_ORDERS {
             return Err(InvalidTable::TooMany(orders.len()));
         }
@@ -147,7 +147,7 @@
         }
         let chunks = orders.chunks_exact(CHUNK_ORDERS);
         let open_chunk = chunks.remainder().to_vec();
-        Ok(DeduplicationTable { forgotten_up_to, full_chunks: chunks.map(Arc::from).collect(), open_chunk })
+        Ok(DeduplicationTable { horizon, full_chunks: chunks.map(Arc::from).collect(), open_chunk })
     }
 
     /// The orders, the oldest first.
@@ -173,7 +173,7 @@
 
     /// The horizon, which is the highest version of an order that may have been applied and evicted.
     pub fn horizon(&self) -> u64 {
-        self.forgotten_up_to
+        self.horizon
     }
 
     /// The full chunks, the oldest first. They no longer change.
@@ -189,7 +189,7 @@
     /// Raises the horizon. The table can no longer tell whether an order up to this version that it does not contain was
     /// applied.
     pub fn raise_horizon(&mut self, rev: u64) {
-        self.forgotten_up_to = self.forgotten_up_to.max(rev);
+        self.horizon = self.horizon.max(rev);
     }
 
     /// Adds the newest order, and evicts the oldest chunk where there are too many orders.
@@ -212,7 +212,7 @@
 
 impl From<DeduplicationTable> for WireTable {
     fn from(table: DeduplicationTable) -> WireTable {
-        WireTable { forgotten_up_to: table.forgotten_up_to, orders: table.iter().copied().collect() }
+        WireTable { forgotten_up_to: table.horizon, orders: table.iter().copied().collect() }
     }
 }
 
--- a/control-plane/src/lease.rs
+++ b/control-plane/src/lease.rs
@@ -25,13 +25,13 @@
 /// Longest lease that a session is granted. Sessions renew it with each ping.
 pub const SESSION_LEASE: Millis = 1200;
 /// Two clocks may differ by 1 % in rate: a granter waits longer by one part in so many.
-const CLOCK_RATE_SHARE: Millis = 100;
+const CLOCK_DRIFT_DIVISOR: Millis = 100;
 /// Readings are truncated to whole milliseconds at each hop.
-const CLOCK_ROUNDING: Millis = 10;
+const CLOCK_ROUNDING_MARGIN: Millis = 10;
 
 /// How long a granter waits until a lease of this length has expired at its holder.
 pub const fn granter_wait(duration: Millis) -> Millis {
-    duration + duration.div_ceil(CLOCK_RATE_SHARE) + CLOCK_ROUNDING
+    duration + duration.div_ceil(CLOCK_DRIFT_DIVISOR) + CLOCK_ROUNDING_MARGIN
 }
 
 /// A lease at its holder, by the holder's clock. A new one has expired already.
