--- a/control-plane/src/chain/ballot.rs
+++ b/control-plane/src/chain/ballot.rs
@@ -1,10 +1,10 @@
 //! Ballots, and the acceptor's promises on them (phase 1 of *Paxos Made Simple*, 2.2).
 //!
-//! A ballot has a round number in its upper half and the proposer's address in its lower half, so that no two nodes propose
-//! under the same ballot.
+//! A ballot has a round number in its upper half and the proposer's address in its lower half, so that no two nodes ever
+//! propose with the same ballot.
 //!
-//! Invariants of an acceptor: the promised ballot never falls, and it is durable before the promise is sent. After a promise
-//! the acceptor takes no part in a view with a lower ballot.
+//! Invariants of an acceptor: the promised ballot never decreases, and it is durable before the promise is sent. After a
+//! promise the acceptor does not participate in views with a lower ballot.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -16,28 +16,28 @@
 
 /// Bits of the proposer's address in a ballot.
 const PROPOSER_BITS: u32 = 32;
-/// Bound of ballots and log indexes. A ballot rises by 2^32 with each view and an index by 1, so that no system reaches the
-/// bound. A number above it is malformed: it would leave no higher ballot to propose under.
+/// Upper bound of ballots and log indexes. A ballot increases by about 2^32 with each view and an index by 1, so that no
+/// system reaches the bound. A higher number is malformed, and is rejected, as a proposer needs a still higher ballot.
 const NUMBER_LIMIT: u64 = 1 << 62;
 
-/// Whether a ballot or log index is in the range that nodes of this system send.
+/// Whether a ballot or log index is in the valid range.
 pub(super) fn is_valid(number: u64) -> bool {
     number < NUMBER_LIMIT
 }
 
-/// The lowest ballot of a proposer above the highest one that it knows.
+/// The lowest ballot of a proposer whose round is above that of the highest ballot that it knows.
 pub(super) fn next(highest: u64, proposer: NodeId) -> u64 {
     let round = (highest >> PROPOSER_BITS) + 1;
     (round << PROPOSER_BITS) | u64::from(u32::from(proposer))
 }
 
-/// A readable name of a ballot: its round number and its proposer's address.
+/// A ballot in readable form: its round number and its proposer's address.
 pub(super) fn name(ballot: u64) -> String {
     format!("{}.{}", ballot >> PROPOSER_BITS, Ipv4Addr::from(ballot as u32))
 }
 
-/// Another proposer, whose proposal this node lets finish before it proposes itself. Two proposers that interrupt each
-/// other would make no progress (*Paxos Made Simple*, 2.4).
+/// Delays this node's own proposal until the proposal of another node has finished. Two proposers that keep interrupting
+/// each other would make no progress (*Paxos Made Simple*, 2.4).
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ProposerBackoff {
     pub(super) proposer: NodeId,
@@ -45,10 +45,10 @@
 }
 
 impl Chain {
-    /// The acceptor's part of phase 1: it promises the ballot, or sends a nack where it has promised a higher one.
+    /// The acceptor's part of phase 1: it promises the ballot, or sends a nack if it has promised this or a higher one.
     ///
-    /// A node without a vote may have forgotten promises. It answers without an accepted record, which lets it join the
-    /// chain but does not count for a quorum.
+    /// A node without a vote may have lost its earlier promises. It answers without an accepted record: the proposer can
+    /// include it in the chain, but does not count it towards a quorum.
     pub(super) fn handle_prepare(&mut self, from: NodeId, ballot: u64) {
         self.note_ballot(ballot);
         if from != self.node_id {
@@ -75,8 +75,8 @@
         self.persist(vec![Output::Send(from, promise)]);
     }
 
-    /// A peer has promised a higher ballot. The active view cannot go on if the peer is in its chain, and a proposal under
-    /// a lower ballot cannot succeed.
+    /// Handles the message that a peer has promised a higher ballot. The view cannot continue if the peer is in its
+    /// chain, and a proposal with a lower ballot cannot succeed.
     pub(super) fn handle_nack(&mut self, from: NodeId, promised: u64) {
         self.note_ballot(promised);
         let fenced = self.installed.as_ref().is_some_and(|installed| {
@@ -90,12 +90,12 @@
         }
     }
 
-    /// Sends a peer the higher ballot that this node has promised.
+    /// Tells a peer which higher ballot this node has promised.
     pub(super) fn send_nack(&mut self, to: NodeId) {
         self.send(to, Message::Nack { promised: self.hard_state.promised });
     }
 
-    /// Records a ballot, so that this node's next proposal has a higher one.
+    /// Records a ballot, so that the next proposal of this node has a higher one.
     pub(super) fn note_ballot(&mut self, ballot: u64) {
         self.highest_ballot = self.highest_ballot.max(ballot);
     }
--- a/control-plane/src/chain/client_calls.rs
+++ b/control-plane/src/chain/client_calls.rs
@@ -1,5 +1,5 @@
-//! Client calls: each is pending at the node that received it, is forwarded to the head of every new view, and is answered
-//! exactly once, with [`Outcome::Unavailable`] at the latest when it times out.
+//! Client calls. A call is pending at the node that received it, which forwards it to the head of every new view. It is
+//! answered exactly once; if it times out, with [`Outcome::Unavailable`].
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
     Change {
         /// The version that the change builds on.
         builds_on: u64,
-        /// The change.
+        /// The new document, or a patch to the current one.
         change: ConfigChange,
     },
     /// Reads the newest committed record.
@@ -37,7 +37,7 @@
 pub enum Outcome {
     /// The change is committed, by this call or by an earlier call with the same order.
     Done {
-        /// The version that the change made.
+        /// The version that the change produced.
         rev: u64,
     },
     /// The change builds on a version that is not the current one.
@@ -45,20 +45,21 @@
         /// The current version.
         current: u64,
     },
-    /// The change does not make a valid configuration.
+    /// The change does not result in a valid configuration.
     Invalid(InvalidConfig),
-    /// The order may have been applied so long ago that its key was evicted: no node can tell whether it was.
+    /// The order may have been applied so long ago that its key has been evicted: no node knows whether it was applied.
     Forgotten {
         /// Highest version whose key may have been evicted.
         up_to: u64,
-        /// The current version, from which the caller knows whether its order can still be applied.
+        /// The current version, which shows the caller whether its order can still be applied.
         current: u64,
     },
     /// The newest committed record.
     Document(Arc<Record>),
     /// No newer record than the caller's is committed.
     Unchanged,
-    /// The outcome is unknown: the caller has to retry, at another node if possible.
+    /// The call timed out, or too many calls are pending. The change may or may not be applied: the caller has to
+    /// retry, at another node if possible.
     Unavailable,
 }
 
@@ -81,7 +82,7 @@
 }
 
 impl Chain {
-    /// Accepts a call from a client. `number` is unique in this incarnation.
+    /// Registers a client's call, and forwards it to the head if a view is known.
     pub(super) fn accept_call(&mut self, number: u64, call: Call) {
         if self.calls.len() >= MAX_CALLS {
             self.outputs.push(Output::Answer(number, Outcome::Unavailable));
@@ -92,7 +93,7 @@
         self.dispatch_calls();
     }
 
-    /// Answers the calls that have timed out.
+    /// Answers the calls that have timed out with [`Outcome::Unavailable`].
     pub(super) fn expire_calls(&mut self) {
         let now = self.now;
         let expired = self.calls.extract_if(.., |_, call| now >= call.expires_at);
@@ -100,7 +101,7 @@
         self.outputs.extend(answers);
     }
 
-    /// Forwards pending calls to the head of the newest view, each call once for each view.
+    /// Forwards the pending calls to the head of the newest known view, each call once per view.
     pub(super) fn dispatch_calls(&mut self) {
         let Some(view) = &self.known_view else { return };
         let Some(head) = view.head() else { return };
@@ -120,15 +121,15 @@
 
     /// Answers a pending call with the outcome that the head or the tail has sent.
     pub(super) fn handle_answer(&mut self, id: CallId, outcome: Outcome) {
-        // Without an outcome the call stays pending for the next view, or until it times out.
+        // `Unavailable` is no result: the call stays pending until the next view, or until it times out.
         if outcome == Outcome::Unavailable {
             return;
         }
-        // An earlier process at this address may have sent a call with the same number.
+        // The answer may be to a call of an earlier process at this address, with the same number.
         if id.incarnation != self.incarnation || self.calls.remove(&id.number).is_none() {
             return;
         }
-        // The record may not have reached this node by replication yet.
+        // The record may not have been replicated to this node yet.
         if let Outcome::Document(record) = &outcome {
             if record.seq > self.committed.seq {
                 self.publish(Arc::clone(record));
@@ -162,8 +163,8 @@
         }
     }
 
-    /// The head begins with the next queued change. Changes are replicated one at a time, so that the version that a change
-    /// builds on is committed when the change is decided.
+    /// Starts to replicate the next queued change at the head. Changes are replicated one at a time, so that the
+    /// version that a change builds on is committed when the change is decided.
     pub(super) fn begin_next_change(&mut self) {
         while let Some(ballot) = self.ballot_as_head() {
             if self.in_flight.is_some() || !self.tolerates_losses() {
@@ -186,8 +187,8 @@
                 Decision::Stale { current } => Outcome::Conflict { current },
                 Decision::Invalid(invalid) => Outcome::Invalid(invalid),
             };
-            // The decision depends on the newest version, and this view may have been replaced by a newer one: the chain
-            // has to confirm it first.
+            // The decision depends on the newest version, and a newer view may have replaced this one: the chain has to
+            // confirm the decision first.
             self.handle_confirm(ballot, origin, id, Claim::Decided(outcome));
         }
         if self.ballot_as_head().is_none() {
--- a/control-plane/src/chain/message.rs
+++ b/control-plane/src/chain/message.rs
@@ -14,41 +14,41 @@
 use crate::ids::{CallId, NodeId};
 use crate::record::Record;
 
-/// Bound of the members of a chain: all voters of two sets.
+/// Upper bound of the length of a chain: all voters of two sets.
 const MAX_CHAIN_LENGTH: usize = 2 * MAX_VOTERS;
 
 /// State that a node reports to its peers at every [`HEARTBEAT_INTERVAL`](crate::chain::HEARTBEAT_INTERVAL).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The voters, by the newest view that the node knows.
+    /// The voters of the newest view that the node knows.
     pub members: JointConfig,
     /// The highest ballot that the node knows.
     pub promised: u64,
-    /// The active view that the node is a member of.
+    /// The active view in whose chain the node is; `None` if there is none.
     pub view: Option<View>,
     /// The peers that the node receives messages from.
     pub reachable_peers: Vec<NodeId>,
-    /// The node has lost its disk, and may have forgotten promises.
+    /// Whether the node may have lost earlier promises with its disk, and so has no vote.
     pub wiped: bool,
-    /// The node may become a voter.
+    /// Whether the settings allow the node to become a voter.
     pub eligible: bool,
-    /// The node is draining, or its disk stalls: the chain continues without it.
+    /// Whether the node is draining or its disk stalls, so that the chain has to continue without it.
     pub unfit: bool,
-    /// The node is about to stop: if it is a voter, a standby replaces it.
+    /// Whether the node is about to stop. If it is a voter, a standby replaces it.
     pub draining: bool,
     /// Log index of the newest committed record that the node knows.
     pub committed: u64,
 }
 
-/// A statement on the newest version, which the chain has to confirm before it is answered: see [`Message::Confirm`].
+/// An answer that depends on the newest version, and that the chain has to confirm first: see [`Message::Confirm`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claim {
     /// The tail answers with the committed record.
     Committed {
-        /// The tail answers [`Outcome::Unchanged`] where the record's log index is not above this one.
+        /// The tail answers [`Outcome::Unchanged`] if the record's log index is not above this one.
         newer_than: Option<u64>,
     },
-    /// The head's decision on a change that it does not replicate.
+    /// The head's decision on a change that it rejects, or that has been applied before.
     Decided(Outcome),
 }
 
@@ -62,14 +62,14 @@
         /// The proposer's ballot.
         view: u64,
     },
-    /// The acceptor's promise.
+    /// The acceptor's promise to accept nothing with a lower ballot.
     Promise {
-        /// The ballot promised.
+        /// The promised ballot.
         view: u64,
-        /// The ballot under which the record was accepted; `None` from a node without a vote, which may have forgotten
-        /// promises.
+        /// The ballot under which the record was accepted; `None` from a node without a vote, which may have lost
+        /// earlier promises.
         accepted: Option<u64>,
-        /// The voters by the view in which the record was accepted.
+        /// The voters of the view in which the record was accepted.
         members: JointConfig,
         /// The newest accepted record.
         record: Arc<Record>,
@@ -81,7 +81,7 @@
     },
     /// Phase 2 of Paxos: requests the members of the new chain to accept the view with its first record.
     Install {
-        /// The view.
+        /// The proposed view.
         view: View,
         /// The record that the view begins with.
         record: Arc<Record>,
@@ -93,7 +93,7 @@
     },
     /// All members have made the view durable (`StartView` in Viewstamped Replication, 4.2).
     StartView {
-        /// The view.
+        /// The view that has started.
         view: View,
     },
     /// A change, from a member of the chain to its successor.
@@ -103,7 +103,7 @@
         /// The log entry of the change.
         entry: Arc<LogEntry>,
     },
-    /// From the tail to all members of the chain: the change is committed.
+    /// Sent by the tail to all members of the chain: the change is committed.
     Acked {
         /// The view's ballot.
         view: u64,
@@ -113,20 +113,20 @@
     /// The newest committed record, to nodes outside the chain. Its deduplication table is empty, as those nodes only
     /// distribute the document; a node that becomes a member gets the table with [`Message::Install`].
     Committed {
-        /// The record.
+        /// The committed record, without its table.
         record: Arc<Record>,
     },
-    /// A client call, to the head.
+    /// A client call that is forwarded to the head.
     Forward {
         /// Identifies the call at the sender.
         id: CallId,
-        /// The call.
+        /// The client's call.
         call: Call,
     },
-    /// Confirms a claim before it is answered (`ReadIndex` in Raft, 6.4). It goes down the chain after the call has begun.
-    /// Each member forwards it only if no promise has fenced the view, and the tail answers. The chain contains a quorum,
-    /// and so do the acceptors that promised a newer view: they have a member in common, which had not promised yet when it
-    /// forwarded this message.
+    /// Confirms a claim before it is answered (`ReadIndex` in Raft, 6.4). It passes along the chain after the call has
+    /// started. Each member forwards it only if no promise has fenced the view, and the tail answers. The chain
+    /// contains a quorum, and so do the acceptors that promised a newer view: they have a member in common, which had
+    /// not promised yet when it forwarded this message.
     Confirm {
         /// The view's ballot.
         view: u64,
@@ -134,7 +134,7 @@
         origin: NodeId,
         /// Identifies the call at that node.
         id: CallId,
-        /// The claim.
+        /// The claim to confirm.
         claim: Claim,
     },
     /// The result of a call, to the node that received it.
@@ -147,7 +147,8 @@
 }
 
 impl Message {
-    /// Whether the message is well-formed. Malformed ones are ignored, so that a faulty peer does not make others fail.
+    /// Whether all numbers and sizes in the message are in their valid ranges. Other messages are ignored, so that a
+    /// faulty peer does not make other nodes fail.
     pub fn is_well_formed(&self) -> bool {
         match self {
             Message::Heartbeat(heartbeat) => is_valid_heartbeat(heartbeat),
@@ -181,7 +182,7 @@
 }
 
 fn is_valid_view(view: &View) -> bool {
-    // A member that is in the chain twice would forward messages to itself for ever.
+    // A member that is in the chain twice would forward messages to itself forever.
     let distinct = view.chain.iter().collect::<BTreeSet<_>>().len() == view.chain.len();
     ballot::is_valid(view.number)
         && distinct
@@ -209,13 +210,14 @@
     }
 }
 
-/// An action that the caller has to carry out. The caller carries out outputs in their order.
+/// An action that the caller has to carry out. The caller carries out the outputs in the order in which they are
+/// returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a message to a peer.
     Send(NodeId, Message),
-    /// Make the state durable, in the order of the numbers, and then call
-    /// [`Chain::write_completed`](crate::chain::Chain::write_completed) with the number.
+    /// Make the state durable, and then call [`Chain::write_completed`](crate::chain::Chain::write_completed) with the
+    /// number. Writes are carried out in the order of their numbers.
     Persist(u64, HardState),
     /// Answer the call with this number.
     Answer(u64, Outcome),
--- a/control-plane/src/chain/mod.rs
+++ b/control-plane/src/chain/mod.rs
@@ -10,34 +10,34 @@
 //!
 //! Safety follows from two invariants:
 //!
-//! - A committed record is durable at all members of a chain, which contains a quorum. A later proposer has promises of a
-//!   quorum, so that one of them names this record or a newer one: no committed change is lost.
-//! - A member takes no part in a view with a ballot below the one that it has promised. So an old head or tail cannot commit
-//!   a change, and cannot confirm a read, once a newer view has a quorum of promises.
+//! - A committed record is durable at all members of a chain, which contains a quorum. A later proposer has promises
+//!   from a quorum, so that at least one of them contains this record or a newer one: no committed change is lost.
+//! - A member does not participate in a view with a ballot below the one that it has promised. So an old head or tail
+//!   can neither commit a change nor confirm a read once a newer view has a quorum of promises.
 //!
-//! A view is active only while all links between its members are up and each member's process is the same. A lost link, a
-//! restart, a member that is draining or whose disk stalls leads to a new view. A voter that has lost its disk
-//! ([`Start::Wiped`]) may have forgotten a promise: it has no vote until a view that includes it has started. While the
-//! voters are too few to survive the promised losses ([`ChainSettings::losses`]), no change is acknowledged.
+//! A view is active only while all links between its members are up and no member has restarted. A lost link, a
+//! restart, a draining member or a stalled disk leads to a new view. A voter that has lost its disk ([`Start::Wiped`])
+//! may have lost a promise with it: it has no vote until a view that includes it has started. While there are too few
+//! voters to tolerate the required number of losses ([`ChainSettings::losses`]), no change is acknowledged.
 //!
-//! The module has no sockets, no disk and no clock. The caller passes in events and the time, and carries out the
+//! The module does no input or output and reads no clock. The caller passes in events and the time, and carries out the
 //! [`Output`]s.
 //!
 //! | module | content |
 //! | --- | --- |
-//! | `ballot` | ballots and promises |
+//! | `ballot` | ballots, and the acceptor's promises |
 //! | `quorum` | quorums of one or two voter sets |
 //! | `proposal` | the proposer's state machine |
 //! | `view_change` | when a view is proposed, installed and started |
 //! | `replication` | replication of changes along the chain |
 //! | `quorum_read` | reads and rejections that the chain confirms |
-//! | `client_calls` | calls of clients until they are answered |
+//! | `client_calls` | client calls until they are answered |
 //! | `reconfiguration` | changes of the voter set |
 //! | `peers` | heartbeats and failure detection |
 //! | `message` | messages and outputs |
 //! | `state` | durable state |
 //! | `settings` | time-outs and bounds |
-//! | `view` | views |
+//! | `view` | views and their state at a node |
 
 mod ballot;
 mod client_calls;
@@ -80,11 +80,11 @@
 struct DiskWrite {
     number: u64,
     started_at: Millis,
-    /// Outputs that are held back until the write is durable.
+    /// Outputs to emit once the write is durable.
     follow_up: Vec<Output>,
 }
 
-/// One control node of the chain.
+/// The state machine of one control node.
 #[derive(Clone, Debug)]
 pub struct Chain {
     node_id: NodeId,
@@ -103,10 +103,10 @@
     highest_ballot: u64,
     peers: Peers,
     proposal: Option<Proposal>,
-    /// The voters by the newest accepted state among the promises gathered last. They may differ from the voters that this
-    /// node knows.
+    /// The voters of the newest accepted state among the promises that were last gathered. They may differ from the
+    /// voters that this node knows.
     accepted_config: Option<JointConfig>,
-    /// Since when a new view has been needed and possible.
+    /// Time since which a new view has been needed and possible.
     needed_since: Option<Millis>,
     proposer_backoff: Option<ProposerBackoff>,
     last_heartbeat: Option<Millis>,
@@ -115,18 +115,18 @@
     requested_voters: Option<RequestedVoters>,
     /// At the head: the changes that wait for the one in flight.
     head_queue: VecDeque<QueuedChange>,
-    /// The calls that this node received and has not answered, by their numbers.
+    /// The calls that this node has received and not answered yet, by their numbers.
     calls: BTreeMap<u64, PendingCall>,
     disk_writes: VecDeque<DiskWrite>,
     last_write: u64,
-    /// Messages of this node to itself.
+    /// Messages from this node to itself.
     inbox: VecDeque<Message>,
     outputs: Vec<Output>,
     now: Millis,
 }
 
 impl Chain {
-    /// Creates a node that starts.
+    /// Creates a node with incarnation 0.
     pub fn new(node_id: NodeId, settings: ChainSettings, start: Start) -> Self {
         let hard_state = HardState::from(start);
         Chain {
@@ -166,7 +166,7 @@
 
     // ---- State ----
 
-    /// The voters, by the newest view that this node has accepted or knows to have started.
+    /// The voters of the newest view that this node has accepted or knows to have started.
     pub fn members(&self) -> &JointConfig {
         match &self.known_view {
             Some(known) if known.number > self.hard_state.accepted => &known.members,
@@ -174,12 +174,12 @@
         }
     }
 
-    /// Whether the voters are enough to survive the losses that the settings promise.
+    /// Whether there are enough voters to tolerate the losses that the settings require ([`ChainSettings::losses`]).
     pub fn tolerates_losses(&self) -> bool {
         self.members().tolerates(self.settings.losses)
     }
 
-    /// The newest view that is known to have started.
+    /// The newest view that is known to have started; `None` until this node learns of one.
     pub fn view(&self) -> Option<&View> {
         self.known_view.as_ref()
     }
@@ -191,7 +191,7 @@
 
     // ---- Events ----
 
-    /// Advances the time. The caller ticks at short intervals, as time-outs are checked here.
+    /// Advances the time, and checks time-outs. The caller has to tick at short intervals.
     pub fn tick(&mut self, now: Millis) -> Vec<Output> {
         self.now = now;
         self.started_at.get_or_insert(now);
@@ -206,14 +206,14 @@
         self.take_outputs()
     }
 
-    /// A link to a peer is up.
+    /// Handles the event that the link to a peer is up.
     pub fn peer_connected(&mut self, now: Millis, peer: NodeId) -> Vec<Output> {
         self.now = now;
         self.link_up(peer);
         self.take_outputs()
     }
 
-    /// The link to a peer is down.
+    /// Handles the event that the link to a peer is down.
     pub fn peer_disconnected(&mut self, now: Millis, peer: NodeId) -> Vec<Output> {
         self.now = now;
         self.link_down(peer);
@@ -226,7 +226,7 @@
                 self.proposal = None;
             }
         }
-        // The heartbeat no longer names the peer, so that other nodes know that this node does not reach it.
+        // The heartbeat no longer lists the peer, so that the other nodes learn that this node does not reach it.
         self.send_heartbeats();
         self.propose_if_due();
         self.take_outputs()
@@ -243,7 +243,7 @@
         self.take_outputs()
     }
 
-    /// All disk writes up to this number are durable.
+    /// Handles the event that all disk writes up to this number are durable.
     pub fn write_completed(&mut self, now: Millis, number: u64) -> Vec<Output> {
         self.now = now;
         while let Some(write) = self.disk_writes.pop_front_if(|write| write.number <= number) {
@@ -254,7 +254,8 @@
         self.take_outputs()
     }
 
-    /// Accepts a call from a client. `number` is unique in this incarnation; [`Output::Answer`] repeats it.
+    /// Accepts a call from a client. `number` is unique in this incarnation, and identifies the call in
+    /// [`Output::Answer`].
     pub fn call(&mut self, now: Millis, number: u64, call: Call) -> Vec<Output> {
         self.now = now;
         self.accept_call(number, call);
@@ -292,7 +293,7 @@
 
     // ---- Outputs ----
 
-    /// Adds an output for the caller. A message of this node to itself goes to its inbox.
+    /// Adds an output for the caller. A message from this node to itself goes to the inbox.
     fn emit(&mut self, output: Output) {
         match output {
             Output::Send(to, message) if to == self.node_id => self.inbox.push_back(message),
@@ -304,14 +305,14 @@
         self.emit(Output::Send(to, message));
     }
 
-    /// Makes the present state durable, and emits the follow-up once it is.
+    /// Writes the present state to disk, and emits the follow-up once the write is durable.
     fn persist(&mut self, follow_up: Vec<Output>) {
         self.last_write += 1;
         self.outputs.push(Output::Persist(self.last_write, self.hard_state.clone()));
         self.disk_writes.push_back(DiskWrite { number: self.last_write, started_at: self.now, follow_up });
     }
 
-    /// Handles the messages of this node to itself, and returns all outputs.
+    /// Handles the messages from this node to itself, and returns all outputs.
     fn take_outputs(&mut self) -> Vec<Output> {
         while let Some(message) = self.inbox.pop_front() {
             self.handle(self.node_id, message);
--- a/control-plane/src/chain/peers.rs
+++ b/control-plane/src/chain/peers.rs
@@ -1,4 +1,4 @@
-//! Peers: heartbeats, failure detection, and which nodes can be in the chain of a view.
+//! Peers: heartbeats, failure detection, and the choice of nodes that can be in the chain of a view.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,34 +10,34 @@
 use crate::ids::NodeId;
 use crate::Millis;
 
-/// The newest record that a peer was sent on this link because its heartbeats reported an older one.
+/// The newest record that was sent to a peer on the present link because its heartbeats reported an older one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SentRecord {
     seq: u64,
-    /// Heartbeats in transit at that time still report the older record.
+    /// Heartbeats that were in transit at this time still report the older record.
     sent_at: Millis,
 }
 
 /// What this node knows of a peer.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peer {
-    /// The link to the peer is up.
+    /// Whether the link to the peer is up.
     pub(super) up: bool,
-    /// When the last message of the peer was received.
+    /// When the last message from the peer was received.
     pub(super) last_received: Millis,
-    /// The peer's last heartbeat on this link.
+    /// The peer's last heartbeat on the present link.
     pub(super) heartbeat: Heartbeat,
-    /// The last heartbeat of the peer, also on an earlier link, announced that it is draining.
+    /// Whether the peer's last heartbeat, on any link, announced that it is draining.
     pub(super) draining: bool,
     /// Until when the peer is excluded from new views.
     excluded_until: Millis,
-    /// Length of the last exclusion for a time-out.
+    /// Duration of the last exclusion for an unanswered proposal; 0 if a view with the peer has started since.
     last_exclusion: Millis,
     sent_record: SentRecord,
 }
 
 impl Peer {
-    /// Excludes a peer that did not answer a proposal, for a time that doubles with each time-out.
+    /// Excludes a peer that did not answer a proposal, for a duration that doubles with each time-out.
     fn exclude_unresponsive(&mut self, now: Millis) {
         self.last_exclusion = (self.last_exclusion * 2).clamp(MIN_EXCLUSION, MAX_EXCLUSION);
         self.excluded_until = now + self.last_exclusion;
@@ -48,8 +48,8 @@
         self.excluded_until = now + SLOW_PEER_EXCLUSION;
     }
 
-    /// Ends an exclusion, as a view with this peer has started and so the peer has answered. Otherwise nodes that include
-    /// the peer and nodes that exclude it would propose view after view.
+    /// Ends the exclusion after a view with this peer has started, as the peer must have answered. Otherwise nodes that
+    /// include the peer and nodes that exclude it would keep replacing each other's views.
     fn readmit(&mut self) {
         self.last_exclusion = 0;
         self.excluded_until = 0;
@@ -61,7 +61,6 @@
 pub(super) struct Peers(BTreeMap<NodeId, Peer>);
 
 impl Peers {
-    /// A known peer.
     pub(super) fn get(&self, node: NodeId) -> Option<&Peer> {
         self.0.get(&node)
     }
@@ -70,12 +69,12 @@
         self.0.get_mut(&node)
     }
 
-    /// A peer, which is added if it is unknown.
+    /// The state of a peer, which is added if it is unknown.
     pub(super) fn entry(&mut self, node: NodeId) -> &mut Peer {
         self.0.entry(node).or_default()
     }
 
-    /// Addresses of all known peers.
+    /// The addresses of all known peers, in ascending order.
     pub(super) fn ids(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.0.keys().copied()
     }
@@ -132,7 +131,8 @@
         peer.up = true;
         peer.last_received = now;
         peer.sent_record = SentRecord::default();
-        // All peers have to learn of the link: a chain contains only nodes that are known to reach each other.
+        // A chain contains only nodes that are known to reach each other, so that all peers have to learn of the new
+        // link.
         self.send_heartbeats();
     }
 
@@ -167,7 +167,8 @@
         }
     }
 
-    /// Learns from a peer's heartbeat: ballots, voters, the newest view, and whether the peer lacks a record.
+    /// Handles a peer's heartbeat: learns ballots, voters and the newest view from it, and sends the peer a newer
+    /// record if it is behind.
     pub(super) fn handle_heartbeat(&mut self, from: NodeId, heartbeat: Heartbeat) {
         self.note_ballot(heartbeat.promised);
         if self.hard_state.members.voters.is_empty() {
@@ -178,7 +179,7 @@
                 self.known_view = Some(view.clone());
                 self.dispatch_calls();
             }
-            // This node is a member of the view, and has not received the message that the view has started.
+            // This node has installed the view, and has not received the `StartView` message.
             if self.installed.as_ref().is_some_and(|installed| installed.view == *view && !installed.started)
             {
                 self.handle_start_view(view.clone());
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Sends the newest committed record, unless the peer was sent it within [`RESEND_INTERVAL`].
+    /// Sends a peer the newest committed record, unless it was sent within the last [`RESEND_INTERVAL`].
     fn send_committed_once(&mut self, to: NodeId) {
         let (newest, now) = (self.committed.seq, self.now);
         let Some(peer) = self.peers.get_mut(to) else { return };
@@ -206,19 +207,19 @@
         }
     }
 
-    /// Whether this node must not be in a chain, as it is draining or its disk stalls.
+    /// Whether this node must not be in a chain because it is draining or its disk stalls.
     pub(super) fn is_unfit(&self) -> bool {
         self.draining
             || self.disk_writes.front().is_some_and(|write| self.now >= write.started_at + DISK_STALL_TIMEOUT)
     }
 
-    /// Whether the link to a peer is up and a message was received within the time-out.
+    /// Whether the link to a peer is up and the last message was received within the peer time-out.
     pub(super) fn is_reachable(&self, node: NodeId) -> bool {
         let timeout = self.settings.peer_timeout();
         self.peers.matches(node, |peer| peer.up && self.now < peer.last_received + timeout)
     }
 
-    /// Whether a peer counts as failed at this node. A node never counts itself as failed.
+    /// Whether this node considers a node failed. It never considers itself failed.
     pub(super) fn has_failed(&self, node: NodeId) -> bool {
         node != self.node_id && !self.is_reachable(node)
     }
@@ -242,9 +243,10 @@
         candidates
     }
 
-    /// The candidates that could form a chain: this node, and in order of preference each one that is connected to all
-    /// candidates chosen before it. Among the voters, members of the newest started chain come first, so that no healthy
-    /// member is dropped for a node that is back and not connected to all others yet. Standbys come last.
+    /// The candidates that can form a chain: this node, and in order of preference each one that is connected to all
+    /// candidates chosen before it. Among the voters, members of the newest started chain come first, so that no
+    /// healthy member is dropped in favour of a node that has just come back and is not connected to all others yet.
+    /// Standbys come last.
     pub(super) fn reachable_candidates(&self) -> Vec<NodeId> {
         let members = self.members();
         if !members.contains(self.node_id) || self.is_unfit() {
@@ -266,7 +268,8 @@
         chosen
     }
 
-    /// Time since the last message of a voter, in milliseconds; 0 while the voter is reachable.
+    /// Time since the last message from a node, in milliseconds; 0 while the node is reachable. It counts from the
+    /// first tick if no message was received since.
     pub fn time_since_last_message(&self, node: NodeId) -> Millis {
         if !self.has_failed(node) {
             return 0;
@@ -276,7 +279,7 @@
         self.now.saturating_sub(last_received.max(started_at))
     }
 
-    /// Whether a node may have forgotten promises, and so has no vote.
+    /// Whether a node may have lost earlier promises with its disk, and so has no vote.
     pub(super) fn is_wiped(&self, node: NodeId) -> bool {
         if node == self.node_id {
             return !self.hard_state.votes;
@@ -284,19 +287,19 @@
         self.peers.matches(node, |peer| peer.heartbeat.wiped)
     }
 
-    /// Whether this node reaches a quorum of the voters, itself included.
+    /// Whether this node, together with the peers that it reaches, forms a quorum of the voters.
     pub fn has_quorum(&self) -> bool {
         self.members().majority(|node| !self.has_failed(*node))
     }
 
-    /// Like [`Chain::has_quorum`], at the time `now`: the last tick may be old if the process was stopped.
+    /// [`Chain::has_quorum`] at the time `now`. The last tick may be old if the process was suspended.
     pub fn has_quorum_at(&mut self, now: Millis) -> bool {
         self.now = now;
         self.has_quorum()
     }
 
-    /// Whether this node and the peers that have answered it form a quorum, by the voters that this node knows and by those
-    /// that each of the peers knows: this node may have been replaced without having learned so.
+    /// Whether this node and the peers that have answered it form a quorum, both of the voters that this node knows and
+    /// of those that each of the peers knows: this node may have been replaced without knowing it.
     pub fn is_quorum(&self, answered: &[NodeId]) -> bool {
         let is_quorum =
             |members: &JointConfig| members.majority(|node| *node == self.node_id || answered.contains(node));
@@ -306,8 +309,8 @@
             && known_to_peers.filter(|members| !members.voters.is_empty()).all(is_quorum)
     }
 
-    /// The nodes that a peer reaches, by its last heartbeat. All of them are connected to the peer, and when it loses one, it
-    /// sends a new heartbeat before any other message.
+    /// The nodes that a peer reaches, by its last heartbeat; empty if it is unknown. When the peer loses a connection,
+    /// it sends a new heartbeat before any other message.
     pub fn connected_peers_of(&self, peer: NodeId) -> &[NodeId] {
         self.peers.get(peer).map_or(&[], |peer| &peer.heartbeat.reachable_peers)
     }
--- a/control-plane/src/chain/proposal.rs
+++ b/control-plane/src/chain/proposal.rs
@@ -1,8 +1,8 @@
 //! The proposer's state machine. In phase 1 the proposer gathers promises, and in phase 2 the members of the new chain install
 //! the view (*Paxos Made Simple*, 2.2, with the new chain as the quorum of phase 2).
 //!
-//! Invariants: the record of the chosen view is the newest accepted one among promises of a quorum, and the chain of the
-//! chosen view contains a quorum of the voters that those promises name.
+//! Invariants: the record of the chosen view is the newest accepted one among the promises of a quorum, and the chain
+//! of the chosen view contains a quorum of the voters that were accepted with that record.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -24,9 +24,9 @@
 /// Phase 1: the proposer waits for promises.
 #[derive(Clone, Debug)]
 struct Gathering {
-    /// The voters of the new view, if they are to change.
+    /// The voters that the new view should have; `None` if they do not change.
     wanted_voters: Option<Vec<NodeId>>,
-    /// The promises by their senders; `None` from a node without a vote.
+    /// The promises by their senders, with the accepted state; `None` from a node without a vote.
     promises: BTreeMap<NodeId, Option<Accepted>>,
 }
 
@@ -54,7 +54,7 @@
 pub(super) struct Proposal {
     ballot: u64,
     started_at: Millis,
-    /// The nodes that were sent a prepare message.
+    /// The nodes to which a prepare message was sent.
     target: Vec<NodeId>,
     phase: Phase,
 }
@@ -69,23 +69,23 @@
     }
 
     /// Whether the wanted voters may become the voters of the next view. New voters are first added as learners to the
-    /// chain of a view with the old voters, which gives them a vote. If they counted without a vote, and all machines lost
-    /// power before the view was started, they would be missing from the new set; with the loss of one more disk the set
-    /// could never form a majority again.
+    /// chain of a view with the old voters, which gives them a vote. If they became voters without a vote, and all
+    /// machines lost power before the view was started, they could not vote afterwards; with the loss of one more disk
+    /// the new set could never form a majority again.
     fn can_become_voters(&self, wanted: &[NodeId], current: &JointConfig) -> bool {
         wanted.iter().all(|node| current.contains(*node) || self.has_vote(node))
             && JointConfig::of(wanted.to_vec()).majority(|node| self.has_vote(node))
     }
 
-    /// The voters of the next view. `started` says whether the view with the current voters is known to have started.
+    /// The voters of the next view. `started` is whether the view with the current voters is known to have started.
     fn next_config(&self, current: &JointConfig, started: bool) -> JointConfig {
         let wanted = self.wanted_voters.as_ref().filter(|_| !current.is_joint());
         if let Some(wanted) = wanted.filter(|wanted| self.can_become_voters(wanted, current)) {
             return JointConfig { voters: wanted.clone(), outgoing: current.voters.clone() };
         }
         if !started {
-            // Only some members may have accepted this configuration. A view with it has to start before the outgoing voters
-            // are removed.
+            // Possibly only some members have accepted this configuration. A view with it has to start before the
+            // outgoing voters are removed.
             return current.clone();
         }
         JointConfig { voters: current.voters.clone(), outgoing: Vec::new() }
@@ -93,7 +93,7 @@
 }
 
 impl Proposal {
-    /// Begins phase 1. The caller sends a prepare message to each node of the target.
+    /// Creates a proposal in phase 1. The caller sends a prepare message to each node in `target`.
     pub(super) fn begin(
         ballot: u64,
         started_at: Millis,
@@ -112,7 +112,7 @@
         now >= self.started_at + PROPOSAL_TIMEOUT
     }
 
-    /// The members of the new chain, in phase 2.
+    /// The members of the new chain in phase 2; `None` in phase 1.
     pub(super) fn installing_chain(&self) -> Option<&[NodeId]> {
         match &self.phase {
             Phase::Gathering(_) => None,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// The nodes of the target that have not answered in this phase.
+    /// The target nodes that have not answered in the present phase.
     pub(super) fn unanswered(&self) -> Vec<NodeId> {
         let has_answered = |node: &NodeId| match &self.phase {
             Phase::Gathering(gathering) => gathering.promises.contains_key(node),
@@ -129,7 +129,7 @@
         self.target.iter().copied().filter(|node| !has_answered(node)).collect()
     }
 
-    /// Adds a promise. Returns false, and ignores the promise, where this proposal does not wait for it.
+    /// Adds a promise. Returns false, and ignores the promise, if this proposal does not wait for it.
     pub(super) fn add_promise(&mut self, from: NodeId, ballot: u64, accepted: Option<Accepted>) -> bool {
         match &mut self.phase {
             Phase::Gathering(gathering) if ballot == self.ballot && self.target.contains(&from) => {
@@ -140,14 +140,14 @@
         }
     }
 
-    /// Removes the promise of a node whose link is down. The node may have lost its disk since, and with it the promise.
+    /// Removes the promise of a node whose link is down: the node may since have lost its disk, and the promise with it.
     pub(super) fn withdraw_promise(&mut self, from: NodeId) {
         if let Phase::Gathering(gathering) = &mut self.phase {
             gathering.promises.remove(&from);
         }
     }
 
-    /// The newest accepted state among the promises, once all are received or [`PROMISE_TIMEOUT`] has passed.
+    /// The newest accepted state among the promises, once all promises are received or [`PROMISE_TIMEOUT`] has passed.
     pub(super) fn phase_one_result(&self, now: Millis) -> Option<Accepted> {
         let Phase::Gathering(gathering) = &self.phase else { return None };
         let all_answered = self.target.iter().all(|node| gathering.promises.contains_key(node));
@@ -157,8 +157,9 @@
         gathering.newest_accepted().cloned()
     }
 
-    /// Goes on to phase 2 if a quorum has promised. The quorum is counted by the voters of the newest accepted state, which
-    /// may differ from those that the proposer knew. `started` says whether the view of that state is known to have started.
+    /// Enters phase 2 if a quorum has promised. The quorum is that of the voters of the newest accepted state, which
+    /// may differ from those that the proposer knew. `started` is whether the view of that state is known to have
+    /// started.
     pub(super) fn choose_view(&mut self, newest: &Accepted, started: bool) -> Option<ChosenView> {
         let Phase::Gathering(gathering) = &self.phase else { return None };
         if !newest.members.majority(|node| gathering.has_vote(node)) {
@@ -173,7 +174,7 @@
         Some(ChosenView { view, record: Arc::clone(&newest.record) })
     }
 
-    /// Records that a member has made the view durable. Returns the view once all members have.
+    /// Records that a member has made the view durable. Returns the view once all members have done so.
     pub(super) fn add_installed(&mut self, from: NodeId, ballot: u64) -> Option<View> {
         let Phase::Installing(installing) = &mut self.phase else { return None };
         if installing.view.number != ballot {
--- a/control-plane/src/chain/quorum_read.rs
+++ b/control-plane/src/chain/quorum_read.rs
@@ -1,9 +1,9 @@
 //! Linearizable reads and rejections (`ReadIndex` in Raft, 6.4).
 //!
-//! An answer that depends on the newest version is sent only after the whole chain has confirmed, since the call began, that
-//! its view is not fenced. The chain contains a quorum, and a newer view needs promises of a quorum: the two have a member
-//! in common, which does not confirm once it has promised. So no newer view can have committed a change before the call
-//! began.
+//! An answer that depends on the newest version is sent only after each member of the chain has confirmed, after the
+//! start of the call, that the view is not fenced. The chain contains a quorum, and a newer view needs promises from a
+//! quorum: the two have a member in common, which does not confirm once it has promised. So no newer view can have
+//! committed a change before the call started.
 
 use std::sync::Arc;
 
@@ -11,8 +11,9 @@
 use crate::ids::{CallId, NodeId};
 
 impl Chain {
-    /// Forwards a claim to the successor, or answers it at the tail. A change that was acknowledged before the call began is
-    /// committed at the tail by then, and one that entered the chain later has no part in the head's decision.
+    /// Forwards a claim to the successor, or answers it at the tail. A change that was acknowledged before the call
+    /// started is committed at the tail by then, and one that entered the chain later does not affect the head's
+    /// decision.
     pub(super) fn handle_confirm(&mut self, ballot: u64, origin: NodeId, id: CallId, claim: Claim) {
         if self.notify_fenced_head(ballot) {
             return;
@@ -26,8 +27,8 @@
         self.send(origin, Message::Answer { id, outcome });
     }
 
-    /// Sends the head of a view a nack if a later promise has fenced the view, and returns whether it has. If the newer
-    /// view was never installed, the head would keep its view for ever otherwise.
+    /// Sends a nack to the head of a view if a later promise has fenced the view, and returns whether it did so.
+    /// Without the nack, the head would keep its view forever if the newer view is never installed.
     fn notify_fenced_head(&mut self, ballot: u64) -> bool {
         let views = self.installed.iter().map(|installed| &installed.view).chain(&self.known_view);
         let head = views.filter(|view| view.number == ballot).find_map(View::head);
@@ -45,7 +46,7 @@
         match claim {
             Claim::Decided(outcome) => outcome,
             Claim::Committed { newer_than: Some(seq) } if self.committed.seq <= seq => Outcome::Unchanged,
-            // A caller that names the index of its record only distributes the document.
+            // A caller that sends the index of its record only distributes the document.
             Claim::Committed { newer_than: Some(_) } => {
                 Outcome::Document(Arc::new(self.committed.without_table()))
             }
--- a/control-plane/src/chain/reconfiguration.rs
+++ b/control-plane/src/chain/reconfiguration.rs
@@ -1,11 +1,11 @@
-//! Reconfiguration: which voters there should be, and the changes that an operator may request (Raft, 4).
+//! Reconfiguration: replacement of failed voters, and changes of the voters that an operator requests (Raft, 4).
 //!
 //! A change takes three views. The first one adds the new voters to its chain as learners (Raft, 4.2.1), which gives them a
 //! vote; its quorums are majorities of the old set. The second one has the joint configuration (Raft, 4.3), and its quorums
 //! are majorities of both sets. Once it has started, the third one removes the old set.
 //!
-//! Invariant: successive views have the same voters, or one has the joint configuration of the other's set and a new one, so
-//! that their quorums have a voter in common.
+//! Invariant: two successive views have either the same voters, or one of them has a joint configuration that contains
+//! the voter set of the other. So any two of their quorums have a voter in common.
 
 use std::cmp::Reverse;
 
@@ -20,43 +20,43 @@
 pub enum VoterChange {
     /// Makes a standby a voter.
     Add(NodeId),
-    /// Replaces a voter by a standby, or removes it without a replacement where the others are enough for the promised
+    /// Replaces a voter with a standby, or removes it without a replacement if the other voters tolerate the required
     /// losses.
     Remove(NodeId),
 }
 
-/// Why a change of the voters is rejected. The texts are answers of the HTTP interface.
+/// Why a change of the voters is rejected. The messages are sent in HTTP responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VoterChangeError {
-    /// This node is not a voter in an active view with a quorum, and cannot begin a change.
+    /// This node is not a voter in an active view with a quorum, and cannot start a change. Another node may be able to.
     #[error("this node is in no view that stands: ask another one, or again in a moment")]
     NoView,
-    /// Another change is in progress.
+    /// Another change of the voters is in progress.
     #[error("a change of the voters is under way: ask again in a moment")]
     InProgress,
     /// The node to add is a voter already.
     #[error("{0} is a voter already")]
     AlreadyVoter(NodeId),
-    /// The node to remove is no voter.
+    /// The node to remove is not a voter.
     #[error("{0} is no voter")]
     NotVoter(NodeId),
     /// The node to add is not connected to this node, or not to all reachable voters.
     #[error("{0} is not there, or not all voters that are hear it")]
     Unreachable(NodeId),
-    /// The settings of the node to add do not allow it to vote.
+    /// The settings of the node to add do not allow it to become a voter.
     #[error("the settings of {0} don't say that it may vote")]
     NotEligible(NodeId),
-    /// The bound of the voters is reached.
+    /// The maximum number of voters is reached already.
     #[error("{MAX_VOTERS} voters are the most")]
     TooManyVoters,
-    /// There is no standby to replace the voter, and the remaining voters are too few for the promised losses.
+    /// There is no standby to replace the voter, and the remaining voters are too few to tolerate the required losses.
     #[error("no machine stands by: {left} voters would be left, and {needed} are needed to outlive {losses} losses")]
     NoStandby {
         /// Number of voters without the removed one.
         left: usize,
-        /// Number of voters that survive the promised losses.
+        /// Number of voters that are needed to tolerate the losses.
         needed: usize,
-        /// Number of promised losses.
+        /// Number of losses that the settings require the voters to tolerate.
         losses: usize,
     },
     /// Too few of the new voters are reachable for a quorum.
@@ -73,18 +73,18 @@
 #[derive(Clone, Debug)]
 pub(super) struct RequestedVoters {
     voters: Vec<NodeId>,
-    /// When this node stops trying.
+    /// When this node abandons the request.
     expires_at: Millis,
 }
 
 impl Chain {
     /// Accepts an operator's request, and returns the voters after the change. The change is complete when
-    /// [`Chain::members`] returns these voters. A failure of any node during the change is safe: each view carries its
-    /// configuration, and the request itself is lost with this node.
+    /// [`Chain::members`] returns these voters. Any node may safely fail during the change, as each view contains its
+    /// own configuration; if this node fails, the request is lost.
     ///
     /// # Errors
     ///
-    /// [`VoterChangeError`] says why the request is rejected.
+    /// [`VoterChangeError`] with the reason why the request is rejected.
     pub fn request_voter_change(
         &mut self,
         now: Millis,
@@ -110,7 +110,7 @@
         Ok(voters)
     }
 
-    /// The voters with one more.
+    /// The voters after a node is added.
     fn voters_with(&self, node: NodeId, reachable: &[NodeId]) -> Result<Vec<NodeId>, VoterChangeError> {
         let mut voters = self.members().voters.clone();
         if voters.contains(&node) {
@@ -132,7 +132,7 @@
         Ok(voters)
     }
 
-    /// The voters without one, which a standby replaces where the others are too few.
+    /// The voters after one is removed. A standby replaces it if the others would be too few.
     fn voters_without(&self, node: NodeId, reachable: &[NodeId]) -> Result<Vec<NodeId>, VoterChangeError> {
         let members = self.members();
         if !members.voters.contains(&node) {
@@ -149,8 +149,8 @@
         Ok(voters)
     }
 
-    /// Checks that enough of the new voters are reachable for a quorum. A new voter counts, as it has a vote by the time that
-    /// the configuration changes: it is added to the chain as a learner first.
+    /// Checks that enough of the new voters are reachable to form a quorum. A node that is to be added counts: it first
+    /// joins the chain as a learner, and so has a vote by the time that the configuration changes.
     fn check_majority(&self, voters: &[NodeId], reachable: &[NodeId]) -> Result<(), VoterChangeError> {
         let members = self.members();
         let has_no_vote = |node: NodeId| members.contains(node) && self.is_wiped(node);
@@ -172,8 +172,9 @@
         }
     }
 
-    /// The voters that there should be, sorted; `None` where they are the present ones, and during a reconfiguration. Without
-    /// a request of an operator they are as many as the promised losses need, with failed voters replaced by standbys.
+    /// The voters that the next configuration should have, sorted; `None` if they are the present ones, and during a
+    /// reconfiguration. Without an operator's request they are enough to tolerate the required losses, with failed
+    /// voters replaced by standbys.
     pub(super) fn wanted_voters(&self, reachable: &[NodeId]) -> Option<Vec<NodeId>> {
         let members = self.members();
         if members.is_joint() {
@@ -193,12 +194,14 @@
         (wanted != members.voters).then_some(wanted)
     }
 
-    /// The voters, with failed and draining ones replaced by standbys, and with as many added as the promised losses need.
+    /// The voters, with failed and draining ones replaced by standbys, and with standbys added up to the number that the
+    /// required losses need.
     fn repaired_voters(&self, reachable: &[NodeId]) -> Vec<NodeId> {
         let members = self.members();
         let mut standbys = reachable.iter().copied().filter(|node| !members.contains(*node));
         let needed = self.settings.voters_needed().min(MAX_VOTERS);
-        // The voters that have been unreachable for longest are replaced first: they are the least likely to come back.
+        // The voters that have been unreachable the longest are replaced first, as they are the least likely to come
+        // back.
         let mut voters = members.voters.clone();
         voters.sort_by_key(|voter| Reverse(self.time_since_last_message(*voter)));
         let mut surplus = voters.len().saturating_sub(needed);
@@ -209,8 +212,8 @@
             } else if let Some(standby) = standbys.next() {
                 wanted.push(standby);
             } else if surplus > 0 {
-                // An operator has requested more voters than the promised losses need. A failed voter without a replacement
-                // is removed, as it would only make a majority harder to reach.
+                // An operator has requested more voters than the required losses need. A failed voter without a
+                // replacement is removed, as it would only make a majority harder to reach.
                 surplus -= 1;
             } else {
                 wanted.push(voter);
@@ -228,7 +231,7 @@
             || self.time_since_last_message(voter) >= self.settings.replaced_after()
     }
 
-    /// The standbys: reachable control nodes that may become voters and are none.
+    /// The standbys: reachable control nodes that are not voters, and whose settings allow them to become voters.
     pub fn standbys(&self) -> Vec<NodeId> {
         let members = self.members();
         let mut eligible = self.peers.matching(|peer| peer.heartbeat.eligible);
@@ -236,8 +239,8 @@
         eligible
     }
 
-    /// Whether the chain still needs this node: it is a member of the newest chain that it knows, or it is a voter that a
-    /// standby is replacing or could replace. A draining node waits until the chain does not need it.
+    /// Whether this node must not stop yet: it is in the newest chain that it knows, with other members, or it is a
+    /// voter that a standby is replacing or could replace. A draining node waits until this is false.
     pub fn is_needed(&self) -> bool {
         let installed = self.installed.as_ref().map(|installed| &installed.view);
         let views = [installed, self.known_view.as_ref()].into_iter().flatten();
--- a/control-plane/src/chain/replication.rs
+++ b/control-plane/src/chain/replication.rs
@@ -1,8 +1,8 @@
 //! Chain replication (van Renesse and Schneider, 2004): a change enters at the head, each member makes it durable
 //! before it forwards it to its successor, and the tail commits it.
 //!
-//! Invariant (update propagation): a member's durable record is the same as its predecessor's, or an
-//! earlier one. So what the tail has made durable is durable at all members.
+//! Invariant (update propagation): the durable record of a member is that of its predecessor, or an earlier one. So a
+//! record that is durable at the tail is durable at all members.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::record::Record;
 use crate::Millis;
 
-/// The change that the head has sent down the chain and that is not committed yet.
+/// The change that the head is replicating, with the call to answer once it is committed.
 #[derive(Clone, Debug)]
 pub(super) struct InFlight {
     pub(super) origin: NodeId,
@@ -24,15 +24,15 @@
 }
 
 impl Chain {
-    /// Breaks the view if the change in flight has timed out. A message was lost, and only a new view can find out which
-    /// members have accepted the change.
+    /// Breaks the view if the change in flight has timed out. A message was lost, and only a new view can determine
+    /// which members have accepted the change.
     pub(super) fn expire_in_flight(&mut self) {
         if self.in_flight.as_ref().is_some_and(|change| self.now >= change.sent_at + REPLICATION_TIMEOUT) {
             self.break_view();
         }
     }
 
-    /// Accepts a change from the predecessor, if it is the next one after the durable record.
+    /// Accepts a change from the predecessor if it directly follows the latest accepted record.
     pub(super) fn handle_update(&mut self, from: NodeId, ballot: u64, entry: &Arc<LogEntry>) {
         let Some(view) = self.unfenced_view(ballot) else { return };
         let record = &self.hard_state.record;
@@ -51,7 +51,8 @@
             let update = Message::Update { view: view.number, entry: Arc::clone(entry) };
             vec![Output::Send(next, update)]
         } else {
-            // The tail acknowledges to itself as well, last: it commits when its own write is durable.
+            // The tail acknowledges to itself as well, last, and commits on receiving that message: its write is
+            // durable then.
             let ack = Message::Acked { view: view.number, seq: entry.seq };
             view.chain.iter().map(|member| Output::Send(*member, ack.clone())).collect()
         };
@@ -59,7 +60,7 @@
         self.persist(follow_up);
     }
 
-    /// The tail has made a change durable, and so have all members before it.
+    /// Commits a change that the tail has acknowledged: it is durable at all members.
     pub(super) fn handle_ack(&mut self, ballot: u64, seq: u64) {
         let is_current = self.unfenced_view(ballot).is_some() && self.hard_state.record.seq == seq;
         if is_current {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Commits the present record, which all members of the chain have made durable.
+    /// Commits the latest accepted record, which is durable at all members of the chain.
     fn commit(&mut self) {
         let record = Arc::clone(&self.hard_state.record);
         if self.is_tail() {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Publishes a committed record to the caller, if it is newer than the last one.
+    /// Publishes a committed record to the caller if it is newer than the last one.
     pub(super) fn publish(&mut self, record: Arc<Record>) {
         if record.seq > self.committed.seq {
             self.committed = Arc::clone(&record);
@@ -105,7 +106,7 @@
         } else if record.seq == self.committed.seq
             && record.applied_orders.len() > self.committed.applied_orders.len()
         {
-            // The record had arrived without its deduplication table, which a backup needs.
+            // The record was received earlier without its deduplication table, which backups need.
             self.committed = record;
         }
     }
--- a/control-plane/src/chain/state.rs
+++ b/control-plane/src/chain/state.rs
@@ -8,17 +8,17 @@
 use crate::ids::NodeId;
 use crate::record::Record;
 
-/// State that must be durable before any message that follows from it is sent (the hard state of Raft implementations).
+/// State that must be durable before any message that depends on it is sent (the hard state of Raft implementations).
 ///
 /// Invariant: `accepted` is not above `promised`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The voters by the newest accepted view.
+    /// The voters of the newest accepted view.
     pub members: JointConfig,
-    /// Whether the node knows all promises that it ever gave, and so may vote. A node that has lost its disk has no vote
-    /// until a view that includes it has started.
+    /// Whether the node still has all promises that it ever made, and so may vote. A node that has lost its disk has no
+    /// vote until a view that includes it has started.
     pub votes: bool,
-    /// The highest ballot promised. The node takes no part in views with a lower one.
+    /// The highest promised ballot. The node does not participate in views with a lower one.
     pub promised: u64,
     /// The ballot of the view in which `record` was accepted.
     pub accepted: u64,
@@ -33,13 +33,13 @@
     }
 }
 
-/// How a node starts.
+/// The state from which a node starts.
 pub enum Start {
-    /// For the first time, with these voters.
+    /// First start of an initial voter, with the initial set of voters.
     Fresh(Vec<NodeId>),
-    /// Again, from its disk.
+    /// Restart, with the state on the node's disk.
     Recovered(HardState),
-    /// Without a durable state: its disk is lost, or it has never voted. It learns the voters from its peers.
+    /// Start without durable state: the disk is lost, or the node has never voted. It learns the voters from its peers.
     Wiped,
 }
 
--- a/control-plane/src/chain/view.rs
+++ b/control-plane/src/chain/view.rs
@@ -1,4 +1,4 @@
-//! Views (Viewstamped Replication): a ballot, the chain of replicas, and the voters.
+//! Views (Viewstamped Replication). A view consists of its ballot, the chain of replicas, and the voters.
 
 use serde::{Deserialize, Serialize};
 
@@ -19,7 +19,7 @@
 }
 
 impl View {
-    /// A readable name: the round number of the ballot, and the address of the proposer.
+    /// The ballot in readable form: its round number and the address of the proposer.
     pub fn name(&self) -> String {
         ballot::name(self.number)
     }
@@ -47,11 +47,11 @@
 #[derive(Clone, Debug)]
 pub(super) struct InstalledView {
     pub(super) view: View,
-    /// All members are known to have made the view durable.
+    /// Whether all members are known to have made the view durable.
     pub(super) started: bool,
-    /// When this node accepted the view; once it is started, when this node learned so.
+    /// When this node learned that the view has started; before that, when this node accepted the view.
     pub(super) since: Millis,
-    /// A member has failed, or a later promise has fenced the view. It acknowledges nothing any more.
+    /// Whether a member has failed, or a later promise has fenced the view. A broken view acknowledges nothing.
     pub(super) broken: bool,
 }
 
--- a/control-plane/src/chain/view_change.rs
+++ b/control-plane/src/chain/view_change.rs
@@ -1,5 +1,5 @@
-//! View changes (Viewstamped Replication, 4.2): when a view is proposed, how a proposal advances, and how a view is installed
-//! and started.
+//! View changes (Viewstamped Replication, 4.2): when a view is proposed, how the proposal proceeds, and how the view is
+//! installed and started.
 //!
 //! Invariant: a view is started only after all members of its chain have made it durable, with the record that it begins
 //! with. That record is then committed.
@@ -26,8 +26,8 @@
         (installed.view.number == ballot && self.hard_state.promised == ballot).then_some(&installed.view)
     }
 
-    /// Marks the installed view as broken, as a member has failed or a later promise has fenced the view. It acknowledges
-    /// nothing any more.
+    /// Marks the installed view as broken, so that it acknowledges nothing. A member has failed, a later promise has
+    /// fenced the view, or a change has timed out.
     pub(super) fn break_view(&mut self) {
         if let Some(installed) = &mut self.installed {
             installed.broken = true;
@@ -44,7 +44,7 @@
 
     // ---- When to propose ----
 
-    /// Proposes a view where one is needed and it is this node's turn.
+    /// Proposes a view if one is needed and it is this node's turn.
     pub(super) fn propose_if_due(&mut self) {
         self.break_view_with_failed_member();
         let reachable = self.reachable_candidates();
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The reachable nodes that belong into the next chain.
+    /// The reachable nodes that belong in the next chain: voters, learners and wanted voters.
     fn next_chain(&self, mut reachable: Vec<NodeId>, wanted_voters: Option<&[NodeId]>) -> Vec<NodeId> {
         let members = self.members();
         let was_accepted_voter =
@@ -76,7 +76,7 @@
         reachable
     }
 
-    /// Whether a node was recently added to the installed chain to get a vote.
+    /// Whether a node in the installed chain may have been added recently as a learner.
     fn is_learner(&self, node: NodeId) -> bool {
         self.installed.as_ref().is_some_and(|installed| {
             installed.view.chain.contains(&node) && self.now < installed.since + LEARNER_RETENTION
@@ -88,9 +88,9 @@
         self.hard_state.votes && self.members().majority(has_vote)
     }
 
-    /// Whether this node is outside the newest started chain, and waits until a member of it proposes a view that includes
-    /// this node. A peer that was excluded itself may still report an older view as active, so that only views from the
-    /// newest known one on count.
+    /// Whether this node is outside the newest started chain, and waits until a member of that chain proposes a view
+    /// that includes this node. Views older than the newest known one are ignored, as a peer that is outside the chain
+    /// itself may still report one as active.
     fn waits_to_be_included(&self) -> bool {
         if self.active_view().is_some() {
             return false;
@@ -102,9 +102,9 @@
         })
     }
 
-    /// Number of nodes that this node lets propose first.
+    /// Number of possible proposers that take precedence over this node.
     fn proposers_before(&self, target: &[NodeId]) -> usize {
-        // An operator has sent a request to this node alone, so that no other node proposes its view.
+        // Only this node knows of the operator's request, so that no other node proposes the view for it.
         if self.requested_voters.is_some() {
             return 0;
         }
@@ -117,7 +117,7 @@
         target.iter().filter(|node| **node < self.node_id && may_propose(**node)).count()
     }
 
-    /// Whether this node lets the proposal of another node finish first.
+    /// Whether this node delays its own proposal until that of another node has finished.
     fn backs_off(&self) -> bool {
         self.proposer_backoff.is_some_and(|other| self.now < other.until && self.is_reachable(other.proposer))
     }
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Advances a proposal whose promises are gathered, and abandons one that has timed out.
+    /// Enters phase 2 once enough promises are gathered, and abandons a proposal that has failed or timed out.
     pub(super) fn advance_proposal(&mut self) {
         self.abandon_proposal_with_failed_member();
         self.expire_proposal();
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Abandons a proposal in phase 2 if a member of its chain has failed: the member will not answer, and the next proposal
-    /// is made without it.
+    /// Abandons a proposal in phase 2 if a member of its chain has failed. The member will not answer, and the next
+    /// proposal will not include it.
     fn abandon_proposal_with_failed_member(&mut self) {
         let chain = self.proposal.as_ref().and_then(Proposal::installing_chain);
         if chain.is_some_and(|chain| chain.iter().any(|node| self.has_failed(*node))) {
@@ -175,7 +175,7 @@
         let slow = proposal.unanswered();
         let started = self.known_view.as_ref().is_some_and(|known| known.number >= newest.ballot);
         let chosen = proposal.choose_view(&newest, started);
-        // These voters may differ from those that this node knows, and determine the target of the next proposal.
+        // These voters may differ from those that this node knows. The next proposal includes them as well.
         self.accepted_config = Some(newest.members);
         if chosen.is_some() {
             self.peers.exclude_slow(&slow, self.now);
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Handles the answer of a member that has made the view durable, and starts the view when all members have.
+    /// Handles the message that a member has made the view durable, and starts the view once all members have done so.
     pub(super) fn handle_installed(&mut self, from: NodeId, ballot: u64) {
         let Some(proposal) = &mut self.proposal else { return };
         let Some(view) = proposal.add_installed(from, ballot) else { return };
@@ -204,7 +204,7 @@
 
     // ---- The member's part ----
 
-    /// Accepts a view with its first record, unless this node has promised a higher ballot.
+    /// Accepts a view with its first record unless this node has promised a higher ballot.
     pub(super) fn handle_install(&mut self, from: NodeId, view: View, record: Arc<Record>) {
         if view.number < self.hard_state.promised {
             return self.send_nack(from);
@@ -238,7 +238,7 @@
         self.dispatch_calls();
     }
 
-    /// Starts the view if this node has installed it, it has not started here before, and no later promise has fenced it.
+    /// Starts the view if this node has installed it but not started it yet, and no later promise has fenced it.
     fn start_installed_view(&mut self, view: &View) {
         let fenced = self.hard_state.promised != view.number;
         let Some(installed) = self.installed.as_mut().filter(|installed| installed.view == *view) else {
@@ -248,12 +248,12 @@
             return;
         }
         installed.start(self.now);
-        // The delay before the next proposal begins anew with this view. Otherwise all nodes that waited for it to start would
-        // propose the next one at once, before this view has answered any call.
+        // The delay before the next proposal starts again with this view. Otherwise all nodes that waited for this view
+        // to start would propose the next one at once, before this one has answered any call.
         self.needed_since = None;
         if !self.hard_state.votes {
-            // The promises that this node may have forgotten are below this view, or are known to the quorum that has accepted
-            // it.
+            // The promises that this node may have lost have lower ballots than this view, or are known to the quorum
+            // that has accepted it.
             self.hard_state.votes = true;
             self.persist(Vec::new());
         }
@@ -262,9 +262,9 @@
         self.send_heartbeats();
     }
 
-    /// Starts the view of a message that was forwarded along the chain. Such a message proves that the view has started, and
-    /// may overtake the message that says so. The record that the view began with is then committed; a change that follows in
-    /// the message is not committed yet.
+    /// Starts the view of a message that was forwarded along the chain. Such a message proves that the view has
+    /// started, and may arrive before the `StartView` message. The first record of the view is then committed; a change
+    /// in the forwarded message is not committed yet.
     pub(super) fn start_view_if_proved(&mut self, ballot: u64) {
         let Some(view) = self.unfenced_view(ballot).cloned() else { return };
         if self.installed.as_ref().is_some_and(|installed| !installed.started) {
--- a/control-plane/src/deduplication.rs
+++ b/control-plane/src/deduplication.rs
@@ -2,8 +2,8 @@
 //!
 //! An *order* is an operator's change of the configuration together with the version that it builds on. The table is part
 //! of the replicated [`Record`](crate::record::Record): it is agreed on, made durable and transferred together with the
-//! document that it belongs to, so that no node has one without the other. The table is bounded. Of the keys that were
-//! evicted it retains only the *horizon*, which is the highest version whose key may be among them.
+//! document that it belongs to, so that no node has one without the other. The table is bounded. Of the evicted keys it
+//! retains only the *horizon*, which is the highest version whose key may have been evicted.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,24 +14,25 @@
 
 use crate::config::ConfigChange;
 
-/// Bound of the table. A day has hundreds of orders, and 3,200 in two years' time, so that the table covers more than a
-/// day. A version takes ten bytes at most and a key 32: the table is below 176 KB, and smaller than the document of 700
-/// routes that it is sent with.
+/// Maximum number of orders in the table. At hundreds of orders a day, and 3,200 expected in two years' time, the table
+/// covers more than a day. A version takes at most 10 bytes and a key 32, so the table stays below 176 KB, which is less
+/// than the document of 700 routes that it is sent with.
 pub const MAX_APPLIED_ORDERS: usize = 4096;
-/// Number of orders in a chunk of the table. The oldest orders are evicted by chunks. A full chunk no longer changes, so
-/// that successive records share it, and it is written to disk once.
+/// Number of orders in a chunk of the table. The oldest orders are evicted a chunk at a time. A full chunk is
+/// immutable, so that successive records share it, and it is written to disk only once.
 pub const CHUNK_ORDERS: usize = 64;
 
-/// Identifies an order, by the SHA-256 of all of it. Two orders with the same key are the same order: to find a second
-/// order with a given key on purpose takes about 2^128 attempts.
+/// SHA-256 hash of a complete order, which identifies the order. Two orders with the same key count as the same order:
+/// to construct two different orders with the same key takes about 2^128 attempts.
 #[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IdempotencyKey(pub [u8; 32]);
 
 impl IdempotencyKey {
-    /// The key of an order. It covers the version that the order builds on: a PATCH makes another document of another
-    /// version, and a PUT that is sent again on another version is a new decision of the operator, not a retry.
+    /// The key of an order. It covers the version that the order builds on: a PATCH of another version results in
+    /// another document, and a PUT that is sent again on another version is a new decision of the operator, not a
+    /// retry.
     pub fn of(builds_on: u64, change: &ConfigChange) -> IdempotencyKey {
-        // Each field but the last one has a fixed length, so that no two orders are hashed from the same bytes.
+        // All fields but the last have a fixed length, so that different orders never give the same bytes to hash.
         let (method, body) = match change {
             ConfigChange::Put(body) => (b"PUT  ", body),
             ConfigChange::Patch(body) => (b"PATCH", body),
@@ -48,7 +49,7 @@
     }
 }
 
-/// Test output shows the first four bytes only.
+/// Shows only the first four bytes, to keep test output short.
 impl fmt::Debug for IdempotencyKey {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         self.0.iter().take(4).try_for_each(|byte| write!(f, "{byte:02x}"))
@@ -76,27 +77,27 @@
     Ok(digit as u8)
 }
 
-/// An order that was applied.
+/// An entry of the deduplication table: an order that has been applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedOrder {
-    /// Version of the configuration that the order made.
+    /// Version of the configuration that the order produced.
     pub rev: u64,
     /// Key of the order.
     pub key: IdempotencyKey,
 }
 
-/// The idempotency keys of the newest orders, with the versions that they made.
+/// The idempotency keys of the newest orders, with the versions that they produced.
 ///
-/// Invariants: there are at most [`MAX_APPLIED_ORDERS`] orders, their versions rise, and the key of every applied order with
-/// a version above the horizon is in the table.
+/// Invariants: there are at most [`MAX_APPLIED_ORDERS`] orders, their versions increase strictly, and the table
+/// contains the key of every applied order with a version above the horizon.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "WireTable", into = "WireTable")]
 pub struct DeduplicationTable {
-    /// The horizon.
+    /// Highest version of an order that may have been applied and evicted.
     horizon: u64,
-    /// Chunks of [`CHUNK`] orders, the oldest first. Successive records share them.
+    /// Chunks of [`CHUNK_ORDERS`] orders, the oldest first. Successive records share them.
     full_chunks: Vec<Arc<[AppliedOrder]>>,
-    /// The newest orders, fewer than [`CHUNK`].
+    /// The newest orders, fewer than [`CHUNK_ORDERS`].
     open_chunk: Vec<AppliedOrder>,
 }
 
@@ -110,10 +111,10 @@
 /// Why a deduplication table, or a key in it, is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidTable {
-    /// There are more orders than the bound allows.
+    /// There are more than [`MAX_APPLIED_ORDERS`] orders.
     #[error("at most {MAX_APPLIED_ORDERS} taken orders expected, got {0}")]
     TooMany(usize),
-    /// Versions do not rise from one order to the next.
+    /// The versions do not increase from one order to the next.
     #[error("taken orders: versions that rise expected, got {next} after {previous}")]
     NotRising {
         /// Version of an order.
@@ -127,16 +128,16 @@
 }
 
 impl DeduplicationTable {
-    /// The empty table of a node that has lost, or was never sent, the keys of orders up to a version.
+    /// An empty table, for a node that does not have the keys of the orders up to a version.
     pub fn with_horizon(up_to: u64) -> Self {
         DeduplicationTable { horizon: up_to, ..DeduplicationTable::default() }
     }
 
-    /// The table of these orders, the oldest first.
+    /// A table of the given orders, the oldest first.
     ///
     /// # Errors
     ///
-    /// [`InvalidTable`] where there are too many orders, or their versions do not rise.
+    /// [`InvalidTable`] if there are too many orders, or their versions do not increase.
     pub fn from_orders(horizon: u64, orders: &[AppliedOrder]) -> Result<Self, InvalidTable> {
         if orders.len() > MAX_APPLIED_ORDERS {
             return Err(InvalidTable::TooMany(orders.len()));
@@ -165,18 +166,18 @@
         self.len() == 0
     }
 
-    /// The version that the newest order made; 0 where there is none.
+    /// The version that the newest order produced; 0 if the table is empty.
     pub fn newest_rev(&self) -> u64 {
         let newest = self.open_chunk.last().or_else(|| self.full_chunks.last()?.last());
         newest.map_or(0, |order| order.rev)
     }
 
-    /// The horizon, which is the highest version of an order that may have been applied and evicted.
+    /// The highest version of an order that may have been applied and evicted; 0 if there is none.
     pub fn horizon(&self) -> u64 {
         self.horizon
     }
 
-    /// The full chunks, the oldest first. They no longer change.
+    /// The full chunks, the oldest first. They are immutable.
     pub fn full_chunks(&self) -> &[Arc<[AppliedOrder]>] {
         &self.full_chunks
     }
@@ -186,13 +187,13 @@
         &self.open_chunk
     }
 
-    /// Raises the horizon. The table can no longer tell whether an order up to this version that it does not contain was
-    /// applied.
+    /// Raises the horizon to a version, if it is lower. For an order up to the horizon that is not in the table, it is
+    /// unknown whether the order was applied.
     pub fn raise_horizon(&mut self, rev: u64) {
         self.horizon = self.horizon.max(rev);
     }
 
-    /// Adds the newest order, and evicts the oldest chunk where there are too many orders.
+    /// Adds the newest order, and evicts the oldest chunk if there are too many orders.
     pub(crate) fn push(&mut self, order: AppliedOrder) {
         self.open_chunk.push(order);
         if self.len() > MAX_APPLIED_ORDERS {
@@ -204,7 +205,6 @@
         }
     }
 
-    /// The order with this key.
     pub(crate) fn find(&self, key: IdempotencyKey) -> Option<AppliedOrder> {
         self.iter().find(|order| order.key == key).copied()
     }
@@ -224,13 +224,13 @@
     }
 }
 
-/// An entry of the replicated log, which an order adds to the record before it.
+/// An entry of the replicated log: an order, with the document that results from applying it to the record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
     /// Log index of the entry.
     pub seq: u64,
-    /// The complete new document, also where the order was a PATCH.
+    /// The complete new document, even if the order was a PATCH.
     pub document: Vec<u8>,
-    /// The key of the order, with the version that it makes.
+    /// The key of the order, with the version that it produces.
     pub order: AppliedOrder,
 }
--- a/control-plane/src/ids.rs
+++ b/control-plane/src/ids.rs
@@ -7,9 +7,8 @@
 /// A control node, identified by its address.
 pub type NodeId = Ipv4Addr;
 
-/// Correlation id of a request, unique among all that the processes of one machine ever send. Numbers begin anew with each
-/// process; the incarnation keeps the response to a request of an earlier process from being mistaken for one of this
-/// process.
+/// Correlation id of a request, unique among all requests that a machine ever sends. The numbers restart with each
+/// process; the incarnation keeps a response to an earlier process from being matched to a request of the present one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId {
     /// Incarnation of the process that sent the request.
--- a/control-plane/src/invariant.rs
+++ b/control-plane/src/invariant.rs
@@ -1,10 +1,10 @@
 //! Invariants that are checked at run time, in every build.
 //!
-//! A violation is counted and logged, and the process goes on, as its other functions may be correct. `status` shows
-//! the counts, and a test over processes fails where there is a violation in a log.
+//! A violation is counted and logged, and the process continues, as its other functions may still be correct. `status`
+//! shows the counts, and a test that runs real processes fails if a log contains a violation.
 //!
-//! A check tests a consequence of the invariant that does not depend on the mechanism which maintains it. It costs no more
-//! than a few comparisons, and its result does not depend on the speed of the process.
+//! A check tests a consequence of the invariant, independently of the mechanism that maintains the invariant. It costs
+//! no more than a few comparisons, and its result does not depend on the speed of the process.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -33,33 +33,33 @@
 }
 
 invariants! {
-    /// A process handles no request by an older configuration than an earlier request.
+    /// A process handles no request with an older configuration than that of an earlier request.
     ConfigOrder = "config_order",
-    /// The records that a control node commits rise in version and log index.
+    /// The version and log index of the records that a control node commits never decrease.
     CommittedOrder = "committed_order",
-    /// All processes have the same document under the same version.
+    /// Each version has the same document in all processes.
     OneDocument = "one_document",
-    /// A request that may run at most once is sent to no other server after one where it may have run.
+    /// A request that must be executed at most once is not sent to another server after one that may have executed it.
     SingleRun = "single_run",
-    /// A request that may run at most once is answered as not run only if no server has run it.
+    /// A request that must be executed at most once is reported as not executed only if no server has executed it.
     RefusedNotRun = "refused_not_run",
     /// A request is sent to no more servers than its number of attempts allows.
     SendsAllowed = "sends_allowed",
-    /// A response that a proxy makes itself does not carry the seal of a server.
+    /// A response that a proxy generates itself does not carry the seal header, which only servers set.
     SealIsServers = "seal_is_servers",
-    /// A server that was published as draining is never published as ready again.
+    /// A server that has been published as draining is never published as ready again.
     DrainIsFinal = "drain_is_final",
-    /// A server whose drain is acknowledged is not published as ready.
+    /// A server is not published as ready after its draining has been acknowledged.
     DrainIsTold = "drain_is_told",
-    /// An edge serves no stored response that a recent purge selects.
+    /// An edge serves no stored response that matches a recent purge.
     CopyNotPurged = "copy_not_purged",
     /// A purge is acknowledged only once each session with a lease has applied it, or its lease has expired.
     PurgeIsApplied = "purge_is_applied",
-    /// No lease is valid for longer than the length of leases.
+    /// No lease is valid for longer than the maximum lease duration.
     LeaseIsBounded = "lease_is_bounded",
-    /// The updates pushed on a session are numbered without a gap.
+    /// The updates pushed on a session are numbered consecutively.
     PushesInOrder = "pushes_in_order",
-    /// A session acknowledges no update that it was not sent.
+    /// A subscriber acknowledges only updates that were sent on its session.
     AppliedWasSent = "applied_was_sent",
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// Message of the log line of a violation. Tests and the soak search logs for it.
+/// Message of the log line of a violation. Tests and the soak test search the logs for it.
 pub const VIOLATION_MESSAGE: &str = "invariant broken";
 /// Prefix of the names of violation counters in `status`.
 pub const COUNTER_PREFIX: &str = "broken_";
--- a/control-plane/src/lease.rs
+++ b/control-plane/src/lease.rs
@@ -1,16 +1,17 @@
 //! Leases on stored responses (Gray and Cheriton, 1989).
 //!
-//! A proxy serves a stored response only while it holds a lease. A process that acknowledges a purge without an
-//! acknowledgement from a lease holder first waits until that holder's lease has expired.
+//! A proxy serves stored responses only while it holds a lease. Before a process acknowledges a purge, each lease
+//! holder must have acknowledged the purge, or its lease must have expired.
 //!
-//! Leases are nested. Each voter grants every control node a lease of [`VOTER_LEASE`]. A control node that holds leases of a
-//! quorum of the voters grants its sessions a part of the time that is left, and an agent does the same for its proxies. So
-//! the stored responses that depend on a control node, over any number of hops, are no longer served once the voters' grants
-//! to that node have expired.
+//! Leases are nested. Each voter grants every control node a lease of [`VOTER_LEASE`]. A control node that holds leases
+//! from a quorum of the voters grants its sessions a part of the remaining time, and an agent does the same for its
+//! proxies. So the proxies below a control node, over any number of hops, serve no stored responses once the voters'
+//! grants to that node have expired.
 //!
-//! Clocks of two processes are never compared. A holder counts from the moment when it *sent* its request, and the granter
-//! from the moment when it *received* it, which is later; the granter adds a margin for clocks that run at different rates.
-//! A grant repeats the reading of the holder's clock from the request, so that neither side has to store requests.
+//! The clocks of two processes are never compared. The holder measures the lease from the time at which it *sent* the
+//! request, and the granter from the time at which it *received* the request, which is later; the granter adds a margin
+//! for clock drift. A grant echoes the holder's clock reading from the request, so that neither side has to store
+//! requests.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -22,19 +23,19 @@
 pub const VOTER_LEASE: Millis = 1500;
 /// Interval at which control nodes renew the leases of voters.
 pub const VOTER_RENEWAL: Millis = 250;
-/// Longest lease that a session is granted. Sessions renew it with each ping.
+/// Longest lease that is granted to a session. Subscribers renew it with each ping.
 pub const SESSION_LEASE: Millis = 1200;
-/// Two clocks may differ by 1 % in rate: a granter waits longer by one part in so many.
+/// The rates of two clocks may differ by 1 %: a granter adds the lease duration divided by this number to its wait.
 const CLOCK_DRIFT_DIVISOR: Millis = 100;
-/// Readings are truncated to whole milliseconds at each hop.
+/// Margin for clock readings that are truncated to milliseconds at each hop.
 const CLOCK_ROUNDING_MARGIN: Millis = 10;
 
-/// How long a granter waits until a lease of this length has expired at its holder.
+/// How long after the request a granter waits until a lease of this duration has expired at its holder.
 pub const fn granter_wait(duration: Millis) -> Millis {
     duration + duration.div_ceil(CLOCK_DRIFT_DIVISOR) + CLOCK_ROUNDING_MARGIN
 }
 
-/// A lease at its holder, by the holder's clock. A new one has expired already.
+/// A lease as its holder sees it, by the holder's clock. The default lease has expired.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lease {
     expires_at: Millis,
@@ -43,27 +44,27 @@
 impl Lease {
     /// Applies the grant of a request that was sent at `sent_at`.
     pub fn renew(&mut self, now: Millis, sent_at: Millis, duration: Millis) {
-        // A reading above the present one is not from this clock, and the grant is ignored.
+        // A reading in the future is not from this clock, so the grant is ignored.
         if sent_at <= now {
             self.expires_at = self.expires_at.max(sent_at.saturating_add(duration));
         }
     }
 
-    /// When the lease expires.
+    /// Expiry time by the holder's clock; 0 before the first grant.
     pub fn expires_at(&self) -> Millis {
         self.expires_at
     }
 
-    /// Whether stored responses may be served at this moment.
+    /// Whether stored responses may be served at the time `now`.
     pub fn is_valid(&self, now: Millis) -> bool {
         now < self.expires_at
     }
 }
 
-/// The leases that a granter may have to wait for, by its own clock.
+/// The leases that a granter has granted, by its own clock.
 #[derive(Debug)]
 pub struct Grants<K> {
-    /// When the granter may rely on the expiry of each holder's lease.
+    /// The time at which each holder's lease has certainly expired.
     expiries: BTreeMap<K, Millis>,
 }
 
@@ -74,14 +75,14 @@
 }
 
 impl<K: Ord + Copy> Grants<K> {
-    /// Records a lease that is granted for a request received at `received_at`.
+    /// Records a lease that is granted for a request received at `received_at`. It never shortens an earlier lease.
     pub fn grant(&mut self, holder: K, received_at: Millis, duration: Millis) {
         let expires_at = self.expiries.entry(holder).or_default();
         *expires_at = (*expires_at).max(received_at + granter_wait(duration));
     }
 
-    /// Grants a part of a lease that the granter itself holds until `own_expiry`. Returns its length from the moment of the
-    /// request; `None` where nothing is left to grant.
+    /// Grants a part of a lease that the granter itself holds until `own_expiry`. Returns its duration, measured from
+    /// the request; `None` if no time is left to grant.
     pub fn grant_part(
         &mut self,
         now: Millis,
@@ -103,12 +104,12 @@
         self.expiries.remove(holder);
     }
 
-    /// When a holder's lease expires; `None` where it has none.
+    /// When a holder's lease expires; `None` if it has no valid lease.
     pub fn expiry(&self, now: Millis, holder: &K) -> Option<Millis> {
         self.expiries.get(holder).copied().filter(|expires_at| now < *expires_at)
     }
 
-    /// When the last lease expires among the holders that `includes` selects; `None` where none of them has a lease.
+    /// The latest expiry of the leases of the holders that `includes` selects; `None` if none of them has a valid lease.
     pub fn last_expiry(&self, now: Millis, includes: impl Fn(&K) -> bool) -> Option<Millis> {
         let valid = self.expiries.iter().filter(|(_, expires_at)| now < **expires_at);
         valid.filter(|(holder, _)| includes(holder)).map(|(_, expires_at)| *expires_at).max()
@@ -137,9 +138,9 @@
         self.by_voter.entry(voter).or_default().renew(now, sent_at, duration);
     }
 
-    /// The latest time until which this node holds leases of a quorum of the voters, itself included; `now` or earlier
-    /// where it holds none. `is_quorum` says whether voters form a quorum together with this node. A node that is a quorum
-    /// by itself grants itself a lease.
+    /// The latest time until which this node holds leases from a quorum of the voters, itself included; `now` or
+    /// earlier if it holds too few. `is_quorum` returns whether the given voters form a quorum together with this node.
+    /// A node that is a quorum by itself grants itself a lease.
     pub fn quorum_expiry(&self, now: Millis, is_quorum: impl Fn(&[Ipv4Addr]) -> bool) -> Millis {
         if is_quorum(&[]) {
             return now + VOTER_LEASE;
--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -1,7 +1,7 @@
-//! Control state of the glenfall system: configuration documents, the replicated chain that stores them, the registry of
-//! servers, and the messages between processes.
+//! Control plane of Glenfall: configuration documents, the replicated chain that stores them, the registry of servers,
+//! and the messages between processes.
 //!
-//! The crate has no sockets, no disk and no clock. Callers pass in events and the time, and carry out the outputs.
+//! The crate does no input or output and reads no clock. Callers pass in events and the time, and carry out the outputs.
 //! `docs/glossary.md` defines the terms.
 
 pub mod chain;
--- a/control-plane/src/messages.rs
+++ b/control-plane/src/messages.rs
@@ -1,8 +1,9 @@
 //! Messages between the processes of the system, encoded with `postcard` in length-prefixed frames.
 //!
-//! A *session* is a watch stream. It connects a proxy to its agent, an agent to a control node, or a shield to the control
-//! node on its machine, all with the same messages: the publisher (the control node or agent) pushes numbered updates, and
-//! the subscriber acknowledges the number of the last update that it has applied. Control nodes exchange [`PeerMessage`]s.
+//! A *session* is a watch stream. It connects a proxy to its agent, an agent to a control node, or a shield to the
+//! control node on its machine, all with the same messages: the publisher (the control node or agent) pushes numbered
+//! updates, and the subscriber acknowledges the highest number up to which it has applied them. Control nodes exchange
+//! [`PeerMessage`]s.
 //!
 //! `postcard` encodes variants and fields by their position: their order is part of the wire format, their names are not.
 
@@ -19,22 +20,22 @@
 pub use crate::ids::CallId;
 pub use crate::nodes::{Member, ProxyRole, Server};
 
-/// Longest frame. The largest content is a configuration with its deduplication table: see
+/// Longest frame. The largest message carries a configuration with its deduplication table: see
 /// [`MAX_DOCUMENT_BYTES`](crate::config::MAX_DOCUMENT_BYTES).
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
 /// The first frame on each connection between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConnectionOpening {
-    /// The caller is a subscriber: a session follows.
+    /// The connecting process is a subscriber: a session follows.
     Session,
-    /// The caller is a control node.
+    /// The connecting process is a control node.
     Peer {
-        /// Address of the caller.
+        /// Address of the connecting process.
         ip: Ipv4Addr,
-        /// Incarnation of the caller's process.
+        /// Incarnation of the connecting process.
         incarnation: u64,
-        /// The other control nodes that the caller knows.
+        /// The other control nodes that the connecting process knows.
         known_peers: Vec<Ipv4Addr>,
     },
 }
@@ -51,7 +52,7 @@
 /// Messages from a proxy to its agent, and from an agent or a shield to a control node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubscriberMessage {
-    /// Introduces the subscriber. It is the first message, and is sent again whenever its content changes.
+    /// Identifies the subscriber. It is the first message, and is sent again whenever its content changes.
     Hello {
         /// Name of the subscriber's machine.
         node: String,
@@ -64,10 +65,10 @@
     Counters(Vec<Counter>),
     /// Requests a lease on stored responses.
     RenewLease {
-        /// Reading of the subscriber's clock, which the grant repeats.
+        /// Reading of the subscriber's clock, which the grant echoes.
         sent_at: Millis,
     },
-    /// The subscriber, and whoever holds a lease from it, no longer serves stored responses.
+    /// The subscriber, and all processes that hold a lease from it, no longer serve stored responses.
     LeaseReleased,
     /// Shows that the subscriber is alive.
     Ping,
@@ -76,11 +77,11 @@
 /// Messages from a control node to an agent or a shield, and from an agent to its proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PublisherMessage {
-    /// The control nodes that an agent may connect to when it loses this one.
+    /// The control nodes that an agent may connect to when its connection to this one is lost.
     ControlNodes(Vec<Ipv4Addr>),
     /// An update to apply.
     Push {
-        /// Number of the update on this session. Numbers rise by one.
+        /// Number of the update on this session, one higher than that of the update before it.
         number: u64,
         /// The update.
         update: Update,
@@ -89,10 +90,10 @@
     LeaseGranted {
         /// The reading of the subscriber's clock from its request, at which the lease begins.
         sent_at: Millis,
-        /// Length of the lease in milliseconds.
+        /// Duration of the lease in milliseconds.
         duration: Millis,
     },
-    /// The publisher is about to stop: the subscriber connects to another one now.
+    /// The publisher is about to stop: the subscriber has to connect to another one.
     Draining,
     /// Shows that the publisher is alive.
     Ping,
@@ -112,8 +113,8 @@
     Fleet(fleet::FleetUpdate),
     /// Purges that the subscriber has to apply.
     Purges(Vec<AgedPurge>),
-    /// Whether the publisher is connected to control. While it is not, purges may be missed, and stored responses must not
-    /// be served as up to date.
+    /// Whether the publisher is connected to a control node. While it is not, purges may be missed, and stored responses
+    /// must not be served as fresh.
     Connected(bool),
 }
 
@@ -129,7 +130,7 @@
     },
     /// All stored responses with this label.
     Label(String),
-    /// All stored responses. It replaces purges that were missed and are too many to be listed.
+    /// All stored responses. It replaces missed purges that are too many to be listed.
     Everything,
 }
 
@@ -139,20 +140,20 @@
     /// What is purged.
     pub purge: Purge,
     /// Lower bound of the time since the purge was accepted, in milliseconds. A stored response whose request was sent
-    /// after that is newer than the purge, and stays.
+    /// after the purge was accepted is not removed.
     pub age_ms: u64,
 }
 
-/// A purge with its identity among control nodes: its origin, the origin's incarnation and a number.
+/// A purge as control nodes exchange it. It is identified by its origin, the origin's incarnation and a number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PurgeRecord {
     /// Control node that accepted the purge.
     pub origin: Ipv4Addr,
-    /// Incarnation of the origin's process: numbers begin anew in each.
+    /// Incarnation of the origin's process. The numbers restart with each incarnation.
     pub incarnation: u64,
     /// Number of the purge within that incarnation.
     pub number: u64,
-    /// Time since the purge was accepted, in milliseconds. It determines when the purge is forgotten.
+    /// Time since the purge was accepted, in milliseconds. It determines when the purge is removed from the history.
     pub age_ms: u64,
     /// What is purged.
     pub purge: Purge,
@@ -165,7 +166,7 @@
     }
 }
 
-/// A process of a control node. A process that restarts at the same address has another incarnation.
+/// A process of a control node. A restarted process at the same address has another incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProcessId {
     /// Address of the control node.
@@ -182,56 +183,56 @@
     Chain(chain::Message),
     /// The members whose sessions are connected to the sender.
     Members(fleet::MembersUpdate),
-    /// Entries of servers that the sender has observed.
+    /// Registry entries, each with the time since the sender received the server's heartbeat.
     Servers(Vec<ObservedServer>),
-    /// An entry whose replication the sender waits for: the receiver acknowledges once it has pushed the entry to its
-    /// sessions.
+    /// A registry entry whose replication the sender waits for: the receiver acknowledges the entry once it has pushed
+    /// it to its sessions.
     ReplicateServer {
-        /// Names the request in the acknowledgement.
+        /// Correlation id, which the acknowledgement repeats.
         id: CallId,
-        /// The entry.
+        /// The registry entry to replicate.
         entry: ServerEntry,
-        /// The receiver first replicates the entry to the nodes that it reaches and the sender does not.
+        /// Whether the receiver first replicates the entry to the nodes that it reaches and the sender does not.
         forward: bool,
     },
-    /// Purges to apply and remember.
+    /// Purges to apply and to store in the history.
     Purges {
-        /// Names the request in the acknowledgement; `None` where the sender does not wait for one.
+        /// Correlation id, which the acknowledgement repeats; `None` if the sender does not wait for one.
         id: Option<CallId>,
         /// The purges.
         purges: Vec<PurgeRecord>,
-        /// The processes that the sender has sent the purges to itself. The receiver forwards them to those that it reaches
-        /// beyond these, and to none where this is `None`.
+        /// The processes to which the sender has sent the purges itself. The receiver forwards the purges to all other
+        /// processes that it reaches; if this is `None`, it does not forward them.
         already_notified: Option<Vec<ProcessId>>,
     },
-    /// The sender has written a purge of the receiver's to disk.
+    /// The sender has made a purge that the receiver accepted durable on its own disk.
     PurgeDurable {
         /// Incarnation of the receiver's process that accepted the purge.
         incarnation: u64,
         /// Number of the purge within that incarnation.
         number: u64,
     },
-    /// The sender and its sessions have applied what [`PeerMessage::ReplicateServer`] or [`PeerMessage::Purges`] asked for.
+    /// The sender and its sessions have applied a [`PeerMessage::ReplicateServer`] or [`PeerMessage::Purges`] request.
     Acknowledged {
-        /// Names the request.
+        /// Correlation id of the request.
         id: CallId,
-        /// For a purge: every other process that may still use a lease from the sender has applied it as well.
+        /// For a purge: whether every other process that may still use a lease from the sender has applied it as well.
         complete: bool,
     },
-    /// Requests a lease from a voter. The number of the call is a reading of the sender's clock.
+    /// Requests a lease from a voter.
     RenewLease {
-        /// Names the request.
+        /// Correlation id, which the grant repeats. Its number is a reading of the sender's clock.
         id: CallId,
     },
-    /// Grants a lease.
+    /// A voter's answer to [`PeerMessage::RenewLease`].
     LeaseGranted {
-        /// Names the request.
+        /// Correlation id of the request.
         id: CallId,
-        /// Length of the lease in milliseconds.
+        /// Duration of the lease in milliseconds.
         duration: Millis,
     },
-    /// The sender and its sessions no longer use the leases granted to it, and it requests no more.
+    /// The sender and its sessions no longer use the leases granted to the sender, and it will request no more.
     LeaseReleased,
-    /// Shows that the accepting side of a connection is alive.
+    /// Shows that the side that accepted the connection is alive.
     KeepAlive,
 }
--- a/control-plane/src/record.rs
+++ b/control-plane/src/record.rs
@@ -1,6 +1,7 @@
-//! The replicated state, and the decision on an order by that state.
+//! The replicated state, and the rules by which an order is applied to it or rejected. An order is an operator's change
+//! of the configuration together with the version that it builds on.
 //!
-//! The decision depends on the record and the order alone, so that every head makes the same decision on the same order.
+//! The decision is deterministic: it depends only on the record and the order, so that every head decides alike.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,7 +9,7 @@
 use crate::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey, LogEntry};
 
 /// The state that the chain replicates: the newest configuration document, and the deduplication table of the orders that
-/// made it.
+/// produced it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Log index, which is the number of orders applied so far.
@@ -17,21 +18,22 @@
     pub rev: u64,
     /// The configuration document; empty before the first one.
     pub document: Vec<u8>,
-    /// Idempotency keys of the newest orders, by which a retried order is recognised.
+    /// Idempotency keys of the newest orders, which identify a retried order.
     pub applied_orders: DeduplicationTable,
 }
 
-/// The decision on an order.
+/// What happens to an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// The order builds on the current version, and adds this log entry.
+    /// The order builds on the current version and is valid: it becomes this log entry.
     New(LogEntry),
-    /// The order was applied before, possibly with other orders after it.
+    /// The order has been applied before. Other orders may have been applied since.
     AlreadyApplied {
-        /// The version that the order made.
+        /// The version that the order produced.
         rev: u64,
     },
-    /// The order may have been applied so long ago that its key was evicted: it is neither confirmed nor rejected.
+    /// The order may have been applied so long ago that its key has been evicted: it can be neither confirmed nor
+    /// rejected.
     Expired {
         /// Highest version whose key may have been evicted.
         up_to: u64,
@@ -41,7 +43,7 @@
         /// The current version.
         current: u64,
     },
-    /// The change does not make a valid configuration.
+    /// The change does not result in a valid configuration.
     Invalid(InvalidConfig),
 }
 
@@ -53,7 +55,7 @@
             return Decision::AlreadyApplied { rev: order.rev };
         }
         let horizon = self.applied_orders.horizon();
-        // An order that makes no version above the one that it builds on was never applied.
+        // An order whose version is not above the one that it builds on cannot have been applied.
         let may_be_evicted = |rev: u64| builds_on < rev && rev <= horizon;
         if change.rev().is_some_and(may_be_evicted) {
             return Decision::Expired { up_to: horizon };
@@ -77,9 +79,9 @@
         Record { seq: entry.seq, rev: entry.order.rev, document: entry.document.clone(), applied_orders }
     }
 
-    /// The record with an empty deduplication table, for nodes that only distribute the document. A node that mistakes it
-    /// for the complete record is safe: its table decides [`Decision::Expired`] on every order whose key the complete table
-    /// may contain.
+    /// The record with an empty deduplication table, for nodes that only distribute the document. It is safe to use in
+    /// place of the complete record: [`Record::decide`] then returns [`Decision::Expired`] for every order whose key
+    /// the complete table may contain.
     pub fn without_table(&self) -> Record {
         let horizon = self.rev.max(self.applied_orders.horizon());
         Record {
