--- a/control-plane/src/chain/settings.rs
+++ b/control-plane/src/chain/settings.rs
@@ -61,7 +61,7 @@
 
 /// The repair after the losses that the settings require to be tolerated takes longer than `sync` allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{losses} losses, one right after the repair of another, take {needed} ms to be outlived, and the settings give {sync} ms")]
+#[error("repair after {losses} losses in succession takes {needed} ms, but only {sync} ms are configured")]
 pub struct SyncTooShort {
     /// Number of losses to tolerate.
     pub losses: usize,
