--- a/control-plane/src/chain/proposal.rs
+++ b/control-plane/src/chain/proposal.rs
@@ -84,8 +84,8 @@
             return JointConfig { voters: wanted.clone(), outgoing: current.voters.clone() };
         }
         if !started {
-            // Possibly only some members have accepted this configuration. A view with it has to start before the
-            // outgoing voters are removed.
+            // Some members may not have accepted this configuration. A view with it has to start before the outgoing
+            // voters are removed.
             return current.clone();
         }
         JointConfig { voters: current.voters.clone(), outgoing: Vec::new() }
--- a/control-plane/src/chain/reconfiguration.rs
+++ b/control-plane/src/chain/reconfiguration.rs
@@ -194,8 +194,8 @@
         (wanted != members.voters).then_some(wanted)
     }
 
-    /// The voters, with failed and draining ones replaced by standbys, and with standbys added up to the number that the
-    /// required losses need.
+    /// The voters, with failed and draining ones replaced by standbys, and with further standbys if there are too few
+    /// voters to tolerate the required losses.
     fn repaired_voters(&self, reachable: &[NodeId]) -> Vec<NodeId> {
         let members = self.members();
         let mut standbys = reachable.iter().copied().filter(|node| !members.contains(*node));
@@ -212,8 +212,8 @@
             } else if let Some(standby) = standbys.next() {
                 wanted.push(standby);
             } else if surplus > 0 {
-                // An operator has requested more voters than the required losses need. A failed voter without a
-                // replacement is removed, as it would only make a majority harder to reach.
+                // An operator has requested more voters than are needed. A failed voter without a replacement is removed,
+                // as it would only make a majority harder to reach.
                 surplus -= 1;
             } else {
                 wanted.push(voter);
--- a/control-plane/src/chain/settings.rs
+++ b/control-plane/src/chain/settings.rs
@@ -59,7 +59,7 @@
 /// Maximum number of control nodes.
 pub(super) const MAX_NODES: usize = 64;
 
-/// The repair after the losses that the settings require to be tolerated takes longer than `sync` allows.
+/// The repair after all losses that have to be tolerated takes longer than [`ChainSettings::sync`] allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("repair after {losses} losses in succession takes {needed} ms, but only {sync} ms are configured")]
 pub struct SyncTooShort {
@@ -79,8 +79,8 @@
     pub losses: usize,
     /// Whether this node may become a voter.
     pub eligible: bool,
-    /// Time for catching up, in milliseconds. A failed machine counts as a loss until its replacement has been running
-    /// for so long.
+    /// Time for catching up, in milliseconds: a failed machine counts as a loss until its replacement has been running
+    /// for this time.
     pub sync: Millis,
 }
 
--- a/control-plane/src/messages.rs
+++ b/control-plane/src/messages.rs
@@ -199,13 +199,13 @@
     Purges {
         /// Correlation id, which the acknowledgement repeats; `None` if the sender does not wait for one.
         id: Option<CallId>,
-        /// The purges.
+        /// The purges, each with its age at the sender.
         purges: Vec<PurgeRecord>,
         /// The processes to which the sender has sent the purges itself. The receiver forwards the purges to all other
         /// processes that it reaches; if this is `None`, it does not forward them.
         already_notified: Option<Vec<ProcessId>>,
     },
-    /// The sender has made a purge that the receiver accepted durable on its own disk.
+    /// A purge that the receiver accepted is durable on the sender's disk.
     PurgeDurable {
         /// Incarnation of the receiver's process that accepted the purge.
         incarnation: u64,
