--- a/balancer/src/balancer/admission.rs
+++ b/balancer/src/balancer/admission.rs
@@ -43,7 +43,7 @@
             deadline: self.now + new.time_left,
             work: new.work_hint.unwrap_or(0.0).max(0.0),
             over_quota,
-            slot_draw: self.jitter.next_fraction(),
+            slot_fraction: self.jitter.next_fraction(),
             ..Request::default()
         };
         // The final answer is given ahead of the client's deadline, whatever else happens.
@@ -72,7 +72,7 @@
         let Some(request) = self.requests.get(&id) else { return };
         let Target { server, to_origin } = self.choose_target(request);
         // One fetch for each key: a read that would fetch it too waits for the end of that fetch.
-        if !request.write && to_origin && self.fetches.join(request.key, id) {
+        if !request.write && to_origin && self.fetches.wait_for_fetch(request.key, id) {
             return;
         }
         // What reaches the origin goes only as fast as it bears, writes first: hits must not queue with it.
@@ -103,8 +103,8 @@
         let Some(request) = self.requests.get(&id) else { return };
         let max_queue_time = if request.over_quota { MAX_QUEUE_TIME_OVER_QUOTA } else { MAX_QUEUE_TIME };
         let queued_until = request.arrived + self.config.class(request.class).latency_target * max_queue_time;
-        let is_hopeless = !request.attempts.is_empty() && !self.rules().may_send_to_any(request);
-        if is_hopeless || self.now >= queued_until || self.now >= request.deadline {
+        let no_retry_possible = !request.attempts.is_empty() && !self.rules().may_send_to_any(request);
+        if no_retry_possible || self.now >= queued_until || self.now >= request.deadline {
             self.end(id);
         } else {
             self.queue.push_back(id);
@@ -135,7 +135,7 @@
         if to_origin {
             self.fetches.begin_attempt(now);
             if !request.write {
-                self.fetches.lead(request.key, id);
+                self.fetches.begin_fetch(request.key, id);
             }
         }
         let time_left = request.deadline - now - self.config.deadline_margin();
--- a/balancer/src/balancer/membership.rs
+++ b/balancer/src/balancer/membership.rs
@@ -10,10 +10,10 @@
 
 impl Balancer {
     /// Subscribes to the list of servers if that is due.
-    pub(super) fn call_for_roster(&mut self) {
+    pub(super) fn subscribe_if_due(&mut self) {
         let is_on_request = self.config.settings().membership == Membership::OnRequest;
-        if is_on_request && self.subscription.call_is_due(self.now, &self.config) {
-            self.subscription.record_call(self.now);
+        if is_on_request && self.subscription.subscribe_is_due(self.now, &self.config) {
+            self.subscription.record_subscribe(self.now);
             self.actions.push(Action::Subscribe);
         }
     }
@@ -37,7 +37,7 @@
     }
 
     fn apply_complete_list(&mut self, entries: Vec<RosterEntry>) {
-        self.servers.set_absent_gone(&entries);
+        self.servers.mark_absent_gone(&entries);
         self.apply_entries(entries);
     }
 
--- a/balancer/src/balancer/mod.rs
+++ b/balancer/src/balancer/mod.rs
@@ -27,7 +27,7 @@
 use crate::peer_message::PeerMessage;
 use crate::request::Request;
 use crate::retry_budget::RetryBudget;
-use crate::roster_subscription::{call_distribution_time, RosterSubscription};
+use crate::roster_subscription::{subscribe_spread_time, RosterSubscription};
 use crate::send_rules::SendRules;
 use crate::server_pool::ServerPool;
 use crate::settings::{Settings, SettingsError};
@@ -108,9 +108,9 @@
     fn start(&mut self) {
         self.is_started = true;
         self.schedule_housekeeping();
-        let first_call = self.now + self.jitter.next_fraction() * call_distribution_time(&self.config);
-        self.subscription.schedule_first_call(first_call);
-        self.call_for_roster();
+        let first_subscribe = self.now + self.jitter.next_fraction() * subscribe_spread_time(&self.config);
+        self.subscription.schedule_first_subscribe(first_subscribe);
+        self.subscribe_if_due();
     }
 
     fn apply(&mut self, event: Event) {
@@ -157,7 +157,7 @@
         }
         self.servers.refresh(&self.config, self.now);
         self.refresh_allowances();
-        self.call_for_roster();
+        self.subscribe_if_due();
         self.send_hedged_requests();
         if self.connections.drain_close_is_due(self.now) {
             self.close_draining_connections();
@@ -172,13 +172,13 @@
         self.servers.recover_key_shares(self.now, HOUSEKEEPING_INTERVAL);
         let request_rate = self.popularity.recent_requests(self.now) / RECENT_PERIOD;
         let multiple = self.config.settings().guarantees.overload_multiple * SLOW_START_LOAD_SHARE;
-        self.servers.refill_slow_start(request_rate, self.entitled_rate(), multiple, HOUSEKEEPING_INTERVAL);
+        self.servers.refill_slow_start(request_rate, self.min_rate(), multiple, HOUSEKEEPING_INTERVAL);
     }
 
     /// Requests a second that a fully started server of capacity 1 can answer at least for this node:
     /// tenants' quotas are shares of what the complete fleet can do. What is sent now says less where many
     /// servers are new, or the node itself.
-    fn entitled_rate(&self) -> f64 {
+    fn min_rate(&self) -> f64 {
         let quotas = self.config.settings().tenants.iter().map(|tenant| tenant.quota).sum::<f64>();
         self.config.node_share(quotas) / self.servers.fleet_capacity().max(1.0)
     }
--- a/balancer/src/balancer/observation.rs
+++ b/balancer/src/balancer/observation.rs
@@ -32,7 +32,7 @@
     pub(super) to_origin: bool,
     pub(super) write: bool,
     /// Whether the server was known to have the key.
-    pub(super) was_known: bool,
+    pub(super) was_cached: bool,
     pub(super) is_small_deployment: bool,
     pub(super) cache_status: Option<CacheStatus>,
     pub(super) load: Option<Load>,
@@ -65,7 +65,7 @@
     }
 
     /// Whether its end shows that the server answers. Neither a failure nor a reset is one.
-    fn shows_answer(&self) -> bool {
+    fn is_answer(&self) -> bool {
         !self.was_reset() && !matches!(self.status, Status::TimedOut | Status::Cancelled | Status::NotSent)
     }
 }
@@ -137,7 +137,7 @@
         let is_small = attempt.is_small_deployment;
         match attempt.status {
             // Errors of unknown keys or while fetches fail are the origin's.
-            Status::Error => attempt.was_known && !attempt.write && !origin_is_slow,
+            Status::Error => attempt.was_cached && !attempt.write && !origin_is_slow,
             Status::Broken => !evidence.used_stale_connection && is_down,
             // Connections may just be scarce.
             Status::Unreachable => !is_small || (!connections_are_scarce && is_down),
@@ -165,7 +165,7 @@
         let was_slow = attempt.was_slow() && (!evidence.is_origin || server.is_busy());
         let is_at_limit = match attempt.status {
             Status::Overloaded => true,
-            Status::TimedOut => (attempt.was_known || server.limit.value() < 1.0) && !evidence.was_overtaken,
+            Status::TimedOut => (attempt.was_cached || server.limit.value() < 1.0) && !evidence.was_overtaken,
             _ => was_served && was_slow,
         };
         if is_at_limit {
@@ -201,7 +201,7 @@
         if failed && server.health.was_sent_after_ejection(attempt.sent) {
             self.notify_peers(&PeerMessage::Failing(id.clone()));
             self.record_failure(id);
-        } else if !failed && attempt.shows_answer() {
+        } else if !failed && attempt.is_answer() {
             server.health.record_answer(now, attempt.sent);
         }
     }
@@ -209,7 +209,7 @@
     /// What the end of the attempt tells of fetches.
     fn observe_fetch(&mut self, attempt: &EndedAttempt, evidence: &ServerEvidence) {
         let has_cache_status = attempt.cache_status.is_some();
-        if has_cache_status && !attempt.was_known && !attempt.write {
+        if has_cache_status && !attempt.was_cached && !attempt.write {
             self.fetches.record_lookup(attempt.cache_status != Some(CacheStatus::Hit), self.now);
         }
         if !self.config.caches_read_through() {
@@ -217,10 +217,10 @@
         }
         // Where caches do not report hits, answers of unknown keys stand for fetches: a few errors, alone,
         // would block fetches from the origin for good.
-        let was_fetched = attempt.was_fetched() || (!has_cache_status && !attempt.was_known);
+        let was_fetched = attempt.was_fetched() || (!has_cache_status && !attempt.was_cached);
         let is_slow = match attempt.status {
             Status::Success if was_fetched => Some(attempt.queue_delay > SLOW_FETCH_DELAY),
-            Status::TimedOut if !attempt.was_known && evidence.has_answered_since => Some(true),
+            Status::TimedOut if !attempt.was_cached && evidence.has_answered_since => Some(true),
             Status::Error => Some(true),
             _ => None,
         };
--- a/balancer/src/balancer/outcomes.rs
+++ b/balancer/src/balancer/outcomes.rs
@@ -37,7 +37,7 @@
         let attempt = request.in_flight_mut(outcome.attempt)?;
         attempt.status = Some(outcome.status);
         let (server, to_origin, idle_time) = (attempt.server.clone(), attempt.to_origin, attempt.idle_time);
-        let waited = (outcome.elapsed - SLOW_CORE_FACTOR * request.work).max(0.0);
+        let queue_time = (outcome.elapsed - SLOW_CORE_FACTOR * request.work).max(0.0);
         let location = CacheLocation { key: request.key, server };
         let cache = &self.config.settings().cache;
         let is_origin = self.servers.get(&location.server).is_some_and(|server| server.is_origin(cache));
@@ -47,10 +47,10 @@
             elapsed: outcome.elapsed,
             sent: self.now - outcome.elapsed,
             idle_time,
-            queue_delay: waited / self.config.class(request.class).latency_target,
+            queue_delay: queue_time / self.config.class(request.class).latency_target,
             to_origin,
             write: request.write,
-            was_known: is_origin || self.cached_keys.contains(&location, self.now),
+            was_cached: is_origin || self.cached_keys.contains(&location, self.now),
             is_small_deployment: self.config.is_small_deployment(),
             cache_status: outcome.cache_status,
             load: outcome.load,
@@ -62,7 +62,7 @@
 
     /// A fetch is over, successful or not: those who waited for it ask their cache server.
     fn dispatch_waiters(&mut self, attempt: &EndedAttempt) {
-        for waiter in self.fetches.finish(attempt.location.key, attempt.request) {
+        for waiter in self.fetches.end_fetch(attempt.location.key, attempt.request) {
             if let Some(request) = self.requests.get_mut(&waiter) {
                 request.missed = false;
             }
@@ -73,17 +73,17 @@
     /// What follows for a request whose attempt did not serve it.
     fn continue_request(&mut self, attempt: &EndedAttempt) {
         let id = attempt.request;
-        let is_absent = attempt.status == Status::NotCached;
+        let not_cached = attempt.status == Status::NotCached;
         let Some(request) = self.requests.get_mut(&id) else { return };
         if self.now + self.config.deadline_margin() >= request.deadline {
             return self.end(id);
         }
         // The last attempt goes to the origin, which has every key (mode `Aside`).
         let max_attempts = self.config.settings().limits.max_attempts as usize;
-        request.missed |= is_absent || request.attempts.len() + 1 >= max_attempts;
+        request.missed |= not_cached || request.attempts.len() + 1 >= max_attempts;
         if request.attempts_in_flight() > 0 {
             // The hedged request may still be answered, but where the key is not cached it finds no more.
-            if is_absent {
+            if not_cached {
                 self.cancel_attempts(id);
             }
             return;
--- a/balancer/src/balancer/placement.rs
+++ b/balancer/src/balancer/placement.rs
@@ -35,7 +35,7 @@
         let must_not_jump = fleet_is_slow || request.over_quota;
         let limit_divisor = self.limit_divisor(request);
         let slots = self.popularity.slots_of(request.key, self.servers.placeable_servers(), self.now);
-        let first_slot = (request.slot_draw * slots) as u64;
+        let first_slot = (request.slot_fraction * slots) as u64;
         let takes = |jumps, id: &ServerId, hash| {
             self.servers.get(id).is_some_and(|server| self.takes_key(server, request.key, jumps, hash))
         };
--- a/balancer/src/origin_fetches.rs
+++ b/balancer/src/origin_fetches.rs
@@ -59,7 +59,7 @@
     }
 
     /// Lets a read wait for the fetch of its key. Returns whether there is one.
-    pub fn join(&mut self, key: Key, request: RequestId) -> bool {
+    pub fn wait_for_fetch(&mut self, key: Key, request: RequestId) -> bool {
         let Some(fetch) = self.by_key.get_mut(&key) else { return false };
         fetch.waiters.push(request);
         true
@@ -86,12 +86,12 @@
     }
 
     /// Makes `request` the one that fetches `key`, unless another does already.
-    pub fn lead(&mut self, key: Key, request: RequestId) {
+    pub fn begin_fetch(&mut self, key: Key, request: RequestId) {
         self.by_key.entry(key).or_insert(Fetch { leader: request, waiters: Vec::new() });
     }
 
     /// Ends the fetch of `key` if `request` leads it, and returns the reads that waited for it.
-    pub fn finish(&mut self, key: Key, request: RequestId) -> Vec<RequestId> {
+    pub fn end_fetch(&mut self, key: Key, request: RequestId) -> Vec<RequestId> {
         if self.by_key.get(&key).is_some_and(|fetch| fetch.leader == request) {
             self.by_key.remove(&key).map_or(Vec::new(), |fetch| fetch.waiters)
         } else {
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -59,7 +59,7 @@
     /// Whether it is beyond its tenant's quota at this node.
     pub over_quota: bool,
     /// Drawn from 0 to 1: from which of the slots of a hot key it starts.
-    pub slot_draw: f64,
+    pub slot_fraction: f64,
     /// Its attempts, in the order in which they were sent.
     pub attempts: Vec<Attempt>,
     /// Whether a cache server lacked its key and the origin is next (mode `Aside`).
--- a/balancer/src/roster_subscription.rs
+++ b/balancer/src/roster_subscription.rs
@@ -12,7 +12,7 @@
 /// In a large deployment, calls for the list are distributed over this much time for each node: discovery
 /// works through them in turn, at some 52 ms each, those included that have failed meanwhile. 100 nodes that
 /// called at once, and again at each failure, delayed it so far that 62 of them never had a list.
-const CALL_TIME: Seconds = 0.07;
+const SUBSCRIBE_SPREAD_PER_NODE: Seconds = 0.07;
 
 /// Whether the node is subscribed, and when it calls next.
 #[derive(Default)]
@@ -26,12 +26,12 @@
 
 impl RosterSubscription {
     /// Sets the time before which no call is made.
-    pub fn schedule_first_call(&mut self, at: Seconds) {
+    pub fn schedule_first_subscribe(&mut self, at: Seconds) {
         self.next_call = at;
     }
 
     /// Whether the node is to call for the list now.
-    pub fn call_is_due(&self, now: Seconds, config: &NodeConfig) -> bool {
+    pub fn subscribe_is_due(&self, now: Seconds, config: &NodeConfig) -> bool {
         // A call that is never answered counts as failed before the longest time without one is over.
         let time_out = config.settings().guarantees.max_subscription_gap * 0.5;
         let is_due = match self.call_started {
@@ -42,7 +42,7 @@
     }
 
     /// Notes that the node calls for the list.
-    pub fn record_call(&mut self, now: Seconds) {
+    pub fn record_subscribe(&mut self, now: Seconds) {
         self.call_started = Some(now);
     }
 
@@ -50,7 +50,7 @@
     /// together must not be repeated together.
     pub fn record_failure(&mut self, now: Seconds, random: f64, config: &NodeConfig) {
         let doublings = self.failures.min(MAX_BACKOFF_DOUBLINGS);
-        let backoff = (RETRY_BACKOFF * f64::from(1u32 << doublings)).max(call_distribution_time(config));
+        let backoff = (RETRY_BACKOFF * f64::from(1u32 << doublings)).max(subscribe_spread_time(config));
         *self = RosterSubscription {
             next_call: now + backoff * (MIN_BACKOFF_SHARE + random),
             failures: self.failures + 1,
@@ -66,10 +66,11 @@
 }
 
 /// The time over which all nodes together distribute their calls for the list.
-pub fn call_distribution_time(config: &NodeConfig) -> Seconds {
+pub fn subscribe_spread_time(config: &NodeConfig) -> Seconds {
     if config.is_small_deployment() {
         0.0
     } else {
-        (CALL_TIME * config.nodes()).min(config.settings().guarantees.max_subscription_gap / 2.0)
+        (SUBSCRIBE_SPREAD_PER_NODE * config.nodes())
+            .min(config.settings().guarantees.max_subscription_gap / 2.0)
     }
 }
--- a/balancer/src/send_rules.rs
+++ b/balancer/src/send_rules.rs
@@ -49,13 +49,13 @@
 
     /// Whether this server still recognises a repeat of `attempt` and drops it.
     fn drops_repeat(&self, attempt: &Attempt, class: &Class, id: &ServerId, server: &Server) -> bool {
-        let is_same_group = match (class.deduplication_scope, self.servers.get(&attempt.server)) {
+        let is_in_scope = match (class.deduplication_scope, self.servers.get(&attempt.server)) {
             (DeduplicationScope::All, _) => true,
             (_, None) => attempt.server == *id,
             (DeduplicationScope::Zone, Some(earlier)) => earlier.entry().zone == server.entry().zone,
             (DeduplicationScope::Cell, Some(earlier)) => earlier.entry().cell == server.entry().cell,
         };
-        is_same_group
+        is_in_scope
             && self.now + self.config.settings().event_interval < attempt.sent + class.deduplication_window
     }
 
--- a/balancer/src/server.rs
+++ b/balancer/src/server.rs
@@ -75,7 +75,7 @@
     }
 
     /// Notes that the server has left the list.
-    pub fn set_gone(&mut self) {
+    pub fn mark_gone(&mut self) {
         self.entry.state = ServerState::Gone;
     }
 
--- a/balancer/src/server_pool.rs
+++ b/balancer/src/server_pool.rs
@@ -92,10 +92,10 @@
     }
 
     /// Sets all servers gone that a complete list does not hold.
-    pub fn set_absent_gone(&mut self, entries: &[RosterEntry]) {
+    pub fn mark_absent_gone(&mut self, entries: &[RosterEntry]) {
         for (id, server) in &mut self.servers {
             if !entries.iter().any(|entry| entry.server == *id) {
-                server.set_gone();
+                server.mark_gone();
             }
         }
     }
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -4,7 +4,7 @@
 use crate::settings::Guarantees;
 
 /// Attempts that may be saved up of a warming server's allowance: few arrive unevenly.
-const MAX_SAVED_ATTEMPTS: f64 = 4.0;
+const MAX_BURST_ATTEMPTS: f64 = 4.0;
 
 /// Attempts that a server may be sent while it is warming up.
 #[derive(Debug)]
@@ -23,9 +23,9 @@
         self.attempts >= 1.0
     }
 
-    /// Adds what has become available since the last refill, up to [`MAX_SAVED_ATTEMPTS`].
+    /// Adds what has become available since the last refill, up to [`MAX_BURST_ATTEMPTS`].
     pub fn refill(&mut self, attempts: f64) {
-        self.attempts = (self.attempts + attempts).min(MAX_SAVED_ATTEMPTS);
+        self.attempts = (self.attempts + attempts).min(MAX_BURST_ATTEMPTS);
     }
 
     /// Uses one attempt up.
@@ -43,6 +43,6 @@
     guarantees: &Guarantees,
 ) -> f64 {
     let started = started.unwrap_or(f64::NEG_INFINITY);
-    let left = (1.0 - (now - started) / duration).clamp(0.0, 1.0);
-    1.0 - (1.0 - guarantees.initial_capacity_share) * left
+    let remaining = (1.0 - (now - started) / duration).clamp(0.0, 1.0);
+    1.0 - (1.0 - guarantees.initial_capacity_share) * remaining
 }
--- a/balancer/src/tenant_quota.rs
+++ b/balancer/src/tenant_quota.rs
@@ -4,7 +4,7 @@
 use crate::settings::Tenant;
 
 /// Requests of a tenant's quota that may be saved up: few arrive unevenly.
-const MAX_SAVED_REQUESTS: f64 = 4.0;
+const MIN_BURST_REQUESTS: f64 = 4.0;
 
 /// What a tenant may still send at this node.
 #[derive(Clone, Default)]
@@ -23,7 +23,7 @@
 impl TenantQuotas {
     /// Full buckets for so many tenants.
     pub fn new(tenants: usize) -> Self {
-        let full = TokenBucket { tokens: MAX_SAVED_REQUESTS, ..TokenBucket::default() };
+        let full = TokenBucket { tokens: MIN_BURST_REQUESTS, ..TokenBucket::default() };
         TenantQuotas { buckets: vec![full; tenants] }
     }
 
@@ -45,13 +45,13 @@
         smoothing: Seconds,
         now: Seconds,
     ) -> bool {
-        let least_used = self.least_used_share(tenants);
+        let min_used_share = self.min_used_share(tenants);
         let Some(TenantId(index)) = tenant else { return false };
         let Some(bucket) = self.buckets.get_mut(index) else { return false };
-        let refill_rate = tenants[index].quota * least_used.max(even_share);
+        let refill_rate = tenants[index].quota * min_used_share.max(even_share);
         bucket.rate += 1.0 / smoothing;
         let refilled = bucket.tokens + refill_rate * (now - bucket.refilled);
-        bucket.tokens = refilled.min(refill_rate.max(MAX_SAVED_REQUESTS));
+        bucket.tokens = refilled.min(refill_rate.max(MIN_BURST_REQUESTS));
         bucket.refilled = now;
         let is_over = bucket.tokens < 1.0;
         if !is_over {
@@ -61,7 +61,7 @@
     }
 
     /// The smallest share of its quota that any tenant uses at this node.
-    fn least_used_share(&self, tenants: &[Tenant]) -> f64 {
+    fn min_used_share(&self, tenants: &[Tenant]) -> f64 {
         let used = |(tenant, bucket): (&Tenant, &TokenBucket)| bucket.rate / tenant.quota;
         tenants.iter().zip(&self.buckets).map(used).fold(f64::MAX, f64::min)
     }
