--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -1,238 +1,240 @@
-//! Settings: all that a [`Balancer`](crate::Balancer) is given at its start.
+//! The settings that a [`Balancer`](crate::Balancer) is started with, and their validation.
 //!
-//! Nothing in this file decides anything. Times are in seconds.
+//! Times are in seconds.
 
 use crate::interface::Seconds;
 
-/// May a request run more than once?
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Repeats do no harm.
+    /// Repeats are harmless.
     Safe,
-    /// Servers of one [`DeduplicationScope`] drop repeats for a while.
+    /// Servers within the [`DeduplicationScope`] drop repeats for the class's `deduplication_window`.
     Keyed,
-    /// Must never run twice. Unknown effects are handled as this one.
+    /// The request must never run twice. Unknown effects are handled as this one.
     Unsafe,
 }
 
 /// Which servers drop the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All servers.
+    /// All servers drop repeats of each other's requests.
     All,
-    /// Those in one zone.
+    /// Servers in the zone of the server that ran the request.
     Zone,
-    /// Those in one cell.
+    /// Servers in the cell of the server that ran the request.
     Cell,
 }
 
-/// A request class.
+/// A class of requests with the same timing, value and effect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// Name as in the settings file.
     pub name: String,
     /// An answer within this time earns its full value.
     pub latency_target: Seconds,
-    /// The client waits this long, over all its attempts.
+    /// How long the client waits in total, over all attempts.
     pub deadline: Seconds,
-    /// Value of an answer within the latency target.
+    /// The value of an answer within the latency target, in arbitrary units.
     pub value: f64,
-    /// Share of the value that an answer after the latency target still earns.
+    /// The share of `value` that an answer after the latency target still earns.
     pub late_value: f64,
-    /// May it run again?
+    /// Whether requests of this class may run more than once.
     pub effect: Effect,
-    /// Where repeats are dropped, for keyed classes.
+    /// Which servers drop repeats; for [`Effect::Keyed`].
     pub deduplication_scope: DeduplicationScope,
-    /// How long repeats are dropped, from the first send that may have run.
+    /// How long repeats are dropped, counted from the first send that may have run; for [`Effect::Keyed`].
     pub deduplication_window: Seconds,
-    /// The answer is a stream.
+    /// Whether answers are streamed.
     pub streamed: bool,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// Name as in the settings file.
     pub name: String,
-    /// Requests a second within its share, over all nodes.
+    /// Requests per second that it is entitled to, over all nodes.
     pub quota: f64,
 }
 
-/// How the list of servers reaches the node.
+/// How the server list reaches the node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Membership {
-    /// Changes arrive unrequested.
+    /// The host reports changes without being asked.
     #[default]
     Pushed,
-    /// Only after [`Action::Subscribe`](crate::Action::Subscribe) or
+    /// The host reports the list only after [`Action::Subscribe`](crate::Action::Subscribe) or
     /// [`Action::FetchRoster`](crate::Action::FetchRoster).
     OnRequest,
 }
 
-/// What servers do with a key that they lack.
+/// What cache servers do with a request for a key that is not cached.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum CacheMode {
     /// They fetch it from the origin and forward writes to it.
     #[default]
     ReadThrough,
-    /// They answer [`Status::NotCached`](crate::Status::NotCached); the node sends the request to the origin,
-    /// which is a roster entry of this kind.
+    /// They answer [`Status::NotCached`](crate::Status::NotCached), and the node sends the request to the
+    /// origin, which is itself listed in the roster.
     Aside {
-        /// Kind of the origin.
+        /// [`RosterEntry::kind`](crate::RosterEntry::kind) of the origin.
         origin_kind: String,
     },
 }
 
-/// What [`RosterEntry::weight`](crate::RosterEntry::weight) holds.
+/// What [`RosterEntry::weight`](crate::RosterEntry::weight) contains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightSource {
-    /// Always the same number.
+    /// The same number for all servers; weights are ignored.
     #[default]
     Off,
-    /// The registered size.
+    /// The configured size of the server.
     Nominal,
-    /// Approximately the size.
+    /// An approximate size.
     Rough,
-    /// Size over load; changes from list to list.
+    /// Size divided by load, which changes with each list; weights are ignored.
     Live,
 }
 
-/// How many retries, which are attempts beyond each request's first, a node may make in any window of a
-/// stated length.
+/// How many retries a node may make in any time window of a given length. Retries are attempts beyond each
+/// request's first.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetryBudgetRule {
     /// Length of the window.
     pub window: Seconds,
-    /// This many in any window ...
+    /// Retries that are always allowed in a window.
     pub min_retries: f64,
-    /// ... and this many more for each request accepted in it.
+    /// Additional retries for each request accepted in the window.
     pub retry_ratio: f64,
 }
 
-/// Figures of the rules that every node keeps.
+/// Parameters of the rules that every node must follow.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Guarantees {
-    /// A final answer counts until this long past the client's deadline.
+    /// How long after the client's deadline a final answer still counts.
     pub answer_grace: Seconds,
-    /// Longest time without a subscription or a fetch of the list.
+    /// Longest time that a node may be without a subscription or a fetch of the server list.
     pub max_subscription_gap: Seconds,
-    /// A started server has this share of its capacity, or more.
+    /// The share of its capacity that a server has at least when it has just started; above 0 and at most 1.
     pub initial_capacity_share: f64,
-    /// A started server has reached its full capacity after this long.
+    /// How long after its start a server reaches its full capacity.
     pub slow_start_duration: Seconds,
-    /// Sends to a draining server end within this time.
+    /// How long after the drain notice a node may still send to a draining server.
     pub drain_grace: Seconds,
-    /// Load of more than this many times its present capacity ...
+    /// A load above this multiple of its present capacity, for `overload_duration`, brings down a server that
+    /// has just started.
     pub overload_multiple: f64,
-    /// ... for this long brings a just-started server down.
+    /// How long the load must exceed `overload_multiple` to bring the server down.
     pub overload_duration: Seconds,
-    /// The rule on retries, where there is one.
+    /// The rule on retries; `None` if the deployment has none.
     pub retry_budget: Option<RetryBudgetRule>,
-    /// Idle connections to a draining server are closed within this time, where that is a rule.
+    /// The time within which idle connections to a draining server must be closed; `None` if they may stay
+    /// open.
     pub close_on_drain: Option<Seconds>,
 }
 
-/// What the deployment allows; by default nothing.
+/// What the deployment allows and its limits; the default allows nothing.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Limits {
-    /// [`Action::Cancel`](crate::Action::Cancel) is allowed.
+    /// Whether [`Action::Cancel`](crate::Action::Cancel) is allowed.
     pub cancel: bool,
-    /// [`Action::HealthCheck`](crate::Action::HealthCheck) is allowed.
+    /// Whether [`Action::HealthCheck`](crate::Action::HealthCheck) is allowed.
     pub health_checks: bool,
-    /// [`Action::NotifyPeers`](crate::Action::NotifyPeers) is allowed.
+    /// Whether [`Action::NotifyPeers`](crate::Action::NotifyPeers) is allowed.
     pub peer_messages: bool,
-    /// A request may have two attempts in flight at once. The rules never need it.
+    /// Whether a request may have two attempts in flight at once.
     pub hedging: bool,
-    /// Clients are given the advice of [`Action::Refuse`](crate::Action::Refuse).
+    /// Whether clients receive the `retry_after` advice of [`Action::Refuse`](crate::Action::Refuse).
     pub retry_after: bool,
-    /// Longest advice that clients heed.
+    /// Longest `retry_after` advice that clients follow.
     pub max_retry_after: Seconds,
-    /// Attempts for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// A connection that is not up by then fails.
+    /// A connection that is not established within this time fails.
     pub connect_timeout: Seconds,
-    /// Servers close connections that have lain idle for this long; 0 where they do not say.
+    /// How long a connection may be idle before servers close it; 0 if unknown.
     pub idle_timeout: Seconds,
 }
 
-/// What some habits cost, in parts of the result; by default nothing.
+/// The cost of connections, as shares of the total result; by default 0.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// Open connections: a hundred at each server, all the time.
+    /// Cost of keeping 100 connections open at each server all the time.
     pub connection: f64,
-    /// New connections: one for each request.
+    /// Cost of opening a new connection for each request.
     pub handshake: f64,
 }
 
-/// All that a node is given at its start.
+/// The settings of one node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Nodes that share the servers, this one included.
+    /// Number of nodes that share the servers, including this one.
     pub nodes: u32,
     /// The zone of this node.
     pub zone: String,
-    /// Request classes.
+    /// Request classes, indexed by [`ClassId`](crate::ClassId); at least one.
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// Tenants, indexed by [`TenantId`](crate::TenantId); may be empty.
     pub tenants: Vec<Tenant>,
-    /// How the list of servers arrives.
+    /// How the node gets the server list.
     pub membership: Membership,
-    /// What servers do with a key that they lack.
+    /// What cache servers do on a cache miss.
     pub cache: CacheMode,
-    /// What roster weights mean.
+    /// What the weights in the roster mean.
     pub weights: WeightSource,
-    /// Figures of the rules.
+    /// Parameters of the rules.
     pub guarantees: Guarantees,
-    /// What is allowed.
+    /// What the deployment allows.
     pub limits: Limits,
-    /// What is paid for.
+    /// The cost of connections.
     pub prices: Prices,
-    /// Events are handed over at most this often.
+    /// Minimum interval between two batches of events from the host.
     pub event_interval: Seconds,
 }
 
-/// A setting that makes no sense. The texts name settings as the settings' file does.
+/// An invalid setting. The messages use the names of the settings file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// There must be this node at least.
-    #[error("balancers: at least 1 expected, got 0")]
+    /// The number of nodes is 0; it includes this node.
+    #[error("balancers: expected at least 1, got 0")]
     NoNodes,
-    /// There must be a class for requests.
-    #[error("classes: at least one expected, got none")]
+    /// The list of request classes is empty.
+    #[error("classes: expected at least one, got none")]
     NoClasses,
     /// The window of the retry budget is not a positive time.
-    #[error("budget span: a time above 0 expected, got {0}")]
+    #[error("budget span: expected a time above 0, got {0}")]
     RetryWindow(Seconds),
-    /// A figure is negative or not finite.
-    #[error("{name}: a number of 0 or more expected, got {value}")]
+    /// A number is negative or not finite.
+    #[error("{name}: expected a number of 0 or more, got {value}")]
     Number {
-        /// The figure's name.
+        /// The name of the setting.
         name: &'static str,
-        /// Its value.
+        /// The invalid value.
         value: f64,
     },
     /// A class has a latency target or a deadline of 0.
-    #[error("class {0}: aim and deadline above 0 expected")]
+    #[error("class {0}: expected an aim and a deadline above 0")]
     ClassTimes(String),
     /// A time is negative or not finite.
-    #[error("{name}: a time of 0 or more expected, got {value}")]
+    #[error("{name}: expected a time of 0 or more, got {value}")]
     Time {
-        /// The time's name.
+        /// The name of the setting.
         name: &'static str,
-        /// Its value.
+        /// The invalid value.
         value: Seconds,
     },
-    /// The initial share of a started server's capacity is out of its range.
-    #[error("cold from: a share above 0 and up to 1 expected, got {0}")]
+    /// The initial capacity share of a started server is not above 0 and at most 1.
+    #[error("cold from: expected a share above 0 and up to 1, got {0}")]
     InitialCapacityShare(f64),
 }
 
 impl Settings {
-    /// Checks that all values make sense.
+    /// Validates all values.
     ///
     /// # Errors
     ///
-    /// The first value that does not.
+    /// The first invalid value that is found.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.nodes == 0 {
             return Err(SettingsError::NoNodes);
