--- a/balancer/tests/balancer.rs
+++ b/balancer/tests/balancer.rs
@@ -23,7 +23,7 @@
 }
 
 /// The keys of server 1 among so many, requested 100 in each housekeeping interval, so that allowances refill.
-fn at_once(node: &mut Node, from: u64, keys: u64) -> Vec<u64> {
+fn paced_keys_of_server_one(node: &mut Node, from: u64, keys: u64) -> Vec<u64> {
     let mut owned = Vec::new();
     for n in 0..keys {
         if n.is_multiple_of(20) {
@@ -46,14 +46,14 @@
 }
 
 /// A node among 100, with an origin, that may notify its peers.
-fn one_of_many(entries: Vec<RosterEntry>) -> Node {
+fn node_in_large_deployment(entries: Vec<RosterEntry>) -> Node {
     let limits = Limits { peer_messages: true, ..settings().limits };
-    let cache = at_origin();
+    let cache = cache_aside_mode();
     Node::with(Settings { nodes: 100, cache, limits, ..settings() }, 1, entries)
 }
 
 /// The keys of server 1 among the first so many: the first of them, so many at most.
-fn keys_of_one(node: &mut Node, among: u64, most: usize) -> Vec<u64> {
+fn keys_of_server_one(node: &mut Node, among: u64, most: usize) -> Vec<u64> {
     (0..among).filter(|&n| node.home(n, n) == id(1)).take(most).collect()
 }
 
@@ -62,13 +62,13 @@
     (2000..2060).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).count()
 }
 
-fn at_origin() -> CacheMode {
+fn cache_aside_mode() -> CacheMode {
     CacheMode::Aside { origin_kind: "origin".into() }
 }
 
 /// Settings of cache-aside mode.
-fn aside() -> Settings {
-    Settings { cache: at_origin(), ..settings() }
+fn cache_aside_settings() -> Settings {
+    Settings { cache: cache_aside_mode(), ..settings() }
 }
 
 fn fleet_and_origin(n: u64) -> Vec<RosterEntry> {
@@ -76,12 +76,12 @@
 }
 
 /// The message of nodes about a server that fails.
-fn failing(server: &ServerId) -> Vec<u8> {
+fn failing_message(server: &ServerId) -> Vec<u8> {
     server.0.as_bytes().to_vec()
 }
 
 /// The first attempt of a request ends, whatever has become of the request.
-fn first_ended(request: u64, status: Status, elapsed: Seconds) -> Event {
+fn first_attempt_ended(request: u64, status: Status, elapsed: Seconds) -> Event {
     Event::Outcome(Outcome {
         request: RequestId(request),
         attempt: AttemptId(0),
--- a/balancer/tests/balancer/connections.rs
+++ b/balancer/tests/balancer/connections.rs
@@ -8,7 +8,7 @@
 fn resets_between_answers_do_not_eject_a_server_and_are_retried_there() {
     for status in [Status::Broken, Status::Unreachable] {
         let mut node = Node::with(settings(), 1, fleet(6));
-        let keys = keys_of_one(&mut node, 800, usize::MAX);
+        let keys = keys_of_server_one(&mut node, 800, usize::MAX);
         record_usual_latency(&mut node);
         for (n, &key) in (1000..1012).zip(&keys) {
             assert_eq!(sent(&node.request(read(n, key))), [id(1)], "{status:?} {n}");
@@ -20,7 +20,7 @@
             }
             node.serve(n);
             assert_eq!(node.home(n + 1000, key), id(1), "{status:?} {n}");
-            node.pass(0.2);
+            node.advance(0.2);
         }
     }
 }
@@ -30,33 +30,33 @@
 #[test]
 fn a_connection_that_lay_idle_as_long_as_a_dead_one_is_closed_before_the_next_send() {
     let mut node = Node::with(settings(), 1, fleet(6));
-    let key = keys_of_one(&mut node, 400, 1)[0];
+    let key = keys_of_server_one(&mut node, 400, 1)[0];
     let closes = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::CloseIdle(_)));
-    node.pass(2.0);
+    node.advance(2.0);
     assert!(!closes(&node.request(read(1000, key))), "nothing is suspected yet");
     node.now += 0.01;
     let again = node.outcome(1000, Status::Broken, None);
     assert_eq!(sent(&again), [id(1)], "the server did not fail: the same one is used again");
     node.serve(1000);
-    node.pass(0.3);
+    node.advance(0.3);
     assert!(!closes(&node.request(read(1001, key))), "a short idle time is harmless");
     node.serve(1001);
-    node.pass(3.0);
+    node.advance(3.0);
     let actions = node.request(read(1002, key));
     let close = actions.iter().position(|a| *a == Action::CloseIdle(id(1)));
     let send = actions.iter().position(|a| matches!(a, Action::Send { .. }));
     assert!(close.is_some() && close < send, "{actions:?}");
     node.serve(1002);
-    node.pass(60.0);
+    node.advance(60.0);
     assert!(!closes(&node.request(read(1003, key))), "the suspicion has faded");
 }
 
 /// The same where nothing says so: an attempt on a connection that lay idle got no answer, later ones did.
 #[test]
-fn a_time_out_on_an_idle_connection_of_a_server_that_answers_others_is_the_connection_s_fault() {
+fn a_time_out_on_an_idle_connection_closes_it_if_the_server_answers_other_requests() {
     let mut node = Node::with(settings(), 1, fleet(1));
     node.home(1, 1);
-    node.pass(1.0);
+    node.advance(1.0);
     node.request(read(2, 1));
     node.now += 0.1;
     node.request(read(3, 1));
@@ -69,24 +69,24 @@
 /// A read waited until its time-out on a dead connection of a server that answered all later requests.
 #[test]
 fn an_overtaken_read_is_hedged_once_and_an_unsafe_request_never() {
-    let aside = aside();
-    let mut node = Node::with(aside, 1, vec![entry(1), origin()]);
-    let later = |node: &mut Node, n| {
-        node.pass(0.2);
+    let settings = cache_aside_settings();
+    let mut node = Node::with(settings, 1, vec![entry(1), origin()]);
+    let serve_later_request = |node: &mut Node, n| {
+        node.advance(0.2);
         node.request(read(n, n));
         node.serve(n);
-        sent(&node.pass(0.05))
+        sent(&node.advance(0.05))
     };
     node.request(read(1, 1));
     node.request(NewRequest { class: Some(UNSAFE), ..read(2, 2) });
-    assert_eq!(later(&mut node, 3), [], "not by half a latency target yet");
-    assert_eq!(later(&mut node, 4), [id(1)]);
-    assert_eq!(later(&mut node, 5), [], "one copy is enough");
+    assert_eq!(serve_later_request(&mut node, 3), [], "not by half a latency target yet");
+    assert_eq!(serve_later_request(&mut node, 4), [id(1)]);
+    assert_eq!(serve_later_request(&mut node, 5), [], "one copy is enough");
     // What the copy finds lacking the first would, too: it is cancelled, and then the request goes to the origin.
     let actions = node.outcome(1, Status::NotCached, Some(CacheStatus::Miss));
     let cancel = Action::Cancel { request: RequestId(1), attempt: AttemptId(0) };
     assert!(actions.contains(&cancel) && sent(&actions).is_empty(), "{actions:?}");
-    assert_eq!(sent(&node.event(first_ended(1, Status::Cancelled, 0.7))), [origin().server]);
+    assert_eq!(sent(&node.event(first_attempt_ended(1, Status::Cancelled, 0.7))), [origin().server]);
 }
 
 /// Retries after resets found the budget used up by hedged requests.
@@ -99,10 +99,10 @@
     for n in 1..4 {
         assert_eq!(sent(&node.request(read(n, n))), [id(1)]);
     }
-    node.pass(0.3);
+    node.advance(0.3);
     node.request(read(4, 4));
     node.serve(4);
-    assert_eq!(sent(&node.pass(0.1)).len(), 2);
+    assert_eq!(sent(&node.advance(0.1)).len(), 2);
 }
 
 /// Heavy reads are overtaken everywhere on a slow server: more attempts would make it slower.
@@ -115,17 +115,17 @@
         node.serve(n);
     }
     node.request(read(1, 1));
-    node.pass(0.3);
+    node.advance(0.3);
     node.request(read(2, 2));
-    node.pass(0.3);
+    node.advance(0.3);
     node.request(read(3, 3));
     node.serve(3);
-    assert!(sent(&node.pass(0.1)).is_empty());
+    assert!(sent(&node.advance(0.1)).is_empty());
 }
 
 /// Two thirds of all attempts got no connection while each node kept one open that it seldom used.
 #[test]
-fn where_connections_are_scarce_none_is_left_idle() {
+fn idle_connections_are_closed_where_connections_are_scarce() {
     let mut node = Node::with(settings(), 1, fleet(6));
     let closed = |node: &mut Node, n| {
         node.request(read(n, n));
--- a/balancer/tests/balancer/origin_fetches.rs
+++ b/balancer/tests/balancer/origin_fetches.rs
@@ -9,7 +9,7 @@
     let mut queued = 0;
     for n in 0..3000 {
         queued += usize::from(sent(&node.request(read(n, n))).is_empty());
-        node.pass(0.05);
+        node.advance(0.05);
         if node.sends.contains_key(&RequestId(n)) {
             node.outcome(n, if n % 100 == 0 { Status::Error } else { Status::Success }, None);
         }
@@ -20,31 +20,31 @@
 /// With two attempts in all, a second cache lacked the key in vain after a first that took no connection.
 #[test]
 fn in_aside_mode_the_last_attempt_of_a_read_goes_to_the_origin() {
-    let mut aside = aside();
-    aside.limits.max_attempts = 2;
+    let mut settings = cache_aside_settings();
+    settings.limits.max_attempts = 2;
     let entries = fleet_and_origin(4);
-    let mut node = Node::with(aside.clone(), 1, entries.clone());
+    let mut node = Node::with(settings.clone(), 1, entries.clone());
     node.request(read(1, 3));
     assert_eq!(sent(&node.outcome(1, Status::Unreachable, None)), [origin().server]);
-    aside.limits.max_attempts = 3;
-    let mut node = Node::with(aside, 1, entries);
+    settings.limits.max_attempts = 3;
+    let mut node = Node::with(settings, 1, entries);
     node.request(read(1, 3));
     assert_ne!(sent(&node.outcome(1, Status::Unreachable, None)), [origin().server]);
 }
 
 /// With tens of nodes the floor fell to one, and reads that met at a home by chance jumped into misses.
 #[test]
-fn in_aside_mode_reads_that_meet_at_their_home_stay_there() {
-    let together = |cache| {
+fn in_aside_mode_concurrent_reads_stay_at_their_home() {
+    let sent_to_home = |cache| {
         let mut node = Node::with(Settings { nodes: 8, cache, ..settings() }, 1, fleet(6));
-        let keys = keys_of_one(&mut node, 400, 2);
+        let keys = keys_of_server_one(&mut node, 400, 2);
         (0..2)
             .flat_map(|n| sent(&node.request(read(900 + n, keys[n as usize]))))
             .filter(|s| *s == id(1))
             .count()
     };
-    assert_eq!(together(at_origin()), 2);
-    assert_eq!(together(CacheMode::ReadThrough), 1);
+    assert_eq!(sent_to_home(cache_aside_mode()), 2);
+    assert_eq!(sent_to_home(CacheMode::ReadThrough), 1);
 }
 
 /// A fifth of a fleet died, the others got slow, and two thirds of all reads jumped: into misses, each of which
@@ -53,7 +53,7 @@
 fn while_a_read_through_fleet_is_slow_requests_wait_for_a_server_at_its_limit() {
     let sent_of_four = |cache| {
         let mut node = Node::with(Settings { cache, ..settings() }, 1, fleet(6));
-        let keys = keys_of_one(&mut node, 400, usize::MAX);
+        let keys = keys_of_server_one(&mut node, 400, usize::MAX);
         for n in 1000..1072 {
             let key = if n < 1060 { n } else { keys[n as usize % 4] };
             node.request(read(n, key));
@@ -63,7 +63,7 @@
         (0..4).filter(|&n| !sent(&node.request(read(2000 + n, keys[n as usize]))).is_empty()).count()
     };
     assert_eq!(sent_of_four(CacheMode::ReadThrough), 2);
-    assert_eq!(sent_of_four(at_origin()), 4);
+    assert_eq!(sent_of_four(cache_aside_mode()), 4);
 }
 
 #[test]
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn failed_fetches_lower_the_number_of_unknown_keys_sent_and_known_keys_pass() {
+fn failed_fetches_lower_the_fetch_limit_but_known_keys_are_still_sent() {
     let mut node = Node::with(settings(), 1, fleet(8));
     for n in 0..50 {
         node.home(n, n);
@@ -97,9 +97,9 @@
 
 #[test]
 fn in_aside_mode_a_miss_and_a_write_go_to_the_origin_and_reads_share_the_fetch() {
-    let aside = aside();
+    let settings = cache_aside_settings();
     let entries = fleet_and_origin(4);
-    let mut node = Node::with(aside, 1, entries);
+    let mut node = Node::with(settings, 1, entries);
     let home = sent(&node.request(read(1, 3)))[0].clone();
     assert_ne!(home, origin().server);
     assert_eq!(sent(&node.request(NewRequest { write: true, ..read(9, 4) })), [origin().server]);
@@ -167,17 +167,17 @@
     let mut unanswered = 0;
     for n in 0..60 {
         let server = sent(&node.request(read(n, n)));
-        node.pass(0.05);
+        node.advance(0.05);
         if server == [id(1)] {
             unanswered += 1;
-            node.pass(0.9);
+            node.advance(0.9);
             node.outcome(n, Status::TimedOut, None);
         } else if !server.is_empty() {
             node.outcome(n, Status::Success, Some(CacheStatus::Hit));
         }
     }
     assert!(unanswered > 0);
-    node.pass(5.0);
+    node.advance(5.0);
     let mut other = Node::with(settings(), 1, fleet(8));
     let sent_at_once = (100..160)
         .filter(|&n| other.home(n, n) != id(1))
@@ -187,7 +187,7 @@
             if at_once {
                 node.serve(n);
             }
-            node.pass(0.5);
+            node.advance(0.5);
             at_once
         })
         .count();
--- a/balancer/tests/balancer/overload.rs
+++ b/balancer/tests/balancer/overload.rs
@@ -2,7 +2,7 @@
 
 use crate::*;
 
-fn overloaded(server: &ServerId) -> Vec<u8> {
+fn overloaded_message(server: &ServerId) -> Vec<u8> {
     [b"~", server.0.as_bytes()].concat()
 }
 
@@ -16,39 +16,39 @@
 /// then, had seen more than a slow answer.
 #[test]
 fn a_server_that_reports_a_queue_takes_a_stable_share_of_its_keys_at_all_notified_nodes() {
-    let mut node = one_of_many(fleet(10));
-    let keys = keys_of_one(&mut node, 1000, usize::MAX);
+    let mut node = node_in_large_deployment(fleet(10));
+    let keys = keys_of_server_one(&mut node, 1000, usize::MAX);
     node.request(read(5000, keys[0]));
-    let notification = Action::NotifyPeers(overloaded(&id(1)));
-    assert!(node.serve_reporting(5000, 30.0, 60.0).contains(&notification));
+    let notification = Action::NotifyPeers(overloaded_message(&id(1)));
+    assert!(node.serve_with_load_report(5000, 30.0, 60.0).contains(&notification));
     let own_keys = keys_at(&mut node, &keys, 10_000, &id(1));
     let share = own_keys.len() as f64 / keys.len() as f64;
     assert!((0.55..0.85).contains(&share), "{share} of the keys");
     assert_eq!(own_keys, keys_at(&mut node, &keys, 20_000, &id(1)), "the same keys again");
 
-    let mut other = one_of_many(fleet(10));
-    other.event(Event::Message { from: 3, bytes: overloaded(&id(1)) });
+    let mut other = node_in_large_deployment(fleet(10));
+    other.event(Event::Message { from: 3, bytes: overloaded_message(&id(1)) });
     assert_eq!(own_keys, keys_at(&mut other, &keys, 30_000, &id(1)), "the same keys elsewhere");
     let others: Vec<u64> = (0..1000).filter(|key| !keys.contains(key)).collect();
-    let mut fresh = one_of_many(fleet(10));
+    let mut fresh = node_in_large_deployment(fleet(10));
     for (n, key) in others.into_iter().enumerate() {
         let n = 40_000 + n as u64;
         assert_eq!(other.home(n, key), fresh.home(n, key), "other keys stay");
     }
     // Back to all of its keys when no report of it arrives.
-    other.pass(8.0);
+    other.advance(8.0);
     assert_eq!(keys_at(&mut other, &keys, 50_000, &id(1)).len(), keys.len());
 }
 
 #[test]
 fn an_overload_that_all_nodes_observe_at_once_counts_once_and_is_not_announced_again() {
-    let mut node = one_of_many(fleet(10));
-    let keys = keys_of_one(&mut node, 1000, usize::MAX);
+    let mut node = node_in_large_deployment(fleet(10));
+    let keys = keys_of_server_one(&mut node, 1000, usize::MAX);
     for from in 0..50 {
-        node.event(Event::Message { from, bytes: overloaded(&id(1)) });
+        node.event(Event::Message { from, bytes: overloaded_message(&id(1)) });
     }
     node.request(read(5000, keys[0]));
-    let actions = node.serve_reporting(5000, 30.0, 60.0);
+    let actions = node.serve_with_load_report(5000, 30.0, 60.0);
     assert!(!actions.iter().any(|a| matches!(a, Action::NotifyPeers(_))), "{actions:?}");
     let share = keys_at(&mut node, &keys, 10_000, &id(1)).len() as f64 / keys.len() as f64;
     assert!(share > 0.55, "{share} of the keys");
@@ -56,10 +56,10 @@
 
 #[test]
 fn reports_of_busy_servers_without_a_queue_change_nothing() {
-    let mut node = one_of_many(fleet(10));
+    let mut node = node_in_large_deployment(fleet(10));
     for (n, (in_flight, rate)) in [(0.0, 0.0), (3.0, 1.0), (20.0, 400.0)].into_iter().enumerate() {
         node.request(read(n as u64, n as u64));
-        let actions = node.serve_reporting(n as u64, in_flight, rate);
+        let actions = node.serve_with_load_report(n as u64, in_flight, rate);
         assert!(!actions.iter().any(|a| matches!(a, Action::NotifyPeers(_))), "{in_flight} {rate}");
     }
 }
@@ -67,12 +67,12 @@
 /// With all key shares small, requests found no server though none was down.
 #[test]
 fn a_fleet_that_is_overloaded_throughout_takes_all_of_its_keys() {
-    let (mut node, mut fresh) = (one_of_many(fleet(10)), one_of_many(fleet(10)));
+    let (mut node, mut fresh) = (node_in_large_deployment(fleet(10)), node_in_large_deployment(fleet(10)));
     for _ in 0..10 {
         for server in 1..=10 {
-            node.event(Event::Message { from: 7, bytes: overloaded(&id(server)) });
+            node.event(Event::Message { from: 7, bytes: overloaded_message(&id(server)) });
         }
-        node.pass(0.5);
+        node.advance(0.5);
     }
     for n in 0..500 {
         assert_eq!(node.home(n, n), fresh.home(n, n));
--- a/balancer/tests/balancer/placement.rs
+++ b/balancer/tests/balancer/placement.rs
@@ -82,7 +82,7 @@
             1000 + n
         };
         let server = node.home(n, key);
-        node.pass(0.05);
+        node.advance(0.05);
         match key {
             42 if n > 100 => *hot.entry(server).or_insert(0) += 1,
             7 => drop(cool.insert(server)),
@@ -122,7 +122,7 @@
 /// Errors of all servers at once are the origin's: taking servers out for them only adds misses.
 #[test]
 fn errors_of_the_complete_fleet_eject_few_servers_but_those_of_one_server_eject_it() {
-    let play = |bad: &dyn Fn(&ServerId) -> bool| {
+    let count_ejections = |bad: &dyn Fn(&ServerId) -> bool| {
         let mut node = Node::with(settings(), 1, fleet(6));
         let mut ejected = 0;
         for n in 0..3000 {
@@ -131,12 +131,12 @@
             while let [server, ..] = &sent(&actions)[..] {
                 let status = if bad(server) && n > 300 { Status::Error } else { Status::Success };
                 actions = node.outcome(n, status, Some(CacheStatus::Hit));
-                let out = |a: &&Action| matches!(a, Action::Log(t) if t.contains("left alone"));
-                ejected += actions.iter().filter(out).count();
+                let is_ejection = |a: &&Action| matches!(a, Action::Log(t) if t.contains("left alone"));
+                ejected += actions.iter().filter(is_ejection).count();
             }
         }
         ejected
     };
-    let (all, one) = (play(&|_| true), play(&|s| *s == id(1)));
+    let (all, one) = (count_ejections(&|_| true), count_ejections(&|s| *s == id(1)));
     assert!(all <= 6 && one >= 1, "{all} {one}");
 }
--- a/balancer/tests/balancer/roster.rs
+++ b/balancer/tests/balancer/roster.rs
@@ -6,29 +6,29 @@
     Settings { membership: Membership::OnRequest, ..settings() }
 }
 
-fn calls_in(actions: &[Action]) -> usize {
+fn count_roster_calls(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Subscribe | Action::FetchRoster)).count()
 }
 
 #[test]
 fn an_on_request_node_subscribes_at_once_and_repeats_failed_calls() {
     let mut node = Node::new(on_request(), 1);
-    assert_eq!(calls_in(&node.event(Event::Roster(RosterUpdate::Cached(fleet(4))))), 1);
+    assert_eq!(count_roster_calls(&node.event(Event::Roster(RosterUpdate::Cached(fleet(4))))), 1);
     for _ in 0..5 {
         node.event(Event::Roster(RosterUpdate::Failed));
-        assert_eq!(calls_in(&node.pass(3.0)), 1);
+        assert_eq!(count_roster_calls(&node.advance(3.0)), 1);
     }
     node.event(Event::Roster(RosterUpdate::Delta(vec![])));
-    assert_eq!(calls_in(&node.pass(60.0)), 0, "a subscription is not requested twice");
+    assert_eq!(count_roster_calls(&node.advance(60.0)), 0, "a subscription is not requested twice");
     node.event(Event::Roster(RosterUpdate::Failed));
-    assert_eq!(calls_in(&node.pass(3.0)), 1, "a broken one is requested again");
+    assert_eq!(count_roster_calls(&node.advance(3.0)), 1, "a broken one is requested again");
 }
 
 #[test]
 fn a_call_that_is_never_answered_is_repeated_within_the_subscription_gap() {
     let mut node = Node::new(on_request(), 1);
     node.event(Event::Roster(RosterUpdate::Cached(fleet(4))));
-    assert!(calls_in(&node.pass(9.0)) >= 1);
+    assert!(count_roster_calls(&node.advance(9.0)) >= 1);
 }
 
 /// A restarted node has only its last list: it uses that, calls at once, and a start that the list did not show counts from the
@@ -37,8 +37,8 @@
 fn a_restarted_node_uses_its_cached_list_until_an_update_arrives() {
     let mut node = Node::new(on_request(), 7);
     let first = node.event(Event::Roster(RosterUpdate::Cached(fleet(8))));
-    assert_eq!(calls_in(&first), 1);
-    let owned = |node: &mut Node, from: u64| at_once(node, from, 2000).len();
+    assert_eq!(count_roster_calls(&first), 1);
+    let owned = |node: &mut Node, from: u64| paced_keys_of_server_one(node, from, 2000).len();
     let before = owned(&mut node, 0);
     let started = RosterEntry { started: Some(99.0), ..entry(1) };
     let gone = RosterEntry { state: ServerState::Gone, ..entry(2) };
@@ -57,15 +57,15 @@
             let mut node = Node::new(Settings { nodes: balancers, ..on_request() }, seed);
             let start = node.now;
             let mut actions = node.event(Event::Roster(RosterUpdate::Cached(fleet(8))));
-            while calls_in(&actions) == 0 {
-                actions = node.pass(0.05);
+            while count_roster_calls(&actions) == 0 {
+                actions = node.advance(0.05);
                 assert!(node.now - start <= 5.1, "called too late");
             }
             let first_call = node.now - start;
             // And after a failure, distributed alike.
             node.event(Event::Roster(RosterUpdate::Failed));
             let failed = node.now;
-            while calls_in(&node.pass(0.05)) == 0 {
+            while count_roster_calls(&node.advance(0.05)) == 0 {
                 assert!(node.now - failed <= 8.0, "called again too late");
             }
             (balancers <= 10 || node.now - failed >= 2.0).then_some(first_call).expect("not at once again")
--- a/balancer/tests/balancer/rules.rs
+++ b/balancer/tests/balancer/rules.rs
@@ -6,7 +6,7 @@
 fn without_servers_a_request_is_queued_for_part_of_its_latency_target_and_then_refused() {
     let mut node = Node::new(settings(), 1);
     assert!(sent(&node.request(read(1, 1))).is_empty());
-    assert!(refused(&node.pass(0.5)));
+    assert!(refused(&node.advance(0.5)));
 
     let mut node = Node::new(settings(), 1);
     node.request(read(1, 1));
@@ -31,16 +31,16 @@
 }
 
 #[test]
-fn unknown_and_ended_things_are_ignored() {
+fn events_of_unknown_or_ended_requests_are_ignored() {
     let mut node = Node::with(settings(), 1, fleet(4));
     assert!(node.event(Event::RequestCancelled(RequestId(7))).is_empty());
     assert!(node.event(Event::Timer(TimerToken(77))).is_empty());
     assert!(node.event(Event::HealthChecked { server: id(200), status: Status::Success }).is_empty());
     assert!(node.event(Event::StreamStarted { request: RequestId(7), attempt: AttemptId(0) }).is_empty());
-    assert!(node.event(first_ended(7, Status::TimedOut, 0.1)).is_empty());
+    assert!(node.event(first_attempt_ended(7, Status::TimedOut, 0.1)).is_empty());
     node.request(read(1, 1));
     node.serve(1);
-    assert!(node.event(first_ended(1, Status::TimedOut, 0.1)).is_empty());
+    assert!(node.event(first_attempt_ended(1, Status::TimedOut, 0.1)).is_empty());
 }
 
 #[test]
@@ -52,7 +52,7 @@
     assert!(node.event(Event::Timer(TimerToken(2))).is_empty());
 }
 
-const ALL: [Status; 11] = [
+const ALL_STATUSES: [Status; 11] = [
     Status::Success,
     Status::Error,
     Status::Overloaded,
@@ -68,7 +68,7 @@
 
 #[test]
 fn every_effect_crossed_with_every_status() {
-    for status in ALL {
+    for status in ALL_STATUSES {
         for class in [READ, KEYED, UNSAFE] {
             let mut node = Node::with(settings(), 1, fleet(6));
             let first = sent(&node.request(NewRequest { class: Some(class), ..read(1, 5) }))[0].clone();
@@ -131,10 +131,10 @@
 /// A bucket that fills in idle times let more attempts through in one window than the rule allows.
 #[test]
 fn retries_stay_within_the_budget_in_any_window() {
-    let mut stated = settings();
-    stated.guarantees.retry_budget =
+    let mut settings_with_budget = settings();
+    settings_with_budget.guarantees.retry_budget =
         Some(RetryBudgetRule { window: 5.0, min_retries: 2.0, retry_ratio: 0.1 });
-    let mut node = Node::with(stated, 1, fleet(8));
+    let mut node = Node::with(settings_with_budget, 1, fleet(8));
     let (mut accepted, mut retries) = (Vec::new(), Vec::new());
     for n in 0..600 {
         // A busy start, a pause in which the window empties, and a burst of failures.
@@ -158,10 +158,11 @@
 
 #[test]
 fn a_not_cached_answer_allows_one_retry_outside_the_budget() {
-    let mut aside = aside();
-    aside.guarantees.retry_budget = Some(RetryBudgetRule { window: 5.0, min_retries: 0.0, retry_ratio: 0.0 });
+    let mut settings = cache_aside_settings();
+    settings.guarantees.retry_budget =
+        Some(RetryBudgetRule { window: 5.0, min_retries: 0.0, retry_ratio: 0.0 });
     let entries = fleet_and_origin(4);
-    let mut node = Node::with(aside, 1, entries);
+    let mut node = Node::with(settings, 1, entries);
     node.request(read(1, 3));
     assert_eq!(sent(&node.outcome(1, Status::NotCached, None)), [origin().server]);
     let after = node.outcome(1, Status::Overloaded, None);
@@ -174,17 +175,17 @@
     closing.guarantees.close_on_drain = Some(1.0);
     let closes = |actions: &[Action], n| actions.contains(&Action::CloseIdle(id(n)));
     let mut node = Node::with(closing, 1, fleet(4));
-    let key = keys_of_one(&mut node, 400, 1)[0];
+    let key = keys_of_server_one(&mut node, 400, 1)[0];
     node.request(NewRequest { time_left: 1.9, ..read(900, key) });
     let drain = RosterEntry { state: ServerState::Draining, ..entry(1) };
     assert!(closes(&node.event(Event::Roster(RosterUpdate::Delta(vec![drain.clone()]))), 1));
     // Ordered answers: a connection may fall idle unseen, so closing is repeated while it is listed.
-    assert!(closes(&node.pass(0.4), 1));
+    assert!(closes(&node.advance(0.4), 1));
     assert!(closes(&node.event(Event::Roster(RosterUpdate::Delta(vec![drain]))), 1), "a repeated notice");
     assert!(closes(&node.event(Event::Roster(RosterUpdate::Complete(fleet(4)[1..].to_vec()))), 1), "it left");
-    node.pass(1.0);
+    node.advance(1.0);
     assert!(closes(&node.serve(900), 1), "an outcome after it left the list");
-    assert!(!closes(&node.pass(2.0), 2), "those of servers that stay are left open");
+    assert!(!closes(&node.advance(2.0), 2), "those of servers that stay are left open");
 }
 
 #[test]
@@ -204,16 +205,16 @@
 
 #[test]
 fn invalid_settings_are_errors_that_name_the_value() {
-    let bad = |change: &dyn Fn(&mut Settings)| {
+    let error_of = |change: &dyn Fn(&mut Settings)| {
         let mut s = settings();
         change(&mut s);
         Balancer::new(s, 1).err().expect("an error").to_string()
     };
-    assert!(bad(&|s| s.nodes = 0).contains("balancers"));
-    assert!(bad(&|s| s.classes.clear()).contains("classes"));
-    assert!(bad(&|s| s.guarantees.slow_start_duration = -1.0).contains("ramp"));
-    assert!(bad(&|s| s.guarantees.initial_capacity_share = f64::NAN).contains("cold from"));
-    assert!(bad(&|s| s.classes[0].deadline = 0.0).contains("read"));
+    assert!(error_of(&|s| s.nodes = 0).contains("balancers"));
+    assert!(error_of(&|s| s.classes.clear()).contains("classes"));
+    assert!(error_of(&|s| s.guarantees.slow_start_duration = -1.0).contains("ramp"));
+    assert!(error_of(&|s| s.guarantees.initial_capacity_share = f64::NAN).contains("cold from"));
+    assert!(error_of(&|s| s.classes[0].deadline = 0.0).contains("read"));
 }
 
 #[test]
@@ -221,27 +222,27 @@
     let advice = |limits: Limits| {
         let mut node = Node::with(Settings { limits, ..settings() }, 1, vec![]);
         node.request(read(1, 1));
-        node.pass(0.5).iter().find_map(|a| match a {
+        node.advance(0.5).iter().find_map(|a| match a {
             Action::Refuse { retry_after, .. } => Some(*retry_after),
             _ => None,
         })
     };
-    let heeding = Limits { retry_after: true, max_retry_after: 0.05, ..settings().limits };
-    assert_eq!(advice(heeding.clone()), Some(Some(0.05)));
-    let usual = advice(Limits { max_retry_after: 10.0, ..heeding.clone() }).flatten();
+    let with_advice = Limits { retry_after: true, max_retry_after: 0.05, ..settings().limits };
+    assert_eq!(advice(with_advice.clone()), Some(Some(0.05)));
+    let usual = advice(Limits { max_retry_after: 10.0, ..with_advice.clone() }).flatten();
     assert!(usual.is_some_and(|after| after > 0.05 && after < 1.0), "{usual:?}");
-    assert_eq!(advice(Limits { retry_after: false, ..heeding }), Some(None));
+    assert_eq!(advice(Limits { retry_after: false, ..with_advice }), Some(None));
 }
 
 /// Each answer dispatched all queued requests, and each of them tried all slots: more CPU than the node has.
 #[test]
 fn an_answer_dispatches_only_a_few_of_the_queued_requests() {
-    let cache = at_origin();
+    let cache = cache_aside_mode();
     let mut node = Node::with(Settings { cache, ..settings() }, 1, fleet(1));
     assert_eq!(sent(&node.request(NewRequest { time_left: 30.0, ..read(1, 1) })).len(), 1);
     // Ejected for 5 s at most.
     for from in [3, 4] {
-        node.event(Event::Message { from, bytes: failing(&id(1)) });
+        node.event(Event::Message { from, bytes: failing_message(&id(1)) });
     }
     node.now += 2.9;
     for n in 2..20 {
--- a/balancer/tests/balancer/server_health.rs
+++ b/balancer/tests/balancer/server_health.rs
@@ -6,9 +6,9 @@
 #[test]
 fn a_server_that_fails_is_ejected_and_used_again_later() {
     let mut node = Node::with(settings(), 1, fleet(6));
-    let keys = keys_of_one(&mut node, 400, 20);
+    let keys = keys_of_server_one(&mut node, 400, 20);
     record_usual_latency(&mut node);
-    let at_one = |node: &mut Node, from: u64, status| {
+    let sends_to_server_one = |node: &mut Node, from: u64, status| {
         let mut count = 0;
         for (n, &key) in keys.iter().enumerate() {
             let n = from + n as u64;
@@ -24,13 +24,13 @@
         }
         count
     };
-    let failing = at_one(&mut node, 1000, Status::Broken);
+    let failing = sends_to_server_one(&mut node, 1000, Status::Broken);
     assert!((2..12).contains(&failing), "{failing} of 20 sent to a server that breaks");
     for round in 0..20 {
-        node.pass(1.0);
-        at_one(&mut node, 2000 + 100 * round, Status::Success);
+        node.advance(1.0);
+        sends_to_server_one(&mut node, 2000 + 100 * round, Status::Success);
     }
-    assert_eq!(at_one(&mut node, 9000, Status::Success), 20);
+    assert_eq!(sends_to_server_one(&mut node, 9000, Status::Success), 20);
 }
 
 /// Where all servers sent a few malformed answers, each was found failing in turn and most requests were refused.
@@ -38,7 +38,7 @@
 fn a_malformed_answer_is_retried_at_its_server_once_and_does_not_affect_its_health() {
     let mut node = Node::with(settings(), 1, fleet(6));
     record_usual_latency(&mut node);
-    let key = keys_of_one(&mut node, 400, 1)[0];
+    let key = keys_of_server_one(&mut node, 400, 1)[0];
     for n in 1000..1010 {
         assert_eq!(sent(&node.request(read(n, key))), [id(1)], "{n}");
         node.now += 0.01;
@@ -58,7 +58,7 @@
 #[test]
 fn time_outs_of_requests_with_little_time_left_do_not_eject_a_server() {
     let mut node = Node::with(settings(), 1, fleet(6));
-    let mut keys = keys_of_one(&mut node, 400, usize::MAX).into_iter();
+    let mut keys = keys_of_server_one(&mut node, 400, usize::MAX).into_iter();
     record_usual_latency(&mut node);
     for n in 1000..1006 {
         let hurried = NewRequest { time_left: 0.06, ..read(n, keys.next().unwrap()) };
@@ -71,7 +71,7 @@
 /// Work is heavy-tailed: an answer that took its hinted work is no sign of overload.
 #[test]
 fn heavy_requests_do_not_count_as_overload() {
-    let at_once = |work| {
+    let sent_in_parallel = |work| {
         let mut node = Node::with(settings(), 1, fleet(1));
         for n in 0..40 {
             node.request(NewRequest { work_hint: work, ..read(n, 1) });
@@ -82,7 +82,7 @@
         }
         (100..140).filter(|&n| !sent(&node.request(read(n, 1))).is_empty()).count()
     };
-    let (with_hints, without_hints) = (at_once(Some(0.3)), at_once(None));
+    let (with_hints, without_hints) = (sent_in_parallel(Some(0.3)), sent_in_parallel(None));
     assert!(with_hints > without_hints, "{with_hints} at once with hints, {without_hints} without");
 }
 
@@ -94,20 +94,20 @@
     settings_with_peers.limits.peer_messages = true;
     let mut node = Node::with(settings_with_peers, 1, fleet(6));
     record_usual_latency(&mut node);
-    let keys = keys_of_one(&mut node, 400, 3);
+    let keys = keys_of_server_one(&mut node, 400, 3);
     node.request(read(1000, keys[0]));
     node.now += 0.9;
-    let notification = Action::NotifyPeers(failing(&id(1)));
+    let notification = Action::NotifyPeers(failing_message(&id(1)));
     assert!(node.outcome(1000, Status::TimedOut, None).contains(&notification));
-    node.pass(0.5);
+    node.advance(0.5);
     assert_eq!(node.home(2000, keys[1]), id(1), "once may be chance");
     // Another node had no answer either; what is not an address is ignored.
-    for bytes in [failing(&id(1)), b"\xff\xfe".to_vec(), b"nobody".to_vec()] {
+    for bytes in [failing_message(&id(1)), b"\xff\xfe".to_vec(), b"nobody".to_vec()] {
         node.event(Event::Message { from: 3, bytes });
     }
-    node.pass(1.0);
+    node.advance(1.0);
     assert!(sent(&node.request(read(3000, keys[1]))).iter().all(|s| *s != id(1)));
-    node.pass(6.0);
+    node.advance(6.0);
     assert_eq!(node.home(4000, keys[2]), id(1), "and back after its ejection");
 }
 
@@ -147,17 +147,17 @@
         }
         count
     };
-    let at_once = (1..20).map(|n| sends(&mut node, n)).sum::<usize>();
-    assert!((1..=6).contains(&at_once), "{at_once} of 20, with what was saved up");
-    node.pass(3.0);
+    let burst = (1..20).map(|n| sends(&mut node, n)).sum::<usize>();
+    assert!((1..=6).contains(&burst), "{burst} of 20, with what was saved up");
+    node.advance(3.0);
     assert_eq!(sends(&mut node, 30), 1);
 }
 
 /// Nodes with an old list met one dead server after another, the budget for repeats ran out, and up to four in ten
 /// requests were refused unsent while most servers stood idle.
 #[test]
-fn attempts_that_found_no_connection_cost_none_of_the_node_s_own_budget() {
-    let mut node = one_of_many(fleet(20));
+fn unreachable_attempts_do_not_count_against_the_default_retry_budget() {
+    let mut node = node_in_large_deployment(fleet(20));
     let dead: BTreeSet<ServerId> = (1..=6).map(id).collect();
     let mut served = 0;
     for n in 0..200 {
@@ -170,7 +170,7 @@
             }
             to = sent(&node.outcome(n, Status::Unreachable, None));
         }
-        node.pass(0.05);
+        node.advance(0.05);
     }
     assert!(served > 190, "{served} of 200 served");
 }
@@ -178,17 +178,17 @@
 /// Among many nodes each meets a dead server seldom: after two refused connections, at any nodes, all eject it.
 #[test]
 fn among_many_nodes_a_server_that_refuses_two_connections_is_ejected() {
-    let mut node = one_of_many(fleet(10));
-    let keys = keys_of_one(&mut node, 1000, 3);
+    let mut node = node_in_large_deployment(fleet(10));
+    let keys = keys_of_server_one(&mut node, 1000, 3);
     node.request(read(5000, keys[0]));
-    let notification = Action::NotifyPeers(failing(&id(1)));
+    let notification = Action::NotifyPeers(failing_message(&id(1)));
     assert!(node.outcome(5000, Status::Unreachable, None).contains(&notification));
     node.serve(5000);
-    node.pass(0.5);
+    node.advance(0.5);
     assert_eq!(node.home(5001, keys[1]), id(1), "one may be chance");
-    node.event(Event::Message { from: 9, bytes: failing(&id(1)) });
+    node.event(Event::Message { from: 9, bytes: failing_message(&id(1)) });
     assert_ne!(node.home(5002, keys[1]), id(1));
-    node.pass(6.0);
+    node.advance(6.0);
     assert_eq!(node.home(5003, keys[1]), id(1), "used again later");
 }
 
@@ -196,9 +196,9 @@
 /// ejected and the others overloaded.
 #[test]
 fn among_many_nodes_time_outs_do_not_eject_a_server() {
-    let mut node = one_of_many(fleet(10));
+    let mut node = node_in_large_deployment(fleet(10));
     record_usual_latency(&mut node);
-    let keys = keys_of_one(&mut node, 2000, usize::MAX);
+    let keys = keys_of_server_one(&mut node, 2000, usize::MAX);
     let mut requests = 0;
     for (n, &key) in (5000..5040).zip(&keys) {
         let to = sent(&node.request(read(n, key)));
@@ -206,9 +206,9 @@
         if to == [id(1)] {
             requests += 1;
             let actions = node.outcome(n, Status::TimedOut, None);
-            assert!(!actions.contains(&Action::NotifyPeers(failing(&id(1)))), "announced as failing");
+            assert!(!actions.contains(&Action::NotifyPeers(failing_message(&id(1)))), "announced as failing");
         }
-        node.pass(0.1);
+        node.advance(0.1);
     }
     // It continues to get requests for some of its keys, fewer and fewer.
     assert!((4..30).contains(&requests), "{requests} requests");
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -9,7 +9,7 @@
 pub const KEYED: ClassId = ClassId(1);
 pub const UNSAFE: ClassId = ClassId(2);
 
-pub fn class(name: &str, effect: Effect, group: DeduplicationScope) -> Class {
+pub fn class(name: &str, effect: Effect, scope: DeduplicationScope) -> Class {
     Class {
         name: name.into(),
         latency_target: 0.5,
@@ -17,7 +17,7 @@
         value: 1.0,
         late_value: 0.2,
         effect,
-        deduplication_scope: group,
+        deduplication_scope: scope,
         deduplication_window: 1.0,
         streamed: false,
     }
@@ -127,7 +127,12 @@
     }
 
     /// The last attempt of a request ends.
-    pub fn outcome(&mut self, request: u64, status: Status, note: Option<CacheStatus>) -> Vec<Action> {
+    pub fn outcome(
+        &mut self,
+        request: u64,
+        status: Status,
+        reported_cache: Option<CacheStatus>,
+    ) -> Vec<Action> {
         let request = RequestId(request);
         let attempts = &self.sends[&request];
         let (attempt, elapsed) = (attempts.len() - 1, self.now - attempts[attempts.len() - 1].1);
@@ -137,13 +142,18 @@
             status,
             elapsed,
             finished: status == Status::Success,
-            cache_status: note,
+            cache_status: reported_cache,
             load: None,
         }))
     }
 
     /// The last attempt of a request is served from cache, with a load report.
-    pub fn serve_reporting(&mut self, request: u64, held: f64, rate: f64) -> Vec<Action> {
+    pub fn serve_with_load_report(
+        &mut self,
+        request: u64,
+        reported_in_flight: f64,
+        reported_rate: f64,
+    ) -> Vec<Action> {
         let attempt = AttemptId(self.sends[&RequestId(request)].len() as u32 - 1);
         self.event(Event::Outcome(Outcome {
             request: RequestId(request),
@@ -152,7 +162,7 @@
             elapsed: 0.01,
             finished: true,
             cache_status: Some(CacheStatus::Hit),
-            load: Some(Load { in_flight: held, served_per_second: rate }),
+            load: Some(Load { in_flight: reported_in_flight, served_per_second: reported_rate }),
         }))
     }
 
@@ -161,7 +171,7 @@
     }
 
     /// Lets time pass in housekeeping steps.
-    pub fn pass(&mut self, time: Seconds) -> Vec<Action> {
+    pub fn advance(&mut self, time: Seconds) -> Vec<Action> {
         let mut actions = Vec::new();
         let end = self.now + time;
         while self.now < end {
--- a/balancer/tests/memory.rs
+++ b/balancer/tests/memory.rs
@@ -10,53 +10,53 @@
 use common::{entry, read, settings, Node};
 use glenfall_balancer::*;
 
-struct Counting;
+struct CountingAllocator;
 
-static LIVE: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
 // SAFETY: hands everything on to the system's allocator and only counts bytes.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        LIVE.fetch_add(layout.size(), Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        LIVE.fetch_sub(layout.size(), Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
         unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static COUNTING: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 /// One simulated minute: fresh keys all the time, all kinds of ends, a server replaced each second.
-fn minute(node: &mut Node, next: &mut u64) {
+fn simulate_minute(node: &mut Node, last_id: &mut u64) {
     for second in 0..60 {
-        let first = *next / 100;
+        let first = *last_id / 100;
         let fleet = (first..first + 8).map(|n| RosterEntry { started: Some(n as f64), ..entry(n) }).collect();
         node.event(Event::Roster(RosterUpdate::Complete(fleet)));
         for n in 0..100 {
-            *next += 1;
-            let key = if n % 2 == 0 { *next } else { n };
+            *last_id += 1;
+            let key = if n % 2 == 0 { *last_id } else { n };
             let write = n % 20 == 0;
-            node.request(NewRequest { write, ..read(*next, key) });
+            node.request(NewRequest { write, ..read(*last_id, key) });
             let status = match (n + second) % 8 {
                 0 => Status::TimedOut,
                 1 => Status::Error,
                 2 => Status::Unreachable,
                 _ => Status::Success,
             };
-            node.pass(0.01);
-            if node.sends.contains_key(&RequestId(*next)) {
-                node.outcome(*next, status, Some(CacheStatus::Miss));
+            node.advance(0.01);
+            if node.sends.contains_key(&RequestId(*last_id)) {
+                node.outcome(*last_id, status, Some(CacheStatus::Miss));
             }
-            node.event(Event::RequestCancelled(RequestId(*next)));
+            node.event(Event::RequestCancelled(RequestId(*last_id)));
             // Attempts that were sent again before the client left end too.
-            if let Some(attempts) = node.sends.remove(&RequestId(*next)) {
+            if let Some(attempts) = node.sends.remove(&RequestId(*last_id)) {
                 for attempt in 0..attempts.len() as u32 {
                     node.event(Event::Outcome(Outcome {
-                        request: RequestId(*next),
+                        request: RequestId(*last_id),
                         attempt: AttemptId(attempt),
                         status: Status::Cancelled,
                         elapsed: 0.01,
@@ -73,12 +73,15 @@
 #[test]
 fn a_long_run_uses_no_more_memory_than_a_short_one() {
     let mut node = Node::with(settings(), 1, vec![]);
-    let mut next = 0;
-    minute(&mut node, &mut next);
-    let short = LIVE.load(Ordering::Relaxed);
+    let mut last_id = 0;
+    simulate_minute(&mut node, &mut last_id);
+    let after_one_minute = ALLOCATED_BYTES.load(Ordering::Relaxed);
     for _ in 0..20 {
-        minute(&mut node, &mut next);
+        simulate_minute(&mut node, &mut last_id);
     }
-    let long = LIVE.load(Ordering::Relaxed);
-    assert!(long < short + short / 4, "{short} bytes after a minute, {long} after twenty more");
+    let after_21_minutes = ALLOCATED_BYTES.load(Ordering::Relaxed);
+    assert!(
+        after_21_minutes < after_one_minute + after_one_minute / 4,
+        "{after_one_minute} bytes after a minute, {after_21_minutes} after twenty more"
+    );
 }
--- a/balancer/tests/random.rs
+++ b/balancer/tests/random.rs
@@ -21,46 +21,50 @@
 }
 
 #[derive(Clone)]
-struct Sent {
+struct SentAttempt {
     server: ServerId,
     at: Seconds,
     status: Option<Status>,
 }
 
-struct Open {
+struct OpenRequest {
     class: ClassId,
     deadline: Seconds,
-    sent: Vec<Sent>,
+    sent: Vec<SentAttempt>,
     answered: bool,
 }
 
 /// What the rules say of each action.
 #[derive(Default)]
 struct Checker {
-    requests: BTreeMap<RequestId, Open>,
-    left: BTreeMap<ServerId, Seconds>,
+    requests: BTreeMap<RequestId, OpenRequest>,
+    draining_since: BTreeMap<ServerId, Seconds>,
     accepted: Vec<Seconds>,
     retries: Vec<Seconds>,
     /// When each server last got an attempt or answered one, and was last closed.
-    used: BTreeMap<ServerId, Seconds>,
-    closed: BTreeMap<ServerId, Seconds>,
+    last_used: BTreeMap<ServerId, Seconds>,
+    last_closed: BTreeMap<ServerId, Seconds>,
 }
 
 impl Checker {
     fn check(&mut self, now: Seconds, settings: &Settings, action: &Action) -> Result<(), String> {
         match action {
             Action::Send { request, server, .. } => {
-                let r = self.requests.get_mut(request).ok_or("send for an unknown request")?;
-                if r.answered {
+                let open_request = self.requests.get_mut(request).ok_or("send for an unknown request")?;
+                if open_request.answered {
                     return Err("send after the final answer".into());
                 }
-                if self.left.get(server).is_some_and(|&at| now > at + settings.guarantees.drain_grace) {
-                    return Err("send to a server that drains".into());
+                if self
+                    .draining_since
+                    .get(server)
+                    .is_some_and(|&at| now > at + settings.guarantees.drain_grace)
+                {
+                    return Err("send to a draining server".into());
                 }
-                let ran: Vec<&Sent> =
-                    r.sent.iter().filter(|s| s.status.is_none_or(Status::may_have_run)).collect();
+                let ran: Vec<&SentAttempt> =
+                    open_request.sent.iter().filter(|s| s.status.is_none_or(Status::may_have_run)).collect();
                 let zone = |s: &ServerId| s.0.trim_end_matches(":80").bytes().last().unwrap() % 2;
-                match r.class {
+                match open_request.class {
                     UNSAFE if !ran.is_empty() => return Err("an unsafe request sent twice".into()),
                     KEYED => {
                         for s in ran {
@@ -73,35 +77,37 @@
                     }
                     _ => {}
                 }
-                if let (Some(b), Some(last)) = (&settings.guarantees.retry_budget, r.sent.last()) {
+                if let (Some(budget), Some(last)) =
+                    (&settings.guarantees.retry_budget, open_request.sent.last())
+                {
                     if last.status != Some(Status::NotCached) {
                         self.retries.push(now);
                         let within =
-                            |times: &[Seconds]| times.iter().filter(|&&t| t > now - b.window).count();
-                        let allowed = b.min_retries + b.retry_ratio * within(&self.accepted) as f64;
+                            |times: &[Seconds]| times.iter().filter(|&&t| t > now - budget.window).count();
+                        let allowed = budget.min_retries + budget.retry_ratio * within(&self.accepted) as f64;
                         if within(&self.retries) as f64 > allowed {
-                            return Err("a further attempt beyond the budget".into());
+                            return Err("a retry beyond the budget".into());
                         }
                     }
                 }
-                self.used.insert(server.clone(), now);
-                r.sent.push(Sent { server: server.clone(), at: now, status: None });
+                self.last_used.insert(server.clone(), now);
+                open_request.sent.push(SentAttempt { server: server.clone(), at: now, status: None });
             }
             Action::Refuse { request, .. } | Action::Fail(request) => {
-                let r = self.requests.get_mut(request).ok_or("answer to an unknown request")?;
-                if std::mem::replace(&mut r.answered, true) {
+                let open_request = self.requests.get_mut(request).ok_or("answer to an unknown request")?;
+                if std::mem::replace(&mut open_request.answered, true) {
                     return Err("two final answers".into());
                 }
-                let ran = r.sent.iter().any(|s| s.status.is_none_or(Status::may_have_run));
-                if matches!(action, Action::Refuse { .. }) && r.class != READ && ran {
+                let ran = open_request.sent.iter().any(|s| s.status.is_none_or(Status::may_have_run));
+                if matches!(action, Action::Refuse { .. }) && open_request.class != READ && ran {
                     return Err("a refusal that may not be given".into());
                 }
             }
             Action::NotifyPeers(_) if !settings.limits.peer_messages => {
-                return Err("a message that may not be sent".into())
+                return Err("a peer message although these are not allowed".into())
             }
             Action::CloseIdle(server) => {
-                self.closed.insert(server.clone(), now);
+                self.last_closed.insert(server.clone(), now);
             }
             _ => {}
         }
@@ -109,19 +115,19 @@
     }
 
     /// Rule six: what drains is closed in time from the notice or the last use.
-    fn unclosed(&self, now: Seconds, settings: &Settings) -> Result<(), String> {
+    fn check_drain_closes(&self, now: Seconds, settings: &Settings) -> Result<(), String> {
         let Some(within) = settings.guarantees.close_on_drain else { return Ok(()) };
-        for (server, &left) in &self.left {
-            let due = left.max(self.used.get(server).copied().unwrap_or(0.0));
-            if now > due + within && self.closed.get(server).is_none_or(|&at| at < due) {
+        for (server, &since) in &self.draining_since {
+            let due = since.max(self.last_used.get(server).copied().unwrap_or(0.0));
+            if now > due + within && self.last_closed.get(server).is_none_or(|&at| at < due) {
                 return Err(format!("connections to {server:?} left open"));
             }
         }
         Ok(())
     }
 
-    fn overdue(&self, now: Seconds, settings: &Settings) -> Result<(), String> {
-        let is_late = |r: &Open| !r.answered && now > r.deadline + settings.guarantees.answer_grace;
+    fn check_deadlines(&self, now: Seconds, settings: &Settings) -> Result<(), String> {
+        let is_late = |r: &OpenRequest| !r.answered && now > r.deadline + settings.guarantees.answer_grace;
         match self.requests.iter().find(|(_, r)| is_late(r)) {
             Some((id, _)) => Err(format!("{id:?} not answered in time")),
             None => Ok(()),
@@ -130,7 +136,7 @@
 }
 
 /// One random run of a node. `tamper` may change the actions before the checker gets them.
-fn play(seed: u64, steps: u32, tamper: impl Fn(&mut Vec<Action>)) -> Result<u32, String> {
+fn run_random_events(seed: u64, steps: u32, tamper: impl Fn(&mut Vec<Action>)) -> Result<u32, String> {
     let mut rng = Rng(seed);
     let mut settings = settings();
     settings.limits.health_checks = seed.is_multiple_of(2);
@@ -147,9 +153,9 @@
     let mut checker = Checker::default();
     let mut timers: Vec<(Seconds, TimerToken)> = Vec::new();
     let (mut now, mut next_id, mut sends) = (50.0, 0, 0);
-    let mut list: Vec<RosterEntry> = (1..=8).map(entry).collect();
-    list.push(origin());
-    let mut events = vec![Event::Roster(RosterUpdate::Complete(list.clone()))];
+    let mut roster: Vec<RosterEntry> = (1..=8).map(entry).collect();
+    roster.push(origin());
+    let mut events = vec![Event::Roster(RosterUpdate::Complete(roster.clone()))];
     for _ in 0..steps {
         now += rng.below(8) as f64 * 0.001;
         timers.retain(|&(at, token)| {
@@ -160,19 +166,23 @@
             !due
         });
         // Attempts end at the client's deadline at the latest, as a host sees to.
-        let out: Vec<(RequestId, usize, bool)> = checker
+        let attempts_in_flight: Vec<(RequestId, usize, bool)> = checker
             .requests
             .iter()
             .flat_map(|(&id, r)| {
-                let over = now >= r.deadline;
-                r.sent.iter().enumerate().filter(|(_, s)| s.status.is_none()).map(move |(i, _)| (id, i, over))
+                let is_expired = now >= r.deadline;
+                r.sent
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, s)| s.status.is_none())
+                    .map(move |(i, _)| (id, i, is_expired))
             })
             .collect();
-        for (id, index, over) in out {
-            if !over && rng.below(40) > 0 {
+        for (id, index, is_expired) in attempts_in_flight {
+            if !is_expired && rng.below(40) > 0 {
                 continue;
             }
-            const ENDS: [Status; 10] = [
+            const STATUSES: [Status; 10] = [
                 Status::Success,
                 Status::Success,
                 Status::Error,
@@ -184,12 +194,12 @@
                 Status::Malformed,
                 Status::Unknown,
             ];
-            let status = if over { Status::TimedOut } else { ENDS[rng.below(10) as usize] };
-            let r = checker.requests.get_mut(&id).unwrap();
-            let elapsed = now - r.sent[index].at;
-            r.sent[index].status = Some(status);
-            checker.used.insert(r.sent[index].server.clone(), now);
-            let finished = r.answered || status == Status::Success;
+            let status = if is_expired { Status::TimedOut } else { STATUSES[rng.below(10) as usize] };
+            let open_request = checker.requests.get_mut(&id).unwrap();
+            let elapsed = now - open_request.sent[index].at;
+            open_request.sent[index].status = Some(status);
+            checker.last_used.insert(open_request.sent[index].server.clone(), now);
+            let finished = open_request.answered || status == Status::Success;
             let attempt = AttemptId(index as u32);
             // Reports come now and then, of queues and of idle servers.
             let load = (rng.below(2) == 0)
@@ -207,33 +217,33 @@
         match rng.below(10) {
             0..=5 => {
                 let class = [READ, READ, KEYED, UNSAFE][rng.below(4) as usize];
-                let left = 0.05 + rng.below(100) as f64 * 0.01;
+                let remaining = 0.05 + rng.below(100) as f64 * 0.01;
                 next_id += 1;
                 let sent = Vec::new();
-                let open = Open { class, deadline: now + left, sent, answered: false };
-                checker.requests.insert(RequestId(next_id), open);
+                let open_request = OpenRequest { class, deadline: now + remaining, sent, answered: false };
+                checker.requests.insert(RequestId(next_id), open_request);
                 checker.accepted.push(now);
                 let write = class != READ;
                 let key = rng.below(50);
                 events.push(Event::Request(NewRequest {
                     class: Some(class),
-                    time_left: left,
+                    time_left: remaining,
                     write,
                     ..read(next_id, key)
                 }));
             }
             6 => {
-                let index = rng.below(list.len() as u64) as usize;
+                let index = rng.below(roster.len() as u64) as usize;
                 let states = [ServerState::Ready, ServerState::Draining, ServerState::Gone];
                 let state = states[rng.below(3) as usize];
-                list[index].state = state;
+                roster[index].state = state;
                 if state == ServerState::Ready {
-                    list[index].started = Some(now);
-                    checker.left.remove(&list[index].server);
+                    roster[index].started = Some(now);
+                    checker.draining_since.remove(&roster[index].server);
                 } else {
-                    checker.left.entry(list[index].server.clone()).or_insert(now);
+                    checker.draining_since.entry(roster[index].server.clone()).or_insert(now);
                 }
-                events.push(Event::Roster(RosterUpdate::Delta(vec![list[index].clone()])));
+                events.push(Event::Roster(RosterUpdate::Delta(vec![roster[index].clone()])));
             }
             7 if rng.below(4) == 0 && next_id > 0 => {
                 let id = RequestId(1 + rng.below(next_id));
@@ -267,8 +277,8 @@
                 }
             }
         }
-        checker.overdue(now, &settings)?;
-        checker.unclosed(now, &settings)?;
+        checker.check_deadlines(now, &settings)?;
+        checker.check_drain_closes(now, &settings)?;
     }
     Ok(sends)
 }
@@ -276,37 +286,38 @@
 #[test]
 fn rules_hold_in_random_runs() {
     for seed in 1..=16 {
-        let sends = play(seed, 2000, |_| {}).unwrap_or_else(|broken| panic!("seed {seed}: {broken}"));
+        let sends = run_random_events(seed, 2000, |_| {})
+            .unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
         assert!(sends > 50, "seed {seed}: {sends} sends");
     }
 }
 
 #[test]
 fn the_checker_catches_planted_violations() {
-    let twice = |actions: &mut Vec<Action>| {
+    let duplicate_sends = |actions: &mut Vec<Action>| {
         let sends: Vec<_> = actions.iter().filter(|a| matches!(a, Action::Send { .. })).cloned().collect();
         actions.extend(sends);
     };
-    assert!(play(1, 3000, twice).unwrap_err().contains("unsafe request sent twice"));
-    let mute = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::Fail(_)));
-    assert!(play(1, 6000, mute).unwrap_err().contains("not answered in time"));
-    let eager = |actions: &mut Vec<Action>| {
+    assert!(run_random_events(1, 3000, duplicate_sends).unwrap_err().contains("unsafe request sent twice"));
+    let drop_failures = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::Fail(_)));
+    assert!(run_random_events(1, 6000, drop_failures).unwrap_err().contains("not answered in time"));
+    let refuse_instead_of_failing = |actions: &mut Vec<Action>| {
         for action in actions.iter_mut() {
             if let Action::Fail(request) = action {
                 *action = Action::Refuse { request: *request, retry_after: None };
             }
         }
     };
-    assert!(play(1, 6000, eager).unwrap_err().contains("may not be given"));
-    let open = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::CloseIdle(_)));
-    assert!(play(4, 3000, open).unwrap_err().contains("left open"));
+    assert!(run_random_events(1, 6000, refuse_instead_of_failing).unwrap_err().contains("may not be given"));
+    let drop_closes = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::CloseIdle(_)));
+    assert!(run_random_events(4, 3000, drop_closes).unwrap_err().contains("left open"));
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     let trace = |(): ()| {
         let log = std::cell::RefCell::new(String::new());
-        play(5, 3000, |actions| log.borrow_mut().push_str(&format!("{actions:?}\n"))).unwrap();
+        run_random_events(5, 3000, |actions| log.borrow_mut().push_str(&format!("{actions:?}\n"))).unwrap();
         log.into_inner()
     };
     assert!(trace(()) == trace(()));
--- a/balancer/tests/shields.rs
+++ b/balancer/tests/shields.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn edges_with_one_membership_agree_on_every_home_whatever_order_they_learnt_it_in() {
+fn edges_with_the_same_membership_agree_on_every_home_in_any_order_of_updates() {
     let mut updated = shields([5, 1]);
     updated.update(&[id(4), id(2), id(1), id(3)]);
     assert_eq!(homes(&mut shields([1, 2, 3, 4])), homes(&mut updated));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn below_the_cap_a_key_stays_home_and_at_it_continues_along_its_own_walk() {
+fn a_key_stays_at_its_home_below_the_cap_and_continues_along_its_walk_at_the_cap() {
     let mut shields = shields([1, 2, 3]);
     let home = shields.choose(0.0, key(1), &[]).unwrap().clone();
     let mut in_flight = 0;
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_failed_shield_is_ejected_for_a_while_and_where_all_are_one_request_tests_them() {
+fn a_failed_shield_is_ejected_and_while_all_are_ejected_one_request_tests_them() {
     let mut shields = shields([1, 2, 3]);
     let home = shields.choose(0.0, key(1), &[]).unwrap().clone();
     shields.begin(&home);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_request_never_goes_to_a_shield_twice_and_nowhere_without_shields() {
+fn a_request_never_goes_to_a_shield_twice_and_is_not_sent_without_shields() {
     let mut shields = shields([1, 2]);
     let first = shields.choose(0.0, key(1), &[]).unwrap().clone();
     let second = shields.choose(0.0, key(1), std::slice::from_ref(&first)).unwrap().clone();
