--- a/balancer/tests/balancer.rs
+++ b/balancer/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancer without sockets, a file for each topic.
+//! Tests of the balancer as a state machine, one file per topic, with helpers that they share.
 
 mod common;
 
@@ -22,7 +22,8 @@
     (1..=n).map(entry).collect()
 }
 
-/// The keys of server 1 among so many, requested 100 in each housekeeping interval, so that allowances refill.
+/// The keys of server 1 among the first `keys`. Runs housekeeping after every 20 requests, so that slow-start
+/// allowances are refilled.
 fn paced_keys_of_server_one(node: &mut Node, from: u64, keys: u64) -> Vec<u64> {
     let mut owned = Vec::new();
     for n in 0..keys {
@@ -36,7 +37,7 @@
     owned
 }
 
-/// Reads answered in 50 ms each, so that the node has a usual answer time to pause by.
+/// Serves reads in 50 ms each, so that the node has measured a mean answer time.
 fn record_usual_latency(node: &mut Node) {
     for n in 500_000..500_100 {
         node.request(read(n, n));
@@ -45,19 +46,19 @@
     }
 }
 
-/// A node among 100, with an origin, that may notify its peers.
+/// One of 100 nodes, in cache-aside mode and allowed to notify its peers.
 fn node_in_large_deployment(entries: Vec<RosterEntry>) -> Node {
     let limits = Limits { peer_messages: true, ..settings().limits };
     let cache = cache_aside_mode();
     Node::with(Settings { nodes: 100, cache, limits, ..settings() }, 1, entries)
 }
 
-/// The keys of server 1 among the first so many: the first of them, so many at most.
+/// At most `most` keys of server 1 among the first `among` keys.
 fn keys_of_server_one(node: &mut Node, among: u64, most: usize) -> Vec<u64> {
     (0..among).filter(|&n| node.home(n, n) == id(1)).take(most).collect()
 }
 
-/// How many of sixty reads of unknown keys are sent at once.
+/// How many of 60 reads of uncached keys are sent immediately.
 fn unknown_keys_sent(node: &mut Node) -> usize {
     (2000..2060).filter(|&n| !sent(&node.request(read(n, n))).is_empty()).count()
 }
@@ -75,12 +76,12 @@
     fleet(n).into_iter().chain([origin()]).collect()
 }
 
-/// The message of nodes about a server that fails.
+/// The peer message that reports a failing server.
 fn failing_message(server: &ServerId) -> Vec<u8> {
     server.0.as_bytes().to_vec()
 }
 
-/// The first attempt of a request ends, whatever has become of the request.
+/// The outcome of the first attempt of a request; the node may not know the request any more.
 fn first_attempt_ended(request: u64, status: Status, elapsed: Seconds) -> Event {
     Event::Outcome(Outcome {
         request: RequestId(request),
--- a/balancer/tests/balancer/connections.rs
+++ b/balancer/tests/balancer/connections.rs
@@ -1,9 +1,9 @@
-//! Connections that die unnoticed, hedged reads, and idle connections.
+//! Dead connections, hedged reads and closing of idle connections.
 
 use crate::*;
 
-/// Connections reset one by one, as by a middlebox, ejected healthy servers at all nodes in turn, and each
-/// retry went to a server that lacks the key.
+/// Guards against single connection resets, as from a middlebox, ejecting healthy servers at all nodes and
+/// sending each retry to a server that does not have the key.
 #[test]
 fn resets_between_answers_do_not_eject_a_server_and_are_retried_there() {
     for status in [Status::Broken, Status::Unreachable] {
@@ -14,7 +14,7 @@
             assert_eq!(sent(&node.request(read(n, key))), [id(1)], "{status:?} {n}");
             node.now += 0.01;
             assert_eq!(sent(&node.outcome(n, status, None)), [id(1)], "{status:?} {n}");
-            // Every other request meets two in a row.
+            // Every other request gets two resets in a row.
             if n % 2 == 0 {
                 node.outcome(n, status, None);
             }
@@ -25,8 +25,9 @@
     }
 }
 
-/// Idle connections dropped unnoticed: nearly each send of a node that uses a server every few seconds met a dead
-/// one; resets ejected healthy servers and sent their keys to servers that lack them.
+/// Guards against silently dropped idle connections: a node that used a server every few seconds sent nearly
+/// every request on a dead connection. The resets ejected healthy servers and moved their keys to servers that
+/// do not have them.
 #[test]
 fn a_connection_that_lay_idle_as_long_as_a_dead_one_is_closed_before_the_next_send() {
     let mut node = Node::with(settings(), 1, fleet(6));
@@ -51,7 +52,7 @@
     assert!(!closes(&node.request(read(1003, key))), "the suspicion has faded");
 }
 
-/// The same where nothing says so: an attempt on a connection that lay idle got no answer, later ones did.
+/// A dead idle connection may also show as a time-out without a reset, while later attempts are answered.
 #[test]
 fn a_time_out_on_an_idle_connection_closes_it_if_the_server_answers_other_requests() {
     let mut node = Node::with(settings(), 1, fleet(1));
@@ -66,7 +67,8 @@
     assert!(actions.contains(&Action::CloseIdle(id(1))), "{actions:?}");
 }
 
-/// A read waited until its time-out on a dead connection of a server that answered all later requests.
+/// Guards against a read that waits until its time-out on a dead connection, while its server answers all later
+/// requests.
 #[test]
 fn an_overtaken_read_is_hedged_once_and_an_unsafe_request_never() {
     let settings = cache_aside_settings();
@@ -82,14 +84,15 @@
     assert_eq!(serve_later_request(&mut node, 3), [], "not by half a latency target yet");
     assert_eq!(serve_later_request(&mut node, 4), [id(1)]);
     assert_eq!(serve_later_request(&mut node, 5), [], "one copy is enough");
-    // What the copy finds lacking the first would, too: it is cancelled, and then the request goes to the origin.
+    // The key that the hedged attempt did not find is missing for the first attempt too: that one is cancelled,
+    // and then the request goes to the origin.
     let actions = node.outcome(1, Status::NotCached, Some(CacheStatus::Miss));
     let cancel = Action::Cancel { request: RequestId(1), attempt: AttemptId(0) };
     assert!(actions.contains(&cancel) && sent(&actions).is_empty(), "{actions:?}");
     assert_eq!(sent(&node.event(first_attempt_ended(1, Status::Cancelled, 0.7))), [origin().server]);
 }
 
-/// Retries after resets found the budget used up by hedged requests.
+/// Guards against hedged requests using up the budget, so that none is left for retries after resets.
 #[test]
 fn hedged_requests_use_at_most_half_of_the_retry_budget() {
     let mut settings = settings();
@@ -105,7 +108,7 @@
     assert_eq!(sent(&node.advance(0.1)).len(), 2);
 }
 
-/// Heavy reads are overtaken everywhere on a slow server: more attempts would make it slower.
+/// On a slow server expensive reads are overtaken all the time; hedging them would make it slower.
 #[test]
 fn a_server_that_is_slow_on_average_gets_no_hedged_requests() {
     let mut node = Node::with(settings(), 1, vec![entry(1)]);
@@ -123,7 +126,8 @@
     assert!(sent(&node.advance(0.1)).is_empty());
 }
 
-/// Two thirds of all attempts got no connection while each node kept one open that it seldom used.
+/// Guards against each node holding a rarely used connection open: two thirds of all attempts then got no
+/// connection.
 #[test]
 fn idle_connections_are_closed_where_connections_are_scarce() {
     let mut node = Node::with(settings(), 1, fleet(6));
@@ -141,7 +145,7 @@
     assert!(!(200..260).all(|n| closed(&mut node, n)), "and retained again when there is capacity");
 }
 
-/// Where open connections of all nodes cost more than new ones, they are closed; with few nodes they stay.
+/// With many nodes open connections cost more than new ones and are closed; with few nodes they stay open.
 #[test]
 fn idle_connections_are_closed_where_they_cost_more_than_new_ones() {
     let closes = |nodes| {
--- a/balancer/tests/balancer/origin_fetches.rs
+++ b/balancer/tests/balancer/origin_fetches.rs
@@ -1,8 +1,9 @@
-//! Fetches from the origin: how they are shared, and their limit.
+//! Fetches from the origin: coalescing and the fetch limit.
 
 use crate::*;
 
-/// Where caches do not report hits, only errors counted as fetches: a few in a thousand lowered the fetch limit to nothing.
+/// Guards against counting only errors as fetches if caches do not report hits: a few errors in a thousand requests
+/// then reduced the fetch limit to its minimum.
 #[test]
 fn rare_errors_do_not_block_fetches_where_caches_do_not_report_hits() {
     let mut node = Node::with(settings(), 1, fleet(8));
@@ -17,7 +18,8 @@
     assert!(queued < 30, "{queued} of 3000 queued");
 }
 
-/// With two attempts in all, a second cache lacked the key in vain after a first that took no connection.
+/// Guards against the last attempt being wasted on a second cache that does not have the key, after the first
+/// cache accepted no connection.
 #[test]
 fn in_aside_mode_the_last_attempt_of_a_read_goes_to_the_origin() {
     let mut settings = cache_aside_settings();
@@ -32,7 +34,8 @@
     assert_ne!(sent(&node.outcome(1, Status::Unreachable, None)), [origin().server]);
 }
 
-/// With tens of nodes the floor fell to one, and reads that met at a home by chance jumped into misses.
+/// Guards against a minimum cap of one, as it was with tens of nodes: two concurrent reads with the same home
+/// server then caused a jump and a miss.
 #[test]
 fn in_aside_mode_concurrent_reads_stay_at_their_home() {
     let sent_to_home = |cache| {
@@ -47,8 +50,8 @@
     assert_eq!(sent_to_home(CacheMode::ReadThrough), 1);
 }
 
-/// A fifth of a fleet died, the others got slow, and two thirds of all reads jumped: into misses, each of which
-/// used capacity of its server until the origin had answered.
+/// Guards against jumps in a slow fleet: when a fifth of the servers failed and the others became slow, two
+/// thirds of all reads jumped and caused misses, each of which used capacity until the origin had answered.
 #[test]
 fn while_a_read_through_fleet_is_slow_requests_wait_for_a_server_at_its_limit() {
     let sent_of_four = |cache| {
@@ -73,7 +76,7 @@
     assert!(sent(&node.request(read(2, 3))).is_empty());
     let released = node.outcome(1, Status::Success, Some(CacheStatus::Miss));
     assert_eq!(sent(&released).len(), 1);
-    // Known to be cached now: reads no longer wait for one another.
+    // The key is known to be cached now, so reads are no longer coalesced.
     assert_eq!(sent(&node.request(read(3, 3))).len(), 1);
 }
 
@@ -106,11 +109,11 @@
     assert_eq!(sent(&node.request(read(2, 3))).len(), 1);
     assert_eq!(sent(&node.outcome(1, Status::NotCached, Some(CacheStatus::Miss))), [origin().server]);
     assert!(sent(&node.outcome(2, Status::NotCached, Some(CacheStatus::Miss))).is_empty());
-    // The second read asks its cache server again when the fetch is over.
+    // When the fetch has ended, the second read is sent to its cache server again.
     assert_eq!(sent(&node.serve(1)), [home]);
 }
 
-/// Writes reach the origin too: while it fails, they and hedged requests must not keep it overloaded.
+/// Writes reach the origin too, and must not keep it overloaded while it fails.
 #[test]
 fn while_the_origin_fails_writes_are_limited_too() {
     let mut node = Node::with(settings(), 1, fleet(8));
@@ -126,8 +129,8 @@
     assert!((1..10).contains(&writes), "{writes} sent");
 }
 
-/// Where many nodes share an origin each uses little of its limit: when the origin is slow, the limit must
-/// fall from what is in use, or it takes tens of decreases before it acts.
+/// With many nodes, each uses only a small part of its fetch limit. When the origin is slow, the limit must be
+/// reduced from the number of fetches in flight; otherwise it takes tens of decreases to have an effect.
 #[test]
 fn a_fetch_limit_far_above_what_is_in_use_falls_fast() {
     let mut node = Node::with(settings(), 1, fleet(8));
@@ -146,8 +149,8 @@
     assert!(unknown <= 4, "{unknown} sent");
 }
 
-/// Single fetches vary much. While half of them were in time and half far from it, a limit that went by their
-/// mean fell to nothing and rejected most reads for twenty seconds.
+/// Fetch times vary widely. Guards against a limit that follows their mean: with half of the fetches in time and
+/// half much too slow, it fell to its minimum and most reads were rejected for 20 seconds.
 #[test]
 fn fetches_of_which_half_are_in_time_do_not_lower_the_fetch_limit() {
     let mut node = Node::with(settings(), 1, fleet(16));
@@ -160,7 +163,8 @@
     assert!(unknown > 25, "{unknown} sent");
 }
 
-/// Eight unresponsive servers of 75: their time-outs passed for a slow origin, and two thirds of all reads were refused.
+/// Guards against time-outs of unresponsive servers (8 of 75) counting as a slow origin: two thirds of all reads
+/// were then refused.
 #[test]
 fn time_outs_of_an_unresponsive_server_do_not_lower_the_fetch_limit() {
     let mut node = Node::with(Settings { nodes: 10, ..settings() }, 1, fleet(8));
--- a/balancer/tests/balancer/overload.rs
+++ b/balancer/tests/balancer/overload.rs
@@ -1,4 +1,4 @@
-//! Servers that report a queue.
+//! Overloaded servers: load reports, reduced key shares and peer messages.
 
 use crate::*;
 
@@ -6,14 +6,14 @@
     [b"~", server.0.as_bytes()].concat()
 }
 
-/// Which of these keys' first sends go to a server while nothing is in flight.
+/// Which of `keys` are sent to `server` while nothing is in flight.
 fn keys_at(node: &mut Node, keys: &[u64], from: u64, server: &ServerId) -> BTreeSet<u64> {
     let requests = (from..).zip(keys);
     requests.filter(|(n, &key)| node.home(*n, key) == *server).map(|(_, &key)| key).collect()
 }
 
-/// Servers were overloaded with many seconds of work before any one of 100 nodes, which each send them a request now and
-/// then, had seen more than a slow answer.
+/// Guards against detecting overload by slow answers only: 100 nodes that each send a request now and then queued
+/// many seconds of work at a server before any of them had seen more than one slow answer.
 #[test]
 fn a_server_that_reports_a_queue_takes_a_stable_share_of_its_keys_at_all_notified_nodes() {
     let mut node = node_in_large_deployment(fleet(10));
@@ -35,7 +35,7 @@
         let n = 40_000 + n as u64;
         assert_eq!(other.home(n, key), fresh.home(n, key), "other keys stay");
     }
-    // Back to all of its keys when no report of it arrives.
+    // Without further reports the server gets all of its keys again.
     other.advance(8.0);
     assert_eq!(keys_at(&mut other, &keys, 50_000, &id(1)).len(), keys.len());
 }
@@ -64,7 +64,7 @@
     }
 }
 
-/// With all key shares small, requests found no server though none was down.
+/// Guards against small key shares at all servers, where requests found no server although none was down.
 #[test]
 fn a_fleet_that_is_overloaded_throughout_takes_all_of_its_keys() {
     let (mut node, mut fresh) = (node_in_large_deployment(fleet(10)), node_in_large_deployment(fleet(10)));
--- a/balancer/tests/balancer/placement.rs
+++ b/balancer/tests/balancer/placement.rs
@@ -1,4 +1,4 @@
-//! Where keys go: the same server at all nodes, evenly distributed, and beyond a full home.
+//! Placement of keys: the same at all nodes, evenly distributed, and overflow from a full home server.
 
 use crate::*;
 
@@ -51,7 +51,7 @@
     let home = node.home(1, 1);
     let mut load: BTreeMap<ServerId, usize> = BTreeMap::new();
     let mut overflow = BTreeSet::new();
-    // Keys of one home, each requested once and never answered.
+    // Keys with the same home server, each requested once and never answered.
     let keys: Vec<u64> = (2..4000).filter(|&k| node.home(k, k) == home).take(28).collect();
     for (n, key) in keys.into_iter().enumerate() {
         for server in sent(&node.request(read(10_000 + n as u64, key))) {
@@ -67,13 +67,14 @@
     assert!(overflow.len() >= 5, "overflow to {} servers", overflow.len());
 }
 
-/// 33 nodes each filled the first slot of the hottest key before the second, all in step: its server was overloaded.
+/// Guards against all nodes (33) filling the first slot of the hottest key before the second one, which
+/// overloaded the server of the first slot.
 #[test]
 fn a_hot_key_is_distributed_over_slots_and_others_stay_at_home() {
     let mut node = Node::with(settings(), 1, fleet(10));
     let (mut hot, mut cool) = (BTreeMap::new(), BTreeSet::new());
     for n in 0..600 {
-        // Three of ten are for one key, one of a hundred for another.
+        // Three of ten requests are for one key, one of a hundred for another.
         let key = if n % 10 < 3 {
             42
         } else if n % 100 == 5 {
@@ -89,7 +90,7 @@
             _ => {}
         }
     }
-    // 0.3 of all over ten servers is three times what a server gets: at most 0.6 of that for each slot.
+    // 0.3 of all requests are three times the mean load of ten servers; each slot may get 0.6 of that mean load.
     assert!((4..=6).contains(&hot.len()), "{hot:?}");
     assert!(hot.values().all(|&n| n < 75), "{hot:?} of 150");
     assert_eq!(cool.len(), 1);
@@ -100,7 +101,7 @@
     let mut node = Node::with(settings(), 1, fleet(4));
     assert_eq!(sent(&node.request(NewRequest { key: None, ..read(1, 0) })).len(), 1);
     assert_eq!(sent(&node.request(NewRequest { class: None, ..read(2, 0) })).len(), 1);
-    // Unknown classes never run twice.
+    // Requests of an unknown class must never run twice.
     let after = node.outcome(2, Status::TimedOut, None);
     assert!(sent(&after).is_empty() && failed(&after));
 }
@@ -119,7 +120,7 @@
     assert!(served[1] * 5 > served[0], "{served:?} of 50 and 10");
 }
 
-/// Errors of all servers at once are the origin's: taking servers out for them only adds misses.
+/// Errors of all servers at the same time come from the origin; ejecting servers for them only adds misses.
 #[test]
 fn errors_of_the_complete_fleet_eject_few_servers_but_those_of_one_server_eject_it() {
     let count_ejections = |bad: &dyn Fn(&ServerId) -> bool| {
--- a/balancer/tests/balancer/roster.rs
+++ b/balancer/tests/balancer/roster.rs
@@ -1,4 +1,4 @@
-//! Lists of servers: requested in time, and outdated ones.
+//! The server list: subscribe calls and outdated lists.
 
 use crate::*;
 
@@ -31,8 +31,8 @@
     assert!(count_roster_calls(&node.advance(9.0)) >= 1);
 }
 
-/// A restarted node has only its last list: it uses that, calls at once, and a start that the list did not show counts from the
-/// moment of the update.
+/// A restarted node has only its cached list. It uses that list and calls for an update immediately. A server start
+/// that the list did not show takes effect when the update arrives.
 #[test]
 fn a_restarted_node_uses_its_cached_list_until_an_update_arrives() {
     let mut node = Node::new(on_request(), 7);
@@ -48,8 +48,9 @@
     assert!((0..500).all(|n| node.home(20_000 + n, n) != id(2)));
 }
 
-/// 70 of 100 nodes came back at once and called for the list at once, and again at each failure: discovery, which
-/// works through calls in turn, fell ever further behind, and 62 nodes had no list until the day's end.
+/// Guards against 70 of 100 nodes that restart at the same time calling discovery at the same time, and again
+/// after each failure. Discovery handles calls one at a time and fell further and further behind, so that 62
+/// nodes never got a list.
 #[test]
 fn many_nodes_distribute_their_calls_for_the_list_over_half_the_subscription_gap() {
     let calls = |balancers| -> Vec<Seconds> {
@@ -62,7 +63,7 @@
                 assert!(node.now - start <= 5.1, "called too late");
             }
             let first_call = node.now - start;
-            // And after a failure, distributed alike.
+            // Calls after a failure are spread in the same way.
             node.event(Event::Roster(RosterUpdate::Failed));
             let failed = node.now;
             while count_roster_calls(&node.advance(0.05)) == 0 {
--- a/balancer/tests/balancer/rules.rs
+++ b/balancer/tests/balancer/rules.rs
@@ -1,4 +1,4 @@
-//! Rules one, two, three, five and six, and what is refused.
+//! Rules on answers, repeats, the retry budget, draining servers and refusals.
 
 use crate::*;
 
@@ -23,7 +23,7 @@
         let actions = node.event(Event::Timer(TimerToken(2)));
         assert!(refused(&actions) || failed(&actions), "{class:?}");
         assert!(sent(&actions).is_empty());
-        // A delayed batch brings the time-out and the timer after the end: both are ignored.
+        // A delayed batch reports the time-out after the final answer; it is ignored.
         node.now += 0.02;
         let delayed = node.outcome(1, Status::TimedOut, None);
         assert!(!refused(&delayed) && !failed(&delayed) && sent(&delayed).is_empty());
@@ -80,7 +80,7 @@
             } else if status.may_have_run() && class == UNSAFE {
                 assert!(again.is_empty() && !refused(&actions), "{status:?} {actions:?}");
             } else if status.may_have_run() && class == KEYED {
-                // Zones alternate by number; the group is the zone.
+                // Zones alternate by server number; keyed requests may be repeated in the same zone only.
                 let zone = |s: &ServerId| s.0.trim_end_matches(":80").ends_with(['0', '2', '4', '6', '8']);
                 assert!(again.iter().all(|s| zone(s) == zone(&first)), "{status:?} {again:?}");
                 assert!(!refused(&actions), "{status:?}");
@@ -128,7 +128,8 @@
     assert_eq!(sent(&node.request(read(2, 2))).len(), 1);
 }
 
-/// A bucket that fills in idle times let more attempts through in one window than the rule allows.
+/// Guards against a token bucket, which fills during idle times and then allows more retries in a window than the
+/// rule does.
 #[test]
 fn retries_stay_within_the_budget_in_any_window() {
     let mut settings_with_budget = settings();
@@ -137,7 +138,7 @@
     let mut node = Node::with(settings_with_budget, 1, fleet(8));
     let (mut accepted, mut retries) = (Vec::new(), Vec::new());
     for n in 0..600 {
-        // A busy start, a pause in which the window empties, and a burst of failures.
+        // Constant load, a pause that empties the window, and then a burst of failures.
         let failing = n >= 300;
         node.now += if n == 300 { 4.0 } else { 0.01 };
         accepted.push(node.now);
@@ -179,7 +180,7 @@
     node.request(NewRequest { time_left: 1.9, ..read(900, key) });
     let drain = RosterEntry { state: ServerState::Draining, ..entry(1) };
     assert!(closes(&node.event(Event::Roster(RosterUpdate::Delta(vec![drain.clone()]))), 1));
-    // Ordered answers: a connection may fall idle unseen, so closing is repeated while it is listed.
+    // With ordered answers a connection may become idle unnoticed, so closing is repeated while it is listed.
     assert!(closes(&node.advance(0.4), 1));
     assert!(closes(&node.event(Event::Roster(RosterUpdate::Delta(vec![drain]))), 1), "a repeated notice");
     assert!(closes(&node.event(Event::Roster(RosterUpdate::Complete(fleet(4)[1..].to_vec()))), 1), "it left");
@@ -234,13 +235,14 @@
     assert_eq!(advice(Limits { retry_after: false, ..with_advice }), Some(None));
 }
 
-/// Each answer dispatched all queued requests, and each of them tried all slots: more CPU than the node has.
+/// Guards against each answer dispatching all queued requests: as each of them tries all slots, this used more CPU
+/// than the node has.
 #[test]
 fn an_answer_dispatches_only_a_few_of_the_queued_requests() {
     let cache = cache_aside_mode();
     let mut node = Node::with(Settings { cache, ..settings() }, 1, fleet(1));
     assert_eq!(sent(&node.request(NewRequest { time_left: 30.0, ..read(1, 1) })).len(), 1);
-    // Ejected for 5 s at most.
+    // Two failures eject the only server for at most 5 s.
     for from in [3, 4] {
         node.event(Event::Message { from, bytes: failing_message(&id(1)) });
     }
--- a/balancer/tests/balancer/server_health.rs
+++ b/balancer/tests/balancer/server_health.rs
@@ -1,8 +1,8 @@
-//! Servers that fail, do not answer, reject requests or send malformed answers.
+//! Servers that fail, time out, reject requests or send malformed answers.
 
 use crate::*;
 
-/// A server that fails twice is ejected for some seconds.
+/// Two failures eject a server for some seconds.
 #[test]
 fn a_server_that_fails_is_ejected_and_used_again_later() {
     let mut node = Node::with(settings(), 1, fleet(6));
@@ -33,7 +33,8 @@
     assert_eq!(sends_to_server_one(&mut node, 9000, Status::Success), 20);
 }
 
-/// Where all servers sent a few malformed answers, each was found failing in turn and most requests were refused.
+/// Guards against malformed answers counting as failures: a few from every server ejected one server after
+/// another, and most requests were refused.
 #[test]
 fn a_malformed_answer_is_retried_at_its_server_once_and_does_not_affect_its_health() {
     let mut node = Node::with(settings(), 1, fleet(6));
@@ -54,7 +55,8 @@
     );
 }
 
-/// Requests that had waited for a fetch went out with milliseconds left, and their time-outs ejected the servers.
+/// Guards against time-outs of requests that were sent only milliseconds before their deadline, after waiting for
+/// a fetch, ejecting the servers.
 #[test]
 fn time_outs_of_requests_with_little_time_left_do_not_eject_a_server() {
     let mut node = Node::with(settings(), 1, fleet(6));
@@ -68,7 +70,7 @@
     }
 }
 
-/// Work is heavy-tailed: an answer that took its hinted work is no sign of overload.
+/// Work is heavy-tailed: an answer that took as long as its work hint does not indicate overload.
 #[test]
 fn heavy_requests_do_not_count_as_overload() {
     let sent_in_parallel = |work| {
@@ -86,8 +88,8 @@
     assert!(with_hints > without_hints, "{with_hints} at once with hints, {without_hints} without");
 }
 
-/// Each of 36 nodes learnt of an overloaded server by time-outs of its own and sent it a request now and then:
-/// together they never left it idle, and it stayed overloaded. A server with two time-outs, at any nodes, is ejected.
+/// Guards against each node detecting an overloaded server by its own time-outs only: 36 nodes together sent it
+/// enough requests to keep it overloaded. Two time-outs, at any nodes, must eject it at all nodes.
 #[test]
 fn a_server_with_two_time_outs_is_ejected_and_peers_are_notified() {
     let mut settings_with_peers = settings();
@@ -101,7 +103,7 @@
     assert!(node.outcome(1000, Status::TimedOut, None).contains(&notification));
     node.advance(0.5);
     assert_eq!(node.home(2000, keys[1]), id(1), "once may be chance");
-    // Another node had no answer either; what is not an address is ignored.
+    // Another node reports a time-out too; messages that name no server are ignored.
     for bytes in [failing_message(&id(1)), b"\xff\xfe".to_vec(), b"nobody".to_vec()] {
         node.event(Event::Message { from: 3, bytes });
     }
@@ -111,7 +113,7 @@
     assert_eq!(node.home(4000, keys[2]), id(1), "and back after its ejection");
 }
 
-/// Where nodes may not notify each other, each uses only its own observations.
+/// If peer messages are not allowed, each node uses its own observations only.
 #[test]
 fn peers_are_not_notified_where_it_is_not_allowed() {
     let mut node = Node::with(settings(), 1, fleet(1));
@@ -120,7 +122,7 @@
     assert!(!node.outcome(1, Status::TimedOut, None).iter().any(|a| matches!(a, Action::NotifyPeers(_))));
 }
 
-/// Many nodes overload a small server even with one request each.
+/// Many nodes can overload a small server even with one request each.
 #[test]
 fn a_server_that_keeps_rejecting_requests_gets_few() {
     let mut node = Node::with(settings(), 1, fleet(1));
@@ -136,7 +138,7 @@
     assert!((2..60).contains(&sends), "{sends} sends in 5 s");
 }
 
-/// With many nodes one request each is an overload: a node's share of what a server can take is then below one.
+/// With hundreds of nodes, one request from each overloads a server: a node's concurrency limit is then below one.
 #[test]
 fn with_hundreds_of_nodes_a_server_gets_one_request_and_then_a_pause() {
     let mut node = Node::with(Settings { nodes: 300, ..settings() }, 1, fleet(1));
@@ -153,8 +155,8 @@
     assert_eq!(sends(&mut node, 30), 1);
 }
 
-/// Nodes with an old list met one dead server after another, the budget for repeats ran out, and up to four in ten
-/// requests were refused unsent while most servers stood idle.
+/// Guards against attempts at dead servers using up the retry budget: nodes with an outdated list tried several
+/// dead servers in a row, and up to 40 % of requests were refused unsent while most servers were idle.
 #[test]
 fn unreachable_attempts_do_not_count_against_the_default_retry_budget() {
     let mut node = node_in_large_deployment(fleet(20));
@@ -175,7 +177,8 @@
     assert!(served > 190, "{served} of 200 served");
 }
 
-/// Among many nodes each meets a dead server seldom: after two refused connections, at any nodes, all eject it.
+/// With many nodes, each tries a dead server only rarely: two refused connections, at any nodes, eject it at all
+/// nodes.
 #[test]
 fn among_many_nodes_a_server_that_refuses_two_connections_is_ejected() {
     let mut node = node_in_large_deployment(fleet(10));
@@ -192,8 +195,8 @@
     assert_eq!(node.home(5003, keys[1]), id(1), "used again later");
 }
 
-/// Any two of 100 nodes that had no answer made all of them eject a server, until half of the fleet was
-/// ejected and the others overloaded.
+/// Guards against time-outs at any two of 100 nodes ejecting a server at all nodes: half of the fleet was ejected
+/// and the other half overloaded.
 #[test]
 fn among_many_nodes_time_outs_do_not_eject_a_server() {
     let mut node = node_in_large_deployment(fleet(10));
@@ -210,6 +213,6 @@
         }
         node.advance(0.1);
     }
-    // It continues to get requests for some of its keys, fewer and fewer.
+    // The server continues to get requests for a decreasing share of its keys.
     assert!((4..30).contains(&requests), "{requests} requests");
 }
--- a/balancer/tests/balancer/slow_start.rs
+++ b/balancer/tests/balancer/slow_start.rs
@@ -1,4 +1,4 @@
-//! Rule four: servers that have just started.
+//! Slow start of servers that have just started.
 
 use crate::*;
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// An old process's failures do not outlast it: a fresh start time clears them.
+/// A new start time clears the failures of the previous process.
 #[test]
 fn a_restart_clears_the_failures_of_the_last_process() {
     let mut node = Node::with(settings(), 1, fleet(6));
@@ -51,7 +51,7 @@
     assert!(!paced_keys_of_server_one(&mut node, 3000, 400).is_empty());
 }
 
-/// At a size where hundreds of nodes each send little, popular keys at one home overloaded it when it came back.
+/// Guards against popular keys overloading their restarted home server when hundreds of nodes each send little.
 #[test]
 fn many_nodes_together_do_not_overload_a_started_server_with_popular_keys() {
     let mut other = Node::with(settings(), 1, fleet(10));
@@ -59,7 +59,7 @@
     let requests_at_started: usize = (0..100)
         .map(|seed| {
             let mut node = Node::with(Settings { nodes: 100, ..settings() }, seed, fleet(10));
-            // Twenty reads a second, all of keys of one home, which then starts anew.
+            // 20 reads a second, all for keys of one server, which is restarted after 80 reads.
             let mut second = |from: usize| {
                 let step =
                     |n: usize| (node.home((from + n) as u64, keys[(from + n) % 60]), node.advance(0.05)).0;
@@ -73,13 +73,14 @@
             (0..6).map(|n| second(20 * n)).last().unwrap_or_default()
         })
         .sum();
-    // In that second a warmed-up server takes 2 of a node's 20 reads, a started one a quarter of that; the rule allows
-    // three times as much.
+    // In the last second a warmed-up server gets 2 of a node's 20 reads and a started one a quarter of that; the
+    // slow-start rule allows three times as much.
     assert!((1..=150).contains(&requests_at_started), "{requests_at_started} reads of 100 nodes");
 }
 
-/// Six of ten servers were new. What they were allowed went by what a node had sent lately, which a node that is
-/// new itself, or sees its few requests come unevenly, takes for little; their keys overloaded the four warmed-up ones.
+/// Guards against slow-start allowances that depend only on a node's recent request rate, which a node that is new
+/// or gets few requests underestimates. With six of ten servers just started, their keys then overloaded the other
+/// four.
 #[test]
 fn nodes_that_have_observed_little_traffic_use_started_servers_by_their_capacity() {
     let mut entries = fleet(10);
@@ -96,13 +97,13 @@
             all += 1;
         }
     }
-    // From a quarter of its capacity on, six are 1.5 of 5.5 and more.
+    // Six servers that start at a quarter of their capacity have 1.5 of 5.5, and more later.
     let share = f64::from(at_started) / f64::from(all);
     assert!((0.18..0.45).contains(&share), "{share} of all");
 }
 
-/// Rule four, by 100 nodes at once: the work sent to a started server stays under the rule's multiple of what it can
-/// then do, in any window of the rule's length, however popular its keys are.
+/// The slow-start rule: in any window of `overload_duration`, 100 nodes together send a started server less than
+/// `overload_multiple` times its present capacity, however popular its keys are.
 #[test]
 fn all_nodes_together_keep_the_slow_start_rule_when_every_request_is_for_a_started_server() {
     let quota = 600.0;
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node under test, its settings, and a checker of rules one to three.
+//! A node under test, its settings and servers, and helpers that read its actions.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -92,7 +92,7 @@
     }
 }
 
-/// A balancer and its attempts in flight.
+/// A balancer, its clock and the attempts that it has sent.
 pub struct Node {
     pub balancer: Balancer,
     pub now: Seconds,
@@ -126,7 +126,7 @@
         self.event(Event::Request(new))
     }
 
-    /// The last attempt of a request ends.
+    /// Ends the last attempt of a request.
     pub fn outcome(
         &mut self,
         request: u64,
@@ -147,7 +147,7 @@
         }))
     }
 
-    /// The last attempt of a request is served from cache, with a load report.
+    /// Serves the last attempt of a request from cache, with a load report.
     pub fn serve_with_load_report(
         &mut self,
         request: u64,
@@ -170,7 +170,7 @@
         self.outcome(request, Status::Success, Some(CacheStatus::Hit))
     }
 
-    /// Lets time pass in housekeeping steps.
+    /// Advances the clock by `time` in steps of the housekeeping interval.
     pub fn advance(&mut self, time: Seconds) -> Vec<Action> {
         let mut actions = Vec::new();
         let end = self.now + time;
@@ -181,7 +181,7 @@
         actions
     }
 
-    /// Where a read of this key goes while nothing is in flight.
+    /// Sends and serves a read, and returns the server that it went to.
     pub fn home(&mut self, request: u64, key: u64) -> ServerId {
         let sent = sent(&self.request(read(request, key)));
         self.serve(request);
--- a/balancer/tests/memory.rs
+++ b/balancer/tests/memory.rs
@@ -1,4 +1,4 @@
-//! What a node holds in memory must not grow with the requests, keys and servers that it has seen.
+//! A node's memory use must not grow with the number of requests, keys and servers that it has seen.
 
 #![allow(unsafe_code, reason = "a global allocator that counts")]
 
@@ -14,7 +14,7 @@
 
 static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: hands everything on to the system's allocator and only counts bytes.
+// SAFETY: forwards all calls to the system allocator and only counts bytes.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATED_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
@@ -30,7 +30,7 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// One simulated minute: fresh keys all the time, all kinds of ends, a server replaced each second.
+/// Simulates one minute with new keys in every second request, various outcomes, and a server replaced each second.
 fn simulate_minute(node: &mut Node, last_id: &mut u64) {
     for second in 0..60 {
         let first = *last_id / 100;
@@ -52,7 +52,7 @@
                 node.outcome(*last_id, status, Some(CacheStatus::Miss));
             }
             node.event(Event::RequestCancelled(RequestId(*last_id)));
-            // Attempts that were sent again before the client left end too.
+            // Attempts that are still in flight after the client has gone end too.
             if let Some(attempts) = node.sends.remove(&RequestId(*last_id)) {
                 for attempt in 0..attempts.len() as u32 {
                     node.event(Event::Outcome(Outcome {
--- a/balancer/tests/random.rs
+++ b/balancer/tests/random.rs
@@ -1,4 +1,4 @@
-//! Arbitrary legal event sequences against a small checker of the rules.
+//! Random valid event sequences, with a checker of the rules.
 
 mod common;
 
@@ -34,15 +34,16 @@
     answered: bool,
 }
 
-/// What the rules say of each action.
+/// Checks each action of a node against the rules.
 #[derive(Default)]
 struct Checker {
     requests: BTreeMap<RequestId, OpenRequest>,
     draining_since: BTreeMap<ServerId, Seconds>,
     accepted: Vec<Seconds>,
     retries: Vec<Seconds>,
-    /// When each server last got an attempt or answered one, and was last closed.
+    /// When each server last was sent an attempt or ended one.
     last_used: BTreeMap<ServerId, Seconds>,
+    /// When idle connections to each server were last closed.
     last_closed: BTreeMap<ServerId, Seconds>,
 }
 
@@ -114,7 +115,7 @@
         Ok(())
     }
 
-    /// Rule six: what drains is closed in time from the notice or the last use.
+    /// Idle connections to a draining server must be closed within `close_on_drain` of the notice or the last use.
     fn check_drain_closes(&self, now: Seconds, settings: &Settings) -> Result<(), String> {
         let Some(within) = settings.guarantees.close_on_drain else { return Ok(()) };
         for (server, &since) in &self.draining_since {
@@ -135,7 +136,8 @@
     }
 }
 
-/// One random run of a node. `tamper` may change the actions before the checker gets them.
+/// Runs a node with random events and returns the number of sends, or the first violation of a rule. `tamper` may
+/// change the actions before they are checked.
 fn run_random_events(seed: u64, steps: u32, tamper: impl Fn(&mut Vec<Action>)) -> Result<u32, String> {
     let mut rng = Rng(seed);
     let mut settings = settings();
@@ -165,7 +167,7 @@
             }
             !due
         });
-        // Attempts end at the client's deadline at the latest, as a host sees to.
+        // A host ends all attempts by the client's deadline.
         let attempts_in_flight: Vec<(RequestId, usize, bool)> = checker
             .requests
             .iter()
@@ -201,7 +203,7 @@
             checker.last_used.insert(open_request.sent[index].server.clone(), now);
             let finished = open_request.answered || status == Status::Success;
             let attempt = AttemptId(index as u32);
-            // Reports come now and then, of queues and of idle servers.
+            // Some answers carry a load report, of a queue or of an idle server.
             let load = (rng.below(2) == 0)
                 .then(|| Load { in_flight: rng.below(40) as f64, served_per_second: rng.below(100) as f64 });
             events.push(Event::Outcome(Outcome {
@@ -251,7 +253,7 @@
             }
             8 => events.push(Event::HealthChecked { server: id(1 + rng.below(8)), status: Status::Success }),
             9 if settings.limits.peer_messages => {
-                // A failing server, an overloaded one, or what no node sends.
+                // A failing server, an overloaded server, or an invalid message.
                 let tag: &[u8] = [&b""[..], b"~", b"~~", b"\xff"][rng.below(4) as usize];
                 let bytes = [tag, id(1 + rng.below(8)).0.as_bytes()].concat();
                 events.push(Event::Message { from: 1, bytes });
@@ -259,7 +261,7 @@
             _ => {}
         }
         for event in events.drain(..) {
-            // The node learns of an end when it gets the event, not when the batch was made.
+            // A request ends when the node gets the event, not when the batch is created.
             if let Event::RequestCancelled(id) | Event::Outcome(Outcome { request: id, finished: true, .. }) =
                 event
             {
--- a/balancer/tests/shields.rs
+++ b/balancer/tests/shields.rs
@@ -1,4 +1,4 @@
-//! The edge's decision: RJ-CH over the ready shields, and what departs from it.
+//! The edge's choice of a shield: RJ-CH over the ready shields and its exceptions.
 
 use glenfall_balancer::{mix, Key, ServerId, Shields};
 
@@ -45,9 +45,9 @@
         in_flight += 1;
         assert!(in_flight < 100, "a cap");
     }
-    // The floor, as (1+ε)n/k is less here.
+    // The minimum cap, because (1+ε)n/k is less here.
     assert_eq!(in_flight, 16);
-    // Keys of one full home go on to both others.
+    // The keys of one full shield overflow to both others.
     let next: std::collections::BTreeSet<_> = (0..200)
         .map(key)
         .map(|k| shields.choose(0.0, k, &[]).unwrap().clone())
@@ -123,7 +123,7 @@
     shields.end(&home);
     shields.record_outcome(1.3, &home, 1.0, true);
     assert_eq!(shields.choose(1.4, key(1), &[]), Some(&home));
-    // Nothing came since this one was sent.
+    // The shield has answered nothing since this request was sent.
     shields.begin(&home);
     shields.end(&home);
     shields.record_outcome(1.8, &home, 1.5, true);
--- a/balancer/tests/size.rs
+++ b/balancer/tests/size.rs
@@ -1,21 +1,20 @@
-//! Bounds on the sources: the width of the decision files' lines, and that tests live in test files.
+//! Checks on the sources: the line width of the decision files, and that tests are in test files only.
 
 use std::path::{Path, PathBuf};
 
-/// Widest line of a decision file, in characters.
+/// Maximum line width of a decision file, in characters.
 const MAX_LINE_WIDTH: usize = 110;
-/// The module at the top of the balancer's decisions.
+/// The source of the top module of the balancer's decisions.
 const TOP_MODULE: &str = include_str!("../src/balancer/mod.rs");
 
-/// Files without decisions: the types that pass between a balancer and its host, the settings, and the
-/// crate's list of modules.
+/// Files without decisions: the types of the interface, the settings, and the crate's list of modules.
 const FILES_WITHOUT_DECISIONS: [&str; 3] = ["src/interface.rs", "src/settings.rs", "src/lib.rs"];
 
 fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
-/// The decision files: all that `policy` in the deploy file names.
+/// The decision files, as listed under `policy` in the deploy file.
 fn policy_files() -> Vec<PathBuf> {
     let deploy = std::fs::read_to_string(repository_root().join("deploy/balancer.toml"))
         .expect("deploy/balancer.toml can be read");
@@ -56,7 +55,7 @@
     assert!(TOP_MODULE.lines().take(5).any(|line| line.contains("src/interface.rs")));
 }
 
-/// All source files below a folder that are no tests.
+/// All source files in a folder and its subfolders, except tests.
 fn sources(folder: &Path) -> Vec<PathBuf> {
     let entries = std::fs::read_dir(folder).into_iter().flatten().flatten().map(|entry| entry.path());
     let (folders, files): (Vec<_>, Vec<_>) = entries.partition(|path| path.is_dir());
