--- a/balancer/src/balancer/admission.rs
+++ b/balancer/src/balancer/admission.rs
@@ -7,7 +7,7 @@
 
 /// How long a request may be queued while all servers are full, as a share of its class's latency target.
 const MAX_QUEUE_TIME: f64 = 0.25;
-/// [`MAX_QUEUE_TIME`] for requests over their tenant's quota.
+/// Replaces [`MAX_QUEUE_TIME`] for requests over their tenant's quota.
 const MAX_QUEUE_TIME_OVER_QUOTA: f64 = 0.1;
 /// The origin's fetch limit is multiplied by this for writes.
 const WRITE_FETCH_PRIORITY: f64 = 2.0;
--- a/balancer/src/balancer/hedging.rs
+++ b/balancer/src/balancer/hedging.rs
@@ -7,7 +7,7 @@
 use crate::server::Server;
 use crate::settings::Effect;
 
-/// A second attempt that may be sent.
+/// A second attempt to send.
 struct HedgedRequest {
     request: RequestId,
     server: ServerId,
--- a/balancer/src/balancer/placement.rs
+++ b/balancer/src/balancer/placement.rs
@@ -1,4 +1,4 @@
-//! Which server a request goes to.
+//! Placement: chooses the server that a request is sent to.
 
 use super::Balancer;
 use crate::cached_keys::CacheLocation;
@@ -82,7 +82,7 @@
         }
     }
 
-    /// max(floor, ⌈(1+ε)n/k⌉), with n/k weighted by the server's usable capacity.
+    /// The cap max(floor, ⌈(1+ε)n/k⌉), with n/k weighted by the server's usable capacity.
     fn cap(&self, server: &Server) -> f64 {
         let min_cap = if self.config.caches_read_through() { MIN_CAP_THROUGH } else { MIN_CAP_ASIDE };
         let share = server.usable_capacity() / self.servers.usable_capacity();
--- a/balancer/src/key_share.rs
+++ b/balancer/src/key_share.rs
@@ -5,8 +5,8 @@
 
 /// Each reduction multiplies the key share by this.
 const REDUCTION_FACTOR: f64 = 0.7;
-/// Minimum time between two reductions, however many reports arrive. About the interval of a server's load
-/// reports.
+/// Minimum time between two reductions, however many reports arrive. Servers report their load at about this
+/// interval.
 const REDUCTION_INTERVAL: Seconds = 0.5;
 /// Recovery of the share per second; as slow as queues drain.
 const RECOVERY_RATE: f64 = 0.1;
--- a/balancer/src/outlier_ejection.rs
+++ b/balancer/src/outlier_ejection.rs
@@ -11,19 +11,19 @@
 const MIN_EJECTION_SHARE: f64 = 0.75;
 /// Range of the random part of the ejection time, as a share of [`EJECTION_TIME`].
 const EJECTION_JITTER: f64 = 0.5;
-/// Number of consecutive resets, without an answer in between, after which a server is considered down. Fewer
-/// resets may be caused by the network.
+/// Number of consecutive resets after which a server is considered down. An answer in between shows that the
+/// server is running; fewer resets, even two in a row, may be caused by the network.
 const MAX_CONSECUTIVE_RESETS: u32 = 3;
 
-/// How long a server is ejected; `random` is drawn from 0 to 1.
+/// How long a server is ejected; `random` is a random number from 0 to 1.
 pub fn ejection_time(random: f64) -> Seconds {
     EJECTION_TIME * (MIN_EJECTION_SHARE + EJECTION_JITTER * random)
 }
 
-/// What this node knows of a server's health.
+/// A server's health as this node knows it.
 #[derive(Debug, Default)]
 pub struct ServerHealth {
-    /// Attempts with a broken or no connection since the last answer.
+    /// Attempts since the last answer whose connection broke or could not be opened.
     consecutive_resets: u32,
     /// When this or another node last reported a failure of the server.
     last_failure: Seconds,
--- a/balancer/src/rjch.rs
+++ b/balancer/src/rjch.rs
@@ -12,10 +12,11 @@
 /// ε of the cap. Each jump costs a miss at the slow origin, so the cap only prevents overload and does not
 /// try to even out the load.
 const CAP_EPSILON: f64 = 0.7;
-/// Slots tried before all servers count as full. In an overload each queued request examines up to this many
-/// slots times [`MAX_POINTS_PER_SLOT`] points; 32 x 32 used more CPU than the node has.
+/// Maximum number of slots tried for a request before all servers count as full. In an overload each queued
+/// request examines up to this many slots times [`MAX_POINTS_PER_SLOT`] points; 32 x 32 used more CPU than
+/// the node has.
 const MAX_JUMPS: u64 = 16;
-/// Points examined for each slot.
+/// Maximum number of points examined for each slot.
 const MAX_POINTS_PER_SLOT: usize = 8;
 
 /// The cap C = max(floor, ⌈(1+ε)·n·share⌉) of a server that has `share` of the total capacity (1/k for k
--- a/balancer/src/roster_subscription.rs
+++ b/balancer/src/roster_subscription.rs
@@ -10,7 +10,7 @@
 /// Jitter of the delay: it is multiplied by a random factor from this to 1 more than this.
 const MIN_BACKOFF_SHARE: f64 = 0.5;
 /// In a large deployment, subscribe calls are spread over this much time for each node. Discovery handles
-/// them one at a time, in about 52 ms each, including those that have timed out meanwhile. When 100 nodes
+/// them one at a time, in about 52 ms each, including those that have failed meanwhile. When 100 nodes
 /// called at once, and again after each failure, discovery fell so far behind that 62 of them never got a
 /// list.
 const SUBSCRIBE_SPREAD_PER_NODE: Seconds = 0.07;
--- a/balancer/src/send_rules.rs
+++ b/balancer/src/send_rules.rs
@@ -11,9 +11,9 @@
 pub struct SendRules<'a> {
     /// The node's configuration.
     pub config: &'a NodeConfig,
-    /// The listed servers.
+    /// All known servers, including those where earlier attempts were sent.
     pub servers: &'a ServerPool,
-    /// The present time.
+    /// The time at which the rules are evaluated.
     pub now: Seconds,
 }
 
--- a/balancer/src/server.rs
+++ b/balancer/src/server.rs
@@ -28,7 +28,7 @@
     pub limit: ConcurrencyLimit,
     /// The share of its keys for which it gets requests; less than 1 after an overload.
     pub key_share: KeyShare,
-    /// Failures, answers and ejection.
+    /// Its failures, answers and ejection.
     pub health: ServerHealth,
     /// The queueing delay of its answers, smoothed.
     pub queue_delay: MovingAverage,
--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -35,7 +35,7 @@
     pub latency_target: Seconds,
     /// How long the client waits in total, over all attempts.
     pub deadline: Seconds,
-    /// The value of an answer within the latency target, in arbitrary units.
+    /// Value of an answer within the latency target.
     pub value: f64,
     /// The share of `value` that an answer after the latency target still earns.
     pub late_value: f64,
@@ -61,7 +61,7 @@
 /// How the server list reaches the node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Membership {
-    /// The host reports changes without being asked.
+    /// The host reports changes without a request.
     #[default]
     Pushed,
     /// The host reports the list only after [`Action::Subscribe`](crate::Action::Subscribe) or
@@ -143,7 +143,7 @@
     pub health_checks: bool,
     /// Whether [`Action::NotifyPeers`](crate::Action::NotifyPeers) is allowed.
     pub peer_messages: bool,
-    /// Whether a request may have two attempts in flight at once.
+    /// Whether a request may have two attempts in flight at once. No rule requires this.
     pub hedging: bool,
     /// Whether clients receive the `retry_after` advice of [`Action::Refuse`](crate::Action::Refuse).
     pub retry_after: bool,
--- a/balancer/src/smoothing.rs
+++ b/balancer/src/smoothing.rs
@@ -6,8 +6,8 @@
 const MIN_OBSERVATION_WEIGHT: f64 = 0.1;
 /// Maximum weight of a new observation in a moving average.
 const MAX_OBSERVATION_WEIGHT: f64 = 0.3;
-/// The weight of a new observation is the time since the previous one divided by this, within the bounds
-/// above.
+/// The weight of a new observation is the time since the previous one divided by this, between
+/// [`MIN_OBSERVATION_WEIGHT`] and [`MAX_OBSERVATION_WEIGHT`]: older observations lose their meaning.
 pub const RARE_OBSERVATION_INTERVAL: Seconds = 10.0;
 /// Time constant of a [`DecayingCounter`], and how long a key is assumed to stay cached after it was served.
 pub const RECENT_PERIOD: Seconds = 15.0;
@@ -26,7 +26,7 @@
         MovingAverage { value, updated: 0.0 }
     }
 
-    /// The current average.
+    /// The current average; the initial value before the first observation.
     pub fn value(&self) -> f64 {
         self.value
     }
--- a/balancer/tests/balancer/origin_fetches.rs
+++ b/balancer/tests/balancer/origin_fetches.rs
@@ -113,7 +113,7 @@
     assert_eq!(sent(&node.serve(1)), [home]);
 }
 
-/// Writes reach the origin too, and must not keep it overloaded while it fails.
+/// Writes and hedged requests reach the origin too, and must not keep it overloaded while it fails.
 #[test]
 fn while_the_origin_fails_writes_are_limited_too() {
     let mut node = Node::with(settings(), 1, fleet(8));
--- a/balancer/tests/balancer/slow_start.rs
+++ b/balancer/tests/balancer/slow_start.rs
@@ -59,7 +59,7 @@
     let requests_at_started: usize = (0..100)
         .map(|seed| {
             let mut node = Node::with(Settings { nodes: 100, ..settings() }, seed, fleet(10));
-            // 20 reads a second, all for keys of one server, which is restarted after 80 reads.
+            // 20 reads a second, all for keys of one server, which is restarted after 100 reads.
             let mut second = |from: usize| {
                 let step =
                     |n: usize| (node.home((from + n) as u64, keys[(from + n) % 60]), node.advance(0.05)).0;
