--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node under test, its settings, and a checker of rules one to three.
+//! A node under test, its settings and servers, and helpers that read its actions.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 pub const KEYED: ClassId = ClassId(1);
 pub const UNSAFE: ClassId = ClassId(2);
 
-pub fn class(name: &str, effect: Effect, group: DeduplicationScope) -> Class {
+pub fn class(name: &str, effect: Effect, scope: DeduplicationScope) -> Class {
     Class {
         name: name.into(),
         latency_target: 0.5,
@@ -17,7 +17,7 @@
         value: 1.0,
         late_value: 0.2,
         effect,
-        deduplication_scope: group,
+        deduplication_scope: scope,
         deduplication_window: 1.0,
         streamed: false,
     }
@@ -92,7 +92,7 @@
     }
 }
 
-/// A balancer and its attempts in flight.
+/// A balancer, its clock and the attempts that it has sent.
 pub struct Node {
     pub balancer: Balancer,
     pub now: Seconds,
@@ -126,8 +126,13 @@
         self.event(Event::Request(new))
     }
 
-    /// The last attempt of a request ends.
-    pub fn outcome(&mut self, request: u64, status: Status, note: Option<CacheStatus>) -> Vec<Action> {
+    /// Ends the last attempt of a request.
+    pub fn outcome(
+        &mut self,
+        request: u64,
+        status: Status,
+        reported_cache: Option<CacheStatus>,
+    ) -> Vec<Action> {
         let request = RequestId(request);
         let attempts = &self.sends[&request];
         let (attempt, elapsed) = (attempts.len() - 1, self.now - attempts[attempts.len() - 1].1);
@@ -137,13 +142,18 @@
             status,
             elapsed,
             finished: status == Status::Success,
-            cache_status: note,
+            cache_status: reported_cache,
             load: None,
         }))
     }
 
-    /// The last attempt of a request is served from cache, with a load report.
-    pub fn serve_reporting(&mut self, request: u64, held: f64, rate: f64) -> Vec<Action> {
+    /// Serves the last attempt of a request from cache, with a load report.
+    pub fn serve_with_load_report(
+        &mut self,
+        request: u64,
+        reported_in_flight: f64,
+        reported_rate: f64,
+    ) -> Vec<Action> {
         let attempt = AttemptId(self.sends[&RequestId(request)].len() as u32 - 1);
         self.event(Event::Outcome(Outcome {
             request: RequestId(request),
@@ -152,7 +162,7 @@
             elapsed: 0.01,
             finished: true,
             cache_status: Some(CacheStatus::Hit),
-            load: Some(Load { in_flight: held, served_per_second: rate }),
+            load: Some(Load { in_flight: reported_in_flight, served_per_second: reported_rate }),
         }))
     }
 
@@ -160,8 +170,8 @@
         self.outcome(request, Status::Success, Some(CacheStatus::Hit))
     }
 
-    /// Lets time pass in housekeeping steps.
-    pub fn pass(&mut self, time: Seconds) -> Vec<Action> {
+    /// Advances the clock by `time` in steps of the housekeeping interval.
+    pub fn advance(&mut self, time: Seconds) -> Vec<Action> {
         let mut actions = Vec::new();
         let end = self.now + time;
         while self.now < end {
@@ -171,7 +181,7 @@
         actions
     }
 
-    /// Where a read of this key goes while nothing is in flight.
+    /// Sends and serves a read, and returns the server that it went to.
     pub fn home(&mut self, request: u64, key: u64) -> ServerId {
         let sent = sent(&self.request(read(request, key)));
         self.serve(request);
--- a/balancer/tests/shields.rs
+++ b/balancer/tests/shields.rs
@@ -1,4 +1,4 @@
-//! The edge's decision: RJ-CH over the ready shields, and what departs from it.
+//! The edge's choice of a shield: RJ-CH over the ready shields and its exceptions.
 
 use glenfall_balancer::{mix, Key, ServerId, Shields};
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn edges_with_one_membership_agree_on_every_home_whatever_order_they_learnt_it_in() {
+fn edges_with_the_same_membership_agree_on_every_home_in_any_order_of_updates() {
     let mut updated = shields([5, 1]);
     updated.update(&[id(4), id(2), id(1), id(3)]);
     assert_eq!(homes(&mut shields([1, 2, 3, 4])), homes(&mut updated));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn below_the_cap_a_key_stays_home_and_at_it_continues_along_its_own_walk() {
+fn a_key_stays_at_its_home_below_the_cap_and_continues_along_its_walk_at_the_cap() {
     let mut shields = shields([1, 2, 3]);
     let home = shields.choose(0.0, key(1), &[]).unwrap().clone();
     let mut in_flight = 0;
@@ -45,9 +45,9 @@
         in_flight += 1;
         assert!(in_flight < 100, "a cap");
     }
-    // The floor, as (1+ε)n/k is less here.
+    // The minimum cap, because (1+ε)n/k is less here.
     assert_eq!(in_flight, 16);
-    // Keys of one full home go on to both others.
+    // The keys of one full shield overflow to both others.
     let next: std::collections::BTreeSet<_> = (0..200)
         .map(key)
         .map(|k| shields.choose(0.0, k, &[]).unwrap().clone())
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_failed_shield_is_ejected_for_a_while_and_where_all_are_one_request_tests_them() {
+fn a_failed_shield_is_ejected_and_while_all_are_ejected_one_request_tests_them() {
     let mut shields = shields([1, 2, 3]);
     let home = shields.choose(0.0, key(1), &[]).unwrap().clone();
     shields.begin(&home);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_request_never_goes_to_a_shield_twice_and_nowhere_without_shields() {
+fn a_request_never_goes_to_a_shield_twice_and_is_not_sent_without_shields() {
     let mut shields = shields([1, 2]);
     let first = shields.choose(0.0, key(1), &[]).unwrap().clone();
     let second = shields.choose(0.0, key(1), std::slice::from_ref(&first)).unwrap().clone();
@@ -123,7 +123,7 @@
     shields.end(&home);
     shields.record_outcome(1.3, &home, 1.0, true);
     assert_eq!(shields.choose(1.4, key(1), &[]), Some(&home));
-    // Nothing came since this one was sent.
+    // The shield has answered nothing since this request was sent.
     shields.begin(&home);
     shields.end(&home);
     shields.record_outcome(1.8, &home, 1.5, true);
