--- a/glenfall/tests/hostile.rs
+++ b/glenfall/tests/hostile.rs
@@ -1,6 +1,6 @@
-//! Servers that keep to nothing, over real sockets, against the proxies' way to servers: whatever they answer, early, twice,
-//! late, under another id, cut or not at all, no client gets another's answer, nothing runs twice that may not, and a
-//! promise that a request has not run holds.
+//! The forwarder against misbehaving servers, over real sockets. Servers respond early, late, twice, under the id of
+//! another request, with truncated responses or not at all. No client may get the response of another request, no
+//! request that is not idempotent may run twice, and a request that is reported as not run must not have run.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -26,220 +26,228 @@
 use tokio::task::{spawn_local, JoinSet, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// A request that has no final answer by then never gets one; none has over a second of its own.
-const FINAL: Duration = Duration::from_mins(2);
-/// How long a request may take: shorter than some servers are silent.
-const PATIENCE: Duration = Duration::from_millis(300);
-const SERVERS: usize = 4;
-const REQUESTS: usize = 400;
-const AT_ONCE: usize = 16;
+/// A request without an outcome by then never gets one: each deadline is below a second.
+const OUTCOME_TIMEOUT: Duration = Duration::from_mins(2);
+/// Time until the deadline of each request; some servers stay silent for longer.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
+const SERVER_COUNT: usize = 4;
+const REQUESTS_PER_SEED: usize = 400;
+const CONCURRENT_CLIENTS: usize = 16;
 
-/// What servers do once they have a request whole, beside answering it as they should.
-const ACTS: [&str; 22] = [
-    "well",
-    "well",
-    "well",
-    "well",
-    "well",
-    "twice",
-    "twice late",
-    "noise late",
-    "interim late",
-    "old answer first",
-    "another's answer",
-    "nobody's answer",
-    "noise",
-    "cut",
+/// What servers do with a complete request. "respond" uses one of `RESPONSE_FRAMINGS`.
+const COMPLETE_REQUEST_ACTIONS: [&str; 22] = [
+    "respond",
+    "respond",
+    "respond",
+    "respond",
+    "respond",
+    "respond twice",
+    "repeat response later",
+    "garbage later",
+    "interim response later",
+    "previous response first",
+    "response to another request",
+    "response without id",
+    "garbage",
+    "truncated response",
     "reset",
     "close",
-    "silence",
-    "interim",
+    "no response",
+    "interim response",
     "not run",
-    "not run and more",
-    "promise without the word",
-    "endless",
+    "not run twice",
+    "503 without not-run header",
+    "endless body",
 ];
-const FRAMES: [&str; 5] = ["well", "two lengths", "no length", "no length and reset", "other coding"];
-/// What they do with one that they don't have whole yet.
-const EARLY: [&str; 9] = [
+const RESPONSE_FRAMINGS: [&str; 5] =
+    ["valid", "length and chunked", "no length", "no length and reset", "unsupported coding"];
+/// What servers do with a request that they have not received completely.
+const PARTIAL_REQUEST_ACTIONS: [&str; 9] = [
     "read on",
     "read on",
     "not run",
-    "another's answer",
-    "nobody's answer",
-    "interim",
-    "noise",
+    "response to another request",
+    "response without id",
+    "interim response",
+    "garbage",
     "reset",
     "close",
 ];
 
-/// What all servers together have seen.
+/// What all servers together have received and done.
 #[derive(Default)]
-struct Ledger {
-    /// How often each request ran.
-    ran: BTreeMap<String, u32>,
-    /// Requests that nobody sent so.
-    unasked: Vec<String>,
-    /// How often each thing was done.
-    done: BTreeMap<String, u32>,
+struct Observations {
+    /// How often each request ran, by its id.
+    run_counts: BTreeMap<String, u32>,
+    /// Requests that differ from what any client sent.
+    unexpected_requests: Vec<String>,
+    /// How often each action was taken, by stage and action.
+    action_counts: BTreeMap<String, u32>,
 }
 
-/// What follows an answer on its connection.
-enum Then {
-    GoesOn,
-    /// Something that nobody asked for.
-    Says(String),
+/// What a server does with the connection after a response.
+enum AfterResponse {
+    KeepsConnection,
+    /// Sends this text, which is the response to no request.
+    SendsUnsolicited(String),
     Closes,
     Resets,
 }
 
-fn body_of(id: &str, length: usize) -> Vec<u8> {
+fn request_body(id: &str, length: usize) -> Vec<u8> {
     id.bytes().cycle().take(length).collect()
 }
 
-/// A request as far as it has come.
-struct Arrived {
+/// What the head of a request says.
+struct RequestHead {
     id: String,
-    /// Of the whole request.
+    /// Bytes of the whole request, head and body.
     length: usize,
 }
 
-/// Reads the head once it is whole.
-fn arrived(heard: &[u8]) -> Option<Result<Arrived, String>> {
-    let end = heard.windows(4).position(|four| four == b"\r\n\r\n")? + 4;
-    let head = String::from_utf8_lossy(&heard[..end]).into_owned();
+/// Parses the head of a request; `None` while it is incomplete, an error with the head if it is not as a client sends it.
+fn parse_head(received: &[u8]) -> Option<Result<RequestHead, String>> {
+    let end = received.windows(4).position(|window| window == b"\r\n\r\n")? + 4;
+    let head = String::from_utf8_lossy(&received[..end]).into_owned();
     let value = |name: &str| {
         let line = head.lines().find(|line| line.to_ascii_lowercase().starts_with(name))?;
         Some(line[name.len()..].trim().to_owned())
     };
     let id = value("x-glenfall-try-id:").unwrap_or_default();
     let length = value("content-length:").and_then(|length| length.parse().ok()).unwrap_or(0);
-    let sound = head.starts_with(&format!("POST /w/{id} HTTP/1.1\r\n"));
-    Some(if sound { Ok(Arrived { id, length: end + length }) } else { Err(head) })
+    let well_formed = head.starts_with(&format!("POST /w/{id} HTTP/1.1\r\n"));
+    Some(if well_formed { Ok(RequestHead { id, length: end + length }) } else { Err(head) })
 }
 
-/// Which request it is, once as much of it has come.
-fn named(heard: &[u8]) -> Option<String> {
-    let text = String::from_utf8_lossy(heard).to_ascii_lowercase();
+/// The request's id, once its header line has been received.
+fn parse_try_id(received: &[u8]) -> Option<String> {
+    let text = String::from_utf8_lossy(received).to_ascii_lowercase();
     let (_, rest) = text.split_once("x-glenfall-try-id: ")?;
     Some(rest.split_once("\r\n")?.0.to_owned())
 }
 
-struct Hostile {
-    ledger: Rc<RefCell<Ledger>>,
+struct MisbehavingServer {
+    observations: Rc<RefCell<Observations>>,
     rng: RefCell<ChaCha8Rng>,
 }
 
-impl Hostile {
-    fn draw<'a>(&self, kind: &str, acts: &[&'a str]) -> &'a str {
-        let act = acts.choose(&mut *self.rng.borrow_mut()).expect("some");
-        *self.ledger.borrow_mut().done.entry(format!("{kind}: {act}")).or_default() += 1;
-        act
+impl MisbehavingServer {
+    fn choose_action<'a>(&self, stage: &str, actions: &[&'a str]) -> &'a str {
+        let action = actions.choose(&mut *self.rng.borrow_mut()).expect("at least one action");
+        *self.observations.borrow_mut().action_counts.entry(format!("{stage}: {action}")).or_default() += 1;
+        action
     }
 
-    fn chance(&self, share: f64) -> bool {
-        self.rng.borrow_mut().random_bool(share)
+    fn chance(&self, probability: f64) -> bool {
+        self.rng.borrow_mut().random_bool(probability)
     }
 
-    async fn pause(&self, most_ms: u64) {
-        let ms = self.rng.borrow_mut().random_range(0..=most_ms);
+    async fn pause(&self, max_ms: u64) {
+        let ms = self.rng.borrow_mut().random_range(0..=max_ms);
         sleep(Duration::from_millis(ms)).await;
     }
 
-    /// Some other request's id.
-    fn another(&self, own: &str) -> String {
-        let ledger = self.ledger.borrow();
-        let others: Vec<&String> = ledger.ran.keys().filter(|id| *id != own).collect();
-        others.choose(&mut *self.rng.borrow_mut()).map_or("nobody".to_owned(), |id| (*id).clone())
+    /// The id of a request that has run, other than `own`.
+    fn another_request_id(&self, own: &str) -> String {
+        let observations = self.observations.borrow();
+        let others: Vec<&String> = observations.run_counts.keys().filter(|id| *id != own).collect();
+        others.choose(&mut *self.rng.borrow_mut()).map_or("none".to_owned(), |id| (*id).clone())
     }
 
-    /// An answer that says whose it is.
-    fn answer(&self, status: u16, id: &str, more: &str) -> String {
+    /// A complete response that carries the id of its request.
+    fn response(&self, status: u16, id: &str, extra_headers: &str) -> String {
         let body = format!("for {id} end");
         format!(
-            "HTTP/1.1 {status} S\r\nX-Glenfall-Try-Id: {id}\r\n{more}Content-Length: {}\r\n\r\n{body}",
+            "HTTP/1.1 {status} S\r\nX-Glenfall-Try-Id: {id}\r\n{extra_headers}Content-Length: {}\r\n\r\n{body}",
             body.len()
         )
     }
 
-    fn not_run(&self, id: &str) -> String {
-        self.answer(
-            *[503, 421].choose(&mut *self.rng.borrow_mut()).expect("some"),
+    fn not_run_response(&self, id: &str) -> String {
+        self.response(
+            *[503, 421].choose(&mut *self.rng.borrow_mut()).expect("a status"),
             id,
             "X-Glenfall-Not-Run: 1\r\n",
         )
     }
 
-    /// The same in a frame of another kind, and what follows it.
-    fn framed(&self, id: &str) -> (String, Then) {
+    /// A response with a framing drawn at random, and what the server does after it.
+    fn response_with_framing(&self, id: &str) -> (String, AfterResponse) {
         let body = format!("for {id} end");
-        let (frame, then) = match self.draw("frame", &FRAMES) {
-            "two lengths" => {
-                (format!("Content-Length: {}\r\nTransfer-Encoding: chunked\r\n", body.len()), Then::Closes)
-            }
-            // Whole, and its end is the connection's.
+        let (framing, after_response) = match self.choose_action("framing", &RESPONSE_FRAMINGS) {
+            "length and chunked" => (
+                format!("Content-Length: {}\r\nTransfer-Encoding: chunked\r\n", body.len()),
+                AfterResponse::Closes,
+            ),
+            // Complete: the response ends with the connection.
             "no length" => {
-                return (format!("HTTP/1.1 200 S\r\nX-Glenfall-Try-Id: {id}\r\n\r\n{body}"), Then::Closes)
+                return (
+                    format!("HTTP/1.1 200 S\r\nX-Glenfall-Try-Id: {id}\r\n\r\n{body}"),
+                    AfterResponse::Closes,
+                )
             }
-            "no length and reset" => (String::new(), Then::Resets),
-            "other coding" => ("Transfer-Encoding: gzip\r\n".to_owned(), Then::Closes),
-            _ => return (self.answer(200, id, ""), Then::GoesOn),
+            "no length and reset" => (String::new(), AfterResponse::Resets),
+            "unsupported coding" => ("Transfer-Encoding: gzip\r\n".to_owned(), AfterResponse::Closes),
+            _ => return (self.response(200, id, ""), AfterResponse::KeepsConnection),
         };
-        // The end is missing: it must not pass for a whole answer.
-        (format!("HTTP/1.1 200 S\r\nX-Glenfall-Try-Id: {id}\r\n{frame}\r\nfor {id}"), then)
+        // The last bytes of the body are missing: the client must not get this as a complete response.
+        (format!("HTTP/1.1 200 S\r\nX-Glenfall-Try-Id: {id}\r\n{framing}\r\nfor {id}"), after_response)
     }
 
-    /// Serves a connection until it ends; `None` once it has.
-    async fn connection(&self, mut stream: TcpStream) -> Option<()> {
-        let mut last = self.answer(200, "nobody", "");
-        let mut heard = Vec::new();
+    /// Serves a connection until it ends; returns `None` then.
+    async fn serve_connection(&self, mut stream: TcpStream) -> Option<()> {
+        let mut previous_response = self.response(200, "none", "");
+        let mut received = Vec::new();
         loop {
-            let (mut early, mut said_early, mut said_not_run) = (self.chance(0.4), false, false);
+            let (mut acts_early, mut acted_early, mut declared_not_run) = (self.chance(0.4), false, false);
             let request = loop {
-                match arrived(&heard) {
-                    Some(Ok(arrived)) if heard.len() >= arrived.length => break arrived,
+                match parse_head(&received) {
+                    Some(Ok(head)) if received.len() >= head.length => break head,
                     Some(Err(head)) => {
-                        self.ledger.borrow_mut().unasked.push(head);
+                        self.observations.borrow_mut().unexpected_requests.push(head);
                         return None;
                     }
                     _ => {}
                 }
-                if let Some(id) = named(&heard).filter(|_| early) {
-                    (early, said_early) = (false, true);
-                    said_not_run = self.act_early(&mut stream, &id).await?;
+                if let Some(id) = parse_try_id(&received).filter(|_| acts_early) {
+                    (acts_early, acted_early) = (false, true);
+                    declared_not_run = self.handle_partial_request(&mut stream, &id).await?;
                 }
-                if stream.read_buf(&mut heard).await.ok()? == 0 {
+                if stream.read_buf(&mut received).await.ok()? == 0 {
                     return None;
                 }
             };
-            let rest = heard.split_off(request.length);
-            let body = &heard[heard.windows(4).position(|four| four == b"\r\n\r\n")? + 4..];
-            // One at a time, but where an answer crossed the end of its request.
-            if body != body_of(&request.id, body.len()) || !(rest.is_empty() || said_early) {
-                self.ledger.borrow_mut().unasked.push(format!("{}, not as it was sent", request.id));
+            let rest = received.split_off(request.length);
+            let body = &received[received.windows(4).position(|window| window == b"\r\n\r\n")? + 4..];
+            // A client sends one request at a time, unless an early response crossed the end of its request.
+            if body != request_body(&request.id, body.len()) || !(rest.is_empty() || acted_early) {
+                self.observations
+                    .borrow_mut()
+                    .unexpected_requests
+                    .push(format!("{}, body or framing differs from what was sent", request.id));
                 return None;
             }
-            heard = rest;
-            // A server keeps its word, if nothing else.
-            if !said_not_run {
-                self.act(&mut stream, &request.id, &mut last).await?;
+            received = rest;
+            // A request that was declared not run must not run.
+            if !declared_not_run {
+                self.handle_complete_request(&mut stream, &request.id, &mut previous_response).await?;
             }
         }
     }
 
-    /// Does something before a request is there whole, and says whether it was to tell that this one will not run;
-    /// `None` where the connection ends by it.
-    async fn act_early(&self, stream: &mut TcpStream, id: &str) -> Option<bool> {
-        let act = self.draw("early", &EARLY);
-        let other = self.another(id);
-        let text = match act {
-            "not run" => self.not_run(id),
-            "another's answer" => self.answer(200, &other, ""),
-            "nobody's answer" => {
-                self.answer(503, id, "X-Glenfall-Not-Run: 1\r\n").replace("X-Glenfall-Try", "X-Try")
+    /// Takes an action before a request is complete. Returns whether the request was declared not run; `None` when the
+    /// connection is to end.
+    async fn handle_partial_request(&self, stream: &mut TcpStream, id: &str) -> Option<bool> {
+        let action = self.choose_action("partial request", &PARTIAL_REQUEST_ACTIONS);
+        let other = self.another_request_id(id);
+        let text = match action {
+            "not run" => self.not_run_response(id),
+            "response to another request" => self.response(200, &other, ""),
+            "response without id" => {
+                self.response(503, id, "X-Glenfall-Not-Run: 1\r\n").replace("X-Glenfall-Try", "X-Try")
             }
-            "interim" => "HTTP/1.1 103 Early Hints\r\n\r\n".to_owned(),
-            "noise" => "no answer at all\r\n\r\n".to_owned(),
+            "interim response" => "HTTP/1.1 103 Early Hints\r\n\r\n".to_owned(),
+            "garbage" => "no answer at all\r\n\r\n".to_owned(),
             "reset" => {
                 let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
                 return None;
@@ -248,40 +256,53 @@
             _ => return Some(false),
         };
         stream.write_all(text.as_bytes()).await.ok()?;
-        Some(act == "not run")
+        Some(action == "not run")
     }
 
-    /// Does something with a request that is there whole.
-    async fn act(&self, stream: &mut TcpStream, id: &str, last: &mut String) -> Option<()> {
-        let act = self.draw("whole", &ACTS);
-        if act.starts_with("not run") {
+    /// Takes an action on a complete request; `None` when the connection is to end.
+    async fn handle_complete_request(
+        &self,
+        stream: &mut TcpStream,
+        id: &str,
+        previous_response: &mut String,
+    ) -> Option<()> {
+        let action = self.choose_action("complete request", &COMPLETE_REQUEST_ACTIONS);
+        if action.starts_with("not run") {
             if self.chance(0.2) {
-                // Its caller may have given up.
-                sleep(PATIENCE + Duration::from_millis(20)).await;
+                // After the deadline: the caller may have given up.
+                sleep(REQUEST_TIMEOUT + Duration::from_millis(20)).await;
             }
-            stream.write_all(self.not_run(id).as_bytes()).await.ok()?;
-            if act == "not run and more" {
+            stream.write_all(self.not_run_response(id).as_bytes()).await.ok()?;
+            if action == "not run twice" {
                 self.pause(8).await;
-                stream.write_all(self.not_run(id).as_bytes()).await.ok()?;
+                stream.write_all(self.not_run_response(id).as_bytes()).await.ok()?;
             }
             return Some(());
         }
-        *self.ledger.borrow_mut().ran.entry(id.to_owned()).or_default() += 1;
-        let own = self.answer(200, id, "");
-        let surplus =
+        *self.observations.borrow_mut().run_counts.entry(id.to_owned()).or_default() += 1;
+        let own = self.response(200, id, "");
+        let send_unsolicited =
             |stream: &mut TcpStream, text: &str| stream.try_write(text.as_bytes()).is_ok().then_some(());
-        let (text, then) = match act {
-            "twice" => (own.clone() + &own, Then::GoesOn),
-            "twice late" => (own.clone(), Then::Says(own.clone())),
-            "noise late" => (own.clone(), Then::Says("noise".to_owned())),
-            "interim late" => (own.clone(), Then::Says("HTTP/1.1 100 Continue\r\n\r\n".to_owned())),
-            "old answer first" => (std::mem::take(last) + &own, Then::GoesOn),
-            "another's answer" => (self.answer(200, &self.another(id), ""), Then::GoesOn),
-            "nobody's answer" => (own.replace("X-Glenfall-Try", "X-Try"), Then::GoesOn),
-            "noise" => ("no answer at all\r\n\r\n".to_owned(), Then::Closes),
-            "interim" => ("HTTP/1.1 102 Processing\r\n\r\n".to_owned() + &own, Then::GoesOn),
-            "promise without the word" => (self.answer(503, id, ""), Then::GoesOn),
-            "cut" => {
+        let (text, after_response) = match action {
+            "respond twice" => (own.clone() + &own, AfterResponse::KeepsConnection),
+            "repeat response later" => (own.clone(), AfterResponse::SendsUnsolicited(own.clone())),
+            "garbage later" => (own.clone(), AfterResponse::SendsUnsolicited("noise".to_owned())),
+            "interim response later" => {
+                (own.clone(), AfterResponse::SendsUnsolicited("HTTP/1.1 100 Continue\r\n\r\n".to_owned()))
+            }
+            "previous response first" => {
+                (std::mem::take(previous_response) + &own, AfterResponse::KeepsConnection)
+            }
+            "response to another request" => {
+                (self.response(200, &self.another_request_id(id), ""), AfterResponse::KeepsConnection)
+            }
+            "response without id" => (own.replace("X-Glenfall-Try", "X-Try"), AfterResponse::KeepsConnection),
+            "garbage" => ("no answer at all\r\n\r\n".to_owned(), AfterResponse::Closes),
+            "interim response" => {
+                ("HTTP/1.1 102 Processing\r\n\r\n".to_owned() + &own, AfterResponse::KeepsConnection)
+            }
+            "503 without not-run header" => (self.response(503, id, ""), AfterResponse::KeepsConnection),
+            "truncated response" => {
                 let at = self.rng.borrow_mut().random_range(0..own.len());
                 stream.write_all(&own.as_bytes()[..at]).await.ok()?;
                 return None;
@@ -291,12 +312,12 @@
                 return None;
             }
             "close" => return None,
-            "silence" => {
-                // Until its caller gives up.
+            "no response" => {
+                // Waits until the caller gives up.
                 let _ = stream.read(&mut [0; 64]).await;
                 return None;
             }
-            "endless" => {
+            "endless body" => {
                 let head = format!(
                     "HTTP/1.1 200 S\r\nX-Glenfall-Try-Id: {id}\r\nTransfer-Encoding: chunked\r\n\r\n"
                 );
@@ -306,21 +327,21 @@
                     sleep(Duration::from_millis(5)).await;
                 }
             }
-            _ => self.framed(id),
+            _ => self.response_with_framing(id),
         };
-        *last = own;
+        *previous_response = own;
         self.pause(3).await;
         stream.write_all(text.as_bytes()).await.ok()?;
-        match then {
-            Then::GoesOn => Some(()),
-            Then::Says(after) => {
-                // While it is idle, or where the next answer is due.
+        match after_response {
+            AfterResponse::KeepsConnection => Some(()),
+            AfterResponse::SendsUnsolicited(unsolicited) => {
+                // Arrives while the connection is idle, or in place of the next response.
                 self.pause(12).await;
-                surplus(stream, &after)
+                send_unsolicited(stream, &unsolicited)
             }
-            Then::Closes => None,
-            Then::Resets => {
-                // What was written before is read first, if it is read at all.
+            AfterResponse::Closes => None,
+            AfterResponse::Resets => {
+                // A reset discards what the client has not read: the pause lets it read the response in some cases.
                 self.pause(5).await;
                 let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
                 None
@@ -329,15 +350,15 @@
     }
 }
 
-async fn start(number: usize, seed: u64, ledger: &Rc<RefCell<Ledger>>) -> Server {
+async fn start_server(number: usize, seed: u64, observations: &Rc<RefCell<Observations>>) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let port = listener.local_addr().expect("its address").port();
-    let rng = ChaCha8Rng::seed_from_u64(seed * SERVERS as u64 + number as u64);
-    let hostile = Rc::new(Hostile { ledger: Rc::clone(ledger), rng: RefCell::new(rng) });
+    let rng = ChaCha8Rng::seed_from_u64(seed * SERVER_COUNT as u64 + number as u64);
+    let server = Rc::new(MisbehavingServer { observations: Rc::clone(observations), rng: RefCell::new(rng) });
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let hostile = Rc::clone(&hostile);
-            spawn_local(async move { hostile.connection(stream).await });
+            let server = Rc::clone(&server);
+            spawn_local(async move { server.serve_connection(stream).await });
         }
     });
     Server {
@@ -351,127 +372,140 @@
     }
 }
 
-fn way(servers: Vec<Server>) -> Forwarder {
-    let boot = Settings::parse(
+fn forwarder_to(servers: Vec<Server>) -> Forwarder {
+    let settings = Settings::parse(
         "node = \"n\"\nzone = \"z\"\nbindIp = \"127.0.0.1\"\nportRange = [1, 9]\nseedNodes = [\"127.0.0.1:1\"]\n\
          [listeners]\n[timing]\nretryRatio = 1.2\nretrySlack = 0\n",
     );
-    let direct =
-        Forwarder::new(Pool::new(64, MemoryBudget::new(64 << 20)), &boot.expect("settings"), ProxyRole::Edge);
-    direct.update(&Fleet { complete: true, servers, shields: Vec::new(), edges: vec![1], cores: 1 });
-    direct
+    let forwarder = Forwarder::new(
+        Pool::new(64, MemoryBudget::new(64 << 20)),
+        &settings.expect("settings"),
+        ProxyRole::Edge,
+    );
+    forwarder.update(&Fleet { complete: true, servers, shields: Vec::new(), edges: vec![1], cores: 1 });
+    forwarder
 }
 
-/// What came of all requests, by its name.
-type Told = BTreeMap<&'static str, u32>;
+/// Number of requests by outcome.
+type OutcomeCounts = BTreeMap<&'static str, u32>;
 
-/// Sends one request and checks what is said of it at once. The other half of a promise is checked at the end.
-async fn send(direct: &Forwarder, id: &str, mut rng: ChaCha8Rng) -> (&'static str, bool) {
-    let repeatable = rng.random_bool(0.3);
-    // Some are written in several parts.
+/// Sends one request and checks its response. Returns the outcome, and whether the request was idempotent. That a
+/// request reported as not run has not run is checked at the end of the run.
+async fn send_request(forwarder: &Forwarder, id: &str, mut rng: ChaCha8Rng) -> (&'static str, bool) {
+    let is_idempotent = rng.random_bool(0.3);
+    // Some bodies are too large for a single write.
     let length =
         if rng.random_bool(0.1) { rng.random_range(1 << 20..6 << 20) } else { rng.random_range(0..64) };
     let uri: Uri = format!("/w/{id}").parse().expect("a path");
     let mut headers = HeaderMap::new();
     headers.insert(TRY_ID_HEADER, HeaderValue::from_str(id).expect("an id"));
-    direct.record_client_request("s");
-    let job = UpstreamRequest {
+    forwarder.record_client_request("s");
+    let request = UpstreamRequest {
         service: "s",
         method: &Method::POST,
         uri: &uri,
         headers,
-        body: Bytes::from(body_of(id, length)),
-        idempotent: repeatable,
+        body: Bytes::from(request_body(id, length)),
+        idempotent: is_idempotent,
         max_attempts: 3,
         is_retry: false,
-        deadline: Instant::now() + PATIENCE,
-        latency_target: PATIENCE,
+        deadline: Instant::now() + REQUEST_TIMEOUT,
+        latency_target: REQUEST_TIMEOUT,
         priority_rank: 0.0,
         rate_limit_per_s: None,
     };
-    let gone = rng.random_bool(0.05).then(|| Duration::from_millis(rng.random_range(0..20)));
+    let disconnect_after = rng.random_bool(0.05).then(|| Duration::from_millis(rng.random_range(0..20)));
     let outcome = tokio::select! {
-        outcome = timeout(FINAL, direct.send(job)) => outcome.expect("a final answer"),
-        () = async { sleep(gone.unwrap_or(FINAL)).await } => return ("client gone", repeatable),
+        outcome = timeout(OUTCOME_TIMEOUT, forwarder.send(request)) => outcome.expect("an outcome"),
+        () = async { sleep(disconnect_after.unwrap_or(OUTCOME_TIMEOUT)).await } =>
+            return ("client disconnected", is_idempotent),
     };
-    let told = match outcome {
+    let outcome_name = match outcome {
         Outcome::Answered(reply) => {
             let body = String::from_utf8_lossy(reply.body()).into_owned();
-            assert_eq!(body, format!("for {id} end"), "an answer of its own, whole");
-            let promise = matches!(reply.status().as_u16(), 408 | 421 | 429 | 503);
-            assert!(repeatable || !promise, "{id}: a promise that the server did not make");
+            assert_eq!(body, format!("for {id} end"), "the complete response to this request");
+            let says_not_run = matches!(reply.status().as_u16(), 408 | 421 | 429 | 503);
+            assert!(
+                is_idempotent || !says_not_run,
+                "{id}: the response says not run, but the server did not"
+            );
             "answered"
         }
         Outcome::NotRun(_) => "not run",
         Outcome::Unknown(_) => "unknown",
         Outcome::TimedOut(_) => "timed out",
     };
-    (told, repeatable)
+    (outcome_name, is_idempotent)
 }
 
-async fn play(seed: u64) -> (Told, BTreeMap<String, u32>) {
-    let ledger = Rc::new(RefCell::new(Ledger::default()));
+async fn run_seed(seed: u64) -> (OutcomeCounts, BTreeMap<String, u32>) {
+    let observations = Rc::new(RefCell::new(Observations::default()));
     let mut servers = Vec::new();
-    for number in 0..SERVERS {
-        servers.push(start(number, seed, &ledger).await);
+    for number in 0..SERVER_COUNT {
+        servers.push(start_server(number, seed, &observations).await);
     }
-    let direct = Rc::new(way(servers));
-    let next = Rc::new(Cell::new(0));
+    let forwarder = Rc::new(forwarder_to(servers));
+    let next_number = Rc::new(Cell::new(0));
     let mut clients = JoinSet::new();
-    for client in 0..AT_ONCE {
-        let (direct, next) = (Rc::clone(&direct), Rc::clone(&next));
+    for client in 0..CONCURRENT_CLIENTS {
+        let (forwarder, next_number) = (Rc::clone(&forwarder), Rc::clone(&next_number));
         let mut rng = ChaCha8Rng::seed_from_u64(seed << 32 | 1 << 16 | client as u64);
         clients.spawn_local(async move {
-            let mut told = Vec::new();
-            while next.get() < REQUESTS {
-                let id = format!("{seed}-{}", next.replace(next.get() + 1));
-                let rng_here = ChaCha8Rng::seed_from_u64(rng.random());
-                told.push((id.clone(), send(&direct, &id, rng_here).await));
+            let mut outcomes = Vec::new();
+            while next_number.get() < REQUESTS_PER_SEED {
+                let id = format!("{seed}-{}", next_number.replace(next_number.get() + 1));
+                let request_rng = ChaCha8Rng::seed_from_u64(rng.random());
+                outcomes.push((id.clone(), send_request(&forwarder, &id, request_rng).await));
                 if rng.random_bool(0.2) {
-                    // Its connections rest for long enough to be distrusted.
+                    // Leaves some connections idle for longer than the pool trusts them.
                     sleep(Duration::from_millis(rng.random_range(1..150))).await;
                 }
             }
-            told
+            outcomes
         });
     }
-    let told: Vec<_> = clients.join_all().await.into_iter().flatten().collect();
-    // What is still on its way arrives.
-    sleep(2 * PATIENCE).await;
-    let ledger = ledger.borrow();
-    assert!(ledger.unasked.is_empty(), "seed {seed}: nobody sent {:?}", ledger.unasked);
-    let mut count = Told::new();
-    for (id, (told, repeatable)) in told {
-        *count.entry(told).or_default() += 1;
-        let ran = ledger.ran.get(&id).copied().unwrap_or(0);
-        assert!(repeatable || ran <= 1, "seed {seed}: {id} ran {ran} times, {told}");
+    let outcomes: Vec<_> = clients.join_all().await.into_iter().flatten().collect();
+    // Requests still in flight reach their servers meanwhile.
+    sleep(2 * REQUEST_TIMEOUT).await;
+    let observations = observations.borrow();
+    assert!(
+        observations.unexpected_requests.is_empty(),
+        "seed {seed}: servers received requests that no client sent: {:?}",
+        observations.unexpected_requests
+    );
+    let mut counts = OutcomeCounts::new();
+    for (id, (outcome, is_idempotent)) in outcomes {
+        *counts.entry(outcome).or_default() += 1;
+        let runs = observations.run_counts.get(&id).copied().unwrap_or(0);
+        assert!(is_idempotent || runs <= 1, "seed {seed}: {id} ran {runs} times, {outcome}");
         assert!(
-            repeatable || told != "not run" || ran == 0,
-            "seed {seed}: {id} was promised not to have run"
+            is_idempotent || outcome != "not run" || runs == 0,
+            "seed {seed}: {id} was reported as not run, but ran"
         );
     }
-    (count, ledger.done.clone())
+    (counts, observations.action_counts.clone())
 }
 
 #[test]
-fn whatever_servers_do_each_client_gets_its_own_answer_and_nothing_runs_twice() {
+fn with_misbehaving_servers_clients_get_their_own_responses_and_nothing_runs_twice() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
-        let (mut told, mut done) = (Told::new(), BTreeMap::<String, u32>::new());
+        let (mut outcome_counts, mut action_counts) = (OutcomeCounts::new(), BTreeMap::<String, u32>::new());
         for seed in 1..=6 {
-            let (count, acts) = play(seed).await;
-            count.into_iter().for_each(|(what, times)| *told.entry(what).or_default() += times);
-            acts.into_iter().for_each(|(what, times)| *done.entry(what).or_default() += times);
+            let (counts, actions) = run_seed(seed).await;
+            counts.into_iter().for_each(|(name, times)| *outcome_counts.entry(name).or_default() += times);
+            actions.into_iter().for_each(|(name, times)| *action_counts.entry(name).or_default() += times);
         }
-        println!("{told:?}\n{done:?}");
-        // All of it was played, and all that may come of a request came.
-        let acts = ACTS.iter().map(|act| format!("whole: {act}"));
-        let acts = acts.chain(EARLY.iter().map(|act| format!("early: {act}")));
-        for act in acts.chain(FRAMES.iter().map(|frame| format!("frame: {frame}"))) {
-            assert!(done.contains_key(&act), "never done, {act}");
+        println!("{outcome_counts:?}\n{action_counts:?}");
+        // Each action was taken and each outcome occurred.
+        let actions = COMPLETE_REQUEST_ACTIONS.iter().map(|action| format!("complete request: {action}"));
+        let actions =
+            actions.chain(PARTIAL_REQUEST_ACTIONS.iter().map(|action| format!("partial request: {action}")));
+        for action in actions.chain(RESPONSE_FRAMINGS.iter().map(|framing| format!("framing: {framing}"))) {
+            assert!(action_counts.contains_key(&action), "action never taken: {action}");
         }
-        for what in ["answered", "not run", "unknown", "timed out", "client gone"] {
-            assert!(told.contains_key(what), "never told, {what}");
+        for name in ["answered", "not run", "unknown", "timed out", "client disconnected"] {
+            assert!(outcome_counts.contains_key(name), "outcome never occurred: {name}");
         }
     });
 }
