--- a/glenfall/tests/send_budget.rs
+++ b/glenfall/tests/send_budget.rs
@@ -1,5 +1,5 @@
-//! The send budget of a try, in every combination of what shields and servers may do, in simulated time: a try reaches no
-//! more servers than its route's `tries`, and ends without a good answer only where its sends are spent.
+//! The send budget of a client request, for every combination of shield and server behavior, in simulated time: a
+//! request reaches no more servers than its route's `tries`, and fails only when its sends are used up.
 
 use std::collections::BTreeSet;
 
@@ -11,197 +11,228 @@
 /// Milliseconds of simulated time.
 type Ms = u64;
 
-const DEADLINE: Ms = 4000;
-/// An answer that comes at once, and one that is late: after an edge has lost patience, before a server is given up.
-const PROMPT: Ms = 20;
-const LATE: Ms = 1400;
-const CONNECT: Ms = 300;
-/// As many servers as one try could be sent to if each of its senders chose others.
-const SERVERS: usize = 4;
+const DEADLINE_MS: Ms = 4000;
+/// Time to a fast response.
+const FAST_RESPONSE_MS: Ms = 20;
+/// Time to a slow response: longer than the hedge delay, shorter than the time-out of a server.
+const SLOW_RESPONSE_MS: Ms = 1400;
+/// Time until connecting to an unreachable shield fails.
+const CONNECT_FAILURE_MS: Ms = 300;
+/// The number of servers that one request could reach if each of its senders chose different ones.
+const SERVER_COUNT: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ServerActs {
-    Answers,
-    AnswersLate,
+enum ServerBehavior {
+    Responds,
+    RespondsLate,
     Fails,
     Resets,
     Hangs,
 }
 
-const SERVER_ACTS: [ServerActs; 5] =
-    [ServerActs::Answers, ServerActs::AnswersLate, ServerActs::Fails, ServerActs::Resets, ServerActs::Hangs];
+const SERVER_BEHAVIORS: [ServerBehavior; 5] = [
+    ServerBehavior::Responds,
+    ServerBehavior::RespondsLate,
+    ServerBehavior::Fails,
+    ServerBehavior::Resets,
+    ServerBehavior::Hangs,
+];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ShieldActs {
-    Well,
-    /// Its answers are under way for long.
-    AnswersLate,
-    /// It reads nothing.
+enum ShieldBehavior {
+    /// Fetches and responds.
+    Normal,
+    /// Fetches; its response arrives late.
+    RespondsLate,
+    /// Reads nothing.
     Frozen,
-    /// It fetches, and its answer is lost.
-    AnswerLost,
-    /// It fetches, and its connection is reset at once.
+    /// Fetches; its response is lost.
+    LosesResponse,
+    /// Fetches; its connection is reset early.
     Resets,
     Unreachable,
-    /// It lacks the edge's version.
-    Behind,
-    HasCopy,
-    /// Another try's fetch is under way there, which answers, or fails for want of sends.
-    JoinsGood,
-    JoinsShort,
+    /// Lacks the edge's version of the configuration.
+    OutdatedConfig,
+    /// Has a stored response.
+    HasStoredResponse,
+    /// Joins another request's fetch, which succeeds.
+    JoinsSuccessfulFetch,
+    /// Joins another request's fetch, which fails because its sends are used up.
+    JoinsExhaustedFetch,
 }
 
-const SHIELD_ACTS: [ShieldActs; 10] = [
-    ShieldActs::Well,
-    ShieldActs::AnswersLate,
-    ShieldActs::Frozen,
-    ShieldActs::AnswerLost,
-    ShieldActs::Resets,
-    ShieldActs::Unreachable,
-    ShieldActs::Behind,
-    ShieldActs::HasCopy,
-    ShieldActs::JoinsGood,
-    ShieldActs::JoinsShort,
+const SHIELD_BEHAVIORS: [ShieldBehavior; 10] = [
+    ShieldBehavior::Normal,
+    ShieldBehavior::RespondsLate,
+    ShieldBehavior::Frozen,
+    ShieldBehavior::LosesResponse,
+    ShieldBehavior::Resets,
+    ShieldBehavior::Unreachable,
+    ShieldBehavior::OutdatedConfig,
+    ShieldBehavior::HasStoredResponse,
+    ShieldBehavior::JoinsSuccessfulFetch,
+    ShieldBehavior::JoinsExhaustedFetch,
 ];
 
-/// A way to servers: it begins with one of its own, so that no two senders choose the same while they can.
+/// A process that sends to servers in turn. Each sender starts at a different server, so that two of them share one only
+/// when no other is left.
 struct Sender {
     next: usize,
 }
 
-struct World<'a> {
-    shields: &'a [ShieldActs],
-    servers: &'a [ServerActs; SERVERS],
+struct Simulation<'a> {
+    shields: &'a [ShieldBehavior],
+    servers: &'a [ServerBehavior; SERVER_COUNT],
     senders: Vec<Sender>,
     reached: BTreeSet<usize>,
-    /// How often a server was sent the request. Two senders may choose the same one.
-    sent: u32,
-    /// A good answer was on its way to the edge, and due by the deadline.
-    good_under_way: bool,
-    /// Sends that were lent to shields from which no report came.
-    unreported: u32,
+    /// How often the request was sent to any server; more than `reached` when two senders choose the same one.
+    send_count: u32,
+    /// Whether a successful response was on its way to the edge and due by the deadline.
+    success_in_flight: bool,
+    /// Sends lent to shields that did not report their use.
+    unreported_sends: u32,
 }
 
-/// How an ask ends for the edge, and when; `None` where it never does.
-struct Due {
+/// The end of an attempt as the edge sees it.
+struct AttemptOutcome {
+    /// `None` when the attempt never ends.
     at: Option<Ms>,
     end: AttemptEnd,
-    good: bool,
+    success: bool,
 }
 
-impl<'a> World<'a> {
-    fn new(shields: &'a [ShieldActs], servers: &'a [ServerActs; SERVERS]) -> Self {
+impl<'a> Simulation<'a> {
+    fn new(shields: &'a [ShieldBehavior], servers: &'a [ServerBehavior; SERVER_COUNT]) -> Self {
         let senders = (0..=MAX_SHIELD_ATTEMPTS).map(|next| Sender { next }).collect();
         let reached = BTreeSet::new();
-        World { shields, servers, senders, reached, sent: 0, good_under_way: false, unreported: 0 }
+        Simulation {
+            shields,
+            servers,
+            senders,
+            reached,
+            send_count: 0,
+            success_in_flight: false,
+            unreported_sends: 0,
+        }
     }
 
-    /// Sends to servers until one answers or the allowance is used. Returns when that ends, and whether well.
+    /// Sends to servers until one responds successfully or the allowance is used up. Returns when that ends, and whether it
+    /// succeeded.
     fn fetch(&mut self, sender: usize, began: Ms, allowance: Allowance) -> (Ms, bool, SendReport) {
         let mut sends = SendSequence::new(allowance.sends, true);
-        let (mut now, mut good) = (began, false);
-        while sends.may_begin() && now < DEADLINE {
-            let server = self.senders[sender].next % SERVERS;
+        let (mut now, mut success) = (began, false);
+        while sends.may_begin() && now < DEADLINE_MS {
+            let server = self.senders[sender].next % SERVER_COUNT;
             self.senders[sender].next += 1;
             self.reached.insert(server);
-            self.sent += 1;
+            self.send_count += 1;
             let another = sends.another_may_follow() || allowance.reserved_sends > 0;
-            let until = if another { now + (DEADLINE - now) / 2 } else { DEADLINE };
+            let timeout_at = if another { now + (DEADLINE_MS - now) / 2 } else { DEADLINE_MS };
             let (at, event) = match self.servers[server] {
-                ServerActs::Answers => (now + PROMPT, SendEvent::Success),
-                ServerActs::AnswersLate => (now + LATE, SendEvent::Success),
-                ServerActs::Fails => (now + PROMPT, SendEvent::Failure),
-                ServerActs::Resets => (now + PROMPT, SendEvent::Broken),
-                ServerActs::Hangs => (Ms::MAX, SendEvent::TimedOut),
+                ServerBehavior::Responds => (now + FAST_RESPONSE_MS, SendEvent::Success),
+                ServerBehavior::RespondsLate => (now + SLOW_RESPONSE_MS, SendEvent::Success),
+                ServerBehavior::Fails => (now + FAST_RESPONSE_MS, SendEvent::Failure),
+                ServerBehavior::Resets => (now + FAST_RESPONSE_MS, SendEvent::Broken),
+                ServerBehavior::Hangs => (Ms::MAX, SendEvent::TimedOut),
             };
-            let (at, event) = if at > until { (until, SendEvent::TimedOut) } else { (at, event) };
+            let (at, event) = if at > timeout_at { (timeout_at, SendEvent::TimedOut) } else { (at, event) };
             now = at;
-            good = event == SendEvent::Success;
+            success = event == SendEvent::Success;
             sends.record_end(SendStage::Answering, event, event == SendEvent::Failure);
         }
-        (now, good, SendReport { used: sends.used(), exhausted: sends.is_exhausted() })
+        (now, success, SendReport { used: sends.used(), exhausted: sends.is_exhausted() })
     }
 
-    fn ask_shield(&mut self, shield: usize, now: Ms, allowance: Allowance) -> Due {
-        let nothing_sent = |at, good, short| Due {
+    fn attempt_shield(&mut self, shield: usize, now: Ms, allowance: Allowance) -> AttemptOutcome {
+        let nothing_sent = |at, success, is_exhausted| AttemptOutcome {
             at: Some(at),
-            end: AttemptEnd::Answered(SendReport { used: 0, exhausted: short }),
-            good,
+            end: AttemptEnd::Answered(SendReport { used: 0, exhausted: is_exhausted }),
+            success,
         };
-        let acts = self.shields[shield];
-        match acts {
-            ShieldActs::Unreachable => Due { at: Some(now + CONNECT), end: AttemptEnd::NotSent, good: false },
-            ShieldActs::Behind => Due { at: Some(now + PROMPT), end: AttemptEnd::NotSent, good: false },
-            ShieldActs::Frozen => Due { at: None, end: AttemptEnd::ResponseLost, good: false },
-            ShieldActs::HasCopy => nothing_sent(now + PROMPT, true, false),
-            ShieldActs::JoinsGood => nothing_sent(now + PROMPT, true, false),
-            ShieldActs::JoinsShort => nothing_sent(now + PROMPT, false, true),
-            _ if allowance.sends == 0 => nothing_sent(now + PROMPT, false, true),
-            ShieldActs::Well | ShieldActs::AnswersLate => {
-                let (at, good, report) = self.fetch(shield, now, allowance);
-                let at = if acts == ShieldActs::Well { at } else { at + LATE };
-                Due { at: Some(at), end: AttemptEnd::Answered(report), good }
+        let behavior = self.shields[shield];
+        match behavior {
+            ShieldBehavior::Unreachable => AttemptOutcome {
+                at: Some(now + CONNECT_FAILURE_MS),
+                end: AttemptEnd::NotSent,
+                success: false,
+            },
+            ShieldBehavior::OutdatedConfig => {
+                AttemptOutcome { at: Some(now + FAST_RESPONSE_MS), end: AttemptEnd::NotSent, success: false }
+            }
+            ShieldBehavior::Frozen => {
+                AttemptOutcome { at: None, end: AttemptEnd::ResponseLost, success: false }
+            }
+            ShieldBehavior::HasStoredResponse => nothing_sent(now + FAST_RESPONSE_MS, true, false),
+            ShieldBehavior::JoinsSuccessfulFetch => nothing_sent(now + FAST_RESPONSE_MS, true, false),
+            ShieldBehavior::JoinsExhaustedFetch => nothing_sent(now + FAST_RESPONSE_MS, false, true),
+            _ if allowance.sends == 0 => nothing_sent(now + FAST_RESPONSE_MS, false, true),
+            ShieldBehavior::Normal | ShieldBehavior::RespondsLate => {
+                let (at, success, report) = self.fetch(shield, now, allowance);
+                let at = if behavior == ShieldBehavior::Normal { at } else { at + SLOW_RESPONSE_MS };
+                AttemptOutcome { at: Some(at), end: AttemptEnd::Answered(report), success }
             }
-            ShieldActs::AnswerLost | ShieldActs::Resets => {
+            ShieldBehavior::LosesResponse | ShieldBehavior::Resets => {
                 self.fetch(shield, now, allowance);
-                let at = (acts == ShieldActs::Resets).then_some(now + PROMPT);
-                Due { at, end: AttemptEnd::ResponseLost, good: false }
+                let at = (behavior == ShieldBehavior::Resets).then_some(now + FAST_RESPONSE_MS);
+                AttemptOutcome { at, end: AttemptEnd::ResponseLost, success: false }
             }
         }
     }
 
-    fn ask_servers(&mut self, now: Ms, allowance: Allowance) -> Due {
-        let (at, good, report) = self.fetch(MAX_SHIELD_ATTEMPTS, now, allowance);
-        Due { at: Some(at), end: AttemptEnd::Answered(report), good }
+    fn attempt_servers(&mut self, now: Ms, allowance: Allowance) -> AttemptOutcome {
+        let (at, success, report) = self.fetch(MAX_SHIELD_ATTEMPTS, now, allowance);
+        AttemptOutcome { at: Some(at), end: AttemptEnd::Answered(report), success }
     }
 
-    /// Plays one read as an edge does; says whether it got a good answer by its deadline.
-    fn play(&mut self, tries: u32) -> bool {
+    /// Simulates one read by an edge. Returns whether it got a successful response by the deadline.
+    fn simulate_read(&mut self, tries: u32) -> bool {
         let mut plan = ReadPlan::new(tries);
-        let mut asks: Vec<(usize, Option<usize>, Due)> = Vec::new();
+        let mut attempts: Vec<(usize, Option<usize>, AttemptOutcome)> = Vec::new();
         let mut unresponsive: Vec<usize> = Vec::new();
-        let (mut now, mut silent_at) = (0, None);
+        let (mut now, mut hedge_at) = (0, None);
         loop {
             let shields_left = self.shields.len() - unresponsive.len();
             match plan.next(shields_left) {
                 next @ NextStep::TryShield { allowance } => {
                     let shield = (0..self.shields.len()).find(|shield| !unresponsive.contains(shield));
-                    let shield = shield.expect("one is left");
+                    let shield = shield.expect("a shield that is not unresponsive");
                     let number = plan.begin_attempt(next);
-                    let beside = plan.can_hedge(shields_left - 1);
-                    silent_at = beside.then(|| (shield, now + ((DEADLINE - now) / 4).max(200)));
-                    let due = self.ask_shield(shield, now, allowance);
-                    self.under_way(&due, allowance);
-                    asks.push((number, Some(shield), due));
+                    let may_hedge = plan.can_hedge(shields_left - 1);
+                    hedge_at = may_hedge.then(|| (shield, now + ((DEADLINE_MS - now) / 4).max(200)));
+                    let outcome = self.attempt_shield(shield, now, allowance);
+                    self.record_attempt(&outcome, allowance);
+                    attempts.push((number, Some(shield), outcome));
                 }
                 next @ NextStep::TryServers { allowance } => {
                     let number = plan.begin_attempt(next);
-                    let due = self.ask_servers(now, allowance);
-                    self.under_way(&due, allowance);
-                    asks.push((number, None, due));
+                    let outcome = self.attempt_servers(now, allowance);
+                    self.record_attempt(&outcome, allowance);
+                    attempts.push((number, None, outcome));
                 }
                 NextStep::GiveUp => return false,
                 NextStep::Wait => {
-                    let first =
-                        (0..asks.len()).filter(|at| asks[*at].2.at.is_some()).min_by_key(|at| asks[*at].2.at);
-                    let due = first.and_then(|first| asks[first].2.at).unwrap_or(Ms::MAX);
-                    let silent = silent_at.map_or(Ms::MAX, |(_, at)| at);
-                    now = due.min(silent);
-                    if now > DEADLINE {
+                    let first = (0..attempts.len())
+                        .filter(|at| attempts[*at].2.at.is_some())
+                        .min_by_key(|at| attempts[*at].2.at);
+                    let next_end = first.and_then(|first| attempts[first].2.at).unwrap_or(Ms::MAX);
+                    let hedge_time = hedge_at.map_or(Ms::MAX, |(_, at)| at);
+                    now = next_end.min(hedge_time);
+                    if now > DEADLINE_MS {
                         return false;
                     }
-                    if due <= silent {
-                        let (number, shield, due) = asks.remove(first.expect("it is due"));
-                        if silent_at.is_some_and(|(silent, _)| Some(silent) == shield) {
-                            silent_at = None;
+                    if next_end <= hedge_time {
+                        let (number, shield, outcome) =
+                            attempts.remove(first.expect("an attempt with an end"));
+                        if hedge_at.is_some_and(|(hedged, _)| Some(hedged) == shield) {
+                            hedge_at = None;
                         }
-                        if plan.end_attempt(number, due.end) == Verdict::Final {
-                            return due.good;
+                        if plan.end_attempt(number, outcome.end) == Verdict::Final {
+                            return outcome.success;
                         }
-                        if !matches!(due.end, AttemptEnd::Answered(_)) {
+                        if !matches!(outcome.end, AttemptEnd::Answered(_)) {
                             unresponsive.extend(shield.filter(|shield| !unresponsive.contains(shield)));
                         }
-                    } else if let Some((shield, _)) = silent_at.take() {
+                    } else if let Some((shield, _)) = hedge_at.take() {
                         plan.hedge_delay_passed();
                         unresponsive.push(shield);
                     }
@@ -210,15 +241,15 @@
         }
     }
 
-    fn under_way(&mut self, due: &Due, allowance: Allowance) {
-        self.good_under_way |= due.good && due.at.is_some_and(|at| at <= DEADLINE);
-        if due.end == AttemptEnd::ResponseLost {
-            self.unreported += allowance.sends;
+    fn record_attempt(&mut self, outcome: &AttemptOutcome, allowance: Allowance) {
+        self.success_in_flight |= outcome.success && outcome.at.is_some_and(|at| at <= DEADLINE_MS);
+        if outcome.end == AttemptEnd::ResponseLost {
+            self.unreported_sends += allowance.sends;
         }
     }
 }
 
-/// All lists of a length whose members are of a set.
+/// All lists of this length with elements of the set.
 fn lists<T: Copy>(set: &[T], length: usize) -> Vec<Vec<T>> {
     (0..length).fold(vec![Vec::new()], |lists, _| {
         let longer = lists.iter().flat_map(|list| set.iter().map(|next| [&list[..], &[*next]].concat()));
@@ -226,59 +257,70 @@
     })
 }
 
-/// Plays every combination of so many shields.
-fn play_all(shields: usize) {
-    let server_lists: Vec<[ServerActs; SERVERS]> =
-        lists(&SERVER_ACTS, SERVERS).into_iter().map(|list| list.try_into().expect("as many")).collect();
-    for shields in lists(&SHIELD_ACTS, shields) {
+/// Checks every combination of server behavior with this number of shields.
+fn check_all_combinations(shields: usize) {
+    let server_lists: Vec<[ServerBehavior; SERVER_COUNT]> = lists(&SERVER_BEHAVIORS, SERVER_COUNT)
+        .into_iter()
+        .map(|list| list.try_into().expect("one behavior per server"))
+        .collect();
+    for shields in lists(&SHIELD_BEHAVIORS, shields) {
         for servers in &server_lists {
             for tries in 1..=3 {
-                play_one(&shields, servers, tries);
+                check_combination(&shields, servers, tries);
             }
         }
     }
 }
 
-fn play_one(shields: &[ShieldActs], servers: &[ServerActs; SERVERS], tries: u32) {
-    let mut world = World::new(shields, servers);
-    let good = world.play(tries);
+fn check_combination(shields: &[ShieldBehavior], servers: &[ServerBehavior; SERVER_COUNT], tries: u32) {
+    let mut simulation = Simulation::new(shields, servers);
+    let success = simulation.simulate_read(tries);
     let case = || format!("{tries} tries, {shields:?}, {servers:?}");
-    let reached = world.reached.len() as u32;
+    let reached = simulation.reached.len() as u32;
     assert!(reached <= tries, "{}: {reached} servers reached", case());
-    assert!(world.sent <= tries, "{}: sent {} times", case(), world.sent);
-    assert!(good || !world.good_under_way, "{}: a good answer was on its way", case());
-    // A fetch whose answer was lost may have used less than it was lent.
-    assert!(good || world.sent + world.unreported >= tries, "{}: sends were left over", case());
+    assert!(simulation.send_count <= tries, "{}: sent {} times", case(), simulation.send_count);
+    assert!(
+        success || !simulation.success_in_flight,
+        "{}: failed though a successful response was on its way",
+        case()
+    );
+    // A fetch whose response was lost may have used fewer sends than it was lent.
+    assert!(
+        success || simulation.send_count + simulation.unreported_sends >= tries,
+        "{}: failed with sends left over",
+        case()
+    );
 }
 
 #[test]
-fn a_try_reaches_no_more_servers_than_allowed_and_uses_what_it_may() {
+fn a_request_reaches_at_most_tries_servers_and_fails_only_without_sends_left() {
     for shields in 0..=3 {
-        play_all(shields);
+        check_all_combinations(shields);
     }
 }
 
 #[test]
-fn with_a_second_send_a_dark_shield_does_not_end_a_try() {
-    use ShieldActs::{AnswerLost, Behind, Frozen, Resets, Unreachable, Well};
-    for first in [Frozen, AnswerLost, Resets, Unreachable, Behind] {
-        for others in [&[Well][..], &[Unreachable, Well], &[Behind], &[]] {
+fn with_a_second_send_one_unresponsive_shield_does_not_fail_a_read() {
+    use ShieldBehavior::{Frozen, LosesResponse, Normal, OutdatedConfig, Resets, Unreachable};
+    for first in [Frozen, LosesResponse, Resets, Unreachable, OutdatedConfig] {
+        for others in [&[Normal][..], &[Unreachable, Normal], &[OutdatedConfig], &[]] {
             for tries in 2..=3 {
                 let shields = [&[first], others].concat();
-                let good = World::new(&shields, &[ServerActs::Answers; SERVERS]).play(tries);
-                assert!(good, "{tries} tries, {shields:?}");
+                let success =
+                    Simulation::new(&shields, &[ServerBehavior::Responds; SERVER_COUNT]).simulate_read(tries);
+                assert!(success, "{tries} tries, {shields:?}");
             }
         }
     }
 }
 
 #[test]
-fn with_no_send_left_a_copy_still_answers() {
-    use ShieldActs::{AnswerLost, Frozen, HasCopy, JoinsGood, Resets};
-    for first in [Frozen, AnswerLost, Resets] {
-        for second in [HasCopy, JoinsGood] {
+fn with_no_send_left_a_stored_response_still_serves_a_read() {
+    use ShieldBehavior::{Frozen, HasStoredResponse, JoinsSuccessfulFetch, LosesResponse, Resets};
+    for first in [Frozen, LosesResponse, Resets] {
+        for second in [HasStoredResponse, JoinsSuccessfulFetch] {
             assert!(
-                World::new(&[first, second], &[ServerActs::Hangs; SERVERS]).play(1),
+                Simulation::new(&[first, second], &[ServerBehavior::Hangs; SERVER_COUNT]).simulate_read(1),
                 "{first:?}, {second:?}"
             );
         }
@@ -286,7 +328,7 @@
 }
 
 #[test]
-fn a_budget_takes_back_what_was_certainly_not_used_and_nothing_else() {
+fn a_budget_regains_only_sends_that_were_certainly_not_used() {
     let report = |used| Usage::Reported(SendReport { used, exhausted: true });
     for (usage, left) in [
         (Usage::Unused, 3),
@@ -294,7 +336,7 @@
         (report(0), 3),
         (report(1), 2),
         (report(2), 1),
-        // More than was lent: nothing comes back.
+        // A report of more than was lent returns nothing.
         (report(9), 1),
     ] {
         let mut budget = SendBudget::new(3);
@@ -309,15 +351,15 @@
 }
 
 #[test]
-fn allowances_and_reports_are_read_as_they_were_written() {
+fn allowances_and_reports_survive_encoding_and_decoding() {
     let headers = |value: HeaderValue| HeaderMap::from_iter([(SENDS_HEADER, value)]);
     for sends in 0..=3 {
-        for held_back in 0..=1 {
-            let allowance = Allowance { sends, reserved_sends: held_back };
+        for reserved in 0..=1 {
+            let allowance = Allowance { sends, reserved_sends: reserved };
             assert_eq!(Allowance::from_request(&headers(allowance.encode()), 3), allowance);
         }
-        for short in [false, true] {
-            let report = SendReport { used: sends, exhausted: short };
+        for is_exhausted in [false, true] {
+            let report = SendReport { used: sends, exhausted: is_exhausted };
             assert_eq!(SendReport::from_response(&headers(report.encode())), Some(report));
         }
     }
