--- a/glenfall/tests/bounds.rs
+++ b/glenfall/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! What lies on disk beside the state stays within its bounds, however much comes.
+//! Bounds on the disk space of the purge log and of the disk cache, and on the size of a purge snapshot, under load.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -22,107 +22,113 @@
     files.filter_map(|file| file.metadata().ok()).map(|file| file.len()).sum()
 }
 
-/// Opens the log once whoever had it before has let go of it.
+/// Opens the purge log and reads its records. Retries for 10 s while it is empty, as the writing thread of a dropped log
+/// may still have the file open.
 fn open_log(folder: &Path) -> (PurgeLog, Vec<PurgeRecord>) {
     let began = Instant::now();
     loop {
-        let (log, found) = PurgeLog::open(folder).unwrap();
-        if !found.is_empty() || began.elapsed() > Duration::from_secs(10) {
-            return (log, found);
+        let (purge_log, records) = PurgeLog::open(folder).unwrap();
+        if !records.is_empty() || began.elapsed() > Duration::from_secs(10) {
+            return (purge_log, records);
         }
-        drop(log);
+        drop(purge_log);
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn a_storm_of_purges_takes_no_more_of_the_disk_than_those_that_are_remembered() {
+fn many_purges_take_no_more_disk_space_than_the_retained_ones() {
     let folder = folder("purges");
-    let (log, _) = PurgeLog::open(&folder).unwrap();
-    // Of the length of a long path; thrice as many as are remembered.
-    let stamped = |number: u64| PurgeRecord {
+    let (purge_log, _) = PurgeLog::open(&folder).unwrap();
+    // Labels as long as a long path, and three times as many purges as are retained.
+    let record = |number: u64| PurgeRecord {
         origin: [10, 0, 0, 1].into(),
         incarnation: 7,
         number,
         age_ms: 0,
         purge: Purge::Label(format!("{number:0200}")),
     };
-    for some in 0..3 * MAX_PURGES as u64 / 512 {
-        log.write((some * 512..(some + 1) * 512).map(stamped).collect()).blocking_recv().unwrap();
+    for batch in 0..3 * MAX_PURGES as u64 / 512 {
+        purge_log.write((batch * 512..(batch + 1) * 512).map(record).collect()).blocking_recv().unwrap();
     }
-    // The purges, half-empty pages, and a log of 1,000 pages that SQLite plays back at that length.
+    // 500 bytes per retained purge, half-empty pages included, and the write-ahead log, which SQLite checkpoints at 1,000
+    // pages.
     let size = bytes_in(&folder);
     assert!(size < MAX_PURGES as u64 * 500 + 1100 * 4096, "{size} bytes on disk");
-    drop(log);
-    let (_log, found) = open_log(&folder);
-    assert_eq!(found.len(), MAX_PURGES + 1, "one more than are remembered");
-    assert_eq!(found.last().unwrap().number, 3 * MAX_PURGES as u64 - 1, "the newest");
+    drop(purge_log);
+    let (_purge_log, records) = open_log(&folder);
+    assert_eq!(records.len(), MAX_PURGES + 1, "one more than are retained");
+    assert_eq!(records.last().unwrap().number, 3 * MAX_PURGES as u64 - 1, "the newest purge");
     let mut purges = PurgeHistory::default();
-    purges.add(0, found);
+    purges.add(0, records);
     assert_eq!(
         purges.missed(0),
         [AgedPurge { purge: Purge::Everything, age_ms: 0 }],
-        "others are known to be missing"
+        "purges are known to be missing"
     );
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn copies_on_disk_stay_within_their_part_whatever_is_done_to_them() {
+fn the_disk_cache_stays_within_its_share_of_the_disk_through_writes_and_removals() {
     const DISK_MB: u64 = 128;
     let folder = folder("copies");
-    let (kept, _found) = DiskCache::open(&folder, DISK_MB).unwrap();
+    let (cache, _stored) = DiskCache::open(&folder, DISK_MB).unwrap();
     let key =
         |n: u64| ObjectKey { service: "s".into(), host: "h".into(), path: format!("/{n}").as_str().into() };
     let body = Bytes::from(vec![7; 6000]);
-    let (mut most, mut log) = (0, 0);
-    let mut look = || {
-        most = most.max(bytes_in(&folder));
-        log = log.max(std::fs::metadata(folder.join("copies.sqlite-wal")).map_or(0, |file| file.len()));
+    let (mut max_bytes, mut wal_bytes) = (0, 0);
+    let mut measure = || {
+        max_bytes = max_bytes.max(bytes_in(&folder));
+        wal_bytes =
+            wal_bytes.max(std::fs::metadata(folder.join("copies.sqlite-wal")).map_or(0, |file| file.len()));
         std::thread::sleep(Duration::from_millis(10));
     };
-    // 48 MB of copies, of pages that are then touched all at once, again and again, and all removed.
+    // 48 MB of responses, all of which are revalidated five times and then removed.
     for n in 0..8000 {
-        // What finds no place in the queue is not written: the thread that writes may be far behind on a busy machine.
-        while kept.queued_bytes() + body.len() > MAX_QUEUED_BODY_BYTES {
-            look();
+        // A full queue drops responses, and the writing thread may be far behind on a busy machine.
+        while cache.queued_bytes() + body.len() > MAX_QUEUED_BODY_BYTES {
+            measure();
         }
-        kept.put(&key(n), &HeaderMap::new(), &[], &body, Duration::ZERO);
+        cache.put(&key(n), &HeaderMap::new(), &[], &body, Duration::ZERO);
         if n % 200 == 0 {
-            look();
+            measure();
         }
     }
     for _ in 0..5 {
-        (0..8000).for_each(|n| kept.revalidated(&key(n), Duration::ZERO));
-        (0..50).for_each(|_| look());
+        (0..8000).for_each(|n| cache.revalidated(&key(n), Duration::ZERO));
+        (0..50).for_each(|_| measure());
     }
-    kept.remove(&(0..8000).map(key).collect::<Vec<_>>());
-    (0..200).for_each(|_| look());
-    // The log: twice its pages, and the copies that wait. The file: its part.
+    cache.remove(&(0..8000).map(key).collect::<Vec<_>>());
+    (0..200).for_each(|_| measure());
+    // The file may take 55 % of the disk space; the write-ahead log twice its page limit of 8 MB and the queued responses.
     let bounds = [DISK_MB * (1 << 20) * 55 / 100, (2 * 8 + 8) * (1 << 20)];
-    println!("{most} bytes on disk at most, {log} of them the log; bounds {bounds:?}");
-    assert!(log <= bounds[1], "{log} bytes of log, {} are the most", bounds[1]);
-    assert!(most > 48_000_000 && most <= bounds[0] + bounds[1], "{most} bytes on disk");
+    println!("at most {max_bytes} bytes on disk and {wal_bytes} bytes of write-ahead log; bounds {bounds:?}");
+    assert!(wal_bytes <= bounds[1], "write-ahead log of {wal_bytes} bytes, above the bound of {}", bounds[1]);
+    assert!(max_bytes > 48_000_000 && max_bytes <= bounds[0] + bounds[1], "{max_bytes} bytes on disk");
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn all_purges_that_are_remembered_fit_in_one_frame_however_long_they_are() {
+fn all_retained_purges_fit_in_one_frame_however_long_they_are() {
     let mut purges = PurgeHistory::default();
-    let long = |number: u64| {
-        // As long as a caller may make them.
+    let longest_purge = |number: u64| {
+        // The longest purge that a caller may request.
         let purge = Purge::Object { hostname: "h".repeat(8 << 10), path: "/p".repeat(4 << 10) };
         PurgeRecord { origin: [10, 0, 0, 1].into(), incarnation: u64::MAX, number, age_ms: 0, purge }
     };
     for number in 0..1000 {
-        assert_eq!(purges.add(number, vec![long(number)]).len(), 1);
-        let frame = postcard::to_stdvec(&purges.snapshot(number)).unwrap().len();
-        assert!(frame < MAX_FRAME_BYTES - (MAX_FRAME_BYTES >> 4), "{frame} bytes after {number}");
+        assert_eq!(purges.add(number, vec![longest_purge(number)]).len(), 1);
+        let frame_bytes = postcard::to_stdvec(&purges.snapshot(number)).unwrap().len();
+        assert!(
+            frame_bytes < MAX_FRAME_BYTES - (MAX_FRAME_BYTES >> 4),
+            "frame of {frame_bytes} bytes after purge {number}"
+        );
     }
     assert_eq!(purges.missed(1000), [AgedPurge { purge: Purge::Everything, age_ms: 0 }]);
-    // Short ones as well, whose numbers are longer than what they name.
+    // Also short purges, whose numbers take more bytes than their labels.
     let mut purges = PurgeHistory::default();
-    let short = |number: u64| {
+    let short_purge = |number: u64| {
         let purge = Purge::Label("l".into());
         PurgeRecord {
             origin: [10, 0, 0, 1].into(),
@@ -132,7 +138,7 @@
             purge,
         }
     };
-    purges.add(0, (0..MAX_PURGES as u64).map(short).collect());
+    purges.add(0, (0..MAX_PURGES as u64).map(short_purge).collect());
     assert_eq!(purges.snapshot(0).len(), MAX_PURGES);
     assert!(postcard::to_stdvec(&purges.snapshot(0)).unwrap().len() < MAX_FRAME_BYTES / 2);
 }
--- a/glenfall/tests/core.rs
+++ b/glenfall/tests/core.rs
@@ -1,5 +1,5 @@
-//! Three control nodes as processes on loopback: frozen and woken, cut off from a majority, killed, with damaged
-//! and with lost disks.
+//! Three control nodes as processes on loopback: suspended and resumed, without a majority, killed, with damaged state
+//! files and restored from a backup.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use common::{request, wait_until, System, EDGE_MACHINE, WAIT_TIMEOUT};
 
 #[test]
-fn a_core_machine_that_was_frozen_is_taken_into_the_chain_again_and_stays() {
+fn a_suspended_control_node_rejoins_the_chain_after_it_resumes_and_stays() {
     let mut core = System::start(&["control"], &["agent"]);
     core.wait_for_chain(&[1, 2, 3], 3);
     let before = core.disconnect_count();
@@ -16,168 +16,191 @@
     core.wait_for_chain(&[1, 3], 2);
     core.signal(2, "control", "-CONT");
     core.wait_for_chain(&[1, 2, 3], 3);
-    // Each of the four ends may count the loss, and the frozen side once more when it wakes to what has come.
+    // Each end of the two links may log the loss, and the suspended node once more when it resumes and reads what arrived
+    // meanwhile.
     let losses = core.disconnect_count() - before;
-    assert!(losses <= 8, "{losses} times a link was lost");
-    // Links that flap would have been lost again by now: they did within two seconds.
+    assert!(losses <= 8, "{losses} link losses were logged");
+    // A past fault made the links flap: they were lost again within two seconds.
     std::thread::sleep(Duration::from_millis(2500));
     assert_eq!(core.disconnect_count() - before, losses);
     core.wait_for_chain(&[1, 2, 3], 3);
 }
 
 #[test]
-fn a_control_node_without_a_majority_turns_its_agents_away() {
+fn a_control_node_without_a_majority_ends_the_sessions_of_its_agents() {
     let mut core = System::start(&["control"], &["agent"]);
     core.wait_for_chain(&[1, 2, 3], 3);
     let began = std::time::Instant::now();
-    let at = loop {
-        assert!(began.elapsed() < WAIT_TIMEOUT, "the agent finds control");
+    let connected_node = loop {
+        assert!(
+            began.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting for: the agent has a session at a control node"
+        );
         if let Some(n) = (1..=3).find(|n| core.session_count(*n) == Some(1)) {
             break n;
         }
         std::thread::sleep(Duration::from_millis(50));
     };
-    for other in (1..=3).filter(|n| *n != at) {
+    for other in (1..=3).filter(|n| *n != connected_node) {
         core.signal(other, "control", "-STOP");
     }
     let began = std::time::Instant::now();
-    while core.session_count(at) != Some(0) {
-        assert!(began.elapsed() < WAIT_TIMEOUT, "the agent is kept by a node that knows nothing new");
+    while core.session_count(connected_node) != Some(0) {
+        assert!(
+            began.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting for: the node without a majority ends the agent's session"
+        );
         std::thread::sleep(Duration::from_millis(50));
     }
-    assert_eq!(core.status(at).unwrap()["inMajority"], false);
-    for other in (1..=3).filter(|n| *n != at) {
+    assert_eq!(core.status(connected_node).unwrap()["inMajority"], false);
+    for other in (1..=3).filter(|n| *n != connected_node) {
         core.signal(other, "control", "-CONT");
     }
     let began = std::time::Instant::now();
     while (1..=3).filter_map(|n| core.session_count(n)).sum::<usize>() != 1 {
-        assert!(began.elapsed() < WAIT_TIMEOUT, "the agent comes back");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "timed out waiting for: the agent has one session again");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// What a control node knows of a server: whether it takes requests.
-fn server(core: &System, n: u8, id: &str) -> Option<bool> {
+/// Whether a server is ready according to a control node; `None` when the node does not know the server.
+fn is_server_ready(core: &System, n: u8, id: &str) -> Option<bool> {
     let status = core.status(n)?;
     let server = status["servers"].as_array()?.iter().find(|server| server["id"] == id)?;
     server["ready"].as_bool()
 }
 
 #[test]
-fn that_a_server_drains_is_acknowledged_once_all_control_nodes_know_it() {
+fn draining_is_acknowledged_once_all_connected_control_nodes_know_it() {
     let mut core = System::start(&["control"], &["agent"]);
     core.wait_for_chain(&[1, 2, 3], 3);
-    let beat = |core: &System, status: &str, seq: u32| {
+    let send_heartbeat = |core: &System, status: &str, seq: u32| {
         let body = format!(
             r#"{{"backend":"s","addr":"127.0.0.1:9","zone":"z","capacity":1,"status":"{status}","callSeq":{seq}}}"#
         );
-        request(core.control_addr(1), "PUT /api/servers/i-1", "Host: c\r\n", &body).map_or(0, |heard| heard.0)
+        request(core.control_addr(1), "PUT /api/servers/i-1", "Host: c\r\n", &body)
+            .map_or(0, |response| response.0)
     };
-    wait_until("a beat is taken", || beat(&core, "ready", 1) == 200);
-    wait_until("the others hear of it", || (2..=3).all(|n| server(&core, n, "i-1") == Some(true)));
+    wait_until("a heartbeat is accepted", || send_heartbeat(&core, "ready", 1) == 200);
+    wait_until("the other control nodes know the server", || {
+        (2..=3).all(|n| is_server_ready(&core, n, "i-1") == Some(true))
+    });
     core.signal(2, "control", "-STOP");
-    let first = beat(&core, "draining", 2);
-    let peers = core.status(1).expect("it answers")["peers"].clone();
-    let counted_on = peers.as_array().is_some_and(|peers| peers.iter().any(|peer| peer == "127.0.8.2"));
-    assert!(first == 503 || !counted_on, "{first}, though a node that is there has not said that it knows");
-    // Once that node is known to be lost, the others are all there are.
-    wait_until("it is acknowledged", || beat(&core, "draining", 3) == 200);
-    assert_eq!(server(&core, 3, "i-1"), Some(false));
+    let first_status = send_heartbeat(&core, "draining", 2);
+    let peers = core.status(1).expect("the status of node 1")["peers"].clone();
+    let peer_is_connected =
+        peers.as_array().is_some_and(|peers| peers.iter().any(|peer| peer == "127.0.8.2"));
+    assert!(
+        first_status == 503 || !peer_is_connected,
+        "{first_status}, though a connected peer has not acknowledged the draining"
+    );
+    // Once the node is known to be lost, only the others must acknowledge.
+    wait_until("the draining is acknowledged", || send_heartbeat(&core, "draining", 3) == 200);
+    assert_eq!(is_server_ready(&core, 3, "i-1"), Some(false));
     core.signal(2, "control", "-CONT");
-    wait_until("whoever comes back hears of it", || server(&core, 2, "i-1") == Some(false));
-    // A second goodbye is as good as the first.
-    let goodbye = || request(core.control_addr(3), "DELETE /api/servers/i-1", "Host: c\r\n", "").map(|h| h.0);
-    wait_until("a goodbye is taken", || goodbye() == Some(200));
-    assert_eq!(goodbye(), Some(200));
-    wait_until("none knows it any more", || (1..=3).all(|n| server(&core, n, "i-1").is_none()));
+    wait_until("the resumed node knows that the server is draining", || {
+        is_server_ready(&core, 2, "i-1") == Some(false)
+    });
+    // Deregistration is idempotent.
+    let deregister = || {
+        request(core.control_addr(3), "DELETE /api/servers/i-1", "Host: c\r\n", "").map(|response| response.0)
+    };
+    wait_until("a deregistration is accepted", || deregister() == Some(200));
+    assert_eq!(deregister(), Some(200));
+    wait_until("no control node knows the server", || {
+        (1..=3).all(|n| is_server_ready(&core, n, "i-1").is_none())
+    });
 }
 
 #[test]
-fn damage_is_repaired_from_the_chain_and_a_lost_core_from_a_backup() {
+fn damaged_state_is_repaired_from_the_chain_and_lost_state_from_a_backup() {
     let mut core = System::start(&["control"], &["agent"]);
     core.wait_for_chain(&[1, 2, 3], 3);
     let document = r#"{"rev": 5, "paths": [], "backends": [{"name": "s"}]}"#;
     std::fs::write(core.folder.join("five.json"), document).unwrap();
-    let at = core.control_addr_text(2);
-    let put = core.run_command(&["config", "put", "--control", &at, "--builds-on", "0", "five.json"]);
-    assert!(put.0, "{}", put.1);
-    let exported = core.run_command(&["state", "export", "--control", &at, "backup.json"]);
+    let control = core.control_addr_text(2);
+    let stored = core.run_command(&["config", "put", "--control", &control, "--builds-on", "0", "five.json"]);
+    assert!(stored.0, "{}", stored.1);
+    let exported = core.run_command(&["state", "export", "--control", &control, "backup.json"]);
     assert_eq!(exported, (true, "configuration 5, change 1, exported\n".into()));
-    let again = core.run_command(&["state", "export", "--control", &at, "backup.json"]);
-    assert!(!again.0, "a backup is not written over");
-    let (held, why) = core.run_command(&["state", "verify", "state-1"]);
-    assert!(!held && why.contains("locked"), "{why}");
+    let second_export = core.run_command(&["state", "export", "--control", &control, "backup.json"]);
+    assert!(!second_export.0, "an existing backup must not be overwritten");
+    let (verified, error) = core.run_command(&["state", "verify", "state-1"]);
+    assert!(!verified && error.contains("locked"), "{error}");
 
     core.restart_control_nodes(|core| {
-        let (whole, said) = core.run_command(&["state", "verify", "state-1"]);
-        assert!(whole && said.starts_with("configuration 5, change 1, "), "{said}");
-        // The newest byte of the row lies at the end of the second page, where cells grow from.
+        let (verified, output) = core.run_command(&["state", "verify", "state-1"]);
+        assert!(verified && output.starts_with("configuration 5, change 1, "), "{output}");
+        // Cells are stored from the end of a page downwards: the newest row ends where the second page does.
         let path = core.state_dir(1).join("state.sqlite");
         let mut bytes = std::fs::read(&path).unwrap();
         bytes[2 * 4096 - 12] ^= 1;
         std::fs::write(path, bytes).unwrap();
-        let (whole, why) = core.run_command(&["state", "verify", "state-1"]);
-        assert!(!whole && why.contains("state on disk") && why.lines().count() == 1, "{why}");
+        let (verified, error) = core.run_command(&["state", "verify", "state-1"]);
+        assert!(!verified && error.contains("state on disk") && error.lines().count() == 1, "{error}");
     });
     core.wait_for_chain(&[1, 2, 3], 3);
     let log = std::fs::read_to_string(core.log_path(1)).unwrap();
     assert_eq!(log.matches("state set aside").count(), 1);
-    let read = core.run_command(&["config", "get", "--control", &core.control_addr_text(1)]);
-    assert_eq!(read, (true, format!("{document}\n")));
+    let current = core.run_command(&["config", "get", "--control", &core.control_addr_text(1)]);
+    assert_eq!(current, (true, format!("{document}\n")));
 
     core.restart_control_nodes(|core| {
         for n in 1..=3 {
             std::fs::remove_dir_all(core.state_dir(n)).unwrap();
             let into = format!("state-{n}");
-            let told = core.run_command(&["state", "import", "backup.json", "--into", &into]);
-            assert_eq!(told, (true, "configuration 5, change 1, imported\n".into()));
-            let (twice, why) = core.run_command(&["state", "import", "backup.json", "--into", &into]);
-            assert!(!twice && why.contains("is in the way"), "{why}");
+            let imported = core.run_command(&["state", "import", "backup.json", "--into", &into]);
+            assert_eq!(imported, (true, "configuration 5, change 1, imported\n".into()));
+            let (imported_again, error) =
+                core.run_command(&["state", "import", "backup.json", "--into", &into]);
+            assert!(!imported_again && error.contains("is in the way"), "{error}");
         }
     });
     core.wait_for_chain(&[1, 2, 3], 3);
-    let read = core.run_command(&["config", "get", "--control", &core.control_addr_text(3)]);
-    assert_eq!(read, (true, format!("{document}\n")));
-    // The restored core goes on where the old one was.
+    let current = core.run_command(&["config", "get", "--control", &core.control_addr_text(3)]);
+    assert_eq!(current, (true, format!("{document}\n")));
+    // The restored control nodes continue from the version of the backup.
     std::fs::write(core.folder.join("seven.json"), document.replace('5', "7")).unwrap();
-    let stale = core.run_command(&["config", "put", "--control", &at, "--builds-on", "4", "seven.json"]);
+    let stale = core.run_command(&["config", "put", "--control", &control, "--builds-on", "4", "seven.json"]);
     assert!(!stale.0 && stale.1.contains("412"), "{}", stale.1);
-    let put = core.run_command(&["config", "put", "--control", &at, "--builds-on", "5", "seven.json"]);
-    assert!(put.0, "{}", put.1);
+    let stored =
+        core.run_command(&["config", "put", "--control", &control, "--builds-on", "5", "seven.json"]);
+    assert!(stored.0, "{}", stored.1);
 }
 
 #[test]
-fn orders_taken_before_a_backup_are_confirmed_after_it_and_the_numbers_of_lost_ones_are_not_taken_again() {
+fn after_a_restore_changes_in_the_backup_are_confirmed_and_lost_version_numbers_are_not_reused() {
     let mut core = System::start(&["control"], &[]);
     core.wait_for_chain(&[1, 2, 3], 3);
     let document =
         |rev: u64, note: &str| format!(r#"{{"rev":{rev},"paths":[],"backends":[],"note":"{note}"}}"#);
     let patch =
         |rev: u64, name: &str| format!(r#"{{"rev":{rev},"upsert":{{"backends":[{{"name":"{name}"}}]}}}}"#);
-    // The same order is sent until its answer is clear; what may have been taken too long ago never gets one.
-    let told = |core: &System, n: u8, method: &str, builds_on: u64, body: &str| {
+    // Repeats the same change until its outcome is known. For a change that may have been accepted before the retained
+    // history begins, it is never known.
+    let send_change = |core: &System, n: u8, method: &str, builds_on: u64, body: &str| {
         let headers = format!("Host: c\r\nIf-Match: {builds_on}\r\n");
-        let mut heard = (0, String::new());
-        wait_until("a clear answer", || {
+        let mut response = (0, String::new());
+        wait_until("the response to the change is final", || {
             let line = format!("{method} /api/config");
-            if let Some((status, _, said)) = request(core.control_addr(n), &line, &headers, body) {
-                heard = (status, said);
+            if let Some((status, _, response_body)) = request(core.control_addr(n), &line, &headers, body) {
+                response = (status, response_body);
             }
-            !matches!(heard.0, 0 | 503) || heard.1.contains("too long ago")
+            !matches!(response.0, 0 | 503) || response.1.contains("too long ago")
         });
-        heard
+        response
     };
-    let put = told(&core, 1, "PUT", 0, &document(5, "one"));
-    assert_eq!(put, (200, r#"{"rev":5}"#.into()));
-    assert_eq!(told(&core, 2, "PATCH", 5, &patch(7, "s")).0, 200);
-    // The same number with another content, by the other method, or upon another version.
-    assert_eq!(told(&core, 1, "PATCH", 5, &patch(7, "t")).0, 412);
-    assert_eq!(told(&core, 2, "PUT", 5, &patch(7, "s")).0, 412);
-    assert_eq!(told(&core, 3, "PATCH", 0, &patch(7, "s")).0, 412);
+    let stored = send_change(&core, 1, "PUT", 0, &document(5, "one"));
+    assert_eq!(stored, (200, r#"{"rev":5}"#.into()));
+    assert_eq!(send_change(&core, 2, "PATCH", 5, &patch(7, "s")).0, 200);
+    // The same version number with other content, by the other method, or based on another version.
+    assert_eq!(send_change(&core, 1, "PATCH", 5, &patch(7, "t")).0, 412);
+    assert_eq!(send_change(&core, 2, "PUT", 5, &patch(7, "s")).0, 412);
+    assert_eq!(send_change(&core, 3, "PATCH", 0, &patch(7, "s")).0, 412);
     let exported =
         core.run_command(&["state", "export", "--control", &core.control_addr_text(3), "backup.json"]);
     assert!(exported.0, "{}", exported.1);
-    assert_eq!(told(&core, 3, "PUT", 7, &document(9, "lost")).0, 200);
+    assert_eq!(send_change(&core, 3, "PUT", 7, &document(9, "lost")).0, 200);
     core.restart_control_nodes(|core| {
         for n in 1..=3 {
             std::fs::remove_dir_all(core.state_dir(n)).unwrap();
@@ -189,9 +212,9 @@
     core.wait_for_chain(&[1, 2, 3], 3);
     for restarted in [false, true] {
         for n in 1..=3 {
-            assert_eq!(told(&core, n, "PUT", 0, &document(5, "one")), (200, r#"{"rev":5}"#.into()));
-            assert_eq!(told(&core, n, "PATCH", 5, &patch(7, "s")).0, 200);
-            // What was lost, and other orders with a number that may have been acknowledged.
+            assert_eq!(send_change(&core, n, "PUT", 0, &document(5, "one")), (200, r#"{"rev":5}"#.into()));
+            assert_eq!(send_change(&core, n, "PATCH", 5, &patch(7, "s")).0, 200);
+            // The lost change, and other changes with a number that may have been acknowledged.
             let (lost, other) = (document(9, "lost"), document(9, "another"));
             for (method, builds_on, body) in [
                 ("PUT", 7, &lost),
@@ -199,21 +222,25 @@
                 ("PATCH", 5, &patch(7, "t")),
                 ("PUT", 5, &patch(7, "s")),
             ] {
-                let (status, why) = told(&core, n, method, builds_on, body);
-                assert!(status == 503 && why.contains("versions up to 9"), "{status}: {why}");
-                // What the caller can act on: what is in force, and where to read it.
-                let answer: serde_json::Value = serde_json::from_str(&why).unwrap();
+                let (status, error) = send_change(&core, n, method, builds_on, body);
+                assert!(status == 503 && error.contains("versions up to 9"), "{status}: {error}");
+                // The response tells the caller which version is in force and where to read it.
+                let error_body: serde_json::Value = serde_json::from_str(&error).unwrap();
                 let current = if restarted { 11 } else { 7 };
                 let expected = serde_json::json!([current, 9, "/api/config"]);
                 assert_eq!(
-                    serde_json::json!([answer["current"], answer["forgottenUpTo"], answer["readBack"]]),
+                    serde_json::json!([
+                        error_body["current"],
+                        error_body["forgottenUpTo"],
+                        error_body["readBack"]
+                    ]),
                     expected
                 );
             }
         }
-        // The verb says so at its first call, and does not ask again.
+        // The command reports this after its first request, without retrying.
         std::fs::write(core.folder.join("lost.json"), document(9, "lost")).unwrap();
-        let put = core.run_command(&[
+        let stored = core.run_command(&[
             "config",
             "put",
             "--control",
@@ -222,10 +249,10 @@
             "7",
             "lost.json",
         ]);
-        assert!(!put.0 && put.1.contains("read it back"), "{}", put.1);
+        assert!(!stored.0 && stored.1.contains("read it back"), "{}", stored.1);
         if !restarted {
-            assert_eq!(told(&core, 1, "PUT", 7, &document(11, "on")).0, 200);
-            // From the disks, not from the backup.
+            assert_eq!(send_change(&core, 1, "PUT", 7, &document(11, "on")).0, 200);
+            // The next round checks the state on disk, without the backup.
             core.restart_control_nodes(|_| ());
             core.wait_for_chain(&[1, 2, 3], 3);
         }
@@ -233,85 +260,89 @@
 }
 
 #[test]
-fn a_declared_configuration_is_planned_applied_once_and_written_back() {
+fn a_declared_configuration_is_planned_applied_once_and_exported() {
     let core = System::start(&["control"], &[]);
     core.wait_for_chain(&[1, 2, 3], 3);
-    let at = core.control_addr_text(1);
+    let control = core.control_addr_text(1);
     for folder in ["site/routes", "site/services"] {
         std::fs::create_dir_all(core.folder.join(folder)).unwrap();
     }
-    let file = |name: &str, text: &str| std::fs::write(core.folder.join(name), text).unwrap();
-    file("site/services/store.toml", "ratePerS = 690");
-    file(
+    let write_file = |name: &str, text: &str| std::fs::write(core.folder.join(name), text).unwrap();
+    write_file("site/services/store.toml", "ratePerS = 690");
+    write_file(
         "site/routes/pages.toml",
         "hostname = \"h\"\npathPrefix = \"/p/\"\ntype = \"cacheable\"\ndeadlineMs = 900\nbackend = \"store\"\n",
     );
-    let declared =
-        |verb: &[&str]| core.run_command(&[&["declared"], verb, &["--control", &at, "site"]].concat());
+    let declared = |subcommand: &[&str]| {
+        core.run_command(&[&["declared"], subcommand, &["--control", &control, "site"]].concat())
+    };
     let added = "+ paths pages\n+ backends store\n";
     assert_eq!(declared(&["plan"]), (true, format!("to version 0:\n{added}")));
     assert_eq!(declared(&["apply"]), (true, format!("version 1 is in force:\n{added}")));
     assert_eq!(declared(&["apply"]), (true, "version 1 is what is declared\n".into()));
-    file("site/services/store.toml", "ratePerS = 700");
-    let (moved, why) = declared(&["apply", "--if-rev", "4"]);
-    assert!(!moved && why.contains("version 1 is in force, not 4"), "{why}");
+    write_file("site/services/store.toml", "ratePerS = 700");
+    let (applied_stale, error) = declared(&["apply", "--if-rev", "4"]);
+    assert!(!applied_stale && error.contains("version 1 is in force, not 4"), "{error}");
     let changed = "~ backends store\n    ratePerS: 690 -> 700\n";
     let applied = declared(&["apply", "--if-rev", "1"]);
     assert_eq!(applied, (true, format!("version 2 is in force:\n{changed}")));
-    file("site/services/store.toml", "ratePerS = 700\nratePers = 1");
-    let (taken, why) = declared(&["apply"]);
-    assert!(!taken && why.contains("store.toml: no such field: ratePers"), "{why}");
-    let exported = core.run_command(&["declared", "export", "--control", &at, "copy"]);
+    write_file("site/services/store.toml", "ratePerS = 700\nratePers = 1");
+    let (applied_invalid, error) = declared(&["apply"]);
+    assert!(!applied_invalid && error.contains("store.toml: no such field: ratePers"), "{error}");
+    let exported = core.run_command(&["declared", "export", "--control", &control, "copy"]);
     assert_eq!(exported, (true, "version 2 written\n".into()));
-    let same = core.run_command(&["declared", "plan", "--control", &at, "copy"]);
-    assert_eq!(same, (true, "version 2 is what is declared\n".into()));
+    let plan_of_copy = core.run_command(&["declared", "plan", "--control", &control, "copy"]);
+    assert_eq!(plan_of_copy, (true, "version 2 is what is declared\n".into()));
 }
 
-/// The voters as every control node names them, where all agree.
-fn voters(core: &System) -> Option<Vec<u64>> {
-    let seen = |n: u8| -> Option<Vec<u64>> {
+/// The voters, by the last number of their addresses; `None` unless all control nodes report the same ones.
+fn agreed_voters(core: &System) -> Option<Vec<u64>> {
+    let voters_at = |n: u8| -> Option<Vec<u64>> {
         let status = core.status(n)?;
         let voters = status["voters"].as_array()?.iter();
         voters.map(|voter| voter.as_str()?.rsplit('.').next()?.parse().ok()).collect()
     };
-    let first = seen(1)?;
-    (2..=3).all(|n| seen(n).as_ref() == Some(&first)).then_some(first)
+    let first = voters_at(1)?;
+    (2..=3).all(|n| voters_at(n).as_ref() == Some(&first)).then_some(first)
 }
 
 #[test]
-fn voters_are_taken_out_and_in_by_verb_and_what_can_not_be_is_told_in_one_line() {
+fn voters_are_removed_and_added_by_command_and_invalid_changes_are_refused_in_one_line() {
     let mut core = System::start(&["control"], &["agent"]);
     core.wait_for_chain(&[1, 2, 3], 3);
-    let at = core.control_addr_text(1);
-    let verb = |core: &System, what: &str, n: u8| {
-        core.run_command(&["core", what, "--control", &at, &core.control_addr(n).ip().to_string()])
+    let control = core.control_addr_text(1);
+    let change_voter = |core: &System, subcommand: &str, n: u8| {
+        core.run_command(&["core", subcommand, "--control", &control, &core.control_addr(n).ip().to_string()])
     };
-    let (listed, text) = core.run_command(&["core", "list", "--control", &at]);
-    let seen: serde_json::Value = serde_json::from_str(&text).unwrap();
-    assert!(listed && seen[0]["voters"].as_array().unwrap().len() == 3, "{text}");
-    assert_eq!(seen[0]["standingBy"].as_array().unwrap().len(), 0, "{text}");
-    let (added, why) = verb(&core, "add", 2);
-    assert!(!added && why.contains("127.0.8.2 is a voter already") && why.lines().count() == 1, "{why}");
-    let (removed, why) = verb(&core, "remove", EDGE_MACHINE);
-    assert!(!removed && why.contains("127.0.8.4 is no voter"), "{why}");
+    let (listed, text) = core.run_command(&["core", "list", "--control", &control]);
+    let statuses: serde_json::Value = serde_json::from_str(&text).unwrap();
+    assert!(listed && statuses[0]["voters"].as_array().unwrap().len() == 3, "{text}");
+    assert_eq!(statuses[0]["standingBy"].as_array().unwrap().len(), 0, "{text}");
+    let (added, error) = change_voter(&core, "add", 2);
+    assert!(
+        !added && error.contains("127.0.8.2 is a voter already") && error.lines().count() == 1,
+        "{error}"
+    );
+    let (removed, error) = change_voter(&core, "remove", EDGE_MACHINE);
+    assert!(!removed && error.contains("127.0.8.4 is no voter"), "{error}");
 
-    let (removed, told) = verb(&core, "remove", 3);
-    assert!(removed, "{told}");
-    wait_until("all know the two", || voters(&core) == Some(vec![1, 2]));
+    let (removed, output) = change_voter(&core, "remove", 3);
+    assert!(removed, "{output}");
+    wait_until("all control nodes know two voters", || agreed_voters(&core) == Some(vec![1, 2]));
     std::fs::write(core.folder.join("c.json"), r#"{"rev": 1}"#).unwrap();
-    let put = core.run_command(&["config", "put", "--control", &at, "--builds-on", "0", "c.json"]);
-    assert!(put.0, "{}", put.1);
-    let (added, told) = verb(&core, "add", 3);
-    assert!(added, "{told}");
-    // Agreed, and on disk: no process remembers it otherwise.
+    let stored = core.run_command(&["config", "put", "--control", &control, "--builds-on", "0", "c.json"]);
+    assert!(stored.0, "{}", stored.1);
+    let (added, output) = change_voter(&core, "add", 3);
+    assert!(added, "{output}");
+    // The restart shows that the voters are stored on disk.
     core.restart_control_nodes(|_| ());
     core.wait_for_chain(&[1, 2, 3], 3);
-    wait_until("all know the three", || voters(&core) == Some(vec![1, 2, 3]));
+    wait_until("all control nodes know three voters", || agreed_voters(&core) == Some(vec![1, 2, 3]));
 }
 
 #[test]
-fn processes_that_start_one_after_the_other_in_any_order_find_each_other() {
-    // Seeds are the last to listen, and no two of them begin at once.
+fn processes_started_one_after_the_other_in_any_order_connect_to_each_other() {
+    // The seed nodes start last, and no two of them at once.
     let mut system = System::start(&[], &[]);
     for (n, role) in
         [(EDGE_MACHINE, "edge"), (EDGE_MACHINE, "agent"), (3, "control"), (1, "control"), (2, "control")]
@@ -321,7 +352,7 @@
     }
     system.wait_for_chain(&[1, 2, 3], 3);
     std::fs::write(system.folder.join("c.json"), r#"{"rev": 1}"#).unwrap();
-    let put = system.run_command(&[
+    let stored = system.run_command(&[
         "config",
         "put",
         "--control",
@@ -330,15 +361,15 @@
         "0",
         "c.json",
     ]);
-    assert!(put.0, "{}", put.1);
+    assert!(stored.0, "{}", stored.1);
     let ready = system.edge_addrs()[1];
     wait_until("the edge is ready", || {
-        request(ready, "GET /api/ready", "Host: e\r\n", "").is_some_and(|heard| heard.0 == 200)
+        request(ready, "GET /api/ready", "Host: e\r\n", "").is_some_and(|response| response.0 == 200)
     });
 }
 
 #[test]
-fn a_new_control_node_whose_seeds_are_down_joins_once_its_settings_name_others() {
+fn a_new_control_node_with_unreachable_seeds_joins_once_its_settings_name_reachable_ones() {
     let mut core = System::start(&["control"], &[]);
     core.wait_for_chain(&[1, 2, 3], 3);
     core.edit_settings(
@@ -356,39 +387,43 @@
         &[("bootstrap = true", "bootstrap = false"), ("voter = true", "voter = false")],
     );
     core.start_process(EDGE_MACHINE, "control");
-    wait_until("it runs", || core.status(EDGE_MACHINE).is_some());
+    wait_until("the new control node responds", || core.status(EDGE_MACHINE).is_some());
     let peers = |core: &System| {
         core.status(EDGE_MACHINE).map(|status| status["peers"].as_array().map_or(0, Vec::len))
     };
-    // The longest pause of a node that calls others.
+    // Longer than the longest delay between two attempts to connect to a seed node (`MAX_RECONNECT_BACKOFF`).
     std::thread::sleep(Duration::from_secs(1));
-    assert_eq!(peers(&core), Some(0), "nobody is there");
+    assert_eq!(peers(&core), Some(0), "no seed node is reachable");
     core.edit_settings(EDGE_MACHINE, &[("127.0.9.", "127.0.8.")]);
-    wait_until("it finds the others", || peers(&core) == Some(3));
-    wait_until("and a majority", || {
+    wait_until("the new node is connected to three peers", || peers(&core) == Some(3));
+    wait_until("the new node is part of a majority", || {
         core.status(EDGE_MACHINE).is_some_and(|status| status["inMajority"] == true)
     });
 }
 
 #[test]
-fn an_error_of_the_api_is_short_whatever_it_quotes() {
+fn api_errors_are_short_even_if_they_quote_long_values() {
     let core = System::start(&["control"], &[]);
     core.wait_for_chain(&[1, 2, 3], 3);
-    // Line breaks and quotes take more room in JSON than they had.
-    let long = "ü\"\n".repeat(30_000).replace('"', "\\\"").replace('\n', "\\u0001");
-    let at = core.control_addr(2);
+    // Quotes and control characters take more bytes when escaped in JSON.
+    let long_text = "ü\"\n".repeat(30_000).replace('"', "\\\"").replace('\n', "\\u0001");
+    let control = core.control_addr(2);
     for (line, headers, body) in [
-        ("PUT /api/servers/i-1", "", format!(r#"{{"capacity": "{long}"}}"#)),
-        ("PUT /api/config", "If-Match: 0\r\n", format!(r#"{{"rev": "{long}"}}"#)),
+        ("PUT /api/servers/i-1", "", format!(r#"{{"capacity": "{long_text}"}}"#)),
+        ("PUT /api/config", "If-Match: 0\r\n", format!(r#"{{"rev": "{long_text}"}}"#)),
         (
             "PUT /api/config",
             "If-Match: 0\r\n",
-            format!(r#"{{"rev": 1, "backends": [{{"name": "{long}"}}, {{"name": "{long}"}}]}}"#),
+            format!(r#"{{"rev": 1, "backends": [{{"name": "{long_text}"}}, {{"name": "{long_text}"}}]}}"#),
         ),
     ] {
         let headers = format!("Host: c\r\n{headers}");
-        let (status, _, told) = request(at, line, &headers, &body).expect("an answer");
-        assert_eq!(status, 400, "{told}");
-        assert!(told.len() <= 4096 && told.starts_with("{\"error\":"), "{line}: {} bytes", told.len());
+        let (status, _, response_body) = request(control, line, &headers, &body).expect("a response");
+        assert_eq!(status, 400, "{response_body}");
+        assert!(
+            response_body.len() <= 4096 && response_body.starts_with("{\"error\":"),
+            "{line}: {} bytes",
+            response_body.len()
+        );
     }
 }
