--- a/glenfall/tests/sessions.rs
+++ b/glenfall/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions over real sockets: who is behind is let go of, and nobody else.
+//! Sessions over real sockets: sessions of subscribers that have fallen behind are ended, and no others.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Conditions are waited for so long, also on a busy machine.
-const PATIENCE: Duration = Duration::from_mins(1);
-/// Something that is waited for in vain.
-const VAIN: Duration = Duration::from_millis(50);
+/// Bound on each wait; long enough for a busy machine.
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
+/// Bound on waits that are expected to time out.
+const EXPECTED_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A publisher that has nothing to tell at first.
+/// A publisher that greets new sessions with no updates.
 struct EmptyPublisher;
 
 impl Publisher for EmptyPublisher {
@@ -32,11 +32,11 @@
     fn members_changed(&self) {}
 }
 
-/// A follower that says hello, and takes and acknowledges nothing by itself.
-async fn follower(sessions: &Rc<Sessions>, node: &str) -> (FrameReader, Outbox<SubscriberMessage>) {
+/// Opens a session of a subscriber that reads and acknowledges updates only as the test does so.
+async fn open_session(sessions: &Rc<Sessions>, node: &str) -> (FrameReader, Outbox<SubscriberMessage>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let std::net::SocketAddr::V4(addr) = listener.local_addr().unwrap() else { unreachable!() };
-    let serving = Rc::clone(sessions);
+    let serving_sessions = Rc::clone(sessions);
     spawn_local(async move {
         let (stream, _) = listener.accept().await.unwrap();
         let (read, write) = stream.into_split();
@@ -44,122 +44,122 @@
         frames.next::<ConnectionOpening>().await.unwrap();
         let outbox = Outbox::start(write);
         let connection = SubscriberConnection { reach: Reach::Network, frames, outbox };
-        serving.serve(connection, &EmptyPublisher).await;
+        serving_sessions.serve(connection, &EmptyPublisher).await;
     });
     let (read, write) = link::open(addr, &ConnectionOpening::Session).await.unwrap();
     let outbox = Outbox::start(write);
-    let standing = sessions.statuses().len();
+    let sessions_before = sessions.statuses().len();
     assert!(outbox.send(SubscriberMessage::Hello { node: node.into(), member: None }));
-    until(|| sessions.statuses().len() > standing).await;
+    wait_until(|| sessions.statuses().len() > sessions_before).await;
     (FrameReader::new(read), outbox)
 }
 
-async fn until(holds: impl Fn() -> bool) {
-    let held = async {
-        while !holds() {
+async fn wait_until(condition: impl Fn() -> bool) {
+    let wait = async {
+        while !condition() {
             sleep(Duration::from_millis(2)).await;
         }
     };
-    timeout(PATIENCE, held).await.expect("it holds in time");
+    timeout(WAIT_TIMEOUT, wait).await.expect("the condition holds in time");
 }
 
-fn names(sessions: &Sessions) -> Vec<String> {
-    sessions.statuses().into_iter().map(|seen| seen.node).collect()
+fn session_nodes(sessions: &Sessions) -> Vec<String> {
+    sessions.statuses().into_iter().map(|status| status.node).collect()
 }
 
-fn local<T>(work: impl std::future::Future<Output = T>) -> T {
+fn run_local<T>(future: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    LocalSet::new().block_on(&runtime, work)
+    LocalSet::new().block_on(&runtime, future)
 }
 
 #[test]
-fn only_who_has_not_applied_what_was_waited_for_is_let_go_of() {
-    local(async {
+fn only_sessions_that_have_not_applied_an_awaited_update_are_ended() {
+    run_local(async {
         let sessions = Rc::new(Sessions::default());
-        let (_behind, _silent) = follower(&sessions, "behind").await;
-        let (_frames, says) = follower(&sessions, "well").await;
+        let (_behind_frames, _behind_outbox) = open_session(&sessions, "behind").await;
+        let (_frames, outbox) = open_session(&sessions, "well").await;
         sessions.push(&Update::Connected(true));
-        assert!(says.send(SubscriberMessage::Applied(1)));
-        until(|| sessions.statuses().iter().any(|seen| seen.applied == 1)).await;
-        assert!(!sessions.wait_until_applied(VAIN).await);
-        // On its way to both when the one that is behind is let go of.
+        assert!(outbox.send(SubscriberMessage::Applied(1)));
+        wait_until(|| sessions.statuses().iter().any(|status| status.applied == 1)).await;
+        assert!(!sessions.wait_until_applied(EXPECTED_TIMEOUT).await);
+        // This update is in flight to both sessions when the overdue one is ended.
         sessions.push(&Update::Connected(true));
         sessions.end_overdue(Duration::ZERO);
-        assert_eq!(names(&sessions), ["well"]);
-        assert!(says.send(SubscriberMessage::Applied(2)));
-        assert!(sessions.wait_until_applied(PATIENCE).await);
+        assert_eq!(session_nodes(&sessions), ["well"]);
+        assert!(outbox.send(SubscriberMessage::Applied(2)));
+        assert!(sessions.wait_until_applied(WAIT_TIMEOUT).await);
         sessions.end_overdue(Duration::ZERO);
-        assert_eq!(names(&sessions), ["well"]);
+        assert_eq!(session_nodes(&sessions), ["well"]);
     });
 }
 
 #[test]
-fn a_wait_ends_once_all_have_applied_in_whatever_order() {
-    local(async {
+fn a_wait_ends_once_all_sessions_have_applied_in_any_order() {
+    run_local(async {
         let sessions = Rc::new(Sessions::default());
-        let mut followers = Vec::new();
+        let mut subscribers = Vec::new();
         for number in 0..5 {
-            followers.push(follower(&sessions, &number.to_string()).await);
+            subscribers.push(open_session(&sessions, &number.to_string()).await);
         }
         sessions.push(&Update::Connected(true));
-        for (at, done) in [(4, false), (1, false), (0, false), (3, false), (2, true)] {
-            assert!(followers[at].1.send(SubscriberMessage::Applied(1)));
-            until(|| sessions.statuses()[at].applied == 1).await;
-            assert_eq!(sessions.wait_until_applied(VAIN).await, done, "after {at}");
+        for (index, all_applied) in [(4, false), (1, false), (0, false), (3, false), (2, true)] {
+            assert!(subscribers[index].1.send(SubscriberMessage::Applied(1)));
+            wait_until(|| sessions.statuses()[index].applied == 1).await;
+            assert_eq!(sessions.wait_until_applied(EXPECTED_TIMEOUT).await, all_applied, "after {index}");
         }
     });
 }
 
 #[test]
-fn whoever_would_miss_a_push_is_let_go_of_and_told_nothing_after_it() {
-    local(async {
+fn a_session_that_would_miss_an_update_is_ended_and_gets_no_later_one() {
+    run_local(async {
         let sessions = Rc::new(Sessions::default());
-        let (mut frames, says) = follower(&sessions, "slow").await;
-        // More than the queue of a link holds, before any of it is written.
-        let most = 1500;
-        for _ in 0..most {
+        let (mut frames, outbox) = open_session(&sessions, "slow").await;
+        // More messages than an outbox queues, pushed before any is written.
+        let update_count = 1500;
+        for _ in 0..update_count {
             sessions.push(&Update::Connected(true));
         }
-        assert!(sessions.statuses().is_empty(), "it has missed a push and still stands");
-        let mut last = 0;
-        let ended = async {
-            while let Ok(down) = frames.next::<PublisherMessage>().await {
-                if let PublisherMessage::Push { number, .. } = down {
-                    assert_eq!(number, last + 1, "a push was left out before it");
-                    last = number;
+        assert!(sessions.statuses().is_empty(), "the session has missed an update and must be ended");
+        let mut last_number = 0;
+        let read_to_end = async {
+            while let Ok(message) = frames.next::<PublisherMessage>().await {
+                if let PublisherMessage::Push { number, .. } = message {
+                    assert_eq!(number, last_number + 1, "an earlier update was left out");
+                    last_number = number;
                 }
-                assert!(says.send(SubscriberMessage::Ping));
+                assert!(outbox.send(SubscriberMessage::Ping));
             }
         };
-        timeout(PATIENCE, ended).await.expect("the session ends");
-        assert!(last < most);
+        timeout(WAIT_TIMEOUT, read_to_end).await.expect("the session ends");
+        assert!(last_number < update_count);
     });
 }
 
 #[test]
-fn a_lease_that_could_not_be_granted_is_granted_as_soon_as_the_granter_has_one() {
-    local(async {
+fn a_lease_request_is_granted_once_the_publisher_has_a_lease_itself() {
+    run_local(async {
         let sessions = Rc::new(Sessions::default());
-        let (mut frames, says) = follower(&sessions, "early").await;
-        assert!(says.send(SubscriberMessage::RenewLease { sent_at: 7 }));
-        // What follows on the same connection has been taken after it.
-        assert!(says.send(SubscriberMessage::Counters(vec![Counter { name: "marker".into(), value: 1 }])));
-        until(|| sessions.statuses().iter().any(|seen| !seen.counters.is_empty())).await;
-        sessions.set_own_lease_end(Instant::now() + PATIENCE);
-        // It asks no second time. Something is said on a link again and again, so that these waits end.
+        let (mut frames, outbox) = open_session(&sessions, "early").await;
+        assert!(outbox.send(SubscriberMessage::RenewLease { sent_at: 7 }));
+        // Messages of a connection are handled in order: once the counters are there, the lease request has been handled.
+        assert!(outbox.send(SubscriberMessage::Counters(vec![Counter { name: "marker".into(), value: 1 }])));
+        wait_until(|| sessions.statuses().iter().any(|status| !status.counters.is_empty())).await;
+        sessions.set_own_lease_end(Instant::now() + WAIT_TIMEOUT);
+        // The subscriber sends no second request. Each wait ends, since the publisher sends pings.
         for _ in 0..3 {
-            match timeout(PATIENCE, frames.next::<PublisherMessage>())
+            match timeout(WAIT_TIMEOUT, frames.next::<PublisherMessage>())
                 .await
-                .expect("it goes on")
+                .expect("a message in time")
                 .expect("a message")
             {
-                PublisherMessage::LeaseGranted { sent_at, duration: lasts } => {
-                    assert!(sent_at == 7 && lasts > 0, "{sent_at} {lasts}");
+                PublisherMessage::LeaseGranted { sent_at, duration: duration_ms } => {
+                    assert!(sent_at == 7 && duration_ms > 0, "{sent_at} {duration_ms}");
                     return;
                 }
                 other => assert_eq!(other, PublisherMessage::Ping),
             }
         }
-        panic!("nothing is granted before it asks again");
+        panic!("no lease is granted without a second request");
     });
 }
