--- a/glenfall/tests/lost.rs
+++ b/glenfall/tests/lost.rs
@@ -1,5 +1,5 @@
-//! Nothing that was read whole ends without a complete answer around planned work: changes of the configuration of
-//! every kind, SIGHUP and SIGTERM, one over the other, while clients go on asking.
+//! No request that was received completely may lose its response during planned operations under load: configuration
+//! changes of every kind, SIGHUP and SIGTERM, also at the same time.
 
 mod common;
 
@@ -13,20 +13,20 @@
 
 use common::{receive_request, request, wait_until, System, EDGE_MACHINE};
 
-/// Servers whose answers take a while, and which know what they have answered whole.
+/// Slow servers that record which requests they have responded to completely.
 #[derive(Default)]
 struct Servers {
-    began: AtomicUsize,
-    finished: AtomicUsize,
-    answered: Mutex<HashSet<String>>,
+    started_count: AtomicUsize,
+    finished_count: AtomicUsize,
+    responded: Mutex<HashSet<String>>,
 }
 
 impl Servers {
     fn serve(&self, mut stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(received) = receive_request(&mut reader) {
-            let number = self.began.fetch_add(1, Ordering::Relaxed);
-            // Some take longer than connections are accepted by a process that leaves.
+            let number = self.started_count.fetch_add(1, Ordering::Relaxed);
+            // Some requests take longer than a process that shuts down accepts connections.
             let slow = received.request_line.starts_with("POST") && number % 8 == 7;
             let work = if slow { 4500 } else { 20 + 90 * (number % 8) as u64 };
             std::thread::sleep(Duration::from_millis(work));
@@ -36,16 +36,16 @@
             );
             let written = stream.write_all(text.as_bytes()).is_ok();
             if written {
-                self.answered.lock().unwrap().insert(id.to_owned());
+                self.responded.lock().unwrap().insert(id.to_owned());
             }
-            self.finished.fetch_add(1, Ordering::Relaxed);
+            self.finished_count.fetch_add(1, Ordering::Relaxed);
             if !written {
                 return;
             }
         }
     }
 
-    fn start(servers: &Arc<Servers>) -> SocketAddrV4 {
+    fn start_one(servers: &Arc<Servers>) -> SocketAddrV4 {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let port = listener.local_addr().unwrap().port();
         let servers = Arc::clone(servers);
@@ -61,27 +61,27 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ended {
-    /// A complete answer with this status.
-    Answered(u16),
-    /// The connection ended before that.
-    Cut,
+enum Outcome {
+    /// With a complete response of this status.
+    Responded(u16),
+    /// The connection ended before a complete response.
+    Disconnected,
 }
 
-/// A client's connection, used again where that is allowed.
+/// A client's connection, reused until the edge closes it.
 struct Connection {
     reader: BufReader<TcpStream>,
-    closes: bool,
+    will_close: bool,
 }
 
 impl Connection {
     fn open(addr: SocketAddrV4) -> Option<Connection> {
         let stream = TcpStream::connect_timeout(&addr.into(), Duration::from_secs(2)).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(20))).ok()?;
-        Some(Connection { reader: BufReader::new(stream), closes: false })
+        Some(Connection { reader: BufReader::new(stream), will_close: false })
     }
 
-    fn ask(&mut self, line: &str, id: &str) -> Ended {
+    fn send(&mut self, line: &str, id: &str) -> Outcome {
         let body = if line.starts_with("POST") { "b".repeat(3000) } else { String::new() };
         let text = format!(
             "{line} HTTP/1.1\r\nHost: h\r\nX-Glenfall-Try-Id: {id}\r\nX-Glenfall-Deadline: 9000\r\n\
@@ -89,10 +89,10 @@
             body.len()
         );
         let sent = self.reader.get_mut().write_all(text.as_bytes()).is_ok();
-        sent.then(|| self.read_answer()).flatten().map_or(Ended::Cut, Ended::Answered)
+        sent.then(|| self.read_response()).flatten().map_or(Outcome::Disconnected, Outcome::Responded)
     }
 
-    fn read_answer(&mut self) -> Option<u16> {
+    fn read_response(&mut self) -> Option<u16> {
         let (mut status, mut length) = (None, 0);
         loop {
             let mut line = String::new();
@@ -107,43 +107,43 @@
             if let Some(value) = line.strip_prefix("content-length: ") {
                 length = value.parse().ok()?;
             }
-            self.closes |= line == "connection: close";
+            self.will_close |= line == "connection: close";
         }
         self.reader.read_exact(&mut vec![0; length]).ok()?;
         status
     }
 }
 
-/// Clients that ask without a pause until they are told to stop or nobody takes their connections.
+/// Clients that send requests without a pause until they are stopped or the edge refuses connections.
 #[derive(Default)]
 struct Clients {
     stop: AtomicBool,
-    ids: AtomicUsize,
-    ended: Mutex<HashMap<String, Ended>>,
+    next_id: AtomicUsize,
+    outcomes: Mutex<HashMap<String, Outcome>>,
 }
 
 impl Clients {
-    fn run(&self, edge: SocketAddrV4, lines: &[&str]) {
+    fn run(&self, edge: SocketAddrV4, request_lines: &[&str]) {
         let mut connection = None;
         while !self.stop.load(Ordering::Relaxed) {
             let Some(mut open) = connection.take().or_else(|| Connection::open(edge)) else { return };
-            let number = self.ids.fetch_add(1, Ordering::Relaxed);
+            let number = self.next_id.fetch_add(1, Ordering::Relaxed);
             let id = format!("{number:x}");
-            let line = lines[number % lines.len()].replace('#', &id);
-            let ended = open.ask(&line, &id);
-            if matches!(ended, Ended::Answered(_)) && !open.closes {
+            let line = request_lines[number % request_lines.len()].replace('#', &id);
+            let outcome = open.send(&line, &id);
+            if matches!(outcome, Outcome::Responded(_)) && !open.will_close {
                 connection = Some(open);
             }
-            self.ended.lock().unwrap().insert(id, ended);
+            self.outcomes.lock().unwrap().insert(id, outcome);
         }
     }
 
-    fn answered(&self) -> usize {
-        self.ended.lock().unwrap().values().filter(|ended| **ended == Ended::Answered(200)).count()
+    fn success_count(&self) -> usize {
+        self.outcomes.lock().unwrap().values().filter(|outcome| **outcome == Outcome::Responded(200)).count()
     }
 }
 
-/// A route of a kind, as JSON.
+/// A route of this type, as JSON.
 fn route(name: &str, kind: &str, deadline_ms: u64, service: &str) -> String {
     format!(
         r#"{{"name":"{name}","hostname":"h","pathPrefix":"/{name}/","type":"{kind}","deadlineMs":{deadline_ms},
@@ -151,9 +151,10 @@
     )
 }
 
-/// Whole configurations and changes, each of another kind than the one before, and back again.
-fn changes() -> Vec<(&'static str, String)> {
-    let whole = |rev: u64, limits: &str, routes: &[String]| {
+/// A first configuration and the changes made to it: the subcommand and the document of each. Each
+/// differs in kind from the one before, and the last restores the first.
+fn config_changes() -> Vec<(&'static str, String)> {
+    let put = |rev: u64, limits: &str, routes: &[String]| {
         let routes = routes.join(",");
         let document = format!(
             r#"{{"rev":{rev},"paths":[{routes}],"backends":[{{"name":"s"}},{{"name":"t"}}],"reqLimits":{limits}}}"#
@@ -167,20 +168,21 @@
         ("patch", document)
     };
     vec![
-        whole(1, "{}", &all()),
-        // Limits and idle time-outs, far less and back.
-        whole(
+        put(1, "{}", &all()),
+        // Lowers limits and idle time-outs far, and restores them.
+        put(
             2,
             r#"{"maxHeaderBytes":9000,"maxBodyBytes":3000,"headerTimeoutMs":400,"idleTimeoutMs":150}"#,
             &all(),
         ),
-        whole(3, r#"{"idleTimeoutMs":60000}"#, &all()),
-        // A route taken away while its requests are under way, and put back; others moved, with other time-outs.
+        put(3, r#"{"idleTimeoutMs":60000}"#, &all()),
+        // Removes a route while its requests are in flight and adds it again; moves routes to another service, with other
+        // deadlines.
         patch(4, "", r#""gone""#),
         patch(5, &route("writes", "mutating", 8000, "t"), ""),
         patch(6, &route("gone", "mutating", 7000, "t"), ""),
         patch(7, &route("reads", "cacheable", 8000, "t"), r#""gone""#),
-        whole(8, "{}", &all()),
+        put(8, "{}", &all()),
     ]
 }
 
@@ -192,106 +194,119 @@
     }
 }
 
-fn start() -> (System, Arc<Servers>) {
+fn start_system() -> (System, Arc<Servers>) {
     let system =
         System::start_with_settings(&["control", "shield"], &["agent", "edge"], "[timing]\ngraceS = 12\n");
     system.wait_for_chain(&[1, 2, 3], 3);
     let servers = Arc::new(Servers::default());
     for (id, service) in [("a", "s"), ("b", "s"), ("c", "t"), ("d", "t")] {
-        system.send_heartbeat(id, service, Servers::start(&servers), "ready", 1);
+        system.send_heartbeat(id, service, Servers::start_one(&servers), "ready", 1);
     }
-    let (verb, first) = &changes()[0];
-    system.configure(verb, 0, first);
+    let (subcommand, first) = &config_changes()[0];
+    system.configure(subcommand, 0, first);
     system.wait_until_ready();
     wait_until("writes are served", || {
         let headers = "Host: h\r\nX-Glenfall-Try-Id: first\r\n";
-        request(system.edge_addrs()[0], "POST /writes/x", headers, "").is_some_and(|heard| heard.0 == 200)
+        request(system.edge_addrs()[0], "POST /writes/x", headers, "")
+            .is_some_and(|response| response.0 == 200)
     });
     (system, servers)
 }
 
-const LINES: [&str; 4] = ["POST /writes/#", "GET /reads/#", "PUT /again/#", "POST /gone/#"];
+const REQUEST_LINES: [&str; 4] = ["POST /writes/#", "GET /reads/#", "PUT /again/#", "POST /gone/#"];
 
-/// What a server has answered whole, its client has got, whatever was done meanwhile; and nothing but an answer ended
-/// a request that was read.
-fn check(clients: &Clients, servers: &Servers) {
-    wait_until("servers are done", || {
-        servers.finished.load(Ordering::Relaxed) == servers.began.load(Ordering::Relaxed)
+/// Checks that each response that a server has sent completely has reached its client, and that no request that was read
+/// ended otherwise.
+fn check_responses(clients: &Clients, servers: &Servers) {
+    wait_until("the servers have finished all requests", || {
+        servers.finished_count.load(Ordering::Relaxed) == servers.started_count.load(Ordering::Relaxed)
     });
-    let answered = servers.answered.lock().unwrap();
-    let ended = clients.ended.lock().unwrap();
-    let lost: Vec<_> = ended
+    let responded = servers.responded.lock().unwrap();
+    let outcomes = clients.outcomes.lock().unwrap();
+    let lost: Vec<_> = outcomes
         .iter()
-        .filter(|(id, ended)| answered.contains(*id) && **ended != Ended::Answered(200))
+        .filter(|(id, outcome)| responded.contains(*id) && **outcome != Outcome::Responded(200))
         .collect();
-    assert!(lost.is_empty(), "answered by servers, but not to their clients: {lost:?}");
+    assert!(lost.is_empty(), "responses of servers that did not reach their clients: {lost:?}");
 }
 
 #[test]
-fn changes_hangups_and_shields_that_leave_cost_no_request_its_answer() {
-    let (mut system, servers) = start();
+fn no_response_is_lost_to_config_changes_sighup_and_shield_shutdowns() {
+    let (mut system, servers) = start_system();
     let clients = Clients::default();
     let edge = system.edge_addrs()[0];
     std::thread::scope(|scope| {
-        (0..12).for_each(|_| drop(scope.spawn(|| clients.run(edge, &LINES))));
-        let (mut rev, later) = (1, changes().split_off(1));
-        for (n, (verb, document)) in later.iter().enumerate() {
-            let core = n as u8 % (EDGE_MACHINE - 1) + 1;
+        (0..12).for_each(|_| drop(scope.spawn(|| clients.run(edge, &REQUEST_LINES))));
+        let (mut rev, later_changes) = (1, config_changes().split_off(1));
+        for (n, (subcommand, document)) in later_changes.iter().enumerate() {
+            let machine = n as u8 % (EDGE_MACHINE - 1) + 1;
             system.signal(EDGE_MACHINE, "edge", "-HUP");
             system.signal(EDGE_MACHINE, "agent", "-HUP");
-            system.signal(core, "shield", "-TERM");
-            system.signal(core, "control", "-HUP");
-            system.signal(core, "shield", "-HUP");
-            system.configure(verb, rev, document);
+            system.signal(machine, "shield", "-TERM");
+            system.signal(machine, "control", "-HUP");
+            system.signal(machine, "shield", "-HUP");
+            system.configure(subcommand, rev, document);
             rev += 1;
-            let (before, began) = (clients.answered(), servers.began.load(Ordering::Relaxed));
-            wait_until("requests go on", || {
-                clients.answered() >= before + 25 && servers.began.load(Ordering::Relaxed) >= began + 25
+            let (responses_before, started_before) =
+                (clients.success_count(), servers.started_count.load(Ordering::Relaxed));
+            wait_until("clients get responses after the change", || {
+                clients.success_count() >= responses_before + 25
+                    && servers.started_count.load(Ordering::Relaxed) >= started_before + 25
             });
-            wait_until("it ends", || system.exit_success(core, "shield").is_some());
-            assert_eq!(system.exit_success(core, "shield"), Some(true), "in order");
-            system.respawn(core, "shield");
+            wait_until("the shield has exited", || system.exit_success(machine, "shield").is_some());
+            assert_eq!(
+                system.exit_success(machine, "shield"),
+                Some(true),
+                "the shield must exit successfully"
+            );
+            system.respawn(machine, "shield");
         }
         clients.stop.store(true, Ordering::Relaxed);
     });
-    check(&clients, &servers);
-    // Limits and routes were others for a while; but whoever got no answer was never read.
-    let ended = clients.ended.lock().unwrap();
-    let cut = ended.values().filter(|ended| **ended == Ended::Cut).count();
-    assert!(cut * 20 < ended.len(), "{cut} of {}", ended.len());
+    check_responses(&clients, &servers);
+    // Requests may fail while limits and routes are changed; those without a response were never read by the edge.
+    let outcomes = clients.outcomes.lock().unwrap();
+    let disconnected = outcomes.values().filter(|outcome| **outcome == Outcome::Disconnected).count();
+    assert!(
+        disconnected * 20 < outcomes.len(),
+        "{disconnected} of {} requests got no response",
+        outcomes.len()
+    );
 }
 
 #[test]
-fn an_edge_that_leaves_amid_hangups_and_changes_answers_all_that_it_has_read() {
-    let (mut system, servers) = start();
+fn an_edge_that_shuts_down_during_sighup_and_config_changes_completes_its_requests() {
+    let (mut system, servers) = start_system();
     let clients = Clients::default();
     let edge = system.edge_addrs()[0];
     std::thread::scope(|scope| {
-        (0..12).for_each(|_| drop(scope.spawn(|| clients.run(edge, &LINES))));
-        wait_until("requests go on", || clients.answered() >= 25);
-        // A change is on its way as the signals come, and more come after them.
-        let (verb, document) = &changes()[1];
+        (0..12).for_each(|_| drop(scope.spawn(|| clients.run(edge, &REQUEST_LINES))));
+        wait_until("clients get responses", || clients.success_count() >= 25);
+        // The signals arrive while a change is being applied, and more of them after it.
+        let (subcommand, document) = &config_changes()[1];
         system.signal(EDGE_MACHINE, "edge", "-HUP");
         system.signal(EDGE_MACHINE, "edge", "-TERM");
         system.signal(EDGE_MACHINE, "edge", "-HUP");
-        system.configure(verb, 1, document);
-        let before = clients.answered();
-        wait_until("those who still come are served", || clients.answered() >= before + 25);
+        system.configure(subcommand, 1, document);
+        let responses_before = clients.success_count();
+        wait_until("requests are still served after SIGTERM", || {
+            clients.success_count() >= responses_before + 25
+        });
         system.signal(EDGE_MACHINE, "agent", "-TERM");
         system.signal(EDGE_MACHINE, "edge", "-TERM");
-        wait_until("it ends", || system.exit_success(EDGE_MACHINE, "edge").is_some());
+        wait_until("the edge has exited", || system.exit_success(EDGE_MACHINE, "edge").is_some());
         clients.stop.store(true, Ordering::Relaxed);
     });
-    assert_eq!(system.exit_success(EDGE_MACHINE, "edge"), Some(true), "in order");
-    check(&clients, &servers);
+    assert_eq!(system.exit_success(EDGE_MACHINE, "edge"), Some(true), "the edge must exit successfully");
+    check_responses(&clients, &servers);
 }
 
 #[test]
-fn a_hangup_before_the_settings_are_read_ends_no_process() {
+fn sighup_before_the_settings_are_read_ends_no_process() {
     let folder = std::env::temp_dir().join(format!("glenfall-hangup-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     for role in ["edge", "agent", "shield", "control"] {
-        // Whoever opens a pipe waits for the other side.
+        // Opening a pipe blocks until the other end is open, so that the process has begun to read its settings.
         let pipe = folder.join(role);
         assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
         let mut command = Command::new(env!("CARGO_BIN_EXE_glenfall"));
@@ -302,7 +317,7 @@
         settings.write_all(b"no settings at all").unwrap();
         drop(settings);
         let status = child.wait().unwrap();
-        assert_eq!(status.code(), Some(1), "{role} reads on and names the mistake: {status}");
+        assert_eq!(status.code(), Some(1), "{role} must read on and report the invalid settings: {status}");
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
