--- a/glenfall/tests/added_routes.rs
+++ b/glenfall/tests/added_routes.rs
@@ -11,7 +11,7 @@
 use common::{receive_request, request, wait_until, System, EDGE_MACHINE};
 
 /// Number of configuration changes, each of which adds a route for reads and one for writes.
-const CHANGES: u64 = 24;
+const CHANGE_COUNT: u64 = 24;
 /// Each change whose number is a multiple of this adds a service for its routes.
 const NEW_SERVICE_INTERVAL: u64 = 4;
 /// Requests to each route once a change is in force.
@@ -96,7 +96,7 @@
     let first = [route("r-first", "cacheable", 0, "s"), route("w-first", "mutating", 0, "s")];
     let (system, _) = start_system(64, Duration::from_millis(2), &first);
     let mut failed = Vec::new();
-    for n in 1..=CHANGES {
+    for n in 1..=CHANGE_COUNT {
         let adds_service = n % NEW_SERVICE_INTERVAL == 0;
         let (mut backends, mut service) = (String::new(), "s".to_owned());
         if adds_service {
--- a/glenfall/tests/bounds.rs
+++ b/glenfall/tests/bounds.rs
@@ -101,7 +101,7 @@
     }
     cache.remove(&(0..8000).map(key).collect::<Vec<_>>());
     (0..200).for_each(|_| measure());
-    // The file may take 55 % of the disk space; the write-ahead log twice its page limit of 8 MB and the queued responses.
+    // The file may take 55 % of the disk space; the write-ahead log twice its page limit of 8 MB, and the queued bodies.
     let bounds = [DISK_MB * (1 << 20) * 55 / 100, (2 * 8 + 8) * (1 << 20)];
     println!("at most {max_bytes} bytes on disk and {wal_bytes} bytes of write-ahead log; bounds {bounds:?}");
     assert!(wal_bytes <= bounds[1], "write-ahead log of {wal_bytes} bytes, above the bound of {}", bounds[1]);
--- a/glenfall/tests/contact.rs
+++ b/glenfall/tests/contact.rs
@@ -20,7 +20,7 @@
     [&(body.len() as u32).to_le_bytes()[..], &body].concat()
 }
 
-/// One end of a link.
+/// A link to a control node, with received bytes that are not parsed yet.
 struct LinkEnd {
     stream: TcpStream,
     buffer: Vec<u8>,
@@ -220,7 +220,7 @@
     wait_until("the node has no sessions", || core.session_count(1) == Some(0));
 }
 
-/// What a control node does when it is told that a server is draining.
+/// What a control node does when it receives the state of a draining server.
 #[derive(Clone, Copy, PartialEq)]
 enum PeerBehavior {
     Acknowledges,
@@ -228,8 +228,8 @@
     Disconnects,
 }
 
-/// Acts as the second control node until it is stopped, with links only to the nodes in `reachable`. Returns how often it
-/// was told about a server.
+/// Acts as the second control node until it is stopped, with links only to the nodes in `reachable`. Returns how many
+/// server states it has received.
 fn run_peer(core: &System, reachable: &[u8], behavior: PeerBehavior, stopped: &AtomicBool) -> usize {
     let ip = |n: u8| *core.control_addr(n).ip();
     let listener = TcpListener::bind(core.session_addrs(2)[0]).unwrap();
@@ -288,7 +288,7 @@
 }
 
 /// Reports a draining server to the first node while a simulated peer runs. Returns the status of the response, and how
-/// often the peer was told about a server.
+/// many server states the peer has received.
 fn report_draining(core: &System, reachable: &[u8], behavior: PeerBehavior) -> (Option<u16>, usize) {
     let stopped = AtomicBool::new(false);
     std::thread::scope(|scope| {
@@ -314,10 +314,10 @@
     let mut core = start_core();
     core.kill(2, "control");
     core.wait_for_chain(&[1, 3], 2);
-    // The second node is cut off from the first, but not from the third: its sessions are still served.
+    // The second node has no link to the first but has one to the third, so its sessions are still open and must be told.
     assert_eq!(report_draining(&core, &[3], PeerBehavior::Ignores).0, Some(503));
     let (status, update_count) = report_draining(&core, &[3], PeerBehavior::Acknowledges);
-    assert!(status == Some(200) && update_count > 0, "{status:?}, told {update_count} times");
+    assert!(status == Some(200) && update_count > 0, "{status:?}, {update_count} server states received");
 }
 
 #[test]
@@ -326,5 +326,5 @@
     core.kill(2, "control");
     core.wait_for_chain(&[1, 3], 2);
     let (status, update_count) = report_draining(&core, &[1, 3], PeerBehavior::Disconnects);
-    assert!(status == Some(503) && update_count > 0, "{status:?}, told {update_count} times");
+    assert!(status == Some(503) && update_count > 0, "{status:?}, {update_count} server states received");
 }
--- a/glenfall/tests/core.rs
+++ b/glenfall/tests/core.rs
@@ -252,7 +252,7 @@
         assert!(!stored.0 && stored.1.contains("read it back"), "{}", stored.1);
         if !restarted {
             assert_eq!(send_change(&core, 1, "PUT", 7, &document(11, "on")).0, 200);
-            // The next round checks the state on disk, without the backup.
+            // The second iteration checks the state on disk, without the backup.
             core.restart_control_nodes(|_| ());
             core.wait_for_chain(&[1, 2, 3], 3);
         }
--- a/glenfall/tests/hostile.rs
+++ b/glenfall/tests/hostile.rs
@@ -98,10 +98,10 @@
     id.bytes().cycle().take(length).collect()
 }
 
-/// What the head of a request says.
+/// The parsed head of a request.
 struct RequestHead {
     id: String,
-    /// Bytes of the whole request, head and body.
+    /// Length of the complete request in bytes, head and body.
     length: usize,
 }
 
@@ -424,10 +424,10 @@
         Outcome::Answered(reply) => {
             let body = String::from_utf8_lossy(reply.body()).into_owned();
             assert_eq!(body, format!("for {id} end"), "the complete response to this request");
-            let says_not_run = matches!(reply.status().as_u16(), 408 | 421 | 429 | 503);
+            let claims_not_run = matches!(reply.status().as_u16(), 408 | 421 | 429 | 503);
             assert!(
-                is_idempotent || !says_not_run,
-                "{id}: the response says not run, but the server did not"
+                is_idempotent || !claims_not_run,
+                "{id}: the response status claims not run, but the server did not"
             );
             "answered"
         }
--- a/glenfall/tests/send_budget.rs
+++ b/glenfall/tests/send_budget.rs
@@ -42,7 +42,7 @@
 enum ShieldBehavior {
     /// Fetches and responds.
     Normal,
-    /// Fetches; its response arrives late.
+    /// Fetches and responds after a long delay.
     RespondsLate,
     /// Reads nothing.
     Frozen,
@@ -53,7 +53,6 @@
     Unreachable,
     /// Lacks the edge's version of the configuration.
     OutdatedConfig,
-    /// Has a stored response.
     HasStoredResponse,
     /// Joins another request's fetch, which succeeds.
     JoinsSuccessfulFetch,
@@ -116,8 +115,8 @@
         }
     }
 
-    /// Sends to servers until one responds successfully or the allowance is used up. Returns when that ends, and whether it
-    /// succeeded.
+    /// Sends to servers until one responds successfully or the allowance is used up. Returns the time at which that ends,
+    /// whether it succeeded, and the report.
     fn fetch(&mut self, sender: usize, began: Ms, allowance: Allowance) -> (Ms, bool, SendReport) {
         let mut sends = SendSequence::new(allowance.sends, true);
         let (mut now, mut success) = (began, false);
