--- a/glenfall/tests/contact.rs
+++ b/glenfall/tests/contact.rs
@@ -20,7 +20,7 @@
     [&(body.len() as u32).to_le_bytes()[..], &body].concat()
 }
 
-/// A link to a control node, with received bytes that are not parsed yet.
+/// A connection with a control node, and the received bytes that are not parsed yet.
 struct LinkEnd {
     stream: TcpStream,
     buffer: Vec<u8>,
--- a/glenfall/tests/lost.rs
+++ b/glenfall/tests/lost.rs
@@ -215,8 +215,8 @@
 
 const REQUEST_LINES: [&str; 4] = ["POST /writes/#", "GET /reads/#", "PUT /again/#", "POST /gone/#"];
 
-/// Checks that each response that a server has sent completely has reached its client, and that no request that was read
-/// ended otherwise.
+/// Checks that each request to which a server has responded completely ended with that response, and neither with an error
+/// nor without a response.
 fn check_responses(clients: &Clients, servers: &Servers) {
     wait_until("the servers have finished all requests", || {
         servers.finished_count.load(Ordering::Relaxed) == servers.started_count.load(Ordering::Relaxed)
--- a/glenfall/tests/send_budget.rs
+++ b/glenfall/tests/send_budget.rs
@@ -73,8 +73,8 @@
     ShieldBehavior::JoinsExhaustedFetch,
 ];
 
-/// A process that sends to servers in turn. Each sender starts at a different server, so that two of them share one only
-/// when no other is left.
+/// A process that sends to servers in turn. Each sender starts at a different server, so that together they
+/// reach as many servers as they can.
 struct Sender {
     next: usize,
 }
