--- a/glenfall/src/control/api/error.rs
+++ b/glenfall/src/control/api/error.rs
@@ -5,8 +5,8 @@
 use hyper::StatusCode;
 use serde_json::{json, Value};
 
-/// Longest error text in a response, in bytes: servers reject a response of more than 4 KiB, and in JSON a byte may take
-/// six.
+/// Longest error text in a response, in bytes: servers reject a response of more than 4 KiB, and in JSON a byte may
+/// take six.
 pub const MAX_ERROR_TEXT_BYTES: usize = 600;
 
 /// Why a request was rejected.
@@ -44,8 +44,8 @@
     /// A change does not give a valid configuration.
     #[error("{0}")]
     InvalidConfiguration(#[source] InvalidConfig),
-    /// A change may have been applied before the horizon of the deduplication table: no node will ever know, and sending it
-    /// again does not help. The caller has to read the current version back and decide.
+    /// A change may have been applied before the horizon of the deduplication table: no node will ever know, and
+    /// sending it again does not help. The caller has to read the current version back and decide.
     #[error(
         "no clear answer: versions up to {up_to} may have been taken, too long ago to tell; version {current} is in \
          force: read it back, and do not send this again"
@@ -152,7 +152,8 @@
     }
 }
 
-/// A change that may succeed in a moment, or at another node, is distinguished from one that contradicts the current voters.
+/// A change that may succeed in a moment, or at another node, is distinguished from one that contradicts the current
+/// voters.
 fn voter_change_status(error: VoterChangeError) -> StatusCode {
     match error {
         VoterChangeError::NoView | VoterChangeError::InProgress => StatusCode::SERVICE_UNAVAILABLE,
--- a/glenfall/src/control/api/mod.rs
+++ b/glenfall/src/control/api/mod.rs
@@ -1,7 +1,7 @@
 //! The HTTP interface of a control node for servers and operators: which resource answers which request.
 //!
-//! Each resource has a file of its own. What a request can fail with is an [`ApiError`], which alone decides on the status
-//! and the body of the response.
+//! Each resource has a file of its own. What a request can fail with is an [`ApiError`], which alone decides on the
+//! status and the body of the response.
 
 mod configuration;
 pub mod error;
--- a/glenfall/src/control/api/voters.rs
+++ b/glenfall/src/control/api/voters.rs
@@ -75,7 +75,7 @@
     let voters = control.chain.request_voter_change(change)?;
     // `seat` is the name before version 0.4.
     tracing::info!(?change, seat = ?change, ?voters, "voter change requested by an operator");
-    if are_active(control, &voters).await {
+    if wait_until_active(control, &voters).await {
         Ok(json_response(StatusCode::OK, &json!({ "voters": voters })))
     } else {
         Err(ApiError::VoterChangePending)
@@ -83,7 +83,7 @@
 }
 
 /// Waits until these are the only voters; false where that takes longer than [`VOTER_CHANGE_TIMEOUT`].
-async fn are_active(control: &Control, voters: &[Ipv4Addr]) -> bool {
+async fn wait_until_active(control: &Control, voters: &[Ipv4Addr]) -> bool {
     let started = Instant::now();
     while started.elapsed() < VOTER_CHANGE_TIMEOUT {
         sleep(TICK_INTERVAL).await;
--- a/glenfall/src/control/backup/legacy.rs
+++ b/glenfall/src/control/backup/legacy.rs
@@ -55,8 +55,8 @@
         self.crc == input.crc32()
     }
 
-    /// The record. A hash of 64 bits is not enough to confirm an order by, and its absence is not enough to reject one: the
-    /// hashes are dropped, and all orders up to the version of the document count as forgotten.
+    /// The record. A hash of 64 bits is not enough to confirm an order by, and its absence is not enough to reject one:
+    /// the hashes are dropped, and all orders up to the version of the document count as forgotten.
     pub(super) fn into_record(self) -> Record {
         Record {
             seq: self.seq,
--- a/glenfall/src/control/backup/mod.rs
+++ b/glenfall/src/control/backup/mod.rs
@@ -171,8 +171,8 @@
         DeduplicationTable::from_orders(self.forgotten_up_to, &orders)
     }
 
-    /// The state with which each of these voters starts where nothing but the backup is left. Versions up to `acknowledged`
-    /// may have been acknowledged since the export: none of them is applied again.
+    /// The state with which each of these voters starts where nothing but the backup is left. Versions up to
+    /// `acknowledged` may have been acknowledged since the export: none of them is applied again.
     pub fn state(self, voters: Vec<Ipv4Addr>, acknowledged: u64) -> Result<HardState, BackupError> {
         let mut applied_orders = self.deduplication_table()?;
         applied_orders.raise_horizon(acknowledged);
--- a/glenfall/src/control/chain_driver.rs
+++ b/glenfall/src/control/chain_driver.rs
@@ -1,5 +1,5 @@
-//! Runs the replicated chain of a control node: feeds it with time, messages, calls and completed writes, and carries out
-//! what it asks for.
+//! Runs the replicated chain of a control node: feeds it with time, messages, calls and completed writes, and carries
+//! out what it asks for.
 
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::BTreeMap;
@@ -70,15 +70,16 @@
         self.chain.borrow()
     }
 
-    /// Whether this node has received a heartbeat of a majority of the voters within the last second. That is not enough for
-    /// anything that binds other nodes: it needs an acknowledgement of the very request by each node of a majority.
+    /// Whether this node has received a heartbeat of a majority of the voters within the last second. That is not
+    /// enough for anything that binds other nodes: it needs an acknowledgement of the very request by each node of a
+    /// majority.
     pub fn has_quorum(&self) -> bool {
         let now = self.clock.now();
         self.chain.borrow_mut().has_quorum_at(now)
     }
 
-    /// Lets the chain act on the passage of time. `before_heartbeat` is called before heartbeats are sent, so that it can
-    /// send messages that the peers receive in the same packet.
+    /// Lets the chain act on the passage of time. `before_heartbeat` is called before heartbeats are sent, so that it
+    /// can send messages that the peers receive in the same packet.
     pub fn tick(&self, before_heartbeat: impl FnOnce(Millis)) {
         let now = self.clock.now();
         let outputs = self.chain.borrow_mut().tick(now);
@@ -120,8 +121,8 @@
     /// Has the chain decide a call, and waits for the outcome.
     pub async fn call(&self, call: Call) -> Outcome {
         let number = self.next_call.replace(self.next_call.get() + 1);
-        let (answer, outcome) = oneshot::channel();
-        self.pending_calls.borrow_mut().insert(number, answer);
+        let (outcome_sender, outcome) = oneshot::channel();
+        self.pending_calls.borrow_mut().insert(number, outcome_sender);
         self.step(|chain, now| chain.call(now, number, call));
         outcome.await.unwrap_or(Outcome::Unavailable)
     }
@@ -149,13 +150,13 @@
             match output {
                 Output::Send(peer, message) => self.links.send(peer, PeerMessage::Chain(message)),
                 Output::Persist(number, state) => self.writes.submit(number, state),
-                Output::Answer(call, outcome) => self.answer(call, outcome),
+                Output::Answer(call, outcome) => self.complete_call(call, outcome),
                 Output::Publish(record) => self.publish(&record),
             }
         }
     }
 
-    fn answer(&self, call: u64, outcome: Outcome) {
+    fn complete_call(&self, call: u64, outcome: Outcome) {
         if let Some(caller) = self.pending_calls.borrow_mut().remove(&call) {
             // The caller may have stopped waiting.
             let _ = caller.send(outcome);
@@ -172,12 +173,12 @@
 
     /// Checks that a committed record follows the one before it, whichever views were between them.
     fn check_committed(&self, record: &Arc<Record>) {
-        let Some(before) = self.published.replace(Some(Arc::clone(record))) else { return };
+        let Some(previous) = self.published.replace(Some(Arc::clone(record))) else { return };
         let detail =
-            || format!("rev {}, seq {} after {}, {}", record.rev, record.seq, before.rev, before.seq);
-        let is_ordered = (before.rev, before.seq) <= (record.rev, record.seq);
+            || format!("rev {}, seq {} after {}, {}", record.rev, record.seq, previous.rev, previous.seq);
+        let is_ordered = (previous.rev, previous.seq) <= (record.rev, record.seq);
         Invariant::CommittedOrder.check(is_ordered, detail);
-        let is_same_document = before.rev != record.rev || before.document == record.document;
+        let is_same_document = previous.rev != record.rev || previous.document == record.document;
         Invariant::OneDocument.check(is_same_document, detail);
     }
 
--- a/glenfall/src/control/fleet_publisher.rs
+++ b/glenfall/src/control/fleet_publisher.rs
@@ -83,14 +83,14 @@
 
     /// Publishes the present fleet if it has changed.
     pub fn publish_now(&self) {
-        let present = self.present();
-        let change = self.published.borrow_mut().advance_to(present);
+        let current = self.current();
+        let change = self.published.borrow_mut().advance_to(current);
         if let Some(change) = change {
             self.sessions.push(&Update::Fleet(change));
         }
     }
 
-    fn present(&self) -> Fleet {
+    fn current(&self) -> Fleet {
         let members = self.sessions.members().into_iter().chain(self.peer_members.all());
         let (shields, edges): (Vec<Member>, Vec<Member>) =
             members.partition(|member| member.proxy == ProxyRole::Shield);
--- a/glenfall/src/control/heartbeat_relay.rs
+++ b/glenfall/src/control/heartbeat_relay.rs
@@ -1,6 +1,6 @@
-//! Heartbeats of servers that change nothing, collected for the peers. Each keeps a server in the registry of every control
-//! node for four heartbeat intervals, so that a short delay does no harm. One message, which goes out with a heartbeat
-//! of the chain, carries those of many servers, and wakes a peer that is woken anyway.
+//! Heartbeats of servers that change nothing, collected for the peers. Each keeps a server in the registry of every
+//! control node for four heartbeat intervals, so that a short delay does no harm. One message, which goes out with a
+//! heartbeat of the chain, carries those of many servers, and wakes a peer that is woken anyway.
 
 use std::cell::RefCell;
 
@@ -26,7 +26,8 @@
 }
 
 impl HeartbeatRelay {
-    /// Adds a heartbeat, which replaces an earlier one of the same server. If there are too many, the oldest is dropped.
+    /// Adds a heartbeat, which replaces an earlier one of the same server. If there are too many, the oldest is
+    /// dropped.
     pub fn add(&self, now: Millis, entry: ServerEntry) {
         let mut pending = self.pending.borrow_mut();
         pending.retain(|earlier| earlier.entry.id != entry.id);
--- a/glenfall/src/control/local_members.rs
+++ b/glenfall/src/control/local_members.rs
@@ -12,8 +12,8 @@
 
 /// The members whose sessions are at this node.
 ///
-/// It owns the list as it was sent to peers last. Each connected peer has received exactly this list: a snapshot when it
-/// was connected, and every change since.
+/// It owns the list as it was sent to peers last. Each connected peer has received exactly this list: a snapshot when
+/// it was connected, and every change since.
 pub struct LocalMembers {
     sessions: Rc<Sessions>,
     links: Rc<PeerLinks>,
--- a/glenfall/src/control/mod.rs
+++ b/glenfall/src/control/mod.rs
@@ -1,7 +1,7 @@
 //! A control node: a replica of the chain, the registry of servers, and the sessions that it publishes both to.
 //!
-//! Each module owns the state that its type names, and no other module can change it. `node` holds one value of each and
-//! connects them; a module uses only those that stand above it here.
+//! Each module owns the state that its type names, and no other module can change it. `node` holds one value of each
+//! and connects them; a module uses only those that stand above it here.
 //!
 //! | module | owns |
 //! | --- | --- |
@@ -62,8 +62,8 @@
 use crate::settings::Settings;
 use node::Control;
 
-/// File descriptors that are reserved for sessions, peers and files. All others are for HTTP connections: servers keep theirs
-/// open between heartbeats, and with a lower limit each heartbeat would open a new one.
+/// File descriptors that are reserved for sessions, peers and files. All others are for HTTP connections: servers keep
+/// theirs open between heartbeats, and with a lower limit each heartbeat would open a new one.
 const RESERVED_DESCRIPTORS: usize = 1500;
 /// HTTP connections that are accepted however few descriptors the settings allow.
 const MIN_HTTP_CONNECTIONS: usize = 256;
@@ -80,13 +80,13 @@
 pub async fn run(settings: Rc<Settings>) -> Result<(), Box<dyn std::error::Error>> {
     let listen = settings.require_listener("controlAddr", |listeners| listeners.control_addr)?;
     let seeds = node::seed_addresses(&settings);
-    let (report_write, completed_writes) = mpsc::unbounded_channel();
-    let control = Rc::new(Control::open(Rc::clone(&settings), &seeds, report_write)?);
-    let from_network =
+    let (completed_write_sender, completed_writes) = mpsc::unbounded_channel();
+    let control = Rc::new(Control::open(Rc::clone(&settings), &seeds, completed_write_sender)?);
+    let network_listener =
         TcpListener::bind(settings.listen_address(settings.link_address(settings.bind_ip))).await?;
-    let from_same_machine = TcpListener::bind(settings.watch_address()).await?;
-    spawn_local(inbound::accept(Rc::clone(&control), from_network, Reach::Network));
-    spawn_local(inbound::accept(Rc::clone(&control), from_same_machine, Reach::SameMachine));
+    let local_listener = TcpListener::bind(settings.watch_address()).await?;
+    spawn_local(inbound::accept(Rc::clone(&control), network_listener, Reach::Network));
+    spawn_local(inbound::accept(Rc::clone(&control), local_listener, Reach::SameMachine));
     control.connect_to(&seeds);
     control.start(completed_writes);
     let server = http_server::ServerConfig {
--- a/glenfall/src/control/node.rs
+++ b/glenfall/src/control/node.rs
@@ -84,8 +84,8 @@
 }
 
 impl Control {
-    /// A control node with the state in its state directory. `report_write` receives the number of each write of the
-    /// chain that is on disk.
+    /// A control node with the state in its state directory. `completed_write_sender` receives the number of each write
+    /// of the chain that is on disk.
     ///
     /// # Errors
     ///
@@ -93,7 +93,7 @@
     pub fn open(
         settings: Rc<Settings>,
         seeds: &[Ipv4Addr],
-        report_write: mpsc::UnboundedSender<u64>,
+        completed_write_sender: mpsc::UnboundedSender<u64>,
     ) -> Result<Control, Box<dyn std::error::Error>> {
         let chain_settings = settings.chain_settings()?;
         let folder = settings.state_dir.clone().ok_or("stateDir: missing; control keeps its state there")?;
@@ -108,7 +108,7 @@
         let chain = Rc::new(ChainDriver::new(
             clock,
             Chain::new(local.ip, chain_settings, start).with_incarnation(local.incarnation),
-            HardStateWriter::start(store, report_write)?,
+            HardStateWriter::start(store, completed_write_sender)?,
             Rc::clone(&peers.links),
             Rc::clone(&sessions),
             settings.survive.hosts,
@@ -250,8 +250,8 @@
         }
     }
 
-    /// Connects to the seeds that the settings file names now. A node knows only its seeds at first: one that has started
-    /// with seeds that are down, and that no other node knows, finds none otherwise.
+    /// Connects to the seeds that the settings file names now. A node knows only its seeds at first: one that has
+    /// started with seeds that are down, and that no other node knows, finds none otherwise.
     fn connect_to_current_seeds(self: &Rc<Self>) {
         if let Ok(settings) = Settings::load() {
             self.connect_to(&seed_addresses(&settings));
--- a/glenfall/src/control/peer_events.rs
+++ b/glenfall/src/control/peer_events.rs
@@ -41,14 +41,14 @@
                 self.purges_received(peer, id, purges, already_notified);
             }
             PeerMessage::PurgeDurable { incarnation, number } => {
-                self.purges.durable_on(peer, incarnation, number);
+                self.purges.record_durable(peer, incarnation, number);
             }
             PeerMessage::Acknowledged { id, complete } => {
                 self.peers.requests.acknowledged(peer, id, complete);
             }
             PeerMessage::RenewLease { id } => self.leases.grant(peer, id),
-            PeerMessage::LeaseGranted { id, duration } => self.leases.granted_by(peer, id, duration),
-            PeerMessage::LeaseReleased => self.leases.released_by(peer),
+            PeerMessage::LeaseGranted { id, duration } => self.leases.lease_granted(peer, id, duration),
+            PeerMessage::LeaseReleased => self.leases.lease_released(peer),
             PeerMessage::KeepAlive => {}
         }
     }
--- a/glenfall/src/control/peers/links.rs
+++ b/glenfall/src/control/peers/links.rs
@@ -54,8 +54,8 @@
 /// The links to all known peers, each a small state machine.
 ///
 /// It owns the open connections of each link and whether the link is connected. A link becomes connected once both of
-/// its connections are open, and is disconnected as soon as one of them closes or the peer replaces its own. Each method
-/// that can change this returns whether it did, and its caller reports the change.
+/// its connections are open, and is disconnected as soon as one of them closes or the peer replaces its own. Each
+/// method that can change this returns whether it did, and its caller reports the change.
 ///
 /// The other connection of a disconnected link stays open. If it were closed too, its end would close the new
 /// connection of the peer, whose end would close the next, for as long as both nodes reconnect.
@@ -110,8 +110,8 @@
         Some(ProcessId { ip: peer, incarnation: link.incarnation })
     }
 
-    /// Queues a message on the outbound connection of a peer, if that is open. A connection whose queue is full is closed
-    /// by the task that reads it.
+    /// Queues a message on the outbound connection of a peer, if that is open. A connection whose queue is full is
+    /// closed by the task that reads it.
     pub fn send(&self, peer: Ipv4Addr, message: PeerMessage) {
         if let Some(outbound) = self.links.borrow().get(&peer).and_then(|link| link.outbound.as_ref()) {
             let _ = outbound.send(message);
@@ -155,7 +155,8 @@
         self.links.borrow().get(&peer).is_some_and(|link| link.inbound == Some(connection))
     }
 
-    /// Notes the end of an inbound connection, unless a newer one has replaced it; returns whether the link was connected.
+    /// Notes the end of an inbound connection, unless a newer one has replaced it; returns whether the link was
+    /// connected.
     pub fn inbound_closed(&self, peer: Ipv4Addr, connection: InboundId) -> bool {
         let mut links = self.links.borrow_mut();
         let Some(link) = links.get_mut(&peer).filter(|link| link.inbound == Some(connection)) else {
--- a/glenfall/src/control/peers/requests.rs
+++ b/glenfall/src/control/peers/requests.rs
@@ -23,7 +23,7 @@
         /// All peers that had not acknowledged, in order.
         unacknowledged: Vec<Ipv4Addr>,
     },
-    /// The deadline has passed.
+    /// The time_limit has passed.
     #[error("deadline passed; not acknowledged by {unacknowledged:?}")]
     TimedOut {
         /// The peers that had not acknowledged, in order.
@@ -49,7 +49,7 @@
         }
     }
 
-    fn is_decided(&self) -> bool {
+    fn is_resolved(&self) -> bool {
         self.unacknowledged.is_empty() || self.disconnected.is_some()
     }
 
@@ -105,12 +105,12 @@
     ///
     /// # Errors
     ///
-    /// When a peer is disconnected before it acknowledges, or the deadline passes.
+    /// When a peer is disconnected before it acknowledges, or the time_limit passes.
     pub async fn send_to_all(
         &self,
         peers: &[Ipv4Addr],
         request: impl Fn(CallId) -> PeerMessage,
-        deadline: Duration,
+        time_limit: Duration,
     ) -> Result<Vec<Ipv4Addr>, RequestError> {
         let id = self.next_id.replace(self.next_id.get() + 1);
         self.pending.borrow_mut().insert(id, PendingRequest::new(peers));
@@ -120,14 +120,14 @@
             self.links.send(*peer, request(CallId { incarnation, number: id }));
         }
         // The state of the request tells whether it was decided in time.
-        let _ = timeout(deadline, self.decided(id)).await;
+        let _ = timeout(time_limit, self.wait_until_resolved(id)).await;
         guard.finish().unwrap_or_else(|| PendingRequest::new(peers)).into_result()
     }
 
-    async fn decided(&self, id: u64) {
+    async fn wait_until_resolved(&self, id: u64) {
         loop {
             let progress = self.progress.notified();
-            if self.pending.borrow().get(&id).is_none_or(PendingRequest::is_decided) {
+            if self.pending.borrow().get(&id).is_none_or(PendingRequest::is_resolved) {
                 return;
             }
             progress.await;
--- a/glenfall/src/control/purge_coordinator.rs
+++ b/glenfall/src/control/purge_coordinator.rs
@@ -21,14 +21,15 @@
 use super::voter_leases::VoterLeaseManager;
 use crate::session::publisher::{Sessions, MAX_ACKNOWLEDGEMENT_DELAY};
 
-/// Time limit for a purge to reach every process that may serve from stored responses. After that it is refused, and the
-/// operator repeats it when the leases of those processes that did not apply it are over. Operators give up a call after a second.
+/// Time limit for a purge to reach every process that may serve from stored responses. After that it is refused, and
+/// the operator repeats it when the leases of those processes that did not apply it are over. Operators give up a call
+/// after a second.
 const PURGE_TIMEOUT: Duration = Duration::from_millis(750);
-/// Time limit for a purge of a peer, here and at the peers that it is forwarded to. It is shorter than [`PURGE_TIMEOUT`],
-/// so that the acknowledgement still arrives in time at the origin.
+/// Time limit for a purge of a peer, here and at the peers that it is forwarded to. It is shorter than
+/// [`PURGE_TIMEOUT`], so that the acknowledgement still arrives in time at the origin.
 const PEER_PURGE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time limit for a purge that another node than its origin has forwarded; shorter than [`PEER_PURGE_TIMEOUT`] for the same
-/// reason.
+/// Time limit for a purge that another node than its origin has forwarded; shorter than [`PEER_PURGE_TIMEOUT`] for the
+/// same reason.
 const FORWARDED_PURGE_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// Why a purge was not acknowledged.
@@ -62,8 +63,8 @@
 
 /// Coordinates purges.
 ///
-/// It owns the purge history, its log on disk, and the numbers of the purges of this process. A purge that is new to the
-/// history is pushed to all sessions and written to disk in the same step, so that none of the three lacks it.
+/// It owns the purge history, its log on disk, and the numbers of the purges of this process. A purge that is new to
+/// the history is pushed to all sessions and written to disk in the same step, so that none of the three lacks it.
 pub struct PurgeCoordinator {
     dependencies: PurgeDependencies,
     history: RefCell<PurgeHistory>,
@@ -108,8 +109,8 @@
     ///
     /// # Errors
     ///
-    /// When the purge is not durable on enough disks in time, or was neither applied by each process that may serve from
-    /// such responses nor outlasted by the leases of those processes.
+    /// When the purge is not durable on enough disks in time, or was neither applied by each process that may serve
+    /// from such responses nor outlasted by the leases of those processes.
     pub async fn purge(&self, purge: Purge) -> Result<(), PurgeError> {
         let PurgeDependencies { links, requests, sessions, leases, .. } = &self.dependencies;
         let number = self.next_number.replace(self.next_number.get() + 1);
@@ -144,8 +145,8 @@
         if !(other_leases_over && applied && is_quorum) {
             return Err(PurgeError::NotApplied);
         }
-        let behind = sessions.lease_holders_behind(&leased);
-        Invariant::PurgeIsApplied.check(behind.is_empty(), || format!("{behind:?} have a lease"));
+        let unapplied = sessions.lease_holders_behind(&leased);
+        Invariant::PurgeIsApplied.check(unapplied.is_empty(), || format!("{unapplied:?} have a lease"));
         Ok(())
     }
 
@@ -156,15 +157,15 @@
         let local = self.dependencies.links.local().ip;
         spawn_local(async move {
             if written.await.is_ok() {
-                durability.durable_on(local, number);
+                durability.record_durable(local, number);
             }
         });
     }
 
     /// Records that a purge of a process at this address is on the disk of a peer.
-    pub fn durable_on(&self, peer: Ipv4Addr, incarnation: u64, number: u64) {
+    pub fn record_durable(&self, peer: Ipv4Addr, incarnation: u64, number: u64) {
         if incarnation == self.dependencies.links.local().incarnation {
-            self.durability.durable_on(peer, number);
+            self.durability.record_durable(peer, number);
         }
     }
 
@@ -189,8 +190,8 @@
         });
     }
 
-    /// Records purges, and pushes those that are new to the sessions. The receiver, if any is new, completes once they are
-    /// on disk.
+    /// Records purges, and pushes those that are new to the sessions. The receiver, if any is new, completes once they
+    /// are on disk.
     fn record(&self, purges: Vec<PurgeRecord>) -> Option<oneshot::Receiver<()>> {
         let new = self.history.borrow_mut().add(self.dependencies.clock.now(), purges);
         if new.is_empty() {
@@ -202,9 +203,9 @@
     }
 
     /// Waits until no session that has a lease of this node can serve responses that a purge invalidated. False if that
-    /// takes longer than `deadline`.
-    async fn apply_at_sessions(&self, deadline: Duration) -> bool {
-        let applied = self.dependencies.sessions.wait_until_purged(deadline).await;
+    /// takes longer than `time_limit`.
+    async fn apply_at_sessions(&self, time_limit: Duration) -> bool {
+        let applied = self.dependencies.sessions.wait_until_purged(time_limit).await;
         self.dependencies.sessions.end_overdue(MAX_ACKNOWLEDGEMENT_DELAY);
         applied
     }
@@ -236,8 +237,8 @@
         }
     }
 
-    /// Chooses the peers that `origin` has not notified itself. They are those that are connected at this moment: whoever
-    /// connects later receives the complete history.
+    /// Chooses the peers that `origin` has not notified itself. They are those that are connected at this moment:
+    /// whoever connects later receives the complete history.
     fn plan_forward(
         &self,
         origin: Ipv4Addr,
--- a/glenfall/src/control/purge_durability.rs
+++ b/glenfall/src/control/purge_durability.rs
@@ -38,7 +38,7 @@
     }
 
     /// Records that a purge of this node is on the disk of a node.
-    pub fn durable_on(&self, node: Ipv4Addr, number: u64) {
+    pub fn record_durable(&self, node: Ipv4Addr, number: u64) {
         if let Some(nodes) = self.durable_on.borrow_mut().get_mut(&number) {
             nodes.insert(node);
             self.reported.notify_waiters();
@@ -51,8 +51,8 @@
 }
 
 impl TrackedPurge<'_> {
-    /// Waits until the purge is on that many disks. False if that takes longer than `deadline`.
-    pub async fn wait_for_disks(&self, disks: usize, deadline: Duration) -> bool {
+    /// Waits until the purge is on that many disks. False if that takes longer than `time_limit`.
+    pub async fn wait_for_disks(&self, disks: usize, time_limit: Duration) -> bool {
         let durable = async {
             loop {
                 let reported = self.durability.reported.notified();
@@ -62,6 +62,6 @@
                 reported.await;
             }
         };
-        timeout(deadline, durable).await.is_ok()
+        timeout(time_limit, durable).await.is_ok()
     }
 }
--- a/glenfall/src/control/purge_log.rs
+++ b/glenfall/src/control/purge_log.rs
@@ -1,8 +1,8 @@
 //! The recent purges on disk.
 //!
-//! Shields keep stored responses on disk as well. After a loss of power at all control nodes, these still have to know which
-//! purges the stored responses have missed. The log is written by a thread of its own and apart from the chain's file, so
-//! that a stream of purges delays no change of the configuration.
+//! Shields keep stored responses on disk as well. After a loss of power at all control nodes, these still have to know
+//! which purges the stored responses have missed. The log is written by a thread of its own and apart from the chain's
+//! file, so that a stream of purges delays no change of the configuration.
 
 use std::path::{Path, PathBuf};
 use std::sync::mpsc;
@@ -32,7 +32,7 @@
 /// Purges to be written, and the sender that reports their durability.
 struct PendingWrite {
     purges: Vec<PurgeRecord>,
-    durable: oneshot::Sender<()>,
+    completion: oneshot::Sender<()>,
 }
 
 /// The log of purges, and the queue to the thread that writes it.
@@ -46,16 +46,16 @@
     pub fn open(folder: &Path) -> std::io::Result<(PurgeLog, Vec<PurgeRecord>)> {
         std::fs::create_dir_all(folder)?;
         let mut file = LogFile { path: folder.join(DATABASE_FILE), db: None };
-        let remembered = file.read_or_recreate();
+        let retained = file.read_or_recreate();
         let (queue, writes) = mpsc::sync_channel(MAX_QUEUED_WRITES);
         std::thread::Builder::new().name("purges".into()).spawn(move || write_all(file, &writes))?;
-        Ok((PurgeLog { queue }, remembered))
+        Ok((PurgeLog { queue }, retained))
     }
 
     /// Writes purges. The receiver resolves once they are on disk, and fails where the queue is full.
     pub fn write(&self, purges: Vec<PurgeRecord>) -> oneshot::Receiver<()> {
-        let (durable, receiver) = oneshot::channel();
-        if self.queue.try_send(PendingWrite { purges, durable }).is_err() {
+        let (completion, receiver) = oneshot::channel();
+        if self.queue.try_send(PendingWrite { purges, completion }).is_err() {
             tracing::warn!("purges not written: the write queue is full");
         }
         receiver
@@ -73,7 +73,7 @@
         }
         for write in batch {
             // The receiver may be gone, as nobody waits any more.
-            let _ = write.durable.send(());
+            let _ = write.completion.send(());
         }
     }
 }
--- a/glenfall/src/control/purge_log_completeness.rs
+++ b/glenfall/src/control/purge_log_completeness.rs
@@ -12,9 +12,10 @@
 
 /// Whether the purge history of this node is complete.
 ///
-/// It owns the set of peers that have sent their complete history since they were connected last, and whether these and this
-/// node were a majority of the voters at the last look. While they are, this node knows every purge that was acknowledged,
-/// because each is known to a majority: a session that learns from it what it missed has missed nothing else.
+/// It owns the set of peers that have sent their complete history since they were connected last, and whether these and
+/// this node were a majority of the voters at the last look. While they are, this node knows every purge that was
+/// acknowledged, because each is known to a majority: a session that learns from it what it missed has missed nothing
+/// else.
 ///
 /// Sessions that were notified rely on it until they are closed, also if the history is complete no more. So the
 /// replacement of a voter invalidates no stored responses.
@@ -57,8 +58,9 @@
 
     /// Looks again, as the voters may have changed, and notifies sessions once the history is complete.
     pub fn update(&self) {
-        let is_known = |node: &Ipv4Addr| *node == self.local || self.received_from.borrow().contains(node);
-        let complete = self.chain.state().members().majority(is_known);
+        let history_known =
+            |node: &Ipv4Addr| *node == self.local || self.received_from.borrow().contains(node);
+        let complete = self.chain.state().members().majority(history_known);
         let was_complete = self.complete.replace(complete);
         if complete && !was_complete {
             self.sessions.push(&Update::Connected(true));
--- a/glenfall/src/control/quorum_contact.rs
+++ b/glenfall/src/control/quorum_contact.rs
@@ -16,8 +16,8 @@
 
 /// Contact of this node with a quorum of the voters.
 ///
-/// It owns the moment of the last contact. The node is *isolated* once that is [`ISOLATION_TIMEOUT`] ago: its agents may
-/// reach nodes that are not, and what is acknowledged there does not arrive here. The state changes only in
+/// It owns the moment of the last contact. The node is *isolated* once that is [`ISOLATION_TIMEOUT`] ago: its agents
+/// may reach nodes that are not, and what is acknowledged there does not arrive here. The state changes only in
 /// [`QuorumContact::update`], which the node calls with each tick and before it accepts a session.
 pub struct QuorumContact {
     chain: Rc<ChainDriver>,
@@ -43,7 +43,7 @@
             self.last_contact.set(Instant::now());
         }
         let isolated = self.last_contact.get().elapsed() >= ISOLATION_TIMEOUT;
-        if self.isolated.send_if_modified(|known| std::mem::replace(known, isolated) != isolated) {
+        if self.isolated.send_if_modified(|current| std::mem::replace(current, isolated) != isolated) {
             self.log_change(isolated);
         }
         isolated
--- a/glenfall/src/control/quorum_reads.rs
+++ b/glenfall/src/control/quorum_reads.rs
@@ -54,7 +54,8 @@
             let ticket = self.last_ticket.get();
             while *covered.borrow() < ticket {
                 spawn_local(Rc::clone(&self).read(ticket));
-                // There is no answer while no view is active, and none from a head that did not know yet that its view is.
+                // There is no answer while no view is active, and none from a head that did not know yet that its view
+                // is.
                 let _ = timeout(READ_RETRY_INTERVAL, covered.wait_for(|covered| *covered >= ticket)).await;
             }
         }
--- a/glenfall/src/control/server_registry.rs
+++ b/glenfall/src/control/server_registry.rs
@@ -53,7 +53,7 @@
     }
 
     /// The entry of a server that is draining or deregistered.
-    pub fn ending(&self, id: &str) -> Option<ServerEntry> {
+    pub fn draining_or_deregistered(&self, id: &str) -> Option<ServerEntry> {
         let registry = self.registry.borrow();
         registry.entry(id).filter(|entry| entry.status != EntryStatus::Ready).cloned()
     }
@@ -82,9 +82,9 @@
         !expired.is_empty()
     }
 
-    /// The servers as proxies see them; with `include_ended` also those that are deregistered, as not ready.
-    pub fn servers(&self, include_ended: bool) -> Vec<Server> {
-        self.registry.borrow().servers(self.clock.now(), include_ended)
+    /// The servers as proxies see them; with `include_deregistered` also those that are deregistered, as not ready.
+    pub fn servers(&self, include_deregistered: bool) -> Vec<Server> {
+        self.registry.borrow().servers(self.clock.now(), include_deregistered)
     }
 
     /// All entries, each with its age.
--- a/glenfall/src/control/server_replication.rs
+++ b/glenfall/src/control/server_replication.rs
@@ -1,4 +1,5 @@
-//! Replicates registrations, draining and deregistration of servers to all control nodes, and acknowledges those of peers.
+//! Replicates registrations, draining and deregistration of servers to all control nodes, and acknowledges those of
+//! peers.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -95,8 +96,8 @@
         let outcome = registry.observe(0, entry.clone());
         if entry.status != EntryStatus::Ready {
             // This heartbeat may be an old one. What is replicated is the latest status.
-            if let Some(latest) = registry.ending(&entry.id) {
-                self.replicate_ending(&latest).await?;
+            if let Some(latest) = registry.draining_or_deregistered(&entry.id) {
+                self.replicate_status(&latest).await?;
                 return Ok(outcome);
             }
         }
@@ -118,7 +119,7 @@
     /// When not all control nodes have acknowledged it, or the registry is full.
     pub async fn deregister(&self, id: &str) -> Result<(), ReplicationError> {
         let entry = self.dependencies.registry.deregister(id).ok_or(ReplicationError::RegistryFull)?;
-        self.replicate_ending(&entry).await
+        self.replicate_status(&entry).await
     }
 
     /// Sends peers the heartbeats that were collected.
@@ -129,8 +130,8 @@
     }
 
     /// Sends a request to all connected peers, and by them to the peers that only those reach, and waits until each has
-    /// acknowledged this very request and they are a quorum with this node. A control node that is not among them, and has
-    /// sessions, is not in contact with a quorum: it closes its sessions, or learns of the change when it is again.
+    /// acknowledged this very request and they are a quorum with this node. A control node that is not among them, and
+    /// has sessions, is not in contact with a quorum: it closes its sessions, or learns of the change when it is again.
     ///
     /// # Errors
     ///
@@ -138,10 +139,10 @@
     pub async fn replicate_to_all_peers(
         &self,
         request: impl Fn(CallId) -> PeerMessage,
-        deadline: Duration,
+        time_limit: Duration,
     ) -> Result<(), ReplicationError> {
         let connected = self.dependencies.links.connected();
-        self.dependencies.requests.send_to_all(&connected, request, deadline).await?;
+        self.dependencies.requests.send_to_all(&connected, request, time_limit).await?;
         if self.dependencies.chain.state().is_quorum(&connected) {
             Ok(())
         } else {
@@ -150,7 +151,7 @@
     }
 
     /// Replicates to all control nodes and proxies that a server is draining or deregistered.
-    async fn replicate_ending(&self, entry: &ServerEntry) -> Result<(), ReplicationError> {
+    async fn replicate_status(&self, entry: &ServerEntry) -> Result<(), ReplicationError> {
         let ReplicationDependencies { registry, links, quorum_reads, fleet, sessions, .. } =
             &self.dependencies;
         if registry.is_replicated(&entry.id) {
@@ -162,8 +163,8 @@
         }
         fleet.publish_now();
         let request = |id| PeerMessage::ReplicateServer { id, entry: entry.clone(), forward: true };
-        // A slow proxy may take longer: what was sent to it is not lost while its session lasts, and a proxy whose session
-        // ends turns to another node.
+        // A slow proxy may take longer: what was sent to it is not lost while its session lasts, and a proxy whose
+        // session ends turns to another node.
         let (replicated, _applied) = tokio::join!(
             self.replicate_to_all_peers(request, DRAIN_REPLICATION_TIMEOUT),
             sessions.wait_until_applied(DRAIN_REPLICATION_TIMEOUT)
@@ -206,8 +207,8 @@
         }
     }
 
-    /// Records a status that a peer replicates, and acknowledges it once all sessions here have applied it or have had the
-    /// time to; with `forward` also the peers that this node reaches and the other one does not.
+    /// Records a status that a peer replicates, and acknowledges it once all sessions here have applied it or have had
+    /// the time to; with `forward` also the peers that this node reaches and the other one does not.
     pub fn replicate_for_peer(
         self: &Rc<Self>,
         from: Ipv4Addr,
@@ -219,14 +220,17 @@
         if registry.observe(0, entry.clone()) == HeartbeatOutcome::Changed {
             fleet.publish_now();
         }
-        // Chosen by the connections of the peer when it sent the request: it notifies those itself that it connects to later.
+        // Chosen by the connections of the peer when it sent the request: it notifies those itself that it connects to
+        // later.
         let forward_to = if forward { self.peers_not_reached_by(from) } else { Vec::new() };
-        let limit = if forward { PEER_REPLICATION_TIMEOUT } else { FORWARDED_REPLICATION_TIMEOUT };
+        let time_limit = if forward { PEER_REPLICATION_TIMEOUT } else { FORWARDED_REPLICATION_TIMEOUT };
         let replication = Rc::clone(self);
         spawn_local(async move {
             let ReplicationDependencies { links, sessions, .. } = &replication.dependencies;
-            let (_applied, forwarded) =
-                tokio::join!(sessions.wait_until_applied(limit), replication.forward(&forward_to, &entry));
+            let (_applied, forwarded) = tokio::join!(
+                sessions.wait_until_applied(time_limit),
+                replication.forward(&forward_to, &entry)
+            );
             if forwarded.is_ok() {
                 links.send(from, PeerMessage::Acknowledged { id, complete: true });
             }
--- a/glenfall/src/control/session_publisher.rs
+++ b/glenfall/src/control/session_publisher.rs
@@ -9,9 +9,9 @@
 use super::node::Control;
 use crate::session::publisher::{Greeting, Publisher, Reach};
 
-/// How long an agent waits until the configuration for it is proved to be the newest. The first view after the loss of all
-/// control nodes takes 0.2 to 0.7 s, and the replacement of a node in the chain 1.2 s. An agent that waits longer had better
-/// try another node.
+/// How long an agent waits until the configuration for it is proved to be the newest. The first view after the loss of
+/// all control nodes takes 0.2 to 0.7 s, and the replacement of a node in the chain 1.2 s. An agent that waits longer
+/// had better try another node.
 const SESSION_OPENING_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// A control node as the publisher of one session.
@@ -48,8 +48,8 @@
         }
     }
 
-    /// The newest configuration, proved by a quorum read that begins after the session has. `None` if that takes too long
-    /// for an agent, which can turn to another node.
+    /// The newest configuration, proved by a quorum read that begins after the session has. `None` if that takes too
+    /// long for an agent, which can turn to another node.
     async fn newest_config(&self) -> Option<Vec<Update>> {
         timeout(self.opening_timeout(), self.control.quorum_reads.wait_for_newest()).await.ok()?;
         let chain = self.control.chain.state();
--- a/glenfall/src/control/store/error.rs
+++ b/glenfall/src/control/store/error.rs
@@ -21,7 +21,7 @@
     Damaged(String),
     /// A state, or a file that was set aside earlier, exists where a new state is to be created.
     #[error("{} is in the way: state is put only where there is none", .0.display())]
-    InTheWay(PathBuf),
+    StateExists(PathBuf),
 }
 
 impl StoreError {
@@ -40,7 +40,7 @@
             }
             // No such table, or a column of another type: a valid database, but not one that this program wrote.
             StoreError::Sqlite(_) | StoreError::Row(_) | StoreError::Damaged(_) => true,
-            StoreError::Io(_) | StoreError::InTheWay(_) => false,
+            StoreError::Io(_) | StoreError::StateExists(_) => false,
         }
     }
 }
--- a/glenfall/src/control/store/idempotency_keys.rs
+++ b/glenfall/src/control/store/idempotency_keys.rs
@@ -1,7 +1,8 @@
 //! Applied orders on disk, with the idempotency keys by which a repeated order is recognised.
 //!
 //! A full chunk of the deduplication table does not change any more: it has a row of its own, which is written once, in
-//! the same transaction as the state that names it with its CRC-32. The chunk that is still open is written with the state.
+//! the same transaction as the state that names it with its CRC-32. The chunk that is still open is written with the
+//! state.
 
 use std::sync::Arc;
 
@@ -51,8 +52,8 @@
     chunks.iter().any(|other| Arc::ptr_eq(other, chunk) || other == chunk)
 }
 
-/// Writes the chunks that have no row yet, and deletes the rows of chunks that the table does not hold any more; `written`
-/// are the chunks that have a row. For a transaction of the caller's.
+/// Writes the chunks that have no row yet, and deletes the rows of chunks that the table does not hold any more;
+/// `written` are the chunks that have a row. For a transaction of the caller's.
 pub(super) fn write(
     db: &Connection,
     written: &[Chunk],
--- a/glenfall/src/control/store/legacy.rs
+++ b/glenfall/src/control/store/legacy.rs
@@ -1,8 +1,8 @@
 //! The state as earlier layouts have it, which are read and never written.
 //!
-//! In both, applied orders were recognised by hashes of 64 bits. Such a hash is not enough to confirm an order by, and its
-//! absence is not enough to reject one: the hashes are dropped, and all orders up to the version of the document count as
-//! forgotten.
+//! In both, applied orders were recognised by hashes of 64 bits. Such a hash is not enough to confirm an order by, and
+//! its absence is not enough to reject one: the hashes are dropped, and all orders up to the version of the document
+//! count as forgotten.
 
 use std::sync::Arc;
 
--- a/glenfall/src/control/store/mod.rs
+++ b/glenfall/src/control/store/mod.rs
@@ -1,8 +1,8 @@
 //! The durable state of the chain: the hard state in one SQLite file, written completely or not at all.
 //!
 //! The hard state has one row with a checksum; full chunks of idempotency keys have rows of their own, so that a change
-//! writes its own order and not the thousands before it. A file that can't be trusted is set aside, and never read as if
-//! it were intact.
+//! writes its own order and not the thousands before it. A file that can't be trusted is set aside, and never read as
+//! if it were intact.
 
 mod error;
 mod hard_state_row;
@@ -26,8 +26,8 @@
 use layout::Layout;
 use state_folder::StateFolder;
 
-/// How long a check waits for the lock of a file. A running process holds the lock for as long as it runs, so that a longer
-/// wait would not help.
+/// How long a check waits for the lock of a file. A running process holds the lock for as long as it runs, so that a
+/// longer wait would not help.
 const VERIFY_BUSY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// What was on disk at the start.
@@ -69,7 +69,7 @@
             folder.set_aside()?;
         }
         let (store, found) = match Store::open_database(&folder) {
-            Ok(OpenedStore { store, state }) => (store, found_in(&folder, state)),
+            Ok(OpenedStore { store, state }) => (store, recovered_state(&folder, state)),
             Err(error) if error.is_damage() => {
                 folder.set_aside()?;
                 let store = Store::open_database(&folder)?.store;
@@ -142,7 +142,7 @@
     state.record.applied_orders.full_chunks().to_vec()
 }
 
-fn found_in(folder: &StateFolder, state: Option<HardState>) -> RecoveredState {
+fn recovered_state(folder: &StateFolder, state: Option<HardState>) -> RecoveredState {
     match state {
         Some(state) => RecoveredState::Intact(state),
         None if folder.has_damaged() => {
--- a/glenfall/src/control/store/state_folder.rs
+++ b/glenfall/src/control/store/state_folder.rs
@@ -1,4 +1,5 @@
-//! The files of a store in its folder: the database, and the markers that distinguish a first start from a loss of state.
+//! The files of a store in its folder: the database, and the markers that distinguish a first start from a loss of
+//! state.
 
 use std::fs::File;
 use std::io::ErrorKind;
@@ -8,12 +9,13 @@
 use crate::disk;
 
 const DATABASE_FILE: &str = "state.sqlite";
-/// The name under which a damaged database is retained for whoever wants to examine it. An empty file of this name says that
-/// the database was lost.
+/// The name under which a damaged database is retained for whoever wants to examine it. An empty file of this name says
+/// that the database was lost.
 const DAMAGED_FILE: &str = "state.sqlite.damaged";
 /// SQLite's rollback journal.
 const JOURNAL_FILE: &str = "state.sqlite-journal";
-/// Marker that a store was created here: without a database in the same folder the state is lost, and this is not a first start.
+/// Marker that a store was created here: without a database in the same folder the state is lost, and this is not a
+/// first start.
 const CREATED_MARKER_FILE: &str = "state.made";
 /// Bytes of the shortest file that holds anything, which is SQLite's smallest page.
 const MIN_DATABASE_BYTES: u64 = 512;
@@ -68,7 +70,7 @@
     /// Fails where a state could be overwritten, or one that was set aside earlier.
     pub(super) fn check_vacant(&self) -> Result<(), StoreError> {
         match [self.database(), self.damaged()].into_iter().find(|path| path.exists()) {
-            Some(path) => Err(StoreError::InTheWay(path)),
+            Some(path) => Err(StoreError::StateExists(path)),
             None => Ok(()),
         }
     }
--- a/glenfall/src/control/store/writer.rs
+++ b/glenfall/src/control/store/writer.rs
@@ -23,12 +23,13 @@
 }
 
 impl HardStateWriter {
-    /// Starts the thread. It sends the number of a write to `durable` once the write, or a later one, is on disk.
-    pub fn start(store: Store, durable: UnboundedSender<u64>) -> std::io::Result<HardStateWriter> {
+    /// Starts the thread. It sends the number of a write to `completed_writes` once the write, or a later one, is on
+    /// disk.
+    pub fn start(store: Store, completed_writes: UnboundedSender<u64>) -> std::io::Result<HardStateWriter> {
         let (queue, writes) = mpsc::channel();
         std::thread::Builder::new()
             .name("store".into())
-            .spawn(move || write_all(&store, &writes, &durable))?;
+            .spawn(move || write_all(&store, &writes, &completed_writes))?;
         Ok(HardStateWriter { queue })
     }
 
@@ -39,14 +40,14 @@
     }
 }
 
-fn write_all(store: &Store, writes: &mpsc::Receiver<PendingWrite>, durable: &UnboundedSender<u64>) {
+fn write_all(store: &Store, writes: &mpsc::Receiver<PendingWrite>, completed_writes: &UnboundedSender<u64>) {
     while let Ok(first) = writes.recv() {
         let newest = writes.try_iter().last().unwrap_or(first);
         while let Err(error) = store.save(&newest.state) {
             tracing::error!(%error, "state write failed; retrying");
             std::thread::sleep(RETRY_PAUSE);
         }
-        if durable.send(newest.number).is_err() {
+        if completed_writes.send(newest.number).is_err() {
             return;
         }
     }
--- a/glenfall/src/control/voter_leases.rs
+++ b/glenfall/src/control/voter_leases.rs
@@ -1,6 +1,6 @@
-//! Leases between control nodes. A node requests leases of the voters, out of which its sessions have theirs, and records
-//! the leases that it has granted, so that a purge is acknowledged only once no process that was not notified can serve
-//! from stored responses.
+//! Leases between control nodes. A node requests leases of the voters, out of which its sessions have theirs, and
+//! records the leases that it has granted, so that a purge is acknowledged only once no process that was not notified
+//! can serve from stored responses.
 
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
@@ -67,7 +67,7 @@
     chain: Rc<ChainDriver>,
     links: Rc<PeerLinks>,
     sessions: Rc<Sessions>,
-    own: RefCell<VoterLeases>,
+    held: RefCell<VoterLeases>,
     granted: RefCell<Grants<ProcessId>>,
     /// Until then the process that ran here before may have granted leases that this one does not know of.
     unknown_grants_end: Millis,
@@ -90,7 +90,7 @@
             chain,
             links,
             sessions,
-            own: RefCell::default(),
+            held: RefCell::default(),
             granted: RefCell::default(),
             unknown_grants_end,
             voters: RefCell::default(),
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Requests leases of the voters when it is time to. While this node shuts down and no session has a lease of it, it
-    /// releases its leases instead.
+    /// Requests leases of the voters when it is time to. While this node shuts down and no session has a lease of it,
+    /// it releases its leases instead.
     pub fn renew(&self, shutting_down: bool) {
         let now = self.clock.now();
         self.voters.borrow_mut().record(now, self.chain.state().members());
@@ -123,8 +123,8 @@
         self.extend_session_leases();
     }
 
-    /// Grants a peer the lease that it requests, if it is still the process that is connected. Earlier purges were sent on
-    /// the same connection before.
+    /// Grants a peer the lease that it requests, if it is still the process that is connected. Earlier purges were sent
+    /// on the same connection before.
     pub fn grant(&self, peer: Ipv4Addr, id: CallId) {
         let holder = ProcessId { ip: peer, incarnation: id.incarnation };
         if self.links.connected_process(peer) == Some(holder) {
@@ -134,15 +134,15 @@
     }
 
     /// Records a lease that a voter has granted, for `duration` from the moment of the request `id`.
-    pub fn granted_by(&self, voter: Ipv4Addr, id: CallId, duration: Millis) {
+    pub fn lease_granted(&self, voter: Ipv4Addr, id: CallId, duration: Millis) {
         if id.incarnation == self.links.local().incarnation {
-            self.own.borrow_mut().renew(self.clock.now(), voter, id.number, duration);
+            self.held.borrow_mut().renew(self.clock.now(), voter, id.number, duration);
             self.extend_session_leases();
         }
     }
 
     /// Records that a peer uses the lease of this node no more.
-    pub fn released_by(&self, peer: Ipv4Addr) {
+    pub fn lease_released(&self, peer: Ipv4Addr) {
         if let Some(holder) = self.links.connected_process(peer) {
             self.granted.borrow_mut().release(&holder);
         }
@@ -150,14 +150,14 @@
 
     fn extend_session_leases(&self) {
         let chain = self.chain.state();
-        let until = self.own.borrow().quorum_expiry(self.clock.now(), |voters| chain.is_quorum(voters));
-        self.sessions.set_own_lease_end(self.clock.instant_of(until));
+        let lease_end = self.held.borrow().quorum_expiry(self.clock.now(), |voters| chain.is_quorum(voters));
+        self.sessions.set_own_lease_end(self.clock.instant_of(lease_end));
     }
 
     /// Waits until only these processes may use a lease that a process at this address has granted. False if that takes
-    /// longer than `deadline`.
-    pub async fn wait_for_other_leases_to_end(&self, notified: &[ProcessId], deadline: Duration) -> bool {
-        if self.unknown_grants_end > self.clock.now() + deadline.as_millis() as Millis {
+    /// longer than `time_limit`.
+    pub async fn wait_for_other_leases_to_end(&self, notified: &[ProcessId], time_limit: Duration) -> bool {
+        if self.unknown_grants_end > self.clock.now() + time_limit.as_millis() as Millis {
             return false;
         }
         let other_leases_over = async {
@@ -170,7 +170,7 @@
                 sleep(Duration::from_millis(end - now).min(LEASE_POLL_INTERVAL)).await;
             }
         };
-        timeout(deadline, other_leases_over).await.is_ok()
+        timeout(time_limit, other_leases_over).await.is_ok()
     }
 
     /// When the last lease ends that this address has granted to another than these processes; 0 if there is none.
