--- a/glenfall/src/control/backup/mod.rs
+++ b/glenfall/src/control/backup/mod.rs
@@ -29,10 +29,10 @@
     #[error("format {CURRENT_FORMAT:?} or {WEAK_KEYS_FORMAT:?} expected, got {0:?}")]
     Format(String),
     /// Its checksum does not match its content.
-    #[error("checksum does not match: the file is not what was exported")]
+    #[error("checksum does not match: the file was changed or damaged after the export")]
     Checksum,
     /// It names no voters.
-    #[error("voters: one address at least expected, got none")]
+    #[error("voters: at least one address expected, got none")]
     NoVoters,
     /// Its configuration is invalid.
     #[error("document: {0}")]
--- a/glenfall/src/control/chain_driver.rs
+++ b/glenfall/src/control/chain_driver.rs
@@ -197,7 +197,7 @@
         if !chain.tolerates_losses() {
             tracing::warn!(
                 tolerated_losses = self.tolerated_losses,
-                "too few voters for the configured losses: no change is acknowledged"
+                "too few voters to tolerate the configured number of losses: changes are not acknowledged"
             );
         }
     }
--- a/glenfall/src/control/node.rs
+++ b/glenfall/src/control/node.rs
@@ -76,7 +76,7 @@
         RecoveredState::Damaged(cause) => {
             tracing::error!(
                 %cause,
-                "damaged state set aside: this node does not vote until it has the state of the chain again"
+                "damaged state set aside: this node does not vote until it has received the state of the chain"
             );
             Start::Wiped
         }
@@ -96,7 +96,10 @@
         completed_write_sender: mpsc::UnboundedSender<u64>,
     ) -> Result<Control, Box<dyn std::error::Error>> {
         let chain_settings = settings.chain_settings()?;
-        let folder = settings.state_dir.clone().ok_or("stateDir: missing; control keeps its state there")?;
+        let folder = settings
+            .state_dir
+            .clone()
+            .ok_or("stateDir: not set; a control node needs a directory for its state")?;
         let (store, found) = Store::open(&folder)?;
         let start = chain_start(found, settings.bootstrap, seeds);
         let is_first_start = matches!(start, Start::Fresh(_));
--- a/glenfall/src/control/peer_events.rs
+++ b/glenfall/src/control/peer_events.rs
@@ -59,7 +59,7 @@
         if message.is_well_formed() {
             self.chain.message_received(peer, message);
         } else {
-            tracing::warn!(%peer, "chain message ignored: it is malformed");
+            tracing::warn!(%peer, "malformed chain message ignored");
         }
     }
 
--- a/glenfall/src/control/peers/requests.rs
+++ b/glenfall/src/control/peers/requests.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// One of the peers that had not acknowledged was disconnected: it may have sessions that were not notified.
-    #[error("{disconnected} disconnected; not acknowledged by {unacknowledged:?}")]
+    #[error("peer {disconnected} disconnected; request not acknowledged by {unacknowledged:?}")]
     Disconnected {
         /// That peer.
         disconnected: Ipv4Addr,
@@ -24,7 +24,7 @@
         unacknowledged: Vec<Ipv4Addr>,
     },
     /// The time_limit has passed.
-    #[error("deadline passed; not acknowledged by {unacknowledged:?}")]
+    #[error("request not acknowledged within the time limit by {unacknowledged:?}")]
     TimedOut {
         /// The peers that had not acknowledged, in order.
         unacknowledged: Vec<Ipv4Addr>,
--- a/glenfall/src/control/purge_coordinator.rs
+++ b/glenfall/src/control/purge_coordinator.rs
@@ -37,13 +37,13 @@
 pub enum PurgeError {
     /// Its record is not on one disk more than may be lost. Shields store responses on their disks, and if all other
     /// machines lose power meanwhile, what is on disk is all that is known of the purge.
-    #[error("its record is durable on fewer than {required} disks")]
+    #[error("record of the purge is durable on fewer than {required} disks")]
     NotDurable {
         /// The number of disks that it has to be on.
         required: usize,
     },
     /// A process that may serve from stored responses has not applied it, and its lease is not over.
-    #[error("not all processes that may serve from stored responses have applied it")]
+    #[error("not all processes that may serve from stored responses have applied the purge")]
     NotApplied,
 }
 
--- a/glenfall/src/control/purge_log.rs
+++ b/glenfall/src/control/purge_log.rs
@@ -56,7 +56,7 @@
     pub fn write(&self, purges: Vec<PurgeRecord>) -> oneshot::Receiver<()> {
         let (completion, receiver) = oneshot::channel();
         if self.queue.try_send(PendingWrite { purges, completion }).is_err() {
-            tracing::warn!("purges not written: the write queue is full");
+            tracing::warn!("purges not written to the log: the write queue is full");
         }
         receiver
     }
@@ -68,7 +68,7 @@
         let batch: Vec<PendingWrite> = std::iter::once(first).chain(writes.try_iter()).collect();
         let purges: Vec<&PurgeRecord> = batch.iter().flat_map(|write| &write.purges).collect();
         while let Err(error) = file.append(&purges) {
-            tracing::error!(%error, "purge write failed; retrying");
+            tracing::error!(%error, "writing purges to the log failed; retrying");
             std::thread::sleep(RETRY_PAUSE);
         }
         for write in batch {
--- a/glenfall/src/control/quorum_contact.rs
+++ b/glenfall/src/control/quorum_contact.rs
@@ -64,7 +64,7 @@
     fn log_change(&self, isolated: bool) {
         let connected_peers = self.links.connected();
         if isolated {
-            tracing::warn!(?connected_peers, "quorum lost: servers, operators and agents are rejected");
+            tracing::warn!(?connected_peers, "quorum lost: rejecting servers, operators and agents");
         } else {
             tracing::info!(?connected_peers, "quorum restored");
         }
--- a/glenfall/src/control/server_replication.rs
+++ b/glenfall/src/control/server_replication.rs
@@ -38,16 +38,16 @@
     #[error(transparent)]
     Unacknowledged(#[from] RequestError),
     /// All connected peers have acknowledged it, and are no quorum together with this node.
-    #[error("{connected:?} and this node are no quorum")]
+    #[error("connected peers {connected:?} and this node do not form a quorum")]
     NoQuorum {
         /// The connected peers.
         connected: Vec<Ipv4Addr>,
     },
     /// It was replicated before, and no quorum has confirmed in time that this node is still in contact.
-    #[error("no quorum has answered within the time limit")]
+    #[error("quorum read not completed within the time limit")]
     QuorumReadTimedOut,
     /// The registry has no capacity for the deregistration of a server that is not known here.
-    #[error("the registry is full")]
+    #[error("the registry is full: the deregistration can't be recorded")]
     RegistryFull,
 }
 
--- a/glenfall/src/control/store/error.rs
+++ b/glenfall/src/control/store/error.rs
@@ -14,13 +14,13 @@
     #[error("state on disk: {0}")]
     Io(#[from] std::io::Error),
     /// A row does not hold what it should.
-    #[error("state on disk: row can't be read: {0}")]
+    #[error("state on disk: row can't be encoded or decoded: {0}")]
     Row(#[from] postcard::Error),
     /// The file does not match its checksum, or is incomplete.
     #[error("state on disk: {0}")]
     Damaged(String),
     /// A state, or a file that was set aside earlier, exists where a new state is to be created.
-    #[error("{} is in the way: state is put only where there is none", .0.display())]
+    #[error("{} is in the way: a new state is created only in a folder that has none", .0.display())]
     StateExists(PathBuf),
 }
 
--- a/glenfall/src/control/store/hard_state_row.rs
+++ b/glenfall/src/control/store/hard_state_row.rs
@@ -99,11 +99,11 @@
 /// Reads the state in a layout. `None` where none was written yet.
 pub(super) fn read(db: &Connection, layout: Layout) -> Result<Option<HardState>, StoreError> {
     if ChecksummedRow::read(db, SENTINEL_ID)?.is_none() {
-        return Err(StoreError::damaged("its first row is missing"));
+        return Err(StoreError::damaged("the sentinel row of the table is missing"));
     }
     let Some(row) = ChecksummedRow::read(db, STATE_ID)? else { return Ok(None) };
     if !row.is_intact() {
-        return Err(StoreError::damaged("checksum does not match"));
+        return Err(StoreError::damaged("checksum of the state row does not match"));
     }
     let state = match layout {
         Layout::FixedVoters => postcard::from_bytes::<FixedVotersState>(&row.state)?.into(),
--- a/glenfall/src/control/store/idempotency_keys.rs
+++ b/glenfall/src/control/store/idempotency_keys.rs
@@ -77,7 +77,7 @@
 pub(super) fn read(db: &Connection, stored: &StoredTable) -> Result<DeduplicationTable, StoreError> {
     let rows: i64 = db.query_row("SELECT count(*) FROM taken", [], |row| row.get(0))?;
     if usize::try_from(rows) != Ok(stored.full_chunks.len()) {
-        return Err(damaged("a row is missing, or one too many"));
+        return Err(damaged("the number of rows differs from the number of chunks that the state refers to"));
     }
     let mut orders = Vec::new();
     for chunk in &stored.full_chunks {
@@ -91,11 +91,11 @@
     let query = "SELECT orders FROM taken WHERE first = ?1";
     let bytes: Vec<u8> = db.query_row(query, [chunk.row_key], |row| row.get(0))?;
     if crc32fast::hash(&bytes) != chunk.crc {
-        return Err(damaged("checksum does not match"));
+        return Err(damaged("checksum of a chunk does not match"));
     }
     Ok(postcard::from_bytes(&bytes)?)
 }
 
 fn damaged(description: impl std::fmt::Display) -> StoreError {
-    StoreError::damaged(format!("taken orders: {description}"))
+    StoreError::damaged(format!("applied orders: {description}"))
 }
--- a/glenfall/src/control/store/layout.rs
+++ b/glenfall/src/control/store/layout.rs
@@ -23,7 +23,10 @@
             .into_iter()
             .find(|layout| *layout as i64 == version)
             .ok_or_else(|| {
-                StoreError::damaged(format!("layout {} expected, got {version}", Layout::Current as i64))
+                StoreError::damaged(format!(
+                    "layout version 1 to {} expected, got {version}",
+                    Layout::Current as i64
+                ))
             })
     }
 }
--- a/glenfall/src/control/store/mod.rs
+++ b/glenfall/src/control/store/mod.rs
@@ -146,7 +146,7 @@
     match state {
         Some(state) => RecoveredState::Intact(state),
         None if folder.has_damaged() => {
-            RecoveredState::Damaged("set aside, or gone, at this start or an earlier one".into())
+            RecoveredState::Damaged("database set aside or missing at this start or an earlier one".into())
         }
         None => RecoveredState::Missing,
     }
--- a/glenfall/src/control/store/state_folder.rs
+++ b/glenfall/src/control/store/state_folder.rs
@@ -62,7 +62,7 @@
         let length = file_length(&self.database());
         let has_journal = file_length(&self.journal()) > 0;
         if (1..MIN_DATABASE_BYTES).contains(&length) && !has_journal {
-            return Err(StoreError::damaged(format!("{length} bytes left")));
+            return Err(StoreError::damaged(format!("file truncated to {length} bytes")));
         }
         Ok(())
     }
--- a/glenfall/src/control/store/writer.rs
+++ b/glenfall/src/control/store/writer.rs
@@ -44,7 +44,7 @@
     while let Ok(first) = writes.recv() {
         let newest = writes.try_iter().last().unwrap_or(first);
         while let Err(error) = store.save(&newest.state) {
-            tracing::error!(%error, "state write failed; retrying");
+            tracing::error!(%error, "writing the chain state failed; retrying");
             std::thread::sleep(RETRY_PAUSE);
         }
         if completed_writes.send(newest.number).is_err() {
