--- a/glenfall/src/control/api/configuration.rs
+++ b/glenfall/src/control/api/configuration.rs
@@ -25,7 +25,7 @@
     Ok(response)
 }
 
-/// Replaces the configuration or parts of it, if the version that the request builds on is the current one.
+/// Replaces the configuration or parts of it, if the version in `If-Match` is the current one.
 pub(super) async fn change(
     control: &Control,
     request: &FullRequest,
@@ -42,7 +42,7 @@
     }
 }
 
-/// The version that `If-Match` names, with or without quotes.
+/// The version in `If-Match`, with or without quotes; `None` if it is missing or not a number.
 fn base_version(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get(header::IF_MATCH)?.to_str().ok()?;
     value.trim().trim_matches('"').parse().ok()
--- a/glenfall/src/control/api/error.rs
+++ b/glenfall/src/control/api/error.rs
@@ -1,12 +1,12 @@
-//! What a request to a control node can fail with, and the status, body and log reason of each error.
+//! Errors of requests to a control node, and the status, body and log reason of each.
 
 use glenfall_control_plane::chain::VoterChangeError;
 use glenfall_control_plane::config::InvalidConfig;
 use hyper::StatusCode;
 use serde_json::{json, Value};
 
-/// Longest error text in a response, in bytes: servers reject a response of more than 4 KiB, and in JSON a byte may
-/// take six.
+/// Longest error text in a response, in bytes. Servers reject a response of more than 4 KiB, and JSON may need six
+/// bytes to encode one byte of text.
 pub const MAX_ERROR_TEXT_BYTES: usize = 600;
 
 /// Why a request was rejected.
@@ -18,19 +18,19 @@
     /// The resource does not support the method.
     #[error("method not known here")]
     MethodNotAllowed,
-    /// A server can only be updated or deregistered.
+    /// The path of a server supports only PUT (heartbeat) and DELETE (deregistration).
     #[error("PUT or DELETE expected")]
     ServerMethodNotAllowed,
-    /// The body is not JSON, or not what the resource expects.
+    /// The body is not valid JSON, or lacks the fields that the resource expects.
     #[error("{0}")]
     InvalidBody(#[source] serde_json::Error),
     /// No configuration has been committed yet.
     #[error("no configuration yet")]
     NoConfiguration,
-    /// The chain has no active view, so that nothing can be read from it.
+    /// The chain has no active view, so that the committed state can't be read.
     #[error("no view stands")]
     NoActiveView,
-    /// A change of the configuration does not name the version that it builds on.
+    /// A change of the configuration has no `If-Match` with the version that it builds on.
     #[error("If-Match: the number of the version that this builds on expected")]
     MissingBaseVersion,
     /// A change of the configuration builds on a version that is not the current one.
@@ -41,17 +41,17 @@
         /// The version that the change builds on.
         base: u64,
     },
-    /// A change does not give a valid configuration.
+    /// The configuration would be invalid after the change.
     #[error("{0}")]
     InvalidConfiguration(#[source] InvalidConfig),
-    /// A change may have been applied before the horizon of the deduplication table: no node will ever know, and
-    /// sending it again does not help. The caller has to read the current version back and decide.
+    /// A change may have been applied so long ago that the deduplication table no longer has it. No node can tell
+    /// whether it was, so that repeating it does not help: the caller has to read the current version and decide.
     #[error(
         "no clear answer: versions up to {up_to} may have been taken, too long ago to tell; version {current} is in \
          force: read it back, and do not send this again"
     )]
     OutcomeForgotten {
-        /// Highest version that may have been applied without a trace.
+        /// Highest version whose change the deduplication table may no longer have.
         up_to: u64,
         /// The current version.
         current: u64,
@@ -59,31 +59,32 @@
     /// It is not known whether a change was applied. The caller may repeat it.
     #[error("no clear answer: the same call may be made again")]
     OutcomeUnknown,
-    /// This node does not reach a quorum, or not all nodes and sessions that have to acknowledge did so in time.
+    /// This node does not reach a quorum, or a node or session that has to acknowledge the request did not do so in
+    /// time.
     #[error("this node does not reach a majority of the core")]
     NoQuorum,
-    /// A purge names neither an object nor a label, or both, or one that is empty or too long.
+    /// A purge does not name exactly one object or label, or the name is empty or too long.
     #[error("hostname and urlPath, or label, expected")]
     InvalidPurgeTarget,
     /// A change of the voters does not name exactly one voter to add or to remove.
     #[error("add or remove expected, with an address")]
     InvalidVoterChange,
-    /// The voters stay as they are.
+    /// The chain has rejected a change of the voters.
     #[error(transparent)]
     VoterChangeRejected(#[from] VoterChangeError),
-    /// The voters are being changed, and the new set was not active in time.
+    /// A change of the voters was accepted, but the new set was not active within the time limit.
     #[error("not all views stand yet: look at who votes, and ask again")]
     VoterChangePending,
     /// The name of a server or of its backend is empty or too long.
     #[error("names of 1 to 128 bytes expected")]
     InvalidServerName,
-    /// The registry has no capacity for another server.
+    /// The registry has reached its limit on servers.
     #[error("no room for more servers")]
     RegistryFull,
-    /// Not all control nodes have acknowledged the state of a server in time. The server has to repeat it.
+    /// Not all control nodes have acknowledged the status of a server in time. The server has to repeat its request.
     #[error("not all control nodes know it yet: say it again")]
     NotReplicated,
-    /// The state could not be encoded.
+    /// The exported state could not be encoded as JSON.
     #[error("{0}")]
     NotEncodable(#[source] serde_json::Error),
 }
@@ -141,7 +142,7 @@
         }
     }
 
-    /// The error text. It may quote the request, and so be as long as the caller likes, which is why it is truncated.
+    /// The error text, truncated to [`MAX_ERROR_TEXT_BYTES`], as it may quote a request of any length.
     fn bounded_text(&self) -> String {
         let mut text = self.to_string();
         if text.len() > MAX_ERROR_TEXT_BYTES {
@@ -152,8 +153,7 @@
     }
 }
 
-/// A change that may succeed in a moment, or at another node, is distinguished from one that contradicts the current
-/// voters.
+/// 503 for a change that may succeed later or at another node; 409 for one that conflicts with the current voters.
 fn voter_change_status(error: VoterChangeError) -> StatusCode {
     match error {
         VoterChangeError::NoView | VoterChangeError::InProgress => StatusCode::SERVICE_UNAVAILABLE,
--- a/glenfall/src/control/api/mod.rs
+++ b/glenfall/src/control/api/mod.rs
@@ -1,7 +1,7 @@
-//! The HTTP interface of a control node for servers and operators: which resource answers which request.
+//! The HTTP interface of a control node for servers and operators. Routes each request to its resource.
 //!
-//! Each resource has a file of its own. What a request can fail with is an [`ApiError`], which alone decides on the
-//! status and the body of the response.
+//! Each resource has its own module. A request that fails returns an [`ApiError`], which determines the status and the
+//! body of the response.
 
 mod configuration;
 pub mod error;
@@ -28,19 +28,19 @@
 use crate::metrics::log_limit::LogLimit;
 use error::ApiError;
 
-/// Lines about rejected requests that may be written at once.
+/// Log lines about rejected requests that may be written in one burst.
 const LOG_BURST_LINES: f64 = 64.0;
-/// Lines about rejected requests that may be written in a second, once the burst is spent.
+/// Log lines about rejected requests per second, once the burst is used up.
 const LOG_LINES_PER_S: f64 = 2.0;
 
-/// Largest request head in bytes: servers and operators send a few short headers.
+/// Largest request head in bytes; servers and operators send only a few short headers.
 const MAX_HEADER_BYTES: usize = 16 << 10;
-/// Time in which a head that has begun has to be complete.
+/// Time limit for receiving a request head, from its first byte.
 const HEADER_TIMEOUT_MS: u64 = 5000;
-/// Time for which a connection may be idle. Servers keep theirs between heartbeats.
+/// Time after which an idle connection is closed. Servers keep their connections open between heartbeats.
 const IDLE_TIMEOUT_MS: u64 = 20_000;
 
-/// Prefix of the path of a server; what follows is the identifier of the server.
+/// Prefix of the path of a server, followed by the identifier of the server.
 const SERVER_PATH_PREFIX: &str = "/api/servers/";
 
 /// The HTTP interface of a control node.
@@ -50,7 +50,7 @@
 }
 
 impl Api {
-    /// The interface of this control node.
+    /// Serves the requests to `control`. Log lines about rejected requests have one common limit.
     pub fn new(control: Rc<Control>) -> Self {
         Api { control, log_limit: RefCell::new(LogLimit::new(LOG_BURST_LINES, LOG_LINES_PER_S)) }
     }
@@ -133,7 +133,7 @@
     }
 }
 
-/// A response with a JSON document that is encoded already.
+/// A response with a JSON document that is already encoded.
 fn encoded_response(status: StatusCode, document: Bytes) -> FullResponse {
     let mut response = Response::new(Full::new(document));
     *response.status_mut() = status;
@@ -145,7 +145,7 @@
     encoded_response(status, Bytes::from(body.to_string()))
 }
 
-/// A successful response that has nothing to report.
+/// A successful response with an empty JSON object.
 fn empty_response() -> FullResponse {
     json_response(StatusCode::OK, &json!({}))
 }
--- a/glenfall/src/control/api/purge.rs
+++ b/glenfall/src/control/api/purge.rs
@@ -1,4 +1,4 @@
-//! `/api/purge`: ends all stored responses of an object, or of all objects with a label.
+//! `/api/purge`: invalidates all stored responses of an object, or of all objects with a label.
 
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
 /// Longest host, path or label in bytes.
 const MAX_TARGET_BYTES: usize = 8 << 10;
 
-/// The body of a request. Either `label`, or both others, have to be there.
+/// The body of a request. Either `label`, or both `hostname` and `urlPath`, must be present.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct PurgeRequest {
@@ -38,7 +38,7 @@
     !text.is_empty() && text.len() <= MAX_TARGET_BYTES
 }
 
-/// Purges, and succeeds once no proxy can serve what was purged any more.
+/// Purges an object or a label; succeeds once no proxy can serve the purged responses any more.
 pub(super) async fn purge(control: &Rc<Control>, body: &[u8]) -> Result<FullResponse, ApiError> {
     let request: PurgeRequest = serde_json::from_slice(body).map_err(ApiError::InvalidBody)?;
     let target = request.target()?;
--- a/glenfall/src/control/api/servers.rs
+++ b/glenfall/src/control/api/servers.rs
@@ -7,7 +7,7 @@
 use crate::control::node::Control;
 use crate::http_server::FullResponse;
 
-/// Takes a heartbeat. That a server is draining is acknowledged only once all control nodes know it.
+/// Records a heartbeat. The heartbeat of a draining server is acknowledged only once all control nodes know its status.
 pub(super) async fn heartbeat(control: &Control, id: &str, body: &[u8]) -> Result<FullResponse, ApiError> {
     let request: HeartbeatRequest = serde_json::from_slice(body).map_err(ApiError::InvalidBody)?;
     let entry = ServerEntry::from_heartbeat(id, request).ok_or(ApiError::InvalidServerName)?;
@@ -23,7 +23,7 @@
     }
 }
 
-/// Deregisters a server, and succeeds once all control nodes know it.
+/// Deregisters a server; succeeds once all control nodes know of the deregistration.
 pub(super) async fn deregister(control: &Control, id: &str) -> Result<FullResponse, ApiError> {
     if !control.chain.has_quorum() {
         return Err(ApiError::NoQuorum);
--- a/glenfall/src/control/api/state_export.rs
+++ b/glenfall/src/control/api/state_export.rs
@@ -9,7 +9,8 @@
 use crate::control::node::Control;
 use crate::http_server::FullResponse;
 
-/// A backup of the newest acknowledged state. A read down the chain makes it consistent, whatever changes meanwhile.
+/// A backup of the newest acknowledged state. It is read through the chain, so that it is consistent even if the state
+/// changes meanwhile.
 pub(super) async fn export(control: &Control) -> Result<FullResponse, ApiError> {
     let Outcome::Document(record) = control.chain.call(Call::Read).await else {
         return Err(ApiError::NoActiveView);
--- a/glenfall/src/control/api/status.rs
+++ b/glenfall/src/control/api/status.rs
@@ -1,4 +1,4 @@
-//! `/api/status`: what this control node knows of the chain, its peers, the servers, and the sessions.
+//! `/api/status`: reports what this control node knows of the chain, its peers, the servers, and the sessions.
 
 use std::collections::BTreeMap;
 
@@ -11,12 +11,12 @@
 use crate::session::link;
 use crate::session::publisher::SessionStatus;
 
-/// The state of this node, for people to read.
+/// The state of this node, for operators to inspect.
 pub(super) fn report(control: &Control) -> FullResponse {
     let chain = control.chain.state();
     let sessions: Vec<Value> = control.sessions.statuses().into_iter().map(session_report).collect();
     let fleet = control.fleet.published();
-    // While the registry is incomplete, the fleet that proxies get also names servers that were deregistered.
+    // While the registry is incomplete, the published fleet also lists deregistered servers, which are left out here.
     let is_registered = |id: &str| !control.registry.is_deregistered(id);
     let servers: Vec<_> = fleet.servers.iter().filter(|server| is_registered(&server.id)).collect();
     let report = json!({
--- a/glenfall/src/control/api/voters.rs
+++ b/glenfall/src/control/api/voters.rs
@@ -14,12 +14,12 @@
 use crate::control::node::{Control, TICK_INTERVAL};
 use crate::http_server::FullResponse;
 
-/// How long a quorum read for the newest set of voters may take: callers move on after a second.
+/// Time limit for the quorum read of the newest set of voters. It is below one second, after which callers give up.
 const QUORUM_READ_TIMEOUT: Duration = Duration::from_millis(900);
-/// How long a change of the voters may take until views with the new set are active.
+/// Time limit for a change of the voters, until views with the new set are active.
 const VOTER_CHANGE_TIMEOUT: Duration = Duration::from_millis(3200);
 
-/// The body of a request. Exactly one of both has to be there.
+/// The body of a request. Exactly one of the fields must be present.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct VoterChangeRequest {
@@ -37,7 +37,7 @@
     }
 }
 
-/// The voters and the standbys, and how many losses the voters tolerate.
+/// Lists the voters and the standbys, and how many losses the voters have to tolerate.
 pub(super) fn list(control: &Control) -> FullResponse {
     let chain = control.chain.state();
     let members = chain.members();
@@ -54,7 +54,7 @@
         "view": chain.view().map(View::name),
         "voters": voters,
         "outgoingVoters": members.outgoing,
-        // The name before version 0.4.
+        // The name of `outgoingVoters` before version 0.4.
         "lettingGoOf": members.outgoing,
         "standingBy": chain.standbys(),
         "losses": control.settings.survive.hosts,
@@ -64,16 +64,16 @@
     json_response(StatusCode::OK, &body)
 }
 
-/// Adds or removes a voter, and succeeds once views with the new set are active.
+/// Adds or removes a voter; succeeds once views with the new set are active.
 pub(super) async fn change(control: &Control, body: &[u8]) -> Result<FullResponse, ApiError> {
     let request: VoterChangeRequest = serde_json::from_slice(body).map_err(ApiError::InvalidBody)?;
     let change = request.change()?;
-    // The change is judged by the newest set of voters that a majority knows.
+    // The change is validated against the newest set of voters that a majority knows.
     if timeout(QUORUM_READ_TIMEOUT, control.quorum_reads.wait_for_newest()).await.is_err() {
         return Err(VoterChangeError::NoView.into());
     }
     let voters = control.chain.request_voter_change(change)?;
-    // `seat` is the name before version 0.4.
+    // `seat` is the name of the field `change` before version 0.4.
     tracing::info!(?change, seat = ?change, ?voters, "voter change requested by an operator");
     if wait_until_active(control, &voters).await {
         Ok(json_response(StatusCode::OK, &json!({ "voters": voters })))
@@ -82,7 +82,7 @@
     }
 }
 
-/// Waits until these are the only voters; false where that takes longer than [`VOTER_CHANGE_TIMEOUT`].
+/// Waits until exactly these voters are active; false if that takes longer than [`VOTER_CHANGE_TIMEOUT`].
 async fn wait_until_active(control: &Control, voters: &[Ipv4Addr]) -> bool {
     let started = Instant::now();
     while started.elapsed() < VOTER_CHANGE_TIMEOUT {
--- a/glenfall/src/control/backup/checksum.rs
+++ b/glenfall/src/control/backup/checksum.rs
@@ -1,8 +1,8 @@
-//! The checksum of a backup, which is the same function for all formats.
+//! The checksum of a backup, which is computed in the same way for all formats.
 
 use std::net::Ipv4Addr;
 
-/// What the checksum covers.
+/// The content that the checksum covers.
 pub(super) struct ChecksumInput<'a> {
     pub(super) view: u64,
     pub(super) seq: u64,
@@ -14,7 +14,7 @@
 }
 
 impl ChecksumInput<'_> {
-    /// The CRC-32 of all fields in their order; numbers in little-endian bytes.
+    /// The CRC-32 of all fields in order of declaration, with numbers in little-endian bytes.
     pub(super) fn crc32(&self) -> u32 {
         let mut hasher = crc32fast::Hasher::new();
         for number in [self.view, self.seq, self.rev] {
--- a/glenfall/src/control/backup/legacy.rs
+++ b/glenfall/src/control/backup/legacy.rs
@@ -8,7 +8,7 @@
 
 use super::checksum::ChecksumInput;
 
-/// A backup of the time when orders were recognised by hashes of 64 bits.
+/// A backup of the first format, in which orders are recognised by 64-bit hashes.
 #[derive(Deserialize)]
 pub(super) struct WeakKeysBackup {
     pub(super) voters: Vec<Ipv4Addr>,
@@ -21,7 +21,7 @@
     crc: u32,
 }
 
-/// An order by its hash: a pair of numbers in JSON.
+/// An order with its hash; a pair of numbers in JSON.
 #[derive(Deserialize)]
 #[serde(from = "(u64, u64)")]
 struct WeaklyKeyedOrder {
@@ -55,8 +55,9 @@
         self.crc == input.crc32()
     }
 
-    /// The record. A hash of 64 bits is not enough to confirm an order by, and its absence is not enough to reject one:
-    /// the hashes are dropped, and all orders up to the version of the document count as forgotten.
+    /// Converts to a record. A 64-bit hash is too weak to confirm that an order was applied, and its absence does not
+    /// prove that the order was not: the hashes are dropped, and all orders up to the version of the document count as
+    /// forgotten.
     pub(super) fn into_record(self) -> Record {
         Record {
             seq: self.seq,
--- a/glenfall/src/control/backup/mod.rs
+++ b/glenfall/src/control/backup/mod.rs
@@ -1,4 +1,4 @@
-//! A backup of the chain's state: what a read down the chain gives, in one JSON file that tells whether it is complete.
+//! A backup of the committed state of the chain in one JSON file, with a checksum that shows whether it is complete.
 
 mod checksum;
 mod legacy;
@@ -14,15 +14,15 @@
 use checksum::ChecksumInput;
 use legacy::WeakKeysBackup;
 
-/// The format that is written.
+/// The current format, in which backups are written.
 const CURRENT_FORMAT: &str = "glenfall-state-2";
-/// The format in which orders were recognised by hashes of 64 bits.
+/// The first format, in which orders are recognised by 64-bit hashes.
 const WEAK_KEYS_FORMAT: &str = "glenfall-state-1";
 
-/// Why a file is no backup that can be restored.
+/// Why a file can't be restored as a backup.
 #[derive(Debug, thiserror::Error)]
 pub enum BackupError {
-    /// It is not JSON, or fields are missing.
+    /// It is not valid JSON, or a field is missing or of another type.
     #[error("not a backup: {0}")]
     Unreadable(#[from] serde_json::Error),
     /// It has an unknown format.
@@ -31,7 +31,7 @@
     /// Its checksum does not match its content.
     #[error("checksum does not match: the file was changed or damaged after the export")]
     Checksum,
-    /// It names no voters.
+    /// Its list of voters is empty.
     #[error("voters: at least one address expected, got none")]
     NoVoters,
     /// Its configuration is invalid.
@@ -42,13 +42,13 @@
     AppliedOrders(#[from] InvalidTable),
 }
 
-/// The state of control in a file.
+/// A backup of the state of the chain.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct Backup {
     format: String,
-    /// The voters at the export.
+    /// The voters at the time of the export.
     pub voters: Vec<Ipv4Addr>,
-    /// Number of the view that was active at the export.
+    /// Number of the view that was active at the time of the export.
     view: u64,
     /// Log index of the last change.
     pub seq: u64,
@@ -56,16 +56,16 @@
     pub rev: u64,
     /// The configuration as the operator sent it, byte for byte.
     document: String,
-    /// Of the orders up to this version not all are listed.
+    /// Orders up to this version may be missing from `applied_orders`.
     #[serde(rename = "forgottenUpTo")]
     forgotten_up_to: u64,
-    /// The orders applied last.
+    /// The most recently applied orders.
     #[serde(rename = "taken")]
     applied_orders: Vec<ExportedOrder>,
     crc: u32,
 }
 
-/// An applied order as a backup lists it: a pair of its version and its key in hexadecimal digits.
+/// An applied order in a backup; a pair of its version and its key in hexadecimal digits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u64, String)", into = "(u64, String)")]
 struct ExportedOrder {
@@ -99,7 +99,7 @@
     }
 }
 
-/// The field that tells the formats apart.
+/// The field that distinguishes the formats.
 #[derive(Deserialize)]
 struct FormatField {
     format: String,
@@ -140,7 +140,7 @@
         .crc32()
     }
 
-    /// Reads a backup, and checks that it is complete and can be restored.
+    /// Parses a backup, and checks that it is complete and can be restored.
     pub fn read(bytes: &[u8]) -> Result<Backup, BackupError> {
         let backup = match serde_json::from_slice::<FormatField>(bytes)?.format {
             format if format == CURRENT_FORMAT => serde_json::from_slice(bytes)?,
@@ -171,8 +171,8 @@
         DeduplicationTable::from_orders(self.forgotten_up_to, &orders)
     }
 
-    /// The state with which each of these voters starts where nothing but the backup is left. Versions up to
-    /// `acknowledged` may have been acknowledged since the export: none of them is applied again.
+    /// The state with which each of `voters` starts when only the backup is left. Versions up to `acknowledged` may
+    /// have been acknowledged since the export, so no order with such a version is applied again.
     pub fn state(self, voters: Vec<Ipv4Addr>, acknowledged: u64) -> Result<HardState, BackupError> {
         let mut applied_orders = self.deduplication_table()?;
         applied_orders.raise_horizon(acknowledged);
--- a/glenfall/src/control/chain_driver.rs
+++ b/glenfall/src/control/chain_driver.rs
@@ -1,5 +1,5 @@
-//! Runs the replicated chain of a control node: feeds it with time, messages, calls and completed writes, and carries
-//! out what it asks for.
+//! Drives the replicated chain of a control node: passes it the time, messages, calls and completed writes, and carries
+//! out the outputs that it returns.
 
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::BTreeMap;
@@ -20,29 +20,29 @@
 use super::store::writer::HardStateWriter;
 use crate::session::publisher::Sessions;
 
-/// Runs the chain.
+/// Drives the chain.
 ///
-/// It owns the chain, the queue of its writes, and the calls that wait for an outcome. Everything that the chain asks
-/// for is carried out, in its order, before the method that caused it returns.
+/// Owns the chain, the queue of its writes, and the calls that wait for an outcome. All outputs of the chain are
+/// carried out, in their order, before the method that caused them returns.
 pub struct ChainDriver {
     clock: Clock,
     chain: RefCell<Chain>,
     writes: HardStateWriter,
     links: Rc<PeerLinks>,
     sessions: Rc<Sessions>,
-    /// Calls that the chain has not answered yet, by their numbers.
+    /// Calls that the chain has not completed yet, by their numbers.
     pending_calls: RefCell<BTreeMap<u64, oneshot::Sender<Outcome>>>,
     next_call: Cell<u64>,
-    /// Number of the view that was logged last; 0 if there was none.
+    /// Number of the last view that was logged; 0 if there was none.
     logged_view: Cell<u64>,
-    /// The record that was published last, which later ones are checked against.
+    /// The last record that was published. The next one is checked against it.
     published: RefCell<Option<Arc<Record>>>,
-    /// Number of hosts whose loss the settings ask the chain to tolerate.
+    /// Number of lost hosts that the chain has to tolerate according to the settings.
     tolerated_losses: usize,
 }
 
 impl ChainDriver {
-    /// Runs `chain`, whose state is written through `writes`.
+    /// Drives `chain`, whose state is written through `writes`.
     pub fn new(
         clock: Clock,
         chain: Chain,
@@ -65,21 +65,21 @@
         }
     }
 
-    /// The chain, to be read. The guard must be dropped before an `await` and before a call of another method.
+    /// The state of the chain. The guard must be dropped before an `await` and before a call of another method.
     pub fn state(&self) -> Ref<'_, Chain> {
         self.chain.borrow()
     }
 
-    /// Whether this node has received a heartbeat of a majority of the voters within the last second. That is not
-    /// enough for anything that binds other nodes: it needs an acknowledgement of the very request by each node of a
-    /// majority.
+    /// Whether this node has received heartbeats of a majority of the voters within the last second. This is not
+    /// sufficient for decisions that other nodes must observe: these require that a majority acknowledges the request
+    /// itself.
     pub fn has_quorum(&self) -> bool {
         let now = self.clock.now();
         self.chain.borrow_mut().has_quorum_at(now)
     }
 
-    /// Lets the chain act on the passage of time. `before_heartbeat` is called before heartbeats are sent, so that it
-    /// can send messages that the peers receive in the same packet.
+    /// Advances the time of the chain. `before_heartbeat` is called before heartbeats are sent, so that the messages
+    /// that it sends can share their packets.
     pub fn tick(&self, before_heartbeat: impl FnOnce(Millis)) {
         let now = self.clock.now();
         let outputs = self.chain.borrow_mut().tick(now);
@@ -95,30 +95,30 @@
         self.step(|chain, now| chain.message_received(now, from, message));
     }
 
-    /// Tells the chain that a peer is connected.
+    /// Tells the chain that a peer has connected.
     pub fn peer_connected(&self, peer: Ipv4Addr) {
         self.step(|chain, now| chain.peer_connected(now, peer));
     }
 
-    /// Tells the chain that a peer is disconnected. The view that the chain forms in consequence makes up for messages
-    /// that were lost with the connection.
+    /// Tells the chain that a peer has disconnected. The chain then forms a new view, which recovers from the loss of
+    /// messages that were in transit.
     pub fn peer_disconnected(&self, peer: Ipv4Addr) {
         self.step(|chain, now| chain.peer_disconnected(now, peer));
     }
 
-    /// Has the chain replace this node, which stops soon.
+    /// Requests that the chain replaces this node, which is shutting down.
     pub fn leave(&self) {
         self.step(Chain::leave);
     }
 
-    /// Tells the chain of each write that is on disk, for as long as the thread that writes runs.
+    /// Tells the chain of each write that is on disk, for as long as the writer thread runs.
     pub async fn report_completed_writes(self: Rc<Self>, mut completed: mpsc::UnboundedReceiver<u64>) {
         while let Some(number) = completed.recv().await {
             self.step(|chain, now| chain.write_completed(now, number));
         }
     }
 
-    /// Has the chain decide a call, and waits for the outcome.
+    /// Passes a call to the chain, and waits for the outcome.
     pub async fn call(&self, call: Call) -> Outcome {
         let number = self.next_call.replace(self.next_call.get() + 1);
         let (outcome_sender, outcome) = oneshot::channel();
@@ -127,7 +127,7 @@
         outcome.await.unwrap_or(Outcome::Unavailable)
     }
 
-    /// Requests a change of the voters; returns the voters that there will be once it is complete.
+    /// Requests a change of the voters; returns the set of voters after the change.
     ///
     /// # Errors
     ///
@@ -139,7 +139,7 @@
 
     fn step(&self, event: impl FnOnce(&mut Chain, Millis) -> Vec<Output>) {
         let now = self.clock.now();
-        // The chain is not borrowed while its outputs are carried out.
+        // The borrow of the chain ends before its outputs are carried out, as these may read the chain.
         let outputs = event(&mut self.chain.borrow_mut(), now);
         self.carry_out(outputs);
     }
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Checks that a committed record follows the one before it, whichever views were between them.
+    /// Checks the order of a committed record after the previous one, which may be from an earlier view.
     fn check_committed(&self, record: &Arc<Record>) {
         let Some(previous) = self.published.replace(Some(Arc::clone(record))) else { return };
         let detail =
@@ -203,7 +203,7 @@
     }
 }
 
-/// The update that tells sessions of a committed configuration.
+/// The update that sends a committed configuration to sessions.
 pub fn config_update(record: &Record) -> Update {
     Update::Config { rev: record.rev, document: Arc::new(record.document.clone()) }
 }
--- a/glenfall/src/control/clock.rs
+++ b/glenfall/src/control/clock.rs
@@ -1,4 +1,4 @@
-//! The monotonic clock of a control process, in the milliseconds that the state machines count in.
+//! The monotonic clock of a control process, in milliseconds as the state machines expect.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 use glenfall_control_plane::Millis;
 use tokio::time::Instant;
 
-/// Reading of the clock when the process starts. It is above zero, because peers and the disk report events from before
-/// the start by their age, and the times of these events must be readings of the clock as well.
+/// Reading of the clock when the process starts. It is above zero, because events from before the start, which peers
+/// and the disk report by their age, must also have a valid reading.
 pub const PROCESS_START: Millis = 10 * PURGE_RETENTION;
 
 /// The monotonic clock of this process.
 ///
-/// It owns the moment of the start. Its first reading is [`PROCESS_START`], and readings never decrease.
+/// Its first reading is [`PROCESS_START`], and readings never decrease.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -24,7 +24,7 @@
         Clock { started: Instant::now() }
     }
 
-    /// The present reading.
+    /// The current reading.
     pub fn now(&self) -> Millis {
         PROCESS_START + self.uptime().as_millis() as Millis
     }
@@ -34,7 +34,7 @@
         self.started.elapsed()
     }
 
-    /// The moment of a reading. Readings from before the start count as the start.
+    /// The instant of a reading. Readings from before the start map to the start.
     pub fn instant_of(&self, reading: Millis) -> Instant {
         self.started + Duration::from_millis(reading.saturating_sub(PROCESS_START))
     }
--- a/glenfall/src/control/fleet_publisher.rs
+++ b/glenfall/src/control/fleet_publisher.rs
@@ -1,4 +1,4 @@
-//! Publishes the fleet, which is all servers, shields and edges, to the sessions of a control node.
+//! Publishes the fleet (all servers, shields and edges) to the sessions of a control node.
 
 use std::cell::{Ref, RefCell};
 use std::rc::Rc;
@@ -14,16 +14,16 @@
 use super::server_registry::ServerRegistry;
 use crate::session::publisher::Sessions;
 
-/// Changes of the fleet within this time are published as one.
+/// Time for which changes of the fleet are collected, to be published as one.
 const BATCH_DELAY: Duration = Duration::from_millis(10);
-/// The time is longer by this much for each server and member: what a change costs its receivers grows with the fleet,
-/// and when a system starts there is one change after another.
+/// Addition to [`BATCH_DELAY`] per server and member of the fleet. The cost of a change for its receivers grows with
+/// the size of the fleet, and changes are frequent while a system starts.
 const BATCH_DELAY_PER_ENTRY: Duration = Duration::from_micros(50);
 
 /// Publishes the fleet.
 ///
-/// It owns the fleet as published last, with its version, and the signal that it may have changed. Sessions always have
-/// the published fleet, by a snapshot when they begin and by every change since.
+/// Owns the last published fleet with its version, and the signal that the fleet may have changed. Each session is sent
+/// a snapshot of the published fleet when it begins, and every change since.
 pub struct FleetPublisher {
     chain: Rc<ChainDriver>,
     registry: Rc<ServerRegistry>,
@@ -34,7 +34,7 @@
 }
 
 impl FleetPublisher {
-    /// Publishes an empty fleet. Changes are published once [`FleetPublisher::run`] runs.
+    /// Starts with an empty fleet. Changes are published while [`FleetPublisher::run`] runs.
     pub fn new(
         chain: Rc<ChainDriver>,
         registry: Rc<ServerRegistry>,
@@ -51,27 +51,27 @@
         }
     }
 
-    /// The fleet as published last. The guard must be dropped before an `await` and before a call of another method.
+    /// The last published fleet. The guard must be dropped before an `await` and before a call of another method.
     pub fn published(&self) -> Ref<'_, Fleet> {
         Ref::map(self.published.borrow(), VersionedFleet::fleet)
     }
 
-    /// The update that brings a new session to the published fleet.
+    /// The update that sends the published fleet to a new session.
     pub fn snapshot(&self) -> Update {
         Update::Fleet(self.published.borrow().snapshot())
     }
 
-    /// Notes that the fleet may have changed; it is published soon.
+    /// Schedules the publication of the fleet, which may have changed.
     pub fn notify_changed(&self) {
         self.changed.notify_one();
     }
 
-    /// Whether the registry has become complete, or incomplete, since the fleet was published.
+    /// Whether the registry has become complete or incomplete since the fleet was published.
     pub fn completeness_changed(&self) -> bool {
         self.registry.is_complete() != self.published().complete
     }
 
-    /// Publishes changes, several at once, for as long as the process runs.
+    /// Publishes changes in batches, for as long as the process runs.
     pub async fn run(self: Rc<Self>) {
         loop {
             self.changed.notified().await;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Publishes the present fleet if it has changed.
+    /// Publishes the current fleet if it has changed.
     pub fn publish_now(&self) {
         let current = self.current();
         let change = self.published.borrow_mut().advance_to(current);
@@ -97,13 +97,14 @@
         let complete = self.registry.is_complete();
         let mut fleet = Fleet {
             complete,
-            // Agents retain servers that an incomplete fleet lacks, so that it has to name the ended ones.
+            // Agents retain servers that are missing from an incomplete fleet, so it must list those that have
+            // deregistered.
             servers: self.registry.servers(!complete),
             shields,
             edges: edges.iter().map(|edge| edge_hash(&edge.node)).collect(),
             cores: self.chain.state().members().voters.len() as u32,
         };
-        // A member that has just moved from one control node to another is reported by both for a moment.
+        // A member whose session has just moved to another control node is reported by both for a moment.
         fleet.sort();
         fleet
     }
--- a/glenfall/src/control/heartbeat_relay.rs
+++ b/glenfall/src/control/heartbeat_relay.rs
@@ -1,6 +1,7 @@
-//! Heartbeats of servers that change nothing, collected for the peers. Each keeps a server in the registry of every
-//! control node for four heartbeat intervals, so that a short delay does no harm. One message, which goes out with a
-//! heartbeat of the chain, carries those of many servers, and wakes a peer that is woken anyway.
+//! Batches server heartbeats that change no status, and relays them to peers. Each heartbeat keeps a server in the
+//! registry of every control node for four heartbeat intervals, so that a short delay does no harm. One message carries
+//! the heartbeats of many servers. It is sent together with a heartbeat of the chain, so that it wakes no peer of its
+//! own.
 
 use std::cell::RefCell;
 
@@ -11,7 +12,7 @@
 /// Limit on the heartbeats that wait to be sent. While no peer is connected, none are sent, and none need to be.
 pub const MAX_PENDING_HEARTBEATS: usize = 1024;
 
-/// A heartbeat that peers have not received.
+/// A heartbeat that has not been sent to peers yet.
 struct PendingHeartbeat {
     entry: ServerEntry,
     received_at: Millis,
@@ -19,14 +20,14 @@
 
 /// The heartbeats that wait to be sent to peers.
 ///
-/// It owns at most [`MAX_PENDING_HEARTBEATS`], in the order in which they were received, and one of each server.
+/// Holds at most [`MAX_PENDING_HEARTBEATS`], in the order in which they were received, and at most one per server.
 #[derive(Default)]
 pub struct HeartbeatRelay {
     pending: RefCell<Vec<PendingHeartbeat>>,
 }
 
 impl HeartbeatRelay {
-    /// Adds a heartbeat, which replaces an earlier one of the same server. If there are too many, the oldest is
+    /// Adds a heartbeat, which replaces an earlier one of the same server. If the limit is reached, the oldest is
     /// dropped.
     pub fn add(&self, now: Millis, entry: ServerEntry) {
         let mut pending = self.pending.borrow_mut();
@@ -37,7 +38,7 @@
         pending.push(PendingHeartbeat { entry, received_at: now });
     }
 
-    /// Removes all heartbeats; returns the message that sends them, if there are any.
+    /// Removes all heartbeats and returns them as one message. `None` if there are none.
     pub fn take(&self, now: Millis) -> Option<PeerMessage> {
         let pending = self.pending.take();
         if pending.is_empty() {
--- a/glenfall/src/control/inbound.rs
+++ b/glenfall/src/control/inbound.rs
@@ -1,4 +1,4 @@
-//! Connections to a control node: sessions of agents and shields, and links of peers.
+//! Accepts connections to a control node: sessions of agents and shields, and connections of peers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,10 +14,11 @@
 use crate::session::link::{self, FrameReader, Outbox};
 use crate::session::publisher::{Reach, SubscriberConnection};
 
-/// Pause after a connection could not be accepted.
+/// Pause after a failure to accept a connection.
 const ACCEPT_RETRY_PAUSE: Duration = TICK_INTERVAL;
 
-/// Accepts connections for as long as the process runs. `reach` tells where their other ends are.
+/// Accepts connections for as long as the process runs. `reach` tells whether they come from the same machine or over
+/// the network.
 pub async fn accept(control: Rc<Control>, listener: TcpListener, reach: Reach) {
     loop {
         match listener.accept().await {
@@ -47,8 +48,8 @@
     }
 }
 
-/// Serves a session until it ends or, for a session over the network, this node is isolated. The shield on the same
-/// machine knows no other control node, and its session stays open.
+/// Serves a session until it ends or, if it is over the network, until this node is isolated. The session of the shield
+/// on the same machine stays open, as the shield has no other control node to connect to.
 async fn serve_session(control: &Control, frames: FrameReader, write: OwnedWriteHalf, reach: Reach) {
     let is_local = reach == Reach::SameMachine;
     if control.is_shutting_down() || !is_local && control.quorum.update() {
--- a/glenfall/src/control/local_members.rs
+++ b/glenfall/src/control/local_members.rs
@@ -1,4 +1,4 @@
-//! The members whose sessions are at this control node, as its peers know them.
+//! The members whose sessions are at this control node, as they are reported to its peers.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -12,8 +12,8 @@
 
 /// The members whose sessions are at this node.
 ///
-/// It owns the list as it was sent to peers last. Each connected peer has received exactly this list: a snapshot when
-/// it was connected, and every change since.
+/// Owns the list that was last sent to peers. Each connected peer has been sent exactly this list: a snapshot when it
+/// connected, and every change since.
 pub struct LocalMembers {
     sessions: Rc<Sessions>,
     links: Rc<PeerLinks>,
@@ -22,12 +22,13 @@
 }
 
 impl LocalMembers {
-    /// No members yet.
+    /// Starts with an empty list.
     pub fn new(sessions: Rc<Sessions>, links: Rc<PeerLinks>, fleet: Rc<FleetPublisher>) -> Self {
         LocalMembers { sessions, links, fleet, replicated: RefCell::default() }
     }
 
-    /// Sends peers what has changed. To be called whenever a session begins, ends or reports another member.
+    /// Sends peers the changes since the last update. Must be called whenever a session begins, ends, or reports a
+    /// change of its member.
     pub fn update(&self) {
         let members = MembersUpdate::sorted_by_name(self.sessions.members());
         let change = MembersUpdate::delta(&self.replicated.borrow(), &members);
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The message that brings a newly connected peer to the present list.
+    /// The message that sends the current list to a newly connected peer.
     pub fn snapshot_message(&self) -> PeerMessage {
         PeerMessage::Members(MembersUpdate::snapshot(&self.replicated.borrow()))
     }
--- a/glenfall/src/control/mod.rs
+++ b/glenfall/src/control/mod.rs
@@ -1,31 +1,31 @@
-//! A control node: a replica of the chain, the registry of servers, and the sessions that it publishes both to.
+//! A control node: a replica of the chain, the registry of servers, and the sessions to which it publishes both.
 //!
-//! Each module owns the state that its type names, and no other module can change it. `node` holds one value of each
-//! and connects them; a module uses only those that stand above it here.
+//! Each module owns the state listed here, and no other module can change it. `node` holds one instance of each and
+//! connects them; a module uses only the modules above it in this table.
 //!
 //! | module | owns |
 //! | --- | --- |
-//! | `clock` | the moment of the start, from which all readings count |
-//! | `store`, `backup` | the hard state of the chain on disk, and as a file for operators |
-//! | `purge_log` | the recent purges on disk |
-//! | `peers` | links to other control nodes, requests to them, and the members whose sessions are there |
+//! | `clock` | the start time of the process, to which all clock readings are relative |
+//! | `store`, `backup` | the hard state of the chain: on disk, and as a backup file for operators |
+//! | `purge_log` | the log of recent purges on disk |
+//! | `peers` | links to other control nodes, requests to them, and the members whose sessions are at them |
 //! | `chain_driver` | the chain, the queue of its writes, and the calls that wait for an outcome |
 //! | `quorum_contact` | the last contact with a quorum, and whether this node is isolated |
-//! | `quorum_reads` | which callers a quorum read has covered |
-//! | `voter_leases` | leases that this node holds and has granted, and the voters that they count by |
-//! | `purge_log_completeness` | which peers have sent their purges, and whether no acknowledged one is missing |
-//! | `purge_durability` | on how many disks each pending purge is |
+//! | `quorum_reads` | the callers that wait for a quorum read |
+//! | `voter_leases` | leases that this node holds and has granted, and the sets of voters that they depend on |
+//! | `purge_log_completeness` | which peers have sent their purge history, and whether that of this node is complete |
+//! | `purge_durability` | on which nodes' disks each pending purge is |
 //! | `purge_coordinator` | the purge history and the numbers of purges |
 //! | `server_registry` | the servers that this node knows |
 //! | `fleet_publisher` | the fleet as published to sessions |
-//! | `local_members` | the members whose sessions are here, as peers know them |
+//! | `local_members` | the members whose sessions are at this node, as reported to peers |
 //! | `heartbeat_relay` | heartbeats that wait to be sent to peers |
-//! | `server_replication` | no state but the relay: how draining and deregistration reach all control nodes |
-//! | `node` | one value of each of these, and whether the node is shutting down |
-//! | `peer_events` | no state: which module handles which message of a peer |
-//! | `session_publisher` | no state: what sessions are sent first |
-//! | `inbound` | no state: connections of sessions and peers to this node |
-//! | `api` | the limit on log lines about rejected calls of servers and operators |
+//! | `server_replication` | the heartbeat relay; replicates draining and deregistration to all control nodes |
+//! | `node` | one instance of each of these, and whether the node is shutting down |
+//! | `peer_events` | no state; dispatches messages of peers to the modules |
+//! | `session_publisher` | no state; provides the initial state for sessions |
+//! | `inbound` | no state; accepts connections of sessions and peers |
+//! | `api` | the HTTP interface for servers and operators, and the limit on log lines about rejected requests |
 
 pub mod api;
 pub mod backup;
@@ -62,17 +62,18 @@
 use crate::settings::Settings;
 use node::Control;
 
-/// File descriptors that are reserved for sessions, peers and files. All others are for HTTP connections: servers keep
-/// theirs open between heartbeats, and with a lower limit each heartbeat would open a new one.
+/// File descriptors reserved for sessions, peers and files. All others are for HTTP connections: servers keep their
+/// connections open between heartbeats, and with too low a limit each heartbeat would open a new one.
 const RESERVED_DESCRIPTORS: usize = 1500;
-/// HTTP connections that are accepted however few descriptors the settings allow.
+/// Lower bound of the limit on HTTP connections, however few descriptors the settings allow.
 const MIN_HTTP_CONNECTIONS: usize = 256;
-/// Limit on the bytes of request bodies that are being received: several of the largest documents that are accepted.
+/// Limit on the total bytes of request bodies that are being received. Several documents of the largest accepted size
+/// fit.
 const MAX_BODY_BYTES_IN_FLIGHT: usize = 32 << 20;
-/// How long new calls are accepted after the signal to stop. The chain replaces this node meanwhile.
+/// How long new requests are accepted after the termination signal, while the chain replaces this node.
 const DRAIN_ACCEPT_TIME: Duration = Duration::from_millis(600);
 
-/// Runs a control node until it receives the signal to stop.
+/// Runs a control node until it receives the termination signal.
 ///
 /// # Errors
 ///
--- a/glenfall/src/control/node.rs
+++ b/glenfall/src/control/node.rs
@@ -1,4 +1,4 @@
-//! A control node as the sum of its parts.
+//! Assembles a control node from its parts, and runs its periodic tasks and its shutdown.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -28,14 +28,14 @@
 use crate::session::publisher::Sessions;
 use crate::settings::Settings;
 
-/// How often the state machines act on the passage of time.
+/// Interval of the ticks by which the state machines learn of the passage of time.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(25);
-/// How often servers and members are looked through for expired ones.
+/// Interval of the checks for expired servers and members.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A control node.
 ///
-/// It owns one value of each part, and whether the node is shutting down. All other state is private to the parts.
+/// Owns one instance of each part, and whether the node is shutting down. All other state is private to the parts.
 pub struct Control {
     pub(super) settings: Rc<Settings>,
     pub(super) clock: Clock,
@@ -54,7 +54,7 @@
     shutting_down: watch::Sender<bool>,
 }
 
-/// The parts that most others use.
+/// The parts that most other parts use.
 struct SharedParts {
     clock: Clock,
     peers: Peers,
@@ -62,12 +62,12 @@
     chain: Rc<ChainDriver>,
 }
 
-/// The addresses of the seed nodes in the settings.
+/// The addresses of the control nodes in `seedNodes` of the settings.
 pub fn seed_addresses(settings: &Settings) -> Vec<Ipv4Addr> {
     settings.seed_nodes.iter().map(|seed| *seed.ip()).collect()
 }
 
-/// What the chain starts with, depending on what was found on disk.
+/// The initial state of the chain, depending on what was found on disk.
 fn chain_start(found: RecoveredState, bootstrap: bool, seeds: &[Ipv4Addr]) -> Start {
     match found {
         RecoveredState::Intact(state) => Start::Recovered(state),
@@ -84,8 +84,8 @@
 }
 
 impl Control {
-    /// A control node with the state in its state directory. `completed_write_sender` receives the number of each write
-    /// of the chain that is on disk.
+    /// Opens a control node with the state in its state directory. `completed_write_sender` is sent the number of each
+    /// write of the chain that is on disk.
     ///
     /// # Errors
     ///
@@ -136,7 +136,7 @@
         Ok(Control::assemble(settings, shared, leases, purges))
     }
 
-    /// Adds the parts that begin without any stored state.
+    /// Adds the parts that start without stored state.
     fn assemble(
         settings: Rc<Settings>,
         shared: SharedParts,
@@ -190,17 +190,17 @@
         spawn_local(Rc::clone(&self.quorum_reads).run());
     }
 
-    /// Whether the signal to stop was received.
+    /// Whether the termination signal was received.
     pub fn is_shutting_down(&self) -> bool {
         *self.shutting_down.borrow()
     }
 
-    /// A watch that turns true with the signal to stop.
+    /// A receiver whose value becomes true when the termination signal is received.
     pub fn subscribe_to_shutdown(&self) -> watch::Receiver<bool> {
         self.shutting_down.subscribe()
     }
 
-    /// Waits for the signal to stop, and then until the chain no longer needs this node.
+    /// Waits for the termination signal, and then until the chain no longer needs this node or the grace period ends.
     pub async fn shut_down_on_signal(&self) {
         crate::signals::wait_for_termination().await;
         tracing::info!("shutdown started");
@@ -212,11 +212,11 @@
                 sleep(TICK_INTERVAL).await;
             }
         };
-        // After the grace period the process ends whether it was replaced or not.
+        // After the grace period the process exits even if it has not been replaced.
         let _ = timeout(self.settings.grace(), replaced).await;
     }
 
-    /// Opens connections to control nodes that are not known yet.
+    /// Opens connections to those of `nodes` that are not known yet.
     pub fn connect_to(self: &Rc<Self>, nodes: &[Ipv4Addr]) {
         self.peers.connections.connect_to(nodes, self);
     }
@@ -238,7 +238,7 @@
     fn tick(&self) {
         self.chain.tick(|now| self.servers.relay_heartbeats(now));
         self.leases.renew(self.is_shutting_down());
-        // Sessions that are open must be closed also if no new one begins.
+        // Called with each tick, as open sessions must be closed on isolation even if no new session begins.
         self.quorum.update();
         self.registry.set_accepting(self.chain.has_quorum());
     }
@@ -253,8 +253,8 @@
         }
     }
 
-    /// Connects to the seeds that the settings file names now. A node knows only its seeds at first: one that has
-    /// started with seeds that are down, and that no other node knows, finds none otherwise.
+    /// Reloads the settings file and connects to its seed nodes. Without this, a node whose seeds at the start are all
+    /// down, and whose address no other node knows, would never find another node.
     fn connect_to_current_seeds(self: &Rc<Self>) {
         if let Ok(settings) = Settings::load() {
             self.connect_to(&seed_addresses(&settings));
--- a/glenfall/src/control/peer_events.rs
+++ b/glenfall/src/control/peer_events.rs
@@ -1,4 +1,4 @@
-//! What a control node does when a peer is connected, is disconnected, or sends a message.
+//! Handles the events of peers: connected, disconnected, and message received.
 
 use std::net::Ipv4Addr;
 
@@ -9,7 +9,7 @@
 use super::peers::connections::PeerEvents;
 
 impl PeerEvents for Control {
-    /// Sends the peer all that it may have missed before the chain sends it anything.
+    /// Sends the peer the complete members, servers and purges of this node, before any message of the chain.
     fn peer_connected(&self, peer: Ipv4Addr) {
         self.peers.members.peer_connected(peer);
         self.peers.links.send(peer, self.local_members.snapshot_message());
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Purges without an id are the complete history of the peer, which waits for no acknowledgement.
+    /// Purges without an id are the complete history of the peer, which does not wait for an acknowledgement.
     fn purges_received(
         &self,
         peer: Ipv4Addr,
--- a/glenfall/src/control/peers/connections.rs
+++ b/glenfall/src/control/peers/connections.rs
@@ -1,5 +1,5 @@
-//! Connections between control nodes. Each node opens a connection to every other one and sends on it; a peer is
-//! connected while both connections are open.
+//! Connections between control nodes. Each node opens a connection to every other node and sends on that connection
+//! only. A peer counts as connected while the connections in both directions are open.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -14,12 +14,12 @@
 use crate::session::link::{self, FrameReader, Outbox, KEEPALIVE_INTERVAL};
 use crate::settings::Settings;
 
-/// Pause before a failed or closed connection is opened again. It doubles with each failure.
+/// Initial pause before a failed or closed connection is reopened. It doubles with each failure.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(30);
-/// Limit on the pause between two attempts to open a connection.
+/// Upper limit of the pause between two attempts to open a connection.
 const MAX_RECONNECT_BACKOFF: Duration = Duration::from_millis(800);
 
-/// What a control node does when its links to peers change.
+/// Handler of events on the links to peers.
 pub trait PeerEvents: 'static {
     /// Both connections to a peer are open.
     fn peer_connected(&self, peer: Ipv4Addr);
@@ -31,21 +31,23 @@
 
 /// Opens, accepts and reads the connections to peers.
 ///
-/// It owns no link state, which is in [`PeerLinks`], but the signal that makes waiting tasks reconnect at once.
+/// The state of the links is in [`PeerLinks`]. This type owns only the signal that makes waiting tasks reconnect at
+/// once.
 pub struct PeerConnections {
     settings: Rc<Settings>,
     links: Rc<PeerLinks>,
-    /// A peer has opened a connection, so that it can be called: tasks that wait for their backoff try again.
+    /// Signals that a peer has opened a connection and so is reachable: tasks that wait for their backoff retry at
+    /// once.
     peer_available: Notify,
 }
 
 impl PeerConnections {
-    /// No connections yet. Their state is in `links`.
+    /// Opens no connection yet. The state of connections is recorded in `links`.
     pub fn new(settings: Rc<Settings>, links: Rc<PeerLinks>) -> Self {
         PeerConnections { settings, links, peer_available: Notify::new() }
     }
 
-    /// Opens connections to control nodes that are not known yet, and keeps them open for as long as the process runs.
+    /// Opens connections to those of `nodes` that are not known yet, and reopens them for as long as the process runs.
     pub fn connect_to(self: &Rc<Self>, nodes: &[Ipv4Addr], events: &Rc<impl PeerEvents>) {
         for node in nodes {
             if self.links.add(*node) {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Sends on a connection that this node has opened until it closes.
+    /// Sends on a connection that this node has opened, until the connection closes.
     async fn run_outbound(
         &self,
         peer: Ipv4Addr,
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Reads a connection that a peer has opened until it closes or the peer opens another one.
+    /// Receives on a connection that a peer has opened, until it closes or the peer opens another one.
     pub async fn run_inbound(
         &self,
         peer: Ipv4Addr,
--- a/glenfall/src/control/peers/links.rs
+++ b/glenfall/src/control/peers/links.rs
@@ -8,19 +8,19 @@
 
 use crate::session::link::Outbox;
 
-/// Limit on the number of known peers, as their addresses come from other processes.
+/// Limit on the number of known peers. Other processes send their addresses, so the number must be bounded.
 const MAX_PEERS: usize = 64;
 
-/// Names one connection that a peer has opened to this node.
+/// Identifies one connection that a peer has opened to this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InboundId(u64);
 
-/// What the opening of a connection by a peer has changed.
+/// The result of [`PeerLinks::inbound_opened`].
 #[derive(Clone, Copy, Debug)]
 pub struct InboundOpened {
-    /// Names the new connection.
+    /// Identifies the new connection.
     pub connection: InboundId,
-    /// The link was connected through an earlier connection, whose last messages may be lost.
+    /// Whether the link was connected through an earlier connection, whose last messages may be lost.
     pub disconnected: bool,
 }
 
@@ -29,15 +29,15 @@
 struct Link {
     /// The connection that this node has opened and sends on.
     outbound: Option<Outbox<PeerMessage>>,
-    /// The connection that the peer has opened last and sends on.
+    /// The connection that the peer has most recently opened, and sends on.
     inbound: Option<InboundId>,
-    /// Incarnation of the process that has opened the inbound connection.
+    /// Incarnation of the process that opened the inbound connection.
     incarnation: u64,
     connected: bool,
 }
 
 impl Link {
-    /// Marks the link as connected if both connections are open; returns whether it was not before.
+    /// Marks the link as connected if both connections are open; returns whether it became connected by this call.
     fn connect(&mut self) -> bool {
         let both_open = self.outbound.is_some() && self.inbound.is_some();
         let becomes_connected = both_open && !self.connected;
@@ -53,12 +53,12 @@
 
 /// The links to all known peers, each a small state machine.
 ///
-/// It owns the open connections of each link and whether the link is connected. A link becomes connected once both of
-/// its connections are open, and is disconnected as soon as one of them closes or the peer replaces its own. Each
-/// method that can change this returns whether it did, and its caller reports the change.
+/// Owns the open connections of each link, and whether the link is connected. A link becomes connected once both of its
+/// connections are open, and is disconnected as soon as one of them closes or the peer replaces the one that it opened.
+/// Each method that can change this returns whether it did, and its caller reports the change.
 ///
-/// The other connection of a disconnected link stays open. If it were closed too, its end would close the new
-/// connection of the peer, whose end would close the next, for as long as both nodes reconnect.
+/// When one connection of a link closes, the other one stays open. If each node also closed the other connection, each
+/// reconnect of one node would be closed by the other, in an endless cycle.
 pub struct PeerLinks {
     local: ProcessId,
     links: RefCell<BTreeMap<Ipv4Addr, Link>>,
@@ -66,17 +66,17 @@
 }
 
 impl PeerLinks {
-    /// No links yet. `local` is this process.
+    /// Starts without peers. `local` identifies this process.
     pub fn new(local: ProcessId) -> Self {
         PeerLinks { local, links: RefCell::default(), next_inbound: Cell::new(1) }
     }
 
-    /// This process.
+    /// Address and incarnation of this process.
     pub fn local(&self) -> ProcessId {
         self.local
     }
 
-    /// Adds a peer. Returns false if it is known, is this node, or there are `MAX_PEERS`.
+    /// Adds a peer. Returns false if it is already known, is this node, or the limit on peers is reached.
     pub fn add(&self, peer: Ipv4Addr) -> bool {
         let mut links = self.links.borrow_mut();
         if peer == self.local.ip || links.contains_key(&peer) || links.len() >= MAX_PEERS {
@@ -86,7 +86,7 @@
         true
     }
 
-    /// The addresses of all control nodes, this one first.
+    /// The addresses of all known control nodes, this one first.
     pub fn control_nodes(&self) -> Vec<Ipv4Addr> {
         std::iter::once(self.local.ip).chain(self.links.borrow().keys().copied()).collect()
     }
@@ -110,8 +110,8 @@
         Some(ProcessId { ip: peer, incarnation: link.incarnation })
     }
 
-    /// Queues a message on the outbound connection of a peer, if that is open. A connection whose queue is full is
-    /// closed by the task that reads it.
+    /// Queues a message on the outbound connection to a peer, if it is open. If its queue is full, the message is
+    /// not sent, and the task that reads the connection closes it.
     pub fn send(&self, peer: Ipv4Addr, message: PeerMessage) {
         if let Some(outbound) = self.links.borrow().get(&peer).and_then(|link| link.outbound.as_ref()) {
             let _ = outbound.send(message);
@@ -125,14 +125,14 @@
         }
     }
 
-    /// Notes the connection that this node has opened to a peer.
+    /// Records the connection that this node has opened to a peer.
     pub fn outbound_opened(&self, peer: Ipv4Addr, outbound: Outbox<PeerMessage>) {
         if let Some(link) = self.links.borrow_mut().get_mut(&peer) {
             link.outbound = Some(outbound);
         }
     }
 
-    /// Notes the end of the outbound connection; returns whether the link was connected.
+    /// Records that the outbound connection has closed; returns whether the link was connected.
     pub fn outbound_closed(&self, peer: Ipv4Addr) -> bool {
         let mut links = self.links.borrow_mut();
         let Some(link) = links.get_mut(&peer) else { return false };
@@ -140,7 +140,7 @@
         link.disconnect()
     }
 
-    /// Notes a connection that a peer has opened; it replaces an earlier one. `None` if the peer is not known.
+    /// Records a connection that a peer has opened, which replaces an earlier one. `None` if the peer is not known.
     pub fn inbound_opened(&self, peer: Ipv4Addr, incarnation: u64) -> Option<InboundOpened> {
         let mut links = self.links.borrow_mut();
         let link = links.get_mut(&peer)?;
@@ -150,12 +150,12 @@
         Some(InboundOpened { connection, disconnected: link.disconnect() })
     }
 
-    /// Whether a connection is the one that its peer has opened last.
+    /// Whether a connection is the one that its peer has most recently opened.
     pub fn is_current_inbound(&self, peer: Ipv4Addr, connection: InboundId) -> bool {
         self.links.borrow().get(&peer).is_some_and(|link| link.inbound == Some(connection))
     }
 
-    /// Notes the end of an inbound connection, unless a newer one has replaced it; returns whether the link was
+    /// Records that an inbound connection has closed, unless a newer one has replaced it; returns whether the link was
     /// connected.
     pub fn inbound_closed(&self, peer: Ipv4Addr, connection: InboundId) -> bool {
         let mut links = self.links.borrow_mut();
@@ -166,7 +166,7 @@
         link.disconnect()
     }
 
-    /// Marks a link whose two connections are open as connected; returns whether it was not before.
+    /// Marks a link as connected if both of its connections are open; returns whether it became connected by this call.
     pub fn connect(&self, peer: Ipv4Addr) -> bool {
         self.links.borrow_mut().get_mut(&peer).is_some_and(Link::connect)
     }
--- a/glenfall/src/control/peers/members.rs
+++ b/glenfall/src/control/peers/members.rs
@@ -1,4 +1,4 @@
-//! The members whose sessions are at peers, as those peers report them.
+//! The members (proxies) whose sessions are at peers, as those peers report them.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,14 +9,14 @@
 use glenfall_control_plane::messages::{Member, ProxyRole};
 use tokio::time::Instant;
 
-/// How long the members of a disconnected peer are retained: the peer may be connected again at once.
+/// How long the members of a disconnected peer are retained, as the peer may reconnect at once.
 const DISCONNECTED_RETENTION: Duration = Duration::from_secs(1);
 
 /// The members that one peer has reported.
 #[derive(Default)]
 struct ReportedMembers {
     members: Vec<Member>,
-    /// When the peer was disconnected last, if it has not been connected since.
+    /// When the peer disconnected; `None` while it is connected.
     disconnected_at: Option<Instant>,
 }
 
@@ -28,7 +28,8 @@
 
 /// The members whose sessions are at peers.
 ///
-/// It owns the last report of each peer. A report outlives the connection to its peer by `DISCONNECTED_RETENTION`.
+/// Owns the last report of each peer. A report is retained for `DISCONNECTED_RETENTION` after its peer has
+/// disconnected.
 #[derive(Default)]
 pub struct PeerMembers {
     by_peer: RefCell<BTreeMap<Ipv4Addr, ReportedMembers>>,
@@ -40,16 +41,16 @@
         let mut by_peer = self.by_peer.borrow_mut();
         let reported = by_peer.entry(peer).or_default();
         update.apply(&mut reported.members);
-        // A shield is a member only through the control node on its own machine.
+        // A shield is listed only if the control node on its own machine reports it.
         reported.members.retain(|member| member.proxy != ProxyRole::Shield || *member.http.ip() == peer);
     }
 
-    /// Notes that a peer is connected: its members are retained until it is disconnected.
+    /// Records that a peer has connected. Its members are retained until it disconnects.
     pub fn peer_connected(&self, peer: Ipv4Addr) {
         self.by_peer.borrow_mut().entry(peer).or_default().disconnected_at = None;
     }
 
-    /// Notes that a peer is disconnected: its members expire unless it is connected again soon.
+    /// Records that a peer has disconnected. Its members expire unless it reconnects soon.
     pub fn peer_disconnected(&self, peer: Ipv4Addr) {
         self.by_peer.borrow_mut().entry(peer).or_default().disconnected_at = Some(Instant::now());
     }
@@ -59,7 +60,7 @@
         self.by_peer.borrow().values().flat_map(|reported| reported.members.iter().cloned()).collect()
     }
 
-    /// Removes the members of peers that are disconnected for too long; returns whether there were any.
+    /// Removes the members of peers that have been disconnected for too long; returns whether there were any.
     pub fn expire(&self) -> bool {
         let mut changed = false;
         for reported in self.by_peer.borrow_mut().values_mut().filter(|reported| reported.is_expired()) {
--- a/glenfall/src/control/peers/mod.rs
+++ b/glenfall/src/control/peers/mod.rs
@@ -1,9 +1,9 @@
-//! Peers: the other control nodes.
+//! The peers of a control node, which are the other control nodes.
 //!
 //! | module | owns |
 //! | --- | --- |
 //! | `links` | the state of the two connections to each peer |
-//! | `connections` | the tasks that open, accept and read these connections |
+//! | `connections` | the tasks that open, accept and read these connections, and the signal to reconnect |
 //! | `requests` | requests that wait for acknowledgements of several peers |
 //! | `members` | the members whose sessions are at peers |
 
@@ -22,7 +22,7 @@
 use self::requests::PeerRequests;
 use crate::settings::Settings;
 
-/// All that a control node has to do with its peers. Clones share the same state.
+/// Links, connections, requests and members of all peers. Clones share the same state.
 #[derive(Clone)]
 pub struct Peers {
     /// The state of the link to each peer.
@@ -36,7 +36,7 @@
 }
 
 impl Peers {
-    /// No peers yet. `local` is this process.
+    /// Starts without peers. `local` identifies this process.
     pub fn new(settings: Rc<Settings>, local: ProcessId) -> Self {
         let links = Rc::new(PeerLinks::new(local));
         Peers {
--- a/glenfall/src/control/peers/requests.rs
+++ b/glenfall/src/control/peers/requests.rs
@@ -15,15 +15,15 @@
 /// Why a request was not acknowledged by all peers that it was sent to.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// One of the peers that had not acknowledged was disconnected: it may have sessions that were not notified.
+    /// A peer disconnected before it acknowledged; it may have sessions that were not notified.
     #[error("peer {disconnected} disconnected; request not acknowledged by {unacknowledged:?}")]
     Disconnected {
-        /// That peer.
+        /// The peer that disconnected.
         disconnected: Ipv4Addr,
         /// All peers that had not acknowledged, in order.
         unacknowledged: Vec<Ipv4Addr>,
     },
-    /// The time_limit has passed.
+    /// Not all peers acknowledged within the time limit.
     #[error("request not acknowledged within the time limit by {unacknowledged:?}")]
     TimedOut {
         /// The peers that had not acknowledged, in order.
@@ -31,12 +31,12 @@
     },
 }
 
-/// A request that some peers have not acknowledged yet.
+/// A request whose sender waits for acknowledgements.
 struct PendingRequest {
     unacknowledged: BTreeSet<Ipv4Addr>,
-    /// Peers whose acknowledgement covers every process that may use a lease of theirs.
+    /// Peers whose acknowledgement covers every process that may use a lease that they granted.
     complete: Vec<Ipv4Addr>,
-    /// The first of the unacknowledged peers that was disconnected.
+    /// The first peer that disconnected before it acknowledged.
     disconnected: Option<Ipv4Addr>,
 }
 
@@ -65,18 +65,18 @@
 
 /// Requests to several peers.
 ///
-/// It owns the pending requests and the correlation ids. Each pending request belongs to one waiting caller and is
-/// removed when that caller stops waiting, for whatever reason. A request fails for good when a peer that has not
-/// acknowledged it is disconnected, also if that peer is connected again later.
+/// Owns the pending requests and the correlation ids. Each pending request belongs to one waiting caller and is removed
+/// when that caller stops waiting, for whatever reason. A request fails when a peer disconnects before it acknowledges,
+/// even if that peer reconnects later.
 pub struct PeerRequests {
     links: Rc<PeerLinks>,
     pending: RefCell<BTreeMap<u64, PendingRequest>>,
     next_id: Cell<u64>,
-    /// Some pending request may be decided.
+    /// Signals that a pending request may have completed or failed.
     progress: Notify,
 }
 
-/// Removes a pending request when its caller stops waiting, also if the caller's future is dropped.
+/// Guard that removes a pending request when its caller stops waiting, also when the caller's future is cancelled.
 struct PendingGuard<'a> {
     requests: &'a PeerRequests,
     id: u64,
@@ -95,7 +95,7 @@
 }
 
 impl PeerRequests {
-    /// No requests yet; they are sent on `links`.
+    /// Starts without pending requests. Requests are sent on `links`.
     pub fn new(links: Rc<PeerLinks>) -> Self {
         PeerRequests { links, pending: RefCell::default(), next_id: Cell::new(1), progress: Notify::new() }
     }
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     ///
-    /// When a peer is disconnected before it acknowledges, or the time_limit passes.
+    /// When a peer disconnects before it acknowledges, or not all peers acknowledge within `time_limit`.
     pub async fn send_to_all(
         &self,
         peers: &[Ipv4Addr],
@@ -119,7 +119,7 @@
         for peer in peers {
             self.links.send(*peer, request(CallId { incarnation, number: id }));
         }
-        // The state of the request tells whether it was decided in time.
+        // The result is read from the pending request, whether the wait timed out or not.
         let _ = timeout(time_limit, self.wait_until_resolved(id)).await;
         guard.finish().unwrap_or_else(|| PendingRequest::new(peers)).into_result()
     }
@@ -148,7 +148,7 @@
         self.progress.notify_waiters();
     }
 
-    /// Fails the requests that a peer has not acknowledged: it may have sessions, and has not confirmed that they know.
+    /// Fails the requests that a peer has not acknowledged, as sessions at that peer may not have been notified.
     pub fn peer_disconnected(&self, peer: Ipv4Addr) {
         for request in self.pending.borrow_mut().values_mut() {
             if request.disconnected.is_none() && request.unacknowledged.contains(&peer) {
--- a/glenfall/src/control/purge_coordinator.rs
+++ b/glenfall/src/control/purge_coordinator.rs
@@ -1,4 +1,5 @@
-//! Purges at a control node: which it knows, to whom it sends them, and when it acknowledges one.
+//! Coordinates purges at a control node: records them, sends them to sessions and peers, and decides when a purge is
+//! acknowledged.
 
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
@@ -21,33 +22,34 @@
 use super::voter_leases::VoterLeaseManager;
 use crate::session::publisher::{Sessions, MAX_ACKNOWLEDGEMENT_DELAY};
 
-/// Time limit for a purge to reach every process that may serve from stored responses. After that it is refused, and
-/// the operator repeats it when the leases of those processes that did not apply it are over. Operators give up a call
-/// after a second.
+/// Time limit for a purge to be applied by every process that may serve from stored responses. After that it is
+/// rejected, and the operator repeats it once the leases of the processes that have not applied it have expired. The
+/// limit is below one second, after which operators give up a call.
 const PURGE_TIMEOUT: Duration = Duration::from_millis(750);
-/// Time limit for a purge of a peer, here and at the peers that it is forwarded to. It is shorter than
-/// [`PURGE_TIMEOUT`], so that the acknowledgement still arrives in time at the origin.
+/// Time limit for a purge that a peer has sent, at this node and at the peers that it is forwarded to. It is shorter
+/// than [`PURGE_TIMEOUT`], so that the acknowledgement reaches the origin in time.
 const PEER_PURGE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time limit for a purge that another node than its origin has forwarded; shorter than [`PEER_PURGE_TIMEOUT`] for the
-/// same reason.
+/// Time limit for a purge that was forwarded by a node other than its origin. It is shorter than
+/// [`PEER_PURGE_TIMEOUT`], so that the acknowledgement reaches the forwarding node in time.
 const FORWARDED_PURGE_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// Why a purge was not acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PurgeError {
-    /// Its record is not on one disk more than may be lost. Shields store responses on their disks, and if all other
-    /// machines lose power meanwhile, what is on disk is all that is known of the purge.
+    /// Its record is not on one disk more than the number of hosts that may be lost. Shields store responses on disk:
+    /// if all machines lose power, only a record on disk tells that these responses are invalid.
     #[error("record of the purge is durable on fewer than {required} disks")]
     NotDurable {
-        /// The number of disks that it has to be on.
+        /// The number of disks that must have the record.
         required: usize,
     },
-    /// A process that may serve from stored responses has not applied it, and its lease is not over.
+    /// A process that may serve from stored responses has not applied it, and the lease of that process has not
+    /// expired.
     #[error("not all processes that may serve from stored responses have applied the purge")]
     NotApplied,
 }
 
-/// What a coordinator sends and waits with.
+/// The parts of a control node that a [`PurgeCoordinator`] uses.
 pub struct PurgeDependencies {
     /// The clock of the process.
     pub clock: Clock,
@@ -63,8 +65,8 @@
 
 /// Coordinates purges.
 ///
-/// It owns the purge history, its log on disk, and the numbers of the purges of this process. A purge that is new to
-/// the history is pushed to all sessions and written to disk in the same step, so that none of the three lacks it.
+/// Owns the purge history, its log on disk, and the numbers of the purges of this process. A purge that is new to the
+/// history is pushed to all sessions and queued for the log in the same step, so that history, sessions and log agree.
 pub struct PurgeCoordinator {
     dependencies: PurgeDependencies,
     history: RefCell<PurgeHistory>,
@@ -75,7 +77,8 @@
 }
 
 impl PurgeCoordinator {
-    /// Continues with the purges that were read from the log. A purge is acknowledged once it is on `required_disks`.
+    /// Starts with the purges in `logged`, which were read from the log. A purge is acknowledged only once its record
+    /// is on `required_disks` disks.
     pub fn new(
         dependencies: PurgeDependencies,
         log: PurgeLog,
@@ -94,7 +97,7 @@
         }
     }
 
-    /// The purges that a session that begins now may have missed.
+    /// The recent purges, for a session that begins now and may have missed them.
     pub fn missed(&self) -> Vec<AgedPurge> {
         self.history.borrow().missed(self.dependencies.clock.now())
     }
@@ -105,12 +108,12 @@
         PeerMessage::Purges { id: None, purges, already_notified: None }
     }
 
-    /// Invalidates all stored responses that a purge names, at whatever process they are.
+    /// Invalidates all stored responses that a purge names, at all processes.
     ///
     /// # Errors
     ///
-    /// When the purge is not durable on enough disks in time, or was neither applied by each process that may serve
-    /// from such responses nor outlasted by the leases of those processes.
+    /// When the purge is not durable on enough disks in time, or when a process that may serve from such responses has
+    /// neither applied it nor lost its lease in time.
     pub async fn purge(&self, purge: Purge) -> Result<(), PurgeError> {
         let PurgeDependencies { links, requests, sessions, leases, .. } = &self.dependencies;
         let number = self.next_number.replace(self.next_number.get() + 1);
@@ -150,7 +153,8 @@
         Ok(())
     }
 
-    /// Reports a purge of this node as durable once it is on the disk of this node.
+    /// Records a purge of this node as durable here once `written` completes. Without `written` the purge is not new,
+    /// and nothing is recorded.
     fn track_own_write(&self, number: u64, written: Option<oneshot::Receiver<()>>) {
         let Some(written) = written else { return };
         let durability = Rc::clone(&self.durability);
@@ -162,15 +166,15 @@
         });
     }
 
-    /// Records that a purge of a process at this address is on the disk of a peer.
+    /// Records that `peer` has a purge of this node on disk. Reports about purges of earlier incarnations are ignored.
     pub fn record_durable(&self, peer: Ipv4Addr, incarnation: u64, number: u64) {
         if incarnation == self.dependencies.links.local().incarnation {
             self.durability.record_durable(peer, number);
         }
     }
 
-    /// Records purges that a peer has sent, and reports those of its own as durable once they are on the disk of this
-    /// node.
+    /// Records purges that `peer` has sent. Reports those that originate at `peer` to it as durable once they are on
+    /// the disk of this node.
     pub fn record_from_peer(&self, peer: Ipv4Addr, purges: &[PurgeRecord]) {
         let Some(written) = self.record(purges.to_vec()) else { return };
         let own = purges.iter().filter(|purge| purge.origin == peer);
@@ -190,8 +194,8 @@
         });
     }
 
-    /// Records purges, and pushes those that are new to the sessions. The receiver, if any is new, completes once they
-    /// are on disk.
+    /// Adds purges to the history; pushes those that are new to the sessions and queues them for the log. The receiver
+    /// completes once they are on disk. `None` if none is new.
     fn record(&self, purges: Vec<PurgeRecord>) -> Option<oneshot::Receiver<()>> {
         let new = self.history.borrow_mut().add(self.dependencies.clock.now(), purges);
         if new.is_empty() {
@@ -202,7 +206,7 @@
         Some(self.log.write(new))
     }
 
-    /// Waits until no session that has a lease of this node can serve responses that a purge invalidated. False if that
+    /// Waits until no session that holds a lease from this node can serve responses that were purged. False if that
     /// takes longer than `time_limit`.
     async fn apply_at_sessions(&self, time_limit: Duration) -> bool {
         let applied = self.dependencies.sessions.wait_until_purged(time_limit).await;
@@ -210,9 +214,9 @@
         applied
     }
 
-    /// Acknowledges purges that a peer has sent, once no session at this node can serve responses that
-    /// they invalidated. If the peer is their origin it names the processes that it has notified itself, and this node
-    /// forwards the purges to those that it reaches beyond them.
+    /// Acknowledges purges that a peer has sent, once no session at this node can serve responses that they invalidate.
+    /// If the peer is the origin of the purges, `notified_by_origin` lists the processes that it has notified itself,
+    /// and this node forwards the purges to all other processes that it is connected to.
     pub fn acknowledge(
         self: &Rc<Self>,
         peer: Ipv4Addr,
@@ -237,8 +241,8 @@
         }
     }
 
-    /// Chooses the peers that `origin` has not notified itself. They are those that are connected at this moment:
-    /// whoever connects later receives the complete history.
+    /// Selects the connected peers that `origin` has not notified itself. A peer that connects later receives the
+    /// complete history then.
     fn plan_forward(
         &self,
         origin: Ipv4Addr,
@@ -270,15 +274,15 @@
     }
 }
 
-/// Purges that are forwarded on behalf of their origin.
+/// Purges to forward on behalf of their origin.
 struct Forward {
     origin: Ipv4Addr,
-    /// The request of the origin that is acknowledged.
+    /// The request of the origin, to be acknowledged.
     id: CallId,
     purges: Vec<PurgeRecord>,
-    /// To whom they are forwarded.
+    /// The peers to forward to.
     peers: Vec<Ipv4Addr>,
-    /// The processes that were notified, by the origin or from here.
+    /// The processes that are notified, by the origin or by this node.
     notified: Vec<ProcessId>,
 }
 
--- a/glenfall/src/control/purge_durability.rs
+++ b/glenfall/src/control/purge_durability.rs
@@ -1,4 +1,4 @@
-//! On how many disks the record of a purge is.
+//! Tracks on how many control nodes' disks the record of a purge is durable.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,17 +8,17 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// The purges of this node that are being acknowledged, each with the control nodes whose disks have its record.
+/// The purges that this node has not acknowledged yet, each with the control nodes that have its record on disk.
 ///
-/// A purge is tracked from [`PurgeDurability::track`] until the value that this returns is dropped. Reports about other
-/// purges are ignored.
+/// A purge is tracked from the call of [`PurgeDurability::track`] until the returned [`TrackedPurge`] is dropped.
+/// Reports about other purges are ignored.
 #[derive(Default)]
 pub struct PurgeDurability {
     durable_on: RefCell<BTreeMap<u64, BTreeSet<Ipv4Addr>>>,
     reported: Notify,
 }
 
-/// A purge that is tracked until this is dropped, also if the future of its caller is.
+/// Guard of a tracked purge. Tracking ends when the guard is dropped, also when the caller's future is cancelled.
 pub struct TrackedPurge<'a> {
     durability: &'a PurgeDurability,
     number: u64,
@@ -31,13 +31,13 @@
 }
 
 impl PurgeDurability {
-    /// Begins to track a purge of this node, by its number.
+    /// Starts tracking the purge of this node that has this number.
     pub fn track(&self, number: u64) -> TrackedPurge<'_> {
         self.durable_on.borrow_mut().insert(number, BTreeSet::new());
         TrackedPurge { durability: self, number }
     }
 
-    /// Records that a purge of this node is on the disk of a node.
+    /// Records that `node` has a purge of this node on disk.
     pub fn record_durable(&self, node: Ipv4Addr, number: u64) {
         if let Some(nodes) = self.durable_on.borrow_mut().get_mut(&number) {
             nodes.insert(node);
@@ -51,7 +51,7 @@
 }
 
 impl TrackedPurge<'_> {
-    /// Waits until the purge is on that many disks. False if that takes longer than `time_limit`.
+    /// Waits until the purge is on at least `disks` disks. False if that takes longer than `time_limit`.
     pub async fn wait_for_disks(&self, disks: usize, time_limit: Duration) -> bool {
         let durable = async {
             loop {
--- a/glenfall/src/control/purge_log.rs
+++ b/glenfall/src/control/purge_log.rs
@@ -1,8 +1,8 @@
-//! The recent purges on disk.
+//! The log of recent purges on disk.
 //!
-//! Shields keep stored responses on disk as well. After a loss of power at all control nodes, these still have to know
-//! which purges the stored responses have missed. The log is written by a thread of its own and apart from the chain's
-//! file, so that a stream of purges delays no change of the configuration.
+//! Shields store responses on disk. After a power loss at all control nodes, the control nodes must still know which
+//! purges the stored responses have missed. The log has its own thread and its own file, separate from that of the
+//! chain, so that a burst of purges does not delay a change of the configuration.
 
 use std::path::{Path, PathBuf};
 use std::sync::mpsc;
@@ -16,17 +16,18 @@
 use crate::disk::{self, now_ms};
 
 const DATABASE_FILE: &str = "purges.sqlite";
-/// Page size in bytes: purges are small.
+/// Page size in bytes; small, as purge records are small.
 const PAGE_BYTES: usize = 4 << 10;
-/// Largest error of the time of day that is allowed for, in milliseconds.
+/// Largest error of the wall clock that is tolerated, in milliseconds.
 pub const MAX_CLOCK_ERROR_MS: i64 = 2000;
-/// Most purges in the log: one more than are remembered, so that whoever reads them knows that there were others.
+/// Limit on the purges in the log. It is one more than the history holds, so that a reader can tell that older purges
+/// were dropped.
 const MAX_ROWS: i64 = MAX_PURGES as i64 + 1;
-/// Pause before a write that failed is tried again.
+/// Pause before a failed write is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Most writes that are queued; where the disk hangs, purges beyond these are known in memory only.
+/// Limit on the queued writes. While the disk hangs, purges beyond the limit are held in memory only.
 const MAX_QUEUED_WRITES: usize = 1024;
-/// The time for which purges are remembered, in milliseconds.
+/// How long purges are retained, in milliseconds.
 const RETENTION_MS: i64 = PURGE_RETENTION as i64;
 
 /// Purges to be written, and the sender that reports their durability.
@@ -41,8 +42,8 @@
 }
 
 impl PurgeLog {
-    /// Opens the log in a folder; returns the purges in it that are still to be remembered. A log that can't be read is
-    /// recreated empty: the other control nodes have theirs.
+    /// Opens the log in a folder; returns the purges in it that are within the retention time. A log that can't be read
+    /// is recreated empty, as the other control nodes have logs of their own.
     pub fn open(folder: &Path) -> std::io::Result<(PurgeLog, Vec<PurgeRecord>)> {
         std::fs::create_dir_all(folder)?;
         let mut file = LogFile { path: folder.join(DATABASE_FILE), db: None };
@@ -52,7 +53,7 @@
         Ok((PurgeLog { queue }, retained))
     }
 
-    /// Writes purges. The receiver resolves once they are on disk, and fails where the queue is full.
+    /// Queues purges to be written. The receiver completes once they are on disk, and fails if the queue is full.
     pub fn write(&self, purges: Vec<PurgeRecord>) -> oneshot::Receiver<()> {
         let (completion, receiver) = oneshot::channel();
         if self.queue.try_send(PendingWrite { purges, completion }).is_err() {
@@ -64,7 +65,7 @@
 
 fn write_all(mut file: LogFile, writes: &mpsc::Receiver<PendingWrite>) {
     while let Ok(first) = writes.recv() {
-        // One sync covers all writes that came meanwhile.
+        // One sync covers all writes that were queued in the meantime.
         let batch: Vec<PendingWrite> = std::iter::once(first).chain(writes.try_iter()).collect();
         let purges: Vec<&PurgeRecord> = batch.iter().flat_map(|write| &write.purges).collect();
         while let Err(error) = file.append(&purges) {
@@ -72,7 +73,7 @@
             std::thread::sleep(RETRY_PAUSE);
         }
         for write in batch {
-            // The receiver may be gone, as nobody waits any more.
+            // The receiver is dropped if its caller has stopped waiting.
             let _ = write.completion.send(());
         }
     }
@@ -81,7 +82,7 @@
 /// The database of the log.
 struct LogFile {
     path: PathBuf,
-    /// `None` while the file can't be opened.
+    /// `None` until the file has been opened.
     db: Option<Connection>,
 }
 
@@ -93,7 +94,7 @@
                 tracing::warn!(%error, "purge log unreadable; recreating it");
                 self.db = None;
                 disk::remove_database(&self.path);
-                // Where this fails, the first write tries again.
+                // If this fails, the first write opens the file.
                 let _ = self.connect();
                 Vec::new()
             }
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Appends purges and removes those that need not be remembered any more, in one transaction.
+    /// Appends purges and deletes those beyond the retention time or the limit on rows, in one transaction.
     fn append(&mut self, purges: &[&PurgeRecord]) -> rusqlite::Result<()> {
         let now = now_ms();
         let transaction = self.connect()?.transaction()?;
@@ -136,22 +137,23 @@
 
 /// A row of the log.
 struct Row {
-    /// The time of day of the purge, in milliseconds.
+    /// The wall-clock time of the purge, in milliseconds.
     at: i64,
     encoded_purge: Vec<u8>,
 }
 
 impl Row {
-    /// The purge with its age; `None` where the row can't be decoded.
+    /// The purge with its age; `None` if the row can't be decoded.
     fn decode(self, now: i64) -> Option<PurgeRecord> {
         let purge: PurgeRecord = postcard::from_bytes(&self.encoded_purge).ok()?;
-        // The age is underestimated, so that responses stored around that time are dropped.
+        // The age is underestimated by the largest clock error, so that no response from before the purge counts as
+        // newer.
         let age_ms = (now - self.at - MAX_CLOCK_ERROR_MS).max(0) as u64;
         Some(PurgeRecord { age_ms, ..purge })
     }
 }
 
-/// The purges that are still to be remembered, the oldest first.
+/// The purges within the retention time, oldest first.
 fn read_recent(db: &mut Connection) -> rusqlite::Result<Vec<PurgeRecord>> {
     let now = now_ms();
     let mut query = db.prepare("SELECT at, purge FROM purges WHERE at > ?1 ORDER BY rowid")?;
--- a/glenfall/src/control/purge_log_completeness.rs
+++ b/glenfall/src/control/purge_log_completeness.rs
@@ -1,4 +1,4 @@
-//! Whether the purge history of a control node has every purge that was acknowledged.
+//! Tracks whether the purge history of a control node has every purge that was acknowledged.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -12,13 +12,13 @@
 
 /// Whether the purge history of this node is complete.
 ///
-/// It owns the set of peers that have sent their complete history since they were connected last, and whether these and
-/// this node were a majority of the voters at the last look. While they are, this node knows every purge that was
-/// acknowledged, because each is known to a majority: a session that learns from it what it missed has missed nothing
-/// else.
+/// Owns the set of peers that have sent their complete history since they last connected, and whether these peers and
+/// this node were a majority of the voters at the last update. While they are, this node knows every acknowledged
+/// purge, because each is known to a majority: a session that receives the history of this node has missed no other
+/// purge.
 ///
-/// Sessions that were notified rely on it until they are closed, also if the history is complete no more. So the
-/// replacement of a voter invalidates no stored responses.
+/// A session that was notified of the completeness relies on it until it is closed, even if the history becomes
+/// incomplete meanwhile. Thus the replacement of a voter invalidates no stored responses.
 pub struct PurgeLogCompleteness {
     local: Ipv4Addr,
     chain: Rc<ChainDriver>,
@@ -28,7 +28,7 @@
 }
 
 impl PurgeLogCompleteness {
-    /// Nothing was received yet. `local` is the address of this node.
+    /// Starts without the history of any peer. `local` is the address of this node.
     pub fn new(local: Ipv4Addr, chain: Rc<ChainDriver>, sessions: Rc<Sessions>) -> Self {
         PurgeLogCompleteness {
             local,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether the history was complete at the last look.
+    /// Whether the history was complete at the last update.
     pub fn is_complete(&self) -> bool {
         self.complete.get()
     }
@@ -50,13 +50,14 @@
         self.update();
     }
 
-    /// Records that a peer is disconnected: purges that it learns of meanwhile arrive with its next history.
+    /// Records that a peer has disconnected. Purges that it learns of until it reconnects arrive with its next history.
     pub fn peer_disconnected(&self, peer: Ipv4Addr) {
         self.received_from.borrow_mut().remove(&peer);
         self.update();
     }
 
-    /// Looks again, as the voters may have changed, and notifies sessions once the history is complete.
+    /// Checks the majority again, as the voters may have changed, and notifies sessions when the history becomes
+    /// complete.
     pub fn update(&self) {
         let history_known =
             |node: &Ipv4Addr| *node == self.local || self.received_from.borrow().contains(node);
--- a/glenfall/src/control/quorum_contact.rs
+++ b/glenfall/src/control/quorum_contact.rs
@@ -1,4 +1,4 @@
-//! Whether a control node is in contact with a quorum, and since when it is not.
+//! Tracks whether a control node is in contact with a quorum, and when it last was.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,15 +10,15 @@
 use super::chain_driver::ChainDriver;
 use super::peers::links::PeerLinks;
 
-/// How long a node is without a quorum before it rejects agents. With a shorter time each replacement of a voter would
-/// reject them, and with a longer one agents would learn of a new configuration with too much delay.
+/// How long a node is without a quorum before it rejects agents. If this was shorter, agents would be rejected at each
+/// replacement of a voter. If it was longer, agents would learn of a new configuration too late.
 const ISOLATION_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Contact of this node with a quorum of the voters.
 ///
-/// It owns the moment of the last contact. The node is *isolated* once that is [`ISOLATION_TIMEOUT`] ago: its agents
-/// may reach nodes that are not, and what is acknowledged there does not arrive here. The state changes only in
-/// [`QuorumContact::update`], which the node calls with each tick and before it accepts a session.
+/// Owns the time of the last contact. The node is *isolated* once that is [`ISOLATION_TIMEOUT`] ago. An isolated node
+/// does not learn of changes that other nodes acknowledge, and its agents may reach a node that does. The state changes
+/// only in [`QuorumContact::update`], which the node calls with each tick and before it accepts a session.
 pub struct QuorumContact {
     chain: Rc<ChainDriver>,
     links: Rc<PeerLinks>,
@@ -27,7 +27,7 @@
 }
 
 impl QuorumContact {
-    /// Counts this moment as the last contact.
+    /// Starts as not isolated, with the present time as the last contact.
     pub fn new(chain: Rc<ChainDriver>, links: Rc<PeerLinks>) -> Self {
         QuorumContact {
             chain,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Looks for a quorum; returns whether this node is isolated now.
+    /// Checks for a quorum; returns whether this node is isolated.
     pub fn update(&self) -> bool {
         if self.chain.has_quorum() {
             self.last_contact.set(Instant::now());
@@ -54,10 +54,10 @@
         *self.isolated.borrow()
     }
 
-    /// Ends once this node is isolated.
+    /// Waits until this node is isolated.
     pub async fn isolated(&self) {
         let mut changes = self.isolated.subscribe();
-        // The sender lives as long as this value, so that the wait can't fail.
+        // The wait can't fail, as `self` owns the sender.
         let _ = changes.wait_for(|isolated| *isolated).await;
     }
 
--- a/glenfall/src/control/quorum_reads.rs
+++ b/glenfall/src/control/quorum_reads.rs
@@ -1,4 +1,4 @@
-//! Quorum reads for callers that have to know the newest configuration.
+//! Quorum reads for callers that need the newest configuration.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,14 +11,14 @@
 
 use super::chain_driver::ChainDriver;
 
-/// Pause before a quorum read without an answer is sent again: longer than the round trip of a chain. Each read ends by
-/// itself, so that six at most are pending at a time.
+/// Pause before a quorum read without a response is repeated; longer than the round trip of a chain. Each read times
+/// out, so that at most six are pending at a time.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Quorum reads, each shared by all callers that were waiting when it began.
 ///
-/// It owns the tickets of the callers: each caller draws the next one, and a read covers all tickets that were drawn
-/// before it began. The highest covered ticket never decreases.
+/// Owns the ticket numbers of the callers: each caller gets the next number, and a read covers all tickets that were
+/// issued before it began. The highest covered ticket never decreases.
 pub struct QuorumReads {
     chain: Rc<ChainDriver>,
     last_ticket: Cell<u64>,
@@ -27,7 +27,7 @@
 }
 
 impl QuorumReads {
-    /// Reads through `chain`, once [`QuorumReads::run`] runs.
+    /// Reads through `chain`, while [`QuorumReads::run`] runs.
     pub fn new(chain: Rc<ChainDriver>) -> Self {
         QuorumReads {
             chain,
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Ends once this node knows the newest configuration as of the moment of this call.
+    /// Waits until this node has every configuration that was committed before this call.
     pub async fn wait_for_newest(&self) {
         let ticket = self.last_ticket.get() + 1;
         self.last_ticket.set(ticket);
         self.requested.notify_one();
-        // The sender lives as long as this value, so that the wait can't fail.
+        // The wait can't fail, as `self` owns the sender.
         let _ = self.covered.subscribe().wait_for(|covered| *covered >= ticket).await;
     }
 
@@ -54,8 +54,8 @@
             let ticket = self.last_ticket.get();
             while *covered.borrow() < ticket {
                 spawn_local(Rc::clone(&self).read(ticket));
-                // There is no answer while no view is active, and none from a head that did not know yet that its view
-                // is.
+                // There is no response while no view is active, or from a head that has not learned yet that its view
+                // is active.
                 let _ = timeout(READ_RETRY_INTERVAL, covered.wait_for(|covered| *covered >= ticket)).await;
             }
         }
--- a/glenfall/src/control/server_registry.rs
+++ b/glenfall/src/control/server_registry.rs
@@ -1,4 +1,4 @@
-//! The servers that a control node knows.
+//! The registry of servers at a control node.
 
 use std::cell::RefCell;
 
@@ -10,34 +10,35 @@
 
 use super::clock::{Clock, PROCESS_START};
 
-/// Limit on the log lines about servers that expire at the same time.
+/// Limit on the log lines per check about servers that have expired.
 const MAX_LOGGED_EXPIRIES: usize = 20;
 
-/// The registry of servers, by the clock of this process.
+/// The registry of servers, with times by the clock of this process.
 ///
-/// It owns the registry. Times in its parameters are ages, as clocks of different processes are not compared.
+/// Events are passed with their ages rather than their times, as the clocks of processes differ.
 pub struct ServerRegistry {
     clock: Clock,
     registry: RefCell<Registry>,
 }
 
 impl ServerRegistry {
-    /// An empty registry. Servers send a heartbeat every `heartbeat_interval` milliseconds.
+    /// Starts empty. Servers send a heartbeat every `heartbeat_interval` milliseconds.
     pub fn new(clock: Clock, heartbeat_interval: Millis) -> Self {
         ServerRegistry { clock, registry: RefCell::new(Registry::new(heartbeat_interval)) }
     }
 
-    /// Notes whether this node accepts heartbeats. Must be called at short intervals, see [`Registry::set_accepting`].
+    /// Records whether this node accepts heartbeats. Must be called at short intervals, see
+    /// [`Registry::set_accepting`].
     pub fn set_accepting(&self, accepting: bool) {
         self.registry.borrow_mut().set_accepting(self.clock.now(), accepting);
     }
 
-    /// Whether this node has received a heartbeat of every server that is up.
+    /// Whether this node has received a heartbeat from every live server.
     pub fn is_complete(&self) -> bool {
         self.registry.borrow().is_complete(self.clock.now(), PROCESS_START)
     }
 
-    /// Records what a server reported `age` milliseconds ago.
+    /// Records an entry that a server reported `age` milliseconds ago.
     pub fn observe(&self, age: Millis, entry: ServerEntry) -> HeartbeatOutcome {
         self.registry.borrow_mut().observe(self.clock.now(), age, entry)
     }
@@ -47,18 +48,18 @@
         self.registry.borrow_mut().deregister(self.clock.now(), id)
     }
 
-    /// Whether an entry is from a later call of its server than the one that is known here.
+    /// Whether an entry was reported later by its server than the entry in this registry.
     pub fn is_newer(&self, entry: &ServerEntry) -> bool {
         self.registry.borrow().is_newer(entry)
     }
 
-    /// The entry of a server that is draining or deregistered.
+    /// The entry of a server, if it is draining or deregistered.
     pub fn draining_or_deregistered(&self, id: &str) -> Option<ServerEntry> {
         let registry = self.registry.borrow();
         registry.entry(id).filter(|entry| entry.status != EntryStatus::Ready).cloned()
     }
 
-    /// Whether a server is deregistered, or has lost its address to another.
+    /// Whether a server is deregistered, or another server has taken over its address.
     pub fn is_deregistered(&self, id: &str) -> bool {
         self.registry.borrow().is_deregistered(id)
     }
@@ -68,12 +69,12 @@
         self.registry.borrow().is_replicated(id)
     }
 
-    /// Notes that all connected control nodes know the status in an entry, if it is still the present one.
+    /// Records that all connected control nodes know the status in an entry, if it is still the current status.
     pub fn set_replicated(&self, entry: &ServerEntry) {
         self.registry.borrow_mut().mark_replicated(&entry.id, entry.status);
     }
 
-    /// Removes servers without a heartbeat for too long; returns whether there were any.
+    /// Removes servers whose last heartbeat is too old; returns whether there were any.
     pub fn expire(&self) -> bool {
         let expired = self.registry.borrow_mut().expire(self.clock.now());
         for server in expired.iter().take(MAX_LOGGED_EXPIRIES) {
@@ -82,18 +83,18 @@
         !expired.is_empty()
     }
 
-    /// The servers as proxies see them; with `include_deregistered` also those that are deregistered, as not ready.
+    /// The servers as published to proxies. With `include_deregistered`, deregistered servers are listed as not ready.
     pub fn servers(&self, include_deregistered: bool) -> Vec<Server> {
         self.registry.borrow().servers(self.clock.now(), include_deregistered)
     }
 
-    /// All entries, each with its age.
+    /// All entries with their ages.
     pub fn snapshot(&self) -> Vec<ObservedServer> {
         self.registry.borrow().snapshot(self.clock.now())
     }
 }
 
-/// Logs the removal of one server out of `expired` that were removed together.
+/// Logs the removal of a server. `expired` is the number of servers that were removed by the same check.
 fn log_expiry(server: &ExpiredServer, expired: usize) {
     if server.status == EntryStatus::Deregistered {
         tracing::info!(server = %server.id, expired, "server tombstone removed: retention period over");
--- a/glenfall/src/control/server_replication.rs
+++ b/glenfall/src/control/server_replication.rs
@@ -1,5 +1,5 @@
-//! Replicates registrations, draining and deregistration of servers to all control nodes, and acknowledges those of
-//! peers.
+//! Replicates the registration, draining and deregistration of servers to all control nodes, and acknowledges those
+//! that peers replicate.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -22,36 +22,38 @@
 use super::server_registry::ServerRegistry;
 use crate::session::publisher::Sessions;
 
-/// Time limit for replicating a server's draining status to all connected peers, after which its heartbeat is answered
-/// with 503.
+/// Time limit for replicating the draining or deregistration of a server to all control nodes. After that the request
+/// of the server is answered with 503.
 const DRAIN_REPLICATION_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time limit for a status that a peer replicates, here and at the peers that it is forwarded to. It is shorter than
-/// [`DRAIN_REPLICATION_TIMEOUT`], so that the acknowledgement still arrives in time.
+/// Time limit for a status that a peer replicates, at this node and at the peers that it is forwarded to. It is shorter
+/// than [`DRAIN_REPLICATION_TIMEOUT`], so that the acknowledgement reaches the peer in time.
 const PEER_REPLICATION_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time limit for a status that a peer has forwarded; shorter than [`PEER_REPLICATION_TIMEOUT`] for the same reason.
+/// Time limit for a status that a peer has forwarded. It is shorter than [`PEER_REPLICATION_TIMEOUT`], so that the
+/// acknowledgement reaches the forwarding node in time.
 const FORWARDED_REPLICATION_TIMEOUT: Duration = Duration::from_millis(225);
 
-/// Why something is not known to all control nodes.
+/// Why a status was not replicated to all control nodes.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplicationError {
-    /// A peer did not acknowledge it. The error names all peers that did not.
+    /// A peer did not acknowledge it. The inner error lists all such peers.
     #[error(transparent)]
     Unacknowledged(#[from] RequestError),
-    /// All connected peers have acknowledged it, and are no quorum together with this node.
+    /// All connected peers have acknowledged it, but do not form a quorum together with this node.
     #[error("connected peers {connected:?} and this node do not form a quorum")]
     NoQuorum {
         /// The connected peers.
         connected: Vec<Ipv4Addr>,
     },
-    /// It was replicated before, and no quorum has confirmed in time that this node is still in contact.
+    /// It was replicated earlier, but a quorum read did not confirm in time that this node is still in contact with a
+    /// quorum.
     #[error("quorum read not completed within the time limit")]
     QuorumReadTimedOut,
-    /// The registry has no capacity for the deregistration of a server that is not known here.
+    /// The registry has no capacity to record the deregistration of a server that it does not have.
     #[error("the registry is full: the deregistration can't be recorded")]
     RegistryFull,
 }
 
-/// What replication reads, sends and waits with.
+/// The parts of a control node that [`ServerReplication`] uses.
 pub struct ReplicationDependencies {
     /// The clock of the process.
     pub clock: Clock,
@@ -71,17 +73,17 @@
     pub sessions: Rc<Sessions>,
 }
 
-/// Replicates what servers report.
+/// Replicates heartbeats, draining and deregistration of servers.
 ///
-/// It owns the heartbeats that wait to be relayed. A server's draining or deregistration is acknowledged only once all
-/// connected peers, and the peers that only those reach, have acknowledged it: this node may fail the moment after.
+/// Owns the heartbeats that wait to be relayed. A server's draining or deregistration is acknowledged only once all
+/// connected peers, and the peers that only those reach, have acknowledged it, as this node may fail right after.
 pub struct ServerReplication {
     dependencies: ReplicationDependencies,
     heartbeats: HeartbeatRelay,
 }
 
 impl ServerReplication {
-    /// Nothing to relay yet.
+    /// Starts without pending heartbeats.
     pub fn new(dependencies: ReplicationDependencies) -> Self {
         ServerReplication { dependencies, heartbeats: HeartbeatRelay::default() }
     }
@@ -95,7 +97,7 @@
         let ReplicationDependencies { clock, registry, links, fleet, .. } = &self.dependencies;
         let outcome = registry.observe(0, entry.clone());
         if entry.status != EntryStatus::Ready {
-            // This heartbeat may be an old one. What is replicated is the latest status.
+            // This heartbeat may arrive out of order, so that the latest known status is replicated.
             if let Some(latest) = registry.draining_or_deregistered(&entry.id) {
                 self.replicate_status(&latest).await?;
                 return Ok(outcome);
@@ -129,9 +131,9 @@
         }
     }
 
-    /// Sends a request to all connected peers, and by them to the peers that only those reach, and waits until each has
-    /// acknowledged this very request and they are a quorum with this node. A control node that is not among them, and
-    /// has sessions, is not in contact with a quorum: it closes its sessions, or learns of the change when it is again.
+    /// Sends a request to all connected peers, which forward it to the peers that only they reach, and waits until each
+    /// has acknowledged this request. The connected peers and this node must form a quorum. A control node that none of
+    /// them reaches has no contact with a quorum: it closes its sessions, or learns of the change when it reconnects.
     ///
     /// # Errors
     ///
@@ -150,21 +152,21 @@
         }
     }
 
-    /// Replicates to all control nodes and proxies that a server is draining or deregistered.
+    /// Replicates the status of a server that is draining or deregistered to all control nodes and proxies.
     async fn replicate_status(&self, entry: &ServerEntry) -> Result<(), ReplicationError> {
         let ReplicationDependencies { registry, links, quorum_reads, fleet, sessions, .. } =
             &self.dependencies;
         if registry.is_replicated(&entry.id) {
             links.broadcast(&PeerMessage::Servers(vec![ObservedServer::now(entry.clone())]));
-            // It is known to all for good, but only a node in contact with a quorum confirms that.
+            // All control nodes already know the status, but only a node in contact with a quorum may acknowledge it.
             return timeout(DRAIN_REPLICATION_TIMEOUT, quorum_reads.wait_for_newest())
                 .await
                 .map_err(|_| ReplicationError::QuorumReadTimedOut);
         }
         fleet.publish_now();
         let request = |id| PeerMessage::ReplicateServer { id, entry: entry.clone(), forward: true };
-        // A slow proxy may take longer: what was sent to it is not lost while its session lasts, and a proxy whose
-        // session ends turns to another node.
+        // A proxy that exceeds the time limit does not fail the replication: it receives the update as long as its
+        // session lasts, and when its session ends it connects to another node.
         let (replicated, _applied) = tokio::join!(
             self.replicate_to_all_peers(request, DRAIN_REPLICATION_TIMEOUT),
             sessions.wait_until_applied(DRAIN_REPLICATION_TIMEOUT)
@@ -184,8 +186,8 @@
         replicated
     }
 
-    /// Records entries that a peer has sent, and forwards those that are new to the peers that it does not reach: the
-    /// servers that send their heartbeats only to that peer would expire there.
+    /// Records entries that a peer has sent, and forwards those that are new to the peers that the sender does not
+    /// reach. Otherwise servers that send their heartbeats only to the sender would expire at those peers.
     pub fn entries_received(&self, from: Ipv4Addr, entries: Vec<ObservedServer>) {
         let ReplicationDependencies { registry, links, fleet, .. } = &self.dependencies;
         let forward_to = self.peers_not_reached_by(from);
@@ -207,8 +209,9 @@
         }
     }
 
-    /// Records a status that a peer replicates, and acknowledges it once all sessions here have applied it or have had
-    /// the time to; with `forward` also the peers that this node reaches and the other one does not.
+    /// Records a status that a peer replicates, and acknowledges it once all sessions at this node have applied it or
+    /// the time limit has passed. With `forward`, the peers that this node reaches and the sender does not must also
+    /// have acknowledged it.
     pub fn replicate_for_peer(
         self: &Rc<Self>,
         from: Ipv4Addr,
@@ -220,7 +223,7 @@
         if registry.observe(0, entry.clone()) == HeartbeatOutcome::Changed {
             fleet.publish_now();
         }
-        // Chosen by the connections of the peer when it sent the request: it notifies those itself that it connects to
+        // Selected by the connections of the sender at the time of its request: it notifies peers that connect to it
         // later.
         let forward_to = if forward { self.peers_not_reached_by(from) } else { Vec::new() };
         let time_limit = if forward { PEER_REPLICATION_TIMEOUT } else { FORWARDED_REPLICATION_TIMEOUT };
@@ -245,7 +248,7 @@
         self.dependencies.requests.send_to_all(peers, request, PEER_REPLICATION_TIMEOUT).await.map(drop)
     }
 
-    /// The peers that are connected to this node and, as far as is known, not to another one.
+    /// The peers that are connected to this node but, by the last heartbeat of `node`, not to `node`.
     fn peers_not_reached_by(&self, node: Ipv4Addr) -> Vec<Ipv4Addr> {
         let chain = self.dependencies.chain.state();
         let reached = chain.connected_peers_of(node);
--- a/glenfall/src/control/session_publisher.rs
+++ b/glenfall/src/control/session_publisher.rs
@@ -1,4 +1,4 @@
-//! What a control node provides for the sessions of agents and of the shield on its machine.
+//! Provides the initial state and the newest configuration to sessions of agents and of the shield on this machine.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 use super::node::Control;
 use crate::session::publisher::{Greeting, Publisher, Reach};
 
-/// How long an agent waits until the configuration for it is proved to be the newest. The first view after the loss of
-/// all control nodes takes 0.2 to 0.7 s, and the replacement of a node in the chain 1.2 s. An agent that waits longer
-/// had better try another node.
+/// Time limit for the quorum read that confirms the newest configuration for a new session of an agent. The first view
+/// after a failure of all control nodes takes 0.2 to 0.7 s to form, and the replacement of a node in the chain 1.2 s.
+/// An agent whose session takes longer to open should try another node.
 const SESSION_OPENING_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// A control node as the publisher of one session.
@@ -21,12 +21,12 @@
 }
 
 impl<'a> SessionPublisher<'a> {
-    /// The publisher of a session whose subscriber is at `reach`.
+    /// `reach` tells whether the subscriber is on the same machine or connects over the network.
     pub fn new(control: &'a Control, reach: Reach) -> Self {
         SessionPublisher { control, reach }
     }
 
-    /// The shield on the same machine knows no other control node, and waits for as long as it takes.
+    /// The shield on the same machine has no other control node to try, so that there is no limit for its session.
     fn opening_timeout(&self) -> Duration {
         match self.reach {
             Reach::SameMachine => Duration::MAX,
@@ -48,8 +48,8 @@
         }
     }
 
-    /// The newest configuration, proved by a quorum read that begins after the session has. `None` if that takes too
-    /// long for an agent, which can turn to another node.
+    /// The newest configuration, confirmed by a quorum read that begins after the session has opened. `None` if the
+    /// read exceeds the time limit: the agent then tries another node.
     async fn newest_config(&self) -> Option<Vec<Update>> {
         timeout(self.opening_timeout(), self.control.quorum_reads.wait_for_newest()).await.ok()?;
         let chain = self.control.chain.state();
--- a/glenfall/src/control/store/hard_state_row.rs
+++ b/glenfall/src/control/store/hard_state_row.rs
@@ -1,4 +1,5 @@
-//! The row of the hard state: everything but the idempotency keys that have rows of their own, with a CRC-32.
+//! The database row of the hard state, with a CRC-32. It has everything except the full chunks of idempotency keys,
+//! which have rows of their own.
 
 use std::sync::Arc;
 
@@ -12,7 +13,7 @@
 use super::layout::Layout;
 use super::legacy::{FixedVotersState, WeakKeysState};
 
-/// The row that the table is created with. It holds nothing; where it is missing, others may be missing as well.
+/// An empty row that is written when the table is created. If it is missing, other rows may have been lost as well.
 const SENTINEL_ID: i64 = 0;
 const STATE_ID: i64 = 1;
 
@@ -38,7 +39,7 @@
     }
 }
 
-/// The state as its row has it in the current layout.
+/// The encoding of the state in its row, in the current layout.
 #[derive(Serialize, Deserialize)]
 struct StoredState {
     members: JointConfig,
@@ -77,7 +78,7 @@
     }
 }
 
-/// Creates the table with its sentinel row, for a transaction of the caller's.
+/// Creates the table with its sentinel row. Must be called in a transaction.
 pub(super) fn create_table(db: &Connection) -> Result<(), rusqlite::Error> {
     db.execute_batch(
         "CREATE TABLE chain (id INTEGER PRIMARY KEY, state BLOB NOT NULL, crc INTEGER NOT NULL)",
@@ -86,7 +87,7 @@
     Ok(())
 }
 
-/// Writes the row of a state whose idempotency keys are written already, for a transaction of the caller's.
+/// Writes the row of a state whose idempotency keys have been written. Must be called in the same transaction.
 pub(super) fn write(db: &Connection, state: &HardState, keys: StoredTable) -> Result<(), StoreError> {
     let row = ChecksummedRow::new(postcard::to_stdvec(&StoredState::new(state, keys))?);
     db.execute(
@@ -96,7 +97,7 @@
     Ok(())
 }
 
-/// Reads the state in a layout. `None` where none was written yet.
+/// Reads the state, which is stored in `layout`. `None` if none was written yet.
 pub(super) fn read(db: &Connection, layout: Layout) -> Result<Option<HardState>, StoreError> {
     if ChecksummedRow::read(db, SENTINEL_ID)?.is_none() {
         return Err(StoreError::damaged("the sentinel row of the table is missing"));
--- a/glenfall/src/control/store/idempotency_keys.rs
+++ b/glenfall/src/control/store/idempotency_keys.rs
@@ -1,8 +1,7 @@
-//! Applied orders on disk, with the idempotency keys by which a repeated order is recognised.
+//! The applied orders on disk, with the idempotency keys by which a repeated order is recognised.
 //!
-//! A full chunk of the deduplication table does not change any more: it has a row of its own, which is written once, in
-//! the same transaction as the state that names it with its CRC-32. The chunk that is still open is written with the
-//! state.
+//! A full chunk of the deduplication table never changes. It has a row of its own, which is written once, in the same
+//! transaction as the first state that refers to it by its key and CRC-32. The open chunk is written with the state.
 
 use std::sync::Arc;
 
@@ -12,13 +11,14 @@
 
 use super::error::StoreError;
 
-/// Creates the table of chunks. The key of a row is the version that the first order of its chunk made.
+/// Creates the table of chunks. The key of a row is the configuration version that the first order of its chunk
+/// produced.
 pub(super) const CREATE_TABLE: &str = "CREATE TABLE taken (first INTEGER PRIMARY KEY, orders BLOB NOT NULL)";
 
 /// A full chunk of the deduplication table.
 pub(super) type Chunk = Arc<[AppliedOrder]>;
 
-/// The deduplication table as the row of the state has it.
+/// The encoding of the deduplication table in the row of the state.
 #[derive(Serialize, Deserialize)]
 pub(super) struct StoredTable {
     forgotten_up_to: u64,
@@ -26,7 +26,7 @@
     open_chunk: Vec<AppliedOrder>,
 }
 
-/// Names a row of the table `taken`.
+/// A reference to a row of the table `taken`.
 #[derive(Serialize, Deserialize)]
 struct StoredChunk {
     row_key: i64,
@@ -40,7 +40,7 @@
 }
 
 fn row_key(chunk: &Chunk) -> i64 {
-    // Versions beyond 2^63 wrap, and stay different from each other.
+    // Versions of 2^63 and above wrap to negative keys, and stay distinct.
     chunk.first().map_or(0, |order| order.rev.cast_signed())
 }
 
@@ -52,8 +52,8 @@
     chunks.iter().any(|other| Arc::ptr_eq(other, chunk) || other == chunk)
 }
 
-/// Writes the chunks that have no row yet, and deletes the rows of chunks that the table does not hold any more;
-/// `written` are the chunks that have a row. For a transaction of the caller's.
+/// Writes the chunks that have no row yet, and deletes the rows of chunks that the table no longer holds. `written` are
+/// the chunks that have a row. Must be called in a transaction.
 pub(super) fn write(
     db: &Connection,
     written: &[Chunk],
@@ -73,7 +73,8 @@
     })
 }
 
-/// Reads the table that a state names. Fails where a row is missing, damaged or not named by the state.
+/// Reads the table that a state refers to. Fails if a row is missing or damaged, or if the state does not refer
+/// to a row.
 pub(super) fn read(db: &Connection, stored: &StoredTable) -> Result<DeduplicationTable, StoreError> {
     let rows: i64 = db.query_row("SELECT count(*) FROM taken", [], |row| row.get(0))?;
     if usize::try_from(rows) != Ok(stored.full_chunks.len()) {
--- a/glenfall/src/control/store/layout.rs
+++ b/glenfall/src/control/store/layout.rs
@@ -1,22 +1,22 @@
-//! The version of the layout of a state file.
+//! The version of the database layout of a state file.
 
 use rusqlite::Connection;
 
 use super::error::StoreError;
 
-/// The layout of a state file, as its `user_version` has it.
+/// The layout of a state file, which is stored as its `user_version`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Layout {
-    /// The voters could not be changed, and orders were recognised by hashes of 64 bits.
+    /// Fixed set of voters; orders are recognised by 64-bit hashes.
     FixedVoters = 1,
-    /// Orders were recognised by hashes of 64 bits.
+    /// Changeable set of voters; orders are recognised by 64-bit hashes.
     WeakKeys = 2,
-    /// The layout that is written.
+    /// The current layout, in which state files are written.
     Current = 3,
 }
 
 impl Layout {
-    /// The layout of a database; an error where this version of the program can't read it.
+    /// The layout of a database. Fails if this version of the program can't read it.
     pub(super) fn of(db: &Connection) -> Result<Layout, StoreError> {
         let version = user_version(db)?;
         [Layout::FixedVoters, Layout::WeakKeys, Layout::Current]
@@ -31,7 +31,7 @@
     }
 }
 
-/// The version that a database names; 0 where it was not created yet.
+/// The layout version that is stored in a database; 0 if its tables have not been created.
 pub(super) fn user_version(db: &Connection) -> Result<i64, rusqlite::Error> {
     db.query_row("PRAGMA user_version", [], |row| row.get(0))
 }
--- a/glenfall/src/control/store/legacy.rs
+++ b/glenfall/src/control/store/legacy.rs
@@ -1,8 +1,8 @@
-//! The state as earlier layouts have it, which are read and never written.
+//! The state in earlier layouts, which are read and never written.
 //!
-//! In both, applied orders were recognised by hashes of 64 bits. Such a hash is not enough to confirm an order by, and
-//! its absence is not enough to reject one: the hashes are dropped, and all orders up to the version of the document
-//! count as forgotten.
+//! Both recognise applied orders by 64-bit hashes. Such a hash is too weak to confirm that an order was applied, and
+//! its absence does not prove that the order was not: the hashes are dropped, and all orders up to the version of the
+//! document count as forgotten.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use glenfall_control_plane::deduplication::DeduplicationTable;
 use serde::Deserialize;
 
-/// The state while orders were recognised by weak keys.
+/// The state in [`Layout::WeakKeys`](super::layout::Layout::WeakKeys).
 #[derive(Deserialize)]
 pub(super) struct WeakKeysState {
     members: JointConfig,
@@ -20,7 +20,7 @@
     record: WeakKeysRecord,
 }
 
-/// The state while the voters could not be changed.
+/// The state in [`Layout::FixedVoters`](super::layout::Layout::FixedVoters).
 #[derive(Deserialize)]
 pub(super) struct FixedVotersState {
     voters: Vec<NodeId>,
@@ -29,18 +29,18 @@
     record: WeakKeysRecord,
 }
 
-/// The replicated record of both.
+/// The replicated record in both layouts.
 #[derive(Deserialize)]
 struct WeakKeysRecord {
     seq: u64,
     rev: u64,
     document: Vec<u8>,
-    /// It is there so that the encoding is read to its end, and not used.
+    /// Unused; declared because the encoding has no field names, so that each field must be decoded.
     #[serde(rename = "prints")]
     _weak_keys: Vec<WeakKey>,
 }
 
-/// A hash of 64 bits of an order.
+/// The 64-bit hash of an order.
 #[derive(Deserialize)]
 struct WeakKey {
     #[serde(rename = "rev")]
--- a/glenfall/src/control/store/mod.rs
+++ b/glenfall/src/control/store/mod.rs
@@ -1,8 +1,8 @@
-//! The durable state of the chain: the hard state in one SQLite file, written completely or not at all.
+//! The durable state of the chain: the hard state in one SQLite file, written atomically.
 //!
-//! The hard state has one row with a checksum; full chunks of idempotency keys have rows of their own, so that a change
-//! writes its own order and not the thousands before it. A file that can't be trusted is set aside, and never read as
-//! if it were intact.
+//! The hard state has one row with a checksum. Full chunks of idempotency keys have rows of their own, so that a change
+//! does not rewrite the thousands of orders before it. A file that can't be trusted is set aside, and its content is
+//! not used.
 
 mod error;
 mod hard_state_row;
@@ -26,18 +26,18 @@
 use layout::Layout;
 use state_folder::StateFolder;
 
-/// How long a check waits for the lock of a file. A running process holds the lock for as long as it runs, so that a
-/// longer wait would not help.
+/// How long [`verify`] waits for the lock of a file. A running control node holds the lock for as long as it runs, so
+/// that a longer wait would not help.
 const VERIFY_BUSY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// What was on disk at the start.
+/// What was found on disk at the start.
 #[derive(Debug, PartialEq)]
 pub enum RecoveredState {
     /// No state was ever written here.
     Missing,
-    /// The last state that was written completely.
+    /// The last state that was written.
     Intact(HardState),
-    /// A file that holds no valid state, and was set aside. The text says what is wrong with it.
+    /// The file held no valid state and was set aside, or was lost. The text describes the damage.
     Damaged(String),
 }
 
@@ -54,14 +54,14 @@
     state: Option<HardState>,
 }
 
-/// The path of the database in a folder.
+/// The path of the state database in a state directory.
 pub fn database_path(folder: &Path) -> PathBuf {
     StateFolder::new(folder).database()
 }
 
 impl Store {
-    /// Opens the store in a folder, or creates it. The file is locked from the start, so that SQLite needs no index in
-    /// shared memory, and a full sync covers each commit.
+    /// Opens the store in a folder, or creates it. The file is locked for as long as the store is open, so that SQLite
+    /// needs no shared-memory index, and each commit is followed by a full sync.
     pub fn open(path: &Path) -> Result<(Store, RecoveredState), StoreError> {
         disk::create_folder(path)?;
         let folder = StateFolder::new(path);
@@ -77,7 +77,7 @@
             }
             Err(error) => return Err(error),
         };
-        // Nothing is promised before the names of the files are as durable as what will be in them.
+        // The directory entries must be durable before this node acknowledges anything that it writes to the files.
         disk::sync_folder(path)?;
         folder.record_creation()?;
         Ok((store, found))
@@ -99,7 +99,7 @@
         Ok(OpenedStore { store, state })
     }
 
-    /// Writes a state that was read in a legacy layout in the current one, in one transaction.
+    /// Rewrites a state that was read in a legacy layout in the current layout, in one transaction.
     fn upgrade(&self, state: Option<&HardState>) -> Result<(), StoreError> {
         let transaction = self.db.unchecked_transaction()?;
         transaction.execute_batch(idempotency_keys::CREATE_TABLE)?;
@@ -110,7 +110,7 @@
         Ok(transaction.commit()?)
     }
 
-    /// The state as the file has it.
+    /// Reads the state from the file. `None` if none was written yet.
     pub fn read(&self) -> Result<Option<HardState>, StoreError> {
         read_database(&self.db)
     }
@@ -130,7 +130,7 @@
         Ok(())
     }
 
-    /// Writes all rows of a state, for a transaction of the caller's.
+    /// Writes all rows of a state. Must be called in a transaction.
     fn write_rows(&self, state: &HardState) -> Result<(), StoreError> {
         let orders = &state.record.applied_orders;
         let table = idempotency_keys::write(&self.db, &self.written_chunks.borrow(), orders)?;
@@ -152,26 +152,26 @@
     }
 }
 
-/// Reads the state, or fails where the file can't be trusted. `None` where no state was written yet.
+/// Reads the state; fails if the file is damaged. `None` if no state was written yet.
 fn read_database(db: &Connection) -> Result<Option<HardState>, StoreError> {
     let layout = Layout::of(db)?;
     schema::check_integrity(db)?;
     hard_state_row::read(db, layout)
 }
 
-/// Reads the state in a folder that no process uses, and changes nothing.
+/// Reads and checks the state in a folder that no process uses, without changing it.
 pub fn verify(folder: &Path) -> Result<Option<HardState>, StoreError> {
     let db = Connection::open_with_flags(database_path(folder), OpenFlags::SQLITE_OPEN_READ_ONLY)?;
     db.busy_timeout(VERIFY_BUSY_TIMEOUT)?;
     read_database(&db)
 }
 
-/// Creates a store with this state in a folder that has none.
+/// Creates a store with this state in a folder that has none. Fails if a database exists there.
 pub fn create(path: &Path, state: &HardState) -> Result<(), StoreError> {
     let folder = StateFolder::new(path);
     folder.check_vacant()?;
     disk::create_folder(path)?;
-    // Until the state is complete, a process that starts here has lost something: this is not its first start.
+    // Until the state is written, a control node that starts here must treat the state as lost, not as a first start.
     folder.record_damage()?;
     let (store, _) = Store::open(path)?;
     store.save(state)?;
--- a/glenfall/src/control/store/schema.rs
+++ b/glenfall/src/control/store/schema.rs
@@ -1,4 +1,4 @@
-//! Creates and opens the state file: its tables, and how the connection to it is configured.
+//! Creates the tables of the state file, and configures the connection to it.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 use super::layout::{user_version, Layout};
 use super::{hard_state_row, idempotency_keys};
 
-/// Opens the database for this process alone, with a full sync for each commit.
+/// Opens the database with an exclusive lock and a full sync for each commit.
 pub(super) fn connect(path: &Path) -> Result<Connection, StoreError> {
     let db = Connection::open(path)?;
     db.pragma_update(None, "locking_mode", "EXCLUSIVE")?;
@@ -18,7 +18,7 @@
     Ok(db)
 }
 
-/// Whether the database has neither tables nor a layout.
+/// Whether the database has neither tables nor a layout version.
 pub(super) fn is_new(db: &Connection) -> Result<bool, StoreError> {
     let tables: i64 = db.query_row("SELECT count(*) FROM sqlite_master", [], |row| row.get(0))?;
     Ok(tables == 0 && user_version(db)? == 0)
@@ -33,12 +33,12 @@
     Ok(transaction.commit()?)
 }
 
-/// States that the database has the current layout.
+/// Sets the layout version of the database to the current one.
 pub(super) fn set_current(db: &Connection) -> Result<(), rusqlite::Error> {
     db.pragma_update(None, "user_version", Layout::Current as i64)
 }
 
-/// Has SQLite check the file.
+/// Runs SQLite's integrity check on the file.
 pub(super) fn check_integrity(db: &Connection) -> Result<(), StoreError> {
     let result: String = db.query_row("PRAGMA integrity_check(1)", [], |row| row.get(0))?;
     if result == "ok" {
--- a/glenfall/src/control/store/state_folder.rs
+++ b/glenfall/src/control/store/state_folder.rs
@@ -1,4 +1,4 @@
-//! The files of a store in its folder: the database, and the markers that distinguish a first start from a loss of
+//! The files in the folder of a store: the database, and the markers that distinguish a first start from a loss of
 //! state.
 
 use std::fs::File;
@@ -9,15 +9,14 @@
 use crate::disk;
 
 const DATABASE_FILE: &str = "state.sqlite";
-/// The name under which a damaged database is retained for whoever wants to examine it. An empty file of this name says
-/// that the database was lost.
+/// The name under which a damaged database is retained for examination. If the file is empty, the database was lost.
 const DAMAGED_FILE: &str = "state.sqlite.damaged";
 /// SQLite's rollback journal.
 const JOURNAL_FILE: &str = "state.sqlite-journal";
-/// Marker that a store was created here: without a database in the same folder the state is lost, and this is not a
-/// first start.
+/// Marker that a store was created here. If it exists without a database, the state was lost, and this is not a first
+/// start.
 const CREATED_MARKER_FILE: &str = "state.made";
-/// Bytes of the shortest file that holds anything, which is SQLite's smallest page.
+/// Smallest length of a database file in bytes, which is SQLite's smallest page size.
 const MIN_DATABASE_BYTES: u64 = 512;
 
 /// The folder of a store.
@@ -56,8 +55,8 @@
         self.damaged().exists()
     }
 
-    /// Fails where the database is too short for a header: SQLite would take it for an empty one. A file that has
-    /// a journal may have any length, as SQLite restores it.
+    /// Fails if the database is shorter than one page, which SQLite would treat as an empty database. With a journal
+    /// the file may have any length, as SQLite restores it from the journal.
     pub(super) fn check_length(&self) -> Result<(), StoreError> {
         let length = file_length(&self.database());
         let has_journal = file_length(&self.journal()) > 0;
@@ -67,7 +66,7 @@
         Ok(())
     }
 
-    /// Fails where a state could be overwritten, or one that was set aside earlier.
+    /// Fails if a database, or one that was set aside earlier, exists here and could be overwritten.
     pub(super) fn check_vacant(&self) -> Result<(), StoreError> {
         match [self.database(), self.damaged()].into_iter().find(|path| path.exists()) {
             Some(path) => Err(StoreError::StateExists(path)),
@@ -75,8 +74,8 @@
         }
     }
 
-    /// Moves a damaged database to another name, or marks that it is lost. The old name is durably free before a new
-    /// database is created: otherwise a loss of power could leave the new one without a trace of the old.
+    /// Renames a damaged database, or marks that it was lost. The renaming is durable before a new database is created:
+    /// otherwise a power loss could leave the new database without a sign that the earlier one was lost.
     pub(super) fn set_aside(&self) -> Result<(), StoreError> {
         match std::fs::rename(self.database(), self.damaged()) {
             Err(error) if error.kind() == ErrorKind::NotFound => {
@@ -91,7 +90,7 @@
         }
     }
 
-    /// Marks, once, that a store was created here.
+    /// Creates the marker that a store was created here, unless it exists.
     pub(super) fn record_creation(&self) -> Result<(), StoreError> {
         if self.created().exists() {
             return Ok(());
@@ -100,20 +99,20 @@
         Ok(disk::sync_folder(self.path)?)
     }
 
-    /// Marks that there is no complete state here.
+    /// Marks the state in this folder as lost.
     pub(super) fn record_damage(&self) -> Result<(), StoreError> {
         File::create(self.damaged())?.sync_all()?;
         Ok(disk::sync_folder(self.path)?)
     }
 
-    /// Removes what [`StateFolder::record_damage`] made.
+    /// Removes the mark that [`StateFolder::record_damage`] has made.
     pub(super) fn clear_damage(&self) -> Result<(), StoreError> {
         std::fs::remove_file(self.damaged())?;
         Ok(disk::sync_folder(self.path)?)
     }
 }
 
-/// The length of a file in bytes; 0 where there is none.
+/// The length of a file in bytes; 0 if the file does not exist.
 fn file_length(path: &Path) -> u64 {
     std::fs::metadata(path).map_or(0, |metadata| metadata.len())
 }
--- a/glenfall/src/control/store/writer.rs
+++ b/glenfall/src/control/store/writer.rs
@@ -1,4 +1,4 @@
-//! Writes the hard state on a thread of its own, as a sync takes its time and the event loop must not wait for it.
+//! Writes the hard state on a separate thread, so that the event loop does not wait for disk syncs.
 
 use std::sync::mpsc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 use super::Store;
 
-/// Pause before a write that failed is tried again. What depends on the write waits meanwhile.
+/// Pause before a failed write is retried. Everything that depends on the write waits meanwhile.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// A state to be written, with the number under which its durability is reported.
@@ -17,7 +17,7 @@
     state: HardState,
 }
 
-/// The queue to the thread that writes. The thread ends once the queue is dropped.
+/// The queue to the writer thread. The thread ends once the queue is dropped.
 pub struct HardStateWriter {
     queue: mpsc::Sender<PendingWrite>,
 }
@@ -33,9 +33,9 @@
         Ok(HardStateWriter { queue })
     }
 
-    /// Queues a state. Writes are done in order, and a state that is superseded while it waits is not written.
+    /// Queues a state. States are written in order, and a state that is superseded while it is queued is skipped.
     pub fn submit(&self, number: u64, state: HardState) {
-        // It can't fail: the thread ends no earlier than this queue or the process.
+        // The send can't fail: the thread runs for as long as this queue exists.
         let _ = self.queue.send(PendingWrite { number, state });
     }
 }
--- a/glenfall/src/control/voter_leases.rs
+++ b/glenfall/src/control/voter_leases.rs
@@ -1,6 +1,6 @@
-//! Leases between control nodes. A node requests leases of the voters, out of which its sessions have theirs, and
-//! records the leases that it has granted, so that a purge is acknowledged only once no process that was not notified
-//! can serve from stored responses.
+//! Leases between control nodes. A node requests leases from the voters, which limit the leases of its sessions. It
+//! also records the leases that it has granted, so that a purge is acknowledged only once no process that was not
+//! notified can serve from stored responses.
 
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
@@ -18,22 +18,22 @@
 use super::peers::links::PeerLinks;
 use crate::session::publisher::Sessions;
 
-/// Limit on the remembered sets of former voters. A change of the voters takes longer than a tick, so that fewer than
-/// this fit into the time of a lease.
+/// Limit on the retained sets of former voters. A change of the voters takes longer than a tick, so that fewer changes
+/// than this can occur within the duration of a lease.
 const MAX_FORMER_VOTER_SETS: usize = 64;
-/// Pause between two looks at the leases that a caller waits for: a lease may be released before it ends.
+/// Interval of the checks for leases that a caller waits for, as a lease may be released before it expires.
 const LEASE_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A set of voters that counted until recently.
+/// A set of voters that was replaced recently.
 struct FormerVoters {
     voters: JointConfig,
-    /// When the last lease that they may have granted is over.
+    /// When the last lease that they may have granted expires.
     leases_end: Millis,
 }
 
 /// The sets of voters whose leases may be valid.
 ///
-/// It owns the present set and the former ones, each for as long as leases by it may be valid.
+/// Owns the current set and the former sets, each for as long as leases that its voters granted may be valid.
 #[derive(Default)]
 struct VoterHistory {
     current: Option<JointConfig>,
@@ -60,8 +60,8 @@
 
 /// The leases that this node holds and has granted.
 ///
-/// It owns both, and the sets of voters whose leases may be valid. Sessions never have a lease that outlives the leases
-/// that a quorum of voters has granted to this node.
+/// Owns both, and the sets of voters whose leases may be valid. No lease of a session lasts longer than the leases that
+/// a quorum of voters has granted to this node.
 pub struct VoterLeaseManager {
     clock: Clock,
     chain: Rc<ChainDriver>,
@@ -69,14 +69,15 @@
     sessions: Rc<Sessions>,
     held: RefCell<VoterLeases>,
     granted: RefCell<Grants<ProcessId>>,
-    /// Until then the process that ran here before may have granted leases that this one does not know of.
+    /// Until this time, leases that an earlier process at this address has granted may be valid. They are not known
+    /// here.
     unknown_grants_end: Millis,
     voters: RefCell<VoterHistory>,
     last_renewal: Cell<Millis>,
 }
 
 impl VoterLeaseManager {
-    /// No leases yet. `is_first_start`: no process can have run here before.
+    /// Starts without leases. `is_first_start` is true if no earlier process at this address can have granted leases.
     pub fn new(
         clock: Clock,
         chain: Rc<ChainDriver>,
@@ -98,8 +99,8 @@
         }
     }
 
-    /// Requests leases of the voters when it is time to. While this node shuts down and no session has a lease of it,
-    /// it releases its leases instead.
+    /// Requests leases from the voters once per `VOTER_RENEWAL`. If this node is shutting down and no session holds a
+    /// lease from it, it releases its leases instead.
     pub fn renew(&self, shutting_down: bool) {
         let now = self.clock.now();
         self.voters.borrow_mut().record(now, self.chain.state().members());
@@ -123,8 +124,8 @@
         self.extend_session_leases();
     }
 
-    /// Grants a peer the lease that it requests, if it is still the process that is connected. Earlier purges were sent
-    /// on the same connection before.
+    /// Grants a peer the lease that it requests, if the requesting process is still the one that is connected. The
+    /// grant is sent on the same connection as earlier purges, so that it arrives after them.
     pub fn grant(&self, peer: Ipv4Addr, id: CallId) {
         let holder = ProcessId { ip: peer, incarnation: id.incarnation };
         if self.links.connected_process(peer) == Some(holder) {
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Records a lease that a voter has granted, for `duration` from the moment of the request `id`.
+    /// Records a lease that a voter has granted, which lasts for `duration` from the time of the request `id`.
     pub fn lease_granted(&self, voter: Ipv4Addr, id: CallId, duration: Millis) {
         if id.incarnation == self.links.local().incarnation {
             self.held.borrow_mut().renew(self.clock.now(), voter, id.number, duration);
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Records that a peer uses the lease of this node no more.
+    /// Records that a peer has released its lease from this node.
     pub fn lease_released(&self, peer: Ipv4Addr) {
         if let Some(holder) = self.links.connected_process(peer) {
             self.granted.borrow_mut().release(&holder);
@@ -154,8 +155,8 @@
         self.sessions.set_own_lease_end(self.clock.instant_of(lease_end));
     }
 
-    /// Waits until only these processes may use a lease that a process at this address has granted. False if that takes
-    /// longer than `time_limit`.
+    /// Waits until all leases that this address has granted to processes other than `notified` have ended. False if
+    /// that takes longer than `time_limit`.
     pub async fn wait_for_other_leases_to_end(&self, notified: &[ProcessId], time_limit: Duration) -> bool {
         if self.unknown_grants_end > self.clock.now() + time_limit.as_millis() as Millis {
             return false;
@@ -173,14 +174,14 @@
         timeout(time_limit, other_leases_over).await.is_ok()
     }
 
-    /// When the last lease ends that this address has granted to another than these processes; 0 if there is none.
+    /// When the last lease ends that this address has granted to a process other than `notified`; 0 if there is none.
     fn last_lease_end(&self, now: Millis, notified: &[ProcessId]) -> Millis {
         let granted = self.granted.borrow().last_expiry(now, |holder| !notified.contains(holder));
         granted.unwrap_or(0).max(self.unknown_grants_end)
     }
 
-    /// Whether these nodes and this one are a quorum in each set of voters whose leases may be valid: then no node can
-    /// gain a lease without one of them.
+    /// Whether `nodes` and this node form a quorum in each set of voters whose leases may be valid. If so, no node can
+    /// get leases of a quorum without one of them.
     pub fn is_quorum_for_all_leases(&self, nodes: &[Ipv4Addr]) -> bool {
         let local = self.links.local().ip;
         let is_majority =
