--- a/glenfall/src/control/purge_coordinator.rs
+++ b/glenfall/src/control/purge_coordinator.rs
@@ -177,8 +177,8 @@
     /// the disk of this node.
     pub fn record_from_peer(&self, peer: Ipv4Addr, purges: &[PurgeRecord]) {
         let Some(written) = self.record(purges.to_vec()) else { return };
-        let own = purges.iter().filter(|purge| purge.origin == peer);
-        let reports: Vec<PeerMessage> = own
+        let originated_by_peer = purges.iter().filter(|purge| purge.origin == peer);
+        let reports: Vec<PeerMessage> = originated_by_peer
             .map(|purge| PeerMessage::PurgeDurable { incarnation: purge.incarnation, number: purge.number })
             .collect();
         if reports.is_empty() {
--- a/glenfall/src/control/store/state_folder.rs
+++ b/glenfall/src/control/store/state_folder.rs
@@ -33,7 +33,7 @@
         self.path.join(DATABASE_FILE)
     }
 
-    fn damaged(&self) -> PathBuf {
+    fn damaged_database(&self) -> PathBuf {
         self.path.join(DAMAGED_FILE)
     }
 
@@ -41,18 +41,18 @@
         self.path.join(JOURNAL_FILE)
     }
 
-    fn created(&self) -> PathBuf {
+    fn created_marker(&self) -> PathBuf {
         self.path.join(CREATED_MARKER_FILE)
     }
 
     /// Whether a store was created here whose database is missing or empty.
     pub(super) fn is_database_lost(&self) -> bool {
-        file_length(&self.database()) == 0 && self.created().exists()
+        file_length(&self.database()) == 0 && self.created_marker().exists()
     }
 
     /// Whether a damaged database was set aside here.
     pub(super) fn has_damaged(&self) -> bool {
-        self.damaged().exists()
+        self.damaged_database().exists()
     }
 
     /// Fails if the database is shorter than one page, which SQLite would treat as an empty database. With a journal
@@ -68,7 +68,7 @@
 
     /// Fails if a database, or one that was set aside earlier, exists here and could be overwritten.
     pub(super) fn check_vacant(&self) -> Result<(), StoreError> {
-        match [self.database(), self.damaged()].into_iter().find(|path| path.exists()) {
+        match [self.database(), self.damaged_database()].into_iter().find(|path| path.exists()) {
             Some(path) => Err(StoreError::StateExists(path)),
             None => Ok(()),
         }
@@ -77,9 +77,9 @@
     /// Renames a damaged database, or marks that it was lost. The renaming is durable before a new database is created:
     /// otherwise a power loss could leave the new database without a sign that the earlier one was lost.
     pub(super) fn set_aside(&self) -> Result<(), StoreError> {
-        match std::fs::rename(self.database(), self.damaged()) {
+        match std::fs::rename(self.database(), self.damaged_database()) {
             Err(error) if error.kind() == ErrorKind::NotFound => {
-                File::create(self.damaged())?.sync_all()?;
+                File::create(self.damaged_database())?.sync_all()?;
             }
             renamed => renamed?,
         }
@@ -92,22 +92,22 @@
 
     /// Creates the marker that a store was created here, unless it exists.
     pub(super) fn record_creation(&self) -> Result<(), StoreError> {
-        if self.created().exists() {
+        if self.created_marker().exists() {
             return Ok(());
         }
-        File::create(self.created())?.sync_all()?;
+        File::create(self.created_marker())?.sync_all()?;
         Ok(disk::sync_folder(self.path)?)
     }
 
     /// Marks the state in this folder as lost.
     pub(super) fn record_damage(&self) -> Result<(), StoreError> {
-        File::create(self.damaged())?.sync_all()?;
+        File::create(self.damaged_database())?.sync_all()?;
         Ok(disk::sync_folder(self.path)?)
     }
 
     /// Removes the mark that [`StateFolder::record_damage`] has made.
     pub(super) fn clear_damage(&self) -> Result<(), StoreError> {
-        std::fs::remove_file(self.damaged())?;
+        std::fs::remove_file(self.damaged_database())?;
         Ok(disk::sync_folder(self.path)?)
     }
 }
