--- a/glenfall/src/control/heartbeat_relay.rs
+++ b/glenfall/src/control/heartbeat_relay.rs
@@ -1,7 +1,7 @@
 //! Batches server heartbeats that change no status, and relays them to peers. Each heartbeat keeps a server in the
 //! registry of every control node for four heartbeat intervals, so that a short delay does no harm. One message carries
-//! the heartbeats of many servers. It is sent together with a heartbeat of the chain, so that it wakes no peer of its
-//! own.
+//! the heartbeats of many servers, and is sent together with a heartbeat of the chain, so that it causes no wakeup of
+//! its own at a peer.
 
 use std::cell::RefCell;
 
--- a/glenfall/src/control/purge_log_completeness.rs
+++ b/glenfall/src/control/purge_log_completeness.rs
@@ -17,8 +17,8 @@
 /// purge, because each is known to a majority: a session that receives the history of this node has missed no other
 /// purge.
 ///
-/// A session that was notified of the completeness relies on it until it is closed, even if the history becomes
-/// incomplete meanwhile. Thus the replacement of a voter invalidates no stored responses.
+/// A session that was notified that the history is complete relies on this until it is closed, even if the history
+/// becomes incomplete meanwhile. Thus the replacement of a voter invalidates no stored responses.
 pub struct PurgeLogCompleteness {
     local: Ipv4Addr,
     chain: Rc<ChainDriver>,
--- a/glenfall/src/control/voter_leases.rs
+++ b/glenfall/src/control/voter_leases.rs
@@ -1,6 +1,6 @@
-//! Leases between control nodes. A node requests leases from the voters, which limit the leases of its sessions. It
-//! also records the leases that it has granted, so that a purge is acknowledged only once no process that was not
-//! notified can serve from stored responses.
+//! Leases between control nodes. A node requests leases from the voters, and grants its sessions leases that end no
+//! later than these. It also records the leases that it has granted to peers, so that a purge is acknowledged only once
+//! no process that was not notified can serve from stored responses.
 
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
