--- a/glenfall/src/control/peer_events.rs
+++ b/glenfall/src/control/peer_events.rs
@@ -1,4 +1,4 @@
-//! What a control node does when a peer is connected, is disconnected, or sends a message.
+//! Handles the events of peers: connected, disconnected, and message received.
 
 use std::net::Ipv4Addr;
 
@@ -9,7 +9,7 @@
 use super::peers::connections::PeerEvents;
 
 impl PeerEvents for Control {
-    /// Sends the peer all that it may have missed before the chain sends it anything.
+    /// Sends the peer the complete members, servers and purges of this node, before any message of the chain.
     fn peer_connected(&self, peer: Ipv4Addr) {
         self.peers.members.peer_connected(peer);
         self.peers.links.send(peer, self.local_members.snapshot_message());
@@ -41,14 +41,14 @@
                 self.purges_received(peer, id, purges, already_notified);
             }
             PeerMessage::PurgeDurable { incarnation, number } => {
-                self.purges.durable_on(peer, incarnation, number);
+                self.purges.record_durable(peer, incarnation, number);
             }
             PeerMessage::Acknowledged { id, complete } => {
                 self.peers.requests.acknowledged(peer, id, complete);
             }
             PeerMessage::RenewLease { id } => self.leases.grant(peer, id),
-            PeerMessage::LeaseGranted { id, duration } => self.leases.granted_by(peer, id, duration),
-            PeerMessage::LeaseReleased => self.leases.released_by(peer),
+            PeerMessage::LeaseGranted { id, duration } => self.leases.lease_granted(peer, id, duration),
+            PeerMessage::LeaseReleased => self.leases.lease_released(peer),
             PeerMessage::KeepAlive => {}
         }
     }
@@ -59,11 +59,11 @@
         if message.is_well_formed() {
             self.chain.message_received(peer, message);
         } else {
-            tracing::warn!(%peer, "chain message ignored: it is malformed");
+            tracing::warn!(%peer, "malformed chain message ignored");
         }
     }
 
-    /// Purges without an id are the complete history of the peer, which waits for no acknowledgement.
+    /// Purges without an id are the complete history of the peer, which does not wait for an acknowledgement.
     fn purges_received(
         &self,
         peer: Ipv4Addr,
--- a/glenfall/src/control/peers/requests.rs
+++ b/glenfall/src/control/peers/requests.rs
@@ -15,28 +15,28 @@
 /// Why a request was not acknowledged by all peers that it was sent to.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// One of the peers that had not acknowledged was disconnected: it may have sessions that were not notified.
-    #[error("{disconnected} disconnected; not acknowledged by {unacknowledged:?}")]
+    /// A peer disconnected before it acknowledged; it may have sessions that were not notified.
+    #[error("peer {disconnected} disconnected; request not acknowledged by {unacknowledged:?}")]
     Disconnected {
-        /// That peer.
+        /// The peer that disconnected.
         disconnected: Ipv4Addr,
         /// All peers that had not acknowledged, in order.
         unacknowledged: Vec<Ipv4Addr>,
     },
-    /// The deadline has passed.
-    #[error("deadline passed; not acknowledged by {unacknowledged:?}")]
+    /// Not all peers acknowledged within the time limit.
+    #[error("request not acknowledged within the time limit by {unacknowledged:?}")]
     TimedOut {
         /// The peers that had not acknowledged, in order.
         unacknowledged: Vec<Ipv4Addr>,
     },
 }
 
-/// A request that some peers have not acknowledged yet.
+/// A request whose sender waits for acknowledgements.
 struct PendingRequest {
     unacknowledged: BTreeSet<Ipv4Addr>,
-    /// Peers whose acknowledgement covers every process that may use a lease of theirs.
+    /// Peers whose acknowledgement covers every process that may use a lease that they granted.
     complete: Vec<Ipv4Addr>,
-    /// The first of the unacknowledged peers that was disconnected.
+    /// The first peer that disconnected before it acknowledged.
     disconnected: Option<Ipv4Addr>,
 }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    fn is_decided(&self) -> bool {
+    fn is_resolved(&self) -> bool {
         self.unacknowledged.is_empty() || self.disconnected.is_some()
     }
 
@@ -65,18 +65,18 @@
 
 /// Requests to several peers.
 ///
-/// It owns the pending requests and the correlation ids. Each pending request belongs to one waiting caller and is
-/// removed when that caller stops waiting, for whatever reason. A request fails for good when a peer that has not
-/// acknowledged it is disconnected, also if that peer is connected again later.
+/// Owns the pending requests and the correlation ids. Each pending request belongs to one waiting caller and is removed
+/// when that caller stops waiting, for whatever reason. A request fails when a peer disconnects before it acknowledges,
+/// even if that peer reconnects later.
 pub struct PeerRequests {
     links: Rc<PeerLinks>,
     pending: RefCell<BTreeMap<u64, PendingRequest>>,
     next_id: Cell<u64>,
-    /// Some pending request may be decided.
+    /// Signals that a pending request may have completed or failed.
     progress: Notify,
 }
 
-/// Removes a pending request when its caller stops waiting, also if the caller's future is dropped.
+/// Guard that removes a pending request when its caller stops waiting, also when the caller's future is cancelled.
 struct PendingGuard<'a> {
     requests: &'a PeerRequests,
     id: u64,
@@ -95,7 +95,7 @@
 }
 
 impl PeerRequests {
-    /// No requests yet; they are sent on `links`.
+    /// Starts without pending requests. Requests are sent on `links`.
     pub fn new(links: Rc<PeerLinks>) -> Self {
         PeerRequests { links, pending: RefCell::default(), next_id: Cell::new(1), progress: Notify::new() }
     }
@@ -105,12 +105,12 @@
     ///
     /// # Errors
     ///
-    /// When a peer is disconnected before it acknowledges, or the deadline passes.
+    /// When a peer disconnects before it acknowledges, or not all peers acknowledge within `time_limit`.
     pub async fn send_to_all(
         &self,
         peers: &[Ipv4Addr],
         request: impl Fn(CallId) -> PeerMessage,
-        deadline: Duration,
+        time_limit: Duration,
     ) -> Result<Vec<Ipv4Addr>, RequestError> {
         let id = self.next_id.replace(self.next_id.get() + 1);
         self.pending.borrow_mut().insert(id, PendingRequest::new(peers));
@@ -119,15 +119,15 @@
         for peer in peers {
             self.links.send(*peer, request(CallId { incarnation, number: id }));
         }
-        // The state of the request tells whether it was decided in time.
-        let _ = timeout(deadline, self.decided(id)).await;
+        // The result is read from the pending request, whether the wait timed out or not.
+        let _ = timeout(time_limit, self.wait_until_resolved(id)).await;
         guard.finish().unwrap_or_else(|| PendingRequest::new(peers)).into_result()
     }
 
-    async fn decided(&self, id: u64) {
+    async fn wait_until_resolved(&self, id: u64) {
         loop {
             let progress = self.progress.notified();
-            if self.pending.borrow().get(&id).is_none_or(PendingRequest::is_decided) {
+            if self.pending.borrow().get(&id).is_none_or(PendingRequest::is_resolved) {
                 return;
             }
             progress.await;
@@ -148,7 +148,7 @@
         self.progress.notify_waiters();
     }
 
-    /// Fails the requests that a peer has not acknowledged: it may have sessions, and has not confirmed that they know.
+    /// Fails the requests that a peer has not acknowledged, as sessions at that peer may not have been notified.
     pub fn peer_disconnected(&self, peer: Ipv4Addr) {
         for request in self.pending.borrow_mut().values_mut() {
             if request.disconnected.is_none() && request.unacknowledged.contains(&peer) {
