--- a/glenfall/src/agent/relay.rs
+++ b/glenfall/src/agent/relay.rs
@@ -39,7 +39,7 @@
         Relay {
             settings,
             known: RefCell::default(),
-            proxies: Sessions::relaying(),
+            proxies: Sessions::for_relay(),
             lease: HeldLease::default(),
             members_changed: Notify::new(),
         }
--- a/glenfall/src/session/lease.rs
+++ b/glenfall/src/session/lease.rs
@@ -1,5 +1,5 @@
-//! The lease that lets a process serve stored responses, as its holder has it: by the holder's own monotonic clock, and
-//! checked whenever a stored response is served.
+//! The holder's side of the lease that lets a process serve stored responses. Its expiry is measured on the holder's own
+//! monotonic clock, and is checked whenever a stored response is served.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use glenfall_control_plane::Millis;
 use tokio::time::Instant;
 
-/// A lease, and the clock of its holder.
+/// A lease, and the holder's clock on which its expiry is measured.
 pub struct HeldLease {
     clock_start: Instant,
     lease: Cell<Lease>,
@@ -21,24 +21,24 @@
 }
 
 impl HeldLease {
-    /// The reading of the holder's clock, which a request for a renewal has to name.
+    /// The reading of the holder's clock, in milliseconds. A request for a renewal carries it.
     pub fn now(&self) -> Millis {
         self.clock_start.elapsed().as_millis() as Millis
     }
 
-    /// Takes a lease of `duration` that was granted upon a request sent at the reading `sent_at` of the clock.
+    /// Renews the lease by a grant of `duration`, which counts from when its request was sent: `sent_at` on this clock.
     pub fn renew(&self, sent_at: Millis, duration: Millis) {
         let mut lease = self.lease.get();
         lease.renew(self.now(), sent_at, duration);
         self.lease.set(lease);
     }
 
-    /// Gives up the lease.
+    /// Ends the lease at once.
     pub fn end(&self) {
         self.lease.set(Lease::default());
     }
 
-    /// The end of the lease; not later than now where there is none.
+    /// When the lease expires; not later than now if there is none.
     pub fn until(&self) -> Instant {
         self.clock_start + Duration::from_millis(self.lease.get().expires_at())
     }
--- a/glenfall/src/session/link/connect.rs
+++ b/glenfall/src/session/link/connect.rs
@@ -1,4 +1,4 @@
-//! Opens links.
+//! Opens a link: connects with parallel attempts and sends the first message.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -14,15 +14,15 @@
 use super::frames::encode;
 use super::liveness::LINK_TIMEOUT;
 
-/// The kernel repeats a SYN that gets no answer only after a second. A second connection attempt goes out after this pause,
-/// which is longer than a round trip within a region.
+/// Time between parallel connection attempts, longer than a round trip within a region. The kernel retransmits an
+/// unanswered SYN only after one second.
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// A connection that is not established by then is given up.
+/// Time limit for establishing a connection, over all attempts.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Configures the socket of a link. Both ends send all the time, and a pause tells that the other end is lost. Where what
-/// is sent does not arrive either, the kernel gives the connection up after the same time, so that the data in its send
-/// buffer is dropped as well.
+/// Configures the socket of a link. Both ends send keepalives, so that a link on which nothing is received for
+/// [`LINK_TIMEOUT`] is lost. If sent data is not acknowledged for as long, the kernel closes the connection, which also
+/// drops the data in its send buffer.
 pub fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_user_timeout(Some(LINK_TIMEOUT))
@@ -39,7 +39,7 @@
     Ok((read, write))
 }
 
-/// Connects, with another attempt behind each that gets no answer soon. The first that ends decides.
+/// Connects with up to four attempts, begun [`CONNECT_RETRY_INTERVAL`] apart. The first that succeeds or fails decides.
 async fn connect(addr: SocketAddrV4) -> io::Result<TcpStream> {
     tokio::select! {
         connected = TcpStream::connect(addr) => connected,
--- a/glenfall/src/session/link/frames.rs
+++ b/glenfall/src/session/link/frames.rs
@@ -1,4 +1,4 @@
-//! The frames of a link: a length of four bytes, little-endian, and a message in `postcard`.
+//! The frames of a link: a four-byte little-endian length, then a message encoded with `postcard`.
 
 use std::fmt::Display;
 use std::io;
@@ -14,7 +14,7 @@
 use super::liveness::LINK_TIMEOUT;
 use super::traffic::RECEIVED_TRAFFIC;
 
-/// Bytes of the length in front of a message.
+/// Size of the length prefix of a frame.
 const LENGTH_BYTES: usize = 4;
 
 fn invalid_data(error: impl Display) -> io::Error {
@@ -39,7 +39,7 @@
     Ok(())
 }
 
-/// The receiving side of a link. A read that is cancelled loses nothing.
+/// The receiving side of a link. Its methods are cancel-safe: the bytes received so far stay in the buffer.
 pub struct FrameReader {
     read: OwnedReadHalf,
     buffer: BytesMut,
@@ -47,12 +47,12 @@
 }
 
 impl FrameReader {
-    /// The receiving side of a link.
+    /// Reads frames from the receiving half of a connection.
     pub fn new(read: OwnedReadHalf) -> Self {
         FrameReader { read, buffer: BytesMut::new(), last_received: Instant::now() }
     }
 
-    /// The next message; an error where the link is closed or a message can't be decoded.
+    /// Receives the next message. Fails if the link is closed or the message can't be decoded.
     pub async fn next<T: DeserializeOwned>(&mut self) -> io::Result<T> {
         loop {
             if let Some(frame) = self.take_frame()? {
@@ -65,13 +65,13 @@
         }
     }
 
-    /// The next message; an error also where the link is lost because nothing was received for [`LINK_TIMEOUT`]. The
-    /// time counts from the last bytes that were received, however often a wait is cancelled and begun again.
+    /// Receives the next message. Fails also if nothing is received for [`LINK_TIMEOUT`], which counts from the last
+    /// bytes received, even if earlier calls were cancelled.
     pub async fn next_or_timeout<T: DeserializeOwned>(&mut self) -> io::Result<T> {
         timeout_at(self.last_received + LINK_TIMEOUT, self.next()).await?
     }
 
-    /// The message of the first frame in the buffer, if that is complete.
+    /// Removes the first frame from the buffer and returns its message; `None` while the frame is incomplete.
     fn take_frame(&mut self) -> io::Result<Option<Bytes>> {
         let Some(length) = self.buffer.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_le_bytes(*length) as usize;
--- a/glenfall/src/session/link/liveness.rs
+++ b/glenfall/src/session/link/liveness.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// A link on which nothing was received for so long is lost: a machine that has lost its power or its network answers
-/// nothing, not even a reset.
+/// Time without received data after which a link counts as lost. A machine that has lost its power or its network sends
+/// nothing, not even a TCP reset.
 pub const LINK_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How often something is sent on a link, so that it does not count as lost. Two messages in a row may be lost.
+/// How often a message is sent on a link, so that it does not count as lost. Two messages in a row may be lost.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
--- a/glenfall/src/session/link/mod.rs
+++ b/glenfall/src/session/link/mod.rs
@@ -1,4 +1,4 @@
-//! Long-lived connections between the system's processes: `postcard` messages in frames with a length in front.
+//! Long-lived connections between the system's processes, which carry `postcard` messages in length-prefixed frames.
 
 mod connect;
 mod frames;
--- a/glenfall/src/session/link/outbox.rs
+++ b/glenfall/src/session/link/outbox.rs
@@ -11,13 +11,13 @@
 use super::liveness::LINK_TIMEOUT;
 use super::traffic::SENT_TRAFFIC;
 
-/// Most messages that wait to be written. A receiver that is further behind is disconnected, and catches up on a new
+/// Maximum number of queued messages. A receiver that falls further behind is disconnected, and catches up on a new
 /// link.
 const MAX_QUEUED_MESSAGES: usize = 1024;
-/// Messages that wait are written together, until a batch has so many bytes.
+/// Size from which a batch is full. Queued messages are written together until then.
 const MIN_FULL_BATCH_BYTES: usize = 64 << 10;
 
-/// The sending side of a link, for any number of senders. The link is closed once all of them are dropped.
+/// The sending side of a link. It can be cloned; the link is closed once all clones are dropped.
 pub struct Outbox<T>(mpsc::Sender<T>);
 
 impl<T> Clone for Outbox<T> {
@@ -34,7 +34,7 @@
         Outbox(sender)
     }
 
-    /// Queues a message. False where the link is lost or the queue is full: the caller has to give up the link.
+    /// Queues a message. Returns false if the link is lost or the queue is full: the caller must then drop the link.
     #[must_use]
     pub fn send(&self, message: T) -> bool {
         self.0.try_send(message).is_ok()
@@ -87,7 +87,7 @@
             return;
         }
         SENT_TRAFFIC.add(batch.messages, batch.bytes.len());
-        // A receiver that does not read what it is sent within this time is lost.
+        // The receiver counts as lost if it does not read the batch within this time.
         if !matches!(timeout(LINK_TIMEOUT, write.write_all(&batch.bytes)).await, Ok(Ok(()))) {
             return;
         }
--- a/glenfall/src/session/link/traffic.rs
+++ b/glenfall/src/session/link/traffic.rs
@@ -1,6 +1,6 @@
 //! Counts the messages and bytes that this process has sent and received on links since its start.
 //!
-//! One thread writes the counters; they are read only for people to look at.
+//! One thread updates the counters. They are only reported in `status`, so that relaxed ordering is enough.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/glenfall/src/session/publisher/acknowledgement.rs
+++ b/glenfall/src/session/publisher/acknowledgement.rs
@@ -1,4 +1,4 @@
-//! Waits until sessions have applied what they were sent, or can't serve stored responses any more.
+//! Waits until sessions have applied the updates sent to them, or can no longer serve stored responses.
 
 use std::time::Duration;
 
@@ -8,31 +8,32 @@
 use super::session::{Session, SessionId};
 use super::sessions::Sessions;
 
-/// An update that a session has to acknowledge, with all before it.
+/// The last update that a session has to acknowledge, which covers all before it.
 struct PendingAcknowledgement {
     session: SessionId,
     number: u64,
 }
 
 impl PendingAcknowledgement {
-    /// The number that no session reaches: what a session that has ended was sent is not acknowledged any more.
+    /// A number that no session reaches. It stands for the updates of a session that has ended, which will never be
+    /// acknowledged.
     const UNREACHABLE_NUMBER: u64 = u64::MAX;
 }
 
 impl Sessions {
-    /// Waits until every session has applied what it was sent before the call, or has ended; false where that takes longer
-    /// than `most`.
-    pub async fn wait_until_applied(&self, most: Duration) -> bool {
+    /// Waits until every session has applied the updates sent to it before the call, or has ended. Returns false if that
+    /// takes longer than `max_wait`.
+    pub async fn wait_until_applied(&self, max_wait: Duration) -> bool {
         let mut pending = self.pending_of_all();
-        let is_complete = timeout(most, self.await_acknowledgements(&mut pending)).await.is_ok();
-        self.note_overdue(&pending);
+        let is_complete = timeout(max_wait, self.await_acknowledgements(&mut pending)).await.is_ok();
+        self.record_overdue(&pending);
         is_complete
     }
 
     async fn await_acknowledgements(&self, pending: &mut Vec<PendingAcknowledgement>) {
         loop {
             let acknowledged = self.acknowledged.notified();
-            // What is applied stays applied: each session is looked at once, and not at each message of any other.
+            // Updates stay applied, so that a session that is done is not checked again at each acknowledgement of others.
             while pending.pop_if(|last| self.is_applied_or_ended(last)).is_some() {}
             if pending.is_empty() {
                 return;
@@ -41,13 +42,13 @@
         }
     }
 
-    /// Waits until no session that was ever granted a lease can serve what a purge that was pushed before ends: each has
-    /// applied what it was sent, or its lease has ended; false where that takes longer than `most`.
+    /// Waits until no session can serve a response that a purge pushed before the call has removed: each session that was
+    /// granted a lease has applied its updates, or its lease has ended. Returns false if that takes longer than `max_wait`.
     ///
-    /// Sessions that are overdue are granted no lease until they have applied it, so that the next caller does not wait for
-    /// them for long.
-    pub async fn wait_until_purged(&self, most: Duration) -> bool {
-        let deadline = Instant::now() + most;
+    /// Sessions that are overdue are granted no lease until they have applied their updates, so that the next caller does
+    /// not wait long for them.
+    pub async fn wait_until_purged(&self, max_wait: Duration) -> bool {
+        let deadline = Instant::now() + max_wait;
         let mut pending = self.pending_of_lease_holders();
         loop {
             let acknowledged = self.acknowledged.notified();
@@ -57,8 +58,8 @@
             let wait_end = self.lease_end(now, last.session).min(deadline);
             let is_timed_out = timeout_at(wait_end, acknowledged).await.is_err();
             if is_timed_out && Instant::now() >= deadline {
-                pending.retain(|one| !self.is_purged(self.leases.now(), one));
-                self.note_overdue(&pending);
+                pending.retain(|entry| !self.is_purged(self.leases.now(), entry));
+                self.record_overdue(&pending);
                 return pending.is_empty();
             }
         }
@@ -93,18 +94,18 @@
         is_applied || !self.has_lease(now, pending.session)
     }
 
-    /// The moment when a session's lease ends.
+    /// When a session's lease ends; now if it has none.
     fn lease_end(&self, now: Millis, session: SessionId) -> Instant {
-        let end = self.leases.end(now, session).unwrap_or(now);
+        let end = self.leases.expiry(now, session).unwrap_or(now);
         Instant::now() + Duration::from_millis(end - now)
     }
 
-    /// Notes which sessions have not applied what was waited for.
-    fn note_overdue(&self, pending: &[PendingAcknowledgement]) {
+    /// Records the sessions that have not applied their pending updates.
+    fn record_overdue(&self, pending: &[PendingAcknowledgement]) {
         let sessions = self.by_id.borrow();
         for PendingAcknowledgement { session: id, number } in pending {
             if sessions.get(id).is_some_and(|session| !session.has_applied(*number)) {
-                self.overdue.note(*id, *number);
+                self.overdue.record(*id, *number);
             }
         }
     }
--- a/glenfall/src/session/publisher/lease_snapshot.rs
+++ b/glenfall/src/session/publisher/lease_snapshot.rs
@@ -1,11 +1,11 @@
-//! The sessions that hold a lease at some moment, to check later whether a purge was acknowledged too early.
+//! Snapshots of the sessions that hold a lease, to check later whether a purge was acknowledged too early.
 
 use glenfall_control_plane::Millis;
 
 use super::session::{Session, SessionId};
 use super::sessions::Sessions;
 
-/// A session and its lease at some moment.
+/// A session and its lease when the snapshot was taken.
 pub struct LeasedSession {
     id: SessionId,
     sent: u64,
@@ -17,22 +17,24 @@
     pub fn lease_holders(&self) -> Vec<LeasedSession> {
         let now = self.leases.now();
         let leased = |(id, session): (&SessionId, &Session)| {
-            let lease_end = self.leases.end(now, *id)?;
+            let lease_end = self.leases.expiry(now, *id)?;
             Some(LeasedSession { id: *id, sent: session.sent(), lease_end })
         };
         self.by_id.borrow().iter().filter_map(leased).collect()
     }
 
-    /// The nodes of those of these sessions that are still there, whose leases of then have neither ended nor been released,
-    /// and that have not applied what they had been sent. A lease that was granted since follows that on the same
+    /// The nodes of the sessions in a snapshot that still exist, still hold the lease that they had then, and have not
+    /// applied the updates sent before it. Leases granted since need no check: they follow those updates on the same
     /// connection.
     pub fn lease_holders_behind(&self, leased: &[LeasedSession]) -> Vec<String> {
         let now = self.leases.now();
         let sessions = self.by_id.borrow();
         leased
             .iter()
-            .filter(|then| now < then.lease_end && self.has_lease(now, then.id))
-            .filter_map(|then| sessions.get(&then.id).filter(|session| !session.has_applied(then.sent)))
+            .filter(|snapshot| now < snapshot.lease_end && self.has_lease(now, snapshot.id))
+            .filter_map(|snapshot| {
+                sessions.get(&snapshot.id).filter(|session| !session.has_applied(snapshot.sent))
+            })
             .map(|session| session.node().to_owned())
             .collect()
     }
--- a/glenfall/src/session/publisher/mod.rs
+++ b/glenfall/src/session/publisher/mod.rs
@@ -1,8 +1,8 @@
 //! The publisher's side of sessions: a control node or an agent pushes numbered updates to its subscribers, counts what they
 //! have applied, and grants them leases out of its own.
 //!
-//! What was granted is remembered also once a session is lost: until the lease has ended, the subscriber may serve stored
-//! responses.
+//! A lease outlasts its session: until it ends, a subscriber whose session is lost may serve stored responses. Leases are
+//! therefore kept after their sessions.
 
 mod acknowledgement;
 mod lease_snapshot;
--- a/glenfall/src/session/publisher/overdue.rs
+++ b/glenfall/src/session/publisher/overdue.rs
@@ -1,4 +1,4 @@
-//! Sessions that have not applied updates that were waited for. They are granted no lease until they have.
+//! Sessions that have not applied updates in time. They are granted no lease until they have applied them.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,10 +8,10 @@
 
 use super::session::SessionId;
 
-/// The updates that a session has not applied though they were waited for.
+/// The updates that a session had not applied when a wait for them timed out.
 struct OverdueUpdates {
     first: u64,
-    /// Since when the first of them is overdue.
+    /// When the first of them became overdue.
     since: Instant,
     last: u64,
 }
@@ -27,15 +27,15 @@
         self.by_session.borrow().contains_key(&session)
     }
 
-    /// Notes that an update was waited for in vain.
-    pub(super) fn note(&self, session: SessionId, number: u64) {
+    /// Records that a wait for an update has timed out.
+    pub(super) fn record(&self, session: SessionId, number: u64) {
         let mut by_session = self.by_session.borrow_mut();
         let new = OverdueUpdates { first: number, since: Instant::now(), last: number };
         let overdue = by_session.entry(session).or_insert(new);
         overdue.last = overdue.last.max(number);
     }
 
-    /// Notes which updates a session has applied. True where it was overdue and is not any more.
+    /// Records which updates a session has applied. Returns true if the session was overdue and no longer is.
     pub(super) fn acknowledge(&self, session: SessionId, applied: u64) -> bool {
         let mut by_session = self.by_session.borrow_mut();
         let Some(overdue) = by_session.get_mut(&session) else { return false };
@@ -54,9 +54,10 @@
         self.by_session.borrow_mut().remove(&session);
     }
 
-    /// Removes and returns the sessions that are overdue for so long.
-    pub(super) fn take_behind_for(&self, duration: Duration) -> Vec<SessionId> {
-        let is_behind = |_: &SessionId, overdue: &mut OverdueUpdates| overdue.since.elapsed() >= duration;
-        self.by_session.borrow_mut().extract_if(.., is_behind).map(|(session, _)| session).collect()
+    /// Removes and returns the sessions that have been overdue for at least `duration`.
+    pub(super) fn remove_overdue_for(&self, duration: Duration) -> Vec<SessionId> {
+        let exceeds_duration =
+            |_: &SessionId, overdue: &mut OverdueUpdates| overdue.since.elapsed() >= duration;
+        self.by_session.borrow_mut().extract_if(.., exceeds_duration).map(|(session, _)| session).collect()
     }
 }
--- a/glenfall/src/session/publisher/serve.rs
+++ b/glenfall/src/session/publisher/serve.rs
@@ -16,16 +16,15 @@
 use super::source::Publisher;
 use crate::session::link::{FrameReader, Outbox, KEEPALIVE_INTERVAL};
 
-/// How long a session that ended for another reason is observed: its subscriber may have closed it.
+/// How long a connection is read after its session has ended: the subscriber may have closed it, which is not seen yet.
 const CLOSE_DETECTION_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Where the subscriber of a session is.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Reach {
-    /// On this machine, whose kernel closes a connection only where the process at the other end has closed it or has
-    /// ended.
+    /// On this machine: the kernel closes a connection only if the subscriber has closed it or its process has ended.
     SameMachine,
-    /// On another machine: a connection may end while the other end goes on.
+    /// On another machine: a connection may break while the subscriber continues to run.
     Network,
 }
 
@@ -44,7 +43,7 @@
 enum SessionEnd {
     /// The subscriber has closed the connection, or its process has ended.
     Closed,
-    /// Any other reason: the subscriber may be there and not know yet.
+    /// Any other reason: the subscriber may be running, and not know yet that the session has ended.
     Lost,
 }
 
@@ -79,7 +78,7 @@
     }
 }
 
-/// A session among those of its publisher, from which it is removed when this is dropped.
+/// A session in the table of its publisher, from which it is removed when this guard is dropped.
 struct ActiveSession<'a, P: Publisher> {
     id: SessionId,
     sessions: &'a Sessions,
@@ -128,22 +127,22 @@
                     }
                 }
                 () = outbox.closed() => return SessionEnd::Lost,
-                // A session that was removed would get no more updates, and its subscriber would believe to be up to date.
+                // No updates are pushed to a removed session. Its subscriber must notice, or it would count as up to date.
                 _ = &mut removed => return SessionEnd::Lost,
             }
         }
     }
 
-    /// Sends configurations from now on; false where the session is lost.
+    /// Pushes the newest configuration, and each that follows from now on; false if the session is lost.
     fn push_newest_config(&self, updates: Vec<Update>) -> bool {
         match self.sessions.by_id.borrow_mut().get_mut(&self.id) {
             Some(session) => session.push_newest_config(updates),
-            // It was removed, which ends it by itself.
+            // The session was removed from the table, and `run` ends it.
             None => true,
         }
     }
 
-    /// Handles a message; true where it was answered, by a lease.
+    /// Handles a message; true if a lease was sent in reply.
     fn handle(&self, message: SubscriberMessage) -> bool {
         match message {
             SubscriberMessage::Ping => false,
@@ -167,12 +166,12 @@
         }
     }
 
-    /// Changes the state of the session; `None` where it was removed.
+    /// Changes the state of the session; `None` if it was removed.
     fn update<T>(&self, change: impl FnOnce(&mut Session) -> T) -> Option<T> {
         self.sessions.by_id.borrow_mut().get_mut(&self.id).map(change)
     }
 
-    /// True where a lease was granted.
+    /// Records a request for a lease; true if one was granted at once.
     fn renew_lease(&self, sent_at: Millis) -> bool {
         let request = LeaseRequest { sent_at, received: self.sessions.leases.now() };
         let renew = |session: &mut Session| {
@@ -198,7 +197,7 @@
             Invariant::AppliedWasSent.check(number <= sent, || format!("{number} of {sent}"));
             session.acknowledge(number);
             if self.sessions.overdue.acknowledge(self.id, session.applied()) {
-                // It may have requested a lease while it was overdue, when none was granted.
+                // A lease that the session requested while it was overdue was not granted then.
                 let _ = self.sessions.grant(self.id, session);
             }
         };
@@ -226,7 +225,7 @@
     }
 }
 
-/// Whether the subscriber turns out to have closed a connection on which nothing can be sent any more.
+/// Whether the subscriber has closed a connection, which reading up to its end shows.
 async fn is_closed(frames: &mut FrameReader) -> bool {
     timeout(CLOSE_DETECTION_TIMEOUT, read_to_end(frames)).await == Ok(SessionEnd::Closed)
 }
--- a/glenfall/src/session/publisher/session.rs
+++ b/glenfall/src/session/publisher/session.rs
@@ -10,11 +10,11 @@
 use super::status::SessionStatus;
 use crate::session::link::Outbox;
 
-/// Identifies a session among all that a publisher ever had.
+/// Identifies a session. A publisher never uses an id again.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SessionId(pub(super) u64);
 
-/// A request for a lease.
+/// A request for a lease, with its times on the clocks of both sides.
 #[derive(Clone, Copy)]
 pub(super) struct LeaseRequest {
     /// The reading of the subscriber's clock when it sent the request.
@@ -30,7 +30,7 @@
     _removal: oneshot::Sender<Infallible>,
     node: String,
     member: Option<Member>,
-    /// Whether it has been sent the newest configuration, and is sent each that follows.
+    /// Whether the newest configuration was pushed. Configurations that follow are pushed only from then on.
     has_newest_config: bool,
     sent: u64,
     applied: u64,
@@ -39,7 +39,7 @@
 }
 
 impl Session {
-    /// A session of this subscriber; the receiver fails once the session is dropped.
+    /// Creates the session of a subscriber. The receiver fails once the session is dropped.
     pub(super) fn new(
         outbox: Outbox<PublisherMessage>,
         node: String,
@@ -77,23 +77,23 @@
         self.counters = counters;
     }
 
-    /// Sends a message that is no update; false where the session is lost.
+    /// Sends a message other than an update; false if the session is lost.
     pub(super) fn send(&self, message: PublisherMessage) -> bool {
         self.outbox.send(message)
     }
 
-    /// Sends the next update; false where the session is lost.
+    /// Sends the next update; false if the session is lost.
     pub(super) fn push(&mut self, update: Update) -> bool {
         self.sent += 1;
         self.outbox.send(PublisherMessage::Push { number: self.sent, update })
     }
 
-    /// Sends what the subscriber has to know first; false where the session is lost.
+    /// Sends the messages and updates that begin a session; false if the session is lost.
     pub(super) fn greet(&mut self, greeting: Greeting) -> bool {
         greeting.messages.into_iter().all(|message| self.send(message)) && self.push_all(greeting.updates)
     }
 
-    /// Sends the newest configuration, if there is one, and each that follows from now on; false where the session is lost.
+    /// Sends the newest configuration, if there is one, and each that follows from now on; false if the session is lost.
     pub(super) fn push_newest_config(&mut self, updates: Vec<Update>) -> bool {
         self.has_newest_config = true;
         self.push_all(updates)
@@ -103,7 +103,7 @@
         updates.into_iter().all(|update| self.push(update))
     }
 
-    /// Whether an update concerns this session now.
+    /// Whether an update is pushed to this session: configurations only after the newest one.
     pub(super) fn receives(&self, update: &Update) -> bool {
         self.has_newest_config || !matches!(update, Update::Config { .. })
     }
@@ -122,7 +122,7 @@
         self.applied >= number
     }
 
-    /// Notes that the updates up to this number are applied.
+    /// Records that the updates up to this number are applied.
     pub(super) fn acknowledge(&mut self, number: u64) {
         self.applied = self.applied.max(number);
     }
--- a/glenfall/src/session/publisher/sessions.rs
+++ b/glenfall/src/session/publisher/sessions.rs
@@ -1,4 +1,4 @@
-//! The table of a publisher's sessions: pushes updates to all of them, grants them leases, and ends those that are behind.
+//! The table of a publisher's sessions: pushes updates to all of them, grants them leases, and ends those that are overdue.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,9 +14,9 @@
 use super::session::{Session, SessionId};
 use super::status::SessionStatus;
 
-/// Most sessions of one node: all proxies of a large system.
+/// Maximum number of sessions of one node, enough for all proxies of a large system.
 pub(super) const MAX_SESSIONS: usize = 1024;
-/// A session that has not applied for so long an update that was waited for is ended: its subscriber opens a new one.
+/// How long a session may be overdue before it is ended. Its subscriber then opens a new one.
 pub const MAX_ACKNOWLEDGEMENT_DELAY: Duration = Duration::from_secs(5);
 
 /// The sessions of one publisher.
@@ -31,10 +31,10 @@
     pub(super) grant_trigger: GrantTrigger,
 }
 
-/// When sessions that have requested a lease once are granted another one.
+/// When a session that has been granted a lease is granted the next one.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum GrantTrigger {
-    /// Upon each request.
+    /// At each request of the session.
     #[default]
     Request,
     /// Whenever the publisher's own lease is renewed.
@@ -42,19 +42,19 @@
 }
 
 impl Sessions {
-    /// Sessions on the same machine, whose leases follow each renewal of this process's own lease at once.
-    pub fn relaying() -> Self {
+    /// The sessions of an agent with the proxies on its machine: their leases are renewed whenever its own lease is.
+    pub fn for_relay() -> Self {
         Sessions { grant_trigger: GrantTrigger::OwnRenewal, ..Sessions::default() }
     }
 
-    /// Sets the end of this process's own lease, of which the leases of sessions are part. The end is a moment and not a
+    /// Sets the end of this process's own lease, which bounds the leases of its sessions. The end is an instant and not a
     /// remaining time, so that a pause of the process before this call makes no lease longer.
     ///
-    /// Where the process had no lease, sessions that have requested one meanwhile are granted it now: until they request it
-    /// again, edges with a lease could not use their stored responses.
+    /// If the process had no lease, sessions that have requested one meanwhile are granted it now. Otherwise a shield would
+    /// have none until its next request, and edges that hold one would reject its stored responses.
     pub fn set_own_lease_end(&self, until: Instant) {
-        let had_lease = self.leases.has_own();
-        self.leases.set_own_end(until);
+        let had_lease = self.leases.has_own_lease();
+        self.leases.set_own_expiry(until);
         if self.grant_trigger == GrantTrigger::OwnRenewal || !had_lease {
             for (id, session) in self.by_id.borrow().iter() {
                 let _ = self.grant(*id, session);
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Grants a session a lease upon its last request; false where it has not requested one, is overdue, or this process has
-    /// no lease.
+    /// Grants a session a lease for its last request; false if it has not requested one, is overdue, or this process has no
+    /// lease.
     pub(super) fn grant(&self, id: SessionId, session: &Session) -> bool {
         let Some(request) = session.lease_request() else { return false };
         if self.overdue.contains(id) {
@@ -73,36 +73,36 @@
         session.send(PublisherMessage::LeaseGranted { sent_at: request.sent_at, duration })
     }
 
-    /// The time until the last lease of the sessions has ended; `None` where none has one.
+    /// The time until all leases of sessions have ended; `None` if no session has one.
     pub fn time_until_last_lease_end(&self) -> Option<Duration> {
         let now = self.leases.now();
-        let end = self.leases.last_end(now)?;
+        let end = self.leases.last_expiry(now)?;
         Some(Duration::from_millis(end - now))
     }
 
-    /// Pushes an update to all sessions. Configurations go only to those that have been sent the newest one.
+    /// Pushes an update to all sessions. A configuration goes only to those that have been sent the newest one.
     pub fn push(&self, update: &Update) {
-        // A session whose queue is full would miss this update, and acknowledge it with the next one: it ends here, and its
-        // subscriber gets everything on a new one.
+        // A session whose queue is full would miss this update, yet acknowledge it with the next one. It is ended, and its
+        // subscriber receives the whole state on a new session.
         self.by_id
             .borrow_mut()
             .retain(|_, session| !session.receives(update) || session.push(update.clone()));
     }
 
-    /// Sends a message that is no update to all sessions.
+    /// Sends a message other than an update to all sessions.
     pub fn broadcast(&self, message: &PublisherMessage) {
         for session in self.by_id.borrow().values() {
-            // A session that can't take it is ended by the next update.
+            // A session whose queue is full is ended by the next update.
             let _ = session.send(message.clone());
         }
     }
 
-    /// Ends the sessions that have not applied for `behind_for` an update that was waited for in vain. What they were sent
-    /// meanwhile is in flight, and does not count against them.
-    pub fn end_overdue(&self, behind_for: Duration) {
-        for id in self.overdue.take_behind_for(behind_for) {
+    /// Ends the sessions that have been overdue for at least `overdue_for`. Updates that nothing has waited for do not
+    /// count as overdue.
+    pub fn end_overdue(&self, overdue_for: Duration) {
+        for id in self.overdue.remove_overdue_for(overdue_for) {
             if let Some(session) = self.by_id.borrow_mut().remove(&id) {
-                tracing::warn!(node = %session.node(), "session ended: it has not applied its updates in time");
+                tracing::warn!(node = %session.node(), "session ended: updates were not acknowledged in time");
             }
         }
     }
@@ -120,7 +120,7 @@
     }
 
     pub(super) fn has_lease(&self, now: Millis, id: SessionId) -> bool {
-        self.leases.end(now, id).is_some()
+        self.leases.expiry(now, id).is_some()
     }
 
     pub(super) fn next_id(&self) -> SessionId {
--- a/glenfall/src/session/publisher/source.rs
+++ b/glenfall/src/session/publisher/source.rs
@@ -1,25 +1,25 @@
-//! What a process that publishes provides for its sessions.
+//! The interface through which sessions obtain the state of the process that publishes it.
 
 use std::future::Future;
 
 use glenfall_control_plane::messages::{PublisherMessage, Update};
 
-/// What a subscriber has to know first.
+/// What is sent to a subscriber at the start of its session.
 #[derive(Default)]
 pub struct Greeting {
-    /// Messages that are no updates.
+    /// Messages other than updates.
     pub messages: Vec<PublisherMessage>,
     /// The updates that all others build on.
     pub updates: Vec<Update>,
 }
 
-/// What a process provides for the sessions that it serves.
+/// A process that publishes updates to sessions.
 pub trait Publisher {
-    /// What a subscriber has to know first, as of now.
+    /// The greeting for a session that starts now.
     fn greeting(&self) -> Greeting;
 
-    /// Resolves once this process knows the newest configuration, with the update for it if there is one. From then on the
-    /// session is sent configurations. `None` ends the session.
+    /// Resolves once this process knows the newest configuration, with the update for it if there is one. Later
+    /// configurations are pushed to the session from then on. `None` ends the session.
     fn newest_config(&self) -> impl Future<Output = Option<Vec<Update>>>;
 
     /// Called whenever a member of a session is added, changed or removed.
--- a/glenfall/src/session/publisher/status.rs
+++ b/glenfall/src/session/publisher/status.rs
@@ -2,11 +2,11 @@
 
 use glenfall_control_plane::messages::{Counter, Member};
 
-/// The state of a session, for people to look at.
+/// The state of a session, as operators see it.
 pub struct SessionStatus {
     /// The subscriber's name.
     pub node: String,
-    /// The proxy that it speaks for.
+    /// The proxy on whose behalf it subscribes, if there is one.
     pub member: Option<Member>,
     /// Number of the last update pushed.
     pub sent: u64,
@@ -14,6 +14,6 @@
     pub applied: u64,
     /// Whether it holds a lease.
     pub leased: bool,
-    /// Its counters.
+    /// The counters that it has sent last.
     pub counters: Vec<Counter>,
 }
--- a/glenfall/src/session/subscriber.rs
+++ b/glenfall/src/session/subscriber.rs
@@ -1,4 +1,4 @@
-//! The subscriber's side of a session: takes what is pushed, acknowledges it, and asks for its lease to be renewed.
+//! The subscriber's side of a session: receives updates, acknowledges them, and requests renewals of its lease.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 
 use crate::session::link::{FrameReader, Outbox, KEEPALIVE_INTERVAL};
 
-/// How often counters are sent: they are for people to look at.
+/// How often counters are sent. They are only shown to operators.
 const COUNTERS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Sends counters for as long as the session accepts them.
+/// Sends the counters that `report` returns at regular intervals, until the session is lost.
 pub async fn send_reports(outbox: &Outbox<SubscriberMessage>, report: impl Fn() -> Vec<(String, u64)>) {
     loop {
         sleep(COUNTERS_INTERVAL).await;
@@ -25,18 +25,19 @@
     }
 }
 
-/// Introduces itself by `hello`, now and at each notification of `changed`; hands each message to `take`, and acknowledges
-/// an update once it is applied. `now` is the clock by which the subscriber holds its lease.
+/// Runs the subscriber's side of a session. Sends the message that `hello` returns, now and at each notification of
+/// `changed`; passes each received message to `handle`, and acknowledges an update once it is applied. `now` reads the
+/// clock on which the subscriber's lease is measured.
 ///
-/// Returns when the session is lost, the publisher is draining, or `take` returns false as a message does not build on what
-/// is known: the subscriber then has to open a new session.
+/// Returns when the session is lost, the publisher is draining, or `handle` returns false because an update does not build
+/// on the known state. The subscriber must then open a new session.
 pub async fn follow(
     mut frames: FrameReader,
     outbox: Outbox<SubscriberMessage>,
     hello: impl Fn() -> SubscriberMessage,
     now: impl Fn() -> Millis,
     changed: &Notify,
-    mut take: impl AsyncFnMut(PublisherMessage) -> bool,
+    mut handle: impl AsyncFnMut(PublisherMessage) -> bool,
 ) {
     if !outbox.send(hello()) {
         return;
@@ -45,7 +46,7 @@
     renewal.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut checks = MessageChecks::default();
     loop {
-        let is_up = tokio::select! {
+        let is_open = tokio::select! {
             received = frames.next_or_timeout::<PublisherMessage>() => {
                 let Ok(message) = received else { return };
                 if message == PublisherMessage::Draining {
@@ -53,19 +54,19 @@
                 }
                 checks.check(&message, now());
                 let acknowledgement = acknowledgement_of(&message);
-                let is_applied = message == PublisherMessage::Ping || take(message).await;
+                let is_applied = message == PublisherMessage::Ping || handle(message).await;
                 is_applied && acknowledgement.is_none_or(|message| outbox.send(message))
             }
             () = changed.notified() => outbox.send(hello()),
             _ = renewal.tick() => outbox.send(SubscriberMessage::RenewLease { sent_at: now() }),
         };
-        if !is_up {
+        if !is_open {
             return;
         }
     }
 }
 
-/// What a message has to be answered with once it is applied, if anything.
+/// The acknowledgement that is due once a message is applied; `None` if it needs none.
 fn acknowledgement_of(message: &PublisherMessage) -> Option<SubscriberMessage> {
     match message {
         PublisherMessage::Push { number, .. } => Some(SubscriberMessage::Applied(*number)),
@@ -96,7 +97,7 @@
 }
 
 fn check_lease(sent_at: Millis, duration: Millis, now: Millis) {
-    // The grant may answer a request of a while ago: what counts is the remaining time.
+    // The request may have been sent a while ago, so that the remaining time is checked and not the duration.
     let remaining = sent_at.saturating_add(duration).saturating_sub(now);
     Invariant::LeaseIsBounded.check(remaining <= VOTER_LEASE, || format!("{remaining} ms left"));
 }
