--- a/glenfall/src/agent/control_link.rs
+++ b/glenfall/src/agent/control_link.rs
@@ -11,9 +11,9 @@
 use crate::session::subscriber;
 use crate::settings::Settings;
 
-/// Pause before control nodes are tried again; it doubles with each time that none of them could be reached.
+/// Pause before the control nodes are tried again. It doubles each time that none of them can be reached.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// The longest of these pauses.
+/// Upper bound of this pause.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(800);
 
 /// A connection to a control node.
@@ -23,10 +23,10 @@
     outbox: Outbox<SubscriberMessage>,
 }
 
-/// The session of the agent with control, moved from one node to the next when it is lost.
+/// The agent's session with control. When it is lost, the next one is opened with another node.
 pub(super) struct ControlLink<'a> {
     relay: &'a Relay,
-    /// Where in the list of control nodes the next attempt begins. Agents begin at different nodes.
+    /// Index of the control node that is tried next, modulo their number. Agents begin at different nodes.
     next_node: usize,
 }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Connects to the first node that can be reached; `None` where there is none. The next call begins with the node after
+    /// Connects to the first node that can be reached; `None` if there is none. The next call begins with the node after
     /// that one.
     async fn connect(&mut self) -> Option<ControlConnection> {
         let addrs = self.control_addrs();
@@ -66,11 +66,11 @@
         None
     }
 
-    /// The nodes that control itself has named, then the seeds as the settings file has them now.
+    /// The nodes that control has announced, then the seeds in the settings file, which is read again for each call.
     fn control_addrs(&self) -> Vec<SocketAddrV4> {
         let settings = self.relay.settings();
-        let reread = Settings::load();
-        let seeds = reread.as_ref().map_or(&settings.seed_nodes, |reread| &reread.seed_nodes);
+        let reloaded = Settings::load();
+        let seeds = reloaded.as_ref().map_or(&settings.seed_nodes, |reloaded| &reloaded.seed_nodes);
         let known = self.relay.known().borrow();
         let seed_ips = seeds.iter().map(|seed| *seed.ip());
         let mut addrs: Vec<SocketAddrV4> = Vec::new();
@@ -83,7 +83,7 @@
         addrs
     }
 
-    /// Runs a session until it is lost, and ends the leases that came from it.
+    /// Runs a session until it is lost, and ends the leases that depend on it.
     async fn run_session(&self, connection: ControlConnection) {
         let ControlConnection { addr, frames, outbox } = connection;
         let relay = self.relay;
@@ -101,7 +101,7 @@
         }
         tracing::warn!(control = %addr, "connection to control lost");
         if relay.release_leases().await {
-            // A control node that can't be reached any more waits for the end of the lease instead.
+            // If the control node can no longer be reached, it waits for the end of the lease instead.
             let _ = outbox.send(SubscriberMessage::LeaseReleased);
         }
     }
--- a/glenfall/src/agent/known_state.rs
+++ b/glenfall/src/agent/known_state.rs
@@ -1,4 +1,4 @@
-//! What the agent knows of the system, and which updates it has to pass on.
+//! The state that the agent has received from control, and the updates that it has to forward.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -19,18 +19,18 @@
     }
 }
 
-/// What this agent has received from control.
+/// The configuration, the fleet and the control nodes, as last received from control.
 #[derive(Default)]
 pub(super) struct KnownState {
     config: Option<VersionedDocument>,
     fleet: KnownFleet,
     control_nodes: Vec<Ipv4Addr>,
-    /// Whether control has sent everything that may have been missed.
+    /// Whether control has sent all updates that may have been missed.
     is_connected: bool,
 }
 
 impl KnownState {
-    /// Takes a configuration. Returns the update to pass on, or nothing where it is not newer than the known one.
+    /// Applies a configuration. Returns the update to forward; `None` if it is not newer than the known one.
     pub(super) fn apply_config(&mut self, rev: u64, document: Arc<Vec<u8>>) -> Option<Update> {
         if self.config.as_ref().is_some_and(|known| known.rev >= rev) {
             return None;
@@ -38,8 +38,8 @@
         Some(self.config.insert(VersionedDocument { rev, document }).update())
     }
 
-    /// Takes an update of the fleet. Returns the update to pass on, or nothing where nothing changes; an error where the
-    /// update builds on a version that is not known.
+    /// Applies an update of the fleet. Returns the update to forward; `None` if nothing changes. Fails if the update builds
+    /// on an unknown version.
     pub(super) fn apply_fleet(&mut self, update: FleetUpdate) -> Result<Option<Update>, Gap> {
         let change = self.fleet.apply_update(update)?;
         Ok(change.map(Update::Fleet))
@@ -49,7 +49,7 @@
         self.is_connected = is_connected;
     }
 
-    /// The control nodes that control itself has named.
+    /// The control nodes that control has announced.
     pub(super) fn control_nodes(&self) -> &[Ipv4Addr] {
         &self.control_nodes
     }
@@ -58,9 +58,9 @@
         self.control_nodes = control_nodes;
     }
 
-    /// The updates that a proxy needs which knows nothing, or may have missed some.
+    /// The updates for a proxy that has just connected: it knows nothing, or may have missed some.
     pub(super) fn snapshot(&self) -> Vec<Update> {
-        // What was purged while the proxy was away is not known one by one.
+        // The purges that the proxy may have missed are not recorded, so that everything is purged.
         let mut updates = vec![Update::Purges(vec![AgedPurge { purge: Purge::Everything, age_ms: 0 }])];
         updates.extend(self.config.as_ref().map(VersionedDocument::update));
         updates.extend(self.fleet.snapshot().map(Update::Fleet));
--- a/glenfall/src/agent/mod.rs
+++ b/glenfall/src/agent/mod.rs
@@ -1,6 +1,7 @@
 //! The agent on the machine of an edge: holds the link to control and relays its updates to the edge over loopback.
 //!
-//! It remembers the configuration and the fleet, so that an edge that restarts, or an outage of control, costs nothing.
+//! It keeps the configuration and the fleet, so that an edge that restarts has them at once, also during an outage of
+//! control.
 
 mod control_link;
 mod known_state;
@@ -16,7 +17,7 @@
 use control_link::ControlLink;
 use relay::Relay;
 
-/// Runs the agent for as long as the process runs.
+/// Runs the agent for as long as the process runs. Fails if its address can't be bound.
 pub async fn run(settings: Rc<Settings>) -> io::Result<()> {
     let listener = TcpListener::bind(settings.watch_address()).await?;
     let relay = Rc::new(Relay::new(settings));
--- a/glenfall/src/agent/proxy_listener.rs
+++ b/glenfall/src/agent/proxy_listener.rs
@@ -12,7 +12,7 @@
 use crate::session::link::{self, FrameReader, Outbox};
 use crate::session::publisher::{Reach, SubscriberConnection};
 
-/// Pause before the next connection is accepted where accepting one has failed, as no descriptor may be left.
+/// Pause after accepting a connection has failed. The usual reason is that no file descriptor is left.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Accepts connections for as long as the process runs.
--- a/glenfall/src/agent/relay.rs
+++ b/glenfall/src/agent/relay.rs
@@ -19,17 +19,17 @@
 
 /// How long the agent waits for its proxies to apply an update before it acknowledges the update.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(1);
-/// A proxy that does not apply a purge, or is lost, can't serve stored responses after this time, as its lease has ended.
+/// Time after which a proxy that is lost or has not applied a purge can't serve stored responses: its lease has ended.
 const LEASE_END_TIMEOUT: Duration = Duration::from_millis(granter_wait(SESSION_LEASE) + 100);
-/// How long proxies have to acknowledge that they serve no stored responses any more.
+/// How long to wait for proxies to acknowledge that they no longer serve stored responses.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The state that the agent has from control, and its sessions with proxies.
+/// The state received from control, and the sessions with the proxies to which it is forwarded.
 pub(super) struct Relay {
     settings: Rc<Settings>,
     known: RefCell<KnownState>,
     proxies: Sessions,
-    /// The lease of which the leases of the proxies are part. The agent itself serves nothing.
+    /// The agent's own lease, which bounds the leases of the proxies. The agent itself serves no responses.
     lease: HeldLease,
     members_changed: Notify,
 }
@@ -58,7 +58,7 @@
         &self.members_changed
     }
 
-    /// The reading of the clock by which the agent holds its lease.
+    /// The reading of the clock on which the agent's lease is measured.
     pub(super) fn clock(&self) -> Millis {
         self.lease.now()
     }
@@ -68,7 +68,7 @@
         self.proxies.serve(connection, self).await;
     }
 
-    /// How the agent introduces itself to control: for the proxy on this machine.
+    /// The message that opens the agent's session with control, on behalf of the proxy on this machine.
     pub(super) fn hello(&self) -> SubscriberMessage {
         let member = self.proxies.members().into_iter().next();
         SubscriberMessage::Hello { node: self.settings.node.clone(), member }
@@ -77,12 +77,12 @@
     /// The counters of the proxies and of the agent itself.
     pub(super) fn counters(&self) -> Vec<(String, u64)> {
         let sessions = self.proxies.statuses().into_iter();
-        let of_proxies = sessions.flat_map(|session| session.counters);
-        let of_proxies = of_proxies.map(|counter| (counter.name, counter.value));
-        of_proxies.chain(link::report("agent_")).collect()
+        let proxy_counters = sessions.flat_map(|session| session.counters);
+        let proxy_counters = proxy_counters.map(|counter| (counter.name, counter.value));
+        proxy_counters.chain(link::report("agent_")).collect()
     }
 
-    /// Handles a message of control; false where it does not build on what is known, so that a new session is needed.
+    /// Handles a message from control; false if it does not build on the known state, so that a new session is needed.
     pub(super) async fn handle(&self, message: PublisherMessage) -> bool {
         match message {
             PublisherMessage::ControlNodes(nodes) => self.known.borrow_mut().set_control_nodes(nodes),
@@ -96,24 +96,24 @@
         true
     }
 
-    /// Applies an update and passes it on; false where it does not build on what is known.
+    /// Applies an update and forwards it; false if it does not build on the known state.
     async fn apply(&self, update: Update) -> bool {
         match update {
             Update::Config { rev, document } => {
                 let change = self.known.borrow_mut().apply_config(rev, document);
-                self.pass_on(change).await;
+                self.forward(change).await;
             }
             Update::Fleet(update) => {
                 let change = self.known.borrow_mut().apply_fleet(update);
                 match change {
-                    Ok(change) => self.pass_on(change).await,
+                    Ok(change) => self.forward(change).await,
                     Err(gap) => {
                         tracing::warn!(%gap, "fleet update out of order: restarting the session with control");
                         return false;
                     }
                 }
             }
-            // The first update of a session has all purges that may have been missed.
+            // Nothing is recorded: the first update of a session has all purges that may have been missed.
             Update::Purges(purges) => self.purge(purges).await,
             Update::Connected(is_connected) => self.set_connected(is_connected),
         }
@@ -121,7 +121,7 @@
     }
 
     /// Pushes an update to the proxies, if there is one, and waits until they have applied it.
-    async fn pass_on(&self, update: Option<Update>) {
+    async fn forward(&self, update: Option<Update>) {
         let Some(update) = update else { return };
         self.proxies.push(&update);
         if !self.proxies.wait_until_applied(APPLY_TIMEOUT).await {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Returns once no proxy can serve what these purges end.
+    /// Forwards purges. Returns once no proxy can serve a response that they remove.
     async fn purge(&self, purges: Vec<AgedPurge>) {
         self.proxies.push(&Update::Purges(purges));
         if !self.proxies.wait_until_purged(APPLY_TIMEOUT).await {
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Ends the leases that are part of one from control. True once no proxy can use its lease any more, false where that
-    /// takes longer than [`RELEASE_TIMEOUT`].
+    /// Ends the agent's lease and those of its proxies. Returns true once no proxy can use its lease any more, and false if
+    /// that takes longer than [`RELEASE_TIMEOUT`].
     pub(super) async fn release_leases(&self) -> bool {
         self.set_connected(false);
         self.proxies.wait_until_purged(RELEASE_TIMEOUT).await
@@ -161,7 +161,7 @@
         Greeting { messages: Vec::new(), updates: self.known.borrow().snapshot() }
     }
 
-    /// The greeting has the newest configuration that the agent knows.
+    /// Nothing is left to send: the greeting has the newest configuration that the agent knows.
     async fn newest_config(&self) -> Option<Vec<Update>> {
         Some(Vec::new())
     }
--- a/glenfall/src/lib.rs
+++ b/glenfall/src/lib.rs
@@ -1,5 +1,5 @@
-//! glenfall: a content delivery network in one binary. Each role is a subcommand; the settings file is named by
-//! `GLENFALL_CONFIG`.
+//! glenfall: a content delivery network in one binary. Each role is a subcommand; the environment variable
+//! `GLENFALL_CONFIG` has the path of the settings file.
 
 pub mod agent;
 pub mod cache;
--- a/glenfall/src/main.rs
+++ b/glenfall/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `glenfall`; its code is in the library, where tests reach it.
+//! The program `glenfall`. Its code is in the library, so that tests can call it.
 
 use std::process::ExitCode;
 
--- a/glenfall/src/roles/edge.rs
+++ b/glenfall/src/roles/edge.rs
@@ -12,13 +12,12 @@
 use crate::http_server::{self, ServerConfig};
 use crate::settings::Settings;
 
-/// Share of an edge's memory for the bodies of requests in flight; the remaining memory is for the cache, connections and
-/// responses.
+/// Share of an edge's memory for the bodies of requests in flight. The rest is for the cache, connections and responses.
 const REQUEST_BODY_MEMORY_SHARE: f64 = 0.4;
-/// How long a draining edge accepts connections. Load balancers ask the readiness endpoint once a second and act on its
-/// second rejection; the connections that they have sent until then are still accepted.
+/// How long a draining edge accepts connections. Load balancers probe the readiness endpoint once a second and stop
+/// sending connections after the second failed probe; connections that arrive until then are still accepted.
 const DRAIN_ACCEPT_TIME: Duration = Duration::from_millis(3200);
-/// Bound on the connections to the readiness endpoint.
+/// Maximum number of connections to the readiness endpoint.
 const MAX_READINESS_CONNECTIONS: usize = 16;
 
 /// Runs an edge until a signal ends it.
@@ -41,8 +40,8 @@
         Rc::new(EdgeHandler(edge)),
         process.stopping.clone(),
     );
-    // Whichever ends first ends the role: the proxy once it has drained, the readiness endpoint at the end of the grace
-    // time, and both where they can't listen.
+    // The role ends with the first of the two to end: the proxy once it has drained, the readiness endpoint at the end of
+    // the grace time, or either of them if it can't bind its address.
     tokio::select! {
         served = proxy => Ok(served?),
         ended = readiness => Ok(ended?),
@@ -60,7 +59,7 @@
     }
 }
 
-/// The readiness endpoint accepts connections until the grace time ends, so that all who ask learn of the draining.
+/// The readiness endpoint accepts connections until the grace time ends, so that every probe sees the draining state.
 fn readiness_config(listen: SocketAddrV4, settings: &Settings) -> ServerConfig {
     ServerConfig {
         listen,
--- a/glenfall/src/roles/mod.rs
+++ b/glenfall/src/roles/mod.rs
@@ -1,4 +1,4 @@
-//! Start-up of the roles that a machine runs as processes of their own, and what the two proxies have in common.
+//! Start-up of the edge and the shield, and the parts that both of these proxies start with.
 
 pub(crate) mod edge;
 pub(crate) mod shield;
@@ -15,38 +15,39 @@
 use crate::upstream::pool::Pool;
 use crate::watch_client::WatchClient;
 
-/// File descriptors that a process needs for files, sessions and the runtime.
+/// File descriptors reserved for files, sessions and the runtime.
 const RESERVED_DESCRIPTORS: usize = 300;
-/// File descriptors for connections that a process uses at least, whatever its limit.
+/// Minimum number of file descriptors for connections, whatever the limit of the process.
 const MIN_CONNECTION_DESCRIPTORS: usize = 16;
 /// Share of the machine's memory for responses in flight, in addition to the cache. Request bodies, responses and the cache
 /// together leave a quarter at least for connections and everything else.
 const RESPONSE_MEMORY_SHARE: f64 = 0.25;
 
-/// Why a role has ended.
+/// The error that ended a role.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RoleError {
     /// The settings lack what the role needs.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An address can't be listened at.
+    /// A listener could not be started at its address.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// What an edge and a shield start with.
+/// The parts of a process that an edge and a shield have in common.
 struct ProxyProcess {
     settings: Rc<Settings>,
     watch_client: Rc<WatchClient>,
     pool: Rc<Pool>,
-    /// Bound on the connections from clients, and on those to servers and shields.
+    /// Maximum number of connections from clients, and likewise of connections to servers and shields.
     max_connections: usize,
     /// True once the process is to stop.
     stopping: watch::Receiver<bool>,
 }
 
 impl ProxyProcess {
-    /// Starts the watch client's shutdown on a signal, and the closing of connections that stay idle.
+    /// Creates the parts, and starts two tasks: one closes idle connections of the pool, the other begins draining on a
+    /// termination signal.
     fn start(settings: Rc<Settings>, role: ProxyRole, cache_memory_share: f64) -> Self {
         let descriptors = settings.req_limits.max_fds.saturating_sub(RESERVED_DESCRIPTORS);
         let max_connections = descriptors.max(MIN_CONNECTION_DESCRIPTORS) / 2;
@@ -62,16 +63,16 @@
     }
 }
 
-/// Begins draining once a signal ends the process; returns a channel that is true from then on.
+/// Starts a task that begins draining on a termination signal. The returned channel is true from then on.
 fn stop_on_signal(watch_client: &Rc<WatchClient>) -> watch::Receiver<bool> {
     let (sender, stopping) = watch::channel(false);
     let watch_client = Rc::clone(watch_client);
     spawn_local(async move {
         wait_for_termination().await;
-        tracing::info!("draining");
+        tracing::info!("termination signal received: draining");
         watch_client.start_draining();
         sender.send_replace(true);
-        // Dropping the sender would end the waits of receivers that begin later.
+        // Receivers that begin to wait later would fail if the sender were dropped.
         std::future::pending::<()>().await;
     });
     stopping
--- a/glenfall/src/roles/shield.rs
+++ b/glenfall/src/roles/shield.rs
@@ -11,7 +11,7 @@
 use crate::settings::Settings;
 use crate::shield::{Shield, ShieldHandler, CACHE_MEMORY_SHARE};
 
-/// How long a draining shield accepts connections. Edges are notified within milliseconds that it is draining, and open
+/// How long a draining shield accepts connections. Edges are notified of the draining within milliseconds, and then open
 /// no more connections.
 const DRAIN_ACCEPT_TIME: Duration = Duration::from_millis(1200);
 
--- a/glenfall/src/signals.rs
+++ b/glenfall/src/signals.rs
@@ -1,10 +1,11 @@
-//! The signals that a process handles.
+//! Handling of SIGHUP, SIGTERM and SIGINT.
 
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Ignores SIGHUP for as long as the process runs: it may come before the settings are read, and would end the process.
+/// Ignores SIGHUP for as long as the process runs. The signal may arrive before the settings are read, and would end the
+/// process by default.
 pub fn ignore_hangup() {
-    // Once a receiver was installed, the signal has no default effect any more, also after the receiver is dropped.
+    // Installing a receiver disables the signal's default action for good, also after the receiver is dropped.
     if let Err(error) = signal(SignalKind::hangup()) {
         tracing::warn!(%error, "SIGHUP handler not installed: SIGHUP will end this process");
     }
@@ -25,7 +26,7 @@
     }
 }
 
-/// Logs each SIGHUP, and never ends. Settings are read again where they are used, so that nothing else has to be done.
+/// Logs each SIGHUP, and never returns. Code that depends on changed settings reads them again itself.
 async fn log_hangups(hangup: Option<Signal>) {
     if let Some(mut hangup) = hangup {
         while hangup.recv().await.is_some() {
--- a/glenfall/src/watch_client.rs
+++ b/glenfall/src/watch_client.rs
@@ -1,5 +1,5 @@
-//! What a proxy knows of the system: the configuration, the servers and the shields, as its publisher sends them. The
-//! publisher of an edge is the agent on its machine, and that of a shield the control node.
+//! A proxy's view of the system: the configuration, the servers and the shields, as received from its publisher. The
+//! publisher of an edge is the agent on its machine; that of a shield is the control node.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
@@ -22,43 +22,43 @@
 use crate::session::subscriber;
 use crate::settings::Settings;
 
-/// Pause before the publisher is connected to again: it starts at the same time as the proxy, or has just been killed.
+/// Pause before reconnecting to the publisher, which may be starting up like this proxy, or may have been killed.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
 
-/// What a proxy does upon updates.
+/// The callbacks by which a proxy reacts to updates.
 pub trait WatchHandler {
-    /// Called when a configuration is about to be applied.
+    /// Called before a configuration is applied.
     fn config_changed(&self, config: &Arc<Config>);
-    /// Called when servers, shields or edges have changed; `fleet` has all of them.
+    /// Called after servers, shields or edges have changed; `fleet` is the complete list.
     fn fleet_changed(&self, fleet: &Fleet);
-    /// Called for purges: stored responses that they name must not be served any more.
+    /// Called for purges: stored responses that they match must not be served any more.
     fn purge(&self, purges: &[AgedPurge]);
-    /// Called with whether the publisher sends everything that happens.
-    fn connection_changed(&self, yes: bool);
+    /// Called when the publisher begins or ceases to send all updates, and when the connection to it is lost.
+    fn connection_changed(&self, is_connected: bool);
     /// The counters of the proxy for `status`.
     fn counters(&self) -> Vec<(String, u64)>;
 }
 
-/// The state that a proxy has from its publisher.
+/// The state that a proxy has received from its publisher, and its lease.
 pub struct WatchClient {
     settings: Rc<Settings>,
     proxy: ProxyRole,
     incarnation: u64,
     config: RefCell<Option<Arc<Config>>>,
     fleet: RefCell<KnownFleet>,
-    /// Once the process is draining: when it abandons requests that have no response yet.
+    /// When requests that have no response yet are aborted; `None` unless the process is draining.
     drain_deadline: Cell<Option<Instant>>,
     /// Notified when the content of the hello message has changed.
     member_changed: Notify,
-    /// The version of the applied configuration, for tasks that wait for one.
+    /// The version of the applied configuration, 0 without one; tasks can wait for a version.
     rev: watch::Sender<u64>,
-    /// Whether the publisher has sent everything that may have been missed.
+    /// Whether the publisher has sent all updates that may have been missed.
     is_connected: Cell<bool>,
     lease: HeldLease,
 }
 
 impl WatchClient {
-    /// The client of a proxy that knows nothing yet.
+    /// The client of a proxy that has received nothing yet.
     pub fn new(settings: Rc<Settings>, proxy: ProxyRole) -> Rc<Self> {
         Rc::new(WatchClient {
             settings,
@@ -90,8 +90,8 @@
         self.config.borrow().is_some() && self.fleet.borrow().fleet().is_some() && !self.is_draining()
     }
 
-    /// Whether no purge can have been acknowledged that this process has not applied. To be checked whenever a stored
-    /// response is served.
+    /// Whether stored responses may be served: this process has applied every purge that has been acknowledged to its
+    /// sender. Must be checked whenever a stored response is served.
     pub fn may_serve_stored_responses(&self) -> bool {
         self.is_connected.get() && self.lease.is_valid()
     }
@@ -101,18 +101,18 @@
         self.drain_deadline.get().is_some()
     }
 
-    /// When a process that is draining abandons requests that have no response yet; `None` where it is not draining.
+    /// When a draining process aborts requests that have no response yet; `None` if it is not draining.
     pub fn drain_deadline(&self) -> Option<Instant> {
         self.drain_deadline.get()
     }
 
-    /// Starts draining: the publisher is informed, so that new requests go elsewhere.
+    /// Starts draining. The publisher is notified, so that new requests go to other proxies.
     pub fn start_draining(&self) {
         self.drain_deadline.set(Some(Instant::now() + self.settings.grace()));
         self.member_changed.notify_one();
     }
 
-    /// Handles a message of the publisher; false where it does not build on what is known, so that a new session is needed.
+    /// Handles a message from the publisher; false if it does not build on the known state, so that a new session is needed.
     pub fn handle_message(&self, message: PublisherMessage, handler: &impl WatchHandler) -> bool {
         match message {
             PublisherMessage::Push { update, .. } => return self.apply_update(update, handler),
@@ -122,7 +122,7 @@
         true
     }
 
-    /// Applies an update; false where it does not build on what is known.
+    /// Applies an update; false if it does not build on the known state.
     pub fn apply_update(&self, update: Update, handler: &impl WatchHandler) -> bool {
         let was_ready = self.is_ready();
         match update {
@@ -158,8 +158,9 @@
         }
     }
 
-    /// False where the update builds on a version that is not known. A shield has no agent that would merge the incomplete
-    /// list of a control node that has just started with what is known: [`KnownFleet`] does that here.
+    /// Applies an update of the fleet; false if it builds on an unknown version. The list of a control node that has just
+    /// started may be incomplete, and has to be merged with the known one. The agent does that for an edge; for a shield,
+    /// which has no agent, [`KnownFleet`] does it here.
     fn apply_fleet(&self, update: FleetUpdate, handler: &impl WatchHandler) -> bool {
         match self.fleet.borrow_mut().apply_update(update) {
             Ok(None) => return true,
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Without a connection there is no lease: another one is granted after everything that was missed is applied.
+    /// Ends the lease if the connection is lost. The next one is granted after all missed updates are applied.
     fn set_connected(&self, is_connected: bool, handler: &impl WatchHandler) {
         if !is_connected {
             self.lease.end();
@@ -222,8 +223,8 @@
             ) => {}
             () = subscriber::send_reports(&outbox, counters) => {}
         }
-        // Before the connection is closed, and anything else runs in this process: to the publisher, a closed connection
-        // means that no stored response is served.
+        // This must happen before the connection is closed and before any other task runs: the publisher takes a closed
+        // connection to mean that no stored response is served.
         self.set_connected(false, handler);
         tracing::warn!("watch stream lost");
     }
@@ -240,7 +241,7 @@
         SubscriberMessage::Hello { node: self.settings.node.clone(), member: Some(member) }
     }
 
-    /// Where the proxy accepts requests.
+    /// The address at which the proxy accepts requests.
     fn http_address(&self) -> SocketAddrV4 {
         let shield_address = self.settings.shield_address();
         match self.proxy {
