--- a/glenfall/src/edge/counters.rs
+++ b/glenfall/src/edge/counters.rs
@@ -1,23 +1,23 @@
-//! Counters and latencies of an edge, reported under the names that `status` shows.
+//! Counters and latencies of an edge, with their names in `status`.
 
 use crate::metrics::counter::Counter;
 use crate::metrics::latency::Latency;
 
-/// What an edge has counted since its process began.
+/// The counters and latencies of an edge since its process started.
 #[derive(Default)]
 pub(super) struct Counters {
     pub requests: Counter,
     pub reads: Counter,
     /// Reads answered from the local cache.
     pub local_hits: Counter,
-    /// Stored responses that a shield has confirmed as unchanged.
+    /// Stale responses of the local cache that were confirmed as unchanged.
     pub revalidated: Counter,
     pub no_route: Counter,
     pub shield_failures: Counter,
     /// Reads sent to servers because no shield answered.
     pub bypassed_shields: Counter,
     pub rejected: Counter,
-    /// Requests that may have run and have no response.
+    /// Requests that a server may have run, and whose response was lost.
     pub unknown: Counter,
     pub timed_out: Counter,
     pub read_latency: Latency,
--- a/glenfall/src/edge/handler.rs
+++ b/glenfall/src/edge/handler.rs
@@ -15,7 +15,7 @@
 use crate::http_server::{plain_response, FullRequest, FullResponse, Handler};
 use crate::watch_client::WatchClient;
 
-/// The status under which a request is logged whose client has disconnected, as other proxies have it.
+/// The status that is logged for a request whose client has disconnected. Other proxies, such as nginx, use the same.
 const CLIENT_CLOSED_REQUEST: u16 = 499;
 
 /// Handles the requests of an edge's clients.
@@ -24,9 +24,10 @@
 impl Handler for EdgeHandler {
     async fn handle(&self, request: FullRequest) -> FullResponse {
         let received = Instant::now();
-        let disconnect = DisconnectGuard { edge: &self.0, head: &request.head, received, is_answered: false };
+        let disconnect_guard =
+            DisconnectGuard { edge: &self.0, head: &request.head, received, is_answered: false };
         let mut response = self.0.serve(&request).await;
-        disconnect.answered();
+        disconnect_guard.answered();
         self.log_if_failed(&mut response, &request.head, received);
         let counters = &self.0.counters;
         let is_read = request.head.method == Method::GET;
@@ -59,7 +60,7 @@
         if response.failure().is_none() {
             return;
         }
-        // It names the request that the response belongs to, for clients and in logs.
+        // The id lets clients match the response to its request and to the log line.
         response.set_try_id(head.headers.get(TRY_ID_HEADER));
         let Some(failure) = response.failure() else { return };
         let is_sealed = response.headers().contains_key(SEAL_HEADER);
@@ -69,7 +70,7 @@
     }
 }
 
-/// Logs a request that is dropped without an answer: its client's connection has ended.
+/// Logs the request when dropped, unless it was answered: its client has then closed the connection.
 struct DisconnectGuard<'a> {
     edge: &'a Edge,
     head: &'a Parts,
@@ -93,7 +94,7 @@
     }
 }
 
-/// Handles the readiness endpoint, which says whether new clients should connect to this edge.
+/// Handles the readiness endpoint, which reports whether new clients should connect to this edge.
 pub struct ReadinessHandler(pub Rc<WatchClient>);
 
 impl Handler for ReadinessHandler {
--- a/glenfall/src/edge/mod.rs
+++ b/glenfall/src/edge/mod.rs
@@ -1,5 +1,5 @@
-//! The edge proxy: routes clients' requests, sends reads through the shield that RJ-CH names, and forwards all other
-//! requests straight to a server.
+//! The edge proxy: routes clients' requests, sends cacheable reads through a shield, which consistent hashing (RJ-CH)
+//! chooses by the object, and forwards all other requests straight to a server.
 
 mod counters;
 mod handler;
@@ -42,43 +42,44 @@
 use crate::upstream::pool::Pool;
 use crate::watch_client::{WatchClient, WatchHandler};
 
-/// Time between the start of the client's clock and the arrival of its request here, plus the time that the response
-/// needs back. It is subtracted from the deadline.
+/// Transit time of a request from the client to this edge, plus that of the response back. It is subtracted from the
+/// deadline, which the client counts from when it sends the request.
 const CLIENT_TRANSIT_TIME: Duration = Duration::from_millis(12);
-/// Share of the machine's memory for the local cache of objects whose shield is in another zone. It saves traffic between
-/// zones; a larger cache would use more memory than the traffic for the less requested objects justifies.
+/// Share of the machine's memory for the local cache of objects whose shield is in another zone. The cache saves traffic
+/// between zones; the traffic for less requested objects would not justify the memory of a larger one.
 pub const CACHE_MEMORY_SHARE: f64 = 0.06;
-/// A draining edge has its responses ready this long before the end of its grace time, when it aborts the others.
+/// How long before the end of its grace time the requests at a draining edge have their deadline. Those that remain are
+/// aborted at the end of the grace time.
 const DRAIN_MARGIN: Duration = Duration::from_millis(200);
-/// `Retry-After` of a node that is not ready yet, or has no memory for another response.
+/// `Retry-After` while the node is not ready yet, or has no memory for another response.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// An edge: the requests that it forwards, and its local cache.
+/// The state of an edge: its routing, forwarding and local cache.
 pub struct Edge {
     watch_client: Rc<WatchClient>,
     forwarder: Forwarder,
     shields: ShieldSelector,
     local_cache: LocalCache,
     /// Whether control publishes all changes to this edge.
-    in_touch: Cell<bool>,
-    /// Number of edges, which share what may be requested of the services; 1 at least.
+    is_connected: Cell<bool>,
+    /// Number of edges, which share the rate limits of the services; 1 at least.
     edge_count: Cell<u32>,
     counters: Counters,
     attempt_counts: AttemptCounts,
     failures: FailureLog,
-    /// The newest version of the configuration that a request was routed by.
+    /// The version of the configuration that routed the last request.
     latest_rev: Cell<u64>,
 }
 
 impl Edge {
-    /// An edge that learns of changes through `watch_client` and sends through `pool`.
+    /// An edge that receives updates through `watch_client` and sends requests through `pool`.
     pub fn new(settings: &Rc<Settings>, watch_client: Rc<WatchClient>, pool: Rc<Pool>) -> Rc<Self> {
         Rc::new(Edge {
             watch_client,
             forwarder: Forwarder::new(pool, settings, ProxyRole::Edge),
             shields: ShieldSelector::new(&settings.zone),
             local_cache: LocalCache::new(settings.memory_share(CACHE_MEMORY_SHARE)),
-            in_touch: Cell::new(false),
+            is_connected: Cell::new(false),
             edge_count: Cell::new(1),
             counters: Counters::default(),
             attempt_counts: AttemptCounts::default(),
@@ -100,7 +101,7 @@
         };
         let deadline = self.deadline(route, request);
         let is_read = is_cacheable_read(route, request);
-        // A shield draws the same service for an object as the edge.
+        // For a read the draw depends only on the object, so that a shield chooses the same service as the edge.
         let draw = match is_read {
             true => object_draw(request.host(), request.path_and_query()),
             false => self.forwarder.origins.next_random(),
@@ -122,9 +123,9 @@
         Invariant::ConfigOrder.check(previous <= rev, || format!("{rev} after {previous}"));
     }
 
-    /// The time by which a request must be answered: the one deadline of all that it waits for, counted from when it was
-    /// read. It is the client's or the route's, whichever is earlier. A request that arrives while the edge is draining
-    /// ends within the grace time: its server receives the remaining time, and answers within it.
+    /// The time by which a request must be answered. All waits on its behalf end by then. It is the client's or the route's
+    /// deadline, whichever is earlier, and counts from when the request was read. A request that arrives while the edge is
+    /// draining ends within the grace time: its server receives the remaining time, and answers within it.
     fn deadline(&self, route: &Route, request: &FullRequest) -> Instant {
         let requested =
             request.head.headers.get(DEADLINE_HEADER).and_then(|value| value.to_str().ok()?.parse().ok());
@@ -142,7 +143,7 @@
         self.response_to(outcome, &routed.request.head.method)
     }
 
-    /// The client's response for the outcome of its request at the servers.
+    /// The response to the client for the outcome of its request at the servers.
     fn response_to(&self, outcome: Outcome, method: &Method) -> ProxyResponse {
         match outcome {
             Outcome::Answered(response) => response.forward(method),
@@ -161,35 +162,35 @@
         }
     }
 
-    /// Updates this edge's share of what may be requested of services with a rate limit. Where no shield answers, or the
-    /// edge is out of touch, either the shields are gone or the edge is partitioned from them; those that reach the
-    /// shields do not use the edges' share then.
+    /// Updates this edge's share of the rate limits of services. If no shield answers, or control does not publish to this
+    /// edge, either the shields are down or the edge is partitioned from them. Edges that reach the shields do not use the
+    /// edges' share then, so that it belongs to the others alone.
     fn update_quota_share(&self) {
-        let alone = !self.shields.any_ready() || !self.in_touch.get() || self.shields.all_failing();
+        let alone = !self.shields.any_ready() || !self.is_connected.get() || self.shields.all_failing();
         self.forwarder.set_quota_holder(QuotaHolder::Edge { of: self.edge_count.get() as usize, alone });
     }
 
-    /// Stores a shield's response to a request sent at this time in the local cache. Nothing is stored without a lease,
-    /// or where a recent purge names the response.
+    /// Stores a shield's response in the local cache; `sent` is when the request was sent to the shield. Nothing is stored
+    /// without a lease, or if a recent purge matches the response.
     pub fn cache_response(&self, object: &ObjectKey, response: &ServerResponse, sent: Instant) {
-        let Some(born) = StoredResponse::fetched_at(response, sent) else { return };
-        let Some(copy) = StoredResponse::from_response(response, born) else { return };
+        let Some(fetch_time) = StoredResponse::fetched_at(response, sent) else { return };
+        let Some(stored) = StoredResponse::from_response(response, fetch_time) else { return };
         if self.watch_client.may_serve_stored_responses() {
-            self.local_cache.store(object, copy);
+            self.local_cache.store(object, stored);
         }
     }
 
-    /// The response that the local cache holds for an object, whatever its age.
+    /// The stored response for an object in the local cache, whatever its age.
     pub fn cached(&self, object: &ObjectKey) -> Option<Rc<StoredResponse>> {
         self.local_cache.get(object)
     }
 
-    /// How many recent purges keep responses out of the local cache.
+    /// The number of recent purges that keep responses out of the local cache.
     pub fn recent_purge_count(&self) -> usize {
         self.local_cache.recent_purge_count()
     }
 
-    /// Counts and logs a failed request, with the route that takes it by the current configuration.
+    /// Counts and logs a failed request, with its route in the current configuration.
     fn log_failure(&self, failure: &Failure, head: &Parts, status: StatusCode, received: Instant) {
         let config = self.watch_client.config();
         self.failures.record(failure, || {
@@ -225,8 +226,8 @@
         self.local_cache.purge(purges);
     }
 
-    fn connection_changed(&self, yes: bool) {
-        self.in_touch.set(yes);
+    fn connection_changed(&self, is_connected: bool) {
+        self.is_connected.set(is_connected);
         self.update_quota_share();
     }
 
--- a/glenfall/src/edge/read/attempt_log.rs
+++ b/glenfall/src/edge/read/attempt_log.rs
@@ -7,17 +7,17 @@
 /// How an attempt at a shield ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptOutcome {
-    /// The shield has answered, with whatever response.
+    /// The shield has responded, with any status.
     Answered,
     /// No connection was established, or the request could not be written completely.
     Unreachable,
     /// The connection was lost, or the response is not one of a shield.
     ConnectionLost,
-    /// No response has come within the hedge delay, and another attempt begins in parallel.
+    /// No response was received within the hedge delay, and another attempt begins in parallel.
     Unresponsive,
-    /// The shield has not received the configuration that the edge has routed the request by.
+    /// The shield has not received the version of the configuration by which the edge has routed the request.
     ConfigOutdated,
-    /// The shield has a stored response and no lease, and the edge has one: the shield may have missed a purge.
+    /// The shield answered from its cache without a lease, while the edge holds one: the shield may have missed a purge.
     NoLease,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Counts how attempts at shields ended, over all reads.
+/// The number of attempts at shields by outcome, over all reads.
 #[derive(Default)]
 pub(in crate::edge) struct AttemptCounts([Cell<u64>; AttemptOutcome::ALL.len()]);
 
@@ -54,7 +54,7 @@
         count.set(count.get() + 1);
     }
 
-    /// How many attempts ended with each outcome but an answer, under the names in `status`. Zeros are left out.
+    /// The number of failed attempts by outcome, under the names in `status`. Zeros are left out.
     pub fn report(&self) -> impl Iterator<Item = (String, u64)> + '_ {
         let counts = AttemptOutcome::ALL.into_iter().zip(&self.0);
         let failures = counts.filter(|(outcome, _)| *outcome != AttemptOutcome::Answered);
@@ -83,7 +83,7 @@
         self.0.push(LoggedAttempt { shield: shield.clone(), outcome });
     }
 
-    /// A list of all attempts, for the log line of a failed request.
+    /// Lists all attempts with their outcomes, for the log line of a failed request.
     pub fn describe(&self) -> String {
         let attempts =
             self.0.iter().map(|attempt| format!("shield {} {}", attempt.shield.0, attempt.outcome.name()));
--- a/glenfall/src/edge/read/attempts.rs
+++ b/glenfall/src/edge/read/attempts.rs
@@ -1,5 +1,5 @@
-//! The attempts of one read: at shields first, one of them hedging another that does not respond, and in the end at the
-//! servers. Which attempt follows is decided by [`ReadPlan`]; this module carries it out.
+//! The attempts of one read: first at shields, with a parallel (hedged) attempt when one does not respond, and last at the
+//! servers. [`ReadPlan`] decides which attempt follows; this module carries it out.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,20 +24,20 @@
 use crate::shield::object_hash;
 use crate::upstream::forward::Outcome;
 
-/// A shield that has not responded after this part of the remaining time may be down, and the next attempt begins in
-/// parallel. With half of the time, reads that waited for a frozen shield missed their deadline.
+/// The hedge delay is the remaining time divided by this: a shield that has not responded by then may be down, and the
+/// next attempt begins in parallel. With a divisor of 2, reads that waited for a frozen shield missed their deadline.
 const HEDGE_DELAY_DIVISOR: u32 = 4;
-/// Lower bound of the delay before a parallel attempt begins.
+/// Lower bound of the hedge delay.
 const MIN_HEDGE_DELAY: Duration = Duration::from_millis(200);
 
-/// When the shield that was requested last counts as unresponsive.
+/// The hedge delay of the last attempt at a shield.
 struct HedgeTimer {
     shield: ServerId,
     sent: Instant,
     expires: Instant,
 }
 
-/// A read that its edge could not answer from the local cache.
+/// The attempts of a read that its edge could not answer from the local cache.
 pub(super) struct ReadAttempts<'a> {
     edge: &'a Edge,
     routed: &'a RoutedRequest<'a>,
@@ -46,12 +46,12 @@
     stale: Option<Rc<StoredResponse>>,
     shield_headers: Rc<HeaderMap>,
     plan: ReadPlan,
-    /// Shields that have not answered this read, finally or so far.
-    unresponsive: Vec<ServerId>,
+    /// Shields that failed this read or have not responded to it within the hedge delay.
+    excluded_shields: Vec<ServerId>,
     attempt_log: AttemptLog,
     pending: PendingAttempts<'a>,
     hedge_timer: Option<HedgeTimer>,
-    /// The client's response if no better one comes.
+    /// The client's response if no later attempt gets a better one.
     fallback: Option<ProxyResponse>,
 }
 
@@ -70,7 +70,7 @@
             stale,
             shield_headers,
             plan: ReadPlan::new(routed.route.tries),
-            unresponsive: Vec::new(),
+            excluded_shields: Vec::new(),
             attempt_log: AttemptLog::default(),
             pending: PendingAttempts::default(),
             hedge_timer: None,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Makes attempts until the client's response is there.
+    /// Makes attempts until there is a response for the client.
     pub async fn run(mut self) -> ProxyResponse {
         let response = loop {
             if let Some(response) = self.step().await {
@@ -91,7 +91,7 @@
         response.preceded_by(&self.attempt_log.describe())
     }
 
-    /// Carries out the next step of the plan; the client's response if that was the last one.
+    /// Carries out the next step of the plan. Returns the client's response if the read has ended.
     async fn step(&mut self) -> Option<ProxyResponse> {
         if Instant::now() >= self.routed.deadline && self.plan.may_be_counted() {
             return Some(self.deadline_exceeded());
@@ -114,16 +114,16 @@
         self.fallback.take().unwrap_or_else(|| LocalResponse::bad_gateway(Cause::NoShield).into())
     }
 
-    /// The number of shields that may still answer.
+    /// The number of shields that are not excluded.
     fn available_shields(&self) -> usize {
-        self.edge.shields.count().saturating_sub(self.unresponsive.len())
+        self.edge.shields.count().saturating_sub(self.excluded_shields.len())
     }
 
-    /// The shield that RJ-CH names among those that have not been found unresponsive.
+    /// The shield for the object among those that are not excluded; `None` if none is likely to answer.
     fn choose_shield(&self) -> Option<ServerId> {
         let request = self.routed.request;
         let key = Key(object_hash(request.host(), request.path_and_query()));
-        self.edge.shields.choose(key, &self.unresponsive)
+        self.edge.shields.choose(key, &self.excluded_shields)
     }
 
     fn begin_shield_attempt(&mut self, next: NextStep, allowance: Allowance) {
@@ -143,7 +143,7 @@
         });
     }
 
-    /// The timer for a request to a shield; `None` where no other attempt could be made in parallel.
+    /// The hedge timer for a request to a shield; `None` if no other attempt could be made in parallel.
     fn hedge_timer(&self, shield: &ServerId, sent: Instant) -> Option<HedgeTimer> {
         let other_shields = self.available_shields().saturating_sub(1);
         if !self.plan.can_hedge(other_shields) {
@@ -164,14 +164,15 @@
             edge.forwarder.record_client_request(routed.service);
         }
         self.pending.push(number, async move {
-            // The client's own headers: a range is left to the server.
+            // The client's own headers, not those for shields: the server answers a range request itself.
             let request = routed.upstream_request(routed.headers.clone(), is_retry);
             let (outcome, report) = edge.forwarder.send_with_allowance(request, allowance).await;
             AttemptResult::Servers(ServerAttemptEnd { outcome, report })
         });
     }
 
-    /// Waits for the end of an attempt, or until the hedge delay of the last one has passed.
+    /// Waits for the end of an attempt, or until the hedge delay of the last one has passed. Returns the client's response
+    /// if the read has ended.
     async fn wait(&mut self) -> Option<ProxyResponse> {
         let next_ended = self.pending.next_ended();
         let ended = match &self.hedge_timer {
@@ -194,10 +195,10 @@
         self.edge.shields.record_failure(&shield, sent);
         self.edge.counters.shield_failures.increment();
         self.attempt_log.record(&self.edge.attempt_counts, &shield, AttemptOutcome::Unresponsive);
-        self.unresponsive.push(shield);
+        self.excluded_shields.push(shield);
     }
 
-    /// Takes the end of an attempt at a shield; the client's response if it is final.
+    /// Handles the end of an attempt at a shield. Returns the client's response if the read has ended.
     fn shield_attempt_ended(&mut self, number: usize, end: ShieldAttemptEnd) -> Option<ProxyResponse> {
         let ShieldAttemptEnd { shield, sent, result } = end;
         if self.hedge_timer.as_ref().is_some_and(|timer| timer.shield == shield) {
@@ -218,16 +219,16 @@
         let may_have_run = outcome == AttemptOutcome::ConnectionLost;
         self.plan
             .end_attempt(number, if may_have_run { AttemptEnd::ResponseLost } else { AttemptEnd::NotSent });
-        if self.unresponsive.contains(&shield) {
+        if self.excluded_shields.contains(&shield) {
             return;
         }
-        // A shield without a lease is otherwise healthy, and will hold one soon. If it were excluded for longer than
-        // that, another shield would fetch anew what it has.
+        // A shield without a lease is otherwise healthy, and will hold one soon. If its failure were recorded, it would
+        // be ejected for longer than that, and another shield would fetch again what it has stored.
         if outcome != AttemptOutcome::NoLease {
             self.edge.shields.record_failure(&shield, sent);
         }
         self.edge.counters.shield_failures.increment();
-        self.unresponsive.push(shield);
+        self.excluded_shields.push(shield);
     }
 
     fn shield_answered(
@@ -254,7 +255,7 @@
         let verdict = self.plan.end_attempt(number, AttemptEnd::Answered(report));
         let is_rejection = matches!(outcome, Outcome::NotRun(_));
         let response = self.edge.response_to(outcome, &Method::GET);
-        // A shield that has been unresponsive so far may still answer.
+        // A shield that did not respond within the hedge delay may still answer.
         let may_be_answered = is_rejection && !self.pending.is_empty();
         match verdict {
             Verdict::Final if !may_be_answered => Some(self.final_response(response, is_rejection)),
@@ -262,8 +263,8 @@
         }
     }
 
-    /// The client's response where no further attempt follows. A server's answer says more than the message that no
-    /// other server can be tried.
+    /// The client's response when no further attempt follows. The response of an earlier attempt is preferred to a
+    /// rejection, which only reports that no other server can be tried.
     fn final_response(&mut self, response: ProxyResponse, is_rejection: bool) -> ProxyResponse {
         if is_rejection {
             self.fallback.take().unwrap_or(response)
@@ -272,7 +273,7 @@
         }
     }
 
-    /// Keeps a response for the case that no better one comes. A server's response is preferred to a local one.
+    /// Keeps a response in case no later attempt gets a better one. A server's response is preferred to a local one.
     fn keep_fallback(&mut self, response: ProxyResponse, report: SendReport) -> Option<ProxyResponse> {
         if report.used > 0 || self.fallback.is_none() {
             self.fallback = Some(response);
@@ -280,13 +281,13 @@
         None
     }
 
-    /// The client's response for a shield's response; it is stored in the local cache if it may be.
+    /// The client's response for a shield's response, which is stored in the local cache if allowed.
     fn client_response(&self, response: ServerResponse, shield: &ServerId, sent: Instant) -> ProxyResponse {
         let client_headers = &self.routed.request.head.headers;
         if let (StatusCode::NOT_MODIFIED, Some(stale)) = (response.status(), &self.stale) {
             self.edge.counters.revalidated.increment();
-            if let Some(born) = StoredResponse::fetched_at(&response, sent) {
-                stale.requested_at.set(born);
+            if let Some(fetch_time) = StoredResponse::fetched_at(&response, sent) {
+                stale.requested_at.set(fetch_time);
             }
             return stale.respond_to(client_headers).into();
         }
@@ -295,9 +296,9 @@
             self.edge.cache_response(&self.object, &response, sent);
         }
         if self.stale.is_some() && response.status() == StatusCode::OK {
-            // The range was removed from the request for the revalidation; it is applied here.
-            if let Some(copy) = StoredResponse::from_response(&response, sent) {
-                return copy.respond_to(client_headers).into();
+            // The client's range was removed from the request for the revalidation; it is applied here.
+            if let Some(stored) = StoredResponse::from_response(&response, sent) {
+                return stored.respond_to(client_headers).into();
             }
         }
         response.forward_from_shield()
--- a/glenfall/src/edge/read/mod.rs
+++ b/glenfall/src/edge/read/mod.rs
@@ -24,10 +24,10 @@
         let object = routed.object();
         let cached = self.local_cache.get(&object).filter(|_| self.watch_client.may_serve_stored_responses());
         let max_age = max_age(routed.route);
-        if let Some(copy) = cached.as_ref().filter(|copy| copy.age() < max_age) {
+        if let Some(stored) = cached.as_ref().filter(|stored| stored.age() < max_age) {
             self.counters.local_hits.increment();
-            self.local_cache.check_not_purged(&object, copy);
-            return copy.respond_to(&routed.headers).into();
+            self.local_cache.check_not_purged(&object, stored);
+            return stored.respond_to(&routed.headers).into();
         }
         if !self.forwarder.pool.memory.has_capacity() {
             self.counters.rejected.increment();
@@ -38,11 +38,11 @@
     }
 }
 
-/// The headers of a read as they go to shields. A stale stored response is revalidated, and the object is requested
+/// The headers of a read's requests to shields. A stale stored response is revalidated, and the object is requested
 /// without a range: it is transferred only if it has changed, and is then stored.
 fn shield_headers(client_headers: &HeaderMap, stale: Option<&StoredResponse>) -> HeaderMap {
     let mut headers = client_headers.clone();
-    if let Some(etag) = stale.and_then(|copy| copy.headers.get(header::ETAG)) {
+    if let Some(etag) = stale.and_then(|stored| stored.headers.get(header::ETAG)) {
         headers.remove(header::RANGE);
         headers.remove(header::IF_RANGE);
         headers.insert(header::IF_NONE_MATCH, etag.clone());
--- a/glenfall/src/edge/read/pending_attempts.rs
+++ b/glenfall/src/edge/read/pending_attempts.rs
@@ -12,20 +12,20 @@
 use crate::upstream::forward::Outcome;
 use crate::upstream::pool::SendError;
 
-/// The end of an attempt at a shield.
+/// The result of a request to a shield, and when the request was sent.
 pub(super) struct ShieldAttemptEnd {
     pub shield: ServerId,
     pub sent: Instant,
     pub result: Result<ServerResponse, SendError>,
 }
 
-/// The end of an attempt at the servers.
+/// The outcome at the servers, and the sends that it used.
 pub(super) struct ServerAttemptEnd {
     pub outcome: Outcome,
     pub report: SendReport,
 }
 
-/// The end of an attempt.
+/// How an attempt ended, by the kind of its target.
 pub(super) enum AttemptResult {
     Shield(ShieldAttemptEnd),
     Servers(ServerAttemptEnd),
@@ -47,7 +47,7 @@
 pub(super) struct PendingAttempts<'a>(Vec<PendingAttempt<'a>>);
 
 impl<'a> PendingAttempts<'a> {
-    /// Adds an attempt; it begins when it is first waited for.
+    /// Adds an attempt; it begins with the next call of [`PendingAttempts::next_ended`].
     pub fn push(&mut self, number: usize, attempt: impl Future<Output = AttemptResult> + 'a) {
         self.0.push(PendingAttempt { number, future: Box::pin(attempt) });
     }
@@ -57,7 +57,7 @@
         self.0.is_empty()
     }
 
-    /// Waits for the next attempt that ends. Dropping the future loses nothing: the attempts go on with the next call.
+    /// Waits for the next attempt to end. It is cancel-safe: the attempts continue with the next call.
     pub async fn next_ended(&mut self) -> EndedAttempt {
         poll_fn(|context| self.poll_ended(context)).await
     }
--- a/glenfall/src/edge/read/shield_request.rs
+++ b/glenfall/src/edge/read/shield_request.rs
@@ -1,4 +1,4 @@
-//! One request to a shield, and how its end is classified.
+//! One request to a shield, and the classification of its result.
 
 use std::net::SocketAddr;
 
@@ -22,9 +22,9 @@
 pub(super) struct ShieldRequest<'a> {
     pub routed: &'a RoutedRequest<'a>,
     pub headers: &'a HeaderMap,
-    /// Servers that the shield may send the request to.
+    /// The sends that the shield may use.
     pub allowance: Allowance,
-    /// Another shield may have counted the request or sent it to a server.
+    /// Whether another shield may have counted the request or sent it to a server.
     pub is_retry: bool,
 }
 
@@ -59,7 +59,7 @@
         pool.exchange(ExchangeParams::internal(address, deadline), || request.to_http()).await
     }
 
-    /// How an attempt at a shield ended, and its response where the response can be used.
+    /// The outcome of an attempt at a shield, and its response if that can be used.
     pub(super) fn classify(
         &self,
         result: Result<ServerResponse, SendError>,
@@ -74,7 +74,7 @@
         match response.shield_source() {
             None => (AttemptOutcome::ConnectionLost, None),
             Some(ShieldSource::ConfigOutdated) => (AttemptOutcome::ConfigOutdated, None),
-            // A purge may have been acknowledged to its sender on behalf of the lease holders, and be unknown there.
+            // A purge is acknowledged once all lease holders have applied it; a shield without a lease may have missed it.
             Some(ShieldSource::WithoutLease) if self.watch_client.may_serve_stored_responses() => {
                 (AttemptOutcome::NoLease, None)
             }
--- a/glenfall/src/edge/read_plan.rs
+++ b/glenfall/src/edge/read_plan.rs
@@ -1,28 +1,28 @@
-//! The order of a read's attempts at an edge: a pure state machine over the read's send budget. The edge carries out the
-//! steps that it names and reports how they end.
+//! The order of a read's attempts at an edge: a state machine without I/O over the read's send budget. The edge carries
+//! out each step that it returns, and reports how the attempts end.
 //!
-//! A read tries one shield after another, and in the end the servers themselves. A shield that does not respond for a
-//! while may be down: the next attempt is made in parallel (hedged), with the sends that are left of the request's
+//! A read tries one shield after another, and last the servers themselves. A shield that does not respond within the hedge
+//! delay may be down: the next attempt is made in parallel (hedged), with the sends that are left of the request's
 //! budget. The unresponsive attempt is not cancelled: a server may have received what it was allowed to send, and may
 //! still answer.
 
 use crate::http::send_budget::{Allowance, Loan, SendBudget, SendReport, Usage};
 
-/// Bound on the attempts of one read at shields, repeated attempts at one shield included.
+/// Maximum number of attempts of one read at shields, repeated attempts at one shield included.
 pub const MAX_SHIELD_ATTEMPTS: usize = 3;
 
 /// The next step of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Send the request to a shield and call [`ReadPlan::begin_attempt`], or call [`ReadPlan::no_shield_available`] where no shield is
-    /// likely to answer.
+    /// Send the request to a shield and call [`ReadPlan::begin_attempt`], or call [`ReadPlan::no_shield_available`] if no
+    /// shield is likely to answer.
     TryShield {
-        /// What the shield may send to servers.
+        /// The sends that the shield may use.
         allowance: Allowance,
     },
     /// Send the request to servers and call [`ReadPlan::begin_attempt`].
     TryServers {
-        /// What may be sent to servers.
+        /// The sends that may be used.
         allowance: Allowance,
     },
     /// Wait for the attempts in flight.
@@ -38,16 +38,16 @@
     NotSent,
     /// No usable response came back.
     ResponseLost,
-    /// There is a response.
+    /// A response was received.
     Answered(SendReport),
 }
 
-/// What a response means for its read.
+/// Whether the end of an attempt ends its read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is the client's response.
+    /// The response goes to the client.
     Final,
-    /// Another attempt may give a better one.
+    /// Another attempt may get a better response.
     Retry,
 }
 
@@ -59,18 +59,18 @@
     Ended,
 }
 
-/// The attempts of one read, and what is left of its sends.
+/// The attempts of one read, and the sends that are left of its budget.
 #[derive(Debug)]
 pub struct ReadPlan {
     budget: SendBudget,
     attempts: Vec<AttemptState>,
     shield_attempts: usize,
-    /// No further shield is likely to answer.
+    /// Whether no further shield is likely to answer.
     shields_exhausted: bool,
-    /// A shield was tried with no sends left, for a stored response or a fetch in flight.
+    /// Whether a shield was tried with no sends left: it can still answer from its cache or from a fetch in flight.
     tried_without_sends: bool,
     tried_servers: bool,
-    /// The request may have been counted, or sent to a server.
+    /// Whether a shield may have counted the request, or sent it to a server.
     may_be_counted: bool,
 }
 
@@ -94,7 +94,7 @@
         self.may_be_counted
     }
 
-    /// The next step, where this many shields are available that have not been found unresponsive.
+    /// The next step. `available_shields` is the number of shields that this read has not excluded.
     pub fn next(&self, available_shields: usize) -> NextStep {
         if self.attempts.iter().any(|attempt| matches!(attempt, AttemptState::InFlight(_))) {
             return NextStep::Wait;
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Whether another attempt could be made in parallel to those in flight, with this many other shields available.
+    /// Whether another attempt could be made in parallel to those in flight; `other_shields` are available for it.
     pub fn can_hedge(&self, other_shields: usize) -> bool {
         self.next_attempt(other_shields).is_some()
     }
@@ -133,7 +133,7 @@
         has_shield && (self.budget.left() > 0 || !self.tried_without_sends)
     }
 
-    /// Begins the attempt that [`ReadPlan::next`] has named. Returns the number by which its end is reported.
+    /// Begins the attempt that [`ReadPlan::next`] has returned. Returns its number, for [`ReadPlan::end_attempt`].
     pub fn begin_attempt(&mut self, next: NextStep) -> usize {
         let sends = match next {
             NextStep::TryShield { allowance } => {
@@ -151,12 +151,12 @@
         self.attempts.len() - 1
     }
 
-    /// No further shield is likely to answer.
+    /// Records that no further shield is likely to answer.
     pub fn no_shield_available(&mut self) {
         self.shields_exhausted = true;
     }
 
-    /// The attempts in flight have been without a response for the hedge delay.
+    /// Records that the attempts in flight got no response within the hedge delay.
     pub fn hedge_delay_passed(&mut self) {
         for attempt in &mut self.attempts {
             *attempt = match std::mem::replace(attempt, AttemptState::Ended) {
@@ -167,7 +167,7 @@
         self.may_be_counted = true;
     }
 
-    /// Takes the end of an attempt, by its number, and the sends that it has not used.
+    /// Records the end of the attempt with this number, and returns the sends that it has not used to the budget.
     pub fn end_attempt(&mut self, number: usize, end: AttemptEnd) -> Verdict {
         let (usage, verdict) = match end {
             AttemptEnd::NotSent => (Usage::Unused, Verdict::Retry),
--- a/glenfall/src/edge/routed_request.rs
+++ b/glenfall/src/edge/routed_request.rs
@@ -1,4 +1,4 @@
-//! A client's request with the route, service and deadline that the edge has chosen for it.
+//! A client's request with the route, service and deadline that the edge has assigned to it.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
     pub route: &'a Route,
     pub service: &'a str,
     pub request: &'a FullRequest,
-    /// The client's headers without those of its connection.
+    /// The client's headers without hop-by-hop headers.
     pub headers: HeaderMap,
     pub deadline: Instant,
 }
@@ -28,7 +28,7 @@
 }
 
 impl RoutedRequest<'_> {
-    /// The key of the object that a read asks for.
+    /// The cache key of the object that a read requests.
     pub fn object(&self) -> ObjectKey {
         ObjectKey {
             service: self.service.into(),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The request as it goes to servers with these headers. `is_retry` says that it may have reached a server before.
+    /// The request to a server, with these headers. `is_retry` is true if the request may have reached a server before.
     pub fn upstream_request(&self, headers: HeaderMap, is_retry: bool) -> UpstreamRequest<'_> {
         UpstreamRequest {
             service: self.service,
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Whether the request may run more than once. A method that writes is never repeated, whatever the route says of
-    /// its reads.
+    /// Whether the request may run more than once. A write on a cacheable route is never repeated: only its reads are
+    /// known to be idempotent.
     fn is_idempotent(&self) -> bool {
         let method = &self.request.head.method;
         match self.route.kind {
--- a/glenfall/src/edge/shield_selector.rs
+++ b/glenfall/src/edge/shield_selector.rs
@@ -1,4 +1,5 @@
-//! Selection of the shield for a read: RJ-CH over the ready shields, passing over those that failed a short time ago.
+//! Selection of the shield for a read: consistent hashing with bounded loads (RJ-CH) over the ready shields, except those
+//! that failed recently.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,20 +9,20 @@
 use glenfall_control_plane::messages::{Member, ProxyRole};
 use tokio::time::Instant;
 
-/// The ready shields, and how they have answered this edge.
+/// The ready shields, and the outcomes of this edge's requests to them.
 pub(super) struct ShieldSelector {
     shields: RefCell<Shields>,
-    /// The incarnation of each ready shield's process, as last received from control.
+    /// The incarnation of each ready shield's process, as last received from control. It changes when the process restarts.
     incarnations: RefCell<BTreeMap<ServerId, u64>>,
     zone: String,
     /// Shields in this edge's zone, ready or not.
     same_zone: RefCell<Vec<ServerId>>,
-    /// The balancer's clock counts from here.
+    /// The origin of the balancer's clock.
     started: Instant,
 }
 
 impl ShieldSelector {
-    /// A selector of an edge in this zone, which knows no shield yet.
+    /// The selector of an edge in this zone, without shields.
     pub fn new(zone: &str) -> Self {
         ShieldSelector {
             shields: RefCell::default(),
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Takes the shields of a fleet.
+    /// Replaces the shields by those of a fleet.
     pub fn update(&self, fleet: &Fleet) {
         let same_zone = fleet.shields.iter().filter(|member| member.zone == self.zone);
         self.same_zone.replace(same_zone.map(shield_id).collect());
@@ -44,8 +45,8 @@
         self.clear_failures_of_restarted(incarnations);
     }
 
-    /// Clears the failures of shields whose process has restarted: they say nothing about the new process, which
-    /// control reports as ready.
+    /// Clears the failures of shields whose process has restarted. They do not apply to the new process, which control
+    /// reports as ready.
     fn clear_failures_of_restarted(&self, incarnations: BTreeMap<ServerId, u64>) {
         let now = self.now();
         let previous = self.incarnations.replace(incarnations);
@@ -57,17 +58,17 @@
         }
     }
 
-    /// How many shields are ready.
+    /// The number of ready shields.
     pub fn count(&self) -> usize {
         self.shields.borrow().count()
     }
 
-    /// Whether a shield is ready, by what control says.
+    /// Whether control reports any shield as ready.
     pub fn any_ready(&self) -> bool {
         !self.incarnations.borrow().is_empty()
     }
 
-    /// Whether there are shields, and each of them failed this edge a short time ago and has not answered since.
+    /// Whether there are shields, and each of them failed recently and has not answered this edge since.
     pub fn all_failing(&self) -> bool {
         self.shields.borrow().all_ejected(self.now())
     }
@@ -77,25 +78,25 @@
         self.same_zone.borrow().contains(shield)
     }
 
-    /// The shield for an object among those that are not `excluded`; `None` where none is likely to answer.
+    /// The shield for an object among those that are not `excluded`; `None` if none is likely to answer.
     pub fn choose(&self, key: Key, excluded: &[ServerId]) -> Option<ServerId> {
         self.shields.borrow_mut().choose(self.now(), key, excluded).cloned()
     }
 
-    /// Counts a request at a shield until the guard is dropped, also where the request's client disconnects.
+    /// Counts a request as in flight until the guard is dropped, which also happens when its client disconnects.
     pub fn begin_request<'a>(&'a self, shield: &'a ServerId) -> InFlightGuard<'a> {
         self.shields.borrow_mut().begin(shield);
         InFlightGuard { shields: &self.shields, shield }
     }
 
-    /// Records that a request sent at this time has got no usable answer from the shield.
+    /// Records that a request sent to a shield at this time got no usable response.
     pub fn record_failure(&self, shield: &ServerId, sent: Instant) {
         self.shields.borrow_mut().record_outcome(self.now(), shield, self.seconds(sent), true);
     }
 
-    /// Records that a shield has answered a request sent at this time. Where all shields had failed, the others are
-    /// likely to be available again as well: if they stayed excluded, this one would receive the requests for all
-    /// their objects.
+    /// Records that a shield has answered a request sent at this time. If all shields had failed, the failures of the others
+    /// are cleared too: they are likely to be available again, and if they stayed ejected, this shield would receive the
+    /// requests for all their objects.
     pub fn record_answer(&self, shield: &ServerId, sent: Instant) {
         let now = self.now();
         let mut shields = self.shields.borrow_mut();
@@ -116,12 +117,12 @@
     }
 }
 
-/// The balancer's name of a shield: the address where it takes reads.
+/// The balancer's id of a shield: the address at which it accepts reads.
 fn shield_id(member: &Member) -> ServerId {
     ServerId(member.http.to_string().as_str().into())
 }
 
-/// A request counted as in flight at a shield.
+/// A request that is counted as in flight at a shield until this guard is dropped.
 pub(super) struct InFlightGuard<'a> {
     shields: &'a RefCell<Shields>,
     shield: &'a ServerId,
--- a/glenfall/src/session/publisher/serve.rs
+++ b/glenfall/src/session/publisher/serve.rs
@@ -16,7 +16,7 @@
 use super::source::Publisher;
 use crate::session::link::{FrameReader, Outbox, KEEPALIVE_INTERVAL};
 
-/// How long a connection is read after its session has ended: the subscriber may have closed it, which is not seen yet.
+/// How long a connection is still read after its session has ended, to detect whether the subscriber has closed it.
 const CLOSE_DETECTION_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Where the subscriber of a session is.
