--- a/glenfall/src/edge/mod.rs
+++ b/glenfall/src/edge/mod.rs
@@ -120,7 +120,8 @@
 
     fn check_config_order(&self, rev: u64) {
         let previous = self.latest_rev.replace(rev);
-        Invariant::ConfigOrder.check(previous <= rev, || format!("{rev} after {previous}"));
+        Invariant::ConfigOrder
+            .check(previous <= rev, || format!("configuration {rev} used after {previous}"));
     }
 
     /// The time by which a request must be answered. All waits on its behalf end by then. It is the client's or the route's
@@ -147,9 +148,9 @@
     fn response_to(&self, outcome: Outcome, method: &Method) -> ProxyResponse {
         match outcome {
             Outcome::Answered(response) => response.forward(method),
-            Outcome::NotRun(refusal) => {
+            Outcome::NotRun(rejection) => {
                 self.counters.rejected.increment();
-                LocalResponse::rejected(refusal.failure, refusal.retry_after).into()
+                LocalResponse::rejected(rejection.failure, rejection.retry_after).into()
             }
             Outcome::Unknown(failure) => {
                 self.counters.unknown.increment();
@@ -162,9 +163,9 @@
         }
     }
 
-    /// Updates this edge's share of the rate limits of services. If no shield answers, or control does not publish to this
-    /// edge, either the shields are down or the edge is partitioned from them. Edges that reach the shields do not use the
-    /// edges' share then, so that it belongs to the others alone.
+    /// Updates this edge's quota of the rate limits of services. If no shield answers, or control does not publish to this
+    /// edge, either the shields are down or the edge is partitioned from them. It then takes the larger quota of an edge
+    /// without shields: edges that reach the shields do not use their own quotas meanwhile.
     fn update_quota_share(&self) {
         let alone = !self.shields.any_ready() || !self.is_connected.get() || self.shields.all_failing();
         self.forwarder.set_quota_holder(QuotaHolder::Edge { of: self.edge_count.get() as usize, alone });
--- a/glenfall/src/edge/routed_request.rs
+++ b/glenfall/src/edge/routed_request.rs
@@ -17,7 +17,7 @@
     pub route: &'a Route,
     pub service: &'a str,
     pub request: &'a FullRequest,
-    /// The client's headers without hop-by-hop headers.
+    /// The client's headers that are forwarded: without hop-by-hop headers and the system's own.
     pub headers: HeaderMap,
     pub deadline: Instant,
 }
--- a/glenfall/src/session/publisher/lease_snapshot.rs
+++ b/glenfall/src/session/publisher/lease_snapshot.rs
@@ -31,10 +31,8 @@
         let sessions = self.by_id.borrow();
         leased
             .iter()
-            .filter(|snapshot| now < snapshot.lease_end && self.has_lease(now, snapshot.id))
-            .filter_map(|snapshot| {
-                sessions.get(&snapshot.id).filter(|session| !session.has_applied(snapshot.sent))
-            })
+            .filter(|entry| now < entry.lease_end && self.has_lease(now, entry.id))
+            .filter_map(|entry| sessions.get(&entry.id).filter(|session| !session.has_applied(entry.sent)))
             .map(|session| session.node().to_owned())
             .collect()
     }
--- a/glenfall/src/session/publisher/mod.rs
+++ b/glenfall/src/session/publisher/mod.rs
@@ -1,8 +1,8 @@
 //! The publisher's side of sessions: a control node or an agent pushes numbered updates to its subscribers, counts what they
 //! have applied, and grants them leases out of its own.
 //!
-//! A lease outlasts its session: until it ends, a subscriber whose session is lost may serve stored responses. Leases are
-//! therefore kept after their sessions.
+//! Leases are recorded apart from sessions and outlast them: a subscriber whose session is lost may serve stored responses
+//! until its lease ends.
 
 mod acknowledgement;
 mod lease_snapshot;
--- a/glenfall/src/session/publisher/serve.rs
+++ b/glenfall/src/session/publisher/serve.rs
@@ -194,7 +194,8 @@
     fn acknowledge(&self, number: u64) {
         let acknowledge = |session: &mut Session| {
             let sent = session.sent();
-            Invariant::AppliedWasSent.check(number <= sent, || format!("{number} of {sent}"));
+            Invariant::AppliedWasSent
+                .check(number <= sent, || format!("update {number} acknowledged, {sent} sent"));
             session.acknowledge(number);
             if self.sessions.overdue.acknowledge(self.id, session.applied()) {
                 // A lease that the session requested while it was overdue was not granted then.
@@ -225,7 +226,7 @@
     }
 }
 
-/// Whether the subscriber has closed a connection, which reading up to its end shows.
+/// Whether the subscriber has closed the connection. Reads it to its end to find out.
 async fn is_closed(frames: &mut FrameReader) -> bool {
     timeout(CLOSE_DETECTION_TIMEOUT, read_to_end(frames)).await == Ok(SessionEnd::Closed)
 }
--- a/glenfall/src/session/publisher/session.rs
+++ b/glenfall/src/session/publisher/session.rs
@@ -10,7 +10,7 @@
 use super::status::SessionStatus;
 use crate::session::link::Outbox;
 
-/// Identifies a session. A publisher never uses an id again.
+/// Identifies a session of one publisher. Ids are never reused.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SessionId(pub(super) u64);
 
--- a/glenfall/src/session/subscriber.rs
+++ b/glenfall/src/session/subscriber.rs
@@ -91,7 +91,8 @@
 
     fn check_number(&mut self, number: u64) {
         let last = self.last_number;
-        Invariant::PushesInOrder.check(number == last + 1, || format!("{number} after {last}"));
+        Invariant::PushesInOrder
+            .check(number == last + 1, || format!("update {number} received after {last}"));
         self.last_number = number;
     }
 }
@@ -99,5 +100,6 @@
 fn check_lease(sent_at: Millis, duration: Millis, now: Millis) {
     // The request may have been sent a while ago, so that the remaining time is checked and not the duration.
     let remaining = sent_at.saturating_add(duration).saturating_sub(now);
-    Invariant::LeaseIsBounded.check(remaining <= VOTER_LEASE, || format!("{remaining} ms left"));
+    Invariant::LeaseIsBounded
+        .check(remaining <= VOTER_LEASE, || format!("lease granted with {remaining} ms remaining"));
 }
