--- a/glenfall/tests/system.rs
+++ b/glenfall/tests/system.rs
@@ -1,5 +1,5 @@
-//! The whole path as processes, with servers of the test's own: what is kept and what a purge ends, a server that
-//! drains, a configuration that moves a route, an edge that leaves.
+//! End-to-end tests with all roles as processes and test servers behind them: caching and purges, draining servers,
+//! edges and shields, route changes, and nodes that miss updates.
 
 mod common;
 
@@ -12,15 +12,15 @@
 
 use common::{receive_try_id, request, wait_until, Response, System, EDGE_MACHINE};
 
-/// A server that counts what it runs, and can be made to hold its answers back.
+/// A server that counts its requests, and can be made to delay its responses.
 #[derive(Default)]
 struct Server {
-    runs: AtomicUsize,
-    waiting: AtomicUsize,
-    held: Mutex<bool>,
-    released: Condvar,
-    /// Ends connections in place of answers.
-    breaks: AtomicBool,
+    request_count: AtomicUsize,
+    in_flight: AtomicUsize,
+    responses_blocked: Mutex<bool>,
+    responses_unblocked: Condvar,
+    /// Closes connections instead of responding.
+    closes_connections: AtomicBool,
 }
 
 impl Server {
@@ -28,68 +28,68 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let port = listener.local_addr().unwrap().port();
         let server = Arc::new(Server::default());
-        let serving = Arc::clone(&server);
+        let shared = Arc::clone(&server);
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let serving = Arc::clone(&serving);
-                std::thread::spawn(move || serving.connection(stream));
+                let shared = Arc::clone(&shared);
+                std::thread::spawn(move || shared.serve_connection(stream));
             }
         });
         (server, SocketAddrV4::new(Ipv4Addr::LOCALHOST, port))
     }
 
-    fn connection(&self, mut stream: TcpStream) {
+    fn serve_connection(&self, mut stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(id) = receive_try_id(&mut reader) {
-            let run = self.runs.fetch_add(1, Ordering::Relaxed) + 1;
-            self.waiting.fetch_add(1, Ordering::Relaxed);
-            let mut held = self.held.lock().unwrap();
-            while *held {
-                held = self.released.wait(held).unwrap();
+            let request_number = self.request_count.fetch_add(1, Ordering::Relaxed) + 1;
+            self.in_flight.fetch_add(1, Ordering::Relaxed);
+            let mut responses_blocked = self.responses_blocked.lock().unwrap();
+            while *responses_blocked {
+                responses_blocked = self.responses_unblocked.wait(responses_blocked).unwrap();
             }
-            drop(held);
-            self.waiting.fetch_sub(1, Ordering::Relaxed);
-            if self.breaks.load(Ordering::Relaxed) {
+            drop(responses_blocked);
+            self.in_flight.fetch_sub(1, Ordering::Relaxed);
+            if self.closes_connections.load(Ordering::Relaxed) {
                 return;
             }
-            // No two servers say the same.
+            // The bodies of two servers never match.
             let port = stream.local_addr().unwrap().port();
-            let body = format!("run {run} at {port}");
-            let answer = format!(
+            let body = format!("run {request_number} at {port}");
+            let response = format!(
                 "HTTP/1.1 200 OK\r\nX-Glenfall-Try-Id: {id}\r\nX-Glenfall-Seal: s\r\nX-Glenfall-Tags: label\r\n\
-                 ETag: \"{run}\"\r\nContent-Length: {}\r\n\r\n{body}",
+                 ETag: \"{request_number}\"\r\nContent-Length: {}\r\n\r\n{body}",
                 body.len()
             );
-            if stream.write_all(answer.as_bytes()).is_err() {
+            if stream.write_all(response.as_bytes()).is_err() {
                 return;
             }
         }
     }
 
-    fn runs(&self) -> usize {
-        self.runs.load(Ordering::Relaxed)
+    fn request_count(&self) -> usize {
+        self.request_count.load(Ordering::Relaxed)
     }
 
-    fn hold(&self, yes: bool) {
-        *self.held.lock().unwrap() = yes;
-        self.released.notify_all();
+    fn block_responses(&self, blocked: bool) {
+        *self.responses_blocked.lock().unwrap() = blocked;
+        self.responses_unblocked.notify_all();
     }
 }
 
-struct Path {
+struct TestSystem {
     system: System,
-    tries: AtomicUsize,
+    next_try_id: AtomicUsize,
 }
 
-impl Path {
-    /// Two services of two servers and one, a route for reads and one for writes.
-    fn start() -> (Path, [Arc<Server>; 3]) {
+impl TestSystem {
+    /// Service `s` with two servers and service `t` with one; a route for reads and one for writes, both to `s`.
+    fn start() -> (TestSystem, [Arc<Server>; 3]) {
         let system = System::start(&["control", "shield"], &["agent", "edge"]);
         system.wait_for_chain(&[1, 2, 3], 3);
-        let path = Path { system, tries: AtomicUsize::new(0) };
+        let setup = TestSystem { system, next_try_id: AtomicUsize::new(0) };
         let servers = [("a", "s"), ("b", "s"), ("c", "t")].map(|(id, service)| {
             let (server, addr) = Server::start();
-            path.beat(id, service, addr, "ready", 1);
+            setup.send_heartbeat(id, service, addr, "ready", 1);
             (server, addr)
         });
         let document = r#"{"rev": 1, "paths": [
@@ -98,278 +98,303 @@
             {"name": "writes", "hostname": "h", "pathPrefix": "/w/", "type": "mutating", "deadlineMs": 9000,
              "targetMs": 5000, "backend": "s", "tries": 2}],
             "backends": [{"name": "s"}, {"name": "t"}]}"#;
-        path.change("put", 0, document);
-        path.system.wait_until_ready();
-        path.system.wait_for_leases();
+        setup.configure("put", 0, document);
+        setup.system.wait_until_ready();
+        setup.system.wait_for_leases();
         wait_until("reads and writes are served", || {
-            path.ask("GET /r/first").is_some_and(|heard| heard.0 == 200)
-                && path.ask("POST /w/first").is_some_and(|heard| heard.0 == 200)
+            setup.send_request("GET /r/first").is_some_and(|response| response.0 == 200)
+                && setup.send_request("POST /w/first").is_some_and(|response| response.0 == 200)
         });
-        // That a shield is ready comes to the edge a moment later, and a shield gives copies once it holds a lease: so many
-        // objects have a home at each of them.
-        let everywhere: Vec<String> = (0..24).map(|n| format!("GET /r/everywhere-{n}")).collect();
-        path.copies(&everywhere);
-        (path, servers.map(|(server, _)| server))
+        // The edge learns with a delay that a shield is ready, and a shield serves cached responses only once it holds a
+        // lease. This many objects are enough for each shield to be responsible for some.
+        let lines: Vec<String> = (0..24).map(|n| format!("GET /r/everywhere-{n}")).collect();
+        setup.wait_until_cached(&lines);
+        (setup, servers.map(|(server, _)| server))
     }
 
-    fn beat(&self, id: &str, service: &str, addr: SocketAddrV4, status: &str, seq: u32) {
+    fn send_heartbeat(&self, id: &str, service: &str, addr: SocketAddrV4, status: &str, seq: u32) {
         self.system.send_heartbeat(id, service, addr, status, seq);
     }
 
-    fn change(&self, verb: &str, builds_on: u64, document: &str) {
-        self.system.configure(verb, builds_on, document);
+    fn configure(&self, subcommand: &str, builds_on: u64, document: &str) {
+        self.system.configure(subcommand, builds_on, document);
     }
 
-    fn purge(&self, what: &[&str]) {
-        let at = self.system.control_addr_text(3);
-        let told = self.system.run_command(&[&["purge", "--control", &at], what].concat());
-        assert!(told.0, "{}", told.1);
+    fn purge(&self, args: &[&str]) {
+        let control = self.system.control_addr_text(3);
+        let outcome = self.system.run_command(&[&["purge", "--control", &control], args].concat());
+        assert!(outcome.0, "{}", outcome.1);
     }
 
-    fn ask(&self, line: &str) -> Option<Response> {
-        let id = self.tries.fetch_add(1, Ordering::Relaxed);
+    fn send_request(&self, line: &str) -> Option<Response> {
+        let id = self.next_try_id.fetch_add(1, Ordering::Relaxed);
         let headers = format!("Host: h\r\nX-Glenfall-Try-Id: {id:x}\r\nX-Glenfall-Deadline: 9000\r\n");
         request(self.system.edge_addrs()[0], line, &headers, "")
     }
 
-    /// The body of a good answer.
-    fn body(&self, line: &str) -> String {
-        let (status, head, body) = self.ask(line).expect("an answer");
+    /// Sends a request, checks that it succeeds, and returns the body of the response.
+    fn expect_body(&self, line: &str) -> String {
+        let (status, head, body) = self.send_request(line).expect("a response");
         assert_eq!(status, 200, "{line}: {head}");
         assert!(head.contains("x-glenfall-seal: s"), "{line}: {head}");
         body
     }
 }
 
-fn runs(servers: &[Arc<Server>]) -> usize {
-    servers.iter().map(|server| server.runs()).sum()
+fn total_requests(servers: &[Arc<Server>]) -> usize {
+    servers.iter().map(|server| server.request_count()).sum()
 }
 
 #[test]
-fn copies_are_kept_joined_and_ended_by_purges_also_where_their_fetch_was_under_way() {
-    let (path, servers) = Path::start();
-    let before = runs(&servers);
-    let first = path.body("GET /r/kept");
-    assert_eq!([path.body("GET /r/kept"), path.body("GET /r/kept")], [first.clone(), first.clone()]);
-    assert_eq!(runs(&servers) - before, 1, "kept");
-    path.purge(&["--host", "h", "--path", "/r/kept"]);
-    let second = path.body("GET /r/kept");
-    assert_ne!(second, first, "purged by path");
-    path.purge(&["--label", "label"]);
-    assert_ne!(path.body("GET /r/kept"), second, "purged by label");
+fn responses_are_cached_coalesced_and_purged_even_during_a_fetch() {
+    let (setup, servers) = TestSystem::start();
+    let before = total_requests(&servers);
+    let first_body = setup.expect_body("GET /r/kept");
+    assert_eq!(
+        [setup.expect_body("GET /r/kept"), setup.expect_body("GET /r/kept")],
+        [first_body.clone(), first_body.clone()]
+    );
+    assert_eq!(total_requests(&servers) - before, 1, "requests for one cached response");
+    setup.purge(&["--host", "h", "--path", "/r/kept"]);
+    let second_body = setup.expect_body("GET /r/kept");
+    assert_ne!(second_body, first_body, "not purged by path");
+    setup.purge(&["--label", "label"]);
+    assert_ne!(setup.expect_body("GET /r/kept"), second_body, "not purged by label");
 
-    // Several ask for what is being fetched, and a purge comes meanwhile.
-    servers.iter().for_each(|server| server.hold(true));
-    let before = runs(&servers);
+    // Several requests wait for one fetch, and a purge arrives meanwhile.
+    servers.iter().for_each(|server| server.block_responses(true));
+    let before = total_requests(&servers);
     std::thread::scope(|scope| {
-        let asked: Vec<_> = (0..5).map(|_| scope.spawn(|| path.body("GET /r/joined"))).collect();
-        wait_until("a server has the request", || runs(&servers) > before);
-        // The others have come as well by the time that a purge takes.
-        path.purge(&["--host", "h", "--path", "/r/other"]);
-        path.purge(&["--host", "h", "--path", "/r/joined"]);
-        servers.iter().for_each(|server| server.hold(false));
-        let bodies: Vec<String> = asked.into_iter().map(|asked| asked.join().unwrap()).collect();
-        let fetched = runs(&servers) - before;
-        assert!(fetched <= 2, "five who ask together are one fetch, or two where one came after the purge");
-        let again = path.body("GET /r/joined");
+        let handles: Vec<_> = (0..5).map(|_| scope.spawn(|| setup.expect_body("GET /r/joined"))).collect();
+        wait_until("a server has received the request", || total_requests(&servers) > before);
+        // By the end of this purge the other requests have arrived as well.
+        setup.purge(&["--host", "h", "--path", "/r/other"]);
+        setup.purge(&["--host", "h", "--path", "/r/joined"]);
+        servers.iter().for_each(|server| server.block_responses(false));
+        let bodies: Vec<String> = handles.into_iter().map(|handle| handle.join().unwrap()).collect();
+        let fetches = total_requests(&servers) - before;
         assert!(
-            bodies.iter().filter(|body| **body == again).count() < 5,
-            "what began before the purge is kept"
+            fetches <= 2,
+            "five concurrent requests take one fetch, or two if one arrived after the purge"
+        );
+        let body_after_purge = setup.expect_body("GET /r/joined");
+        assert!(
+            bodies.iter().filter(|body| **body == body_after_purge).count() < 5,
+            "a response fetched before the purge is still cached"
         );
     });
 }
 
 #[test]
-fn copies_outlive_shields_and_the_core_but_not_a_purge() {
-    let (mut path, _servers) = Path::start();
+fn cached_responses_survive_shield_and_control_restarts_but_not_a_purge() {
+    let (mut setup, _servers) = TestSystem::start();
     let addrs: Vec<SocketAddrV4> = ["a", "b"]
         .iter()
         .map(|id| {
-            let status = path.system.status(1).unwrap();
+            let status = setup.system.status(1).unwrap();
             let all = status["servers"].as_array().unwrap();
-            let server = all.iter().find(|server| server["id"] == *id).expect("it is known");
+            let server = all.iter().find(|server| server["id"] == *id).expect("the server is registered");
             server["addr"].as_str().unwrap().parse().unwrap()
         })
         .collect();
-    // What comes from a copy tells its age.
-    let from_copy = |path: &Path, line: &str| {
-        let (status, head, body) = path.ask(line)?;
+    // A cached response has an `Age` header.
+    let cached_body = |setup: &TestSystem, line: &str| {
+        let (status, head, body) = setup.send_request(line)?;
         (status == 200 && head.contains("\r\nage: ")).then_some(body)
     };
-    for (turn, with_core) in [(2, false), (3, true)] {
-        let line = format!("GET /r/{turn}");
-        let again = |path: &mut Path| {
-            path.system.restart_role("shield", |_| ());
-            if with_core {
-                path.system.restart_role("control", |_| ());
-                path.system.wait_for_chain(&[1, 2, 3], 3);
+    for (round, restart_control) in [(2, false), (3, true)] {
+        let line = format!("GET /r/{round}");
+        let restart_processes = |setup: &mut TestSystem| {
+            setup.system.restart_role("shield", |_| ());
+            if restart_control {
+                setup.system.restart_role("control", |_| ());
+                setup.system.wait_for_chain(&[1, 2, 3], 3);
                 for (id, addr) in ["a", "b"].iter().zip(&addrs) {
-                    path.beat(id, "s", *addr, "ready", turn);
+                    setup.send_heartbeat(id, "s", *addr, "ready", round);
                 }
             }
         };
-        let mut first = None;
-        wait_until("a copy", || {
-            first = from_copy(&path, &line);
-            first.is_some()
+        let mut first_body = None;
+        wait_until("a cached response is served", || {
+            first_body = cached_body(&setup, &line);
+            first_body.is_some()
         });
-        // Whichever shield is in the array first may have fetched it as well.
-        let mut known = BTreeSet::from([first.unwrap_or_default()]);
-        // They are on disk a moment after they were fetched.
-        wait_until("a copy outlives its process", || {
+        // Until all shields are listed again, another one may serve the object, with a response that it fetched itself.
+        let mut known_bodies = BTreeSet::from([first_body.unwrap_or_default()]);
+        // A response is written to disk shortly after it was fetched.
+        wait_until("a cached response survives its process", || {
             std::thread::sleep(Duration::from_millis(400));
-            again(&mut path);
-            let mut now = None;
-            wait_until("a copy", || {
-                now = from_copy(&path, &line);
-                now.is_some()
+            restart_processes(&mut setup);
+            let mut current = None;
+            wait_until("a cached response is served", || {
+                current = cached_body(&setup, &line);
+                current.is_some()
             });
-            // No run says what another has said.
-            let same = now.as_ref().is_some_and(|now| known.contains(now));
-            known.extend(now);
-            same
+            // Each request that reaches a server gets a different body.
+            let is_known = current.as_ref().is_some_and(|current| known_bodies.contains(current));
+            known_bodies.extend(current);
+            is_known
         });
-        // What is purged while no shield runs is not what lay on disk, nor where all the core has forgotten it since.
-        path.system.restart_role("shield", |system| {
-            let (at, what) = (system.control_addr_text(3), format!("/r/{turn}"));
-            wait_until("a purge", || {
-                system.run_command(&["purge", "--control", &at, "--host", "h", "--path", &what]).0
+        // A purge while no shield runs covers the responses on disk, even if all control nodes restart afterwards.
+        setup.system.restart_role("shield", |system| {
+            let (control, url_path) = (system.control_addr_text(3), format!("/r/{round}"));
+            wait_until("the purge is acknowledged", || {
+                system.run_command(&["purge", "--control", &control, "--host", "h", "--path", &url_path]).0
             });
         });
-        again(&mut path);
-        let mut now = None;
-        wait_until("a copy", || {
-            now = from_copy(&path, &line);
-            now.is_some()
+        restart_processes(&mut setup);
+        let mut current = None;
+        wait_until("a cached response is served", || {
+            current = cached_body(&setup, &line);
+            current.is_some()
         });
-        assert!(!now.is_some_and(|now| known.contains(&now)), "purged while shields were away");
+        assert!(
+            !current.is_some_and(|current| known_bodies.contains(&current)),
+            "a response purged while no shield ran was served"
+        );
     }
 }
 
 #[test]
-fn a_server_that_drains_gets_nothing_more_and_a_route_moves_for_good() {
-    let (path, servers) = Path::start();
-    wait_until("both take part", || {
-        path.body("POST /w/x");
-        servers[..2].iter().all(|server| server.runs() > 4)
+fn a_draining_server_gets_no_requests_and_a_route_change_is_never_reverted() {
+    let (setup, servers) = TestSystem::start();
+    wait_until("both servers get requests", || {
+        setup.expect_body("POST /w/x");
+        servers[..2].iter().all(|server| server.request_count() > 4)
     });
-    let addr = path.system.status(1).unwrap()["servers"].as_array().and_then(|servers| {
+    let addr = setup.system.status(1).unwrap()["servers"].as_array().and_then(|servers| {
         servers.iter().find(|server| server["id"] == "a")?["addr"].as_str()?.parse().ok()
     });
-    path.beat("a", "s", addr.expect("the address of a"), "draining", 2);
-    let drained = servers[0].runs();
+    setup.send_heartbeat("a", "s", addr.expect("the address of a"), "draining", 2);
+    let count_when_drained = servers[0].request_count();
     for _ in 0..40 {
-        path.body("POST /w/x");
+        setup.expect_body("POST /w/x");
     }
-    assert_eq!(servers[0].runs(), drained, "after the 2xx nothing more comes");
+    assert_eq!(servers[0].request_count(), count_when_drained, "requests after draining was acknowledged");
 
-    let moved = r#"{"rev": 4, "upsert": {"paths": [
+    let change = r#"{"rev": 4, "upsert": {"paths": [
         {"name": "writes", "hostname": "h", "pathPrefix": "/w/", "type": "mutating", "deadlineMs": 9000,
          "backend": "t", "tries": 2}]}, "remove": {"paths": ["reads"]}}"#;
-    path.change("patch", 1, moved);
-    let (began, before) = (Instant::now(), servers[2].runs());
-    wait_until("the route has moved", || {
-        path.body("POST /w/x");
-        servers[2].runs() > before
+    setup.configure("patch", 1, change);
+    let (began, before) = (Instant::now(), servers[2].request_count());
+    wait_until("the route leads to the new service", || {
+        setup.expect_body("POST /w/x");
+        servers[2].request_count() > before
     });
-    assert!(began.elapsed() < Duration::from_secs(3), "applyMs");
-    let (old, new) = (servers[1].runs(), servers[2].runs());
+    assert!(began.elapsed() < Duration::from_secs(3), "time to apply a configuration change");
+    let (old_count, new_count) = (servers[1].request_count(), servers[2].request_count());
     for _ in 0..30 {
-        path.body("POST /w/x");
+        setup.expect_body("POST /w/x");
     }
-    assert_eq!((servers[1].runs(), servers[2].runs()), (old, new + 30), "never back");
-    assert_eq!(path.ask("GET /r/first").map(|heard| heard.0), Some(404), "a dropped route");
+    assert_eq!(
+        (servers[1].request_count(), servers[2].request_count()),
+        (old_count, new_count + 30),
+        "requests to the old service after the route has moved"
+    );
+    assert_eq!(setup.send_request("GET /r/first").map(|response| response.0), Some(404), "a removed route");
 }
 
 #[test]
-fn an_edge_that_leaves_answers_what_it_has_read_and_takes_what_still_comes() {
-    let (mut path, servers) = Path::start();
-    servers.iter().for_each(|server| server.hold(true));
-    let waiting = || servers.iter().map(|server| server.waiting.load(Ordering::Relaxed)).sum::<usize>();
-    let [edge, ready] = path.system.edge_addrs();
+fn a_draining_edge_completes_requests_in_flight_and_accepts_late_ones() {
+    let (mut setup, servers) = TestSystem::start();
+    servers.iter().for_each(|server| server.block_responses(true));
+    let in_flight = || servers.iter().map(|server| server.in_flight.load(Ordering::Relaxed)).sum::<usize>();
+    let [edge, ready] = setup.system.edge_addrs();
     std::thread::scope(|scope| {
-        let asked = scope.spawn(|| request(edge, "POST /w/held", "Host: h\r\nX-Glenfall-Try-Id: ab\r\n", ""));
-        wait_until("the request is at a server", || waiting() == 1);
-        path.system.signal(EDGE_MACHINE, "edge", "-TERM");
-        wait_until("it is not ready any more", || {
-            request(ready, "GET /api/ready", "Host: e\r\n", "").is_some_and(|heard| heard.0 == 503)
+        let early_request =
+            scope.spawn(|| request(edge, "POST /w/held", "Host: h\r\nX-Glenfall-Try-Id: ab\r\n", ""));
+        wait_until("a server has received the request", || in_flight() == 1);
+        setup.system.signal(EDGE_MACHINE, "edge", "-TERM");
+        wait_until("the edge reports that it is not ready", || {
+            request(ready, "GET /api/ready", "Host: e\r\n", "").is_some_and(|response| response.0 == 503)
         });
-        let late = scope.spawn(|| request(edge, "POST /w/late", "Host: h\r\nX-Glenfall-Try-Id: ac\r\n", ""));
-        wait_until("a late one is at a server too", || waiting() == 2);
-        servers.iter().for_each(|server| server.hold(false));
-        for asked in [asked, late] {
-            let (status, head, body) = asked.join().unwrap().expect("a whole answer");
+        let late_request =
+            scope.spawn(|| request(edge, "POST /w/late", "Host: h\r\nX-Glenfall-Try-Id: ac\r\n", ""));
+        wait_until("a server has received the late request too", || in_flight() == 2);
+        servers.iter().for_each(|server| server.block_responses(false));
+        for handle in [early_request, late_request] {
+            let (status, head, body) = handle.join().unwrap().expect("a complete response");
             assert_eq!(status, 200, "{head}");
             assert!(head.contains("connection: close") && body.starts_with("run "), "{head} {body}");
         }
     });
-    wait_until("it ends", || path.system.exit_success(EDGE_MACHINE, "edge").is_some());
-    assert_eq!(path.system.exit_success(EDGE_MACHINE, "edge"), Some(true), "in order");
+    wait_until("the edge exits", || setup.system.exit_success(EDGE_MACHINE, "edge").is_some());
+    assert_eq!(setup.system.exit_success(EDGE_MACHINE, "edge"), Some(true), "the edge exits successfully");
 }
 
 #[test]
-fn shields_that_leave_answer_what_they_have_asked_servers_for() {
-    let (mut path, servers) = Path::start();
-    wait_until("reads come from copies", || {
-        path.ask("GET /r/copy").is_some_and(|heard| heard.0 == 200 && heard.1.contains("\r\nage: "))
+fn draining_shields_complete_fetches_in_flight() {
+    let (mut setup, servers) = TestSystem::start();
+    wait_until("reads are served from the cache", || {
+        setup
+            .send_request("GET /r/copy")
+            .is_some_and(|response| response.0 == 200 && response.1.contains("\r\nage: "))
     });
-    servers.iter().for_each(|server| server.hold(true));
-    let waiting = || servers.iter().map(|server| server.waiting.load(Ordering::Relaxed)).sum::<usize>();
-    let before = runs(&servers);
-    let edge = path.system.edge_addrs()[0];
+    servers.iter().for_each(|server| server.block_responses(true));
+    let in_flight = || servers.iter().map(|server| server.in_flight.load(Ordering::Relaxed)).sum::<usize>();
+    let before = total_requests(&servers);
+    let edge = setup.system.edge_addrs()[0];
     std::thread::scope(|scope| {
         let headers = "Host: h\r\nX-Glenfall-Try-Id: ad\r\nX-Glenfall-Deadline: 9000\r\n";
-        let asked = scope.spawn(move || request(edge, "GET /r/held", headers, ""));
-        wait_until("the request is at a server", || waiting() == 1);
+        let pending = scope.spawn(move || request(edge, "GET /r/held", headers, ""));
+        wait_until("a server has received the request", || in_flight() == 1);
         for n in 1..EDGE_MACHINE {
-            path.system.signal(n, "shield", "-TERM");
+            setup.system.signal(n, "shield", "-TERM");
         }
-        // Long enough for one that does not wait to end, and for the edge to ask elsewhere.
+        // Long enough for a shield that does not wait to exit, and for the edge to retry at another one.
         std::thread::sleep(Duration::from_millis(500));
-        servers.iter().for_each(|server| server.hold(false));
-        let (status, head, body) = asked.join().unwrap().expect("a whole answer");
+        servers.iter().for_each(|server| server.block_responses(false));
+        let (status, head, body) = pending.join().unwrap().expect("a complete response");
         assert!(status == 200 && body.starts_with("run "), "{status} {head} {body}");
     });
-    assert_eq!(runs(&servers) - before, 1, "nothing was broken off and asked for again");
-    wait_until("they end", || (1..EDGE_MACHINE).all(|n| path.system.exit_success(n, "shield").is_some()));
-    assert!((1..EDGE_MACHINE).all(|n| path.system.exit_success(n, "shield") == Some(true)), "in order");
+    assert_eq!(total_requests(&servers) - before, 1, "the fetch was aborted and repeated");
+    wait_until("the shields exit", || {
+        (1..EDGE_MACHINE).all(|n| setup.system.exit_success(n, "shield").is_some())
+    });
+    assert!(
+        (1..EDGE_MACHINE).all(|n| setup.system.exit_success(n, "shield") == Some(true)),
+        "shields exit successfully"
+    );
 }
 
 #[test]
-fn a_shield_that_does_not_hear_of_a_version_sends_edges_to_another() {
-    let (mut path, _servers) = Path::start();
-    wait_until("reads come from copies", || {
-        path.ask("GET /r/copy").is_some_and(|heard| heard.0 == 200 && heard.1.contains("\r\nage: "))
+fn a_shield_behind_on_configuration_makes_edges_use_another() {
+    let (mut setup, _servers) = TestSystem::start();
+    wait_until("reads are served from the cache", || {
+        setup
+            .send_request("GET /r/copy")
+            .is_some_and(|response| response.0 == 200 && response.1.contains("\r\nage: "))
     });
-    // Control beside one shield stands still, and the edge's agent has its session elsewhere.
-    let at = [1, 3]
+    // Freezes a control node that has only the session of its shield: the edge's agent is connected to another one.
+    let frozen = [1, 3]
         .into_iter()
-        .find(|n| path.system.session_count(*n) == Some(1))
-        .expect("no more than its shield");
-    path.system.signal(at, "control", "-STOP");
-    wait_until("the others go on", || {
-        path.system
+        .find(|n| setup.system.session_count(*n) == Some(1))
+        .expect("a control node without the session of the agent");
+    setup.system.signal(frozen, "control", "-STOP");
+    wait_until("the other control nodes have a chain without it", || {
+        setup
+            .system
             .status(2)
             .is_some_and(|status| status["view"]["chain"].as_array().map(Vec::len) == Some(2))
     });
-    path.change("patch", 1, r#"{"rev": 2, "upsert": {"backends": [{"name": "u"}]}}"#);
-    let known = || {
-        std::fs::read_to_string(path.system.log_path(EDGE_MACHINE))
+    setup.configure("patch", 1, r#"{"rev": 2, "upsert": {"backends": [{"name": "u"}]}}"#);
+    let edge_applied = || {
+        std::fs::read_to_string(setup.system.log_path(EDGE_MACHINE))
             .unwrap()
             .contains("configuration applied rev=2")
     };
-    wait_until("the edge knows it", known);
+    wait_until("the edge has applied the new version", edge_applied);
     for n in 0..12 {
-        let (status, head, _) = path.ask(&format!("GET /r/{n}")).expect("an answer");
+        let (status, head, _) = setup.send_request(&format!("GET /r/{n}")).expect("a response");
         assert_eq!(status, 200, "{head}");
     }
-    path.system.signal(at, "control", "-CONT");
+    setup.system.signal(frozen, "control", "-CONT");
 }
 
 #[test]
-fn an_answer_that_pauses_is_waited_for_where_no_other_server_may_be_asked() {
-    let (path, _servers) = Path::start();
-    // Longer than an answer may take that can be asked for elsewhere.
+fn a_paused_response_is_awaited_when_a_retry_is_not_allowed() {
+    let (setup, _servers) = TestSystem::start();
+    // Longer than the time after which a request that may be retried is sent to another server.
     let pause = Duration::from_millis(1500);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let port = listener.local_addr().unwrap().port();
@@ -384,59 +409,62 @@
             }
         }
     });
-    path.beat("d", "p", SocketAddrV4::new(Ipv4Addr::LOCALHOST, port), "ready", 1);
-    let added = r#"{"rev": 2, "upsert": {"backends": [{"name": "p"}], "paths": [
+    setup.send_heartbeat("d", "p", SocketAddrV4::new(Ipv4Addr::LOCALHOST, port), "ready", 1);
+    let change = r#"{"rev": 2, "upsert": {"backends": [{"name": "p"}], "paths": [
         {"name": "pauses", "hostname": "h", "pathPrefix": "/p/", "type": "mutating", "deadlineMs": 9000,
          "targetMs": 5000, "backend": "p", "tries": 2}]}}"#;
-    path.change("patch", 1, added);
-    let mut heard = None;
-    wait_until("the route is known, and the server", || {
-        heard = path.ask("POST /p/x");
-        !heard.as_ref().is_some_and(|heard| matches!(heard.0, 404 | 503))
+    setup.configure("patch", 1, change);
+    let mut response = None;
+    wait_until("the edge knows the route and the server", || {
+        response = setup.send_request("POST /p/x");
+        !response.as_ref().is_some_and(|response| matches!(response.0, 404 | 503))
     });
-    let (status, head, body) = heard.expect("an answer");
+    let (status, head, body) = response.expect("a response");
     assert_eq!((status, body.as_str()), (200, "first last"), "{head}");
 }
 
 #[test]
-fn an_edge_that_leaves_sends_nothing_again_that_may_have_run() {
-    let (mut path, servers) = Path::start();
-    servers.iter().for_each(|server| server.hold(true));
-    let before = runs(&servers);
-    let [edge, ready] = path.system.edge_addrs();
+fn a_draining_edge_does_not_retry_a_request_that_may_have_run() {
+    let (mut setup, servers) = TestSystem::start();
+    servers.iter().for_each(|server| server.block_responses(true));
+    let before = total_requests(&servers);
+    let [edge, ready] = setup.system.edge_addrs();
     std::thread::scope(|scope| {
         let line = "POST /w/broken";
-        let asked = scope.spawn(move || request(edge, line, "Host: h\r\nX-Glenfall-Try-Id: ad\r\n", ""));
-        wait_until("the request is at a server", || runs(&servers) == before + 1);
-        path.system.signal(EDGE_MACHINE, "edge", "-TERM");
-        wait_until("it is not ready any more", || {
-            request(ready, "GET /api/ready", "Host: e\r\n", "").is_some_and(|heard| heard.0 == 503)
+        let pending = scope.spawn(move || request(edge, line, "Host: h\r\nX-Glenfall-Try-Id: ad\r\n", ""));
+        wait_until("a server has received the request", || total_requests(&servers) == before + 1);
+        setup.system.signal(EDGE_MACHINE, "edge", "-TERM");
+        wait_until("the edge reports that it is not ready", || {
+            request(ready, "GET /api/ready", "Host: e\r\n", "").is_some_and(|response| response.0 == 503)
         });
         servers.iter().for_each(|server| {
-            server.breaks.store(true, Ordering::Relaxed);
-            server.hold(false);
+            server.closes_connections.store(true, Ordering::Relaxed);
+            server.block_responses(false);
         });
-        let (status, head, _) = asked.join().unwrap().expect("a whole answer");
-        assert!(status == 502 && head.contains("connection: close"), "no promise: {head}");
+        let (status, head, _) = pending.join().unwrap().expect("a complete response");
+        assert!(
+            status == 502 && head.contains("connection: close"),
+            "502 with `Connection: close` expected: {head}"
+        );
     });
-    wait_until("it ends", || path.system.exit_success(EDGE_MACHINE, "edge").is_some());
-    assert_eq!(runs(&servers), before + 1, "it went to one server");
+    wait_until("the edge exits", || setup.system.exit_success(EDGE_MACHINE, "edge").is_some());
+    assert_eq!(total_requests(&servers), before + 1, "requests that reached a server");
 }
 
-impl Path {
-    /// Reads these until each comes from a copy that was there; what the copies hold.
-    fn copies(&self, lines: &[String]) -> Vec<String> {
+impl TestSystem {
+    /// Reads these until each is served from a cache, and returns the bodies.
+    fn wait_until_cached(&self, lines: &[String]) -> Vec<String> {
         let mut bodies = Vec::new();
-        wait_until("copies of all", || {
-            let before: Vec<String> = lines.iter().map(|line| self.body(line)).collect();
-            bodies = lines.iter().map(|line| self.body(line)).collect();
+        wait_until("all reads are served from a cache", || {
+            let before: Vec<String> = lines.iter().map(|line| self.expect_body(line)).collect();
+            bodies = lines.iter().map(|line| self.expect_body(line)).collect();
             before == bodies
         });
         bodies
     }
 
-    /// How many answers the edge says that it has given from copies of its own.
-    fn own_copies(&self) -> u64 {
+    /// The edge's counter of responses from its own cache.
+    fn edge_cache_hits(&self) -> u64 {
         let counts = (1..=3).filter_map(|n| self.system.status(n)).flat_map(|status| {
             let sessions = status["sessions"].as_array().cloned().unwrap_or_default();
             sessions.into_iter().filter_map(|session| session["counters"]["own_copies"].as_u64())
@@ -444,47 +472,49 @@
         counts.sum()
     }
 
-    /// Has all copies purged, as soon as that is acknowledged, and reads again: which are still what they were.
-    fn stale_after_purge(&self, lines: &[String], before: &[String]) -> usize {
+    /// Purges all cached responses, reads again once that is acknowledged, and counts the bodies that have not changed.
+    fn count_stale_after_purge(&self, lines: &[String], before: &[String]) -> usize {
         let purge =
             || request(self.system.control_addr(3), "POST /api/purge", "Host: c\r\n", r#"{"label":"label"}"#);
-        wait_until("the purge is acknowledged", || purge().is_some_and(|heard| heard.0 == 200));
-        lines.iter().zip(before).filter(|(line, before)| self.body(line) == **before).count()
+        wait_until("the purge is acknowledged", || purge().is_some_and(|response| response.0 == 200));
+        lines.iter().zip(before).filter(|(line, before)| self.expect_body(line) == **before).count()
     }
 }
 
 #[test]
-fn a_shield_whose_control_is_frozen_serves_no_copy_that_a_purge_has_ended() {
-    let (mut path, _servers) = Path::start();
+fn a_shield_whose_control_node_is_frozen_serves_no_purged_response() {
+    let (mut setup, _servers) = TestSystem::start();
     let lines: Vec<String> = (0..24).map(|n| format!("GET /r/frozen-{n}")).collect();
-    let before = path.copies(&lines);
-    // Not the one that the edge's agent is at: an edge without a lease takes what a shield without one has.
-    let has_edge = |n: u8| {
-        let status = path.system.status(n).expect("it answers");
+    let before = setup.wait_until_cached(&lines);
+    // Not the control node of the edge's agent: an edge without a lease accepts responses of a shield without one.
+    let has_agent_session = |n: u8| {
+        let status = setup.system.status(n).expect("the control node responds");
         status["sessions"].as_array().is_some_and(|all| all.iter().any(|session| session["node"] == "node-4"))
     };
-    let frozen = if has_edge(1) { 2 } else { 1 };
-    path.system.signal(frozen, "control", "-STOP");
-    assert_eq!(path.stale_after_purge(&lines, &before), 0);
+    let frozen = if has_agent_session(1) { 2 } else { 1 };
+    setup.system.signal(frozen, "control", "-STOP");
+    assert_eq!(setup.count_stale_after_purge(&lines, &before), 0);
 }
 
 #[test]
-fn an_edge_whose_agent_is_frozen_serves_no_copy_that_a_purge_has_ended() {
-    let (mut path, _servers) = Path::start();
-    path.system.edit_settings(EDGE_MACHINE, &[("zone = \"z\"", "zone = \"y\"")]);
+fn an_edge_whose_agent_is_frozen_serves_no_purged_response() {
+    let (mut setup, _servers) = TestSystem::start();
+    setup.system.edit_settings(EDGE_MACHINE, &[("zone = \"z\"", "zone = \"y\"")]);
     for role in ["agent", "edge"] {
-        path.system.kill(EDGE_MACHINE, role);
-        path.system.respawn(EDGE_MACHINE, role);
+        setup.system.kill(EDGE_MACHINE, role);
+        setup.system.respawn(EDGE_MACHINE, role);
     }
-    path.system.wait_until_ready();
+    setup.system.wait_until_ready();
     let lines: Vec<String> = (0..8).map(|n| format!("GET /r/agent-{n}")).collect();
-    wait_until("it is served again", || path.ask(&lines[0]).is_some_and(|heard| heard.0 == 200));
-    // For a while after its start it keeps none.
-    wait_until("the edge serves copies of its own", || {
-        path.copies(&lines);
-        path.own_copies() > 0
+    wait_until("reads are served again", || {
+        setup.send_request(&lines[0]).is_some_and(|response| response.0 == 200)
+    });
+    // The edge caches nothing for some time after its start.
+    wait_until("the edge serves responses from its own cache", || {
+        setup.wait_until_cached(&lines);
+        setup.edge_cache_hits() > 0
     });
-    let before = path.copies(&lines);
-    path.system.signal(EDGE_MACHINE, "agent", "-STOP");
-    assert_eq!(path.stale_after_purge(&lines, &before), 0);
+    let before = setup.wait_until_cached(&lines);
+    setup.system.signal(EDGE_MACHINE, "agent", "-STOP");
+    assert_eq!(setup.count_stale_after_purge(&lines, &before), 0);
 }
