--- a/glenfall/tests/changes.rs
+++ b/glenfall/tests/changes.rs
@@ -1,7 +1,9 @@
 //! Hundreds of changes of a configuration with many routes, through three control nodes, an agent and an edge on
-//! loopback: what lies on their disks stays as large as one version. `CHANGES=10000` plays more, and a release build
-//! (`cargo test --release --test changes -- --nocapture`) prints the figures of docs/hardening.md. And how a node catches
-//! up that was away for one change or many (`MISSED=1,100,1000`): it is sent one whole state, whatever it missed.
+//! loopback: the files of the control nodes must stay as large as a few versions. `CHANGES=10000` makes more changes, and
+//! a release build (`cargo test --release --test changes -- --nocapture`) prints the figures of docs/hardening.md.
+//!
+//! A node that was down for one change or for many (`MISSED=1,100,1000`) must catch up by one complete state, and old
+//! state on a disk must neither replace newer state nor cause a view change.
 
 mod common;
 
@@ -9,15 +11,16 @@
 
 use common::{request, wait_until, System, EDGE_MACHINE, WAIT_TIMEOUT};
 
-/// Routes of the largest configuration of the users' days.
-const ROUTES: usize = 700;
-/// Enough for each page of the store to be written over many times, in a few seconds.
-const CHANGES: u64 = 200;
-/// `SQLite`'s pages of one version, of the next beside it and of the journal, with what is lost in half-filled ones.
-const VERSIONS_ON_DISK: u64 = 5;
+/// Number of routes in the largest configuration expected in production.
+const ROUTE_COUNT: usize = 700;
+/// Enough to overwrite each page of the store many times, in a few seconds.
+const DEFAULT_CHANGE_COUNT: u64 = 200;
+/// Limit for the files of a control node, in versions: `SQLite`'s pages of the current and the next version, the journal,
+/// and unused space in half-filled pages.
+const MAX_VERSIONS_ON_DISK: u64 = 5;
 
 fn document(rev: u64) -> String {
-    let routes: Vec<String> = (0..ROUTES)
+    let routes: Vec<String> = (0..ROUTE_COUNT)
         .map(|n| {
             format!(
                 r#"{{"name":"route-{n:04}","hostname":"site-{n}.example","pathPrefix":"/part-{n}/","type":"cacheable","deadlineMs":1000,"targetMs":{},"backend":"s","tries":2,"maxAgeS":30}}"#,
@@ -28,37 +31,38 @@
     format!(r#"{{"rev":{rev},"paths":[{}],"backends":[{{"name":"s"}}],"reqLimits":{{}}}}"#, routes.join(","))
 }
 
-/// Puts a version at these nodes in turn until it is acknowledged; gives how many calls that took.
-fn put(core: &System, nodes: &[u8], rev: u64) -> usize {
-    let (mut calls, head, document) = (0, format!("Host: c\r\nIf-Match: {}\r\n", rev - 1), document(rev));
-    wait_until("a change is acknowledged", || {
-        calls += 1;
-        let at = core.control_addr(nodes[(rev as usize + calls) % nodes.len()]);
-        request(at, "PUT /api/config", &head, &document).is_some_and(|heard| heard.0 == 200)
+/// Sends a version to these nodes in turn until it is acknowledged; returns the number of requests.
+fn put_version(system: &System, nodes: &[u8], rev: u64) -> usize {
+    let (mut request_count, headers, document) =
+        (0, format!("Host: c\r\nIf-Match: {}\r\n", rev - 1), document(rev));
+    wait_until("the change is acknowledged", || {
+        request_count += 1;
+        let control = system.control_addr(nodes[(rev as usize + request_count) % nodes.len()]);
+        request(control, "PUT /api/config", &headers, &document).is_some_and(|response| response.0 == 200)
     });
-    calls
+    request_count
 }
 
-/// Whether a node is in a chain of three and knows this version.
-fn caught_up(core: &System, n: u8, rev: u64) -> Option<serde_json::Value> {
-    let status = core.status(n)?;
-    let whole = status["view"]["chain"].as_array()?.len() == 3 && status["rev"].as_u64()? >= rev;
-    whole.then_some(status)
+/// The status of a node that is in a chain of three and knows this version; `None` otherwise.
+fn status_if_caught_up(system: &System, n: u8, rev: u64) -> Option<serde_json::Value> {
+    let status = system.status(n)?;
+    let complete = status["view"]["chain"].as_array()?.len() == 3 && status["rev"].as_u64()? >= rev;
+    complete.then_some(status)
 }
 
-fn read(core: &System, n: u8) -> Option<(u16, String)> {
-    let (status, _, body) = request(core.control_addr(n), "GET /api/config", "Host: c\r\n", "")?;
+fn read_config(system: &System, n: u8) -> Option<(u16, String)> {
+    let (status, _, body) = request(system.control_addr(n), "GET /api/config", "Host: c\r\n", "")?;
     Some((status, body.trim_end().to_owned()))
 }
 
-fn on_disk(core: &System, n: u8) -> u64 {
-    let files = std::fs::read_dir(core.state_dir(n)).map(|files| files.flatten().collect::<Vec<_>>());
+fn bytes_on_disk(system: &System, n: u8) -> u64 {
+    let files = std::fs::read_dir(system.state_dir(n)).map(|files| files.flatten().collect::<Vec<_>>());
     files.unwrap_or_default().iter().filter_map(|file| file.metadata().ok()).map(|file| file.len()).sum()
 }
 
-/// Resident kilobytes, now and at the most.
-fn resident(core: &mut System, n: u8, role: &str) -> (u64, u64) {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", core.pid(n, role))).unwrap_or_default();
+/// Resident memory of a process in KB, current and peak.
+fn resident_kb(system: &mut System, n: u8, role: &str) -> (u64, u64) {
+    let status = std::fs::read_to_string(format!("/proc/{}/status", system.pid(n, role))).unwrap_or_default();
     let field = |name: &str| {
         let line = status.lines().find(|line| line.starts_with(name))?;
         line.split_whitespace().nth(1)?.parse().ok()
@@ -67,157 +71,174 @@
 }
 
 #[test]
-fn state_stays_as_large_as_one_version_however_many_changes_come() {
-    let changes = std::env::var("CHANGES").ok().and_then(|n| n.parse().ok()).unwrap_or(CHANGES);
-    let mut core = System::start(&["control"], &["agent", "edge"]);
-    core.wait_for_chain(&[1, 2, 3], 3);
-    let (began, mut calls, mut since) = (Instant::now(), 0, (Instant::now(), 0));
+fn disk_usage_stays_bounded_over_many_configuration_changes() {
+    let changes = std::env::var("CHANGES").ok().and_then(|n| n.parse().ok()).unwrap_or(DEFAULT_CHANGE_COUNT);
+    let mut system = System::start(&["control"], &["agent", "edge"]);
+    system.wait_for_chain(&[1, 2, 3], 3);
+    let (began, mut request_count, mut last_report) = (Instant::now(), 0, (Instant::now(), 0));
     let bytes = document(1).len() as u64;
-    println!("{ROUTES} routes, {bytes} bytes; resident and peak in KB");
+    println!("{ROUTE_COUNT} routes, {bytes} bytes; resident and peak in KB");
     for rev in 1..=changes {
-        calls += put(&core, &[1, 2, 3], rev);
+        request_count += put_version(&system, &[1, 2, 3], rev);
         if [changes / 100, changes / 10, changes].contains(&rev) {
-            let disks: Vec<u64> = (1..EDGE_MACHINE).map(|n| on_disk(&core, n)).collect();
-            let control: Vec<_> = (1..EDGE_MACHINE).map(|n| resident(&mut core, n, "control")).collect();
-            let (agent, edge) =
-                (resident(&mut core, EDGE_MACHINE, "agent"), resident(&mut core, EDGE_MACHINE, "edge"));
-            let each = since.0.elapsed().as_secs_f64() * 1000.0 / (rev - since.1) as f64;
-            let heard = |n: u8| {
-                core.status(n).and_then(|s| s["counters"]["message_bytes_heard"].as_u64()).unwrap_or(0)
+            let disks: Vec<u64> = (1..EDGE_MACHINE).map(|n| bytes_on_disk(&system, n)).collect();
+            let control: Vec<_> = (1..EDGE_MACHINE).map(|n| resident_kb(&mut system, n, "control")).collect();
+            let (agent, edge) = (
+                resident_kb(&mut system, EDGE_MACHINE, "agent"),
+                resident_kb(&mut system, EDGE_MACHINE, "edge"),
+            );
+            let ms_per_change = last_report.0.elapsed().as_secs_f64() * 1000.0 / (rev - last_report.1) as f64;
+            let received_bytes = |n: u8| {
+                system.status(n).and_then(|s| s["counters"]["message_bytes_heard"].as_u64()).unwrap_or(0)
             };
-            let versions = (1..EDGE_MACHINE).map(heard).sum::<u64>() as f64 / (rev * bytes) as f64;
-            println!("{rev}: {each:.1} ms and {versions:.2} versions heard each; on disk {disks:?}; control {control:?}, agent {agent:?}, edge {edge:?}");
-            since = (Instant::now(), rev);
+            let versions_received =
+                (1..EDGE_MACHINE).map(received_bytes).sum::<u64>() as f64 / (rev * bytes) as f64;
+            println!("{rev}: {ms_per_change:.1} ms per change and {versions_received:.2} versions received per change; on disk {disks:?}; control {control:?}, agent {agent:?}, edge {edge:?}");
+            last_report = (Instant::now(), rev);
         }
     }
-    println!("{changes} changes, {calls} calls, {:.1} s", began.elapsed().as_secs_f64());
+    println!("{changes} changes, {request_count} requests, {:.1} s", began.elapsed().as_secs_f64());
     for n in 1..EDGE_MACHINE {
-        let size = on_disk(&core, n);
-        assert!(size <= bytes * VERSIONS_ON_DISK, "{size} bytes on disk {n} for {bytes} of one version");
+        let size = bytes_on_disk(&system, n);
+        assert!(
+            size <= bytes * MAX_VERSIONS_ON_DISK,
+            "{size} bytes on the disk of node {n}, with {bytes} bytes per version"
+        );
     }
-    assert_eq!(read(&core, 2), Some((200, document(changes))));
+    assert_eq!(read_config(&system, 2), Some((200, document(changes))));
 }
 
 #[test]
-fn whoever_was_away_is_sent_one_whole_state_however_much_it_missed() {
+fn a_restarted_node_is_sent_one_complete_state_however_many_changes_it_missed() {
     let missed = std::env::var("MISSED").unwrap_or_else(|_| "1,25".into());
-    let mut core = System::start(&["control"], &["agent"]);
-    core.wait_for_chain(&[1, 2, 3], 3);
-    let (mut rev, one) = (1, document(1).len() as u64);
-    put(&core, &[1, 2], rev);
-    let back = |core: &mut System, rev: &mut u64, missed: u64, lost: bool| {
-        core.kill(3, "control");
-        core.wait_for_chain(&[1, 2], 2);
+    let mut system = System::start(&["control"], &["agent"]);
+    system.wait_for_chain(&[1, 2, 3], 3);
+    let (mut rev, version_bytes) = (1, document(1).len() as u64);
+    put_version(&system, &[1, 2], rev);
+    let restart_after_missing = |system: &mut System, rev: &mut u64, missed: u64, disk_lost: bool| {
+        system.kill(3, "control");
+        system.wait_for_chain(&[1, 2], 2);
         for _ in 0..missed {
             *rev += 1;
-            put(core, &[1, 2], *rev);
+            put_version(system, &[1, 2], *rev);
         }
-        if lost {
-            std::fs::remove_dir_all(core.state_dir(3)).unwrap();
-            let settings = core.folder.join("3.toml");
+        if disk_lost {
+            std::fs::remove_dir_all(system.state_dir(3)).unwrap();
+            let settings = system.folder.join("3.toml");
             let text = std::fs::read_to_string(&settings).unwrap();
             std::fs::write(settings, text.replace("bootstrap = true", "bootstrap = false")).unwrap();
         }
         let began = Instant::now();
-        core.respawn(3, "control");
-        wait_until("it is in the chain again", || caught_up(core, 3, *rev).is_some());
+        system.respawn(3, "control");
+        wait_until("the restarted node is in the chain and has the newest version", || {
+            status_if_caught_up(system, 3, *rev).is_some()
+        });
         let took = began.elapsed().as_millis();
-        let status = caught_up(core, 3, *rev).unwrap();
-        let heard = status["counters"]["message_bytes_heard"].as_u64().unwrap();
-        println!("{missed} missed, disk lost: {lost}: in the chain after {took} ms, {heard} bytes heard, {one} a version");
-        // The state with the view, and once before from each of the two who see that it knows an older one. Twice as
-        // much where the first view is not to stand.
-        assert!(heard < 7 * one, "{heard} bytes for {missed} missed changes");
+        let status = status_if_caught_up(system, 3, *rev).unwrap();
+        let received_bytes = status["counters"]["message_bytes_heard"].as_u64().unwrap();
+        println!("{missed} missed, disk lost: {disk_lost}: in the chain after {took} ms, {received_bytes} bytes received, {version_bytes} bytes per version");
+        // Each of the two other nodes sends the state when it sees that this one has an older version, and the view
+        // brings it once more. All of it happens twice if the first view fails.
+        assert!(
+            received_bytes < 7 * version_bytes,
+            "{received_bytes} bytes received after {missed} missed changes"
+        );
     };
     for missed in missed.split(',') {
-        back(&mut core, &mut rev, missed.parse().unwrap(), false);
+        restart_after_missing(&mut system, &mut rev, missed.parse().unwrap(), false);
     }
-    back(&mut core, &mut rev, 10, true);
-    assert_eq!(read(&core, 3), Some((200, document(rev))));
+    restart_after_missing(&mut system, &mut rev, 10, true);
+    assert_eq!(read_config(&system, 3), Some((200, document(rev))));
 }
 
 #[test]
-fn a_node_comes_into_the_chain_while_changes_go_on() {
-    let mut core = System::start(&["control"], &["agent"]);
-    core.wait_for_chain(&[1, 2, 3], 3);
-    core.kill(3, "control");
-    core.wait_for_chain(&[1, 2], 2);
-    let (mut rev, mut began, mut longest, mut after) = (0, None, Duration::ZERO, 0);
-    // Some before it starts, and until it has been there for some.
-    while after < 10 {
+fn a_node_joins_the_chain_while_configuration_changes_continue() {
+    let mut system = System::start(&["control"], &["agent"]);
+    system.wait_for_chain(&[1, 2, 3], 3);
+    system.kill(3, "control");
+    system.wait_for_chain(&[1, 2], 2);
+    let (mut rev, mut restarted, mut longest, mut changes_in_chain) = (0, None, Duration::ZERO, 0);
+    // Ten changes before the node starts, and ten once it is in the chain.
+    while changes_in_chain < 10 {
         rev += 1;
         let sent = Instant::now();
-        put(&core, &[1, 2], rev);
+        put_version(&system, &[1, 2], rev);
         longest = longest.max(sent.elapsed());
         std::thread::sleep(Duration::from_millis(100).saturating_sub(sent.elapsed()));
         if rev == 10 {
-            core.respawn(3, "control");
-            began = Some((Instant::now(), rev));
+            system.respawn(3, "control");
+            restarted = Some((Instant::now(), rev));
         }
-        let (started, at) = began.unwrap_or((Instant::now(), rev));
-        assert!(started.elapsed() < WAIT_TIMEOUT, "in the chain within {} changes", rev - at);
-        if caught_up(&core, 3, at).is_some() {
-            if after == 0 {
-                println!("in the chain after {} ms and {} changes", started.elapsed().as_millis(), rev - at);
+        let (started, restart_rev) = restarted.unwrap_or((Instant::now(), rev));
+        assert!(started.elapsed() < WAIT_TIMEOUT, "not in the chain after {} changes", rev - restart_rev);
+        if status_if_caught_up(&system, 3, restart_rev).is_some() {
+            if changes_in_chain == 0 {
+                println!(
+                    "in the chain after {} ms and {} changes",
+                    started.elapsed().as_millis(),
+                    rev - restart_rev
+                );
             }
-            after += 1;
+            changes_in_chain += 1;
         }
     }
-    println!("{rev} changes, the longest took {} ms", longest.as_millis());
-    assert_eq!(read(&core, 3), Some((200, document(rev))));
+    println!("{rev} changes, the slowest took {} ms", longest.as_millis());
+    assert_eq!(read_config(&system, 3), Some((200, document(rev))));
 }
 
 #[test]
-fn a_head_begins_with_the_newest_state_of_a_majority_though_its_own_is_old() {
-    let mut core = System::start(&["control"], &["agent"]);
-    core.wait_for_chain(&[1, 2, 3], 3);
-    put(&core, &[1, 2, 3], 1);
-    core.kill(1, "control");
-    core.wait_for_chain(&[2, 3], 2);
+fn a_new_head_starts_from_the_newest_state_of_a_majority_when_its_own_is_old() {
+    let mut system = System::start(&["control"], &["agent"]);
+    system.wait_for_chain(&[1, 2, 3], 3);
+    put_version(&system, &[1, 2, 3], 1);
+    system.kill(1, "control");
+    system.wait_for_chain(&[2, 3], 2);
     for rev in 2..8 {
-        put(&core, &[2, 3], rev);
+        put_version(&system, &[2, 3], rev);
     }
-    // The first of the addresses proposes first, with a disk of before.
-    core.kill_others_and_respawn_all(1, "control");
-    core.wait_for_chain(&[1, 2, 3], 3);
-    let head = core.status(1).unwrap()["view"]["chain"][0].clone();
-    assert_eq!(head, core.control_addr(1).ip().to_string());
+    // The node with the lowest address proposes first; its disk has the state from before it was killed.
+    system.kill_others_and_respawn_all(1, "control");
+    system.wait_for_chain(&[1, 2, 3], 3);
+    let chain_head = system.status(1).unwrap()["view"]["chain"][0].clone();
+    assert_eq!(chain_head, system.control_addr(1).ip().to_string());
     for n in 1..EDGE_MACHINE {
-        assert_eq!(read(&core, n), Some((200, document(7))));
-        // Not even for a moment did anybody go back to it.
-        let told = std::fs::read_to_string(core.log_path(n)).unwrap();
-        assert_eq!(told.matches("configuration committed rev=1 ").count(), 1, "{told}");
+        assert_eq!(read_config(&system, n), Some((200, document(7))));
+        // No node returned to the old version, even temporarily.
+        let log = std::fs::read_to_string(system.log_path(n)).unwrap();
+        assert_eq!(log.matches("configuration committed rev=1 ").count(), 1, "{log}");
     }
-    put(&core, &[1, 2, 3], 8);
+    put_version(&system, &[1, 2, 3], 8);
 }
 
 #[test]
-fn a_voter_that_comes_back_with_the_disk_and_the_voters_of_before_moves_nobody() {
-    let mut core = System::start(&["control"], &["agent"]);
-    core.wait_for_chain(&[1, 2, 3], 3);
-    put(&core, &[1, 2, 3], 1);
-    core.kill(3, "control");
-    core.wait_for_chain(&[1, 2], 2);
-    let ask = |core: &System, what: &str| {
-        let at = core.control_addr_text(1);
-        core.run_command(&["core", what, "--control", &at, &core.control_addr(3).ip().to_string()])
+fn a_removed_voter_that_returns_with_its_old_disk_causes_no_view_change() {
+    let mut system = System::start(&["control"], &["agent"]);
+    system.wait_for_chain(&[1, 2, 3], 3);
+    put_version(&system, &[1, 2, 3], 1);
+    system.kill(3, "control");
+    system.wait_for_chain(&[1, 2], 2);
+    let change_voters = |system: &System, action: &str| {
+        let control = system.control_addr_text(1);
+        system.run_command(&["core", action, "--control", &control, &system.control_addr(3).ip().to_string()])
     };
-    let (removed, why) = ask(&core, "remove");
+    let (removed, why) = change_voters(&system, "remove");
     assert!(removed, "{why}");
-    // Views of which it has heard nothing, and changes.
+    // The removed node misses the view change and these configuration changes.
     for rev in 2..12 {
-        put(&core, &[1, 2], rev);
+        put_version(&system, &[1, 2], rev);
     }
-    let view = core.status(1).unwrap()["view"].clone();
-    core.respawn(3, "control");
-    wait_until("it knows the newest", || core.status(3).is_some_and(|status| status["rev"] == 11));
+    let view = system.status(1).unwrap()["view"].clone();
+    system.respawn(3, "control");
+    wait_until("the removed voter has the newest version", || {
+        system.status(3).is_some_and(|status| status["rev"] == 11)
+    });
     for rev in 12..20 {
-        put(&core, &[1, 2, 3], rev);
+        put_version(&system, &[1, 2, 3], rev);
     }
-    assert_eq!(core.status(1).unwrap()["view"], view, "its old disk makes no view");
-    assert_eq!(read(&core, 3), Some((200, document(19))));
-    // Refused until all voters have heard it.
-    wait_until("it is taken in", || ask(&core, "add").0);
-    core.wait_for_chain(&[1, 2, 3], 3);
-    put(&core, &[3], 20);
+    assert_eq!(system.status(1).unwrap()["view"], view, "the old disk caused a view change");
+    assert_eq!(read_config(&system, 3), Some((200, document(19))));
+    // Refused until all voters are connected to it.
+    wait_until("the node is added as a voter", || change_voters(&system, "add").0);
+    system.wait_for_chain(&[1, 2, 3], 3);
+    put_version(&system, &[3], 20);
 }
--- a/glenfall/tests/sight.rs
+++ b/glenfall/tests/failure_log.rs
@@ -1,5 +1,5 @@
-//! Each request that fails can be explained afterwards: by the id of its try the log names the cause, and whom the request
-//! was sent to.
+//! Checks that the log explains each failed request: a line with its try id names the cause, and the servers that it was
+//! sent to.
 
 mod common;
 
@@ -8,54 +8,55 @@
 
 use common::{receive_try_id, request, wait_until, System, EDGE_MACHINE};
 
-/// What a stand-in server does with each request that it has whole.
+/// What a test server does with each complete request.
 #[derive(Clone, Copy)]
-enum Acts {
-    Answers(&'static str, &'static str),
-    Closes,
-    KeepsSilent,
+enum Behavior {
+    /// Responds with this status line and these extra headers.
+    Respond(&'static str, &'static str),
+    CloseConnection,
+    NeverRespond,
 }
 
-const OK: Acts = Acts::Answers("200 OK", "");
-const FULL: Acts = Acts::Answers("503 Service Unavailable", "X-Glenfall-Not-Run: 1\r\n");
-const UNPROVEN: Acts = Acts::Answers("429 Too Many Requests", "");
-const FAILS: Acts = Acts::Answers("500 Internal Server Error", "");
+const SUCCESS: Behavior = Behavior::Respond("200 OK", "");
+const SERVER_FULL: Behavior = Behavior::Respond("503 Service Unavailable", "X-Glenfall-Not-Run: 1\r\n");
+const REFUSAL_WITHOUT_NOT_RUN: Behavior = Behavior::Respond("429 Too Many Requests", "");
+const SERVER_ERROR: Behavior = Behavior::Respond("500 Internal Server Error", "");
 
-fn start_server(acts: Acts) -> SocketAddrV4 {
+fn start_server(behavior: Behavior) -> SocketAddrV4 {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let port = listener.local_addr().unwrap().port();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            std::thread::spawn(move || serve(stream, acts));
+            std::thread::spawn(move || serve(stream, behavior));
         }
     });
     SocketAddrV4::new(Ipv4Addr::LOCALHOST, port)
 }
 
-fn serve(mut stream: TcpStream, acts: Acts) {
+fn serve(mut stream: TcpStream, behavior: Behavior) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     while let Some(id) = receive_try_id(&mut reader) {
-        let (status, more) = match acts {
-            Acts::Answers(status, more) => (status, more),
-            Acts::Closes => return,
-            Acts::KeepsSilent => continue,
+        let (status, extra_headers) = match behavior {
+            Behavior::Respond(status, extra_headers) => (status, extra_headers),
+            Behavior::CloseConnection => return,
+            Behavior::NeverRespond => continue,
         };
-        let answer = format!(
-            "HTTP/1.1 {status}\r\nX-Glenfall-Try-Id: {id}\r\nX-Glenfall-Seal: s\r\n{more}Content-Length: 6\r\n\r\nanswer"
+        let response = format!(
+            "HTTP/1.1 {status}\r\nX-Glenfall-Try-Id: {id}\r\nX-Glenfall-Seal: s\r\n{extra_headers}Content-Length: 6\r\n\r\nanswer"
         );
-        if stream.write_all(answer.as_bytes()).is_err() {
+        if stream.write_all(response.as_bytes()).is_err() {
             return;
         }
     }
 }
 
-/// An address at which nothing listens.
+/// An address that refuses connections.
 fn closed_port() -> SocketAddrV4 {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     SocketAddrV4::new(Ipv4Addr::LOCALHOST, listener.local_addr().unwrap().port())
 }
 
-/// The document of one service for each of these names, with a route for reads and one for writes.
+/// A configuration with these services, each with a route for reads and one for writes.
 fn document(services: &[&str]) -> String {
     let route = |service: &str, kind: &str, prefix: &str| {
         serde_json::json!({
@@ -76,51 +77,52 @@
 }
 
 #[test]
-fn the_log_names_each_failed_request_by_its_try_with_the_cause_and_whom_it_was_sent_to() {
+fn each_failed_request_is_logged_with_its_try_id_cause_and_servers() {
     let system = System::start(&["control", "shield"], &["agent", "edge"]);
     system.wait_for_chain(&[1, 2, 3], 3);
     let servers = [
-        ("well", Some(start_server(OK))),
-        ("full", Some(start_server(FULL))),
-        ("unproven", Some(start_server(UNPROVEN))),
-        ("failing", Some(start_server(FAILS))),
-        ("closing", Some(start_server(Acts::Closes))),
-        ("silent", Some(start_server(Acts::KeepsSilent))),
+        ("well", Some(start_server(SUCCESS))),
+        ("full", Some(start_server(SERVER_FULL))),
+        ("unproven", Some(start_server(REFUSAL_WITHOUT_NOT_RUN))),
+        ("failing", Some(start_server(SERVER_ERROR))),
+        ("closing", Some(start_server(Behavior::CloseConnection))),
+        ("silent", Some(start_server(Behavior::NeverRespond))),
         ("unreachable", Some(closed_port())),
-        ("scarce", Some(start_server(OK))),
+        ("scarce", Some(start_server(SUCCESS))),
         ("none", None),
     ];
     for (service, addr) in &servers {
         if let Some(addr) = addr {
-            let beat = || {
+            let send_heartbeat = || {
                 let body = format!(
                     r#"{{"backend":"{service}","addr":"{addr}","zone":"z","capacity":8,"status":"ready","callSeq":1}}"#
                 );
                 let line = format!("PUT /api/servers/server-{service}");
                 request(system.control_addr(1), &line, "Host: c\r\n", &body)
-                    .is_some_and(|heard| heard.0 == 200)
+                    .is_some_and(|response| response.0 == 200)
             };
-            wait_until("a beat is acknowledged", beat);
+            wait_until("the heartbeat is acknowledged", send_heartbeat);
         }
     }
     let services: Vec<&str> = servers.iter().map(|(service, _)| *service).collect();
     system.configure("put", 0, &document(&services));
     system.wait_until_ready();
     let edge = system.edge_addrs()[0];
-    let ask = |id: &str, line: &str, headers: &str, body: &str| {
+    let send_request = |id: &str, line: &str, headers: &str, body: &str| {
         let headers = format!("X-Glenfall-Try-Id: {id}\r\n{headers}");
-        request(edge, line, &headers, body).map_or(0, |heard| heard.0)
+        request(edge, line, &headers, body).map_or(0, |response| response.0)
     };
-    let (host, brief) = ("Host: h\r\n", "Host: h\r\nX-Glenfall-Deadline: 400\r\n");
+    let (host, short_deadline) = ("Host: h\r\n", "Host: h\r\nX-Glenfall-Deadline: 400\r\n");
     wait_until("reads and writes are served", || {
-        ask("first", "GET /r/well/x", host, "") == 200 && ask("first", "POST /w/well/x", host, "") == 200
+        send_request("first", "GET /r/well/x", host, "") == 200
+            && send_request("first", "POST /w/well/x", host, "") == 200
     });
-    let long = "b".repeat(2000);
-    // The request, its status and cause, and what the log says of the way that it took.
-    let table = [
+    let long_body = "b".repeat(2000);
+    // The request, its status and cause, and the text about its attempts that is expected in the log.
+    let cases = [
         ("unknown-host", "GET /r/well/x", "Host: other\r\n", "", 404, "no-route", ""),
         ("two-hosts", "GET /r/well/x", "Host: h\r\nHost: h\r\n", "", 400, "bad-request", "one Host expected"),
-        ("long", "POST /w/well/x", host, &long, 413, "body-too-large", ""),
+        ("long", "POST /w/well/x", host, &long_body, 413, "body-too-large", ""),
         ("no-server", "POST /w/none/x", host, "", 503, "no-server", ""),
         ("full", "POST /w/full/x", host, "", 503, "servers-full", "server-full: not run (503)"),
         (
@@ -134,7 +136,15 @@
         ),
         ("failing", "POST /w/failing/x", host, "", 500, "server-error", "server-failing: answered 500"),
         ("closing", "POST /w/closing/x", host, "", 502, "answer-lost", "server-closing: answer lost"),
-        ("silent", "POST /w/silent/x", brief, "", 504, "no-answer", "server-silent: no answer in time"),
+        (
+            "silent",
+            "POST /w/silent/x",
+            short_deadline,
+            "",
+            504,
+            "no-answer",
+            "server-silent: no answer in time",
+        ),
         (
             "unreachable",
             "POST /w/unreachable/x",
@@ -148,18 +158,18 @@
         ("read-none", "GET /r/none/x", host, "", 503, "no-server", "shield"),
         ("read-scarce", "GET /r/scarce/x", host, "", 503, "rate-limit", "shield"),
     ];
-    for (id, line, headers, body, status, ..) in table {
-        assert_eq!(ask(id, line, headers, body), status, "{id}");
+    for (id, line, headers, body, status, ..) in cases {
+        assert_eq!(send_request(id, line, headers, body), status, "{id}");
     }
-    // A head that never ends: there is no id to name it by.
+    // An incomplete head: its log line has no try id.
     let mut stream = TcpStream::connect(edge).unwrap();
     stream.write_all(b"GET /r/well/x HTTP/1.1\r\nHost").unwrap();
-    let refused = request(system.control_addr(1), "PUT /api/config", "Host: c\r\nIf-Match: 1\r\n", "{");
-    assert_eq!(refused.map(|heard| heard.0), Some(400));
+    let rejected = request(system.control_addr(1), "PUT /api/config", "Host: c\r\nIf-Match: 1\r\n", "{");
+    assert_eq!(rejected.map(|response| response.0), Some(400));
 
     let log = |n: u8| std::fs::read_to_string(system.log_path(n)).unwrap();
     wait_until("the slow head is logged", || log(EDGE_MACHINE).contains("head-too-slow"));
-    for (id, _, _, _, status, cause, way) in table {
+    for (id, _, _, _, status, cause, attempts) in cases {
         let log = log(EDGE_MACHINE);
         let lines: Vec<&str> =
             log.lines().filter(|line| line.contains(&format!("try_id=\"{id}\""))).collect();
@@ -169,13 +179,16 @@
             line.contains("request failed") && line.contains(&format!("status={status} cause=\"{cause}\"")),
             "{line}"
         );
-        assert!(line.contains(way), "{id}: {way} expected in {line}");
+        assert!(line.contains(attempts), "{id}: {attempts} expected in {line}");
     }
-    assert!(log(1).contains("request rejected") && log(1).contains("status=400"), "the operator's call");
-    let counted = || {
+    assert!(
+        log(1).contains("request rejected") && log(1).contains("status=400"),
+        "the rejected configuration is logged"
+    );
+    let no_route_failures = || {
         let status = (1..=3).filter_map(|n| system.status(n));
         let sessions = status.flat_map(|s| s["sessions"].as_array().cloned().unwrap_or_default());
         sessions.filter_map(|session| session["counters"]["failed_no_route"].as_u64()).sum::<u64>()
     };
-    wait_until("status counts failures by their causes", || counted() == 1);
+    wait_until("the status counts failures by cause", || no_route_failures() == 1);
 }
--- a/glenfall/tests/mixed.rs
+++ b/glenfall/tests/response_seals.rs
@@ -33,7 +33,7 @@
 
 /// A response as a server sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Sealed {
+struct SentResponse {
     status: u16,
     body: String,
     try_id: String,
@@ -44,7 +44,7 @@
 struct Script {
     /// The reactions to successive requests for a path; the last one is repeated.
     reactions: Mutex<HashMap<String, Vec<Reaction>>>,
-    sent_by_seal: Mutex<HashMap<String, Sealed>>,
+    sent_by_seal: Mutex<HashMap<String, SentResponse>>,
     next_seal: AtomicUsize,
     request_count: AtomicUsize,
 }
@@ -59,14 +59,14 @@
         }
     }
 
-    /// Builds a response with a new seal and keeps it in `sent`; returns its full text.
+    /// Builds a response with a new seal and keeps it in `sent_by_seal`; returns its full text.
     fn sealed_response(&self, status: u16, not_run: bool, try_id: &str) -> String {
         let number = self.next_seal.fetch_add(1, Ordering::Relaxed);
         let (seal, body) = (format!("seal-{number}"), format!("body of {number}"));
-        // A 304 has no body.
+        // A 304 has no body: only its status can be compared by its seal.
         let body = if status == 304 { String::new() } else { body };
-        let sealed_response = Sealed { status, body: body.clone(), try_id: try_id.to_owned() };
-        self.sent_by_seal.lock().unwrap().insert(seal.clone(), sealed_response);
+        let sent = SentResponse { status, body: body.clone(), try_id: try_id.to_owned() };
+        self.sent_by_seal.lock().unwrap().insert(seal.clone(), sent);
         let not_run = if not_run { "X-Glenfall-Not-Run: 1\r\n" } else { "" };
         let length =
             if status == 304 { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
@@ -80,16 +80,14 @@
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(received) = receive_request(&mut reader) {
             self.request_count.fetch_add(1, Ordering::Relaxed);
-            let sealed_response = |status, not_run| self.sealed_response(status, not_run, received.try_id());
+            let respond = |status, not_run| self.sealed_response(status, not_run, received.try_id());
             let text = match self.reaction(received.path()) {
-                Reaction::Status(status) => sealed_response(status, false),
-                Reaction::Conditional if received.header("if-none-match").is_some() => {
-                    sealed_response(304, false)
-                }
-                Reaction::Conditional => sealed_response(200, false),
-                Reaction::NotRun(status) => sealed_response(status, true),
+                Reaction::Status(status) => respond(status, false),
+                Reaction::Conditional if received.header("if-none-match").is_some() => respond(304, false),
+                Reaction::Conditional => respond(200, false),
+                Reaction::NotRun(status) => respond(status, true),
                 Reaction::TruncatedBody => {
-                    let complete = sealed_response(200, false);
+                    let complete = respond(200, false);
                     let _ = stream.write_all(&complete.as_bytes()[..complete.len() - 1]);
                     return;
                 }
@@ -100,7 +98,7 @@
                 }
                 Reaction::Delayed(status) => {
                     std::thread::sleep(Duration::from_millis(150));
-                    sealed_response(status, false)
+                    respond(status, false)
                 }
             };
             if stream.write_all(text.as_bytes()).is_err() {
@@ -158,9 +156,7 @@
         system.wait_until_ready();
         let setup = Setup { system, script, next_try_id: AtomicUsize::new(0) };
         wait_until("writes are served", || setup.send_request("POST /once/warm", "").0 == 200);
-        wait_until("reads are served from the cache", || {
-            setup.send_request("GET /kept/warm", "").1.contains("\r\nage: ")
-        });
+        wait_until("reads are cached", || setup.send_request("GET /kept/warm", "").1.contains("\r\nage: "));
         setup
     }
 
