--- a/glenfall/tests/changes.rs
+++ b/glenfall/tests/changes.rs
@@ -1,6 +1,6 @@
 //! Hundreds of changes of a configuration with many routes, through three control nodes, an agent and an edge on
-//! loopback: the files of the control nodes must stay as large as a few versions. `CHANGES=10000` makes more changes, and
-//! a release build (`cargo test --release --test changes -- --nocapture`) prints the figures of docs/hardening.md.
+//! loopback: the files of the control nodes must stay as large as a few versions. `CHANGES=10000` makes more changes,
+//! and a release build (`cargo test --release --test changes -- --nocapture`) prints the figures of docs/hardening.md.
 //!
 //! A node that was down for one change or for many (`MISSED=1,100,1000`) must catch up by one complete state, and old
 //! state on a disk must neither replace newer state nor cause a view change.
@@ -11,12 +11,12 @@
 
 use common::{request, wait_until, System, EDGE_MACHINE, WAIT_TIMEOUT};
 
-/// Number of routes in the largest configuration expected in production.
+/// Number of routes in the largest configuration of the users' workloads.
 const ROUTE_COUNT: usize = 700;
 /// Enough to overwrite each page of the store many times, in a few seconds.
 const DEFAULT_CHANGE_COUNT: u64 = 200;
-/// Limit for the files of a control node, in versions: `SQLite`'s pages of the current and the next version, the journal,
-/// and unused space in half-filled pages.
+/// Limit for the files of a control node, in versions: `SQLite`'s pages of the current and the next version, the
+/// journal, and unused space in half-filled pages.
 const MAX_VERSIONS_ON_DISK: u64 = 5;
 
 fn document(rev: u64) -> String {
--- a/glenfall/tests/failure_log.rs
+++ b/glenfall/tests/failure_log.rs
@@ -1,5 +1,5 @@
-//! Checks that the log explains each failed request: a line with its try id names the cause, and the servers that it was
-//! sent to.
+//! Checks that the log explains each failed request: a line with its try id names the cause, and the servers that the
+//! request was sent to.
 
 mod common;
 
--- a/glenfall/tests/http_forms.rs
+++ b/glenfall/tests/http_forms.rs
@@ -82,8 +82,8 @@
     name.starts_with("failed_") || name.starts_with("broken_") || is_attempt
 }
 
-/// The names of the unconditional counters of all sessions. `None` until each session has sent its counters, and those of
-/// the edge and of a shield include the requests.
+/// The names of the unconditional counters of all sessions. `None` until each session has sent its counters, and those
+/// of the edge and of a shield include the requests.
 fn counter_names(system: &System) -> Option<BTreeSet<String>> {
     let mut names = BTreeSet::new();
     for node in 1..EDGE_MACHINE {
--- a/glenfall/tests/purge_durability.rs
+++ b/glenfall/tests/purge_durability.rs
@@ -1,4 +1,4 @@
-//! Checks that a purge is acknowledged only once its record is on one disk more than the number given as `survive.hosts`.
+//! Checks that a purge is acknowledged only once its record is on one disk more than the number set as `survive.hosts`.
 //! It then survives the loss of that many disks, even if all machines lose power at that moment.
 
 mod common;
--- a/glenfall/tests/stale_acknowledgements.rs
+++ b/glenfall/tests/stale_acknowledgements.rs
@@ -1,5 +1,5 @@
-//! A control node must ignore an acknowledgement of a peer for another request, or for a request of its process before a
-//! restart.
+//! A control node must ignore a peer's acknowledgement of another request, or of a request that its process sent before
+//! a restart.
 
 mod common;
 
--- a/glenfall/tests/store.rs
+++ b/glenfall/tests/store.rs
@@ -82,8 +82,8 @@
     }
 }
 
-/// Records a process that writes these states to a folder, and simulates the possible outcomes of a power loss after each
-/// recorded event. The store must recover the last acknowledged state, initially `first`, or the one being written.
+/// Records a process that writes these states to a folder, and simulates the possible outcomes of a power loss after
+/// each recorded event. The store must recover the last acknowledged state, initially `first`, or the one being written.
 fn check_power_losses(name: &str, before: &Files, first: &str, scenario: &str) -> Vec<Files> {
     let folder = folder(name);
     write_folder(&folder, before);
