--- a/glenfall/src/cache/backlog.rs
+++ b/glenfall/src/cache/backlog.rs
@@ -1,14 +1,15 @@
-//! Bounds on a queue between two threads, in bytes or entries. The sender reserves units before it queues something, and
-//! the reservation travels with it: the units are free again when the receiver drops it, never before it was received.
+//! Bounds on a queue between two threads, in bytes or entries. The sender reserves units before it queues something,
+//! and the reservation travels with the queued item: the units become free when the receiver drops it, never before it
+//! was received.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// The count of a backlog's units, which threads share.
+/// The number of queued units of a backlog, shared between threads.
 pub trait SharedCount {
     /// Returns the current count.
     fn load(&self) -> usize;
-    /// Replaces the count if it still is `current`; otherwise returns the actual count.
+    /// Replaces the count if it is still `current`; otherwise returns the actual count.
     fn compare_exchange(&self, current: usize, new: usize) -> Result<(), usize>;
     /// Subtracts units.
     fn subtract(&self, units: usize);
@@ -28,7 +29,7 @@
     }
 }
 
-/// The units that are queued, and how many may be.
+/// The number of units that are queued, and their maximum.
 pub struct Backlog<C: SharedCount = AtomicUsize> {
     queued: Arc<C>,
     capacity: usize,
@@ -48,7 +49,7 @@
 }
 
 impl<C: SharedCount> Backlog<C> {
-    /// A backlog that is counted by the caller's implementation of the count.
+    /// A backlog that uses the caller's implementation of the count.
     pub fn with_count(queued: Arc<C>, capacity: usize) -> Self {
         Backlog { queued, capacity }
     }
--- a/glenfall/src/cache/byte_range.rs
+++ b/glenfall/src/cache/byte_range.rs
@@ -3,7 +3,7 @@
 /// Which part of an object a `Range` header requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ByteRange {
-    /// The complete object, as the header names no single range with a first byte.
+    /// The complete object, as the header names no single range with an explicit first byte.
     Complete,
     /// The bytes from `first` to `last`, both included.
     Part {
@@ -17,8 +17,8 @@
 }
 
 impl ByteRange {
-    /// Reads the value of a `Range` header for an object of this length. Several ranges, and ranges that are counted
-    /// from the end, are answered with the complete object, as a server may do.
+    /// Parses the value of a `Range` header for an object of this length. Several ranges, and ranges that are counted
+    /// from the end, are answered with the complete object, which a server is allowed to do.
     pub fn parse(value: &str, object_length: usize) -> Self {
         let Some(bounds) = Bounds::parse(value) else { return ByteRange::Complete };
         if bounds.last < bounds.first {
--- a/glenfall/src/cache/disk/cache_file.rs
+++ b/glenfall/src/cache/disk/cache_file.rs
@@ -14,9 +14,9 @@
 pub const FILE_NAME: &str = "copies.sqlite";
 /// Page size of the file and of its write-ahead log, in bytes: a stored response takes few of them.
 const PAGE_BYTES: usize = 16 << 10;
-/// The write-ahead log is checkpointed when it has this many pages, and truncated to that size where it was longer.
+/// The write-ahead log is checkpointed when it reaches this many pages, and truncated to that size if it was longer.
 const WAL_PAGES: usize = 512;
-/// Fraction of the disk that the file may take: rows for all responses in memory, and free pages among them.
+/// Fraction of the disk that the file may take: enough for the rows of all responses in memory, and for free pages.
 const MAX_FRACTION_OF_DISK: f64 = 0.55;
 const BYTES_PER_MB: u32 = 1 << 20;
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Reads all rows that are intact and recent enough. A file that can't be read is discarded.
+    /// Reads all rows that are intact and recent enough. A file that can't be read is removed.
     pub fn read_all(&mut self) -> Vec<StoredRow> {
         let Some(connection) = self.connection() else { return Vec::new() };
         match read_rows(connection) {
@@ -72,8 +72,8 @@
         for queued in changes {
             apply(&transaction, queued.change())?;
         }
-        // The contents are as of the last change: a removal that was queued since is still to come, however long this
-        // write takes.
+        // The write time is that of the last change: a removal that was queued after it is not in the file yet, however
+        // long this write takes.
         if let Some(last) = changes.last() {
             let Timestamp { wall_ms, monotonic_ms } = last.queued_at();
             transaction.execute(UPSERT_WRITE_TIME, [wall_ms, monotonic_ms])?;
@@ -92,7 +92,8 @@
         self.connection = None;
     }
 
-    /// The connection to the file, or to a new one if it can't be opened. `None` if that can't be opened either.
+    /// The connection to the file. A file that can't be opened is replaced by a new one; `None` if that can't be opened
+    /// either.
     fn connection(&mut self) -> Option<&mut Connection> {
         if self.connection.is_none() {
             self.connection = match self.open() {
@@ -109,7 +110,7 @@
 
     fn open(&self) -> rusqlite::Result<Connection> {
         if let Some(folder) = self.path.parent() {
-            // If this fails, so does the next step.
+            // If this fails, opening the file fails as well, with an error that is reported.
             let _ = std::fs::create_dir_all(folder);
         }
         let connection = disk::open_database(&self.path, PAGE_BYTES)?;
@@ -140,7 +141,7 @@
     Ok(())
 }
 
-/// A row as the file has it.
+/// A row as it is stored in the file.
 struct RawRow {
     head: Vec<u8>,
     body: Vec<u8>,
--- a/glenfall/src/cache/disk/change.rs
+++ b/glenfall/src/cache/disk/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the file, queued for the thread that writes it.
+//! Changes of the file, queued for the writer thread.
 
 use bytes::Bytes;
 
@@ -11,18 +11,18 @@
     Put {
         /// The row's primary key.
         id: String,
-        /// The encoded head.
+        /// The encoded row head: key, headers and labels.
         head: Vec<u8>,
         /// The complete object.
         body: Bytes,
-        /// When its request was sent, by the monotonic clock.
+        /// When its request was sent, in milliseconds of the monotonic clock.
         born_ms: i64,
     },
-    /// Sets when the request was sent that revalidated an unchanged response.
+    /// Sets the request time of a response that was revalidated and has not changed.
     Revalidate {
         /// The row's primary key.
         id: String,
-        /// When the request was sent, by the monotonic clock.
+        /// When the revalidating request was sent, in milliseconds of the monotonic clock.
         born_ms: i64,
     },
     /// Removes rows.
@@ -38,7 +38,7 @@
     }
 }
 
-/// A change in the queue. It holds its reservations in the backlogs until it is dropped.
+/// A change in the queue. It keeps its reservations in the backlogs until it is dropped.
 pub struct QueuedChange {
     change: Change,
     queued_at: Timestamp,
@@ -52,18 +52,18 @@
         QueuedChange { change, queued_at: Timestamp::now(), _rows: rows, _body: body }
     }
 
-    /// The change.
+    /// The change to write.
     pub fn change(&self) -> &Change {
         &self.change
     }
 
-    /// When it was queued.
+    /// When it was added to the queue, by both clocks.
     pub fn queued_at(&self) -> Timestamp {
         self.queued_at
     }
 }
 
-/// Number of rows that changes touch.
+/// Total number of rows that the changes write or remove.
 pub fn row_count(changes: &[QueuedChange]) -> usize {
     changes.iter().map(|queued| queued.change.row_count()).sum()
 }
--- a/glenfall/src/cache/disk/clock.rs
+++ b/glenfall/src/cache/disk/clock.rs
@@ -1,7 +1,7 @@
-//! The two clocks by which the file's contents age.
+//! The two clocks by which the age of the file's contents is measured.
 //!
-//! Ages are measured by the monotonic clock, which goes on while the machine runs, whatever becomes of the process. If
-//! it has started anew since the last write, or the wall clock disagrees with it, the wall clock decides.
+//! Ages are measured by the monotonic clock, which continues while the machine runs, even if the process restarts. If
+//! the monotonic clock has restarted since the last write, or the wall clock disagrees with it, the wall clock is used.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 
 use crate::disk::now_ms;
 
-/// The wall clock may be off by this much: responses count as older by it where the wall clock decides.
+/// Maximum error of the wall clock. It is added to the age of responses if the wall clock is used.
 const MAX_WALL_CLOCK_ERROR: Duration = Duration::from_secs(3);
-/// Time that a start may take, in milliseconds, until control has sent the purges.
+/// Time, in milliseconds, that a start of the process may take until control has sent the purges.
 const STARTUP_MARGIN_MS: u64 = 20_000;
-/// A file that was written longer ago than this is not used, as purges since then may be forgotten. Less than the
-/// retention of purges by the time that a start takes.
+/// A file that was written longer ago than this is not used, as purges since then may no longer be retained. It is
+/// shorter than the retention of purges by the time that a start may take.
 const MAX_TIME_SINCE_WRITE: Duration = Duration::from_millis(PURGE_RETENTION - STARTUP_MARGIN_MS);
 
 /// A point in time by both clocks, in milliseconds.
@@ -62,8 +62,8 @@
 }
 
 impl TimeSinceWrite {
-    /// How long ago the last write was. `None` if that is too long, or can't be determined because the wall clock was
-    /// set back.
+    /// How long ago the last write was. `None` if that is too long ago, or can't be determined because the wall clock
+    /// was set back.
     pub fn resolve(self) -> Option<Duration> {
         let max_error_ms = MAX_WALL_CLOCK_ERROR.as_millis() as i64;
         let clocks_agree = self.monotonic_ms >= 0 && (self.wall_ms - self.monotonic_ms).abs() <= max_error_ms;
--- a/glenfall/src/cache/disk/disk_cache.rs
+++ b/glenfall/src/cache/disk/disk_cache.rs
@@ -1,4 +1,4 @@
-//! The disk tier as the shield uses it: changes are queued for the thread that writes them.
+//! The disk tier as the shield uses it: changes are queued for the writer thread.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -17,25 +17,26 @@
 use crate::cache::backlog::{Backlog, Reservation};
 use crate::cache::object_key::ObjectKey;
 
-/// Maximum bytes of bodies in the queue; what exceeds them is stored in memory only.
+/// Maximum bytes of bodies in the queue. A response that exceeds it is stored in memory only.
 pub const MAX_QUEUED_BODY_BYTES: usize = 8 << 20;
-/// Maximum rows of queued changes of all kinds: a disk that hangs must not fill the memory with them.
+/// Maximum rows of queued changes of all kinds, so that a disk that hangs can't exhaust the memory.
 pub const MAX_QUEUED_ROWS: usize = 1 << 16;
-/// Name of the thread that writes, as tools of the operating system show it.
+/// Name of the writer thread in the operating system's tools.
 const WRITER_THREAD: &str = "copies";
 
-/// Sends changes to the thread that writes the file.
+/// Sends changes to the writer thread.
 pub struct DiskCache {
     changes: mpsc::Sender<QueuedChange>,
     queued_bodies: Backlog,
     queued_rows: Backlog,
-    /// Set when a removal did not fit in the queue: all changes queued before it, and the file, have to be discarded.
+    /// Set when a removal did not fit in the queue: all changes queued before it and the file have to be discarded
+    /// then.
     removal_lost: Arc<AtomicBool>,
 }
 
 impl DiskCache {
-    /// Opens the file in a folder and starts the thread that writes it; the receiver gets what the file contains.
-    /// Fails if the thread can't be started.
+    /// Opens the file in a folder and starts the writer thread; the receiver gets the rows of the file. Fails if the
+    /// thread can't be started.
     pub fn open(
         folder: &Path,
         disk_mb: u64,
@@ -70,7 +71,7 @@
         self.queued_bodies.queued()
     }
 
-    /// Writes a response, replacing the one of the same object. If the queue is full, only removes the one before.
+    /// Writes a response, replacing the one of the same object. If the queue is full, only removes the previous one.
     pub fn put(
         &self,
         key: &ObjectKey,
@@ -81,7 +82,7 @@
     ) {
         let reservations = self.queued_bodies.reserve(body.len()).zip(self.queued_rows.reserve(1));
         let Some((body_reservation, row_reservation)) = reservations else {
-            // The stored response is of another version.
+            // The row in the file may be of an older version.
             return self.remove(std::slice::from_ref(key));
         };
         let Ok(head) = RowHead::encode(key, headers, labels) else { return };
@@ -92,14 +93,14 @@
 
     /// Sets the age of a response that was revalidated and has not changed.
     pub fn revalidated(&self, key: &ObjectKey, age: Duration) {
-        // If the queue is full, the stored response counts as older than it is.
+        // If the queue is full, the row keeps its greater age.
         if let Some(row_reservation) = self.queued_rows.reserve(1) {
             let change = Change::Revalidate { id: row_id(key), born_ms: monotonic_start_ms(age) };
             self.send(change, row_reservation, None);
         }
     }
 
-    /// Removes stored responses. If the queue is full, the complete file will be discarded.
+    /// Removes stored responses. If the queue is full, the entire file will be discarded.
     pub fn remove(&self, keys: &[ObjectKey]) {
         for chunk in keys.chunks(MAX_BATCH_ROWS) {
             match self.queued_rows.reserve(chunk.len()) {
@@ -113,7 +114,7 @@
     }
 
     fn send(&self, change: Change, rows: Reservation, body: Option<Reservation>) {
-        // The thread ends with the process only.
+        // Sending does not fail: the thread ends only with the process.
         let _ = self.changes.send(QueuedChange::new(change, rows, body));
     }
 }
--- a/glenfall/src/cache/disk/mod.rs
+++ b/glenfall/src/cache/disk/mod.rs
@@ -1,10 +1,11 @@
-//! The disk tier of a shield's cache: stored responses that outlast the process and a loss of power.
+//! The disk tier of a shield's cache: stored responses that survive a restart of the process and a power failure.
 //!
-//! A thread of its own writes them to an SQLite file, slightly behind the cache in memory. As it is a cache, contents
-//! that can't be read are discarded, and nothing ever waits for the disk.
+//! A dedicated thread writes them to an SQLite file, slightly later than they are stored in memory. As this is only a
+//! cache, contents that can't be read are discarded, and no request ever waits for the disk.
 //!
-//! What is read at a start may have been purged meanwhile. It may be used only once control has sent all purges of the
-//! retention period (see [`Shield`](crate::shield::Shield)), and only if it was written within that period.
+//! Responses that are read at a start may have been purged meanwhile. They may be used only once control has sent all
+//! purges of the retention period (see [`Shield`](crate::shield::Shield)), and only if the file was written within that
+//! period.
 
 mod cache_file;
 mod change;
--- a/glenfall/src/cache/disk/row.rs
+++ b/glenfall/src/cache/disk/row.rs
@@ -10,7 +10,7 @@
 
 /// A stored response as it was read from disk.
 pub struct StoredRow {
-    /// The object.
+    /// The cache key of the object.
     pub key: ObjectKey,
     /// The server's headers, as they are stored.
     pub headers: HeaderMap,
@@ -18,7 +18,7 @@
     pub labels: Vec<Box<str>>,
     /// The complete object.
     pub body: Bytes,
-    /// How old it is.
+    /// Time since its request was sent.
     pub age: Duration,
 }
 
@@ -32,7 +32,7 @@
     labels: Vec<String>,
 }
 
-/// Name and value of a header; a value need not be text.
+/// Name and value of a header. The value need not be valid text.
 #[derive(Serialize, Deserialize)]
 struct HeaderField {
     name: String,
@@ -55,12 +55,12 @@
         })
     }
 
-    /// Reads what [`encode`](Self::encode) wrote.
+    /// Decodes the output of [`encode`](Self::encode).
     pub fn decode(bytes: &[u8]) -> postcard::Result<Self> {
         postcard::from_bytes(bytes)
     }
 
-    /// Joins it with its body. Headers that are not valid are left out.
+    /// Combines it with its body. Invalid headers are left out.
     pub fn into_row(self, body: Vec<u8>, age: Duration) -> StoredRow {
         let mut headers = HeaderMap::new();
         for HeaderField { name, value } in &self.headers {
@@ -80,11 +80,11 @@
 
 /// The primary key of an object's row.
 pub fn row_id(key: &ObjectKey) -> String {
-    // None of the three contains a line break: they come from the head of a request.
+    // None of the three parts contains a line break, as they come from the head of a request.
     format!("{}\n{}\n{}", key.service, key.host, key.path)
 }
 
-/// The checksum of a row.
+/// The CRC-32 of a row's head and body.
 pub fn checksum(head: &[u8], body: &[u8]) -> i64 {
     let mut hash = crc32fast::Hasher::new();
     hash.update(head);
--- a/glenfall/src/cache/disk/writer.rs
+++ b/glenfall/src/cache/disk/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that reads the file at the start and writes changes to it.
+//! The writer thread, which reads the file at the start and writes changes to it.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{mpsc, Arc};
@@ -13,10 +13,10 @@
 
 /// Changes within this time are written in one transaction, with one sync.
 const BATCH_DELAY: Duration = Duration::from_millis(300);
-/// Rows that are written in one transaction: each may take a page of the write-ahead log, which then has at most twice
-/// the pages at which it is checkpointed, and those of the bodies in the queue.
+/// A transaction takes no further changes once it has this many rows. Each row may take a page of the write-ahead log,
+/// which then has at most twice the pages at which it is checkpointed, plus those of the bodies in the queue.
 pub const MAX_BATCH_ROWS: usize = 256;
-/// Pause after the disk refused a write.
+/// Pause after a failed write.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The side of the disk tier that reads and writes the file.
@@ -29,7 +29,7 @@
 }
 
 impl Writer {
-    /// A writer that sends the rows of the file to `rows_found` and then writes `changes`. `removal_lost` is set by a
+    /// A writer that sends the rows of the file to `rows_sender` and then writes `changes`. `removal_lost` is set by a
     /// sender whose removal did not fit in the queue.
     pub(super) fn new(
         file: CacheFile,
@@ -56,17 +56,18 @@
             }
             let batch = self.next_batch(first);
             is_behind = row_count(&batch) >= MAX_BATCH_ROWS;
-            // Read after the batch was received: a removal that was lost before one of its changes shows here.
+            // Checked after the batch was received, so that a removal that was lost before any change of the batch is
+            // noticed.
             if self.removal_lost.swap(false, Ordering::AcqRel) {
                 self.discard_all();
                 continue;
             }
             let written = self.file.write(&batch);
-            // The reservations are free before a pause.
+            // Frees the reservations before a possible pause.
             drop(batch);
             if let Err(error) = written {
-                // The disk is full or refuses writes: what should have been removed may still be in the file, so that
-                // all of it is discarded.
+                // The disk is full or refuses writes. Responses that should have been removed may still be in the file,
+                // so all of it is discarded.
                 tracing::warn!(%error, "disk cache discarded: writing failed");
                 self.file.discard();
                 std::thread::sleep(RETRY_DELAY);
@@ -93,7 +94,7 @@
         batch
     }
 
-    /// Drops all queued changes and discards the file, as a removal among them was lost.
+    /// Drops all queued changes and discards the file, because a removal was lost.
     fn discard_all(&mut self) {
         tracing::warn!("disk cache discarded: the write queue was full and a removal was lost");
         while self.changes.try_recv().is_ok() {}
--- a/glenfall/src/cache/memory_cache.rs
+++ b/glenfall/src/cache/memory_cache.rs
@@ -1,4 +1,5 @@
-//! The cache in memory: least recently used responses are evicted first; an index by label serves purges.
+//! The cache in memory. It evicts the least recently used responses first, and finds the responses with a purged label
+//! by an index.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -10,10 +11,10 @@
 use super::object_key::ObjectKey;
 use super::stored_response::StoredResponse;
 
-/// A purge also ends responses whose request was sent up to this long after it. The age of a purge is not corrected for
-/// the time that its message took, so that purge and request can't be ordered more precisely.
+/// A purge also removes responses whose request was sent up to this long after it. The age of a purge does not include
+/// the transit time of its message, so that the order of purge and request is not known more precisely.
 const PURGE_ORDER_TOLERANCE: Duration = Duration::from_secs(1);
-/// No response takes more than the capacity divided by this.
+/// Responses larger than the capacity divided by this are not stored.
 const MAX_ENTRY_DIVISOR: usize = 8;
 
 /// Stored responses, by object and by label.
@@ -26,7 +27,7 @@
 }
 
 impl Cache {
-    /// An empty cache that holds no more than `max_bytes`.
+    /// An empty cache that stores no more than `max_bytes`, including the overhead of each response.
     pub fn new(max_bytes: usize) -> Self {
         Cache { entries: LruCache::unbounded(), keys_by_label: HashMap::new(), bytes: 0, max_bytes }
     }
@@ -36,7 +37,7 @@
         self.entries.get(key).cloned()
     }
 
-    /// Stores a response, replacing the one of the same object. Returns the keys that have no response any more: those
+    /// Stores a response, replacing the one of the same object. Returns the keys that no longer have a response: those
     /// that were evicted for it, or its own if it is too large.
     pub fn insert(&mut self, key: ObjectKey, copy: Rc<StoredResponse>) -> Vec<ObjectKey> {
         self.remove(&key);
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Updates size and index for an entry that was removed.
+    /// Updates the size and the label index for an entry that was removed.
     fn entry_removed(&mut self, key: &ObjectKey, copy: &StoredResponse) {
         self.bytes -= copy.size();
         for label in &copy.labels {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Removes all responses that a purge names, except those whose request was sent after the purge. Returns their
+    /// Removes all responses that a purge covers, except those whose request was sent after the purge. Returns their
     /// keys.
     pub fn purge(&mut self, aged: &AgedPurge) -> Vec<ObjectKey> {
         let purge_age = Duration::from_millis(aged.age_ms);
--- a/glenfall/src/cache/mod.rs
+++ b/glenfall/src/cache/mod.rs
@@ -1,4 +1,5 @@
-//! HTTP caching: stored responses in memory and on disk, bounded in bytes, ended by age and by purges.
+//! HTTP caching: stored responses in memory and on disk, bounded in bytes, which expire by age and are removed by
+//! purges.
 
 pub mod backlog;
 pub mod disk;
--- a/glenfall/src/cache/stored_response.rs
+++ b/glenfall/src/cache/stored_response.rs
@@ -14,9 +14,9 @@
     CachedResponse, ProxyResponse, ServerResponse, AGE_HEADER, LABELS_HEADER, SEAL_HEADER,
 };
 
-/// What a stored response costs in addition to its body: headers, names, slots in the tables.
+/// Memory that a stored response takes in addition to its body: headers, keys and table entries.
 pub const ENTRY_OVERHEAD_BYTES: usize = 1024;
-/// `Cache-Control` directives that forbid to store a response.
+/// `Cache-Control` directives that forbid storing a response.
 const NOT_STORABLE_DIRECTIVES: [&str; 2] = ["no-store", "private"];
 
 /// A complete response that may be sent again.
@@ -33,7 +33,8 @@
 }
 
 impl StoredResponse {
-    /// Stores a response whose request was sent at `born`; `None` if it must not be stored.
+    /// Makes a stored response of a server's response to a request that was sent at `requested_at`; `None` if it must
+    /// not be stored.
     pub fn from_response(response: &ServerResponse, born: Instant) -> Option<StoredResponse> {
         if !is_storable(response) {
             return None;
@@ -51,14 +52,14 @@
         response.set_cache_details(self.age(), &self.labels.join(" "));
     }
 
-    /// When the response was fetched that a shield sent from its cache, in answer to a request sent at `asked`. `None`
-    /// if the shield did not state its age.
+    /// When the shield's request to the server was sent, for a response of a shield to a request that was sent at
+    /// `requested_at`. `None` if the shield did not state its age.
     pub fn fetched_at(response: &ServerResponse, asked: Instant) -> Option<Instant> {
         let age_ms = response.headers().get(AGE_HEADER)?.to_str().ok()?.parse().ok()?;
         asked.checked_sub(Duration::from_millis(age_ms))
     }
 
-    /// What it costs in bytes.
+    /// Memory that it takes in the cache, in bytes.
     pub(super) fn size(&self) -> usize {
         self.body.len() + ENTRY_OVERHEAD_BYTES
     }
@@ -73,8 +74,8 @@
         self.labels.iter().any(|own| **own == *label)
     }
 
-    /// The response to a request with these headers: the complete object, the range that the request names, or that the
-    /// object is not modified.
+    /// The response to a request with these headers: the complete object, the requested range, or that the object is
+    /// not modified.
     pub fn respond_to(&self, request: &HeaderMap) -> CachedResponse {
         let headers = self.response_headers(request);
         let etag = self.headers.get(header::ETAG);
@@ -111,8 +112,8 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// Whether a response may be stored: it is complete and successful, has the server's seal, and is not excluded by its
-/// `Cache-Control`.
+/// Whether a response may be stored: it is complete and successful, has the server's signature, and its `Cache-Control`
+/// does not forbid it.
 fn is_storable(response: &ServerResponse) -> bool {
     let headers = response.headers();
     let is_complete = response.status() == StatusCode::OK
@@ -123,7 +124,7 @@
 }
 
 fn forbids_storing(cache_control: &HeaderValue) -> bool {
-    // A value that is no text may forbid it.
+    // A value that is not text may contain a directive that forbids it.
     let Ok(text) = cache_control.to_str() else { return true };
     let text = text.to_ascii_lowercase();
     NOT_STORABLE_DIRECTIVES.iter().any(|directive| text.contains(directive))
--- a/glenfall/src/shield/counters.rs
+++ b/glenfall/src/shield/counters.rs
@@ -4,7 +4,7 @@
 use crate::metrics::counter::Counter;
 use crate::metrics::latency::Latency;
 
-/// What a shield has counted since its process began.
+/// What a shield has counted since its process started.
 #[derive(Default)]
 pub(super) struct Counters {
     pub hits: Counter,
--- a/glenfall/src/shield/fetch.rs
+++ b/glenfall/src/shield/fetch.rs
@@ -22,18 +22,18 @@
 use crate::http::send_budget::Allowance;
 use crate::upstream::forward::{Outcome, UpstreamRequest};
 
-/// How long a fetch may outlive the read that has started it: its response serves the next read. Servers are given no
-/// more time than this beyond what the client has left.
+/// How long a fetch may continue after the deadline of the read that started it, so that its response serves the next
+/// read. Servers get at most this much more time than the client has left.
 const MAX_OVERRUN: Duration = Duration::from_millis(400);
 
-/// What a fetch sends, and for how long.
+/// The request of a fetch, and its limits.
 pub(super) struct FetchRequest {
     key: ObjectKey,
     uri: Uri,
     headers: HeaderMap,
-    /// The stored response, which is stale.
+    /// The stored response to revalidate, if there is one.
     stale: Option<Rc<StoredResponse>>,
-    /// Another shield may have counted the request and sent it to a server.
+    /// Whether another shield may have counted the request and sent it to a server.
     is_retry: bool,
     allowance: Allowance,
     /// The deadline of the read that starts the fetch.
@@ -41,7 +41,7 @@
     terms: RouteTerms,
 }
 
-/// What the route and the service of an object say of its fetches.
+/// The settings of an object's route and service that apply to its fetches.
 struct RouteTerms {
     max_sends: u32,
     timeout: Duration,
@@ -63,8 +63,8 @@
 }
 
 impl FetchRequest {
-    /// The fetch for a read that finds no fresh response. Objects are always fetched completely, whatever range the read
-    /// asks for.
+    /// The fetch for a read that finds no fresh response. Objects are always fetched completely, whatever range the
+    /// read requests.
     pub fn new(
         config: &Arc<Config>,
         route: &Route,
@@ -106,7 +106,7 @@
 }
 
 impl Shield {
-    /// Starts a fetch, which goes on also where the read that starts it ends before.
+    /// Starts a fetch, which continues even if the read that started it ends first.
     pub(super) fn start_fetch(
         self: &Rc<Self>,
         request: FetchRequest,
@@ -121,7 +121,7 @@
         Ok(receiver)
     }
 
-    /// Fetches an object, and stores the response unless a purge received meanwhile names it.
+    /// Fetches an object, and stores the response unless a purge that was received meanwhile covers it.
     async fn fetch(&self, mut request: FetchRequest, started: &StartedFetch) -> FetchEnd {
         let began = Instant::now();
         let allowance = request.allowance;
@@ -145,8 +145,8 @@
         FetchEnd { fetched, report }
     }
 
-    /// The result of a server's response to a request sent at this time. A stale stored response that the server confirms
-    /// is as old as that request from now on.
+    /// The outcome of a fetch to which a server has responded. A stale stored response that the server confirms counts
+    /// as requested at `sent_at` from now on.
     fn take_response(
         &self,
         key: &ObjectKey,
--- a/glenfall/src/shield/fetch_result.rs
+++ b/glenfall/src/shield/fetch_result.rs
@@ -1,4 +1,4 @@
-//! What a fetch has brought, as the reads that share it receive it.
+//! The result of a fetch, as the reads that share it receive it.
 
 use std::rc::Rc;
 
@@ -8,7 +8,7 @@
 use crate::http::send_budget::SendReport;
 use crate::upstream::forward::Rejection;
 
-/// The result of a fetch, for all reads that wait for it.
+/// How a fetch ended.
 #[derive(Clone)]
 pub(super) enum Fetched {
     /// A response that may be stored.
@@ -23,11 +23,11 @@
     TimedOut(Failure),
 }
 
-/// The end of a fetch, and what it used of the allowance of the read that started it.
+/// The result of a fetch, for all reads that wait for it.
 #[derive(Clone)]
 pub(super) struct FetchEnd {
-    /// What the fetch has brought.
+    /// How the fetch ended.
     pub fetched: Fetched,
-    /// The sends that it has used.
+    /// The sends that it used of the allowance of the read that started it.
     pub report: SendReport,
 }
--- a/glenfall/src/shield/freshness.rs
+++ b/glenfall/src/shield/freshness.rs
@@ -4,7 +4,7 @@
 
 use glenfall_control_plane::config::Route;
 
-/// Bound on a route's `maxAgeS`, in seconds, so that every value makes a valid duration.
+/// Upper bound of a route's `maxAgeS`, in seconds, so that every value makes a valid duration.
 const MAX_AGE_LIMIT_S: f64 = 1e6;
 
 /// The age up to which a stored response is served on a route without asking a server.
--- a/glenfall/src/shield/handler.rs
+++ b/glenfall/src/shield/handler.rs
@@ -10,8 +10,8 @@
 use crate::http::headers::TRY_ID_HEADER;
 use crate::http_server::{FullRequest, FullResponse, Handler};
 
-/// Limits for edges' requests. Edges have applied the operator's limits to clients; the headers that edges add must fit
-/// as well. Reads have no body.
+/// Limits for edges' requests. Edges have applied the operator's limits to clients already; the headers that edges add
+/// must fit as well. Reads have no body.
 const EDGE_REQUEST_LIMITS: RequestLimits = RequestLimits {
     max_header_bytes: 64 << 10,
     max_body_bytes: 0,
@@ -29,7 +29,7 @@
         response.set_shield_source(source);
         response.set_send_report(report);
         response.set_failure();
-        // The edge checks by it that the response belongs to its request.
+        // The edge uses this id to check that the response belongs to its request.
         response.set_try_id(request.head.headers.get(TRY_ID_HEADER));
         self.0.counters.read_latency.record(received.elapsed());
         response.into()
--- a/glenfall/src/shield/mod.rs
+++ b/glenfall/src/shield/mod.rs
@@ -1,5 +1,5 @@
 //! The shield, a cache node: answers edges' reads from its cache, collapses concurrent misses of one object into one
-//! fetch, and fetches from the servers.
+//! fetch, and fetches from the origin servers.
 
 mod counters;
 mod fetch;
@@ -35,13 +35,14 @@
 use crate::upstream::pool::Pool;
 use crate::watch_client::{WatchClient, WatchHandler};
 
-/// The version of the configuration that an edge has routed a read by; the shield never answers by an older one.
+/// The header with the version of the configuration by which an edge has routed a read. The shield never uses an older
+/// one for it.
 pub const CONFIG_REV: HeaderName = HeaderName::from_static("x-glenfall-rev");
-/// Another shield has received the request before, and may have counted it or sent it to a server: further sends are
-/// retries, and draw on the retry budget.
+/// The header of a request that another shield has received before, which may have counted it or sent it to a server.
+/// Further sends of it are retries, and spend the retry budget.
 pub const REPEATED_REQUEST: HeaderName = HeaderName::from_static("x-glenfall-again");
-/// Share of the machine's memory for the cache. The remaining memory is for requests in flight, and for the control node on
-/// the same machine.
+/// Fraction of the machine's memory for the cache. The rest is for requests in flight, and for the control node on the
+/// same machine.
 pub const CACHE_MEMORY_SHARE: f64 = 0.4;
 
 /// A shield: its cache, and the fetches in flight.
@@ -49,7 +50,7 @@
     watch_client: Rc<WatchClient>,
     forwarder: Forwarder,
     cache: RefCell<Cache>,
-    /// The cache on disk, where this machine has one.
+    /// `None` if this machine has no state folder, or the disk cache could not be started.
     disk_cache: Option<DiskCache>,
     warm_start: WarmStart,
     fetches: SingleFlight,
@@ -57,7 +58,7 @@
 }
 
 impl Shield {
-    /// A shield that learns of changes through `watch_client` and fetches through `pool`.
+    /// A shield that receives updates through `watch_client` and fetches through `pool`.
     pub fn new(settings: &Rc<Settings>, watch_client: Rc<WatchClient>, pool: Rc<Pool>) -> Rc<Self> {
         let max_bytes = settings.memory_share(CACHE_MEMORY_SHARE);
         let opened = settings.state_dir.as_ref().and_then(|folder| {
@@ -84,7 +85,7 @@
         shield
     }
 
-    /// Takes the responses found on disk into use, once that is allowed.
+    /// Moves the responses that were read from disk to the cache, once they may be used.
     fn finish_warm_start(&self) {
         let Some(found) = self.warm_start.take_ready() else { return };
         self.counters.warm_start.increment_by(found.len());
@@ -124,7 +125,7 @@
     fn fleet_changed(&self, fleet: &Fleet) {
         self.forwarder.update(fleet);
         let ready = fleet.shields.iter().filter(|member| member.ready && member.proxy == ProxyRole::Shield);
-        // A shield that does not know the complete fleet yet assumes that every core machine has a shield that sends.
+        // Until it knows the complete fleet, a shield assumes that every core machine has a shield that sends requests.
         let sharing_shields = ready.count().max(if fleet.complete { 1 } else { fleet.cores as usize });
         self.forwarder.set_quota_holder(QuotaHolder::Shield { of: sharing_shields });
     }
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Without control the cache stays in use, and its responses are marked as not covered by a lease: edges that are out
-    /// of touch as well use them.
+    /// While disconnected from control, the cache stays in use, and its responses are marked as not covered by a lease.
+    /// Edges that are disconnected as well use them.
     fn connection_changed(&self, yes: bool) {
         if yes {
             self.warm_start.caught_up();
--- a/glenfall/src/shield/object_hash.rs
+++ b/glenfall/src/shield/object_hash.rs
@@ -13,7 +13,7 @@
 
 /// The hash of an object. Requests for ranges of one object share it.
 pub fn object_hash(host: &str, path: &str) -> u64 {
-    // The separator keeps apart the same text split into host and path at different positions.
+    // The separator distinguishes the same text when it is split into host and path at different positions.
     let host_hash = mix_text(0, host) ^ 1;
     mix_text(host_hash, path)
 }
--- a/glenfall/src/shield/read.rs
+++ b/glenfall/src/shield/read.rs
@@ -1,4 +1,4 @@
-//! Reads at a shield: from its cache, from a fetch in flight, or by a fetch of its own.
+//! Reads at a shield: answered from its cache, from a fetch in flight, or by a new fetch.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,22 +22,22 @@
 use crate::http_server::FullRequest;
 use crate::upstream::forward::{Rejection, UNAVAILABLE_RETRY_AFTER};
 
-/// How long a read waits for a version of the configuration that its edge has and the shield has not. Updates reach the
-/// machines of one region within milliseconds of each other, and those of different regions within a round trip. One
-/// that takes longer may not come, because the control node of this machine is partitioned.
+/// How long a read waits for the version of the configuration that its edge has used. Updates reach the machines of one
+/// region within milliseconds of each other, and those of different regions within a round trip. One that takes longer
+/// may not arrive at all, because the control node of this machine is partitioned.
 const CONFIG_WAIT: Duration = Duration::from_millis(100);
-/// `Retry-After` of a shield that lacks a configuration.
+/// `Retry-After` of a shield that lacks the configuration for a read.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// The deadline of a read that states none.
+/// Time until the deadline of a read that states none.
 const DEFAULT_DEADLINE_MS: u64 = 1000;
-/// Bound on the deadline that a read may state.
+/// Upper bound of the time until the deadline that a read may state.
 const MAX_DEADLINE_MS: u64 = 60_000;
 
-/// The response to a read, and what its edge needs to know of it.
+/// The response to a read, and what its edge needs to know about it.
 pub(super) struct ReadResult {
     pub response: ProxyResponse,
     pub source: ShieldSource,
-    /// What the read has used of the sends that its edge allowed.
+    /// The sends that the read has used of those that its edge allowed.
     pub report: SendReport,
 }
 
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The source of a stored response, which says where this shield has no lease on it.
+    /// `source`, or `WithoutLease` if this shield has no lease on its stored responses now.
     fn under_lease(&self, source: ShieldSource) -> ShieldSource {
         if self.watch_client.may_serve_stored_responses() {
             source
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The configuration, once it is as new as the edge's; a rejection that says so where it does not arrive in time.
+    /// The configuration, once it is at least as new as the edge's. A rejection if it does not become so in time.
     async fn config_for(&self, headers: &HeaderMap, deadline: Instant) -> Result<Arc<Config>, ReadResult> {
         let rev = number_in(headers, CONFIG_REV).unwrap_or(0);
         let not_ready = |cause| ReadResult::local(LocalResponse::rejected(cause, NOT_READY_RETRY_AFTER));
@@ -135,22 +135,23 @@
             }
             Ok(FetchEnd { fetched, report }) => ReadResult { report, ..self.result_of(fetched, request) },
             Err(fetched) => {
-                // The fetch goes on, and may use all that it was allowed.
+                // The fetch continues, and may use all sends that it was allowed.
                 let report = SendReport { used: allowance.sends, exhausted: false };
                 ReadResult { report, ..self.result_of(fetched, request) }
             }
         }
     }
 
-    /// Waits for a fetch that another read has started. Servers receive it under that read's id, so that it uses none of
-    /// this read's sends.
+    /// Waits for a fetch that another read has started. Servers receive it under the id of that read, so that it uses
+    /// none of this read's sends.
     async fn await_shared(
         &self,
         receiver: FetchReceiver,
         deadline: Instant,
         request: &FullRequest,
     ) -> ReadResult {
-        // Determined before the wait: a fetch that began before a purge may bring what the purge has ended.
+        // Determined before the wait: a fetch that began before a purge may return content that the purge has
+        // invalidated.
         let source = self.under_lease(ShieldSource::Miss);
         let result = match await_end(receiver, deadline).await {
             Ok(FetchEnd { fetched, report }) => {
@@ -185,7 +186,7 @@
     }
 }
 
-/// The time by which a read must be answered.
+/// The time by which a read has to be answered.
 fn deadline(headers: &HeaderMap) -> Instant {
     let timeout_ms = number_in(headers, DEADLINE_HEADER).unwrap_or(DEFAULT_DEADLINE_MS).min(MAX_DEADLINE_MS);
     Instant::now() + Duration::from_millis(timeout_ms)
@@ -195,7 +196,7 @@
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-/// The route of a read and the key of its object; `None` where no route takes it.
+/// The route of a read and the key of its object; `None` if no route matches.
 fn route_and_object<'a>(config: &'a Config, request: &FullRequest) -> Option<(&'a Route, ObjectKey)> {
     let (host, path) = (request.host(), request.path_and_query());
     let route = config.route(host, request.head.uri.path());
@@ -204,7 +205,7 @@
     Some((route, ObjectKey { service: service.into(), host: host.into(), path: path.into() }))
 }
 
-/// Waits for the end of a fetch until a deadline; an error is what the read gets where the end does not arrive.
+/// Waits for the result of a fetch until a deadline. The error is the outcome that the read gets if no result arrives.
 async fn await_end(mut receiver: FetchReceiver, deadline: Instant) -> Result<FetchEnd, Fetched> {
     let lost = || Fetched::Unknown(Cause::AnswerLost.into());
     match timeout_at(deadline, receiver.wait_for(Option::is_some)).await {
--- a/glenfall/src/shield/singleflight.rs
+++ b/glenfall/src/shield/singleflight.rs
@@ -1,4 +1,4 @@
-//! Request collapsing (singleflight): reads of one object that miss while it is being fetched share that fetch.
+//! Request collapsing (singleflight): reads that miss while their object is being fetched share that fetch.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -10,13 +10,13 @@
 use super::fetch_result::FetchEnd;
 use crate::cache::{ObjectKey, StoredResponse};
 
-/// Bound on the fetches in flight; reads that miss beyond it are rejected.
+/// Maximum number of fetches in flight; reads that would start another are rejected.
 const MAX_FETCHES: usize = 1024;
 
-/// Receives the end of a fetch.
+/// Receives the result of a fetch; `None` until the fetch has ended.
 pub(super) type FetchReceiver = watch::Receiver<Option<FetchEnd>>;
 
-/// [`MAX_FETCHES`] fetches are in flight.
+/// No fetch can be started, as [`MAX_FETCHES`] are in flight.
 pub(super) struct TooManyFetches;
 
 /// A fetch in flight that reads may share.
@@ -25,11 +25,11 @@
     purges: Rc<PurgesDuringFetch>,
 }
 
-/// The purges received since a fetch began: the response that it brings may be older than they are.
+/// The purges received since a fetch began. Its response may be older than they are.
 #[derive(Default)]
 struct PurgesDuringFetch {
     labels: RefCell<Vec<String>>,
-    /// The object itself was purged.
+    /// Whether the object itself was purged.
     object: Cell<bool>,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// A fetch that has begun, as the task that carries it out has it.
+/// A fetch that has begun, as held by the task that carries it out.
 pub(super) struct StartedFetch {
     key: ObjectKey,
     sender: watch::Sender<Option<FetchEnd>>,
@@ -47,12 +47,12 @@
 }
 
 impl StartedFetch {
-    /// Whether a purge that was received since the fetch began names what it has brought.
+    /// Whether a purge that was received since the fetch began covers its response.
     pub fn is_purged(&self, copy: &StoredResponse) -> bool {
         self.purges.name(copy)
     }
 
-    /// Hands the end of the fetch to all reads that wait for it.
+    /// Sends the result of the fetch to all reads that wait for it.
     pub fn publish(self, end: FetchEnd) {
         self.sender.send_replace(Some(end));
     }
@@ -61,9 +61,9 @@
 /// The fetches in flight.
 #[derive(Default)]
 pub(super) struct SingleFlight {
-    /// Fetches that reads may share, by what they fetch.
+    /// Fetches that reads may share, by object.
     shared: RefCell<HashMap<ObjectKey, SharedFetch>>,
-    /// The number of all fetches in flight, those included that are no longer shared because of a purge.
+    /// The number of all fetches in flight, including those that are no longer shared because of a purge.
     in_flight: Cell<usize>,
 }
 
@@ -86,8 +86,8 @@
         Ok((StartedFetch { key: key.clone(), sender, purges }, receiver))
     }
 
-    /// Ends a fetch: no read shares it from now on. A purge may have removed it before, and another fetch of the same
-    /// object may have begun, which goes on.
+    /// Ends a fetch: no read joins it from now on. If a purge has already removed it, a newer fetch of the same object
+    /// may be in flight, which stays shared.
     pub fn finish(&self, fetch: &StartedFetch) {
         self.in_flight.set(self.in_flight.get() - 1);
         let mut shared = self.shared.borrow_mut();
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Notes a purge at the fetches in flight. Fetches of an object that is purged itself are no longer shared; whether
-    /// a response has a purged label shows when it has arrived.
+    /// Records a purge for the fetches in flight. Fetches of a purged object are no longer shared. Whether a response
+    /// has a purged label is known only once it has arrived.
     pub fn purge(&self, purge: &Purge) {
         let mut shared = self.shared.borrow_mut();
         match purge {
--- a/glenfall/src/shield/warm_start.rs
+++ b/glenfall/src/shield/warm_start.rs
@@ -1,5 +1,5 @@
-//! Stored responses that lay on disk when the process started. They are used only once they have been read and control
-//! has published all purges from before the start; until then purges are applied to them here.
+//! Stored responses that were on disk when the process started. They are used only once they have been read and control
+//! has published all purges from before the start; until then, purges are applied to them here.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 }
 
 impl WarmStart {
-    /// A warm start that keeps at most this many bytes of responses, where there is a disk to read them from.
+    /// A warm start that keeps at most `max_bytes` of responses. Without a disk cache, it never has any.
     pub fn new(has_disk: bool, max_bytes: usize) -> Self {
         WarmStart {
             responses: RefCell::new(has_disk.then(|| Cache::new(max_bytes))),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Takes what was read from disk.
+    /// Stores what was read from disk, and applies the purges received meanwhile.
     pub fn load(&self, rows: Vec<StoredRow>) {
         let now = Instant::now();
         let stored = rows.len();
@@ -60,7 +60,7 @@
         self.is_caught_up.set(true);
     }
 
-    /// Removes what a purge names; returns which objects.
+    /// Removes the responses that a purge covers; returns their keys.
     pub fn purge(&self, purge: &AgedPurge) -> Vec<ObjectKey> {
         let mut responses = self.responses.borrow_mut();
         let Some(responses) = responses.as_mut() else { return Vec::new() };
@@ -70,7 +70,8 @@
         responses.purge(purge)
     }
 
-    /// Takes the responses out, once they are loaded and control has published all purges; `None` before and afterwards.
+    /// Takes the responses out, once they are loaded and control has published all purges; `None` before that, and once
+    /// they were taken.
     pub fn take_ready(&self) -> Option<Cache> {
         if !(self.is_loaded.get() && self.is_caught_up.get()) {
             return None;
--- a/glenfall/src/upstream/concurrency_limit.rs
+++ b/glenfall/src/upstream/concurrency_limit.rs
@@ -2,9 +2,9 @@
 //!
 //! A service that receives more requests than it can handle keeps all its queues full: its throughput stays the same,
 //! but its responses are late. So each machine observes which fraction of its responses exceeds the latency target.
-//! Where that is large, the machine lowers its limit step by step, down to its share of the servers' capacity, and
-//! rejects what exceeds it immediately, the lowest priority first; where responses are on time again, it raises the
-//! limit. Machines need no messages between each other for this, as they observe the same queues.
+//! While that fraction is large, the machine lowers its limit step by step, down to its share of the servers' capacity,
+//! and immediately rejects the requests above it, the lowest priority first. Once responses are on time again, it
+//! raises the limit. Machines need no coordination for this, as they observe the same queues.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,24 +12,24 @@
 
 use tokio::time::Instant;
 
-/// A response counts as late if it takes more than this fraction of the latency target: transit to the client takes
+/// A response counts as late if it takes more than this fraction of the latency target, as transit to the client takes
 /// time as well.
 const ON_TIME_FRACTION: f64 = 0.8;
-/// Weight of a response in the moving average of late ones.
+/// Weight of a response in the moving average of the fraction of late ones.
 const LATE_FRACTION_SMOOTHING: f64 = 0.1;
-/// The limit is lowered while more than this fraction is late. A single slow server of a few, and work that takes long
-/// by itself, stay below it.
+/// The limit is lowered while more than this fraction is late. A single slow server among several, or requests that
+/// take long by themselves, stay below it.
 const OVERLOAD_LATE_FRACTION: f64 = 0.3;
 /// The limit may be raised while less than this fraction is late.
 const HEALTHY_LATE_FRACTION: f64 = 0.15;
 /// The limit is multiplied by this when it is lowered.
 const BACKOFF_FACTOR: f64 = 0.8;
-/// Lower bound of a limit, as a multiple of this machine's share of the servers' capacity: the servers stay busy, and
-/// have a request to run when a slot becomes free.
+/// Lower bound of a limit, as a multiple of this machine's share of the servers' capacity. It keeps the servers busy,
+/// with a request ready to run when a slot becomes free.
 const MIN_LIMIT_PER_CAPACITY: f64 = 1.5;
 /// Absolute lower bound of a limit: clients do not distribute their requests evenly over machines.
 const MIN_LIMIT: f64 = 3.0;
-/// Upper bound of a limit, and its value before anything was observed of a service.
+/// Upper bound of a limit, and its initial value for a service.
 pub const MAX_LIMIT: f64 = 256.0;
 /// The fraction of the limit that is not available to the lowest priority.
 const PRIORITY_RESERVE: f64 = 0.5;
@@ -53,7 +53,7 @@
         self.limit = self.limit.max(min_limit);
     }
 
-    /// Whether a request of this priority, from 0, the highest, to 1, may be sent.
+    /// Whether a request of this priority, from 0 (highest) to 1, may be sent.
     fn admits(&self, rank: f64) -> bool {
         let limit_for_rank = (self.limit * (1.0 - PRIORITY_RESERVE * rank)).max(1.0);
         f64::from(self.in_flight) + 1.0 <= limit_for_rank
@@ -81,7 +81,7 @@
 pub struct ConcurrencyLimits(RefCell<BTreeMap<String, ServiceLimit>>);
 
 impl ConcurrencyLimits {
-    /// Takes the services, and this machine's share of the capacity of each service's servers.
+    /// Sets the services, and this machine's share of the capacity of each service's servers.
     pub fn update(&self, capacity_shares: &BTreeMap<&str, f64>) {
         let mut limits = self.0.borrow_mut();
         // A service with requests in flight keeps its limit until they have ended.
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Admits a request of a priority from 0, the highest, to 1; `None` if it exceeds the limit. A service without a
-    /// limit admits all.
+    /// Admits a request of a priority from 0 (highest) to 1; `None` if it exceeds the limit. A service without a limit
+    /// admits all requests.
     pub fn admit<'a>(&'a self, service: &'a str, rank: f64, latency_target: Duration) -> Option<Permit<'a>> {
         if let Some(limit) = self.0.borrow_mut().get_mut(service) {
             if !limit.admits(rank) {
@@ -117,8 +117,8 @@
     Late,
 }
 
-/// Permission for one request, which counts as in flight until this is dropped. A permit that is dropped with nothing
-/// recorded says nothing about the service.
+/// Permission for one request, which counts as in flight until the permit is dropped. A permit that is dropped with
+/// nothing recorded does not change the limit.
 pub struct Permit<'a> {
     limits: &'a ConcurrencyLimits,
     service: &'a str,
--- a/glenfall/src/upstream/forward/attempts.rs
+++ b/glenfall/src/upstream/forward/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request: which servers it was sent to, how that ended, and what follows from it.
+//! The attempts of one request: which servers it was sent to, how each attempt ended, and whether another may follow.
 
 use glenfall_control_plane::invariant::Invariant;
 use glenfall_http_client::send::{ExecutionStatus, SendEvent, SendSequence, SendStage};
@@ -18,9 +18,10 @@
     max_sends: u32,
     idempotent: bool,
     trace: Trace,
-    /// Whether a server may have run the request: one received all of it, and has not stated that it did not run it.
+    /// Whether a server may have run the request: one has received it completely, and did not state that it has not run
+    /// it.
     may_have_run: bool,
-    /// Whether the request holds a token of the rate limit that no server has received the request for.
+    /// Whether the request holds an unused token of the rate limit: no server has received the request for it.
     has_rate_limit_token: bool,
     /// How the request ends if it is sent to no further server.
     outcome_so_far: Outcome,
@@ -45,7 +46,7 @@
         self.sends.may_begin()
     }
 
-    /// Whether another attempt may follow the one that begins now, however that ends.
+    /// Whether another attempt may follow the one that begins now, whatever its outcome.
     pub fn another_may_follow(&self) -> bool {
         self.sends.another_may_follow()
     }
@@ -93,7 +94,7 @@
         Invariant::SendsAllowed.check(self.sends.used() < self.max_sends, || self.trace.describe());
     }
 
-    /// Records the end of an attempt, and returns what it says about the server.
+    /// Records the end of an attempt. Returns the outcome to record for the server.
     pub fn record(&mut self, result: Result<ServerResponse, SendError>) -> SendOutcome {
         let status = result.as_ref().ok().map(ServerResponse::status);
         let end = AttemptEnd { event: event_of(&result), status };
@@ -116,7 +117,7 @@
         result: Result<ServerResponse, SendError>,
     ) {
         match (execution, result) {
-            // The request was not sent: the outcome remains that of the attempts before.
+            // The request was not sent: the outcome of the attempts before stands.
             (ExecutionStatus::NotRun, Err(_)) => {}
             (ExecutionStatus::NotRun, Ok(response)) => self.rejected_by_server(response.status()),
             (ExecutionStatus::Answered, Ok(response)) => self.outcome_so_far = Outcome::Answered(response),
@@ -135,7 +136,7 @@
             // Another server of the service has the same rate limit, and would count the request against it.
             self.sends.stop();
         }
-        // The response of an earlier attempt is worth more to the client than a rejection.
+        // An earlier attempt's response is more useful to the client than a rejection.
         if matches!(self.outcome_so_far, Outcome::Answered(_)) {
             return;
         }
@@ -145,7 +146,7 @@
         });
     }
 
-    /// How many servers received the request, and whether it ended for want of further sends.
+    /// How many servers received the request, and whether it ended because no sends were left.
     pub fn report(&self) -> SendReport {
         SendReport { used: self.sends.used(), exhausted: self.sends.is_exhausted() }
     }
@@ -219,7 +220,7 @@
         }
     }
 
-    /// What the end says about the server.
+    /// The outcome to record for the server.
     fn outcome(self) -> SendOutcome {
         match self.event {
             SendEvent::NotRun if self.status == Some(StatusCode::MISDIRECTED_REQUEST) => SendOutcome::Failed,
--- a/glenfall/src/upstream/forward/forwarder.rs
+++ b/glenfall/src/upstream/forward/forwarder.rs
@@ -1,4 +1,4 @@
-//! The forwarder: sends a request to a server of its service, and to others while that is allowed and safe.
+//! The forwarder: sends a request to a server of its service, and to others while retries are allowed and safe.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,34 +30,34 @@
 use crate::upstream::origins::{OriginBalancer, SelectedOrigin};
 use crate::upstream::pool::{ExchangeParams, Pool, SendError, UpstreamKind, RESPONSE_COMPLETION_TIMEOUT};
 
-/// The header that names the server that a request is meant for. Every other process rejects the request, also one that
-/// has come to listen at the same address.
+/// The header with the id of the server that a request is addressed to. Any other process rejects the request,
+/// including one that has since begun to listen at the same address.
 const WANT_SERVER: HeaderName = HeaderName::from_static("x-glenfall-want-server");
-/// A server is given a deadline this much earlier than this process has, so that its own response to a request that
-/// takes too long arrives in time.
+/// Servers get a deadline that is this much earlier than that of this process, so that their own response to a request
+/// that takes too long arrives in time.
 const RESPONSE_TRANSIT_TIME: Duration = Duration::from_millis(15);
 
 /// Forwards requests to servers.
 pub struct Forwarder {
     /// The connections to servers, and to shields.
     pub pool: Rc<Pool>,
-    /// The servers, and what was observed of each.
+    /// The servers, and what has been observed of each.
     pub origins: OriginBalancer,
     retry_budget: RefCell<RetryBudget>,
     rate_limit: RateLimitQueue,
     concurrency_limits: ConcurrencyLimits,
     /// Services that have a ready server.
     available_services: RefCell<BTreeSet<String>>,
-    /// The role of the proxies that share the servers' capacity with this one.
+    /// The role of this process. All proxies of the same role share the servers' capacity.
     role: ProxyRole,
     started_at: Instant,
     counters: ForwarderCounters,
 }
 
 impl Forwarder {
-    /// A forwarder for one of the edges, or one of the shields.
+    /// A forwarder for a process of this role.
     pub fn new(pool: Rc<Pool>, boot: &Settings, sharers: ProxyRole) -> Self {
-        // Shields fetch large responses, for which traffic between zones costs.
+        // Shields fetch large responses, and traffic between zones is expensive.
         let prefers_own_zone = sharers == ProxyRole::Shield;
         let origins = OriginBalancer::new(&boot.zone, prefers_own_zone, &boot.node);
         let started_at = Instant::now();
@@ -94,7 +94,7 @@
         ]
     }
 
-    /// Takes the servers of a fleet, and the number of machines that share them.
+    /// Applies a new fleet: its servers, and the number of machines that share them.
     pub fn update(&self, fleet: &Fleet) {
         // Shields choose among all servers, without subsets.
         let edges = if self.role == ProxyRole::Edge { &fleet.edges[..] } else { &[] };
@@ -139,7 +139,7 @@
         self.retry_budget.borrow_mut().record_request(self.now(), service);
     }
 
-    /// Takes a retry out of the budget of a service; `false` if the budget is exhausted.
+    /// Spends a retry from the budget of a service; `false` if the budget is exhausted.
     fn try_spend_retry(&self, service: &str) -> bool {
         let is_allowed = self.retry_budget.borrow_mut().try_spend(self.now(), service);
         match is_allowed {
@@ -149,12 +149,13 @@
         is_allowed
     }
 
-    /// Sets what this machine is among those that share the rate limits.
+    /// Sets this machine's role among those that share the rate limits.
     pub fn set_quota_holder(&self, holder: QuotaHolder) {
         self.rate_limit.set_holder(holder);
     }
 
-    /// Takes a token of the rate limit of the request's service. With `may_wait`, waits a little for it.
+    /// Acquires a token of the rate limit of the request's service. With `may_wait`, waits for it as long as the
+    /// request's latency target and deadline allow.
     pub async fn acquire_rate_limit(
         &self,
         request: &UpstreamRequest<'_>,
@@ -163,14 +164,15 @@
         self.rate_limit.acquire(request, may_wait, &self.counters).await
     }
 
-    /// Sends a request to a server of its service, and to others where it can do no harm; to none where the service is
-    /// overloaded.
+    /// Sends a request to a server of its service, and to others where that is safe. Rejects it without sending it if
+    /// the service is overloaded.
     pub async fn send(&self, job: UpstreamRequest<'_>) -> Outcome {
         let allowance = Allowance::all(job.max_attempts);
         self.send_with_allowance(job, allowance).await.0
     }
 
-    /// As [`send`](Self::send), to no more servers than the allowance states; also reports how many were used.
+    /// As [`send`](Self::send), to no more servers than the allowance states. Also reports how much of the allowance
+    /// was used.
     pub async fn send_with_allowance(
         &self,
         job: UpstreamRequest<'_>,
@@ -225,8 +227,8 @@
         (attempts.into_outcome(), report)
     }
 
-    /// Selects the server of the next attempt, once the rate limit, the deadline and the retry budget allow it. Otherwise
-    /// returns what does not.
+    /// Selects the server of the next attempt, once the rate limit, the deadline and the retry budget allow it.
+    /// Otherwise returns the cause that prevents the attempt.
     async fn next_server(
         &self,
         request: &UpstreamRequest<'_>,
@@ -253,8 +255,8 @@
         Ok(server)
     }
 
-    /// Sends a request to a server. Where a retry may follow, the attempt has to leave time for it: it gets half of the
-    /// time that is left. A request that may run only once gets all of it.
+    /// Sends a request to a server. Where a retry may follow, the attempt gets half of the remaining time, to leave
+    /// time for the retry. A request that may run only once gets all of it.
     async fn exchange(
         &self,
         request: &UpstreamRequest<'_>,
@@ -279,7 +281,7 @@
     (Outcome::NotRun(Rejection::new(cause, AT_CAPACITY_RETRY_AFTER)), SendReport::default())
 }
 
-/// The request as it is written now, with the time that the server has for it.
+/// Builds the HTTP request. Its deadline header states the time that remains for the server.
 fn http_request(request: &UpstreamRequest<'_>, deadline: Instant) -> Request<Full<Bytes>> {
     let time_left = deadline.saturating_duration_since(Instant::now());
     let time_for_server_ms = time_left.saturating_sub(RESPONSE_TRANSIT_TIME).as_millis() as u64;
--- a/glenfall/src/upstream/forward/outcome.rs
+++ b/glenfall/src/upstream/forward/outcome.rs
@@ -5,20 +5,20 @@
 use crate::http::failure::{Cause, Failure};
 use crate::http::response::ServerResponse;
 
-/// When a client may retry at a service whose servers are at capacity: about when one of their requests ends.
+/// When a client may retry if the servers of a service are at capacity: about when one of their requests ends.
 pub(super) const AT_CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// When a client may retry at a service that has no server, or whose rate limit is exceeded.
+/// When a client may retry if a service has no server, or its rate limit is exceeded.
 pub const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// How a forwarded request ended.
 pub enum Outcome {
-    /// With a response, which is passed on.
+    /// A server responded; the response is passed on.
     Answered(ServerResponse),
-    /// The request has not run at any server and will not.
+    /// The request has not run at any server and will not run.
     NotRun(Rejection),
-    /// It may have run.
+    /// The request may have run, and there is no usable response.
     Unknown(Failure),
-    /// It may have run, and its deadline has passed.
+    /// The request may have run, and its deadline has passed.
     TimedOut(Failure),
 }
 
--- a/glenfall/src/upstream/forward/rate_limit_queue.rs
+++ b/glenfall/src/upstream/forward/rate_limit_queue.rs
@@ -10,7 +10,7 @@
 use super::counters::ForwarderCounters;
 use super::request::UpstreamRequest;
 
-/// The rate limit does not allow a request, neither now nor within the time that it may wait.
+/// The rate limit does not allow a request, neither now nor within the time for which it may wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the rate limit of the service is exceeded")]
 pub struct RateLimitExceeded;
@@ -28,13 +28,13 @@
         RateLimitQueue { started_at, limiter: RefCell::new(RateLimiter::new(settings, phase)) }
     }
 
-    /// Sets what this machine is among those that share the rate limits.
+    /// Sets this machine's role among those that share the rate limits.
     pub fn set_holder(&self, holder: QuotaHolder) {
         self.limiter.borrow_mut().set_holder(self.now(), holder);
     }
 
-    /// Takes a token for a request. With `may_wait`, waits for it as long as the request's latency target and deadline
-    /// allow. The order of those that wait is not kept.
+    /// Acquires a token for a request. With `may_wait`, waits for it as long as the request's latency target and
+    /// deadline allow. Waiting requests get their tokens in no particular order.
     pub async fn acquire(
         &self,
         request: &UpstreamRequest<'_>,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Takes a token, or returns the milliseconds until one may be free.
+    /// Acquires a token, or returns the milliseconds until one may be free.
     fn try_acquire(&self, request: &UpstreamRequest<'_>, requests_per_s: f64) -> Result<(), Millis> {
         let mut limiter = self.limiter.borrow_mut();
         limiter.try_acquire(self.now(), request.service, requests_per_s, request.priority_rank)
--- a/glenfall/src/upstream/forward/request.rs
+++ b/glenfall/src/upstream/forward/request.rs
@@ -23,7 +23,7 @@
     pub idempotent: bool,
     /// The maximum number of servers that it may be sent to.
     pub max_attempts: u32,
-    /// Whether it may have reached a server already, by another process.
+    /// Whether another process may already have sent it to a server.
     pub is_retry: bool,
     /// When its response is due.
     pub deadline: Instant,
--- a/glenfall/src/upstream/forward/response_event.rs
+++ b/glenfall/src/upstream/forward/response_event.rs
@@ -1,4 +1,4 @@
-//! What a complete response of a server says about its request.
+//! Classifies the complete responses of servers: whether the request has run, and whether it has failed.
 
 use glenfall_http_client::send::SendEvent;
 use hyper::header::HeaderName;
@@ -9,12 +9,13 @@
 /// The header by which a server states that it has not run the request.
 const NOT_RUN: HeaderName = HeaderName::from_static("x-glenfall-not-run");
 
-/// Whether a response states that the request has not run. A server that was not addressed states it by its status.
+/// Whether a response states that the request has not run. A server that received a request addressed to another one
+/// states it by its status alone.
 pub fn states_not_run(response: &ServerResponse) -> bool {
     response.headers().contains_key(NOT_RUN) || response.status() == StatusCode::MISDIRECTED_REQUEST
 }
 
-/// The event that a complete response is to the state machine of sends.
+/// The event of a complete response in the state machine of sends.
 pub fn response_event(response: &ServerResponse) -> SendEvent {
     let status = response.status();
     let is_error = status.is_client_error() || status.is_server_error();
--- a/glenfall/src/upstream/origins/latency_estimate.rs
+++ b/glenfall/src/upstream/origins/latency_estimate.rs
@@ -1,4 +1,4 @@
-//! An estimate of a server's response time, in which confidence fades while no response arrives.
+//! An estimate of a server's response time. Confidence in it decays while no response arrives.
 
 use std::time::Duration;
 
@@ -6,11 +6,11 @@
 
 /// Weight of a new response time in the moving average.
 const SMOOTHING_FACTOR: f64 = 0.15;
-/// Half-life of the confidence in an estimate. Without it, a single slow response, as on a new connection or from a
-/// machine that has just started, would keep requests away for good, and no response would show that the server has
-/// become fast.
+/// Half-life of the confidence in an estimate. Without the decay, a single slow response, as on a new connection or
+/// from a machine that has just started, would keep requests away for good, and no response would show that the server
+/// has become fast.
 const CONFIDENCE_HALF_LIFE: Duration = Duration::from_secs(10);
-/// The average counts as no shorter than this, in seconds, where its logarithm is taken.
+/// Lower bound of the average, in seconds, when its logarithm is computed.
 const MIN_LATENCY_S: f64 = 1e-6;
 
 /// Moving average of a server's response times.
@@ -37,13 +37,13 @@
         self.log_average
     }
 
-    /// How far the estimate can still be relied on: from 1 just after a response down to 0.
+    /// Confidence in the estimate: 1 just after a response, then decaying towards 0.
     pub fn confidence(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.observed_at).as_secs_f64();
         0.5f64.powf(age / CONFIDENCE_HALF_LIFE.as_secs_f64())
     }
 
-    /// Adds a response time. The older the last one is, the more weight the new one has.
+    /// Adds a response time. The longer ago the previous one was observed, the more weight the new one has.
     pub fn record(&mut self, now: Instant, latency: Duration) {
         let latency_s = latency.as_secs_f64();
         let weight = 1.0 - (1.0 - SMOOTHING_FACTOR) * self.confidence(now);
--- a/glenfall/src/upstream/origins/load_balancer.rs
+++ b/glenfall/src/upstream/origins/load_balancer.rs
@@ -35,9 +35,9 @@
 }
 
 impl OriginBalancer {
-    /// A balancer without servers. `near` makes it prefer servers of its own zone, for a process that fetches large
-    /// responses. `node` is the name of this machine and seeds the random choice: each machine has a sequence of its
-    /// own, which is the same in each run.
+    /// A balancer without servers. With `prefer_own_zone`, it prefers servers of its own zone, for a process that
+    /// fetches large responses. `node_name` seeds the random choice: each machine has a random sequence of its own,
+    /// which is the same in each run.
     pub fn new(zone: &str, near: bool, node: &str) -> Self {
         let node_hash = edge_hash(node);
         OriginBalancer {
@@ -49,12 +49,12 @@
         }
     }
 
-    /// Takes the servers of a fleet and the edges that share them. Returns the addresses at which no server accepts
-    /// requests any more.
+    /// Replaces the servers by those of a fleet, which the given edges share. Returns the addresses at which no server
+    /// accepts requests any more.
     pub fn update(&self, now: Instant, servers: &[Server], edges: &[u64]) -> Vec<SocketAddrV4> {
         let mut origins = self.origins.borrow_mut();
         let mut closed: Vec<SocketAddrV4> = ready_addresses(&origins).collect();
-        // Sets: with a thousand servers, a linear search for each of them would dominate the cost of an update.
+        // Hash sets, because with a thousand servers, linear searches would dominate the cost of an update.
         let listed: HashSet<&str> = servers.iter().map(|server| &server.id[..]).collect();
         origins.retain(|id, _| listed.contains(&id[..]));
         for server in servers {
@@ -71,9 +71,9 @@
         closed
     }
 
-    /// Chooses a ready server of the service that is not among those `tried`, and advances the random sequence. Where
-    /// servers of this machine's subset have free capacity, one of the subset is chosen. `has_idle_connection` says
-    /// whether an idle connection to an address exists. Returns `None` if there is no such server.
+    /// Chooses a ready server of the service that is not among those `tried`, and advances the random sequence. While a
+    /// server of this machine's subset has free capacity, the choice is limited to the subset. `has_idle_connection`
+    /// returns whether there is an idle connection to an address. Returns `None` if no server can be chosen.
     pub fn choose(
         &self,
         now: Instant,
@@ -124,11 +124,11 @@
         candidates
     }
 
-    /// The next random number, from 0 to 1.
+    /// The next random number, from 0 up to but not including 1.
     pub fn next_random(&self) -> f64 {
         let mut state = self.random_state.borrow_mut();
         *state = state.wrapping_add(1);
-        // The upper 53 bits, as many as the mantissa of a double has.
+        // Uses the upper 53 bits, as the mantissa of an `f64` has 53.
         (mix(*state) >> 11) as f64 / (1u64 << 53) as f64
     }
 
@@ -147,28 +147,28 @@
         self.origins.borrow().values().map(Origin::in_flight).sum()
     }
 
-    /// Counts a request that is sent to a server.
+    /// Adds a request to those in flight to a server.
     pub fn request_started(&self, id: &str) {
         if let Some(origin) = self.origins.borrow_mut().get_mut(id) {
             origin.request_started();
         }
     }
 
-    /// Stops counting a request to a server.
+    /// Removes a request from those in flight to a server.
     pub fn request_finished(&self, id: &str) {
         if let Some(origin) = self.origins.borrow_mut().get_mut(id) {
             origin.request_finished();
         }
     }
 
-    /// Takes the outcome of a request to a server, and how long it took.
+    /// Records the outcome of a request to a server, and how long it took.
     pub fn record_outcome(&self, now: Instant, id: &str, end: SendOutcome, took: Duration) {
         if let Some(origin) = self.origins.borrow_mut().get_mut(id) {
             origin.record(now, end, took);
         }
     }
 
-    /// Counts a request that is sent to a server until the returned guard is dropped.
+    /// Counts a request as in flight to a server until the returned guard is dropped.
     pub fn track<'a>(&'a self, id: &'a str) -> InFlight<'a> {
         self.request_started(id);
         InFlight { balancer: self, id, started_at: Instant::now() }
@@ -179,8 +179,8 @@
     origins.values().map(Origin::server).filter(|server| server.ready).map(|server| server.addr)
 }
 
-/// The index of the score in whose range a position within the sum of all scores lies, the last positive one where
-/// rounding leaves none. `None` if no score is positive.
+/// The index of the score whose interval contains `position`, with the intervals of all scores laid end to end from 0.
+/// The last positive score if `position` lies beyond all of them because of rounding; `None` if no score is positive.
 fn weighted_index(scores: &[f64], mut position: f64) -> Option<usize> {
     let mut last = None;
     for (index, score) in scores.iter().enumerate().filter(|(_, score)| **score > 0.0) {
@@ -193,8 +193,8 @@
     last
 }
 
-/// A request in flight to a server. If it is dropped without an outcome, its client has gone, which says nothing about
-/// the server.
+/// A request in flight to a server. It is dropped without an outcome when the client disconnects: nothing is then
+/// recorded about the server.
 pub struct InFlight<'a> {
     balancer: &'a OriginBalancer,
     id: &'a str,
--- a/glenfall/src/upstream/origins/local_subsets.rs
+++ b/glenfall/src/upstream/origins/local_subsets.rs
@@ -1,8 +1,8 @@
 //! Deterministic subsetting: the subset of each service's servers that this machine sends requests to.
 //!
-//! A subset is computed when a request needs it, and not with each change of the fleet: with thousands of servers, that
-//! would take all of the processor's time while they start. An outdated subset costs a few connections; whether a
-//! server accepts requests is decided independently of it.
+//! A subset is computed when a request needs it, and not on each change of the fleet: while thousands of servers start,
+//! that would take all CPU time. An outdated subset costs a few connections only, as whether a server is ready is
+//! checked independently of it.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -14,12 +14,12 @@
 /// Minimum time between two computations of the subset of one service.
 const MIN_RECOMPUTE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The id and capacity of a server, as a subset is computed from them.
+/// Id and capacity of a server, the input for computing a subset.
 #[derive(PartialEq, Eq)]
 pub struct ServerCapacity {
     /// The server's id.
     pub id: String,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
 }
 
@@ -32,7 +32,7 @@
 
 struct LocalSubset {
     input: SubsetInput,
-    /// `None`: any server. Either control does not know this machine yet, or each subset contains all servers.
+    /// `None` allows any server: control does not know this machine yet, or each subset contains all servers.
     server_ids: Option<HashSet<String>>,
     /// The generation of the fleet that the input was last compared with.
     fleet_generation: u64,
@@ -55,7 +55,7 @@
         LocalSubsets { node_hash, edges: Rc::default(), fleet_generation: 0, by_service: HashMap::new() }
     }
 
-    /// Takes the edges of a new fleet, whose servers may have changed as well.
+    /// Sets the edges of a new fleet. All subsets count as outdated then, as the servers may have changed as well.
     pub fn fleet_changed(&mut self, edges: &[u64]) {
         if *self.edges != *edges {
             self.edges = edges.into();
--- a/glenfall/src/upstream/origins/mod.rs
+++ b/glenfall/src/upstream/origins/mod.rs
@@ -1,6 +1,6 @@
-//! The origin servers as one process observes them, and the choice among those of a service.
+//! Origin servers as one process observes them, and load balancing among those of a service.
 //!
-//! Nothing here reads a clock for a decision: callers pass the current time, so that simulations can run on their own.
+//! No decision here reads a clock: callers pass the current time, so that simulations can use simulated time.
 
 mod latency_estimate;
 mod load_balancer;
--- a/glenfall/src/upstream/origins/origin.rs
+++ b/glenfall/src/upstream/origins/origin.rs
@@ -1,4 +1,4 @@
-//! What one process knows of one origin server.
+//! One origin server, as one process knows it.
 
 use std::time::Duration;
 
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Takes the server as it was published again. The end of its slow start is worked out only when the server is new
-    /// or has changed: a repeated message does not restart it.
+    /// Updates the server to its latest published state. The end of its slow start is recomputed only if the server has
+    /// changed, so that a repeated message does not restart it.
     pub fn update(&mut self, now: Instant, server: &Server) {
         if self.server == *server {
             return;
@@ -52,47 +52,47 @@
         self.server.ready && self.server.backend == service
     }
 
-    /// How many requests it runs at once; 1 at least.
+    /// Maximum number of concurrent requests, at least 1.
     pub fn capacity(&self) -> u32 {
         self.server.capacity.max(1)
     }
 
-    /// Requests of this process that it has.
+    /// Number of this process's requests in flight to it.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// When its slow start ends.
+    /// When its slow start ends, or has ended.
     pub fn slow_start_ends_at(&self) -> Instant {
         self.slow_start_ends_at
     }
 
-    /// Its response times.
+    /// Estimate of its response time.
     pub fn latency(&self) -> &LatencyEstimate {
         &self.latency
     }
 
-    /// Its errors.
+    /// Its error rate and ejection.
     pub fn outlier_detector(&self) -> &OutlierDetector {
         &self.outlier_detector
     }
 
-    /// Whether it is neither ejected nor at capacity with requests of this process alone.
+    /// Whether it is not ejected and has fewer requests in flight from this process than its capacity.
     pub fn has_capacity(&self, now: Instant) -> bool {
         !self.outlier_detector.is_ejected(now) && self.in_flight < self.capacity()
     }
 
-    /// Counts a request that is sent to it.
+    /// Adds a request to those in flight.
     pub fn request_started(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Stops counting a request.
+    /// Removes a request from those in flight.
     pub fn request_finished(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Takes the outcome of a request, and how long it took.
+    /// Records the outcome of a request. Its latency counts only if it was a success.
     pub fn record(&mut self, now: Instant, outcome: SendOutcome, latency: Duration) {
         self.outlier_detector.record(now, outcome);
         if outcome == SendOutcome::Success {
--- a/glenfall/src/upstream/origins/outlier_ejection.rs
+++ b/glenfall/src/upstream/origins/outlier_ejection.rs
@@ -7,28 +7,28 @@
 
 /// How long a server is ejected after a connection or a response failed.
 pub const EJECTION_TIME: Duration = Duration::from_millis(1500);
-/// How long a server is ejected after it rejected a request because it was at capacity: a slot becomes free about when
-/// one of its requests ends.
+/// How long a server is ejected after it rejected a request because it was at capacity: about the time until one of its
+/// requests ends and frees a slot.
 const AT_CAPACITY_EJECTION_TIME: Duration = Duration::from_millis(60);
 /// Weight of a request's outcome in the moving average of the error rate.
 const ERROR_RATE_SMOOTHING_FACTOR: f64 = 0.3;
-/// Half-life of the error rate while nothing new is observed: the server is tried again then, by few requests.
+/// Half-life of the error rate while no outcome is observed: as it decays, the server is tried again by a few requests.
 const ERROR_RATE_HALF_LIFE: Duration = Duration::from_secs(4);
-/// Power of the success rate in a server's score: one that fails a third of its requests gets a fifth of the score of
-/// one that fails none.
+/// Exponent of the success rate in a server's score: a server that fails a third of its requests gets a fifth of the
+/// score of one that fails none.
 const SUCCESS_RATE_EXPONENT: i32 = 4;
 
 /// How a request ended at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// The server responded with a success, or with an error that is the client's.
+    /// The server responded with a success or a client error.
     Success,
-    /// The server responded with an error of its own. This says nothing about its latency: a server that fails all
-    /// requests may do so immediately.
+    /// The server responded with a server error. Its latency is not recorded, as a server that fails all requests may
+    /// do so immediately.
     ServerError,
-    /// The server rejected the request: it is at capacity, or is not the one that was addressed.
+    /// The server stated that it has not run the request, for example because it is at capacity.
     Rejected,
-    /// There was no connection, or no response that could be read.
+    /// There was no connection or no usable response, or the address is now that of another server.
     Failed,
 }
 
@@ -56,7 +56,7 @@
         (1.0 - self.error_rate(now)).powi(SUCCESS_RATE_EXPONENT)
     }
 
-    /// Takes the outcome of a request.
+    /// Updates the error rate and the ejection with the outcome of a request.
     pub fn record(&mut self, now: Instant, outcome: SendOutcome) {
         match outcome {
             SendOutcome::Success => self.record_error_sample(now, 0.0),
--- a/glenfall/src/upstream/origins/scoring.rs
+++ b/glenfall/src/upstream/origins/scoring.rs
@@ -1,23 +1,23 @@
-//! Scores of the servers that a request may go to: each is drawn in proportion to its score.
+//! Scores of candidate servers: each is chosen with a probability proportional to its score.
 
 use tokio::time::Instant;
 
 use super::origin::Origin;
 
-/// Factor during slow start: a server that is slow from its start handles about this part of what it handles when warm.
+/// Factor during slow start: a server that has just started handles about this fraction of its usual load.
 const SLOW_START_FACTOR: f64 = 0.4;
-/// Factor for a server in another zone, where traffic between zones costs: it is chosen when those of the own zone are
-/// overloaded.
+/// Factor for a server in another zone, where traffic between zones is expensive. Such servers are still chosen when
+/// those of the own zone are overloaded.
 const OTHER_ZONE_FACTOR: f64 = 0.1;
-/// Factor for a server to which an idle connection exists: a new one costs a round trip, and may occupy a slot at the
-/// server.
+/// Factor for a server to which an idle connection exists: a new connection takes a round trip, and may occupy a slot
+/// at the server.
 const CONNECTION_REUSE_FACTOR: f64 = 4.0;
-/// How steeply the score falls with the part of a server's capacity that is in use.
+/// How steeply the score falls with the fraction of a server's capacity that is in use.
 const UTILIZATION_SLOPE: f64 = 4.0;
-/// Power of the ratio of the typical latency to a server's own. Squared, faster servers take more than the share that
-/// would queue at the others; free capacity counts squared for the same reason.
+/// Exponent of the ratio of the typical latency to a server's own. With 2, faster servers also take requests that would
+/// queue at slower ones; free capacity is squared for the same reason.
 const SPEED_EXPONENT: f64 = 2.0;
-/// Lower bound of scores and of a sum by which something is divided.
+/// Lower bound of scores and of divisors, which keeps them positive.
 const MIN_POSITIVE: f64 = 1e-9;
 
 /// A server that a request may go to, and the confidence in its latency estimate now.
@@ -27,15 +27,15 @@
     latency_confidence: f64,
 }
 
-/// What the candidates of one choice have in common.
+/// Inputs that the scores of all candidates have in common.
 pub struct Scoring<'a> {
     now: Instant,
     /// The zone whose servers are preferred, if any.
     preferred_zone: Option<&'a str>,
     candidates: Vec<Candidate<'a>>,
-    /// Whether all candidates are ejected: each is as good as the next then.
+    /// Whether all candidates are ejected. Ejections are ignored then.
     all_ejected: bool,
-    /// Logarithm of the latency of the candidates, weighted by the confidence in each.
+    /// Mean of the logarithms of the candidates' latencies, weighted by the confidence in each.
     typical_log_latency: f64,
 }
 
--- a/glenfall/src/upstream/pool/connection_pool.rs
+++ b/glenfall/src/upstream/pool/connection_pool.rs
@@ -13,12 +13,12 @@
 use super::error::SendError;
 use crate::memory_budget::MemoryBudget;
 
-/// A connection that is not established within this time is given up: the opening packet was lost, or the machine is
-/// unreachable.
+/// An attempt to connect is abandoned after this time: the SYN packet was lost, or the machine is unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest head of a response, in bytes.
 const MAX_HEAD_BYTES: usize = 32 << 10;
-/// No server drops a connection without notice that was in use as short a time ago as this.
+/// An idle connection to an origin server is trusted until this long after its last use: no server silently drops one
+/// so soon.
 pub const MAX_TRUSTED_IDLE_TIME: Duration = Duration::from_millis(100);
 /// How often expired idle connections are looked for.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
@@ -38,10 +38,11 @@
 /// How far an idle connection is trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamKind {
-    /// A process of this system: it closes the connections that it drops.
+    /// A process of this system, which never drops a connection without closing it.
     Internal,
-    /// An origin server. It may have dropped the connection without notice, so that what is sent on it is lost: the last
-    /// bytes of a request are held back until that would have shown.
+    /// An origin server, which may have silently dropped an idle connection. The last byte of a request on such a
+    /// connection is delayed until a server that has dropped it would have reset it: a request that fails before has
+    /// not run, and can be sent on another connection.
     Origin,
 }
 
@@ -54,18 +55,18 @@
 
 /// All connections that one process opens.
 pub struct Pool {
-    /// By address; the one that became idle last is the last one of its address.
+    /// By address, the most recently used connection last.
     idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
     became_idle: Notify,
     open_connections: Rc<Cell<usize>>,
     max_connections: usize,
     connections_opened: Cell<u64>,
-    /// The memory that responses are held in.
+    /// The memory budget of responses.
     pub memory: MemoryBudget,
 }
 
 impl Pool {
-    /// A pool of at most `max_connections`, whose responses are held in `memory`.
+    /// A pool of at most `max_connections`, whose responses are read into `memory`.
     pub fn new(max_connections: usize, memory: MemoryBudget) -> Rc<Self> {
         Rc::new(Pool {
             idle: RefCell::default(),
@@ -80,7 +81,7 @@
     /// Closes idle connections as they expire, for as long as the process runs.
     pub async fn sweep(&self) {
         loop {
-            // Without idle connections there is nothing to wake up for.
+            // Does not wake up periodically while no connection is idle.
             while self.idle.borrow().is_empty() {
                 self.became_idle.notified().await;
             }
@@ -156,8 +157,7 @@
         timeout(CONNECT_TIMEOUT, opening).await.ok().flatten()
     }
 
-    /// Closes the idle connection that would expire first, in place of which another can be opened; `None` if none is
-    /// idle.
+    /// Closes the idle connection that would expire first, to make room for a new one; `None` if no connection is idle.
     fn close_first_expiring(&self) -> Option<()> {
         let mut idle = self.idle.borrow_mut();
         let with_idle = idle.values_mut().filter(|connections| !connections.is_empty());
--- a/glenfall/src/upstream/pool/exchange.rs
+++ b/glenfall/src/upstream/pool/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange: a request is sent on a connection of the pool, and its complete response is read.
+//! One exchange: sends a request on a connection of the pool, and reads its complete response.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,8 +17,8 @@
 use crate::http::headers::TRY_ID_HEADER;
 use crate::http::response::ServerResponse;
 
-/// A response has to be complete within this time from its first byte, or the request is sent to another server. Where
-/// it can't be sent to another one, the response is waited for: a pause alone does not end a response.
+/// Time from the first byte of a response within which it has to be complete; otherwise the request is sent to another
+/// server. It does not apply where the request can't be sent to another server: a pause alone does not end a response.
 pub const RESPONSE_COMPLETION_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Where a request is sent, and how long its response may take.
@@ -26,15 +26,15 @@
 pub struct ExchangeParams<'a> {
     /// The address of the server or shield.
     pub address: SocketAddr,
-    /// How far an idle connection to it is trusted.
+    /// Determines how far an idle connection to it is trusted.
     pub kind: UpstreamKind,
-    /// When the exchange ends without a response.
+    /// The exchange fails if there is no complete response by this time.
     pub deadline: Instant,
     /// The time from the first byte of the response within which it has to be complete; `None` where the request can't
     /// be sent to another server, and the response is waited for until the deadline.
     pub completion_timeout: Option<Duration>,
-    /// Asked once a connection is established, whether the request may still be sent: the server may have begun to
-    /// drain meanwhile.
+    /// Called once a connection is available: returns whether the request may still be sent, as the server may have
+    /// begun to drain meanwhile.
     pub may_still_send: Option<&'a dyn Fn() -> bool>,
 }
 
@@ -55,12 +55,12 @@
     }
 }
 
-/// What follows from a send without a response.
+/// What to do after a send without a response.
 enum FailedSend {
-    /// An idle connection had been closed, or something unrequested arrived on it; the server has seen nothing of the
-    /// request, which can be sent on another connection.
+    /// The reused connection was closed, or unsolicited data arrived on it. The server has not received the request,
+    /// which can be sent on another connection.
     StaleConnection,
-    /// The exchange is over.
+    /// The exchange fails with this error.
     Final(SendError),
 }
 
@@ -76,8 +76,8 @@
 }
 
 impl Pool {
-    /// Sends a request and reads the complete response. `request` makes the request anew for each connection that it is
-    /// written to: an idle one may prove closed before the request is complete on it.
+    /// Sends a request and reads the complete response. `build_request` is called for each connection that the request
+    /// is written to, as an idle one may turn out to be closed before the request is completely written.
     pub async fn exchange(
         &self,
         params: ExchangeParams<'_>,
@@ -100,10 +100,10 @@
                 Err(event) => event,
             };
             let stage = progress.stage();
-            // Nothing may be read from it or written to it any more.
+            // The state of the connection is unknown: it can't be used again.
             drop(connection);
             if event == SendEvent::WrongRequest {
-                // Responses on connections that the server had before may belong to other requests as well.
+                // Responses on other idle connections to this address may belong to other requests as well.
                 self.close_idle(params.address);
             }
             match FailedSend::classify(stage, event, is_reused) {
--- a/glenfall/src/upstream/pool/keep_alive.rs
+++ b/glenfall/src/upstream/pool/keep_alive.rs
@@ -10,8 +10,8 @@
 pub const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(6);
 /// Upper bound of the idle time-out that a server states, in seconds.
 const MAX_STATED_TIMEOUT_S: u64 = 3600;
-/// Idle connections are closed this long before their server closes them, as a request that crosses the close ends
-/// with a reset.
+/// Idle connections are closed this long before the server closes them, as a request sent while the server closes the
+/// connection is answered with a reset.
 const CLOSE_MARGIN: Duration = Duration::from_millis(1500);
 
 /// How long a connection may stay idle after a response with these headers; `None` if it has to be closed immediately.
@@ -36,7 +36,7 @@
     Some(Duration::from_secs(seconds.min(MAX_STATED_TIMEOUT_S)))
 }
 
-/// The seconds of a member `timeout=SECONDS`.
+/// Parses the seconds of a list member `timeout=SECONDS`.
 fn parse_timeout(member: &str) -> Option<u64> {
     let (name, value) = member.split_once('=')?;
     if !name.trim().eq_ignore_ascii_case("timeout") {
--- a/glenfall/src/upstream/pool/response_reader.rs
+++ b/glenfall/src/upstream/pool/response_reader.rs
@@ -1,4 +1,4 @@
-//! Reads complete responses within the memory that the process has for them.
+//! Reads complete responses into memory that is reserved in the budget of the process.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -17,11 +17,11 @@
 /// Largest body of a response that is held in memory.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// A complete response, and for how long its connection may stay idle; `None` if it has to be closed.
+/// A complete response, and how long its connection may stay idle.
 pub struct CompleteResponse {
     /// The response.
     pub response: ServerResponse,
-    /// The idle time-out of its connection.
+    /// The idle time-out of its connection; `None` if the connection has to be closed.
     pub idle_timeout: Option<Duration>,
 }
 
@@ -31,7 +31,7 @@
     /// The server changes to another protocol.
     #[error("the server switches protocols")]
     SwitchingProtocols,
-    /// Nothing says where the body ends.
+    /// The headers do not determine where the body ends.
     #[error("the end of the body can't be determined")]
     UnclearEnd,
     /// The body is longer than [`MAX_BODY_BYTES`].
@@ -48,7 +48,7 @@
 /// Reads one response.
 pub struct ResponseReader<'a> {
     memory: &'a MemoryBudget,
-    /// Time spent waiting for memory of this process is no fault of the server's.
+    /// Set while the reader waits for memory. Such waits do not count as stalls of the server.
     is_waiting_for_memory: Cell<bool>,
 }
 
@@ -76,8 +76,8 @@
         Ok(CompleteResponse { response: ServerResponse::new(head, body), idle_timeout })
     }
 
-    /// Waits until a response has begun and is not complete within the time-out, although there is memory for it.
-    /// Never returns without a time-out.
+    /// Returns once a response that has begun is not complete within the time-out, and the reader is not waiting for
+    /// memory. Never returns if there is no time-out.
     pub async fn stalled(&self, progress: &Progress, completion_timeout: Option<Duration>) {
         let Some(completion_timeout) = completion_timeout else { return std::future::pending().await };
         loop {
@@ -89,7 +89,7 @@
     }
 
     async fn read_body(&self, mut body: Incoming) -> Result<Bytes, ReadError> {
-        // 0 where no length is stated.
+        // 0 if no length is stated.
         let stated_length = body.size_hint().lower();
         if stated_length > MAX_BODY_BYTES as u64 {
             return Err(ReadError::TooLarge);
@@ -105,14 +105,14 @@
             let Ok(data) = frame.into_data() else { continue };
             let length = buffer.len() + data.len();
             if buffer.is_empty() && body.is_end_stream() && length <= reservation.bytes() {
-                // The only frame is the body: it need not be copied.
+                // A body of a single frame is used without copying it.
                 return Ok(reservation.attach_to(data));
             }
             if length > MAX_BODY_BYTES {
                 return Err(ReadError::TooLarge);
             }
             if length > reservation.bytes() {
-                // No length is stated: reserve as much again as has arrived.
+                // Without a stated length, the reservation grows to twice what has arrived.
                 self.grow(&mut reservation, (2 * length).min(MAX_BODY_BYTES)).await?;
             }
             buffer.extend_from_slice(&data);
