--- a/glenfall/src/cache/disk/cache_file.rs
+++ b/glenfall/src/cache/disk/cache_file.rs
@@ -27,7 +27,7 @@
     (id INTEGER PRIMARY KEY, at INTEGER NOT NULL, steady INTEGER NOT NULL)";
 const UPSERT_ROW: &str =
     "INSERT OR REPLACE INTO copies (id, head, body, born, crc) VALUES (?1, ?2, ?3, ?4, ?5)";
-const UPDATE_ROW_BORN: &str = "UPDATE copies SET born = ?2 WHERE id = ?1";
+const UPDATE_REQUEST_TIME: &str = "UPDATE copies SET born = ?2 WHERE id = ?1";
 const DELETE_ROW: &str = "DELETE FROM copies WHERE id = ?1";
 const SELECT_ROWS: &str = "SELECT head, body, born, crc FROM copies";
 const UPSERT_WRITE_TIME: &str = "INSERT OR REPLACE INTO written (id, at, steady) VALUES (1, ?1, ?2)";
@@ -124,12 +124,12 @@
 
 fn apply(transaction: &Transaction, change: &Change) -> rusqlite::Result<()> {
     match change {
-        Change::Put { id, head, body, born_ms } => {
+        Change::Put { id, head, body, requested_at_ms } => {
             let mut put = transaction.prepare_cached(UPSERT_ROW)?;
-            put.execute((id, head, &body[..], born_ms, checksum(head, body)))?;
+            put.execute((id, head, &body[..], requested_at_ms, checksum(head, body)))?;
         }
-        Change::Revalidate { id, born_ms } => {
-            transaction.prepare_cached(UPDATE_ROW_BORN)?.execute((id, born_ms))?;
+        Change::Revalidate { id, requested_at_ms } => {
+            transaction.prepare_cached(UPDATE_REQUEST_TIME)?.execute((id, requested_at_ms))?;
         }
         Change::Remove(ids) => {
             let mut remove = transaction.prepare_cached(DELETE_ROW)?;
@@ -145,18 +145,23 @@
 struct RawRow {
     head: Vec<u8>,
     body: Vec<u8>,
-    born_ms: i64,
+    requested_at_ms: i64,
     checksum: i64,
 }
 
 impl RawRow {
     fn read(row: &rusqlite::Row) -> rusqlite::Result<Self> {
-        Ok(RawRow { head: row.get(0)?, body: row.get(1)?, born_ms: row.get(2)?, checksum: row.get(3)? })
+        Ok(RawRow {
+            head: row.get(0)?,
+            body: row.get(1)?,
+            requested_at_ms: row.get(2)?,
+            checksum: row.get(3)?,
+        })
     }
 
     /// Decodes the row; `None` if it is corrupt.
     fn decode(self, written_at: Timestamp, since_write: Duration) -> Option<StoredRow> {
-        let age_when_written_ms = u64::try_from(written_at.monotonic_ms - self.born_ms).ok()?;
+        let age_when_written_ms = u64::try_from(written_at.monotonic_ms - self.requested_at_ms).ok()?;
         if self.checksum != checksum(&self.head, &self.body) {
             return None;
         }
--- a/glenfall/src/cache/disk/change.rs
+++ b/glenfall/src/cache/disk/change.rs
@@ -16,14 +16,14 @@
         /// The complete object.
         body: Bytes,
         /// When its request was sent, in milliseconds of the monotonic clock.
-        born_ms: i64,
+        requested_at_ms: i64,
     },
     /// Sets the request time of a response that was revalidated and has not changed.
     Revalidate {
         /// The row's primary key.
         id: String,
         /// When the revalidating request was sent, in milliseconds of the monotonic clock.
-        born_ms: i64,
+        requested_at_ms: i64,
     },
     /// Removes rows.
     Remove(Vec<String>),
--- a/glenfall/src/cache/disk/clock.rs
+++ b/glenfall/src/cache/disk/clock.rs
@@ -43,7 +43,7 @@
 }
 
 /// The monotonic time, in milliseconds, at which something of this age began.
-pub fn monotonic_start_ms(age: Duration) -> i64 {
+pub fn monotonic_ms_before(age: Duration) -> i64 {
     monotonic_ms() - age.as_millis() as i64
 }
 
--- a/glenfall/src/cache/disk/disk_cache.rs
+++ b/glenfall/src/cache/disk/disk_cache.rs
@@ -11,7 +11,7 @@
 
 use super::cache_file::CacheFile;
 use super::change::{Change, QueuedChange};
-use super::clock::monotonic_start_ms;
+use super::clock::monotonic_ms_before;
 use super::row::{row_id, RowHead, StoredRow};
 use super::writer::{Writer, MAX_BATCH_ROWS};
 use crate::cache::backlog::{Backlog, Reservation};
@@ -41,29 +41,29 @@
         folder: &Path,
         disk_mb: u64,
     ) -> std::io::Result<(DiskCache, oneshot::Receiver<Vec<StoredRow>>)> {
-        let (disk_cache, mut writer, found) = DiskCache::prepare(folder, disk_mb);
+        let (disk_cache, mut writer, rows_receiver) = DiskCache::prepare(folder, disk_mb);
         std::thread::Builder::new().name(WRITER_THREAD.into()).spawn(move || writer.run())?;
-        Ok((disk_cache, found))
+        Ok((disk_cache, rows_receiver))
     }
 
     /// As [`open`](Self::open), for a caller that runs the writer itself.
     pub fn prepare(folder: &Path, disk_mb: u64) -> (DiskCache, Writer, oneshot::Receiver<Vec<StoredRow>>) {
-        let (sender, receiver) = mpsc::channel();
-        let (rows_found, found) = oneshot::channel();
+        let (changes_sender, changes_receiver) = mpsc::channel();
+        let (rows_sender, rows_receiver) = oneshot::channel();
         let disk_cache = DiskCache {
-            changes: sender,
+            changes: changes_sender,
             queued_bodies: Backlog::new(MAX_QUEUED_BODY_BYTES),
             queued_rows: Backlog::new(MAX_QUEUED_ROWS),
             removal_lost: Arc::new(AtomicBool::new(false)),
         };
         let writer = Writer::new(
             CacheFile::new(folder, disk_mb),
-            receiver,
+            changes_receiver,
             disk_cache.queued_bodies.clone(),
             Arc::clone(&disk_cache.removal_lost),
-            rows_found,
+            rows_sender,
         );
-        (disk_cache, writer, found)
+        (disk_cache, writer, rows_receiver)
     }
 
     /// Bytes of bodies in the queue.
@@ -86,8 +86,12 @@
             return self.remove(std::slice::from_ref(key));
         };
         let Ok(head) = RowHead::encode(key, headers, labels) else { return };
-        let change =
-            Change::Put { id: row_id(key), head, body: body.clone(), born_ms: monotonic_start_ms(age) };
+        let change = Change::Put {
+            id: row_id(key),
+            head,
+            body: body.clone(),
+            requested_at_ms: monotonic_ms_before(age),
+        };
         self.send(change, row_reservation, Some(body_reservation));
     }
 
@@ -95,7 +99,7 @@
     pub fn revalidated(&self, key: &ObjectKey, age: Duration) {
         // If the queue is full, the row keeps its greater age.
         if let Some(row_reservation) = self.queued_rows.reserve(1) {
-            let change = Change::Revalidate { id: row_id(key), born_ms: monotonic_start_ms(age) };
+            let change = Change::Revalidate { id: row_id(key), requested_at_ms: monotonic_ms_before(age) };
             self.send(change, row_reservation, None);
         }
     }
--- a/glenfall/src/cache/disk/writer.rs
+++ b/glenfall/src/cache/disk/writer.rs
@@ -25,7 +25,7 @@
     changes: mpsc::Receiver<QueuedChange>,
     queued_bodies: Backlog,
     removal_lost: Arc<AtomicBool>,
-    rows_found: Option<oneshot::Sender<Vec<StoredRow>>>,
+    rows_sender: Option<oneshot::Sender<Vec<StoredRow>>>,
 }
 
 impl Writer {
@@ -36,9 +36,9 @@
         changes: mpsc::Receiver<QueuedChange>,
         queued_bodies: Backlog,
         removal_lost: Arc<AtomicBool>,
-        rows_found: oneshot::Sender<Vec<StoredRow>>,
+        rows_sender: oneshot::Sender<Vec<StoredRow>>,
     ) -> Self {
-        Writer { file, changes, queued_bodies, removal_lost, rows_found: Some(rows_found) }
+        Writer { file, changes, queued_bodies, removal_lost, rows_sender: Some(rows_sender) }
     }
 
     /// Bytes of bodies in the queue.
@@ -48,7 +48,7 @@
 
     /// Reads the file, then writes changes until all senders are dropped.
     pub fn run(&mut self) {
-        self.send_rows_found();
+        self.send_stored_rows();
         let mut is_behind = false;
         while let Ok(first) = self.changes.recv() {
             if !is_behind {
@@ -76,11 +76,11 @@
         self.file.close();
     }
 
-    fn send_rows_found(&mut self) {
+    fn send_stored_rows(&mut self) {
         let rows = self.file.read_all();
-        if let Some(rows_found) = self.rows_found.take() {
+        if let Some(rows_sender) = self.rows_sender.take() {
             // The receiver may be gone.
-            let _ = rows_found.send(rows);
+            let _ = rows_sender.send(rows);
         }
     }
 
--- a/glenfall/src/cache/memory_cache.rs
+++ b/glenfall/src/cache/memory_cache.rs
@@ -39,16 +39,16 @@
 
     /// Stores a response, replacing the one of the same object. Returns the keys that no longer have a response: those
     /// that were evicted for it, or its own if it is too large.
-    pub fn insert(&mut self, key: ObjectKey, copy: Rc<StoredResponse>) -> Vec<ObjectKey> {
+    pub fn insert(&mut self, key: ObjectKey, response: Rc<StoredResponse>) -> Vec<ObjectKey> {
         self.remove(&key);
-        if copy.size() > self.max_bytes / MAX_ENTRY_DIVISOR {
+        if response.size() > self.max_bytes / MAX_ENTRY_DIVISOR {
             return vec![key];
         }
-        self.bytes += copy.size();
-        for label in &copy.labels {
+        self.bytes += response.size();
+        for label in &response.labels {
             self.keys_by_label.entry(label.clone()).or_default().insert(key.clone());
         }
-        self.entries.put(key, copy);
+        self.entries.put(key, response);
         self.evict()
     }
 
@@ -56,8 +56,8 @@
     fn evict(&mut self) -> Vec<ObjectKey> {
         let mut evicted = Vec::new();
         while self.bytes > self.max_bytes {
-            let Some((key, copy)) = self.entries.pop_lru() else { break };
-            self.entry_removed(&key, &copy);
+            let Some((key, response)) = self.entries.pop_lru() else { break };
+            self.entry_removed(&key, &response);
             evicted.push(key);
         }
         evicted
@@ -69,15 +69,15 @@
     }
 
     fn remove(&mut self, key: &ObjectKey) {
-        if let Some(copy) = self.entries.pop(key) {
-            self.entry_removed(key, &copy);
+        if let Some(response) = self.entries.pop(key) {
+            self.entry_removed(key, &response);
         }
     }
 
     /// Updates the size and the label index for an entry that was removed.
-    fn entry_removed(&mut self, key: &ObjectKey, copy: &StoredResponse) {
-        self.bytes -= copy.size();
-        for label in &copy.labels {
+    fn entry_removed(&mut self, key: &ObjectKey, response: &StoredResponse) {
+        self.bytes -= response.size();
+        for label in &response.labels {
             let Some(keys) = self.keys_by_label.get_mut(label) else { continue };
             keys.remove(key);
             if keys.is_empty() {
@@ -88,12 +88,12 @@
 
     /// Removes all responses that a purge covers, except those whose request was sent after the purge. Returns their
     /// keys.
-    pub fn purge(&mut self, aged: &AgedPurge) -> Vec<ObjectKey> {
-        let purge_age = Duration::from_millis(aged.age_ms);
-        let mut keys = self.keys_named_by(&aged.purge);
+    pub fn purge(&mut self, aged_purge: &AgedPurge) -> Vec<ObjectKey> {
+        let purge_age = Duration::from_millis(aged_purge.age_ms);
+        let mut keys = self.keys_named_by(&aged_purge.purge);
         keys.retain(|key| {
-            let copy = self.entries.peek(key);
-            copy.is_none_or(|copy| copy.age() + PURGE_ORDER_TOLERANCE >= purge_age)
+            let response = self.entries.peek(key);
+            response.is_none_or(|response| response.age() + PURGE_ORDER_TOLERANCE >= purge_age)
         });
         for key in &keys {
             self.remove(key);
--- a/glenfall/src/cache/object_key.rs
+++ b/glenfall/src/cache/object_key.rs
@@ -16,7 +16,7 @@
 impl ObjectKey {
     /// Whether a purge of this host and path covers the object, whose query is ignored.
     pub fn matches_location(&self, hostname: &str, path: &str) -> bool {
-        let own_path = self.path.split_once('?').map_or(&*self.path, |(path, _)| path);
-        own_path == path && self.host.eq_ignore_ascii_case(hostname)
+        let path_without_query = self.path.split_once('?').map_or(&*self.path, |(path, _)| path);
+        path_without_query == path && self.host.eq_ignore_ascii_case(hostname)
     }
 }
--- a/glenfall/src/cache/stored_response.rs
+++ b/glenfall/src/cache/stored_response.rs
@@ -35,7 +35,7 @@
 impl StoredResponse {
     /// Makes a stored response of a server's response to a request that was sent at `requested_at`; `None` if it must
     /// not be stored.
-    pub fn from_response(response: &ServerResponse, born: Instant) -> Option<StoredResponse> {
+    pub fn from_response(response: &ServerResponse, requested_at: Instant) -> Option<StoredResponse> {
         if !is_storable(response) {
             return None;
         }
@@ -44,7 +44,12 @@
         let mut headers = forwardable_headers(response.headers());
         headers.remove(TRY_ID_HEADER);
         headers.remove(header::AGE);
-        Some(StoredResponse { headers, body: response.body().clone(), requested_at: Cell::new(born), labels })
+        Some(StoredResponse {
+            headers,
+            body: response.body().clone(),
+            requested_at: Cell::new(requested_at),
+            labels,
+        })
     }
 
     /// Adds to a response what an edge needs to store it as well: its age and its labels.
@@ -54,9 +59,9 @@
 
     /// When the shield's request to the server was sent, for a response of a shield to a request that was sent at
     /// `requested_at`. `None` if the shield did not state its age.
-    pub fn fetched_at(response: &ServerResponse, asked: Instant) -> Option<Instant> {
+    pub fn fetched_at(response: &ServerResponse, requested_at: Instant) -> Option<Instant> {
         let age_ms = response.headers().get(AGE_HEADER)?.to_str().ok()?.parse().ok()?;
-        asked.checked_sub(Duration::from_millis(age_ms))
+        requested_at.checked_sub(Duration::from_millis(age_ms))
     }
 
     /// Memory that it takes in the cache, in bytes.
@@ -71,7 +76,7 @@
 
     /// Whether it has a label.
     pub fn has_label(&self, label: &str) -> bool {
-        self.labels.iter().any(|own| **own == *label)
+        self.labels.iter().any(|stored_label| **stored_label == *label)
     }
 
     /// The response to a request with these headers: the complete object, the requested range, or that the object is
@@ -100,15 +105,15 @@
 
     fn requested_range(&self, request: &HeaderMap) -> ByteRange {
         let etag = self.headers.get(header::ETAG);
-        let is_same_version = request.get(header::IF_RANGE).is_none_or(|given| Some(given) == etag);
-        match text(request, header::RANGE) {
+        let is_same_version = request.get(header::IF_RANGE).is_none_or(|validator| Some(validator) == etag);
+        match header_text(request, header::RANGE) {
             Some(range) if is_same_version => ByteRange::parse(range, self.body.len()),
             _ => ByteRange::Complete,
         }
     }
 }
 
-fn text(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
+fn header_text(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
     headers.get(name)?.to_str().ok()
 }
 
--- a/glenfall/src/shield/fetch.rs
+++ b/glenfall/src/shield/fetch.rs
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-use super::fetch_result::{FetchEnd, Fetched};
+use super::fetch_result::{FetchOutcome, FetchResult};
 use super::singleflight::{FetchReceiver, StartedFetch, TooManyFetches};
 use super::{Shield, REPEATED_REQUEST};
 use crate::cache::{ObjectKey, StoredResponse};
@@ -24,7 +24,7 @@
 
 /// How long a fetch may continue after the deadline of the read that started it, so that its response serves the next
 /// read. Servers get at most this much more time than the client has left.
-const MAX_OVERRUN: Duration = Duration::from_millis(400);
+const FETCH_GRACE_PERIOD: Duration = Duration::from_millis(400);
 
 /// The request of a fetch, and its limits.
 pub(super) struct FetchRequest {
@@ -38,11 +38,11 @@
     allowance: Allowance,
     /// The deadline of the read that starts the fetch.
     read_deadline: Instant,
-    terms: RouteTerms,
+    route_params: RouteParams,
 }
 
 /// The settings of an object's route and service that apply to its fetches.
-struct RouteTerms {
+struct RouteParams {
     max_sends: u32,
     timeout: Duration,
     latency_target: Duration,
@@ -50,9 +50,9 @@
     rate_per_s: Option<f64>,
 }
 
-impl RouteTerms {
+impl RouteParams {
     fn new(config: &Config, route: &Route, service: &str) -> Self {
-        RouteTerms {
+        RouteParams {
             max_sends: route.tries,
             timeout: Duration::from_millis(route.deadline_ms),
             latency_target: route.latency_target(),
@@ -82,12 +82,12 @@
             headers.insert(header::IF_NONE_MATCH, etag.clone());
         }
         let is_retry = request.headers.contains_key(REPEATED_REQUEST);
-        let terms = RouteTerms::new(config, route, &key.service);
+        let route_params = RouteParams::new(config, route, &key.service);
         let uri = request.uri.clone();
-        FetchRequest { key, uri, headers, stale, is_retry, allowance, read_deadline, terms }
+        FetchRequest { key, uri, headers, stale, is_retry, allowance, read_deadline, route_params }
     }
 
-    fn upstream_request(&mut self, started: Instant) -> UpstreamRequest<'_> {
+    fn upstream_request(&mut self, started_at: Instant) -> UpstreamRequest<'_> {
         UpstreamRequest {
             service: &self.key.service,
             method: &Method::GET,
@@ -95,12 +95,12 @@
             headers: std::mem::take(&mut self.headers),
             body: Bytes::new(),
             idempotent: true,
-            max_attempts: self.terms.max_sends,
+            max_attempts: self.route_params.max_sends,
             is_retry: self.is_retry,
-            deadline: (started + self.terms.timeout).min(self.read_deadline + MAX_OVERRUN),
-            latency_target: self.terms.latency_target,
-            priority_rank: self.terms.priority_rank,
-            rate_limit_per_s: self.terms.rate_per_s,
+            deadline: (started_at + self.route_params.timeout).min(self.read_deadline + FETCH_GRACE_PERIOD),
+            latency_target: self.route_params.latency_target,
+            priority_rank: self.route_params.priority_rank,
+            rate_limit_per_s: self.route_params.rate_per_s,
         }
     }
 }
@@ -111,58 +111,58 @@
         self: &Rc<Self>,
         request: FetchRequest,
     ) -> Result<FetchReceiver, TooManyFetches> {
-        let (started, receiver) = self.fetches.start(&request.key)?;
+        let (started_fetch, receiver) = self.fetches.start(&request.key)?;
         self.counters.misses.increment();
         let shield = Rc::clone(self);
         spawn_local(async move {
-            let end = shield.fetch(request, &started).await;
-            started.publish(end);
+            let result = shield.fetch(request, &started_fetch).await;
+            started_fetch.publish(result);
         });
         Ok(receiver)
     }
 
     /// Fetches an object, and stores the response unless a purge that was received meanwhile covers it.
-    async fn fetch(&self, mut request: FetchRequest, started: &StartedFetch) -> FetchEnd {
-        let began = Instant::now();
+    async fn fetch(&self, mut request: FetchRequest, started_fetch: &StartedFetch) -> FetchResult {
+        let started_at = Instant::now();
         let allowance = request.allowance;
         let (outcome, report) =
-            self.forwarder.send_with_allowance(request.upstream_request(began), allowance).await;
+            self.forwarder.send_with_allowance(request.upstream_request(started_at), allowance).await;
         let FetchRequest { key, stale, .. } = request;
-        let fetched = match outcome {
-            Outcome::Answered(response) => self.take_response(&key, response, began, stale.as_ref()),
-            Outcome::NotRun(refusal) => Fetched::Rejected(refusal),
-            Outcome::Unknown(failure) => Fetched::Unknown(failure),
-            Outcome::TimedOut(failure) => Fetched::TimedOut(failure),
+        let outcome = match outcome {
+            Outcome::Answered(response) => self.process_response(&key, response, started_at, stale.as_ref()),
+            Outcome::NotRun(rejection) => FetchOutcome::Rejected(rejection),
+            Outcome::Unknown(failure) => FetchOutcome::Unknown(failure),
+            Outcome::TimedOut(failure) => FetchOutcome::TimedOut(failure),
         };
-        self.counters.fetch_latency.record(began.elapsed());
-        self.fetches.finish(started);
-        if let Fetched::Copy(copy) = &fetched {
-            let is_revalidated = stale.is_some_and(|stale| Rc::ptr_eq(&stale, copy));
-            if !started.is_purged(copy) {
-                self.store(key, copy, is_revalidated);
+        self.counters.fetch_latency.record(started_at.elapsed());
+        self.fetches.finish(started_fetch);
+        if let FetchOutcome::Storable(stored_response) = &outcome {
+            let is_revalidated = stale.is_some_and(|stale| Rc::ptr_eq(&stale, stored_response));
+            if !started_fetch.is_purged(stored_response) {
+                self.store(key, stored_response, is_revalidated);
             }
         }
-        FetchEnd { fetched, report }
+        FetchResult { outcome, report }
     }
 
     /// The outcome of a fetch to which a server has responded. A stale stored response that the server confirms counts
     /// as requested at `sent_at` from now on.
-    fn take_response(
+    fn process_response(
         &self,
         key: &ObjectKey,
         response: ServerResponse,
-        sent: Instant,
+        sent_at: Instant,
         stale: Option<&Rc<StoredResponse>>,
-    ) -> Fetched {
+    ) -> FetchOutcome {
         if let (StatusCode::NOT_MODIFIED, Some(stale)) = (response.status(), stale) {
             tracing::debug!(path = %key.path, "stored response revalidated");
             self.counters.revalidated.increment();
-            stale.requested_at.set(sent);
-            return Fetched::Copy(Rc::clone(stale));
+            stale.requested_at.set(sent_at);
+            return FetchOutcome::Storable(Rc::clone(stale));
         }
-        match StoredResponse::from_response(&response, sent) {
-            Some(copy) => Fetched::Copy(Rc::new(copy)),
-            None => Fetched::Other(response),
+        match StoredResponse::from_response(&response, sent_at) {
+            Some(stored_response) => FetchOutcome::Storable(Rc::new(stored_response)),
+            None => FetchOutcome::Uncacheable(response),
         }
     }
 }
--- a/glenfall/src/shield/fetch_result.rs
+++ b/glenfall/src/shield/fetch_result.rs
@@ -10,11 +10,11 @@
 
 /// How a fetch ended.
 #[derive(Clone)]
-pub(super) enum Fetched {
+pub(super) enum FetchOutcome {
     /// A response that may be stored.
-    Copy(Rc<StoredResponse>),
+    Storable(Rc<StoredResponse>),
     /// A server's response that can't be stored.
-    Other(ServerResponse),
+    Uncacheable(ServerResponse),
     /// No server has run the request.
     Rejected(Rejection),
     /// A server may have run the request, and there is no response.
@@ -25,9 +25,9 @@
 
 /// The result of a fetch, for all reads that wait for it.
 #[derive(Clone)]
-pub(super) struct FetchEnd {
+pub(super) struct FetchResult {
     /// How the fetch ended.
-    pub fetched: Fetched,
+    pub outcome: FetchOutcome,
     /// The sends that it used of the allowance of the read that started it.
     pub report: SendReport,
 }
--- a/glenfall/src/shield/mod.rs
+++ b/glenfall/src/shield/mod.rs
@@ -87,28 +87,28 @@
 
     /// Moves the responses that were read from disk to the cache, once they may be used.
     fn finish_warm_start(&self) {
-        let Some(found) = self.warm_start.take_ready() else { return };
-        self.counters.warm_start.increment_by(found.len());
-        tracing::info!(stored = found.len(), "disk cache in use");
+        let Some(stored_responses) = self.warm_start.take_ready() else { return };
+        self.counters.warm_start.increment_by(stored_responses.len());
+        tracing::info!(stored = stored_responses.len(), "disk cache in use");
         let mut cache = self.cache.borrow_mut();
-        for (key, copy) in found.into_entries() {
+        for (key, response) in stored_responses.into_entries() {
             // A response fetched since the start is newer.
             if cache.get(&key).is_none() {
-                cache.insert(key, copy);
+                cache.insert(key, response);
             }
         }
     }
 
     /// Stores a response in memory and on disk.
-    fn store(&self, key: ObjectKey, copy: &Rc<StoredResponse>, is_revalidated: bool) {
+    fn store(&self, key: ObjectKey, response: &Rc<StoredResponse>, is_revalidated: bool) {
         if let Some(disk_cache) = &self.disk_cache {
             if is_revalidated {
-                disk_cache.revalidated(&key, copy.age());
+                disk_cache.revalidated(&key, response.age());
             } else {
-                disk_cache.put(&key, &copy.headers, &copy.labels, &copy.body, copy.age());
+                disk_cache.put(&key, &response.headers, &response.labels, &response.body, response.age());
             }
         }
-        let evicted = self.cache.borrow_mut().insert(key, Rc::clone(copy));
+        let evicted = self.cache.borrow_mut().insert(key, Rc::clone(response));
         self.remove_from_disk(&evicted);
     }
 
@@ -141,9 +141,9 @@
 
     /// While disconnected from control, the cache stays in use, and its responses are marked as not covered by a lease.
     /// Edges that are disconnected as well use them.
-    fn connection_changed(&self, yes: bool) {
-        if yes {
-            self.warm_start.caught_up();
+    fn connection_changed(&self, is_connected: bool) {
+        if is_connected {
+            self.warm_start.set_caught_up();
             self.finish_warm_start();
         }
     }
--- a/glenfall/src/shield/read.rs
+++ b/glenfall/src/shield/read.rs
@@ -10,7 +10,7 @@
 use tokio::time::{timeout_at, Instant};
 
 use super::fetch::FetchRequest;
-use super::fetch_result::{FetchEnd, Fetched};
+use super::fetch_result::{FetchOutcome, FetchResult};
 use super::freshness::max_age;
 use super::singleflight::{FetchReceiver, TooManyFetches};
 use super::{object_draw, Shield, CONFIG_REV, REPEATED_REQUEST};
@@ -42,14 +42,18 @@
 }
 
 impl ReadResult {
-    fn from_copy(copy: &StoredResponse, request: &HeaderMap, source: ShieldSource) -> ReadResult {
-        let mut response = copy.respond_to(request).into();
-        copy.add_cache_details(&mut response);
+    fn from_stored(
+        stored_response: &StoredResponse,
+        request: &HeaderMap,
+        source: ShieldSource,
+    ) -> ReadResult {
+        let mut response = stored_response.respond_to(request).into();
+        stored_response.add_cache_details(&mut response);
         ReadResult { response, source, report: SendReport::default() }
     }
 
     /// A server's response that can't be stored.
-    fn passed(response: ServerResponse) -> ReadResult {
+    fn uncacheable(response: ServerResponse) -> ReadResult {
         let response = response.forward(&Method::GET);
         ReadResult { response, source: ShieldSource::Uncacheable, report: SendReport::default() }
     }
@@ -75,13 +79,19 @@
         }
         let stored = self.cache.borrow_mut().get(&key);
         let max_age = max_age(route);
-        if let Some(copy) = stored.as_ref().filter(|copy| copy.age() < max_age) {
+        if let Some(stored_response) =
+            stored.as_ref().filter(|stored_response| stored_response.age() < max_age)
+        {
             self.counters.hits.increment();
-            return ReadResult::from_copy(copy, &request.head.headers, self.under_lease(ShieldSource::Hit));
+            return ReadResult::from_stored(
+                stored_response,
+                &request.head.headers,
+                self.with_lease_status(ShieldSource::Hit),
+            );
         }
         if let Some(receiver) = self.fetches.join(&key) {
             self.counters.collapsed.increment();
-            return self.await_shared(receiver, deadline, request).await;
+            return self.await_joined_fetch(receiver, deadline, request).await;
         }
         let allowance = Allowance::from_request(&request.head.headers, route.tries);
         if allowance.sends == 0 {
@@ -91,7 +101,7 @@
         }
         let fetch = FetchRequest::new(&config, route, key, &request.head, stored, allowance, deadline);
         match self.start_fetch(fetch) {
-            Ok(receiver) => self.await_own(receiver, deadline, allowance, request).await,
+            Ok(receiver) => self.await_started_fetch(receiver, deadline, allowance, request).await,
             Err(TooManyFetches) => {
                 self.reject(Rejection::new(Cause::TooManyFetches, UNAVAILABLE_RETRY_AFTER))
             }
@@ -99,7 +109,7 @@
     }
 
     /// `source`, or `WithoutLease` if this shield has no lease on its stored responses now.
-    fn under_lease(&self, source: ShieldSource) -> ShieldSource {
+    fn with_lease_status(&self, source: ShieldSource) -> ShieldSource {
         if self.watch_client.may_serve_stored_responses() {
             source
         } else {
@@ -109,10 +119,10 @@
 
     /// The configuration, once it is at least as new as the edge's. A rejection if it does not become so in time.
     async fn config_for(&self, headers: &HeaderMap, deadline: Instant) -> Result<Arc<Config>, ReadResult> {
-        let rev = number_in(headers, CONFIG_REV).unwrap_or(0);
+        let version = numeric_header(headers, CONFIG_REV).unwrap_or(0);
         let not_ready = |cause| ReadResult::local(LocalResponse::rejected(cause, NOT_READY_RETRY_AFTER));
         let wait_until = deadline.min(Instant::now() + CONFIG_WAIT);
-        if timeout_at(wait_until, self.watch_client.wait_for_version(rev)).await.is_err() {
+        if timeout_at(wait_until, self.watch_client.wait_for_version(version)).await.is_err() {
             return Err(ReadResult {
                 source: ShieldSource::ConfigOutdated,
                 ..not_ready(Cause::ShieldBehind)
@@ -122,29 +132,31 @@
     }
 
     /// Waits for the fetch that this read has started, until the read's deadline.
-    async fn await_own(
+    async fn await_started_fetch(
         &self,
         receiver: FetchReceiver,
         deadline: Instant,
         allowance: Allowance,
         request: &FullRequest,
     ) -> ReadResult {
-        match await_end(receiver, deadline).await {
-            Ok(FetchEnd { fetched: Fetched::Other(response), report }) => {
-                ReadResult { report, ..ReadResult::passed(response) }
+        match await_fetch_result(receiver, deadline).await {
+            Ok(FetchResult { outcome: FetchOutcome::Uncacheable(response), report }) => {
+                ReadResult { report, ..ReadResult::uncacheable(response) }
+            }
+            Ok(FetchResult { outcome, report }) => {
+                ReadResult { report, ..self.shared_result(outcome, request) }
             }
-            Ok(FetchEnd { fetched, report }) => ReadResult { report, ..self.result_of(fetched, request) },
-            Err(fetched) => {
+            Err(outcome) => {
                 // The fetch continues, and may use all sends that it was allowed.
                 let report = SendReport { used: allowance.sends, exhausted: false };
-                ReadResult { report, ..self.result_of(fetched, request) }
+                ReadResult { report, ..self.shared_result(outcome, request) }
             }
         }
     }
 
     /// Waits for a fetch that another read has started. Servers receive it under the id of that read, so that it uses
     /// none of this read's sends.
-    async fn await_shared(
+    async fn await_joined_fetch(
         &self,
         receiver: FetchReceiver,
         deadline: Instant,
@@ -152,13 +164,13 @@
     ) -> ReadResult {
         // Determined before the wait: a fetch that began before a purge may return content that the purge has
         // invalidated.
-        let source = self.under_lease(ShieldSource::Miss);
-        let result = match await_end(receiver, deadline).await {
-            Ok(FetchEnd { fetched, report }) => {
+        let source = self.with_lease_status(ShieldSource::Miss);
+        let result = match await_fetch_result(receiver, deadline).await {
+            Ok(FetchResult { outcome, report }) => {
                 let report = SendReport { used: 0, exhausted: report.exhausted };
-                ReadResult { report, ..self.result_of(fetched, request) }
+                ReadResult { report, ..self.shared_result(outcome, request) }
             }
-            Err(fetched) => self.result_of(fetched, request),
+            Err(outcome) => self.shared_result(outcome, request),
         };
         match result.source {
             ShieldSource::Miss => ReadResult { source, ..result },
@@ -167,32 +179,35 @@
     }
 
     /// The result of a fetch for any of the reads that wait for it.
-    fn result_of(&self, fetched: Fetched, request: &FullRequest) -> ReadResult {
-        match fetched {
-            Fetched::Copy(copy) => ReadResult::from_copy(&copy, &request.head.headers, ShieldSource::Miss),
-            Fetched::Other(failure) if !failure.status().is_success() => {
+    fn shared_result(&self, outcome: FetchOutcome, request: &FullRequest) -> ReadResult {
+        match outcome {
+            FetchOutcome::Storable(stored_response) => {
+                ReadResult::from_stored(&stored_response, &request.head.headers, ShieldSource::Miss)
+            }
+            FetchOutcome::Uncacheable(failure) if !failure.status().is_success() => {
                 ReadResult::local(LocalResponse::same_failure(&failure))
             }
-            Fetched::Other(response) => ReadResult::passed(response),
-            Fetched::Rejected(refusal) => self.reject(refusal),
-            Fetched::Unknown(failure) => ReadResult::local(LocalResponse::bad_gateway(failure)),
-            Fetched::TimedOut(failure) => ReadResult::local(LocalResponse::gateway_timeout(failure)),
+            FetchOutcome::Uncacheable(response) => ReadResult::uncacheable(response),
+            FetchOutcome::Rejected(rejection) => self.reject(rejection),
+            FetchOutcome::Unknown(failure) => ReadResult::local(LocalResponse::bad_gateway(failure)),
+            FetchOutcome::TimedOut(failure) => ReadResult::local(LocalResponse::gateway_timeout(failure)),
         }
     }
 
-    fn reject(&self, refusal: Rejection) -> ReadResult {
+    fn reject(&self, rejection: Rejection) -> ReadResult {
         self.counters.rejected.increment();
-        ReadResult::local(LocalResponse::rejected(refusal.failure, refusal.retry_after))
+        ReadResult::local(LocalResponse::rejected(rejection.failure, rejection.retry_after))
     }
 }
 
 /// The time by which a read has to be answered.
 fn deadline(headers: &HeaderMap) -> Instant {
-    let timeout_ms = number_in(headers, DEADLINE_HEADER).unwrap_or(DEFAULT_DEADLINE_MS).min(MAX_DEADLINE_MS);
+    let timeout_ms =
+        numeric_header(headers, DEADLINE_HEADER).unwrap_or(DEFAULT_DEADLINE_MS).min(MAX_DEADLINE_MS);
     Instant::now() + Duration::from_millis(timeout_ms)
 }
 
-fn number_in(headers: &HeaderMap, name: HeaderName) -> Option<u64> {
+fn numeric_header(headers: &HeaderMap, name: HeaderName) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
@@ -206,11 +221,14 @@
 }
 
 /// Waits for the result of a fetch until a deadline. The error is the outcome that the read gets if no result arrives.
-async fn await_end(mut receiver: FetchReceiver, deadline: Instant) -> Result<FetchEnd, Fetched> {
-    let lost = || Fetched::Unknown(Cause::AnswerLost.into());
+async fn await_fetch_result(
+    mut receiver: FetchReceiver,
+    deadline: Instant,
+) -> Result<FetchResult, FetchOutcome> {
+    let response_lost = || FetchOutcome::Unknown(Cause::AnswerLost.into());
     match timeout_at(deadline, receiver.wait_for(Option::is_some)).await {
-        Ok(Ok(end)) => end.clone().ok_or_else(lost),
-        Ok(Err(_)) => Err(lost()),
-        Err(_) => Err(Fetched::TimedOut(Cause::NoAnswer.into())),
+        Ok(Ok(result)) => result.clone().ok_or_else(response_lost),
+        Ok(Err(_)) => Err(response_lost()),
+        Err(_) => Err(FetchOutcome::TimedOut(Cause::NoAnswer.into())),
     }
 }
--- a/glenfall/src/shield/singleflight.rs
+++ b/glenfall/src/shield/singleflight.rs
@@ -7,14 +7,14 @@
 use glenfall_control_plane::messages::Purge;
 use tokio::sync::watch;
 
-use super::fetch_result::FetchEnd;
+use super::fetch_result::FetchResult;
 use crate::cache::{ObjectKey, StoredResponse};
 
 /// Maximum number of fetches in flight; reads that would start another are rejected.
 const MAX_FETCHES: usize = 1024;
 
 /// Receives the result of a fetch; `None` until the fetch has ended.
-pub(super) type FetchReceiver = watch::Receiver<Option<FetchEnd>>;
+pub(super) type FetchReceiver = watch::Receiver<Option<FetchResult>>;
 
 /// No fetch can be started, as [`MAX_FETCHES`] are in flight.
 pub(super) struct TooManyFetches;
@@ -30,31 +30,31 @@
 struct PurgesDuringFetch {
     labels: RefCell<Vec<String>>,
     /// Whether the object itself was purged.
-    object: Cell<bool>,
+    object_purged: Cell<bool>,
 }
 
 impl PurgesDuringFetch {
-    fn name(&self, copy: &StoredResponse) -> bool {
-        self.object.get() || self.labels.borrow().iter().any(|label| copy.has_label(label))
+    fn cover(&self, response: &StoredResponse) -> bool {
+        self.object_purged.get() || self.labels.borrow().iter().any(|label| response.has_label(label))
     }
 }
 
 /// A fetch that has begun, as held by the task that carries it out.
 pub(super) struct StartedFetch {
     key: ObjectKey,
-    sender: watch::Sender<Option<FetchEnd>>,
+    sender: watch::Sender<Option<FetchResult>>,
     purges: Rc<PurgesDuringFetch>,
 }
 
 impl StartedFetch {
     /// Whether a purge that was received since the fetch began covers its response.
-    pub fn is_purged(&self, copy: &StoredResponse) -> bool {
-        self.purges.name(copy)
+    pub fn is_purged(&self, response: &StoredResponse) -> bool {
+        self.purges.cover(response)
     }
 
     /// Sends the result of the fetch to all reads that wait for it.
-    pub fn publish(self, end: FetchEnd) {
-        self.sender.send_replace(Some(end));
+    pub fn publish(self, result: FetchResult) {
+        self.sender.send_replace(Some(result));
     }
 }
 
@@ -91,7 +91,7 @@
     pub fn finish(&self, fetch: &StartedFetch) {
         self.in_flight.set(self.in_flight.get() - 1);
         let mut shared = self.shared.borrow_mut();
-        if shared.get(&fetch.key).is_some_and(|known| Rc::ptr_eq(&known.purges, &fetch.purges)) {
+        if shared.get(&fetch.key).is_some_and(|current| Rc::ptr_eq(&current.purges, &fetch.purges)) {
             shared.remove(&fetch.key);
         }
     }
@@ -108,12 +108,12 @@
             }
             Purge::Object { hostname, path } => {
                 for (_, fetch) in shared.extract_if(|key, _| key.matches_location(hostname, path)) {
-                    fetch.purges.object.set(true);
+                    fetch.purges.object_purged.set(true);
                 }
             }
             Purge::Everything => {
                 for (_, fetch) in shared.drain() {
-                    fetch.purges.object.set(true);
+                    fetch.purges.object_purged.set(true);
                 }
             }
         }
--- a/glenfall/src/shield/warm_start.rs
+++ b/glenfall/src/shield/warm_start.rs
@@ -17,7 +17,7 @@
     is_loaded: Cell<bool>,
     /// Purges received while the disk was being read.
     purges_while_loading: RefCell<Vec<AgedPurge>>,
-    /// Control has published all purges from before this process began.
+    /// Whether control has published all purges from before this process began.
     is_caught_up: Cell<bool>,
 }
 
@@ -38,14 +38,14 @@
         let stored = rows.len();
         if let Some(responses) = self.responses.borrow_mut().as_mut() {
             for row in rows {
-                let Some(born) = now.checked_sub(row.age) else { continue };
-                let copy = StoredResponse {
+                let Some(requested_at) = now.checked_sub(row.age) else { continue };
+                let response = StoredResponse {
                     headers: row.headers,
                     body: row.body,
-                    requested_at: Cell::new(born),
+                    requested_at: Cell::new(requested_at),
                     labels: row.labels,
                 };
-                responses.insert(row.key, Rc::new(copy));
+                responses.insert(row.key, Rc::new(response));
             }
             for purge in self.purges_while_loading.take() {
                 responses.purge(&purge);
@@ -55,8 +55,8 @@
         self.is_loaded.set(true);
     }
 
-    /// Control has published all purges from before this process began.
-    pub fn caught_up(&self) {
+    /// Records that control has published all purges from before this process began.
+    pub fn set_caught_up(&self) {
         self.is_caught_up.set(true);
     }
 
--- a/glenfall/src/upstream/concurrency_limit.rs
+++ b/glenfall/src/upstream/concurrency_limit.rs
@@ -54,9 +54,9 @@
     }
 
     /// Whether a request of this priority, from 0 (highest) to 1, may be sent.
-    fn admits(&self, rank: f64) -> bool {
-        let limit_for_rank = (self.limit * (1.0 - PRIORITY_RESERVE * rank)).max(1.0);
-        f64::from(self.in_flight) + 1.0 <= limit_for_rank
+    fn admits(&self, priority_rank: f64) -> bool {
+        let limit_for_priority = (self.limit * (1.0 - PRIORITY_RESERVE * priority_rank)).max(1.0);
+        f64::from(self.in_flight) + 1.0 <= limit_for_priority
     }
 
     fn record(&mut self, now: Instant, timeliness: Timeliness, latency_target: Duration) {
@@ -100,9 +100,14 @@
 
     /// Admits a request of a priority from 0 (highest) to 1; `None` if it exceeds the limit. A service without a limit
     /// admits all requests.
-    pub fn admit<'a>(&'a self, service: &'a str, rank: f64, latency_target: Duration) -> Option<Permit<'a>> {
+    pub fn admit<'a>(
+        &'a self,
+        service: &'a str,
+        priority_rank: f64,
+        latency_target: Duration,
+    ) -> Option<Permit<'a>> {
         if let Some(limit) = self.0.borrow_mut().get_mut(service) {
-            if !limit.admits(rank) {
+            if !limit.admits(priority_rank) {
                 return None;
             }
             limit.in_flight += 1;
--- a/glenfall/src/upstream/forward/attempts.rs
+++ b/glenfall/src/upstream/forward/attempts.rs
@@ -89,8 +89,8 @@
 
     /// Checks the invariants that hold whenever the request is sent to a server.
     pub fn check_send(&self) {
-        let runs_twice = self.may_have_run && !self.idempotent;
-        Invariant::SingleRun.check(!runs_twice, || self.trace.describe());
+        let may_run_twice = self.may_have_run && !self.idempotent;
+        Invariant::SingleRun.check(!may_run_twice, || self.trace.describe());
         Invariant::SendsAllowed.check(self.sends.used() < self.max_sends, || self.trace.describe());
     }
 
@@ -153,9 +153,9 @@
 
     /// How the request ended, once it is sent to no further server. Failures carry the trace of all attempts.
     pub fn into_outcome(self) -> Outcome {
-        let promises_not_run = matches!(self.outcome_so_far, Outcome::NotRun(_)) && !self.idempotent;
-        let is_broken_promise = promises_not_run && self.may_have_run;
-        Invariant::RefusedNotRun.check(!is_broken_promise, || self.trace.describe());
+        let reports_not_run = matches!(self.outcome_so_far, Outcome::NotRun(_)) && !self.idempotent;
+        let is_false_report = reports_not_run && self.may_have_run;
+        Invariant::RefusedNotRun.check(!is_false_report, || self.trace.describe());
         let trace = self.trace;
         let with_trace = |failure: Failure| Failure::with_attempts(failure.cause, trace.describe());
         match self.outcome_so_far {
--- a/glenfall/src/upstream/forward/forwarder.rs
+++ b/glenfall/src/upstream/forward/forwarder.rs
@@ -32,7 +32,7 @@
 
 /// The header with the id of the server that a request is addressed to. Any other process rejects the request,
 /// including one that has since begun to listen at the same address.
-const WANT_SERVER: HeaderName = HeaderName::from_static("x-glenfall-want-server");
+const EXPECTED_SERVER: HeaderName = HeaderName::from_static("x-glenfall-want-server");
 /// Servers get a deadline that is this much earlier than that of this process, so that their own response to a request
 /// that takes too long arrives in time.
 const RESPONSE_TRANSIT_TIME: Duration = Duration::from_millis(15);
@@ -56,20 +56,20 @@
 
 impl Forwarder {
     /// A forwarder for a process of this role.
-    pub fn new(pool: Rc<Pool>, boot: &Settings, sharers: ProxyRole) -> Self {
+    pub fn new(pool: Rc<Pool>, settings: &Settings, proxy_role: ProxyRole) -> Self {
         // Shields fetch large responses, and traffic between zones is expensive.
-        let prefers_own_zone = sharers == ProxyRole::Shield;
-        let origins = OriginBalancer::new(&boot.zone, prefers_own_zone, &boot.node);
+        let prefers_own_zone = proxy_role == ProxyRole::Shield;
+        let origins = OriginBalancer::new(&settings.zone, prefers_own_zone, &settings.node);
         let started_at = Instant::now();
-        let rate_limit = RateLimitQueue::new(boot.rate_limit(), origins.next_random(), started_at);
+        let rate_limit = RateLimitQueue::new(settings.rate_limit(), origins.next_random(), started_at);
         Forwarder {
             pool,
             origins,
-            retry_budget: RefCell::new(RetryBudget::new(boot.retry_budget())),
+            retry_budget: RefCell::new(RetryBudget::new(settings.retry_budget())),
             rate_limit,
             concurrency_limits: ConcurrencyLimits::default(),
             available_services: RefCell::default(),
-            role: sharers,
+            role: proxy_role,
             started_at,
             counters: ForwarderCounters::default(),
         }
@@ -166,16 +166,16 @@
 
     /// Sends a request to a server of its service, and to others where that is safe. Rejects it without sending it if
     /// the service is overloaded.
-    pub async fn send(&self, job: UpstreamRequest<'_>) -> Outcome {
-        let allowance = Allowance::all(job.max_attempts);
-        self.send_with_allowance(job, allowance).await.0
+    pub async fn send(&self, request: UpstreamRequest<'_>) -> Outcome {
+        let allowance = Allowance::all(request.max_attempts);
+        self.send_with_allowance(request, allowance).await.0
     }
 
     /// As [`send`](Self::send), to no more servers than the allowance states. Also reports how much of the allowance
     /// was used.
     pub async fn send_with_allowance(
         &self,
-        job: UpstreamRequest<'_>,
+        request: UpstreamRequest<'_>,
         allowance: Allowance,
     ) -> (Outcome, SendReport) {
         if !self.pool.memory.has_capacity() {
@@ -183,12 +183,12 @@
             return rejected_as_overloaded(Cause::NoMemory);
         }
         let Some(mut permit) =
-            self.concurrency_limits.admit(job.service, job.priority_rank, job.latency_target)
+            self.concurrency_limits.admit(request.service, request.priority_rank, request.latency_target)
         else {
             self.counters.concurrency_limited.increment();
             return rejected_as_overloaded(Cause::ConcurrencyLimit);
         };
-        let (outcome, report) = self.send_admitted(job, allowance).await;
+        let (outcome, report) = self.send_admitted(request, allowance).await;
         match &outcome {
             Outcome::Answered(_) => permit.record_response(),
             Outcome::NotRun(rejection) if rejection.failure.cause == Cause::ServersFull => {
@@ -215,7 +215,7 @@
                 }
             };
             let Ok(server_id) = HeaderValue::from_str(&server.id) else { continue };
-            request.headers.insert(WANT_SERVER, server_id);
+            request.headers.insert(EXPECTED_SERVER, server_id);
             let lender_may_retry = request.idempotent && allowance.reserved_sends > 0;
             let retry_may_follow = attempts.another_may_follow() || lender_may_retry;
             attempts.check_send();
--- a/glenfall/src/upstream/origins/load_balancer.rs
+++ b/glenfall/src/upstream/origins/load_balancer.rs
@@ -38,11 +38,11 @@
     /// A balancer without servers. With `prefer_own_zone`, it prefers servers of its own zone, for a process that
     /// fetches large responses. `node_name` seeds the random choice: each machine has a random sequence of its own,
     /// which is the same in each run.
-    pub fn new(zone: &str, near: bool, node: &str) -> Self {
-        let node_hash = edge_hash(node);
+    pub fn new(zone: &str, prefer_own_zone: bool, node_name: &str) -> Self {
+        let node_hash = edge_hash(node_name);
         OriginBalancer {
             zone: zone.to_owned(),
-            prefers_own_zone: near,
+            prefers_own_zone: prefer_own_zone,
             origins: RefCell::default(),
             local_subsets: RefCell::new(LocalSubsets::new(node_hash)),
             random_state: RefCell::new(node_hash),
@@ -53,7 +53,7 @@
     /// accepts requests any more.
     pub fn update(&self, now: Instant, servers: &[Server], edges: &[u64]) -> Vec<SocketAddrV4> {
         let mut origins = self.origins.borrow_mut();
-        let mut closed: Vec<SocketAddrV4> = ready_addresses(&origins).collect();
+        let mut no_longer_ready: Vec<SocketAddrV4> = ready_addresses(&origins).collect();
         // Hash sets, because with a thousand servers, linear searches would dominate the cost of an update.
         let listed: HashSet<&str> = servers.iter().map(|server| &server.id[..]).collect();
         origins.retain(|id, _| listed.contains(&id[..]));
@@ -66,9 +66,9 @@
             }
         }
         self.local_subsets.borrow_mut().fleet_changed(edges);
-        let open: HashSet<SocketAddrV4> = ready_addresses(&origins).collect();
-        closed.retain(|address| !open.contains(address));
-        closed
+        let ready_now: HashSet<SocketAddrV4> = ready_addresses(&origins).collect();
+        no_longer_ready.retain(|address| !ready_now.contains(address));
+        no_longer_ready
     }
 
     /// Chooses a ready server of the service that is not among those `tried`, and advances the random sequence. While a
@@ -104,16 +104,16 @@
         service: &str,
         tried: &[String],
     ) -> Vec<&'a Origin> {
-        let ready = || origins.values().filter(|origin| origin.serves(service));
+        let ready_origins = || origins.values().filter(|origin| origin.serves(service));
         let mut candidates: Vec<&Origin> =
-            ready().filter(|origin| !tried.contains(&origin.server().id)).collect();
+            ready_origins().filter(|origin| !tried.contains(&origin.server().id)).collect();
         let mut local_subsets = self.local_subsets.borrow_mut();
         let subset = local_subsets.subset_of(now, service, || {
             let capacity = |origin: &Origin| ServerCapacity {
                 id: origin.server().id.clone(),
                 capacity: origin.server().capacity,
             };
-            ready().map(capacity).collect()
+            ready_origins().map(capacity).collect()
         });
         if let Some(subset) = subset {
             let is_local = |origin: &&Origin| subset.contains(&origin.server().id);
@@ -162,9 +162,9 @@
     }
 
     /// Records the outcome of a request to a server, and how long it took.
-    pub fn record_outcome(&self, now: Instant, id: &str, end: SendOutcome, took: Duration) {
+    pub fn record_outcome(&self, now: Instant, id: &str, outcome: SendOutcome, latency: Duration) {
         if let Some(origin) = self.origins.borrow_mut().get_mut(id) {
-            origin.record(now, end, took);
+            origin.record(now, outcome, latency);
         }
     }
 
--- a/glenfall/src/upstream/pool/exchange.rs
+++ b/glenfall/src/upstream/pool/exchange.rs
@@ -81,7 +81,7 @@
     pub async fn exchange(
         &self,
         params: ExchangeParams<'_>,
-        request: impl Fn() -> Request<Full<Bytes>>,
+        build_request: impl Fn() -> Request<Full<Bytes>>,
     ) -> Result<ServerResponse, SendError> {
         loop {
             let AcquiredConnection { mut connection, is_reused } =
@@ -90,7 +90,7 @@
                 return Err(SendError::NotSent);
             }
             let progress = RequestProgress::default();
-            let event = match self.exchange_on(&mut connection, request(), &progress, &params).await {
+            let event = match self.exchange_on(&mut connection, build_request(), &progress, &params).await {
                 Ok(CompleteResponse { response, idle_timeout }) => {
                     if let Some(idle_timeout) = idle_timeout {
                         self.release(params.address, connection, idle_timeout).await;
@@ -133,7 +133,7 @@
         };
         tokio::select! {
             biased;
-            ended = exchange => ended,
+            result = exchange => result,
             () = reader.stalled(&response_progress, params.completion_timeout) => Err(SendEvent::Malformed),
             () = sleep_until(params.deadline) => Err(SendEvent::TimedOut),
         }
--- a/glenfall/src/upstream/pool/response_reader.rs
+++ b/glenfall/src/upstream/pool/response_reader.rs
@@ -33,7 +33,7 @@
     SwitchingProtocols,
     /// The headers do not determine where the body ends.
     #[error("the end of the body can't be determined")]
-    UnclearEnd,
+    AmbiguousFraming,
     /// The body is longer than [`MAX_BODY_BYTES`].
     #[error("the body is too large")]
     TooLarge,
@@ -68,8 +68,8 @@
         if head.status == StatusCode::SWITCHING_PROTOCOLS {
             return Err(ReadError::SwitchingProtocols);
         }
-        if !has_clear_end(&head, method) {
-            return Err(ReadError::UnclearEnd);
+        if !has_unambiguous_framing(&head, method) {
+            return Err(ReadError::AmbiguousFraming);
         }
         let body = self.read_body(body).await?;
         let idle_timeout = idle_timeout(&head.headers);
@@ -135,7 +135,7 @@
     }
 }
 
-fn has_clear_end(head: &Parts, method: &Method) -> bool {
+fn has_unambiguous_framing(head: &Parts, method: &Method) -> bool {
     let has_no_body =
         method == Method::HEAD || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
     has_no_body || BodyFraming::of(&head.headers) != BodyFraming::Ambiguous
