--- a/glenfall/src/shield/mod.rs
+++ b/glenfall/src/shield/mod.rs
@@ -89,7 +89,7 @@
     fn finish_warm_start(&self) {
         let Some(stored_responses) = self.warm_start.take_ready() else { return };
         self.counters.warm_start.increment_by(stored_responses.len());
-        tracing::info!(stored = stored_responses.len(), "disk cache in use");
+        tracing::info!(stored = stored_responses.len(), "responses from the disk cache are now in use");
         let mut cache = self.cache.borrow_mut();
         for (key, response) in stored_responses.into_entries() {
             // A response fetched since the start is newer.
--- a/glenfall/src/shield/warm_start.rs
+++ b/glenfall/src/shield/warm_start.rs
@@ -51,7 +51,10 @@
                 responses.purge(&purge);
             }
         }
-        tracing::info!(stored, "disk cache read: unused until all purges since are received");
+        tracing::info!(
+            stored,
+            "disk cache read: its responses stay unused until control has sent all purges"
+        );
         self.is_loaded.set(true);
     }
 
--- a/glenfall/src/upstream/pool/response_reader.rs
+++ b/glenfall/src/upstream/pool/response_reader.rs
@@ -29,19 +29,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReadError {
     /// The server changes to another protocol.
-    #[error("the server switches protocols")]
+    #[error("the server responded with status 101 (switching protocols)")]
     SwitchingProtocols,
     /// The headers do not determine where the body ends.
-    #[error("the end of the body can't be determined")]
+    #[error("the response headers do not determine where the body ends")]
     AmbiguousFraming,
     /// The body is longer than [`MAX_BODY_BYTES`].
-    #[error("the body is too large")]
+    #[error("the response body is longer than the limit")]
     TooLarge,
     /// The body is larger than the whole memory budget.
-    #[error("the body exceeds the memory budget")]
+    #[error("the response body is larger than the memory budget")]
     ExceedsMemoryBudget,
     /// The connection failed before the end of the body.
-    #[error("the body is incomplete")]
+    #[error("the connection failed before the end of the response body")]
     Incomplete,
 }
 
