--- a/glenfall/src/shield/warm_start.rs
+++ b/glenfall/src/shield/warm_start.rs
@@ -22,7 +22,7 @@
 }
 
 impl WarmStart {
-    /// A warm start that keeps at most `max_bytes` of responses. Without a disk cache, it never has any.
+    /// An empty warm start. Responses are loaded only if there is a disk cache, up to `max_bytes`.
     pub fn new(has_disk: bool, max_bytes: usize) -> Self {
         WarmStart {
             responses: RefCell::new(has_disk.then(|| Cache::new(max_bytes))),
--- a/glenfall/src/upstream/forward/attempts.rs
+++ b/glenfall/src/upstream/forward/attempts.rs
@@ -117,7 +117,7 @@
         result: Result<ServerResponse, SendError>,
     ) {
         match (execution, result) {
-            // The request was not sent: the outcome of the attempts before stands.
+            // The request was not sent: the outcome of the earlier attempts remains.
             (ExecutionStatus::NotRun, Err(_)) => {}
             (ExecutionStatus::NotRun, Ok(response)) => self.rejected_by_server(response.status()),
             (ExecutionStatus::Answered, Ok(response)) => self.outcome_so_far = Outcome::Answered(response),
--- a/glenfall/src/upstream/origins/mod.rs
+++ b/glenfall/src/upstream/origins/mod.rs
@@ -1,6 +1,7 @@
 //! Origin servers as one process observes them, and load balancing among those of a service.
 //!
-//! No decision here reads a clock: callers pass the current time, so that simulations can use simulated time.
+//! No decision here depends on reading a clock: callers pass the current time, so that simulations can use simulated
+//! time.
 
 mod latency_estimate;
 mod load_balancer;
