--- a/glenfall/src/upstream/forward/forwarder.rs
+++ b/glenfall/src/upstream/forward/forwarder.rs
@@ -32,7 +32,7 @@
 
 /// The header with the id of the server that a request is addressed to. Any other process rejects the request,
 /// including one that has since begun to listen at the same address.
-const EXPECTED_SERVER: HeaderName = HeaderName::from_static("x-glenfall-want-server");
+const EXPECTED_SERVER_HEADER: HeaderName = HeaderName::from_static("x-glenfall-want-server");
 /// Servers get a deadline that is this much earlier than that of this process, so that their own response to a request
 /// that takes too long arrives in time.
 const RESPONSE_TRANSIT_TIME: Duration = Duration::from_millis(15);
@@ -215,7 +215,7 @@
                 }
             };
             let Ok(server_id) = HeaderValue::from_str(&server.id) else { continue };
-            request.headers.insert(EXPECTED_SERVER, server_id);
+            request.headers.insert(EXPECTED_SERVER_HEADER, server_id);
             let lender_may_retry = request.idempotent && allowance.reserved_sends > 0;
             let retry_may_follow = attempts.another_may_follow() || lender_may_retry;
             attempts.check_send();
--- a/glenfall/src/upstream/forward/response_event.rs
+++ b/glenfall/src/upstream/forward/response_event.rs
@@ -7,12 +7,12 @@
 use crate::http::response::ServerResponse;
 
 /// The header by which a server states that it has not run the request.
-const NOT_RUN: HeaderName = HeaderName::from_static("x-glenfall-not-run");
+const NOT_RUN_HEADER: HeaderName = HeaderName::from_static("x-glenfall-not-run");
 
 /// Whether a response states that the request has not run. A server that received a request addressed to another one
 /// states it by its status alone.
 pub fn states_not_run(response: &ServerResponse) -> bool {
-    response.headers().contains_key(NOT_RUN) || response.status() == StatusCode::MISDIRECTED_REQUEST
+    response.headers().contains_key(NOT_RUN_HEADER) || response.status() == StatusCode::MISDIRECTED_REQUEST
 }
 
 /// The event of a complete response in the state machine of sends.
