--- a/glenfall/src/shield/singleflight.rs
+++ b/glenfall/src/shield/singleflight.rs
@@ -1,4 +1,4 @@
-//! Request collapsing (singleflight): reads of one object that miss while it is being fetched share that fetch.
+//! Request collapsing (singleflight): reads that miss while their object is being fetched share that fetch.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -7,16 +7,16 @@
 use glenfall_control_plane::messages::Purge;
 use tokio::sync::watch;
 
-use super::fetch_result::FetchEnd;
+use super::fetch_result::FetchResult;
 use crate::cache::{ObjectKey, StoredResponse};
 
-/// Bound on the fetches in flight; reads that miss beyond it are rejected.
+/// Maximum number of fetches in flight; reads that would start another are rejected.
 const MAX_FETCHES: usize = 1024;
 
-/// Receives the end of a fetch.
-pub(super) type FetchReceiver = watch::Receiver<Option<FetchEnd>>;
+/// Receives the result of a fetch; `None` until the fetch has ended.
+pub(super) type FetchReceiver = watch::Receiver<Option<FetchResult>>;
 
-/// [`MAX_FETCHES`] fetches are in flight.
+/// No fetch can be started, as [`MAX_FETCHES`] are in flight.
 pub(super) struct TooManyFetches;
 
 /// A fetch in flight that reads may share.
@@ -25,45 +25,45 @@
     purges: Rc<PurgesDuringFetch>,
 }
 
-/// The purges received since a fetch began: the response that it brings may be older than they are.
+/// The purges received since a fetch began. Its response may be older than they are.
 #[derive(Default)]
 struct PurgesDuringFetch {
     labels: RefCell<Vec<String>>,
-    /// The object itself was purged.
-    object: Cell<bool>,
+    /// Whether the object itself was purged.
+    object_purged: Cell<bool>,
 }
 
 impl PurgesDuringFetch {
-    fn name(&self, copy: &StoredResponse) -> bool {
-        self.object.get() || self.labels.borrow().iter().any(|label| copy.has_label(label))
+    fn cover(&self, response: &StoredResponse) -> bool {
+        self.object_purged.get() || self.labels.borrow().iter().any(|label| response.has_label(label))
     }
 }
 
-/// A fetch that has begun, as the task that carries it out has it.
+/// A fetch that has begun, as held by the task that carries it out.
 pub(super) struct StartedFetch {
     key: ObjectKey,
-    sender: watch::Sender<Option<FetchEnd>>,
+    sender: watch::Sender<Option<FetchResult>>,
     purges: Rc<PurgesDuringFetch>,
 }
 
 impl StartedFetch {
-    /// Whether a purge that was received since the fetch began names what it has brought.
-    pub fn is_purged(&self, copy: &StoredResponse) -> bool {
-        self.purges.name(copy)
+    /// Whether a purge that was received since the fetch began covers its response.
+    pub fn is_purged(&self, response: &StoredResponse) -> bool {
+        self.purges.cover(response)
     }
 
-    /// Hands the end of the fetch to all reads that wait for it.
-    pub fn publish(self, end: FetchEnd) {
-        self.sender.send_replace(Some(end));
+    /// Sends the result of the fetch to all reads that wait for it.
+    pub fn publish(self, result: FetchResult) {
+        self.sender.send_replace(Some(result));
     }
 }
 
 /// The fetches in flight.
 #[derive(Default)]
 pub(super) struct SingleFlight {
-    /// Fetches that reads may share, by what they fetch.
+    /// Fetches that reads may share, by object.
     shared: RefCell<HashMap<ObjectKey, SharedFetch>>,
-    /// The number of all fetches in flight, those included that are no longer shared because of a purge.
+    /// The number of all fetches in flight, including those that are no longer shared because of a purge.
     in_flight: Cell<usize>,
 }
 
@@ -86,18 +86,18 @@
         Ok((StartedFetch { key: key.clone(), sender, purges }, receiver))
     }
 
-    /// Ends a fetch: no read shares it from now on. A purge may have removed it before, and another fetch of the same
-    /// object may have begun, which goes on.
+    /// Ends a fetch: no read joins it from now on. If a purge has already removed it, a newer fetch of the same object
+    /// may be in flight, which stays shared.
     pub fn finish(&self, fetch: &StartedFetch) {
         self.in_flight.set(self.in_flight.get() - 1);
         let mut shared = self.shared.borrow_mut();
-        if shared.get(&fetch.key).is_some_and(|known| Rc::ptr_eq(&known.purges, &fetch.purges)) {
+        if shared.get(&fetch.key).is_some_and(|current| Rc::ptr_eq(&current.purges, &fetch.purges)) {
             shared.remove(&fetch.key);
         }
     }
 
-    /// Notes a purge at the fetches in flight. Fetches of an object that is purged itself are no longer shared; whether
-    /// a response has a purged label shows when it has arrived.
+    /// Records a purge for the fetches in flight. Fetches of a purged object are no longer shared. Whether a response
+    /// has a purged label is known only once it has arrived.
     pub fn purge(&self, purge: &Purge) {
         let mut shared = self.shared.borrow_mut();
         match purge {
@@ -108,12 +108,12 @@
             }
             Purge::Object { hostname, path } => {
                 for (_, fetch) in shared.extract_if(|key, _| key.matches_location(hostname, path)) {
-                    fetch.purges.object.set(true);
+                    fetch.purges.object_purged.set(true);
                 }
             }
             Purge::Everything => {
                 for (_, fetch) in shared.drain() {
-                    fetch.purges.object.set(true);
+                    fetch.purges.object_purged.set(true);
                 }
             }
         }
--- a/glenfall/src/shield/warm_start.rs
+++ b/glenfall/src/shield/warm_start.rs
@@ -1,5 +1,5 @@
-//! Stored responses that lay on disk when the process started. They are used only once they have been read and control
-//! has published all purges from before the start; until then purges are applied to them here.
+//! Stored responses that were on disk when the process started. They are used only once they have been read and control
+//! has published all purges from before the start; until then, purges are applied to them here.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,12 +17,12 @@
     is_loaded: Cell<bool>,
     /// Purges received while the disk was being read.
     purges_while_loading: RefCell<Vec<AgedPurge>>,
-    /// Control has published all purges from before this process began.
+    /// Whether control has published all purges from before this process began.
     is_caught_up: Cell<bool>,
 }
 
 impl WarmStart {
-    /// A warm start that keeps at most this many bytes of responses, where there is a disk to read them from.
+    /// An empty warm start. Responses are loaded only if there is a disk cache, up to `max_bytes`.
     pub fn new(has_disk: bool, max_bytes: usize) -> Self {
         WarmStart {
             responses: RefCell::new(has_disk.then(|| Cache::new(max_bytes))),
@@ -32,35 +32,38 @@
         }
     }
 
-    /// Takes what was read from disk.
+    /// Stores what was read from disk, and applies the purges received meanwhile.
     pub fn load(&self, rows: Vec<StoredRow>) {
         let now = Instant::now();
         let stored = rows.len();
         if let Some(responses) = self.responses.borrow_mut().as_mut() {
             for row in rows {
-                let Some(born) = now.checked_sub(row.age) else { continue };
-                let copy = StoredResponse {
+                let Some(requested_at) = now.checked_sub(row.age) else { continue };
+                let response = StoredResponse {
                     headers: row.headers,
                     body: row.body,
-                    requested_at: Cell::new(born),
+                    requested_at: Cell::new(requested_at),
                     labels: row.labels,
                 };
-                responses.insert(row.key, Rc::new(copy));
+                responses.insert(row.key, Rc::new(response));
             }
             for purge in self.purges_while_loading.take() {
                 responses.purge(&purge);
             }
         }
-        tracing::info!(stored, "disk cache read: unused until all purges since are received");
+        tracing::info!(
+            stored,
+            "disk cache read: its responses stay unused until control has sent all purges"
+        );
         self.is_loaded.set(true);
     }
 
-    /// Control has published all purges from before this process began.
-    pub fn caught_up(&self) {
+    /// Records that control has published all purges from before this process began.
+    pub fn set_caught_up(&self) {
         self.is_caught_up.set(true);
     }
 
-    /// Removes what a purge names; returns which objects.
+    /// Removes the responses that a purge covers; returns their keys.
     pub fn purge(&self, purge: &AgedPurge) -> Vec<ObjectKey> {
         let mut responses = self.responses.borrow_mut();
         let Some(responses) = responses.as_mut() else { return Vec::new() };
@@ -70,7 +73,8 @@
         responses.purge(purge)
     }
 
-    /// Takes the responses out, once they are loaded and control has published all purges; `None` before and afterwards.
+    /// Takes the responses out, once they are loaded and control has published all purges; `None` before that, and once
+    /// they were taken.
     pub fn take_ready(&self) -> Option<Cache> {
         if !(self.is_loaded.get() && self.is_caught_up.get()) {
             return None;
