--- a/glenfall/tests/unit/backlog.rs
+++ b/glenfall/tests/unit/backlog.rs
@@ -1,4 +1,4 @@
-//! Backlogs between threads, where another thread runs between any two steps of the first.
+//! Reservations in a backlog that threads share, also where another thread runs between two steps of one reservation.
 
 use std::sync::atomic::AtomicUsize;
 use std::sync::{Arc, Mutex};
@@ -10,17 +10,17 @@
 
 type Step = Box<dyn FnOnce() + Send>;
 
-/// A count whose reader is interrupted after it has read, while the other thread does something.
+/// A count that runs a step of another thread after it was read, before the reader gets the value.
 #[derive(Default)]
 struct InterruptedCount {
     count: AtomicUsize,
-    meanwhile: Mutex<Option<Step>>,
+    interleaved_step: Mutex<Option<Step>>,
 }
 
 impl SharedCount for InterruptedCount {
     fn load(&self) -> usize {
         let read = SharedCount::load(&self.count);
-        let step = self.meanwhile.lock().expect("no panic in between").take();
+        let step = self.interleaved_step.lock().expect("a lock that is not poisoned").take();
         if let Some(step) = step {
             step();
         }
@@ -36,16 +36,19 @@
     }
 }
 
-/// Reserves units while the other thread, in the middle of it, does something.
+/// Reserves units while another thread runs `step` between the read of the count and its update.
 fn reserve_interrupted(
     backlog: &Backlog<InterruptedCount>,
     count: &InterruptedCount,
     units: usize,
     step: Step,
 ) -> Option<Reservation<InterruptedCount>> {
-    *count.meanwhile.lock().expect("no panic in between") = Some(step);
+    *count.interleaved_step.lock().expect("a lock that is not poisoned") = Some(step);
     let reserved = backlog.reserve(units);
-    assert!(count.meanwhile.lock().expect("no panic in between").is_none(), "it was not interrupted");
+    assert!(
+        count.interleaved_step.lock().expect("a lock that is not poisoned").is_none(),
+        "the step has not run"
+    );
     reserved
 }
 
@@ -57,13 +60,13 @@
 #[test]
 fn a_concurrent_reservation_is_not_overlooked() {
     let (backlog, count) = interrupted_backlog();
-    let others = Arc::new(Mutex::new(None));
+    let other_reservation = Arc::new(Mutex::new(None));
     // Each of the two fits, both together do not.
-    let (other, held) = (backlog.clone(), Arc::clone(&others));
-    let step = move || *held.lock().expect("no panic in between") = other.reserve(60);
+    let (other_backlog, result) = (backlog.clone(), Arc::clone(&other_reservation));
+    let step = move || *result.lock().expect("a lock that is not poisoned") = other_backlog.reserve(60);
     let reserved = reserve_interrupted(&backlog, &count, 60, Box::new(step));
-    let others = others.lock().expect("no panic in between");
-    assert!(reserved.is_none() && others.is_some(), "only the one that came first");
+    let other_reservation = other_reservation.lock().expect("a lock that is not poisoned");
+    assert!(reserved.is_none() && other_reservation.is_some(), "only the first of the two is admitted");
     assert_eq!(backlog.queued(), 60);
 }
 
@@ -84,8 +87,8 @@
         for number in 0..4 {
             let backlog = backlog.clone();
             scope.spawn(move || {
-                for turn in 0..5000 {
-                    let reserved = backlog.reserve(30 + (turn + number) % 30);
+                for round in 0..5000 {
+                    let reserved = backlog.reserve(30 + (round + number) % 30);
                     thread::yield_now();
                     assert!(backlog.queued() <= CAPACITY);
                     drop(reserved);
--- a/glenfall/tests/unit/cache.rs
+++ b/glenfall/tests/unit/cache.rs
@@ -12,14 +12,14 @@
 use hyper::{Response, StatusCode};
 use tokio::time::Instant;
 
-use crate::support::object as key;
+use crate::support::object_key as key;
 
-const SEAL: &str = "x-glenfall-seal";
+const SEAL_HEADER: &str = "x-glenfall-seal";
 
 fn head(tags: &'static str) -> Parts {
     let mut head = Response::new(()).into_parts().0;
     let headers = &mut head.headers;
-    headers.insert(SEAL, HeaderValue::from_static("s"));
+    headers.insert(SEAL_HEADER, HeaderValue::from_static("s"));
     headers.insert("x-glenfall-tags", HeaderValue::from_static(tags));
     headers.insert(header::ETAG, HeaderValue::from_static("\"e\""));
     head
@@ -27,7 +27,7 @@
 
 fn stored(body: &str, tags: &'static str) -> Rc<StoredResponse> {
     let response = ServerResponse::new(head(tags), Bytes::from(body.to_owned()));
-    Rc::new(StoredResponse::from_response(&response, Instant::now()).expect("it may be stored"))
+    Rc::new(StoredResponse::from_response(&response, Instant::now()).expect("a storable response"))
 }
 
 fn purge_now(purge: Purge) -> AgedPurge {
@@ -122,7 +122,7 @@
     }
     assert!(is_stored(|_| {}));
     assert!(!is_stored(|r| r.status = StatusCode::INTERNAL_SERVER_ERROR));
-    assert!(!is_stored(|r| drop(r.headers.remove(SEAL))));
+    assert!(!is_stored(|r| drop(r.headers.remove(SEAL_HEADER))));
     assert!(!is_stored(|r| set(r, header::CONTENT_ENCODING, "gzip")));
     assert!(!is_stored(|r| set(r, header::CACHE_CONTROL, "No-Store")));
 }
--- a/glenfall/tests/unit/concurrency_limit.rs
+++ b/glenfall/tests/unit/concurrency_limit.rs
@@ -15,8 +15,8 @@
     rejected: f64,
 }
 
-/// The highest and the lowest priority.
-struct Simulated {
+/// The fractions of the highest and of the lowest priority.
+struct SimulationResult {
     high: Fractions,
     low: Fractions,
 }
@@ -30,8 +30,8 @@
 }
 
 /// Ten machines share a service of twelve slots, which takes 72 ms for a request and queues all requests that it gets.
-/// All machines together receive `requests_per_s`. Returns what became of the requests from the fifth second on.
-async fn simulate(requests_per_s: u64, is_limited: bool) -> Simulated {
+/// All machines together receive `requests_per_s`. Requests are counted from the fifth second on.
+async fn simulate(requests_per_s: u64, is_limited: bool) -> SimulationResult {
     const MACHINES: usize = 10;
     const SLOTS: usize = 12;
     let service_time = Duration::from_millis(72);
@@ -42,7 +42,7 @@
             .for_each(|limit| limit.update(&BTreeMap::from([("s", SLOTS as f64 / MACHINES as f64)])));
     }
     let started_at = Instant::now();
-    // When each slot is free.
+    // When each slot becomes free.
     let mut slots = [started_at; SLOTS];
     let mut in_flight: VecDeque<RunningRequest> = VecDeque::new();
     let (mut counted, mut on_time, mut rejected) = ([0.0; 2], [0.0; 2], [0.0; 2]);
@@ -81,23 +81,23 @@
         on_time: on_time[rank] / counted[rank],
         rejected: rejected[rank] / counted[rank],
     });
-    Simulated { high, low }
+    SimulationResult { high, low }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_overloaded_service_responds_on_time_to_what_it_can_handle_the_higher_priority_first() {
+async fn a_limited_service_responds_on_time_up_to_its_capacity_and_prefers_high_priority() {
     // The service can handle 166 requests a second.
-    let Simulated { high, low } = simulate(100, true).await;
-    assert_eq!((high.rejected, low.rejected), (0.0, 0.0), "nothing is rejected that it can handle");
-    let Simulated { high, low } = simulate(330, false).await;
+    let SimulationResult { high, low } = simulate(100, true).await;
+    assert_eq!((high.rejected, low.rejected), (0.0, 0.0), "nothing is rejected below the capacity");
+    let SimulationResult { high, low } = simulate(330, false).await;
     assert!(high.on_time + low.on_time < 0.1, "without a limit, all are late: {high:?} {low:?}");
-    let Simulated { high, low } = simulate(330, true).await;
+    let SimulationResult { high, low } = simulate(330, true).await;
     assert!(high.on_time + low.on_time > 0.8, "half of the requests can be handled: {high:?} {low:?}");
     assert!(high.on_time > 1.3 * low.on_time, "the higher priority first: {high:?} {low:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn dropped_permits_are_released_and_few_late_responses_change_nothing() {
+async fn dropped_permits_are_released_and_a_few_late_responses_do_not_lower_the_limit() {
     let limits = ConcurrencyLimits::default();
     limits.update(&BTreeMap::from([("s", 1.0)]));
     for n in 0..1000 {
--- a/glenfall/tests/unit/deadlines.rs
+++ b/glenfall/tests/unit/deadlines.rs
@@ -15,16 +15,16 @@
 use tokio::time::Instant;
 
 use crate::proxies::{
-    pool, request, start_edge, start_servers, start_shields, Reached, ServerActs, ShieldActs, BODY, DEADLINE,
-    SERVER_ACTS, SHIELD_ACTS,
+    pool, request, start_edge, start_servers, start_shields, ReachedServers, ServerBehavior, ShieldBehavior,
+    BODY_BYTES, ROUTE_DEADLINE, SERVER_BEHAVIORS, SHIELD_BEHAVIORS,
 };
 
-/// What the users' page allows beyond `deadlineMs`.
+/// The most that a request may take beyond the `deadlineMs` of its route.
 const MAX_OVERRUN: Duration = Duration::from_millis(250);
 
-/// A request, and the bound that it reaches at its edge.
+/// A kind of request, by the limit that it reaches at its edge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Request {
+enum RequestKind {
     Read,
     /// A read while there is no memory for its response.
     ReadWithoutMemory,
@@ -32,31 +32,31 @@
     Write,
 }
 
-const REQUESTS: [Request; 4] =
-    [Request::Read, Request::ReadWithoutMemory, Request::RateLimitedRead, Request::Write];
+const REQUEST_KINDS: [RequestKind; 4] =
+    [RequestKind::Read, RequestKind::ReadWithoutMemory, RequestKind::RateLimitedRead, RequestKind::Write];
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
-    request: Request,
-    shields: [ShieldActs; 2],
-    servers: ServerActs,
+    request: RequestKind,
+    shields: [ShieldBehavior; 2],
+    servers: ServerBehavior,
 }
 
 impl Case {
     /// Sends the request, and returns how long its client waited.
     async fn run(&self, servers: &[Server], stopping: &watch::Receiver<bool>) -> Duration {
         let shields = start_shields(&self.shields, servers, stopping).await;
-        let memory = MemoryBudget::new(BODY + 2048);
-        let _other_response = memory.reserve(BODY).await;
+        let memory = MemoryBudget::new(BODY_BYTES + 2048);
+        let _reserved_memory = memory.reserve(BODY_BYTES).await;
         let pool = match self.request {
-            Request::ReadWithoutMemory => Pool::new(64, memory),
+            RequestKind::ReadWithoutMemory => Pool::new(64, memory),
             _ => pool(),
         };
         let edge = start_edge(servers, &shields, Rc::clone(&pool)).await;
         let request = match self.request {
-            Request::Read | Request::ReadWithoutMemory => request("GET", "/2/x", "t"),
-            Request::RateLimitedRead => request("GET", "/c/x", "t"),
-            Request::Write => request("POST", "/w/x", "t"),
+            RequestKind::Read | RequestKind::ReadWithoutMemory => request("GET", "/2/x", "t"),
+            RequestKind::RateLimitedRead => request("GET", "/c/x", "t"),
+            RequestKind::Write => request("POST", "/w/x", "t"),
         };
         let started_at = Instant::now();
         edge::EdgeHandler(edge).handle(request).await;
@@ -66,10 +66,14 @@
 
 fn all_cases() -> Vec<Case> {
     let mut cases = Vec::new();
-    for request in REQUESTS {
-        for first in SHIELD_ACTS {
-            for second in SHIELD_ACTS {
-                cases.extend(SERVER_ACTS.map(|servers| Case { request, shields: [first, second], servers }));
+    for request in REQUEST_KINDS {
+        for first in SHIELD_BEHAVIORS {
+            for second in SHIELD_BEHAVIORS {
+                cases.extend(SERVER_BEHAVIORS.map(|servers| Case {
+                    request,
+                    shields: [first, second],
+                    servers,
+                }));
             }
         }
     }
@@ -82,8 +86,8 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let (_running, stopping) = watch::channel(false);
         let mut servers = BTreeMap::new();
-        for acts in SERVER_ACTS {
-            servers.insert(acts, start_servers(acts, &Reached::default()).await);
+        for behavior in SERVER_BEHAVIORS {
+            servers.insert(behavior, start_servers(behavior, &ReachedServers::default()).await);
         }
         let mut runs = JoinSet::new();
         for case in all_cases() {
@@ -93,10 +97,10 @@
         let mut longest = Duration::ZERO;
         while let Some(finished) = runs.join_next().await {
             let (case, elapsed) = finished.expect("no panic");
-            assert!(elapsed <= DEADLINE + MAX_OVERRUN, "{case:?} took {elapsed:?}");
+            assert!(elapsed <= ROUTE_DEADLINE + MAX_OVERRUN, "{case:?} took {elapsed:?}");
             longest = longest.max(elapsed);
         }
         println!("the longest took {longest:?}");
-        assert!(longest >= DEADLINE / 2, "no request waited: {longest:?}");
+        assert!(longest >= ROUTE_DEADLINE / 2, "no request waited: {longest:?}");
     });
 }
--- a/glenfall/tests/unit/declarative_config.rs
+++ b/glenfall/tests/unit/declarative_config.rs
@@ -22,10 +22,10 @@
 
 #[test]
 fn a_document_written_as_files_is_read_back_unchanged() {
-    let folder = folder("round");
-    let left_out = write(DOCUMENT.as_bytes(), &folder).unwrap();
-    assert_eq!(left_out.len(), 1, "{left_out:?}");
-    assert!(write(DOCUMENT.as_bytes(), &folder).is_err(), "files are not written over");
+    let folder = folder("round-trip");
+    let omitted = write(DOCUMENT.as_bytes(), &folder).unwrap();
+    assert_eq!(omitted.len(), 1, "{omitted:?}");
+    assert!(write(DOCUMENT.as_bytes(), &folder).is_err(), "existing files are not overwritten");
     let declared = Declared::read(&folder).unwrap();
     assert_eq!(declared.counts(), ItemCounts { routes: 2, services: 2 });
     let differences = declared.differences(DOCUMENT.as_bytes()).unwrap();
@@ -59,8 +59,8 @@
     ] {
         let folder = folder("mistakes");
         std::fs::write(folder.join(file), text).unwrap();
-        let why = Declared::read(&folder).expect_err(case).to_string();
-        assert!(why.contains(expected) && !why.contains('\n'), "{case}: {why}");
+        let error = Declared::read(&folder).expect_err(case).to_string();
+        assert!(error.contains(expected) && !error.contains('\n'), "{case}: {error}");
     }
     let outside = DOCUMENT.replace("r-a", "../r-a");
     assert!(matches!(write(outside.as_bytes(), &folder("outside")), Err(DeclareError::Name(_))));
--- a/glenfall/tests/unit/disk_cache.rs
+++ b/glenfall/tests/unit/disk_cache.rs
@@ -8,9 +8,9 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use rusqlite::Connection;
 
-use crate::support::{object as key, Folder};
+use crate::support::{object_key as key, Folder};
 
-/// What the file in a folder contains, by path: size of the body, and labels.
+/// The rows of the file in a folder, sorted by path: path, size of the body, and labels.
 fn stored(folder: &Path) -> Vec<(String, usize, String)> {
     let (_disk_cache, found) = DiskCache::open(folder, 64).unwrap();
     let rows = found.blocking_recv().unwrap();
@@ -38,7 +38,7 @@
 
 #[test]
 fn responses_are_found_until_they_are_removed() {
-    let folder = Folder::new("kept-found");
+    let folder = Folder::new("disk-cache-found");
     change(&folder, |disk_cache| {
         for path in ["/a", "/b", "/c"] {
             put(disk_cache, path, 100_000, 1);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_wall_clock_decides_only_where_the_monotonic_clock_is_of_no_use() {
+fn the_wall_clock_is_used_only_for_a_file_from_another_boot() {
     let resolve = |wall_ms, monotonic_ms| {
         let since_write = TimeSinceWrite { wall_ms, monotonic_ms }.resolve();
         since_write.map(|since| since.as_millis())
@@ -70,8 +70,8 @@
 }
 
 #[test]
-fn what_exceeds_the_queue_is_not_written_and_the_stored_version_is_removed() {
-    let folder = Folder::new("kept-waiting");
+fn a_response_that_exceeds_the_queue_is_not_written_and_its_stored_version_is_removed() {
+    let folder = Folder::new("disk-cache-queued");
     change(&folder, |disk_cache| put(disk_cache, "/a", 5, 0));
     change(&folder, |disk_cache| {
         put(disk_cache, "/big", MAX_QUEUED_BODY_BYTES, 0);
@@ -80,11 +80,11 @@
     assert_eq!(stored(&folder), [("/big".into(), MAX_QUEUED_BODY_BYTES, "t".into())]);
 }
 
-/// Removals that were queued since the last written change are still to come, and a start must know that it may have
-/// missed them.
+/// A removal that was queued after the last written change is missing from the file. A start can only know this where
+/// the file is dated by that change.
 #[test]
-fn the_file_is_as_of_the_last_change_in_it_not_of_the_write() {
-    let folder = Folder::new("kept-as-of");
+fn the_file_is_dated_by_the_last_change_in_it_not_by_the_time_of_the_write() {
+    let folder = Folder::new("disk-cache-date");
     let (disk_cache, mut writer, _found) = DiskCache::prepare(&folder, 64);
     put(&disk_cache, "/a", 5, 0);
     drop(disk_cache);
@@ -97,16 +97,16 @@
     assert!(at < writer_starts_ms, "{} ms too late", at - writer_starts_ms);
 }
 
-/// While the disk hangs, the queue is full, and what a purge names would stay on disk.
+/// While the disk hangs the queue fills up, and a removal that does not fit must not leave a purged response on disk.
 #[test]
 fn a_removal_that_exceeds_the_queue_discards_everything_before_it() {
-    let folder = Folder::new("kept-lost");
+    let folder = Folder::new("disk-cache-discarded");
     change(&folder, |disk_cache| put(disk_cache, "/a", 5, 0));
     change(&folder, |disk_cache| {
         put(disk_cache, "/queued", 5, 0);
         disk_cache.remove(&(1..MAX_QUEUED_ROWS).map(|n| key(&format!("/{n}"))).collect::<Vec<_>>());
         disk_cache.remove(&[key("/a"), key("/queued")]);
-        // No other change fits in the queue either, and nothing waits for it.
+        // No other change fits in the queue either, and no caller waits for capacity.
         put(disk_cache, "/late", 5, 0);
         disk_cache.revalidated(&key("/a"), Duration::ZERO);
     });
@@ -117,7 +117,7 @@
 
 #[test]
 fn a_corrupt_file_is_discarded_and_a_corrupt_row_skipped() {
-    let folder = Folder::new("kept-spoilt");
+    let folder = Folder::new("disk-cache-corrupt");
     change(&folder, |disk_cache| (0..20).for_each(|n| put(disk_cache, &format!("/{n}"), 3000, 0)));
     assert_eq!(stored(&folder).len(), 20);
     {
@@ -135,16 +135,16 @@
 
 #[test]
 fn a_file_older_than_the_retention_of_purges_is_not_used() {
-    let folder = Folder::new("kept-old");
+    let folder = Folder::new("disk-cache-old");
     change(&folder, |disk_cache| put(disk_cache, "/a", 5, 0));
     let mut current_ms = 0;
-    for (written_ms_ago, remaining) in [(90_000, 1), (101_000, 0), (-60_000, 0)] {
+    for (written_ms_ago, expected_rows) in [(90_000, 1), (101_000, 0), (-60_000, 0)] {
         let db = Connection::open(folder.join(FILE_NAME)).unwrap();
         let difference_ms = written_ms_ago - current_ms;
         db.execute("UPDATE written SET at = at - ?1, steady = steady - ?1", [difference_ms]).unwrap();
         db.execute("UPDATE copies SET born = (SELECT steady FROM written) - 1000", []).unwrap();
         drop(db);
         current_ms = written_ms_ago;
-        assert_eq!(stored(&folder).len(), remaining, "written {written_ms_ago} ms ago");
+        assert_eq!(stored(&folder).len(), expected_rows, "written {written_ms_ago} ms ago");
     }
 }
--- a/glenfall/tests/unit/forward.rs
+++ b/glenfall/tests/unit/forward.rs
@@ -1,4 +1,4 @@
-//! Forwarding to the servers of a service: which requests are retried, and which are promised not to have run.
+//! Forwarding to the servers of a service: which requests are retried, and which are reported as not run.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -18,9 +18,9 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::support::{listener, run_local, server, settings, stand_in};
+use crate::support::{listener, run_local, server, settings, start_fake_server};
 
-const COMPLETE: &str = "HTTP/1.1 200 OK\r\nX-Glenfall-Try-Id: t\r\nContent-Length: 2\r\n\r\nok";
+const COMPLETE_RESPONSE: &str = "HTTP/1.1 200 OK\r\nX-Glenfall-Try-Id: t\r\nContent-Length: 2\r\n\r\nok";
 
 /// A server that sends the same response to all requests, closes each connection, and counts the requests.
 async fn responding_server(id: &str, response: &'static str, arrivals: &Rc<Cell<u32>>) -> Server {
@@ -34,10 +34,10 @@
             let _ = stream.write_all(response.as_bytes()).await;
         }
     };
-    server(id, stand_in(connection).await.port())
+    server(id, start_fake_server(connection).await.port())
 }
 
-/// A forwarder to these servers, whose retry budget has counted so many requests of clients.
+/// A forwarder to these servers, whose retry budget has counted this many client requests.
 fn forwarder(servers: Vec<Server>, client_requests: u32) -> Forwarder {
     let settings = settings("[timing]\nretryRatio = 1.2\nretrySlack = 0\n");
     let forwarder = Forwarder::new(Pool::new(8, MemoryBudget::new(1 << 20)), &settings, ProxyRole::Edge);
@@ -113,9 +113,9 @@
     assert_eq!(started_at.elapsed(), Duration::from_secs(9));
 }
 
-/// The response to another request says nothing about this one, not even that it has not run.
+/// The response to another request proves nothing about this one, not even that it has not run.
 #[test]
-fn a_response_to_another_request_is_no_promise() {
+fn a_response_to_another_request_does_not_prove_that_this_one_has_not_run() {
     run_local(async {
         let misplaced = "HTTP/1.1 503 Full\r\nX-Glenfall-Try-Id: other\r\nX-Glenfall-Not-Run: 1\r\n\
                        Content-Length: 0\r\n\r\n";
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_is_not_retried_and_not_promised_not_to_have_run() {
+fn a_request_that_may_have_run_is_not_retried_and_not_reported_as_not_run() {
     run_local(async {
         let not_run =
             "HTTP/1.1 503 S\r\nX-Glenfall-Try-Id: t\r\nX-Glenfall-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
@@ -164,7 +164,7 @@
                             Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n";
         let other = "HTTP/1.1 200 OK\r\nX-Glenfall-Try-Id: u\r\nContent-Length: 2\r\n\r\nok";
         for (case, response, not_idempotent, idempotent) in [
-            ("complete", COMPLETE, ("answered", 1), ("answered", 1)),
+            ("complete", COMPLETE_RESPONSE, ("answered", 1), ("answered", 1)),
             ("not run", not_run, ("not run", 2), ("not run", 2)),
             ("rate limit", rate_limited, ("not run", 1), ("not run", 1)),
             ("misdirected", misdirected, ("not run", 2), ("not run", 2)),
--- a/glenfall/tests/unit/http_server.rs
+++ b/glenfall/tests/unit/http_server.rs
@@ -71,8 +71,8 @@
     format!("POST {path} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n{header}\r\n\r\n{body}")
 }
 
-/// What a client receives until its connection closes, and how long that takes, when it sends these chunks with a pause in
-/// milliseconds after each.
+/// Sends these chunks, with a pause in milliseconds after each. Returns what the client receives until its connection
+/// closes, and how long that takes.
 async fn send_chunks(chunks: &[(&str, u64)]) -> (String, Duration) {
     send_chunks_with_memory_in_use(0, chunks).await
 }
@@ -110,15 +110,15 @@
     run_local(async {
         let request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
         let ms = Duration::from_millis;
-        let (text, took) = send_chunks(&[("GET / HT", 0)]).await;
-        assert!(text.starts_with("HTTP/1.1 408 ") && took >= ms(150), "{text} after {took:?}");
-        // A head that arrives byte by byte gets no more time.
+        let (text, elapsed) = send_chunks(&[("GET / HT", 0)]).await;
+        assert!(text.starts_with("HTTP/1.1 408 ") && elapsed >= ms(150), "{text} after {elapsed:?}");
+        // The timeout does not restart with each byte of a head.
         let (text, _) = send_chunks(&[("GET / H", 60), ("T", 60), ("T", 60), ("P", 60), ("/1", 600)]).await;
         assert!(text.starts_with("HTTP/1.1 408 "), "{text}");
         // Idle for longer than a head may take.
-        let (text, took) = send_chunks(&[("", 300), (request, 300), (request, 0)]).await;
+        let (text, elapsed) = send_chunks(&[("", 300), (request, 300), (request, 0)]).await;
         assert_eq!(text.matches("HTTP/1.1 200 ").count(), 2, "{text}");
-        assert!(!text.contains("408") && took >= ms(600 + 900), "{text} after {took:?}");
+        assert!(!text.contains("408") && elapsed >= ms(600 + 900), "{text} after {elapsed:?}");
     });
 }
 
--- a/glenfall/tests/unit/main.rs
+++ b/glenfall/tests/unit/main.rs
@@ -1,8 +1,7 @@
-//! The parts of the crate, each by its own interface, without processes.
+//! In-process tests of the crate's modules through their public interfaces.
 
 mod support;
 
-mod agent;
 mod api_error;
 mod backlog;
 mod backup;
@@ -20,6 +19,7 @@
 mod headers;
 mod heartbeat_relay;
 mod http_server;
+mod known_fleet;
 mod latency;
 mod memory_budget;
 mod origins;
@@ -27,8 +27,8 @@
 mod pool;
 mod proxies;
 mod purge_log;
+mod send_limit;
 mod settings;
 mod shield_recovery;
 mod store;
 mod stored_data;
-mod tries;
--- a/glenfall/tests/unit/origins.rs
+++ b/glenfall/tests/unit/origins.rs
@@ -38,21 +38,24 @@
     origins.update(Instant::now(), &servers(), &edge_hashes());
     let subset_servers = selected(&origins, |_| false);
     assert_eq!(subset_servers.len(), subset::size(90, 49));
-    // With the subset at capacity by this edge's own requests, or ejected, any other server is chosen.
-    let own: Vec<String> = subset_servers.into_iter().collect();
-    let in_flight: Vec<InFlight> = own.iter().flat_map(|id| [origins.track(id), origins.track(id)]).collect();
+    // With the subset at capacity by this edge's requests, or ejected, any other server is chosen.
+    let subset_ids: Vec<String> = subset_servers.into_iter().collect();
+    let in_flight: Vec<InFlight> =
+        subset_ids.iter().flat_map(|id| [origins.track(id), origins.track(id)]).collect();
     assert!(selected(&origins, |_| false).len() > 40);
     drop(in_flight);
-    own.iter().for_each(|id| origins.track(id).finish(SendOutcome::Failed));
+    subset_ids.iter().for_each(|id| origins.track(id).finish(SendOutcome::Failed));
     let others = selected(&origins, |_| false);
-    assert!(others.len() == 49 - own.len() && others.is_disjoint(&own.iter().cloned().collect()));
-    tokio::time::advance(EJECTION_TIME).await;
-    assert_eq!(selected(&origins, |_| false).len(), own.len());
-    // A server that was tried is not chosen again, and a draining one is not chosen.
     assert!(
-        !own.contains(&origins.choose(Instant::now(), "s", &own, |_| false).expect("one of the others").id)
+        others.len() == 49 - subset_ids.len() && others.is_disjoint(&subset_ids.iter().cloned().collect())
     );
-    let draining = own[0].clone();
+    tokio::time::advance(EJECTION_TIME).await;
+    assert_eq!(selected(&origins, |_| false).len(), subset_ids.len());
+    // A server that was tried is not chosen again, and a draining one is not chosen.
+    assert!(!subset_ids.contains(
+        &origins.choose(Instant::now(), "s", &subset_ids, |_| false).expect("one of the others").id
+    ));
+    let draining = subset_ids[0].clone();
     let remaining: Vec<Server> =
         servers().into_iter().map(|s| Server { ready: s.id != draining, ..s }).collect();
     origins.update(Instant::now(), &remaining, &edge_hashes());
@@ -84,7 +87,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_machine_that_is_no_known_edge_uses_all_servers() {
+async fn a_node_that_is_not_a_known_edge_uses_all_servers() {
     let origins = OriginBalancer::new("z", false, "shield-1");
     origins.update(Instant::now(), &servers(), &[]);
     assert!(selected(&origins, |_| false).len() > 45);
@@ -106,8 +109,8 @@
     assert!((100..190).contains(&count("i-2")), "one of seven");
 }
 
-/// Sends 300 requests, one each 30 ms, and returns how many go to the server whose requests end in this way, each
-/// within a millisecond; the others succeed after 30 ms.
+/// Sends one request every 30 ms, 300 in total. Those to the server `i-1` end with `outcome` after 1 ms, and those to
+/// the other servers succeed after 30 ms. Returns how many went to `i-1`.
 async fn requests_to_fast_server(origins: &OriginBalancer, outcome: SendOutcome) -> usize {
     let mut count = 0;
     for _ in 0..300 {
@@ -147,12 +150,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_slow_response_does_not_keep_requests_away_for_good() {
+async fn one_slow_response_does_not_exclude_a_server_permanently() {
     let origins = OriginBalancer::new("z", false, "edge-7");
     origins.update(Instant::now(), &servers()[..2], &[]);
     let mut next_latency_ms = 100;
     let mut counts = [0; 3];
-    // One request each 30 ms for 60 s, counted by thirds. Each takes a millisecond, except the first one at this server.
+    // One request every 30 ms for 60 s, counted by thirds. Each takes 1 ms, except the first one at `i-2`.
     for n in 0..2000 {
         let chosen = origins.choose(Instant::now(), "s", &[], |_| true).expect("one of them");
         let request = origins.track(&chosen.id);
@@ -163,6 +166,6 @@
         tokio::time::advance(Duration::from_millis(30 - latency_ms.min(30))).await;
         counts[n * 3 / 2000] += u32::from(other);
     }
-    assert!(counts[0] < 100, "its only known response was slow: {counts:?}");
+    assert!(counts[0] < 100, "the only known response of i-2 was slow: {counts:?}");
     assert!(counts[2] > 200, "half of 666: {counts:?}");
 }
--- a/glenfall/tests/unit/peer_requests.rs
+++ b/glenfall/tests/unit/peer_requests.rs
@@ -15,8 +15,8 @@
 const SECOND_PEER: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 3);
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Sends a request to both peers while `peers` acts on their behalf, and returns how the request ended. No connection is
-/// open: what is sent goes nowhere.
+/// Sends a request to both peers while `peers` acts on their behalf, and returns how the request ended. No connection
+/// is open, so that nothing is transmitted.
 fn request_both<F: Future<Output = ()>>(
     peers: impl FnOnce(Rc<PeerRequests>) -> F,
 ) -> Result<Vec<Ipv4Addr>, RequestError> {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_request_that_not_all_acknowledge_in_time_names_the_others() {
+fn a_request_that_times_out_names_the_peers_that_have_not_acknowledged_it() {
     let result = request_both(|requests| async move {
         requests.acknowledged(FIRST_PEER, first_request(LOCAL_PROCESS.incarnation), true);
         sleep(REQUEST_TIMEOUT * 2).await;
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_request_fails_for_good_when_a_peer_is_disconnected_before_it_acknowledges() {
+fn a_request_fails_when_a_peer_is_disconnected_before_it_acknowledges_even_if_it_does_later() {
     let result = request_both(|requests| async move {
         requests.peer_disconnected(SECOND_PEER);
         requests.acknowledged(SECOND_PEER, first_request(LOCAL_PROCESS.incarnation), true);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_peer_that_is_disconnected_after_it_has_acknowledged_fails_nothing() {
+fn a_peer_that_is_disconnected_after_its_acknowledgement_does_not_fail_the_request() {
     let result = request_both(|requests| async move {
         requests.acknowledged(SECOND_PEER, first_request(LOCAL_PROCESS.incarnation), true);
         requests.peer_disconnected(SECOND_PEER);
--- a/glenfall/tests/unit/pool.rs
+++ b/glenfall/tests/unit/pool.rs
@@ -19,7 +19,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::support::{run_local, stand_in};
+use crate::support::{run_local, start_fake_server};
 
 const FIRST_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
 const LATER_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nlater";
@@ -70,7 +70,7 @@
             }
         }
     };
-    stand_in(connection).await.into()
+    start_fake_server(connection).await.into()
 }
 
 /// The responses to two requests, one after the other.
@@ -92,22 +92,23 @@
 fn only_bytes_that_follow_a_request_are_read_as_its_response() {
     run_local(async {
         let ok = |text: &str| Ok(text.to_owned());
-        let twice = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst\
+        let two_responses = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst\
                      HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmore";
-        let informed = "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
+        let with_early_hints =
+            "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
         let longer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst and more than that";
         let shorter = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfirst";
-        let neither = "HTTP/1.1 200 OK\r\n\r\nfirst";
+        let without_length = "HTTP/1.1 200 OK\r\n\r\nfirst";
         for (case, response, unrequested, expected) in [
             ("normal", FIRST_RESPONSE, "", [ok("first"), ok("later")]),
-            ("a second response immediately", twice, "", [ok("first"), ok("later")]),
+            ("a second response immediately", two_responses, "", [ok("first"), ok("later")]),
             ("a second response late", FIRST_RESPONSE, FIRST_RESPONSE, [ok("first"), ok("later")]),
             ("noise late", FIRST_RESPONSE, "noise", [ok("first"), ok("later")]),
-            ("a 1xx before", informed, "", [ok("first"), ok("later")]),
+            ("a 1xx before", with_early_hints, "", [ok("first"), ok("later")]),
             ("a 1xx late", FIRST_RESPONSE, "HTTP/1.1 100 Continue\r\n\r\n", [ok("first"), ok("later")]),
             ("longer than it says", longer, "", [ok("first"), ok("later")]),
             ("shorter than it says", shorter, "", [Err(SendError::NoResponse), ok("later")]),
-            ("no length", neither, "", [Err(SendError::NoResponse), ok("later")]),
+            ("no length", without_length, "", [Err(SendError::NoResponse), ok("later")]),
         ] {
             for kind in [UpstreamKind::Internal, UpstreamKind::Origin] {
                 assert_eq!(two_exchanges(response, unrequested, kind).await, expected, "{case}, {kind:?}");
@@ -126,21 +127,21 @@
                     && stream.read_buf(&mut received).await.is_ok_and(|n| n > 0)
                 {}
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=60\r\n\r\nfirst").await;
-                // The bytes arrive before the end does.
+                // The bytes arrive before the connection ends.
                 sleep(Duration::from_millis(50)).await;
                 if end == "reset" {
                     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                 }
             };
-            let (pool, addr) = (pool(), stand_in(connection).await.into());
+            let (pool, addr) = (pool(), start_fake_server(connection).await.into());
             assert_eq!(exchange(&pool, addr, Method::GET, "", UpstreamKind::Origin).await, expected, "{end}");
             assert!(!pool.has_idle_connection(addr), "{end}: its connection is closed");
         }
     });
 }
 
-/// A server that drops connections without notice: what arrives after its first response is reset, once a few bytes
-/// of it are there. Counts the requests that it received completely.
+/// A server that drops connections without notice: after its first response, it resets the connection as soon as it has
+/// received a few bytes more. Counts the requests that it received completely.
 async fn dropping_server(complete_requests: Rc<Cell<u32>>) -> SocketAddr {
     let connection = move |mut stream: TcpStream| {
         let complete_requests = Rc::clone(&complete_requests);
@@ -161,7 +162,7 @@
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
     };
-    stand_in(connection).await.into()
+    start_fake_server(connection).await.into()
 }
 
 #[test]
@@ -170,7 +171,7 @@
         for (kind, expected) in [
             // The reset arrives before the last byte is sent.
             (UpstreamKind::Origin, Ok("first".to_owned())),
-            // Sent completely at once, it may have run.
+            // It was sent completely in one write, so that it may have run.
             (UpstreamKind::Internal, Err(SendError::NoResponse)),
         ] {
             let complete_requests = Rc::new(Cell::new(0));
@@ -224,7 +225,7 @@
             assert_eq!(body, Ok("ok".to_owned()));
             assert!(pool.has_idle_connection(addr));
             let closed = timeout(Duration::from_secs(30), stream.read(&mut [0])).await;
-            assert_eq!(closed.expect("a close, long after it is due").expect("in order"), 0);
+            assert_eq!(closed.expect("a close, long before this timeout").expect("in order"), 0);
         }
     });
 }
--- a/glenfall/tests/unit/proxies.rs
+++ b/glenfall/tests/unit/proxies.rs
@@ -1,5 +1,5 @@
-//! Proxies and stand-ins over real sockets: an edge, shields that are well, frozen, reset, mute, gone or behind, and
-//! servers that answer, fail, reset, hang or stall.
+//! Edges, shields and servers over real sockets. Each shield and each server works as it should, or fails in one chosen
+//! way.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,110 +24,122 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::support::{listener, server, settings, stand_in};
+use crate::support::{listener, server, settings, start_fake_server};
 
-/// How long a route lets its requests take, and after how long nothing is sent for them any more.
-pub const DEADLINE: Duration = Duration::from_secs(3);
-pub const ALL_SENT: Duration = Duration::from_millis(3300);
-/// The part of the retry budget that is shared out comes into force after its window.
+/// The `deadlineMs` of each route.
+pub const ROUTE_DEADLINE: Duration = Duration::from_secs(3);
+/// Nothing is sent for a request any more once this time has passed since its start.
+pub const SEND_CUTOFF: Duration = Duration::from_millis(3300);
+/// Longer than one window of the retry budget (`retryWindowS`), after which the shared part of the budget can be used.
 pub const RETRY_WINDOW: Duration = Duration::from_millis(60);
-const SERVERS: usize = 4;
-/// Bytes of an answer's body.
-pub const BODY: usize = 3000;
+const SERVER_COUNT: usize = 4;
+/// Size of the body of a complete response.
+pub const BODY_BYTES: usize = 3000;
 
-/// What a server does with a request that it has whole.
+/// What a server does with a request that it has received completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ServerActs {
-    Answers,
-    /// The same, with a seal: its answers may be kept.
-    Seals,
+pub enum ServerBehavior {
+    Responds,
+    /// Responds with a seal, so that the response may be stored.
+    RespondsSealed,
     Fails,
     Resets,
     Hangs,
-    /// Half of an answer, and no more.
+    /// Sends half of a response, and nothing after it.
     Stalls,
 }
 
-pub const SERVER_ACTS: [ServerActs; 5] =
-    [ServerActs::Answers, ServerActs::Fails, ServerActs::Resets, ServerActs::Hangs, ServerActs::Stalls];
+pub const SERVER_BEHAVIORS: [ServerBehavior; 5] = [
+    ServerBehavior::Responds,
+    ServerBehavior::Fails,
+    ServerBehavior::Resets,
+    ServerBehavior::Hangs,
+    ServerBehavior::Stalls,
+];
 
-/// What a shield does.
+/// How a shield behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ShieldActs {
-    Well,
-    /// It reads nothing and says nothing.
+pub enum ShieldBehavior {
+    Healthy,
+    /// Accepts connections, reads nothing, and sends nothing.
     Frozen,
     Resets,
-    /// It does as it should, and its answers are lost.
-    Mute,
+    /// Handles its requests, and all its responses are lost.
+    LosesResponses,
     Unreachable,
-    /// It knows no configuration yet.
-    Behind,
+    /// Has received no configuration yet.
+    Unconfigured,
 }
 
-pub const SHIELD_ACTS: [ShieldActs; 6] = [
-    ShieldActs::Well,
-    ShieldActs::Frozen,
-    ShieldActs::Resets,
-    ShieldActs::Mute,
-    ShieldActs::Unreachable,
-    ShieldActs::Behind,
+pub const SHIELD_BEHAVIORS: [ShieldBehavior; 6] = [
+    ShieldBehavior::Healthy,
+    ShieldBehavior::Frozen,
+    ShieldBehavior::Resets,
+    ShieldBehavior::LosesResponses,
+    ShieldBehavior::Unreachable,
+    ShieldBehavior::Unconfigured,
 ];
 
-/// The servers that each try has reached.
-pub type Reached = Rc<RefCell<BTreeMap<String, BTreeSet<usize>>>>;
+/// The servers that each request has reached, by the id in `X-Glenfall-Try-Id`.
+pub type ReachedServers = Rc<RefCell<BTreeMap<String, BTreeSet<usize>>>>;
 
-/// The id of a try, once its request is there whole.
-fn try_id(heard: &[u8]) -> Option<String> {
-    let text = std::str::from_utf8(heard).ok()?.strip_suffix("\r\n\r\n")?;
+/// The id of a request; `None` until the request is received completely.
+fn try_id(received: &[u8]) -> Option<String> {
+    let text = std::str::from_utf8(received).ok()?.strip_suffix("\r\n\r\n")?;
     let mut lines = text.lines().filter_map(|line| line.split_once(": "));
     let (_, id) = lines.find(|(name, _)| name.eq_ignore_ascii_case("x-glenfall-try-id"))?;
     Some(id.to_owned())
 }
 
-async fn serve_requests(mut stream: TcpStream, number: usize, acts: ServerActs, reached: Reached) {
-    let mut heard = Vec::new();
-    while stream.read_buf(&mut heard).await.is_ok_and(|read| read > 0) {
-        let Some(id) = try_id(&heard) else { continue };
-        heard.clear();
+async fn serve_requests(
+    mut stream: TcpStream,
+    number: usize,
+    behavior: ServerBehavior,
+    reached: ReachedServers,
+) {
+    let mut received = Vec::new();
+    while stream.read_buf(&mut received).await.is_ok_and(|read| read > 0) {
+        let Some(id) = try_id(&received) else { continue };
+        received.clear();
         reached.borrow_mut().entry(id.clone()).or_default().insert(number);
-        let (status, sent) = match acts {
-            ServerActs::Answers => ("200 OK", BODY),
-            ServerActs::Seals => ("200 OK\r\nX-Glenfall-Seal: s", BODY),
-            ServerActs::Fails => ("500 Failed", BODY),
-            ServerActs::Stalls => ("200 OK", BODY / 2),
-            ServerActs::Resets => return,
-            ServerActs::Hangs => continue,
+        let (status, sent) = match behavior {
+            ServerBehavior::Responds => ("200 OK", BODY_BYTES),
+            ServerBehavior::RespondsSealed => ("200 OK\r\nX-Glenfall-Seal: s", BODY_BYTES),
+            ServerBehavior::Fails => ("500 Failed", BODY_BYTES),
+            ServerBehavior::Stalls => ("200 OK", BODY_BYTES / 2),
+            ServerBehavior::Resets => return,
+            ServerBehavior::Hangs => continue,
         };
-        let head = format!("HTTP/1.1 {status}\r\nX-Glenfall-Try-Id: {id}\r\nContent-Length: {BODY}\r\n\r\n");
-        let answer = head + &"b".repeat(sent);
-        if stream.write_all(answer.as_bytes()).await.is_err() {
+        let head =
+            format!("HTTP/1.1 {status}\r\nX-Glenfall-Try-Id: {id}\r\nContent-Length: {BODY_BYTES}\r\n\r\n");
+        let response = head + &"b".repeat(sent);
+        if stream.write_all(response.as_bytes()).await.is_err() {
             return;
         }
     }
 }
 
-/// Starts servers that all do the same.
-pub async fn start_servers(acts: ServerActs, reached: &Reached) -> Vec<Server> {
+/// Starts servers that all behave in this way.
+pub async fn start_servers(behavior: ServerBehavior, reached: &ReachedServers) -> Vec<Server> {
     let mut servers = Vec::new();
-    for number in 0..SERVERS {
+    for number in 0..SERVER_COUNT {
         let reached = Rc::clone(reached);
-        let connection = move |stream| serve_requests(stream, number, acts, Rc::clone(&reached));
-        let port = stand_in(connection).await.port();
+        let connection = move |stream| serve_requests(stream, number, behavior, Rc::clone(&reached));
+        let port = start_fake_server(connection).await.port();
         servers.push(server(&format!("server-{number}"), port));
-        let backend = "ceiling".into();
-        servers.push(Server { backend, ..server(&format!("under-ceiling-{number}"), port) });
+        let backend = "rate-limited".into();
+        servers.push(Server { backend, ..server(&format!("rate-limited-{number}"), port) });
     }
     servers
 }
 
-const SETTINGS: &str = "[timing]\nretryWindowS = 0.05\nretrySlack = 1000\n";
+const RETRY_SETTINGS: &str = "[timing]\nretryWindowS = 0.05\nretrySlack = 1000\n";
 
-/// Routes for reads with 1, 2 and 3 tries, one for writes, one for requests that may be repeated, and two of services under
-/// a ceiling: one that leaves nothing, and one at which requests wait for their turns.
+/// Routes for reads with 1, 2 and 3 tries, one for writes, one for idempotent requests, and two of services with a rate
+/// limit: one that admits nothing, and one at which requests queue.
 fn document() -> Arc<Vec<u8>> {
     let route = |name: &str, kind: &str, service: &str, tries: u32| {
-        let deadline = DEADLINE.as_millis();
+        let deadline = ROUTE_DEADLINE.as_millis();
         format!(
             r#"{{"name": "{name}", "hostname": "h", "pathPrefix": "/{name}/", "type": "{kind}", "deadlineMs": {deadline},
             "backend": "{service}", "tries": {tries}, "maxAgeS": 60, "targetMs": 9000}}"#
@@ -137,24 +149,25 @@
         (1..=3).map(|tries| route(&tries.to_string(), "cacheable", "s", tries)).collect();
     routes.push(route("w", "mutating", "s", 2));
     routes.push(route("i", "idempotent", "s", 3));
-    routes.push(route("c", "cacheable", "ceiling", 2));
-    routes.push(route("waits", "idempotent", "turns", 2));
+    routes.push(route("c", "cacheable", "rate-limited", 2));
+    routes.push(route("queued", "idempotent", "queued", 2));
     let services =
-        r#"{"name": "s"}, {"name": "ceiling", "ratePerS": 0.001}, {"name": "turns", "ratePerS": 40}"#;
+        r#"{"name": "s"}, {"name": "rate-limited", "ratePerS": 0.001}, {"name": "queued", "ratePerS": 40}"#;
     let text = format!(r#"{{"rev": 1, "paths": [{}], "backends": [{services}]}}"#, routes.join(","));
     Arc::new(text.into_bytes())
 }
 
-/// Tells a proxy what control would.
-fn tell(feed: &WatchClient, follower: &impl WatchHandler, fleet: &Fleet) {
-    assert!(feed.apply_update(Update::Config { rev: 1, document: document() }, follower));
-    assert!(feed
-        .apply_update(Update::Fleet(FleetUpdate::Snapshot { version: 1, fleet: fleet.clone() }), follower));
-    assert!(feed.apply_update(Update::Connected(true), follower));
-    assert!(feed.handle_message(PublisherMessage::LeaseGranted { sent_at: 0, duration: 600_000 }, follower));
+/// Applies to a proxy what its publisher would send: the configuration, the fleet, the connection, and a lease.
+fn apply_control_updates(watch_client: &WatchClient, handler: &impl WatchHandler, fleet: &Fleet) {
+    assert!(watch_client.apply_update(Update::Config { rev: 1, document: document() }, handler));
+    assert!(watch_client
+        .apply_update(Update::Fleet(FleetUpdate::Snapshot { version: 1, fleet: fleet.clone() }), handler));
+    assert!(watch_client.apply_update(Update::Connected(true), handler));
+    assert!(watch_client
+        .handle_message(PublisherMessage::LeaseGranted { sent_at: 0, duration: 600_000 }, handler));
 }
 
-/// A pool with room for all answers of a test.
+/// A connection pool with enough memory for all responses of a test.
 pub fn pool() -> Rc<Pool> {
     Pool::new(64, MemoryBudget::new(1 << 20))
 }
@@ -164,27 +177,27 @@
     start_edge_with("", servers, shields, pool).await.0
 }
 
-/// The same with more settings under `[timing]`, and what feeds it.
+/// Starts an edge with more settings under `[timing]`, and returns its watch client as well.
 pub async fn start_edge_with(
     timing: &str,
     servers: &[Server],
     shields: &[SocketAddrV4],
     pool: Rc<Pool>,
 ) -> (Rc<Edge>, Rc<WatchClient>) {
-    let boot = Rc::new(settings(&format!("{SETTINGS}{timing}")));
-    let feed = WatchClient::new(Rc::clone(&boot), ProxyRole::Edge);
-    let edge = Edge::new(&boot, Rc::clone(&feed), pool);
-    tell(&feed, &*edge, &fleet(servers, shields));
+    let node_settings = Rc::new(settings(&format!("{RETRY_SETTINGS}{timing}")));
+    let watch_client = WatchClient::new(Rc::clone(&node_settings), ProxyRole::Edge);
+    let edge = Edge::new(&node_settings, Rc::clone(&watch_client), pool);
+    apply_control_updates(&watch_client, &*edge, &fleet(servers, shields));
     sleep(RETRY_WINDOW).await;
-    (edge, feed)
+    (edge, watch_client)
 }
 
-/// A request as an edge has read it, of a client that waits for longer than any route allows.
+/// A request as an edge has read it, of a client whose deadline is later than that of any route.
 pub fn request(method: &str, path: &str, id: &str) -> FullRequest {
-    request_within(2 * DEADLINE, method, path, id)
+    request_within(2 * ROUTE_DEADLINE, method, path, id)
 }
 
-/// A request of a client that waits for so long.
+/// A request as an edge has read it, of a client with this deadline.
 pub fn request_within(deadline: Duration, method: &str, path: &str, id: &str) -> FullRequest {
     let request = Request::builder()
         .method(method)
@@ -196,13 +209,17 @@
     FullRequest { head, body: Bytes::new() }
 }
 
-/// Starts a shield, and returns where it takes reads.
-async fn start_shield(is_told: bool, servers: &[Server], stopping: &watch::Receiver<bool>) -> SocketAddrV4 {
-    let boot = Rc::new(settings(SETTINGS));
-    let feed = WatchClient::new(Rc::clone(&boot), ProxyRole::Shield);
-    let shield = Shield::new(&boot, Rc::clone(&feed), pool());
-    if is_told {
-        tell(&feed, &*shield, &fleet(servers, &[]));
+/// Starts a shield, and returns the address at which it serves reads.
+async fn start_real_shield(
+    is_configured: bool,
+    servers: &[Server],
+    stopping: &watch::Receiver<bool>,
+) -> SocketAddrV4 {
+    let node_settings = Rc::new(settings(RETRY_SETTINGS));
+    let watch_client = WatchClient::new(Rc::clone(&node_settings), ProxyRole::Shield);
+    let shield = Shield::new(&node_settings, Rc::clone(&watch_client), pool());
+    if is_configured {
+        apply_control_updates(&watch_client, &*shield, &fleet(servers, &[]));
     }
     let (listener, address) = listener().await;
     serve_shield(shield, listener, address, stopping);
@@ -215,18 +232,18 @@
     listen: SocketAddrV4,
     stopping: &watch::Receiver<bool>,
 ) {
-    let (still_accepting, grace) = (Duration::ZERO, Duration::ZERO);
-    let terms = ServerConfig {
+    let (accept_time, stop_timeout) = (Duration::ZERO, Duration::ZERO);
+    let config = ServerConfig {
         listen,
         max_connections: 64,
         max_body_bytes: 0,
-        drain_accept_time: still_accepting,
-        shutdown_timeout: grace,
+        drain_accept_time: accept_time,
+        shutdown_timeout: stop_timeout,
     };
-    spawn_local(serve_at(listener, terms, Rc::new(shield::ShieldHandler(shield)), stopping.clone()));
+    spawn_local(serve_at(listener, config, Rc::new(shield::ShieldHandler(shield)), stopping.clone()));
 }
 
-/// A shield that is down, and can be started at the address that it had.
+/// A shield that is down, and can be started at the address that is reserved for it.
 pub struct DownShield {
     socket: TcpSocket,
     pub address: SocketAddrV4,
@@ -240,46 +257,46 @@
         DownShield { socket, address: address.parse().expect("an address of version 4") }
     }
 
-    /// Starts it; what it gives holds its counters.
+    /// Starts the shield, and returns it for its counters.
     pub fn start(self, servers: &[Server], stopping: &watch::Receiver<bool>) -> Rc<Shield> {
-        self.start_fed(servers, stopping).0
+        self.start_with_watch_client(servers, stopping).0
     }
 
-    /// The same, with what feeds it.
-    pub fn start_fed(
+    /// Starts the shield, and returns its watch client as well.
+    pub fn start_with_watch_client(
         self,
         servers: &[Server],
         stopping: &watch::Receiver<bool>,
     ) -> (Rc<Shield>, Rc<WatchClient>) {
-        let boot = Rc::new(settings(SETTINGS));
-        let feed = WatchClient::new(Rc::clone(&boot), ProxyRole::Shield);
-        let shield = Shield::new(&boot, Rc::clone(&feed), pool());
-        tell(&feed, &*shield, &fleet(servers, &[]));
+        let node_settings = Rc::new(settings(RETRY_SETTINGS));
+        let watch_client = WatchClient::new(Rc::clone(&node_settings), ProxyRole::Shield);
+        let shield = Shield::new(&node_settings, Rc::clone(&watch_client), pool());
+        apply_control_updates(&watch_client, &*shield, &fleet(servers, &[]));
         let listener = self.socket.listen(64).expect("it listens");
         serve_shield(Rc::clone(&shield), listener, self.address, stopping);
-        (shield, feed)
+        (shield, watch_client)
     }
 }
 
-/// Starts what stands for shields, and returns where they take reads.
+/// Starts one shield for each behavior, and returns the addresses at which they serve reads.
 pub async fn start_shields(
-    acts: &[ShieldActs],
+    behaviors: &[ShieldBehavior],
     servers: &[Server],
     stopping: &watch::Receiver<bool>,
 ) -> Vec<SocketAddrV4> {
     let mut shields = Vec::new();
-    for acts in acts {
-        shields.push(start_one(*acts, servers, stopping).await);
+    for behavior in behaviors {
+        shields.push(start_shield(*behavior, servers, stopping).await);
     }
     shields
 }
 
-/// An address that refuses connections, and that nobody else gets.
+/// An address that refuses connections, and that no other socket is given while the test runs.
 fn closed_port() -> SocketAddrV4 {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a free port");
     let address = socket.local_addr().expect("its address").to_string();
-    // It is bound for as long as the test runs, and never listens.
+    // The socket stays bound for as long as the test runs, and never listens.
     spawn_local(async move {
         std::future::pending::<()>().await;
         drop(socket);
@@ -287,34 +304,40 @@
     address.parse().expect("an address of version 4")
 }
 
-async fn start_one(acts: ShieldActs, servers: &[Server], stopping: &watch::Receiver<bool>) -> SocketAddrV4 {
-    match acts {
-        ShieldActs::Well => start_shield(true, servers, stopping).await,
-        ShieldActs::Behind => start_shield(false, servers, stopping).await,
-        ShieldActs::Unreachable => closed_port(),
-        ShieldActs::Frozen => {
-            stand_in(|stream| async move {
-                sleep(ALL_SENT).await;
+async fn start_shield(
+    behavior: ShieldBehavior,
+    servers: &[Server],
+    stopping: &watch::Receiver<bool>,
+) -> SocketAddrV4 {
+    match behavior {
+        ShieldBehavior::Healthy => start_real_shield(true, servers, stopping).await,
+        ShieldBehavior::Unconfigured => start_real_shield(false, servers, stopping).await,
+        ShieldBehavior::Unreachable => closed_port(),
+        ShieldBehavior::Frozen => {
+            start_fake_server(|stream| async move {
+                sleep(SEND_CUTOFF).await;
                 drop(stream);
             })
             .await
         }
-        ShieldActs::Resets => {
-            stand_in(|mut stream| async move {
-                let mut heard = Vec::new();
-                while try_id(&heard).is_none() && stream.read_buf(&mut heard).await.is_ok_and(|n| n > 0) {}
+        ShieldBehavior::Resets => {
+            start_fake_server(|mut stream| async move {
+                let mut received = Vec::new();
+                while try_id(&received).is_none() && stream.read_buf(&mut received).await.is_ok_and(|n| n > 0)
+                {
+                }
                 let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             })
             .await
         }
-        ShieldActs::Mute => {
-            let behind = start_shield(true, servers, stopping).await;
-            stand_in(move |mut stream| async move {
-                let mut shield = TcpStream::connect(behind).await.expect("the shield behind it");
+        ShieldBehavior::LosesResponses => {
+            let real_shield = start_real_shield(true, servers, stopping).await;
+            start_fake_server(move |mut stream| async move {
+                let mut shield = TcpStream::connect(real_shield).await.expect("the real shield");
                 let (mut from_edge, _to_edge) = stream.split();
                 let (_from_shield, mut to_shield) = shield.split();
                 let _ = tokio::io::copy(&mut from_edge, &mut to_shield).await;
-                sleep(ALL_SENT).await;
+                sleep(SEND_CUTOFF).await;
             })
             .await
         }
@@ -325,7 +348,7 @@
     fleet_of(1, servers, shields)
 }
 
-/// A fleet whose shields are processes of one incarnation.
+/// A fleet whose shields all have this incarnation.
 pub fn fleet_of(incarnation: u64, servers: &[Server], shields: &[SocketAddrV4]) -> Fleet {
     let member = |(number, http): (usize, &SocketAddrV4)| Member {
         node: format!("shield-{number}"),
--- a/glenfall/tests/unit/tries.rs
+++ b/glenfall/tests/unit/send_limit.rs
@@ -1,4 +1,4 @@
-//! How many servers one attempt of a client reaches, whatever the shields of its edge and their servers do.
+//! The number of servers that one client request reaches, whatever the shields of its edge and their servers do.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -14,12 +14,12 @@
 use tokio::time::{sleep_until, Instant};
 
 use crate::proxies::{
-    pool, request, start_edge, start_servers, start_shields, Reached, ServerActs, ShieldActs, ALL_SENT,
-    SERVER_ACTS, SHIELD_ACTS,
+    pool, request, start_edge, start_servers, start_shields, ReachedServers, ServerBehavior, ShieldBehavior,
+    SEND_CUTOFF, SERVER_BEHAVIORS, SHIELD_BEHAVIORS,
 };
 use crate::support::run_local;
 
-/// A path of the route that allows so many sends, for which the first of two shields is responsible.
+/// A path of the route that allows `max_sends` sends, for which the first of two shields is responsible.
 pub fn path_at_first_shield(shields: &[SocketAddrV4], max_sends: u32) -> String {
     let ids: Vec<ServerId> = shields.iter().map(|http| ServerId(http.to_string().as_str().into())).collect();
     let mut selector = Shields::default();
@@ -32,8 +32,8 @@
 
 struct Case {
     max_sends: u32,
-    shields: [ShieldActs; 2],
-    servers: ServerActs,
+    shields: [ShieldBehavior; 2],
+    servers: ServerBehavior,
 }
 
 impl Case {
@@ -44,14 +44,14 @@
         for shield in self.shields {
             match shield {
                 _ if sends_left == 0 => return false,
-                ShieldActs::Well => return self.servers == ServerActs::Answers,
-                ShieldActs::Unreachable | ShieldActs::Behind => {}
-                ShieldActs::Frozen | ShieldActs::Resets | ShieldActs::Mute => {
+                ShieldBehavior::Healthy => return self.servers == ServerBehavior::Responds,
+                ShieldBehavior::Unreachable | ShieldBehavior::Unconfigured => {}
+                ShieldBehavior::Frozen | ShieldBehavior::Resets | ShieldBehavior::LosesResponses => {
                     sends_left = u32::from(sends_left > 1);
                 }
             }
         }
-        sends_left > 0 && self.servers == ServerActs::Answers
+        sends_left > 0 && self.servers == ServerBehavior::Responds
     }
 
     /// Sends one read, and returns the status that its client received.
@@ -61,7 +61,7 @@
         let started_at = Instant::now();
         let path = path_at_first_shield(&shields, self.max_sends);
         let response = edge::EdgeHandler(edge).handle(request("GET", &path, id)).await;
-        sleep_until(started_at + ALL_SENT).await;
+        sleep_until(started_at + SEND_CUTOFF).await;
         response.status()
     }
 }
@@ -69,9 +69,9 @@
 fn all_cases() -> Vec<Case> {
     let mut cases = Vec::new();
     for max_sends in 1..=3 {
-        for first in SHIELD_ACTS {
-            for second in SHIELD_ACTS {
-                for servers in SERVER_ACTS {
+        for first in SHIELD_BEHAVIORS {
+            for second in SHIELD_BEHAVIORS {
+                for servers in SERVER_BEHAVIORS {
                     cases.push(Case { max_sends, shields: [first, second], servers });
                 }
             }
@@ -81,13 +81,13 @@
 }
 
 #[test]
-fn an_attempt_reaches_at_most_as_many_servers_as_its_route_allows_and_succeeds_where_it_can() {
+fn a_request_reaches_at_most_as_many_servers_as_its_route_allows_and_succeeds_on_a_healthy_path() {
     run_local(async {
-        let reached = Reached::default();
+        let reached = ReachedServers::default();
         let (_running, stopping) = watch::channel(false);
         let mut servers = BTreeMap::new();
-        for acts in SERVER_ACTS {
-            servers.insert(acts, start_servers(acts, &reached).await);
+        for behavior in SERVER_BEHAVIORS {
+            servers.insert(behavior, start_servers(behavior, &reached).await);
         }
         let mut runs = JoinSet::new();
         for case in all_cases() {
--- a/glenfall/tests/unit/shield_recovery.rs
+++ b/glenfall/tests/unit/shield_recovery.rs
@@ -1,4 +1,4 @@
-//! Shields that recover: an edge that has excluded them uses them again as soon as it can know.
+//! Shields that recover: an edge that has excluded them uses them again as soon as it learns of their recovery.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -15,12 +15,12 @@
 use tokio::time::sleep;
 
 use crate::proxies::{
-    fleet_of, pool, request, start_edge_with, start_servers, DownShield, Reached, ServerActs,
+    fleet_of, pool, request, start_edge_with, start_servers, DownShield, ReachedServers, ServerBehavior,
 };
+use crate::send_limit::path_at_first_shield;
 use crate::support::run_local;
-use crate::tries::path_at_first_shield;
 
-/// Longer than the interval at which an edge tries one shield while all have failed.
+/// Longer than the interval at which an edge probes one shield while all have failed.
 const TRIAL_INTERVAL: Duration = Duration::from_millis(600);
 
 /// How many reads a shield has received.
@@ -35,7 +35,7 @@
 }
 
 /// A path that belongs to the second of two shields.
-fn path_at_second(shields: [SocketAddrV4; 2]) -> String {
+fn path_at_second_shield(shields: [SocketAddrV4; 2]) -> String {
     path_at_first_shield(&[shields[1], shields[0]], 2)
 }
 
@@ -43,7 +43,7 @@
 fn a_restarted_shield_is_used_as_soon_as_control_publishes_its_new_incarnation() {
     run_local(async {
         let (_running, stopping) = watch::channel(false);
-        let servers = start_servers(ServerActs::Answers, &Reached::default()).await;
+        let servers = start_servers(ServerBehavior::Responds, &ReachedServers::default()).await;
         let (first, second) = (DownShield::new(), DownShield::new());
         let shields = [first.address, second.address];
         let second = second.start(&servers, &stopping);
@@ -61,14 +61,14 @@
 }
 
 #[test]
-fn after_all_shields_failed_one_answer_makes_all_of_them_eligible_again() {
+fn after_all_shields_failed_one_response_makes_all_of_them_eligible_again() {
     run_local(async {
         let (_running, stopping) = watch::channel(false);
-        let servers = start_servers(ServerActs::Answers, &Reached::default()).await;
+        let servers = start_servers(ServerBehavior::Responds, &ReachedServers::default()).await;
         let down = [DownShield::new(), DownShield::new()];
         let shields = [down[0].address, down[1].address];
         let (edge, _watch_client) = start_edge_with("", &servers, &shields, pool()).await;
-        let paths = [path_at_first_shield(&shields, 2), path_at_second(shields)];
+        let paths = [path_at_first_shield(&shields, 2), path_at_second_shield(shields)];
         assert_eq!(read(&edge, &paths[0]).await, StatusCode::OK, "by the servers");
         let started = down.map(|shield| shield.start(&servers, &stopping));
         sleep(TRIAL_INTERVAL).await;
@@ -85,11 +85,11 @@
 fn a_shield_without_a_lease_is_used_again_as_soon_as_it_holds_one() {
     run_local(async {
         let (_running, stopping) = watch::channel(false);
-        let servers = start_servers(ServerActs::Seals, &Reached::default()).await;
+        let servers = start_servers(ServerBehavior::RespondsSealed, &ReachedServers::default()).await;
         let down = [DownShield::new(), DownShield::new()];
         let shields = [down[0].address, down[1].address];
         let [(first, first_watch_client), (second, _)] =
-            down.map(|shield| shield.start_fed(&servers, &stopping));
+            down.map(|shield| shield.start_with_watch_client(&servers, &stopping));
         // An edge without a local cache.
         let (edge, _watch_client) =
             start_edge_with("[reqLimits]\nmemMb = 0\n", &servers, &shields, pool()).await;
--- a/glenfall/tests/unit/support.rs
+++ b/glenfall/tests/unit/support.rs
@@ -1,4 +1,5 @@
-//! Shared by several of these tests: a runtime, stand-in servers, temporary folders, and small values of the system's types.
+//! Helpers that several tests share: a runtime, fake servers, temporary folders, and small values of the system's
+//! types.
 
 use std::future::Future;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -15,7 +16,7 @@
 pub fn run_local<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let result = LocalSet::new().block_on(&runtime, test);
-    // The count is that of the process: it covers all its tests so far.
+    // The count covers all tests that this process has run so far.
     assert_eq!(glenfall_control_plane::invariant::violations(), 0);
     result
 }
@@ -25,19 +26,19 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     match listener.local_addr().expect("its address") {
         SocketAddr::V4(address) => (listener, address),
-        SocketAddr::V6(address) => panic!("{address} is not what was bound"),
+        SocketAddr::V6(address) => panic!("bound an IPv4 address, got {address}"),
     }
 }
 
-/// A stand-in server, which handles each connection with `connection` in a task of its own.
-pub async fn stand_in<F>(mut connection: impl FnMut(TcpStream) -> F + 'static) -> SocketAddrV4
+/// Starts a fake server, which handles each connection with `handle_connection` in a task of its own.
+pub async fn start_fake_server<F>(mut handle_connection: impl FnMut(TcpStream) -> F + 'static) -> SocketAddrV4
 where
     F: Future<Output = ()> + 'static,
 {
     let (listener, address) = listener().await;
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            spawn_local(connection(stream));
+            spawn_local(handle_connection(stream));
         }
     });
     address
@@ -68,7 +69,7 @@
     }
 }
 
-/// Copies the files of a folder into another one, which is emptied before.
+/// Copies the files of a folder into another one, which is emptied first.
 pub fn copy_files(from: &Path, to: &Path) {
     let _ = std::fs::remove_dir_all(to);
     std::fs::create_dir_all(to).expect("a folder");
@@ -77,14 +78,14 @@
     }
 }
 
-/// The settings of a node, with more lines at their end.
-pub fn settings(more: &str) -> Settings {
+/// The settings of a node, with extra lines at their end.
+pub fn settings(extra_lines: &str) -> Settings {
     let text = "node = \"n\"\nzone = \"z\"\nbindIp = \"127.0.0.1\"\nportRange = [1, 9]\n\
                 seedNodes = [\"127.0.0.1:1\"]\n[listeners]\n";
-    Settings::parse(&format!("{text}{more}")).expect("settings")
+    Settings::parse(&format!("{text}{extra_lines}")).expect("settings")
 }
 
-/// A server of the service `s`, which is ready and needs no slow start.
+/// A server of the service `s`, which is ready and past its slow start.
 pub fn server(id: &str, port: u16) -> Server {
     Server {
         id: id.into(),
@@ -98,6 +99,6 @@
 }
 
 /// The cache key of an object of the service `s`.
-pub fn object(path: &str) -> ObjectKey {
+pub fn object_key(path: &str) -> ObjectKey {
     ObjectKey { service: "s".into(), host: "h".into(), path: path.into() }
 }
