--- a/balancer-node/src/response.rs
+++ b/balancer-node/src/response.rs
@@ -69,7 +69,7 @@
 /// How an exchange ended whose request was written completely: the connection is gone, or what arrived on it
 /// is no response. The first tells of the server's process, the second does not.
 pub fn status_of_error(error: Option<&hyper::Error>) -> Status {
-    if error.is_some_and(glenfall_http_client::is_unreadable) {
+    if error.is_some_and(glenfall_http_client::is_invalid_response) {
         Status::Malformed
     } else {
         Status::Broken
--- a/http-client/src/body_framing.rs
+++ b/http-client/src/body_framing.rs
@@ -1,4 +1,4 @@
-//! How the head of a response delimits its body.
+//! How the headers of a response delimit its body.
 
 use hyper::header::{self, HeaderMap};
 
@@ -9,8 +9,8 @@
     Delimited,
     /// By the orderly close of the connection. After a reset the body is incomplete.
     UntilClose,
-    /// Ambiguous. With two lengths the two sides may not mean the same end; with a coding other than `chunked` the bytes
-    /// are not the body's own.
+    /// Ambiguous. If two lengths are stated, the client and the server may not agree on the end; with a coding other
+    /// than `chunked` the received bytes are not the body itself.
     Ambiguous,
 }
 
--- a/http-client/src/connection.rs
+++ b/http-client/src/connection.rs
@@ -18,16 +18,16 @@
 use crate::progress::{Progress, RequestProgress};
 use crate::socket::{OpenSocket, Socket};
 
-/// How long to wait until hyper reports a connection as ready again. Once its response has been read completely it is
-/// ready almost at once; a connection that is not ready by then is of no further use.
+/// Time limit for hyper to report a connection as ready again. A connection is ready almost at once when its response
+/// has been read completely; one that is not ready by then cannot be reused.
 const READY_TIMEOUT: Duration = Duration::from_millis(5);
-/// A server that has forgotten a connection answers with a reset, which arrives after one round trip. The last byte
-/// waits for this many times the connect time, which is one round trip as measured when the connection was opened.
+/// Delay of the last byte, in multiples of the connect time, which is one round trip as measured when the connection
+/// was opened. A server that no longer has a connection answers with a reset, which arrives after one round trip.
 const RESET_WAIT_ROUND_TRIPS: u32 = 2;
 /// Added to the wait for a reset: the time that the two machines need to schedule the processes.
 const SCHEDULING_ALLOWANCE: Duration = Duration::from_millis(1);
-/// Upper bound of the wait for a reset. A longer connect time means that the opening packet was lost or a machine was
-/// busy, and is no measure of the round trip.
+/// Upper bound of the wait for a reset. A longer connect time means that the SYN packet was lost or a machine was
+/// busy, so it does not measure the round trip.
 const MAX_RESET_WAIT: Duration = Duration::from_millis(20);
 
 /// An open connection. Dropping it closes it, even while a request is in flight.
@@ -47,20 +47,20 @@
     }
 }
 
-/// Why an exchange brought no head of a response.
+/// Why an exchange returned no response head.
 #[derive(Debug)]
 pub enum ExchangeError {
     /// The request was not written completely: the server has not run it.
     NotSent,
     /// The connection failed after the request was written completely: the server may have run it.
     ConnectionLost(hyper::Error),
-    /// The response names another request. The request was written completely: the server may have run it.
+    /// The response has the id of another request. This request was written completely: the server may have run it.
     WrongRequest,
 }
 
 impl Connection {
-    /// Opens a connection, or returns `None` where that fails. `max_head_bytes` bounds the head of a response. The caller
-    /// bounds the time that this may take.
+    /// Opens a connection, or returns `None` if that fails. `max_head_bytes` limits the head of a response. The
+    /// caller limits the time that this may take.
     pub async fn open(addr: SocketAddr, open: OpenSocket, max_head_bytes: usize) -> Option<Self> {
         let started = Instant::now();
         let stream = TcpStream::connect(addr).await.ok()?;
@@ -70,17 +70,17 @@
         let mut builder = http1::Builder::new();
         let (sender, driving) = builder.max_buf_size(max_head_bytes).handshake(socket).await.ok()?;
         let driver = spawn_local(async move {
-            // A failure of the connection is reported by the calls of `sender`.
+            // A connection failure is reported by the methods of `sender`.
             let _ = driving.await;
         });
         Some(Connection { addr, progress, connect_time, sender, driver })
     }
 
-    /// Sends a request and waits for the head of its response. `sent` reports how far the request was written, also where
-    /// the future is dropped.
+    /// Sends a request and waits for the head of its response. `sent` reports how far the request was written, even
+    /// if the future is dropped.
     ///
-    /// `id_header` is the header that a response repeats from its request, where the servers do that. The order on the
-    /// connection alone does not distinguish a delayed surplus response from the one that is due.
+    /// `id_header` is the header with the request id that a response repeats, for servers that do so. Without it, a
+    /// late duplicate response cannot be told from the expected one, as both arrive in order on the connection.
     pub async fn send(
         &mut self,
         mut request: Request<Full<Bytes>>,
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Delays the last byte of the next request until a server that has forgotten this connection would have reset it.
-    /// A request that fails before that has certainly not run, and may go to another server.
+    /// Delays the last byte of the next request until a server that no longer has this connection would have reset
+    /// it. A request that fails before that has certainly not run, and may be sent to another server.
     pub fn delay_last_byte(&self) {
         let reset_wait = self.connect_time * RESET_WAIT_ROUND_TRIPS + SCHEDULING_ALLOWANCE;
         self.progress.delay_last_byte(reset_wait.min(MAX_RESET_WAIT));
@@ -132,9 +132,9 @@
     }
 }
 
-/// Whether the error means that the received bytes are no HTTP response, rather than that the connection was lost. Only a
-/// lost connection says something about the server's process.
-pub fn is_unreadable(error: &hyper::Error) -> bool {
+/// Whether the error means that the received bytes are not a valid HTTP response, rather than that the connection was
+/// lost. Only a lost connection is evidence about the server's process.
+pub fn is_invalid_response(error: &hyper::Error) -> bool {
     let source = std::error::Error::source(error).and_then(|source| source.downcast_ref::<std::io::Error>());
     let has_invalid_data =
         source.is_some_and(|io| matches!(io.kind(), ErrorKind::InvalidInput | ErrorKind::InvalidData));
--- a/http-client/src/lib.rs
+++ b/http-client/src/lib.rs
@@ -8,6 +8,6 @@
 mod socket;
 
 pub use body_framing::BodyFraming;
-pub use connection::{is_unreadable, Connection, ExchangeError};
+pub use connection::{is_invalid_response, Connection, ExchangeError};
 pub use progress::{Progress, RequestProgress};
 pub use socket::OpenSocket;
--- a/http-client/src/progress.rs
+++ b/http-client/src/progress.rs
@@ -1,4 +1,4 @@
-//! How far a request has been written on its connection, shared by the exchange and by the socket.
+//! How far a request has been written on its connection. Shared by the exchange and the socket.
 
 use std::cell::{Cell, RefCell};
 use std::pin::pin;
@@ -25,11 +25,12 @@
     write_state: Cell<WriteState>,
     /// Notified whenever bytes arrive.
     bytes_received: Notify,
-    /// What arrived last was an interim (1xx) response. Atomic because hyper asks for a callback that is `Send`.
+    /// Whether the last bytes received were an interim (1xx) response. Atomic because hyper requires a callback that
+    /// is `Send`.
     received_informational: Arc<AtomicBool>,
-    /// How long to delay the last byte of the next request.
+    /// Delay of the last byte of the next request.
     last_byte_delay: Cell<Option<Duration>>,
-    /// Bytes arrived before the request was written completely; the rest of it will not be written.
+    /// Whether bytes arrived before the request was written completely; the rest of it is then never written.
     received_early: Cell<bool>,
 }
 
@@ -44,9 +45,10 @@
         }
     }
 
-    /// Resolves when a response has begun and then had `timeout` to arrive completely. What a server does after its first
-    /// byte is no longer work on the request: half a head or a body shorter than its length would otherwise use up all
-    /// the time that the request has. Interim responses don't count as a beginning.
+    /// Resolves `timeout` after the first byte of a final response, by when the response should be complete. A server
+    /// has finished its work on the request when it sends that byte; without this limit, half a head or a body
+    /// shorter than its length would use up all the time that the request has left. Interim responses do not count as
+    /// a first byte.
     pub async fn stalled(&self, timeout: Duration) {
         loop {
             self.bytes_received.notified().await;
@@ -62,18 +64,18 @@
         self.write_state.get() == WriteState::Complete && !self.received_early.get()
     }
 
-    /// Delays the last byte of the next request. A server that has forgotten the connection resets it meanwhile, and has
-    /// certainly not run a request that it never received completely.
+    /// Delays the last byte of the next request. A server that no longer has the connection resets it in that time,
+    /// and has certainly not run a request that it never received completely.
     pub(crate) fn delay_last_byte(&self, delay: Duration) {
         self.last_byte_delay.set(Some(delay));
     }
 
-    /// The delay of the last byte of the request that begins now; it applies once.
+    /// Takes the delay of the last byte for the request that begins now; a delay applies only once.
     pub(crate) fn take_last_byte_delay(&self) -> Option<Duration> {
         self.last_byte_delay.take()
     }
 
-    /// Records interim responses to this request.
+    /// Registers a callback that records interim responses to this request.
     pub(crate) fn watch_informational<B>(&self, request: &mut Request<B>) {
         let received_informational = Arc::clone(&self.received_informational);
         hyper::ext::on_informational(request, move |_| received_informational.store(true, Ordering::Relaxed));
@@ -115,16 +117,17 @@
     }
 }
 
-/// Reports how far a request was written, even if its exchange was dropped before it ended.
+/// Reports how far a request was written, even if its exchange was dropped before the end.
 #[derive(Default)]
 pub struct RequestProgress(RefCell<Option<Rc<Progress>>>);
 
 impl RequestProgress {
-    /// Attaches this to the connection with this progress, on which a request begins now.
+    /// Starts tracking a request that begins now on the connection with this progress.
     pub(crate) fn begin(&self, progress: &Rc<Progress>) {
         progress.write_state.set(WriteState::NotStarted);
         progress.received_informational.store(false, Ordering::Relaxed);
-        // Consumes a notification left by the last response, which must not count as the beginning of the next one.
+        // Consumes a notification left by the previous response, which must not count as the first byte of the next
+        // one.
         pin!(progress.bytes_received.notified()).enable();
         self.0.replace(Some(Rc::clone(progress)));
     }
@@ -134,7 +137,7 @@
         self.stage().is_sent()
     }
 
-    /// How far the request has come, as far as its socket can tell.
+    /// The stage of the send as the socket sees it. Never `Answering`, which only the reader of the response can see.
     pub fn stage(&self) -> SendStage {
         let progress = self.0.borrow();
         let Some(progress) = progress.as_ref() else { return SendStage::Unconnected };
--- a/http-client/src/send.rs
+++ b/http-client/src/send.rs
@@ -1,22 +1,23 @@
-//! Retry safety: whether a request may be sent again, by how far its last send came and how that ended. This is the one
-//! module that decides it, for the proxies and for the balancer node; `docs/hardening.md` has its table.
+//! Retry safety: whether a request may be sent again, depending on how far its last send got and how that ended. This
+//! module is the only one that decides this, for the proxies and for the balancer node; `docs/hardening.md` contains
+//! its table.
 //!
-//! A request without its last byte has not run, whatever happens: once anything is received nothing more of it is written,
-//! and its connection is closed. From the last byte on only an explicit statement of the server, under the request's id,
-//! shows that the request has not run.
+//! A request has not run if its last byte was not written: once anything is received, nothing more of the request is
+//! written and its connection is closed. From the last byte on, only an explicit statement of the server, under the
+//! request's id, shows that the request has not run.
 
 use std::fmt;
 
-/// How far a send has come. The stages are in the order in which a send passes them.
+/// How far a send has progressed. The stages are in the order in which a send passes through them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SendStage {
-    /// There is no connection yet.
+    /// No connection is open yet.
     Unconnected,
-    /// The connection is open, and nothing is written on it.
+    /// The connection is open, and nothing has been written on it.
     Connected,
-    /// Some of the request is written, but not its last byte.
+    /// Part of the request has been written, but not its last byte.
     PartlySent,
-    /// The request is written completely.
+    /// The request has been written completely.
     Sent,
     /// An interim response (1xx) was received.
     Informed,
@@ -25,7 +26,7 @@
 }
 
 impl SendStage {
-    /// All stages, in order.
+    /// All stages, in the order of a send.
     pub const ALL: [SendStage; 6] = [
         SendStage::Unconnected,
         SendStage::Connected,
@@ -41,16 +42,16 @@
     }
 }
 
-/// What ends a send, or happens during it.
+/// An event that ends a send or occurs during it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SendEvent {
-    /// The connection is refused or not established in time, or the server has begun to drain.
+    /// The connection was refused or not established in time, or the server has begun to drain.
     NoConnection,
     /// The server reset or closed the connection.
     Broken,
     /// No complete response was received before the deadline.
     TimedOut,
-    /// What was received is no response, or a response whose end is ambiguous.
+    /// The received bytes are not a response, or are a response whose end is ambiguous.
     Malformed,
     /// The response does not carry the id of this request.
     WrongRequest,
@@ -64,12 +65,12 @@
     Success,
     /// The client has closed its connection.
     Abandoned,
-    /// This process was signalled to stop.
+    /// This process received the signal to stop.
     Stopping,
 }
 
 impl SendEvent {
-    /// All events.
+    /// All events, in the order of their declaration.
     pub const ALL: [SendEvent; 11] = [
         SendEvent::NoConnection,
         SendEvent::Broken,
@@ -88,27 +89,28 @@
 /// What is known about the execution of a request after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ExecutionStatus {
-    /// Nothing changes: the send goes on.
-    Waits,
-    /// The request has not run at the server and never will. It may go to another server, or be rejected with the promise
-    /// that it has not run.
+    /// Not decided yet: the send continues.
+    InProgress,
+    /// The request has not run at the server and never will. It may be sent to another server, or rejected with the
+    /// guarantee that it has not run.
     NotRun,
-    /// The request may have run. Only an idempotent request is sent again, and the client is promised nothing.
-    Unknown,
+    /// The request may have run. Only an idempotent request is sent again, and the client gets no guarantee.
+    MayHaveRun,
     /// The server has responded. After a failure an idempotent request may be sent again.
     Answered,
-    /// Nobody waits for the response any more.
-    Dropped,
+    /// The client has disconnected, so the response is no longer needed.
+    Cancelled,
 }
 
 impl ExecutionStatus {
-    /// Whether the request may be sent to another server. `failure`: the server responded with an error of its own.
+    /// Whether the request may be sent to another server. `failure` is whether the server responded with an error of
+    /// its own.
     pub fn may_retry(self, idempotent: bool, failure: bool) -> bool {
         match self {
             ExecutionStatus::NotRun => true,
-            ExecutionStatus::Unknown => idempotent,
+            ExecutionStatus::MayHaveRun => idempotent,
             ExecutionStatus::Answered => idempotent && failure,
-            ExecutionStatus::Waits | ExecutionStatus::Dropped => false,
+            ExecutionStatus::InProgress | ExecutionStatus::Cancelled => false,
         }
     }
 }
@@ -116,55 +118,55 @@
 impl fmt::Display for ExecutionStatus {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            ExecutionStatus::Waits => "waits",
+            ExecutionStatus::InProgress => "waits",
             ExecutionStatus::NotRun => "not run",
-            ExecutionStatus::Unknown => "unknown",
+            ExecutionStatus::MayHaveRun => "unknown",
             ExecutionStatus::Answered => "answered",
-            ExecutionStatus::Dropped => "dropped",
+            ExecutionStatus::Cancelled => "dropped",
         })
     }
 }
 
-/// What is known about a request at this stage after this event. `idempotent` matters only for
-/// [`SendEvent::UnprovenRefusal`]: the response to an idempotent request is forwarded as it is.
+/// What is known about the execution of a request at this stage after this event. `idempotent` matters only for
+/// [`SendEvent::UnprovenRefusal`]: the response to an idempotent request is forwarded unchanged.
 pub fn execution_status(stage: SendStage, event: SendEvent, idempotent: bool) -> ExecutionStatus {
     match event {
-        SendEvent::Stopping => ExecutionStatus::Waits,
-        SendEvent::Abandoned => ExecutionStatus::Dropped,
+        SendEvent::Stopping => ExecutionStatus::InProgress,
+        SendEvent::Abandoned => ExecutionStatus::Cancelled,
         SendEvent::NoConnection
         | SendEvent::Broken
         | SendEvent::TimedOut
         | SendEvent::Malformed
         | SendEvent::WrongRequest => {
             if stage.is_sent() {
-                ExecutionStatus::Unknown
+                ExecutionStatus::MayHaveRun
             } else {
                 ExecutionStatus::NotRun
             }
         }
         SendEvent::NotRun => ExecutionStatus::NotRun,
-        SendEvent::UnprovenRefusal if !idempotent => ExecutionStatus::Unknown,
+        SendEvent::UnprovenRefusal if !idempotent => ExecutionStatus::MayHaveRun,
         SendEvent::UnprovenRefusal | SendEvent::Failure | SendEvent::Success => ExecutionStatus::Answered,
     }
 }
 
-/// Bounds the failed connects of one request. Nothing was sent to these servers, so that they don't count as sends, but
+/// Limit on the failed connects of one request. Nothing was sent to these servers, so they do not count as sends, but
 /// each may cost a connect time-out.
 const MAX_UNREACHABLE_SERVERS: u32 = 4;
 
-/// The sends of one request to one server after another: a state machine over [`execution_status`].
+/// The successive sends of one request to different servers: a state machine over [`execution_status`].
 #[derive(Clone, Debug)]
 pub struct SendSequence {
     max_sends: u32,
     idempotent: bool,
     used: u32,
     unreachable: u32,
-    /// No further send may begin, whatever is left of `max_sends`.
+    /// Set when no further send may begin, even if `max_sends` is not reached.
     stopped: bool,
 }
 
 impl SendSequence {
-    /// The sends of a request that may be sent to this many servers.
+    /// Starts a sequence for a request that may be sent to up to `max_sends` servers.
     pub fn new(max_sends: u32, idempotent: bool) -> Self {
         SendSequence { max_sends, idempotent, used: 0, unreachable: 0, stopped: false }
     }
@@ -179,17 +181,18 @@
         !self.stopped && self.used < self.max_sends && self.unreachable < MAX_UNREACHABLE_SERVERS
     }
 
-    /// Whether another send may follow the one that begins now, however that ends: this one must leave time for it.
+    /// Whether another send may follow the one that begins now, however this one ends. If so, this one must leave
+    /// time for it.
     pub fn another_may_follow(&self) -> bool {
         self.idempotent && self.used + 1 < self.max_sends
     }
 
-    /// Whether the request would be sent to another server if more sends were allowed.
+    /// Whether the request is not sent to another server only because `max_sends` is reached.
     pub fn is_exhausted(&self) -> bool {
         !self.stopped && self.used > 0 && self.used == self.max_sends
     }
 
-    /// Records the end of a send. `failure`: the server responded with an error of its own.
+    /// Records the end of a send. `failure` is whether the server responded with an error of its own.
     pub fn record_end(&mut self, stage: SendStage, event: SendEvent, failure: bool) -> ExecutionStatus {
         let status = execution_status(stage, event, self.idempotent);
         if event == SendEvent::NoConnection {
@@ -201,7 +204,7 @@
         status
     }
 
-    /// Stops the sequence: the request is sent to no other server.
+    /// Ends the sequence: the request is sent to no further server.
     pub fn stop(&mut self) {
         self.stopped = true;
     }
--- a/http-client/src/socket.rs
+++ b/http-client/src/socket.rs
@@ -1,4 +1,4 @@
-//! A client socket that records how far a request on it has been written, and stops writing once anything arrives early.
+//! A client socket that records how far a request has been written on it, and stops writing if bytes arrive early.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -20,13 +20,13 @@
 pub(crate) struct Socket {
     stream: TokioIo<TcpStream>,
     progress: Rc<Progress>,
-    /// All of a request but its last byte is written; the last byte may follow when this timer has fired.
+    /// Set while only the last byte of a request is unwritten; that byte may be written when the timer has fired.
     last_byte_timer: Option<Pin<Box<Sleep>>>,
     _open: OpenSocket,
 }
 
 impl Socket {
-    /// A socket on an open stream, and the progress of the requests on it.
+    /// Wraps an open stream, and returns the progress of the requests on it.
     pub(crate) fn new(stream: TcpStream, open: OpenSocket) -> (Self, Rc<Progress>) {
         let progress = Rc::new(Progress::new());
         let socket = Socket {
@@ -38,10 +38,11 @@
         (socket, progress)
     }
 
-    /// Looks for unread bytes before a write. Bytes that arrived before the first byte of a request are an error: they
-    /// would be read as the response to that request, whether they are a second copy of the last response, noise, or the
-    /// server's close. Bytes that arrived before the last byte end the writing, see `poll_writable_bytes`. This asks the
-    /// kernel, as there may be bytes that the reactor has not reported yet.
+    /// Checks for unread bytes before a write. Bytes that arrived before the first byte of a request are an error:
+    /// they would be read as the response to that request, whether they are a second copy of the last response,
+    /// garbage, or the server's close. Bytes that arrived before the last byte stop the write, see
+    /// `poll_writable_bytes`. This peeks at the kernel's buffer, as it may hold bytes that the reactor has not
+    /// reported yet.
     fn check_unsolicited(&self) -> io::Result<()> {
         let socket = SockRef::from(self.stream.inner());
         match socket.peek(&mut [MaybeUninit::uninit()]) {
@@ -57,8 +58,8 @@
         }
     }
 
-    /// How many of the `available` bytes may be written now. Once bytes have arrived early this stays pending: hyper
-    /// still has to read them and to report the response, and that wakes the task which waits here.
+    /// How many of the `available` bytes may be written now. Stays pending once bytes have arrived early: hyper still
+    /// has to read them and to report the response, and that wakes the task that waits here.
     fn poll_writable_bytes(&mut self, cx: &mut Context<'_>, available: usize) -> Poll<io::Result<usize>> {
         if let Some(timer) = &mut self.last_byte_timer {
             ready!(timer.as_mut().poll(cx));
@@ -116,7 +117,7 @@
         let result = if writable == available {
             Pin::new(&mut self.stream).poll_write_vectored(cx, buffers)
         } else {
-            // Writes the first buffer, or what may be written of it. hyper offers the others again.
+            // Writes only the first buffer, up to the allowed number of bytes. hyper offers the others again.
             let first = buffers.iter().find(|buffer| !buffer.is_empty()).map_or(&[][..], |buffer| buffer);
             Pin::new(&mut self.stream).poll_write(cx, &first[..first.len().min(writable)])
         };
@@ -127,8 +128,8 @@
         self.stream.is_write_vectored()
     }
 
-    /// hyper flushes once all that it has buffered of a request is written, and a body is available from the start: a
-    /// flush means that the request is complete.
+    /// hyper flushes once it has written all that it has buffered of a request. As the whole body is available from
+    /// the start, a flush means that the request is complete.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let result = Pin::new(&mut self.stream).poll_flush(cx);
         if matches!(result, Poll::Ready(Ok(()))) {
@@ -142,11 +143,11 @@
     }
 }
 
-/// One of the open sockets that a process counts, so that it can bound their number.
+/// Counts one open socket for as long as it exists, so that a process can limit their number.
 pub struct OpenSocket(Rc<Cell<usize>>);
 
 impl OpenSocket {
-    /// Increments the counter, until the returned value is dropped.
+    /// Increments the counter; dropping the returned value decrements it.
     pub fn claim(open: &Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
         OpenSocket(Rc::clone(open))
--- a/http-client/tests/early_response.rs
+++ b/http-client/tests/early_response.rs
@@ -1,4 +1,4 @@
-//! Bytes that arrive before a request is written completely: they end the writing, and the connection is not reused.
+//! Bytes that arrive before a request is written completely stop the write, and the connection is not reused.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use tokio::task::LocalSet;
 
 static ID_HEADER: HeaderName = HeaderName::from_static("x-id");
-/// More than the socket buffers of both sides take, so that the write is still partial when the response arrives.
+/// Larger than the socket buffers of both sides, so that the write is still incomplete when the response arrives.
 const LARGE_BODY_BYTES: usize = 32 << 20;
 
 fn response(id: &str) -> String {
@@ -34,11 +34,11 @@
     Connection::open(addr, OpenSocket::claim(&std::rc::Rc::default()), 16 << 10).await.expect("a connection")
 }
 
-/// Reads until this many bytes of a body have arrived; returns how many there are.
+/// Reads until this many bytes of a body have arrived, or the stream ends; returns how many arrived.
 async fn read_body(stream: &mut TcpStream, length: usize) -> usize {
     let mut received = Vec::new();
     loop {
-        let end = received.windows(4).position(|four| four == b"\r\n\r\n").map(|end| end + 4);
+        let end = received.windows(4).position(|window| window == b"\r\n\r\n").map(|end| end + 4);
         let body = end.map_or(0, |end| received.len() - end);
         if end.is_some() && body >= length || stream.read_buf(&mut received).await.unwrap_or(0) == 0 {
             return body;
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn a_response_before_the_end_of_its_request_ends_the_writing() {
-    for (own, named, is_accepted) in
+fn a_response_before_the_end_of_its_request_stops_the_write() {
+    for (request_id, response_id, is_accepted) in
         [(Some("a"), "a", true), (Some("a"), "b", false), (Some("a"), "", false), (None, "a", false)]
     {
         run_with_listener(async |listener| {
@@ -63,24 +63,27 @@
             let (mut stream, _) = listener.accept().await.unwrap();
             let sent = RequestProgress::default();
             let (result, mut stream) = tokio::join!(
-                connection.send(request(own, LARGE_BODY_BYTES), Some(&ID_HEADER), &sent),
+                connection.send(request(request_id, LARGE_BODY_BYTES), Some(&ID_HEADER), &sent),
                 async {
                     read_body(&mut stream, 1).await;
-                    stream.write_all(response(named).as_bytes()).await.unwrap();
+                    stream.write_all(response(response_id).as_bytes()).await.unwrap();
                     stream
                 }
             );
             assert_eq!(sent.stage(), SendStage::PartlySent);
             match result {
                 Ok(response) => {
-                    assert!(is_accepted, "{own:?}, {named}");
+                    assert!(is_accepted, "request id {request_id:?}, response id {response_id}");
                     assert_eq!(response.into_body().collect().await.unwrap().to_bytes(), "no");
                 }
                 Err(error) => {
-                    assert!(!is_accepted && matches!(error, ExchangeError::NotSent), "{own:?}, {named}");
+                    assert!(
+                        !is_accepted && matches!(error, ExchangeError::NotSent),
+                        "request id {request_id:?}, response id {response_id}"
+                    );
                 }
             }
-            assert!(!connection.is_reusable().await, "it is not reused");
+            assert!(!connection.is_reusable().await, "the connection is not reused");
             let read_remaining = async {
                 let mut remaining = Vec::new();
                 while stream.read_buf(&mut remaining).await.is_ok_and(|count| count > 0) {}
@@ -99,7 +102,7 @@
 
 #[test]
 fn a_delayed_last_byte_is_not_written_after_an_early_response() {
-    for (named, is_accepted) in [("a", true), ("b", false), ("", false)] {
+    for (response_id, is_accepted) in [("a", true), ("b", false), ("", false)] {
         run_with_listener(async |listener| {
             let mut connection = open(listener.local_addr().unwrap()).await;
             let (mut stream, _) = listener.accept().await.unwrap();
@@ -109,26 +112,30 @@
                     read_body(&mut stream, 4).await;
                     stream.write_all(response("z").as_bytes()).await.unwrap();
                 });
-            result.expect("its own response").into_body().collect().await.unwrap();
+            result.expect("the response to the first request").into_body().collect().await.unwrap();
             assert!(first.is_sent() && connection.is_reusable().await);
             connection.delay_last_byte();
             let sent = RequestProgress::default();
             let (result, mut stream) =
                 tokio::join!(connection.send(request(Some("a"), 4), Some(&ID_HEADER), &sent), async {
                     assert_eq!(read_body(&mut stream, 0).await, 0, "the body is delayed");
-                    stream.write_all(response(named).as_bytes()).await.unwrap();
+                    stream.write_all(response(response_id).as_bytes()).await.unwrap();
                     stream
                 });
-            assert_eq!((result.is_ok(), sent.stage()), (is_accepted, SendStage::PartlySent), "{named}");
+            assert_eq!(
+                (result.is_ok(), sent.stage()),
+                (is_accepted, SendStage::PartlySent),
+                "response id {response_id}"
+            );
             drop(result);
-            // The delay is over, and the last byte is still not written.
+            // The last byte is not written even after the delay.
             tokio::time::sleep(Duration::from_millis(30)).await;
             assert!(!connection.is_reusable().await);
             drop(connection);
             assert_eq!(
                 stream.read(&mut [0; 8]).await.unwrap_or(0),
                 0,
-                "{named}: the server never receives the complete request"
+                "response id {response_id}: the server never receives the complete request"
             );
         });
     }
--- a/http-client/tests/retry_safety.rs
+++ b/http-client/tests/retry_safety.rs
@@ -1,4 +1,5 @@
-//! Every stage of a send with every event, and how response bodies are delimited.
+//! The execution status for each stage and event of a send, the limits of a sequence of sends, and how response
+//! bodies are delimited.
 
 use glenfall_http_client::send::{execution_status, ExecutionStatus, SendEvent, SendSequence, SendStage};
 use glenfall_http_client::BodyFraming;
@@ -36,24 +37,24 @@
 }
 
 #[test]
-fn a_non_idempotent_request_that_may_have_run_is_never_retried_nor_promised_not_to_have_run() {
+fn a_non_idempotent_request_that_may_have_run_is_never_retried_nor_reported_as_not_run() {
     for stage in SendStage::ALL {
         for event in SendEvent::ALL {
             for failure in [false, true] {
                 let (non_idempotent, idempotent) =
                     (execution_status(stage, event, false), execution_status(stage, event, true));
                 let may_retry = non_idempotent.may_retry(false, failure);
-                // Only before the last byte, or on the explicit statement of the server.
+                // A retry is allowed only before the last byte, or if the server states that the request has not run.
                 assert!(!may_retry || !stage.is_sent() || event == SendEvent::NotRun, "{stage:?} {event:?}");
                 assert_eq!(
                     may_retry,
                     non_idempotent == ExecutionStatus::NotRun,
-                    "exactly what may be retried may also be rejected as not run"
+                    "a non-idempotent request is retried if and only if it has not run"
                 );
-                // Idempotence allows more retries, and forbids none.
+                // Idempotence only adds retries.
                 assert!(idempotent.may_retry(true, failure) || !may_retry, "{stage:?} {event:?}");
-                // A stop signal decides nothing, and nothing is sent for a client that has gone.
-                assert_eq!(non_idempotent == ExecutionStatus::Waits, event == SendEvent::Stopping);
+                // A stop signal alone decides nothing, and nothing is sent for a client that has disconnected.
+                assert_eq!(non_idempotent == ExecutionStatus::InProgress, event == SendEvent::Stopping);
                 assert!(event != SendEvent::Abandoned || !idempotent.may_retry(true, failure));
             }
         }
@@ -61,8 +62,8 @@
 }
 
 #[test]
-fn a_body_end_is_stated_by_one_header_or_by_the_close_of_the_connection() {
-    for (lines, end) in [
+fn a_body_is_delimited_by_one_header_or_by_the_close_of_the_connection() {
+    for (lines, framing) in [
         (&["content-length: 5"][..], BodyFraming::Delimited),
         (&["transfer-encoding: Chunked "], BodyFraming::Delimited),
         (&[], BodyFraming::UntilClose),
@@ -79,16 +80,16 @@
         for (name, value) in headers {
             header_map.append(name, value);
         }
-        assert_eq!(BodyFraming::of(&header_map), end, "{lines:?}");
+        assert_eq!(BodyFraming::of(&header_map), framing, "{lines:?}");
     }
 }
 
 #[test]
-fn sends_end_at_their_limit_at_a_final_response_or_after_four_unreachable_servers() {
+fn sends_end_at_the_limit_at_a_final_response_or_after_four_unreachable_servers() {
     let ended = |sends: &mut SendSequence, event| {
         sends.record_end(SendStage::Answering, event, event == SendEvent::Failure)
     };
-    for (case, idempotent, events, used, may_begin, is_short) in [
+    for (case, idempotent, events, used, may_begin, is_exhausted) in [
         ("none yet", true, &[][..], 0, true, false),
         ("a success", true, &[SendEvent::Success], 1, false, false),
         ("a failure", true, &[SendEvent::Failure], 1, true, false),
@@ -106,7 +107,7 @@
         }
         assert_eq!(
             (sends.used(), sends.may_begin(), sends.is_exhausted()),
-            (used, may_begin, is_short),
+            (used, may_begin, is_exhausted),
             "{case}"
         );
     }
@@ -123,5 +124,5 @@
     let mut sends = SendSequence::new(2, true);
     ended(&mut sends, SendEvent::NotRun);
     sends.stop();
-    assert!(!sends.may_begin() && !sends.is_exhausted(), "no other server is to be asked");
+    assert!(!sends.may_begin() && !sends.is_exhausted(), "a stopped sequence sends to no other server");
 }
