--- a/balancer-settings/src/lib.rs
+++ b/balancer-settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reads the JSON settings of the balancer, for the adapter and the node alike: one reader, so that both run
-//! the balancer with the same figures.
+//! Parses the JSON settings of the balancer. The adapter and the node share this parser, so that both run the
+//! balancer with the same settings.
 
 mod fields;
 mod load_report;
--- a/balancer-settings/src/names.rs
+++ b/balancer-settings/src/names.rs
@@ -1,4 +1,4 @@
-//! The indices that the names of classes and tenants have in the settings.
+//! Looks up the indices of classes and tenants in the settings by name.
 
 use std::collections::HashMap;
 
--- a/balancer-settings/src/settings.rs
+++ b/balancer-settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings' names in JSON and their meaning for the balancer.
+//! Maps the JSON settings to the balancer's settings.
 
 use glenfall_balancer::{
     CacheMode, Class, DeduplicationScope, Effect, Guarantees, Limits, Membership, Prices, RetryBudgetRule,
@@ -6,37 +6,37 @@
 };
 use serde_json::Value;
 
-use crate::fields::{flag, list, number, object, required, text, whole_number, Object, ParseError};
+use crate::fields::{flag, list, number, object, required, text, unsigned_integer, Object, ParseError};
 
-/// Reads the object that both the simulator's first message and a node's configuration hold.
+/// Parses the settings object, which has the same form in the simulator's first message and in a node's
+/// configuration file.
 ///
 /// # Errors
 ///
-/// The first setting that is missing or cannot be read. Whether the values make sense is checked by
-/// [`Settings::validate`].
-pub fn parse(setup: &Value) -> Result<Settings, ParseError> {
-    let top = setup.as_object().ok_or(ParseError::NotAnObject)?;
+/// The first setting that is missing or has the wrong type. [`Settings::validate`] checks the values.
+pub fn parse(json: &Value) -> Result<Settings, ParseError> {
+    let root = json.as_object().ok_or(ParseError::NotAnObject)?;
     let none = Object::new();
-    let classes = classes(top)?;
-    let tenants = tenants(top)?;
-    let cache = cache_mode(top)?;
+    let classes = classes(root)?;
+    let tenants = tenants(root)?;
+    let cache = cache_mode(root)?;
     Ok(Settings {
-        nodes: nodes(top)?,
-        zone: text(top, "locality")?.unwrap_or("").into(),
+        nodes: nodes(root)?,
+        zone: text(root, "locality")?.unwrap_or("").into(),
         classes,
         tenants,
-        membership: membership(top)?,
+        membership: membership(root)?,
         cache,
-        weights: weight_source(top)?,
-        guarantees: guarantees(object(top, "guarantees").unwrap_or(&none))?,
-        limits: limits(object(top, "limits").unwrap_or(&none))?,
-        prices: prices(object(top, "prices").unwrap_or(&none))?,
-        event_interval: number(top, "round-s")?.unwrap_or(0.0),
+        weights: weight_source(root)?,
+        guarantees: guarantees(object(root, "guarantees").unwrap_or(&none))?,
+        limits: limits(object(root, "limits").unwrap_or(&none))?,
+        prices: prices(object(root, "prices").unwrap_or(&none))?,
+        event_interval: number(root, "round-s")?.unwrap_or(0.0),
     })
 }
 
-fn classes(top: &Object) -> Result<Vec<Class>, ParseError> {
-    let entries = required("grades", list(top, "grades")?)?;
+fn classes(root: &Object) -> Result<Vec<Class>, ParseError> {
+    let entries = required("grades", list(root, "grades")?)?;
     entries.iter().map(|entry| class(entry.as_object())).collect()
 }
 
@@ -64,8 +64,8 @@
     })
 }
 
-fn tenants(top: &Object) -> Result<Vec<Tenant>, ParseError> {
-    let Some(entries) = list(top, "tenants")? else { return Ok(Vec::new()) };
+fn tenants(root: &Object) -> Result<Vec<Tenant>, ParseError> {
+    let Some(entries) = list(root, "tenants")? else { return Ok(Vec::new()) };
     entries.iter().map(|entry| tenant(entry.as_object())).collect()
 }
 
@@ -77,34 +77,34 @@
     })
 }
 
-fn cache_mode(top: &Object) -> Result<CacheMode, ParseError> {
+fn cache_mode(root: &Object) -> Result<CacheMode, ParseError> {
     let none = Object::new();
-    let family = object(top, "family-info").unwrap_or(&none);
+    let family = object(root, "family-info").unwrap_or(&none);
     if text(family, "mode")? != Some("aside") {
         return Ok(CacheMode::ReadThrough);
     }
     let kind = required("family-info.origin-kind", number(family, "origin-kind")?)?;
-    let kinds = list(top, "skus")?.map_or(&[][..], Vec::as_slice);
+    let kinds = list(root, "skus")?.map_or(&[][..], Vec::as_slice);
     let name = kinds.get(kind.max(0.0) as usize).and_then(Value::as_str);
-    let origin_kind = required("skus (name of the origin's kind)", name)?.into();
+    let origin_kind = required("skus (entry at index family-info.origin-kind)", name)?.into();
     Ok(CacheMode::Aside { origin_kind })
 }
 
-fn nodes(top: &Object) -> Result<u32, ParseError> {
-    let nodes = required("balancers", whole_number(top, "balancers")?)?;
+fn nodes(root: &Object) -> Result<u32, ParseError> {
+    let nodes = required("balancers", unsigned_integer(root, "balancers")?)?;
     nodes.try_into().map_err(|_| ParseError::TooMany("balancers"))
 }
 
-fn membership(top: &Object) -> Result<Membership, ParseError> {
-    match required("membership-mode", text(top, "membership-mode")?)? {
+fn membership(root: &Object) -> Result<Membership, ParseError> {
+    match required("membership-mode", text(root, "membership-mode")?)? {
         "pushed" => Ok(Membership::Pushed),
         "on_request" => Ok(Membership::OnRequest),
         other => Err(ParseError::UnknownMembershipMode(other.to_owned())),
     }
 }
 
-fn weight_source(top: &Object) -> Result<WeightSource, ParseError> {
-    Ok(match text(top, "weight-source")? {
+fn weight_source(root: &Object) -> Result<WeightSource, ParseError> {
+    Ok(match text(root, "weight-source")? {
         Some("nominal") => WeightSource::Nominal,
         Some("rough") => WeightSource::Rough,
         Some("live") => WeightSource::Live,
@@ -113,21 +113,22 @@
 }
 
 fn guarantees(from: &Object) -> Result<Guarantees, ParseError> {
-    let figure = |name: &str| required(&format!("guarantees.{name}"), number(from, name)?);
+    let required_number = |name: &str| required(&format!("guarantees.{name}"), number(from, name)?);
     Ok(Guarantees {
-        answer_grace: figure("grace-to-answer-s")?,
-        max_subscription_gap: figure("ask-every-s")?,
-        initial_capacity_share: figure("cold-from")?,
-        slow_start_duration: figure("ramp-time-s")?,
-        drain_grace: figure("drain-grace-s")?,
-        overload_multiple: figure("fall-multiple")?,
-        overload_duration: figure("fall-s")?,
+        answer_grace: required_number("grace-to-answer-s")?,
+        max_subscription_gap: required_number("ask-every-s")?,
+        initial_capacity_share: required_number("cold-from")?,
+        slow_start_duration: required_number("ramp-time-s")?,
+        drain_grace: required_number("drain-grace-s")?,
+        overload_multiple: required_number("fall-multiple")?,
+        overload_duration: required_number("fall-s")?,
         retry_budget: retry_budget(from)?,
         close_on_drain: number(from, "close-on-drain-within-s")?,
     })
 }
 
-/// The window makes the rule: the other figures mean nothing without it.
+/// A retry budget applies if a window is set. Its minimum and its ratio refer to that window, so they are an
+/// error without one.
 fn retry_budget(from: &Object) -> Result<Option<RetryBudgetRule>, ParseError> {
     let min_retries = number(from, "extra-free")?;
     let retry_ratio = number(from, "resend-ratio")?;
@@ -153,7 +154,7 @@
         max_retry_after: number(from, "max-retry-after-s")?.unwrap_or(0.0),
         connect_timeout: number(from, "dial-timeout-s")?.unwrap_or(0.0),
         idle_timeout: number(from, "idle-close-s")?.unwrap_or(0.0),
-        max_attempts: required("limits.max-attempts", whole_number(from, "max-attempts")?)?
+        max_attempts: required("limits.max-attempts", unsigned_integer(from, "max-attempts")?)?
             .try_into()
             .map_err(|_| ParseError::TooMany("max-attempts"))?,
     })
