--- a/balancer-adapter/src/actions.rs
+++ b/balancer-adapter/src/actions.rs
@@ -1,4 +1,4 @@
-//! Writes the actions of the balancer as lines of the wire.
+//! Encodes the balancer's actions as lines of the text protocol.
 
 use std::fmt::{Error, Write};
 
--- a/balancer-adapter/src/error.rs
+++ b/balancer-adapter/src/error.rs
@@ -1,35 +1,35 @@
-//! Why the adapter cannot go on.
+//! Errors that end the adapter.
 
 use glenfall_balancer::SettingsError;
 use glenfall_balancer_settings::ParseError;
 
-/// An input line that cannot be understood, or an output that cannot be written.
+/// An invalid input line, or a reply that cannot be written.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
-    /// A value is missing; names what is expected.
-    #[error("{0} expected")]
+    /// A value is missing. Names what is expected.
+    #[error("expected {0}")]
     Missing(&'static str),
-    /// A value cannot be read.
-    #[error("{expected} expected, got `{found}`")]
+    /// A value cannot be parsed.
+    #[error("expected {expected}, got `{found}`")]
     Unreadable {
-        /// What is expected.
+        /// What is expected, in words.
         expected: &'static str,
-        /// The value found.
+        /// The text on the line.
         found: String,
     },
     /// The input ends within a batch.
-    #[error("`go` expected before the input ends")]
+    #[error("expected `go` before the end of the input")]
     UnfinishedBatch,
     /// A message is for a node that is not attached.
-    #[error("an attached node expected, got {0}")]
+    #[error("expected an attached node, got {0}")]
     UnknownNode(u64),
     /// The settings are not JSON.
-    #[error("settings as a JSON object expected: {0}")]
+    #[error("settings: invalid JSON: {0}")]
     SettingsJson(#[from] serde_json::Error),
-    /// The settings cannot be read.
+    /// A setting is missing or of the wrong type.
     #[error(transparent)]
     Settings(#[from] ParseError),
-    /// The settings make no sense.
+    /// The balancer rejects the value of a setting.
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
     /// The reply cannot be written.
--- a/balancer-adapter/src/input.rs
+++ b/balancer-adapter/src/input.rs
@@ -1,4 +1,4 @@
-//! Input lines and the values on them.
+//! Reads input lines and the values on them.
 
 use std::io::BufRead;
 use std::str::FromStr;
@@ -7,14 +7,14 @@
 
 use crate::error::AdapterError;
 
-/// Input lines and the number of the last one read.
+/// Reads input lines and counts them.
 pub struct Lines<R> {
     input: R,
     number: u64,
 }
 
 impl<R: BufRead> Lines<R> {
-    /// The lines of `input`.
+    /// Reads the lines of `input`.
     pub fn new(input: R) -> Self {
         Lines { input, number: 0 }
     }
@@ -34,23 +34,23 @@
     }
 }
 
-/// The values of a line, read in their order. A missing or `-` value is `None`.
+/// Reads the values of a line in order. A missing value or `-` is `None`.
 pub struct Fields<'a> {
     remaining: Option<&'a str>,
 }
 
 impl<'a> Fields<'a> {
-    /// The values of this line.
+    /// Reads the values of this line.
     pub fn of(line: &'a str) -> Self {
         Fields { remaining: Some(line) }
     }
 
-    /// All that follows the values already read.
+    /// The part of the line after the values already read.
     pub fn remaining(&self) -> &'a str {
         self.remaining.unwrap_or("")
     }
 
-    /// The next value, unconverted.
+    /// The next value as text.
     pub fn text(&mut self) -> Option<&'a str> {
         let remaining = self.remaining?;
         let (value, remaining) = match remaining.split_once(' ') {
@@ -61,19 +61,19 @@
         (value != "-" && !value.is_empty()).then_some(value)
     }
 
-    /// The next value, which may be missing.
+    /// The next value, which is optional.
     pub fn optional<T: FromStr>(&mut self, expected: &'static str) -> Result<Option<T>, AdapterError> {
         let Some(value) = self.text() else { return Ok(None) };
         let unreadable = |_| AdapterError::Unreadable { expected, found: value.to_owned() };
         value.parse().map(Some).map_err(unreadable)
     }
 
-    /// The next value, which must be there.
+    /// The next value, which is required.
     pub fn required<T: FromStr>(&mut self, expected: &'static str) -> Result<T, AdapterError> {
         self.optional(expected)?.ok_or(AdapterError::Missing(expected))
     }
 
-    /// The next value as a finite time or other number, which may be missing.
+    /// The next value as a finite number, such as a time in seconds, which is optional.
     pub fn number(&mut self, expected: &'static str) -> Result<Option<Seconds>, AdapterError> {
         match self.optional::<f64>(expected)? {
             Some(value) if !value.is_finite() => {
@@ -85,7 +85,7 @@
 
     /// The next value as the name of a server.
     pub fn server(&mut self) -> Result<ServerId, AdapterError> {
-        let name = self.text().ok_or(AdapterError::Missing("server address"))?;
+        let name = self.text().ok_or(AdapterError::Missing("a server address"))?;
         Ok(ServerId(name.into()))
     }
 }
--- a/balancer-adapter/src/main.rs
+++ b/balancer-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Adapter: many balancers behind one text wire on standard input and output. It translates and decides
-//! nothing.
+//! Runs many balancers behind one line-based text protocol on standard input and output. The adapter translates
+//! between lines and the balancers' events and actions; it makes no decisions of its own.
 
 mod actions;
 mod error;
@@ -20,7 +20,7 @@
 /// The line that ends a batch.
 const END_OF_BATCH: &str = "go";
 
-/// An error and the input line at which it was found.
+/// An error with the number of the input line at which it was found.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {error}")]
 struct LineError {
@@ -41,7 +41,7 @@
 }
 
 impl Host {
-    /// Handles one batch, whose messages carry their nodes' numbers, and returns the reply.
+    /// Handles the messages of one batch, each of which names its node, and returns the reply.
     fn handle_batch(
         &mut self,
         now: Seconds,
@@ -57,7 +57,7 @@
             let names = |node| self.instances.get(&node).map(|instance| &instance.names);
             match messages::parse(&line, lines, names)? {
                 Message::Attach { node, seed, settings } => self.attach(node, seed, settings)?,
-                Message::Down { node } => {
+                Message::Detach { node } => {
                     self.instances.remove(&node);
                 }
                 Message::Event { node, event } => self.handle_event(now, node, event, &mut reply)?,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Handles batches until the input ends.
+/// Handles batches and writes their replies until the input ends.
 fn serve(lines: &mut Lines<impl BufRead>, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     while let Some(line) = lines.next()? {
--- a/balancer-adapter/tests/wire.rs
+++ b/balancer-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Transcripts over the real binary.
+//! Runs the adapter's binary on transcripts of its text protocol.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -25,7 +25,7 @@
     String::from_utf8(bytes.to_vec()).expect("UTF-8")
 }
 
-/// What is replied to sound input.
+/// The replies to valid input.
 fn replies(input: &str) -> String {
     let output = run(input.as_bytes());
     assert!(output.status.success(), "{}", text(&output.stderr));
@@ -49,8 +49,8 @@
     )
 }
 
-/// Three batches for some nodes, without the frame around the last.
-fn day(nodes: &[u64]) -> String {
+/// A valid transcript of four batches: an empty one, the start of the nodes, 20 arrivals and a timer for each.
+fn sample_transcript(nodes: &[u64]) -> String {
     let mut lines = String::from("sync 8.41225\ngo\nsync 9\n");
     nodes.iter().for_each(|&n| lines += &attach(n, 7 * n));
     lines += "go\nsync 9.1\n";
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_transcript_gets_its_replies() {
+fn a_transcript_gets_the_expected_replies() {
     let mut input = String::from("sync 8.41225\ngo\nsync 9\n") + &attach(3, 1);
     input += "go\nsync 9.1\narrival 3 2811873703137732 0.4 0.012 1 - read 1800 4569004829183723\n";
     input += "withdrawn 3 77\ngo\nsync 9.15\n";
@@ -78,13 +78,13 @@
     assert_eq!(first[0], "set_timer 3 2811873703137733 0.390000");
     assert!(first[1].starts_with("hand_off 3 2811873703137732 0.390000 10.0.0."), "{}", first[1]);
     assert_eq!(first.last(), Some(&"ack"));
-    // Turned away unseen: the other server is next.
+    // The server rejected the request as overloaded: the next attempt goes to the other one.
     let other = if first[1].ends_with(".1:80") { "10.0.0.2:80" } else { "10.0.0.1:80" };
     assert!(replies[3].contains(&format!("hand_off 3 2811873703137732 0.340000 {other}")), "{}", replies[3]);
 }
 
 #[test]
-fn prices_reach_the_balancer_and_closed_connections_the_wire() {
+fn configured_prices_lead_to_close_idle_actions() {
     let priced = SETTINGS_JSON
         .replace("\"balancers\":2", "\"balancers\":500,\"prices\":{\"connection\":0.1,\"handshake\":0.1}");
     let input = format!("sync 9\n{}go\n", attach(3, 1).replace(SETTINGS_JSON, &priced))
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn the_retry_budget_and_the_close_on_drain_time_reach_the_balancer() {
+fn the_retry_budget_and_the_close_on_drain_time_are_applied() {
     let rules = SETTINGS_JSON.replace(
         "\"fall-s\":1",
         r#""fall-s":1,"budget-span-s":5,"extra-free":0,"resend-ratio":0,"close-on-drain-within-s":1"#,
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn nodes_notify_each_other_of_an_unresponsive_server_over_the_wire() {
+fn a_node_notifies_its_peers_of_an_unresponsive_server() {
     let peers = SETTINGS_JSON.replace("\"probes\":true", "\"probes\":true,\"peers\":true");
     let one =
         attach(3, 1).replace(SETTINGS_JSON, &peers).replace("2\nm Ready 10.0.0.1:80 here 1 box - 0", "1");
@@ -127,39 +127,39 @@
 }
 
 #[test]
-fn the_same_input_gives_the_same_bytes_and_nodes_do_not_share() {
-    let all = run(day(&[1, 2, 3]).as_bytes());
+fn the_same_input_gives_the_same_output_and_nodes_share_no_state() {
+    let all = run(sample_transcript(&[1, 2, 3]).as_bytes());
     assert!(all.status.success());
-    assert_eq!(all.stdout, run(day(&[1, 2, 3]).as_bytes()).stdout);
-    let of = |output: &[u8], node: u64| -> Vec<String> {
-        let mine = |l: &&str| l.split(' ').nth(1) == Some(&node.to_string());
-        text(output).lines().filter(mine).map(String::from).collect()
+    assert_eq!(all.stdout, run(sample_transcript(&[1, 2, 3]).as_bytes()).stdout);
+    let lines_of = |output: &[u8], node: u64| -> Vec<String> {
+        let names_node = |l: &&str| l.split(' ').nth(1) == Some(&node.to_string());
+        text(output).lines().filter(names_node).map(String::from).collect()
     };
     for node in 1..=3 {
-        let alone = run(day(&[node]).as_bytes());
-        let lines = of(&all.stdout, node);
+        let alone = run(sample_transcript(&[node]).as_bytes());
+        let lines = lines_of(&all.stdout, node);
         assert!(lines.iter().any(|l| l.starts_with("hand_off")));
-        assert_eq!(lines, of(&alone.stdout, node));
+        assert_eq!(lines, lines_of(&alone.stdout, node));
     }
 }
 
 #[test]
-fn a_killed_node_forgets() {
+fn a_node_attached_again_starts_without_state() {
     let input =
         format!("sync 1\n{}go\nsync 2\ndown 1\n{}go\nsync 3\ndown 1\ngo\n", attach(1, 1), attach(1, 2));
     assert_eq!(replies(&input).matches("keep_informed").count(), 2);
 }
 
-fn fails(input: &[u8], line: u64, expected: &str) {
+fn assert_fails(input: &[u8], line: u64, expected: &str) {
     let output = run(input);
-    let said = text(&output.stderr);
-    assert!(!output.status.success(), "{said}");
-    assert!(said.contains(&format!("line {line}:")) && said.contains(expected), "{said}");
-    assert!(!said.contains("panicked"), "{said}");
+    let stderr = text(&output.stderr);
+    assert!(!output.status.success(), "{stderr}");
+    assert!(stderr.contains(&format!("line {line}:")) && stderr.contains(expected), "{stderr}");
+    assert!(!stderr.contains("panicked"), "{stderr}");
 }
 
 #[test]
-fn malformed_lines_are_named() {
+fn errors_name_the_line_that_is_malformed() {
     for (input, line, expected) in [
         (&b"hello\n"[..], 1, "`sync`"),
         (b"sync abc\n", 1, "clock time"),
@@ -173,27 +173,28 @@
         (b"sync 1\nroster_change 1 full 1 1\n", 3, "list entry"),
         (b"sync 1\n\xff\xfe\n", 2, "UTF-8"),
     ] {
-        fails(input, line, expected);
+        assert_fails(input, line, expected);
     }
-    let figures = |figures: &str| format!("\"fall-s\":1,{figures}");
+    let with_rules = |rules: &str| format!("\"fall-s\":1,{rules}");
     for (from, to, expected) in [
         ("\"balancers\":2", "\"balancers\":0", "balancers"),
         ("\"ramp-time-s\":8", "\"ramp-time-s\":-8", "ramp"),
-        ("\"fall-s\":1", &figures(r#""budget-span-s":-5,"extra-free":3"#), "budget span"),
-        ("\"fall-s\":1", &figures(r#""budget-span-s":5,"resend-ratio":-0.1"#), "budget ratio"),
-        ("\"fall-s\":1", &figures(r#""resend-ratio":0.1"#), "guarantees.budget-span-s: missing"),
-        ("\"fall-s\":1", &figures(r#""close-on-drain-within-s":-1"#), "close on drain"),
+        ("\"fall-s\":1", &with_rules(r#""budget-span-s":-5,"extra-free":3"#), "budget span"),
+        ("\"fall-s\":1", &with_rules(r#""budget-span-s":5,"resend-ratio":-0.1"#), "budget ratio"),
+        ("\"fall-s\":1", &with_rules(r#""resend-ratio":0.1"#), "guarantees.budget-span-s: missing"),
+        ("\"fall-s\":1", &with_rules(r#""close-on-drain-within-s":-1"#), "close on drain"),
         ("\"fall-s\":1", "\"fall-t\":1", "guarantees.fall-s: missing"),
     ] {
-        let wrong = SETTINGS_JSON.replace(from, to);
-        fails(format!("sync 1\nattach 1 2 {wrong}\n").as_bytes(), 2, expected);
+        let invalid = SETTINGS_JSON.replace(from, to);
+        assert_fails(format!("sync 1\nattach 1 2 {invalid}\n").as_bytes(), 2, expected);
     }
 }
 
-/// A day with one byte changed here and there: a clean error or complete replies, never a panic.
+/// Changes, removes or cuts off random bytes of a valid transcript. The adapter must end with an error message
+/// or write complete replies, and never panic.
 #[test]
-fn damaged_input_ends_cleanly() {
-    let sound = day(&[1, 2]).into_bytes();
+fn corrupted_input_never_causes_a_panic() {
+    let valid = sample_transcript(&[1, 2]).into_bytes();
     let mut seed = 9u64;
     let mut next = |n: usize| {
         seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
@@ -201,7 +202,7 @@
     };
     let mut errors = 0;
     for _ in 0..150 {
-        let mut input = sound.clone();
+        let mut input = valid.clone();
         for _ in 0..=next(3) {
             let at = next(input.len());
             match next(3) {
@@ -211,12 +212,12 @@
             }
         }
         let output = run(&input);
-        let (out, said) = (text(&output.stdout), text(&output.stderr));
-        assert!(!said.contains("panicked"), "{said}");
-        assert!(out.is_empty() || out.ends_with("ack\n"), "half a reply: {out}");
-        assert_eq!(output.status.success(), said.is_empty(), "{said}");
+        let (stdout, stderr) = (text(&output.stdout), text(&output.stderr));
+        assert!(!stderr.contains("panicked"), "{stderr}");
+        assert!(stdout.is_empty() || stdout.ends_with("ack\n"), "incomplete reply: {stdout}");
+        assert_eq!(output.status.success(), stderr.is_empty(), "{stderr}");
         assert!(output.status.code().is_some(), "ended by a signal");
-        errors += usize::from(!said.is_empty());
+        errors += usize::from(!stderr.is_empty());
     }
     assert!(errors > 50, "{errors} of 150 were errors");
 }
