--- a/balancer-node/src/client_connections.rs
+++ b/balancer-node/src/client_connections.rs
@@ -1,4 +1,4 @@
-//! Client connections: how many are open, which are idle, and which are closed to make capacity for others.
+//! Tracks client connections: how many are open, which are idle, and which are closed to free capacity.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -7,52 +7,53 @@
 
 use tokio::sync::{watch, Notify};
 
-/// A new connection has so long for its first complete request: by then usual clients have sent it, and those
-/// that send nothing or stop halfway use a descriptor for no longer.
+/// Time limit for the first complete request on a new connection. Ordinary clients have sent it by then; a
+/// client that sends nothing or stops halfway does not occupy a descriptor for longer.
 pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// For the body of any request but the first, once its head has arrived.
+/// Time limit for the body of any later request, from the arrival of its head.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
-/// For the body of the first request at least; it has what is left of the first request's time.
+/// Lower bound of the time limit for the body of the first request, which otherwise has what is left of
+/// `FIRST_REQUEST_TIMEOUT`.
 const MIN_BODY_TIMEOUT: Duration = Duration::from_millis(400);
-/// One connection in so many may be idle after a request; beyond that, those idle longest are closed. All
-/// clients together may have no more than a third of the descriptors idle, so that clients that send one
-/// request and keep what they opened would otherwise shut out others long before the node is full. It bounds
-/// what is open for clients that have died unnoticed, too. Harm: where more clients than that are really at
-/// work in turn, they connect anew for each request.
+/// Of the allowed connections, one in this many may be idle after a request; beyond that, those idle longest
+/// are closed. Without this limit, clients that send one request and keep their connections open would shut out
+/// others long before the node is at capacity. It also bounds the number of connections that are open for
+/// clients that have died unnoticed. Drawback: if more clients than this are active in turn, they reconnect for
+/// each request.
 const IDLE_DIVISOR: usize = 3;
-/// Before this a new connection is not suspected of sending nothing: its request may lie in the kernel.
+/// A new connection counts as unused only after this time: before, its request may still be in the kernel's
+/// buffer.
 const MIN_UNUSED_TIME: Duration = Duration::from_millis(200);
 
-/// The order in which idle connections are closed: those that never sent a request, then the others, in each
-/// the longest idle first.
+/// The order in which idle connections are closed: first those that never sent a request, then the others, in
+/// each group the longest idle first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct IdleRank {
     has_sent_request: bool,
     sequence: u64,
 }
 
-/// The first rank of connections that have sent a request.
-const FIRST_USED: IdleRank = IdleRank { has_sent_request: true, sequence: 0 };
+/// The lowest rank of connections that have sent a request.
+const LOWEST_USED_RANK: IdleRank = IdleRank { has_sent_request: true, sequence: 0 };
 
-/// An idle connection.
 struct IdleConnection {
     since: Instant,
     close: Rc<Notify>,
 }
 
-/// All client connections.
+/// The open client connections of this node.
 pub struct ClientConnections {
     max_open: usize,
     max_idle: usize,
     open: Cell<usize>,
     next_sequence: Cell<u64>,
     idle: RefCell<BTreeMap<IdleRank, IdleConnection>>,
-    /// A connection has closed or become idle.
+    /// Notified when a connection closes or becomes idle.
     changed: Notify,
 }
 
 impl ClientConnections {
-    /// No connection is open; `max_open` may be.
+    /// No connection is open yet. `max_open` limits their number.
     pub fn new(max_open: usize) -> Self {
         ClientConnections {
             max_open,
@@ -78,8 +79,8 @@
         connection
     }
 
-    /// Waits until one more connection is allowed. An idle one is closed for it, so that clients which keep
-    /// many, or send nothing, cannot shut out the others.
+    /// Waits until one more connection is allowed. At the limit an idle connection is closed, so that clients
+    /// which keep many connections, or send nothing, cannot shut out others.
     pub async fn wait_for_capacity(&self) {
         while self.open.get() >= self.max_open {
             let changed = self.changed.notified();
@@ -97,26 +98,26 @@
         }
     }
 
-    /// Closes the connection that has been idle longest after a request, if more are idle than allowed.
+    /// Closes the connection that has been idle longest after a request, if more than `max_idle` are.
     fn limit_idle(&self) {
         let mut idle = self.idle.borrow_mut();
-        if idle.range(FIRST_USED..).nth(self.max_idle).is_none() {
+        if idle.range(LOWEST_USED_RANK..).nth(self.max_idle).is_none() {
             return;
         }
-        let longest = idle.range(FIRST_USED..).next().map(|(rank, _)| *rank);
+        let longest = idle.range(LOWEST_USED_RANK..).next().map(|(rank, _)| *rank);
         if let Some(connection) = longest.and_then(|rank| idle.remove(&rank)) {
             connection.close.notify_one();
         }
     }
 
-    /// Takes the idle connection that is to be closed first.
+    /// Removes the idle connection that is to be closed first, and returns its close signal.
     fn take_idle(&self) -> Option<Rc<Notify>> {
         let mut idle = self.idle.borrow_mut();
         let is_unused = |rank: &IdleRank, connection: &IdleConnection| {
             !rank.has_sent_request && connection.since.elapsed() >= MIN_UNUSED_TIME
         };
         let unused = idle.iter().next().filter(|(rank, connection)| is_unused(rank, connection));
-        let first = unused.or_else(|| idle.range(FIRST_USED..).next()).or_else(|| idle.iter().next());
+        let first = unused.or_else(|| idle.range(LOWEST_USED_RANK..).next()).or_else(|| idle.iter().next());
         let rank = first.map(|(rank, _)| *rank)?;
         idle.remove(&rank).map(|connection| connection.close)
     }
@@ -126,16 +127,16 @@
 pub struct ClientConnection {
     connections: Rc<ClientConnections>,
     opened: Instant,
-    /// Its rank among the idle ones while it is idle.
+    /// The connection's rank among the idle ones; `None` while it is busy.
     idle_rank: Cell<Option<IdleRank>>,
-    /// Requests that it be closed.
+    /// Notified when the connection is to be closed.
     close: Rc<Notify>,
-    /// Whether its first request has arrived.
+    /// Whether the first request has arrived.
     has_sent_request: watch::Sender<bool>,
 }
 
 impl ClientConnection {
-    /// It has no request in progress.
+    /// Marks the connection as idle: no request is in progress.
     pub fn set_idle(&self) {
         let connections = &self.connections;
         let sequence = connections.next_sequence.replace(connections.next_sequence.get() + 1);
@@ -147,29 +148,29 @@
         connections.changed.notify_waiters();
     }
 
-    /// A request has arrived on it.
+    /// Marks the connection as busy: a request has arrived.
     pub fn set_busy(&self) {
         self.has_sent_request.send_replace(true);
         self.remove_from_idle();
     }
 
-    /// Whether it has no request in progress.
+    /// Whether no request is in progress.
     pub fn is_idle(&self) -> bool {
         self.idle_rank.get().is_some()
     }
 
-    /// Waits until it is to be closed.
+    /// Waits until the connection is to be closed to free capacity.
     pub async fn close_requested(&self) {
         self.close.notified().await;
     }
 
-    /// Waits for its first request.
+    /// Waits until the first request has arrived.
     pub async fn first_request(&self) {
-        // The sender lives as long as the connection, so that this cannot fail.
+        // Cannot fail: the sender lives as long as the connection.
         let _ = self.has_sent_request.subscribe().wait_for(|has_sent| *has_sent).await;
     }
 
-    /// How long the body of a request whose head has just arrived may take.
+    /// Time limit for the body of a request whose head has just arrived.
     pub fn body_timeout(&self) -> Duration {
         if *self.has_sent_request.borrow() {
             BODY_TIMEOUT
--- a/balancer-node/src/clock.rs
+++ b/balancer-node/src/clock.rs
@@ -4,10 +4,10 @@
 
 use glenfall_balancer::Seconds;
 
-/// Unix seconds at the node's start, and from then on monotonic.
+/// Shows Unix time, read once at the node's start and advanced by a monotonic clock from then on.
 ///
-/// Start times of servers are Unix times. One fixed relation between the two clocks makes an unchanged start
-/// time stay unchanged for the balancer, which takes a later one for a new process.
+/// Servers report their start as Unix time, and the balancer takes a later start time for a new process. With a
+/// fixed offset between the two clocks, an unchanged start time stays unchanged for the balancer.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -15,13 +15,13 @@
 }
 
 impl Clock {
-    /// A clock that shows the time of day from now on, and is never set back.
+    /// Starts the clock at the system's time. Later changes of the system's time have no effect.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         Clock { started: Instant::now(), unix_at_start: unix.as_secs_f64() }
     }
 
-    /// Seconds since 1970.
+    /// Unix time in seconds.
     pub fn now(&self) -> Seconds {
         self.unix_at_start + self.started.elapsed().as_secs_f64()
     }
--- a/balancer-node/src/config.rs
+++ b/balancer-node/src/config.rs
@@ -9,22 +9,22 @@
 
 use crate::server_list::ServerList;
 
-/// Descriptors reserved for all but clients and upstreams: standard streams, the reactor, signals, the
+/// Descriptors reserved for everything but clients and upstreams: standard streams, the reactor, signals, the
 /// listener, peers, discovery.
 const RESERVED_SOCKETS: usize = 24;
-/// The limit on descriptors where the configuration names none.
+/// Limit on descriptors if the configuration sets none.
 const DEFAULT_MAX_SOCKETS: usize = 1024;
-/// Fewer descriptors cannot carry a few clients and a few upstreams.
+/// Lowest limit on descriptors: enough for a few clients and a few upstreams.
 const MIN_SOCKETS: usize = 64;
-/// A larger limit on descriptors counts as this one.
+/// Highest limit on descriptors; a larger one is lowered to this.
 const MAX_SOCKETS: u64 = 1 << 20;
-/// The environment variable with the path of the file.
+/// The environment variable with the path of the configuration file.
 const CONFIG_PATH_VARIABLE: &str = "LB_CONFIG";
 
 /// Why a configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// No file is named.
+    /// `LB_CONFIG` is not set.
     #[error("configuration: LB_CONFIG is not set")]
     NoPath,
     /// The file cannot be read.
@@ -44,24 +44,24 @@
         cause: serde_json::Error,
     },
     /// A required value is missing.
-    #[error("configuration: {0} is missing")]
+    #[error("configuration: {0}: missing")]
     Missing(&'static str),
-    /// A value is not an address.
-    #[error("configuration: {name}: an address with a port expected, got `{found}`")]
+    /// A value is not an IP address with a port.
+    #[error("configuration: {name}: expected an address with a port, got `{found}`")]
     Address {
-        /// The value's name.
+        /// The name of the value.
         name: &'static str,
-        /// The value.
+        /// The value in the configuration.
         found: String,
     },
-    /// The limit on descriptors is too low or no number.
-    #[error("configuration: limits.sockets: {MIN_SOCKETS} or more expected, got {0}")]
+    /// The limit on descriptors is too low or not a number.
+    #[error("configuration: limits.sockets: expected {MIN_SOCKETS} or more, got {0}")]
     SocketLimit(Value),
-    /// The list that the node starts with cannot be read.
-    #[error("configuration: known: a list of servers expected")]
+    /// The list of servers that the node starts with cannot be read.
+    #[error("configuration: known: expected a list of servers")]
     KnownServers,
     /// The seed is not a hexadecimal number.
-    #[error("configuration: seed: {0}")]
+    #[error("configuration: seed: expected a hexadecimal number: {0}")]
     Seed(ParseIntError),
     /// The balancer's settings cannot be read.
     #[error("configuration: {0}")]
@@ -70,32 +70,32 @@
 
 /// The node's configuration.
 pub struct Config {
-    /// The node's own name among its peers.
+    /// The node's name.
     pub name: String,
-    /// The address at which it accepts clients.
+    /// The address at which the node accepts clients.
     pub listen: SocketAddr,
-    /// The address that lists of servers come from.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of its random numbers.
+    /// The seed of the node's random numbers.
     pub seed: u64,
-    /// Connections that upstreams may use.
+    /// Limit on connections to upstreams.
     pub upstream_sockets: usize,
-    /// Connections that clients may use.
+    /// Limit on connections from clients.
     pub client_sockets: usize,
-    /// The address at which it receives datagrams of its peers.
+    /// The address at which the node receives datagrams from its peers; `None` if it exchanges none.
     pub peer_listen: Option<SocketAddr>,
     /// The peers' addresses by node number.
     pub peers: Vec<SocketAddr>,
-    /// An address that reaches all peers at once.
+    /// An address that reaches all peers at once, such as a broadcast address, if there is one.
     pub peers_all: Option<SocketAddr>,
-    /// The list of servers that it starts with.
+    /// The list of servers that the node starts with.
     pub known: Option<ServerList>,
     /// The balancer's settings.
     pub settings: Settings,
 }
 
 impl Config {
-    /// Reads the environment and the file that `LB_CONFIG` names.
+    /// Reads the environment and the configuration file.
     ///
     /// # Errors
     ///
@@ -122,19 +122,19 @@
     }
 }
 
-/// The address of discovery in the file as it is now. The environment is that of the start and stays as it
-/// was, so the file, which may have been replaced since, wins over it.
+/// Reads the address of discovery from the file again. The process's environment cannot have changed since its
+/// start, but the file may have been replaced; so the file has precedence here.
 ///
 /// # Errors
 ///
-/// The file cannot be read, or does not state the address.
+/// The file cannot be read, or does not contain the address.
 pub fn reload_discovery_address() -> Result<SocketAddr, ConfigError> {
     let json = read_file()?;
     let text = json["discovery"].as_str().ok_or(ConfigError::Missing("discovery"))?;
     address("discovery", text)
 }
 
-/// The file that `LB_CONFIG` names.
+/// Reads the configuration file, whose path is in `LB_CONFIG`.
 fn read_file() -> Result<Value, ConfigError> {
     let path = std::env::var(CONFIG_PATH_VARIABLE).map_err(|_| ConfigError::NoPath)?;
     let text = match std::fs::read_to_string(&path) {
@@ -144,7 +144,7 @@
     serde_json::from_str(&text).map_err(|cause| ConfigError::NotJson { path, cause })
 }
 
-/// A required value: that of the environment variable, or else of the file.
+/// A required value, from the environment variable if it is set, else from the file.
 fn setting(json: &Value, name: &'static str, variable: &str) -> Result<String, ConfigError> {
     let text = std::env::var(variable).ok().or_else(|| json[name].as_str().map(str::to_owned));
     text.ok_or(ConfigError::Missing(name))
--- a/balancer-node/src/discovery.rs
+++ b/balancer-node/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of servers: one call for the complete list, or a watch on its changes.
+//! Gets the list of servers from discovery: with one call for the complete list, or with a watch on changes.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -16,49 +16,52 @@
 use crate::log::log;
 use crate::server_list::ServerList;
 
-/// How long discovery may delay the answer to the first call of a watch. It is short, as the balancer counts
-/// a call that has no answer after some seconds as lost.
-const FIRST_LONG_POLL: Duration = Duration::from_secs(1);
-/// The same for every later call: each costs discovery work.
-const LONG_POLL: Duration = Duration::from_secs(20);
-/// Discovery works through calls in turn; beyond this time no answer can be expected any more.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(3500);
-/// Pause before the next call when one has ended early and empty. A watch lasts while gaps stay under 200 ms.
-const EMPTY_ANSWER_PAUSE: Duration = Duration::from_millis(100);
-/// Far above the size of any list, in bytes; what is larger is not one.
+/// How long discovery may delay the response to the first call of a watch. Short, as the balancer treats a call
+/// as lost that has no response after some seconds.
+const FIRST_LONG_POLL_DELAY: Duration = Duration::from_secs(1);
+/// The same for each later call of a watch. Long, as each call costs discovery work.
+const LONG_POLL_DELAY: Duration = Duration::from_secs(20);
+/// Time limit for a response, in addition to its permitted delay. Discovery handles calls one after another;
+/// later than this no response can be expected any more.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3500);
+/// Pause before the next call if the last one returned early without any change. A watch counts as
+/// uninterrupted while the gaps between calls are below 200 ms.
+const EMPTY_RESPONSE_PAUSE: Duration = Duration::from_millis(100);
+/// Largest accepted response, in bytes; far larger than any list.
 const MAX_LIST_SIZE: usize = 4 << 20;
 
-/// Why a call brought no list. The balancer learns only that it failed.
+/// Why a call returned no list. The balancer is told only that the call failed.
 #[derive(Debug, thiserror::Error)]
 enum CallError {
     #[error(transparent)]
     Io(#[from] std::io::Error),
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    #[error("answered {0}")]
+    #[error("response status {0}")]
     Status(StatusCode),
-    #[error("the answer is not a list of servers")]
+    #[error("the response is not a valid list of servers")]
     NotAList,
-    #[error("time-out")]
+    #[error("no response in time")]
     TimedOut,
 }
 
-/// Receives what discovery brings.
+/// Receives the results of calls to discovery.
 pub trait ServerListObserver {
-    /// A list, or changes of one, has arrived.
+    /// Called when a complete list, or changes to it, arrived.
     fn on_list(self: Rc<Self>, list: ServerList);
-    /// A call has failed, which ends the watch that made it.
+    /// Called when a call failed, which also ends the watch that made it.
     fn on_call_failed(self: Rc<Self>);
 }
 
-/// One address of discovery. Its versions count for itself alone: another address may count otherwise.
+/// An address of discovery. Versions of lists are comparable only within one source, as another address may
+/// number its lists differently.
 struct Source {
     addr: SocketAddr,
-    /// The version of the newest list from here; `None` before the first one.
+    /// The version of the newest list from this source; `None` before the first one.
     version: Cell<Option<u64>>,
 }
 
-/// A watch in progress at a source.
+/// A running watch on a source.
 struct Watch {
     source: Rc<Source>,
     task: JoinHandle<()>,
@@ -70,21 +73,24 @@
     }
 }
 
-/// The calls of this node to discovery.
+/// The node's client of discovery.
 pub struct Discovery {
     source: RefCell<Rc<Source>>,
-    /// The watch at the source and, until it has brought its first list, those at the sources before it.
+    /// The watch on the current source and, until that has returned its first list, the watches on earlier
+    /// sources.
     watches: RefCell<Vec<Watch>>,
 }
 
 impl Discovery {
-    /// No call is made yet. `known` is the list that the node starts with.
+    /// Makes no call yet. `known` is the list that the node starts with; the first watch asks for changes to
+    /// it.
     pub fn new(addr: SocketAddr, known: Option<&ServerList>) -> Self {
         let source = Source { addr, version: Cell::new(known.map(|list| list.version)) };
         Discovery { source: RefCell::new(Rc::new(source)), watches: RefCell::default() }
     }
 
-    /// Watches for changes, and hands the observer each until the watch fails. It replaces an older watch.
+    /// Starts a watch on the current source, which passes each change to the observer until a call fails. It
+    /// replaces an earlier watch on the same source.
     pub fn subscribe(self: &Rc<Self>, observer: Rc<dyn ServerListObserver>) {
         let source = self.current_source();
         let mut watches = self.watches.borrow_mut();
@@ -93,17 +99,17 @@
         watches.push(Watch { source, task });
     }
 
-    /// Calls once for the complete list.
+    /// Fetches the complete list once.
     pub fn fetch(self: &Rc<Self>, observer: Rc<dyn ServerListObserver>) {
         let (discovery, source) = (Rc::clone(self), self.current_source());
         spawn_local(async move {
-            let answer = source.call(None).await;
-            discovery.deliver(observer, &source, answer);
+            let result = source.call(None).await;
+            discovery.deliver(observer, &source, result);
         });
     }
 
-    /// Continues at another address, from the complete list there. The watch at the old one continues until
-    /// that list has arrived, so that nothing is missed between the two.
+    /// Moves to another address, beginning with the complete list there. The watch on the old address continues
+    /// until that list has arrived, so that no change in between is missed.
     pub fn move_to(self: &Rc<Self>, addr: SocketAddr, observer: Rc<dyn ServerListObserver>) {
         if self.source.borrow().addr == addr {
             return;
@@ -116,21 +122,21 @@
         Rc::clone(&self.source.borrow())
     }
 
-    /// Hands the observer what a call brought. Returns whether the watch can continue.
+    /// Passes the result of a call to the observer. Returns whether the watch can continue.
     fn deliver(
         &self,
         observer: Rc<dyn ServerListObserver>,
         source: &Rc<Source>,
-        answer: Result<ServerList, CallError>,
+        result: Result<ServerList, CallError>,
     ) -> bool {
         let current = self.current_source();
         let has_moved = !Rc::ptr_eq(&current, source);
-        // A delayed answer of an old address must not overwrite a list of the new one, and its end is
-        // expected.
-        if has_moved && (answer.is_err() || current.version.get().is_some()) {
+        // A delayed response from an old address must not overwrite a list from the new one, and a failed call
+        // to an old address is not reported.
+        if has_moved && (result.is_err() || current.version.get().is_some()) {
             return false;
         }
-        match answer {
+        match result {
             Ok(list) => {
                 source.version.set(Some(list.version));
                 if !has_moved {
@@ -148,8 +154,7 @@
     }
 }
 
-/// What a call of a watch requests: changes after a version, and the time for which the answer may be
-/// delayed.
+/// The parameters of a long poll: it requests changes after a version, and permits a delay of the response.
 #[derive(Clone, Copy)]
 struct LongPoll {
     after_version: u64,
@@ -157,14 +162,14 @@
 }
 
 impl Source {
-    /// One call: for the complete list, or for what is newer than a version as soon as there is something.
+    /// Makes one call, either for the complete list or for changes after a version as soon as there are any.
     async fn call(&self, long_poll: Option<LongPoll>) -> Result<ServerList, CallError> {
         let max_delay = long_poll.map_or(Duration::ZERO, |poll| poll.max_delay);
-        let answer = tokio::time::timeout(max_delay + ANSWER_TIMEOUT, self.exchange(long_poll)).await;
-        answer.unwrap_or(Err(CallError::TimedOut))
+        let result = tokio::time::timeout(max_delay + RESPONSE_TIMEOUT, self.exchange(long_poll)).await;
+        result.unwrap_or(Err(CallError::TimedOut))
     }
 
-    /// Calls are rare, so each has a connection of its own: none can turn out stale.
+    /// Each call opens its own connection: calls are rare, and a new connection cannot be stale.
     async fn exchange(&self, long_poll: Option<LongPoll>) -> Result<ServerList, CallError> {
         let stream = TcpStream::connect(self.addr).await?;
         stream.set_nodelay(true)?;
@@ -180,7 +185,7 @@
             let json = serde_json::from_slice(&body).map_err(|_| CallError::NotAList)?;
             ServerList::read(&json).ok_or(CallError::NotAList)
         };
-        // Driven here, not in a task of its own, so that dropping the call closes its connection.
+        // The connection is polled here, not in its own task, so that dropping the call closes it.
         let mut exchange = std::pin::pin!(exchange);
         tokio::select! {
             list = &mut exchange => list,
@@ -204,19 +209,19 @@
 }
 
 async fn watch(discovery: Rc<Discovery>, observer: Rc<dyn ServerListObserver>, source: Rc<Source>) {
-    let mut max_delay = FIRST_LONG_POLL;
+    let mut max_delay = FIRST_LONG_POLL_DELAY;
     loop {
         let called = Instant::now();
         let long_poll = source.version.get().map(|after_version| LongPoll { after_version, max_delay });
-        let answer = source.call(long_poll).await;
-        let is_empty = answer.as_ref().is_ok_and(|list| list.servers.is_empty());
+        let result = source.call(long_poll).await;
+        let is_empty = result.as_ref().is_ok_and(|list| list.servers.is_empty());
         let is_early = called.elapsed() < max_delay / 2;
-        if !discovery.deliver(Rc::clone(&observer), &source, answer) {
+        if !discovery.deliver(Rc::clone(&observer), &source, result) {
             return;
         }
         if is_empty && is_early {
-            tokio::time::sleep(EMPTY_ANSWER_PAUSE).await;
+            tokio::time::sleep(EMPTY_RESPONSE_PAUSE).await;
         }
-        max_delay = LONG_POLL;
+        max_delay = LONG_POLL_DELAY;
     }
 }
--- a/balancer-node/src/host.rs
+++ b/balancer-node/src/host.rs
@@ -1,7 +1,7 @@
-//! Owns the one balancer: turns what happens on sockets into its events and carries out its actions.
+//! Owns the node's balancer: translates what happens on sockets into its events, and executes its actions.
 //!
-//! Everything runs on one thread. A call into the balancer never awaits, and carrying out its actions never
-//! calls the balancer again: what follows from an action happens in a task of its own.
+//! Everything runs on one thread. A call to the balancer never awaits, and executing its actions never calls
+//! the balancer again: anything that follows from an action runs in its own task.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -28,17 +28,17 @@
 use crate::server_list::{ListedServer, ServerList};
 use crate::upstream::Upstreams;
 
-/// Longest time that is waited for where the balancer states more than can be represented.
+/// Replaces a time that is too long for `Duration`.
 const MAX_DURATION: Duration = Duration::from_secs(u64::MAX / 4);
 
 /// Why a host cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
-    /// The settings make no sense.
+    /// The balancer rejects the value of a setting.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The socket for peers cannot be opened.
-    #[error("listen for peers: {0}")]
+    #[error("cannot open the socket for peers: {0}")]
     PeerSocket(std::io::Error),
 }
 
@@ -49,12 +49,13 @@
     index: u32,
 }
 
-/// The balancer of this node and all that it acts on.
+/// The balancer of this node, and the components that its actions use.
 pub struct Host {
     clock: Clock,
     balancer: RefCell<Balancer>,
     requests: OpenRequests,
-    /// Attempts in flight, and what cancels each. They may outlive their request.
+    /// The attempts in flight, each with the channel that cancels it. An attempt may end later than its
+    /// request.
     attempts: RefCell<HashMap<AttemptKey, oneshot::Sender<()>>>,
     upstreams: Rc<Upstreams>,
     discovery: Rc<Discovery>,
@@ -62,11 +63,11 @@
 }
 
 impl Host {
-    /// Starts the balancer with the list of servers that the configuration names.
+    /// Starts the balancer with the list of servers in the configuration.
     ///
     /// # Errors
     ///
-    /// The settings make no sense, or the socket for peers cannot be opened.
+    /// The balancer rejects a setting, or the socket for peers cannot be opened.
     pub async fn start(config: &Config) -> Result<Rc<Self>, HostError> {
         let settings = &config.settings;
         let host = Rc::new(Host {
@@ -81,7 +82,7 @@
         if host.peers.is_some() {
             spawn_local(Rc::clone(&host).receive_peer_messages());
         }
-        // The balancer starts with its first event, so there is one even where no server is known.
+        // The balancer starts with its first event, so it gets one even if no server is known.
         let servers = config.known.as_ref().map_or(Vec::new(), |list| list.servers.clone());
         let known = ServerList { version: 0, is_complete: true, servers };
         host.upstreams.update(&known);
@@ -89,12 +90,12 @@
         Ok(host)
     }
 
-    /// Follows discovery at another address.
+    /// Moves to another address of discovery.
     pub fn move_discovery_to(self: &Rc<Self>, addr: std::net::SocketAddr) {
         self.discovery.move_to(addr, self.as_observer());
     }
 
-    /// Whether some server takes requests.
+    /// Whether at least one server accepts requests.
     pub fn is_ready(&self) -> bool {
         self.upstreams.any_ready()
     }
@@ -111,16 +112,16 @@
         }
     }
 
-    /// Hands the balancer an event and carries out its actions.
+    /// Passes an event to the balancer and executes the resulting actions.
     fn handle_event(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
         self.balancer.borrow_mut().handle(self.clock.now(), event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(self: &Rc<Self>, action: Action) {
+    fn execute(self: &Rc<Self>, action: Action) {
         match action {
             Action::Send { request, server, timeout } => self.start_attempt(request, server, timeout),
             Action::Cancel { request, attempt } => self.cancel_attempt(request, attempt),
@@ -160,7 +161,8 @@
         }
     }
 
-    /// Accepts a request, whose final answer is then pending. `None` if one with the client's id is open.
+    /// Accepts a request and returns its pending answer. `None` if a request with the same client-supplied id
+    /// is in progress.
     pub fn accept(self: &Rc<Self>, request: ClientRequest) -> Option<PendingAnswer> {
         let deadline = Instant::now() + request.time_left;
         let Accepted { id, answer } = self.requests.accept(request.payload, deadline)?;
@@ -177,7 +179,7 @@
         Some(pending)
     }
 
-    /// The client has disconnected; the balancer is notified if the request had no final answer.
+    /// Called when a client has disconnected. Notifies the balancer if the request had no final answer.
     fn cancel_request(self: &Rc<Self>, request: RequestId) {
         if self.requests.cancel(request) {
             self.handle_event(Event::RequestCancelled(request));
@@ -185,9 +187,10 @@
     }
 
     fn start_attempt(self: &Rc<Self>, request: RequestId, server: ServerId, timeout: Option<Seconds>) {
-        // The balancer ends what the host has ended before it sends anything more.
+        // The balancer handles the end of a request before it sends anything more, so no attempt starts after
+        // it.
         let Some(NextAttempt { index, payload, deadline }) = self.requests.begin_attempt(request) else {
-            debug_assert!(false, "an attempt for a request that has ended");
+            debug_assert!(false, "attempt started for a request that has ended");
             return;
         };
         let time_left = deadline.saturating_duration_since(Instant::now());
@@ -240,7 +243,7 @@
 }
 
 impl ServerListObserver for Host {
-    /// Addresses and drains take effect at once, before the balancer acts on them.
+    /// Applies new addresses and drains to the connections before the balancer can act on them.
     fn on_list(self: Rc<Self>, list: ServerList) {
         self.upstreams.update(&list);
         let is_complete = list.is_complete;
@@ -258,7 +261,7 @@
     servers.into_iter().map(|server| server.entry).collect()
 }
 
-/// An attempt in flight. It reports exactly one outcome, also when its task panics.
+/// An attempt in flight. It reports exactly one outcome, even if its task panics.
 struct Attempt {
     host: Rc<Host>,
     key: AttemptKey,
@@ -268,7 +271,8 @@
 }
 
 impl Attempt {
-    /// The result where the node has stopped waiting. What was not written completely cannot have run.
+    /// The result of an attempt that the node has ended. A request that was not written completely cannot have
+    /// run.
     fn aborted(&self, if_written: Status, if_not_written: Status) -> AttemptResult {
         let status = if self.progress.is_sent() { if_written } else { if_not_written };
         AttemptResult::without_response(status)
@@ -290,7 +294,8 @@
     }
 }
 
-/// A client's claim to one final answer. If it is dropped before that, the client has disconnected.
+/// The final answer that a client waits for. Dropping this before the answer means that the client has
+/// disconnected.
 pub struct PendingAnswer {
     id: RequestId,
     host: Rc<Host>,
@@ -299,13 +304,13 @@
 }
 
 impl PendingAnswer {
-    /// Waits for the balancer's answer, but not past the deadline: a balancer that does not answer must not
-    /// lose a request.
+    /// Waits for the balancer's answer, at most until the deadline, so that the client gets an answer even if
+    /// the balancer gives none.
     pub async fn wait(mut self) -> Answer {
         match tokio::time::timeout_at(self.deadline.into(), &mut self.answer).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(_)) => Answer::Failed,
-            Err(_) => Answer::Overdue,
+            Err(_) => Answer::DeadlineExceeded,
         }
     }
 }
@@ -316,7 +321,8 @@
     }
 }
 
-/// A time that the balancer states; never a panic on unusual values.
+/// Converts a time stated by the balancer. Never panics: negative times and NaN become zero, and times that are
+/// too long `MAX_DURATION`.
 fn to_duration(seconds: Seconds) -> Duration {
     Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(MAX_DURATION)
 }
--- a/balancer-node/src/lib.rs
+++ b/balancer-node/src/lib.rs
@@ -1,5 +1,5 @@
-//! glenfall-node: one load balancer node on real sockets. It starts, serves until a signal, answers the
-//! requests that it has accepted and exits.
+//! glenfall-node: one load balancer node on network sockets. It serves until SIGTERM or SIGINT, then finishes
+//! the requests that it has accepted, and exits.
 
 mod client_connections;
 mod clock;
@@ -36,7 +36,7 @@
 enum StartError {
     #[error(transparent)]
     Config(#[from] ConfigError),
-    #[error("listen on {addr}: {cause}")]
+    #[error("cannot listen on {addr}: {cause}")]
     Listen { addr: SocketAddr, cause: std::io::Error },
     #[error(transparent)]
     Host(#[from] HostError),
@@ -61,7 +61,7 @@
     }
 }
 
-/// Runs a node until a signal ends it.
+/// Runs a node until a signal ends it. The exit code is a failure only if the node cannot start.
 pub fn main() -> ExitCode {
     match start() {
         Ok(()) => ExitCode::SUCCESS,
@@ -74,18 +74,18 @@
 
 fn start() -> Result<(), StartError> {
     let config = Config::load()?;
-    // A node has one core, so it needs one thread and no locks.
+    // A node has one core, so it runs on one thread and needs no locks.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, run(config))
 }
 
 async fn run(config: Config) -> Result<(), StartError> {
-    // Before anything else: until a signal has its handler, it ends the process.
+    // First of all, since a signal without a handler ends the process.
     let Signals { mut terminate, mut interrupt, mut hangup } = Signals::install()?;
     let listener = TcpListener::bind(config.listen)
         .await
         .map_err(|cause| StartError::Listen { addr: config.listen, cause })?;
-    // Whoever started the node may not read this.
+    // An error is ignored: standard output may be closed.
     let _ = writeln!(std::io::stdout(), "{} listens on {}", config.name, listener.local_addr()?);
     let (stop, stopping) = watch::channel(false);
     let host = Host::start(&config).await?;
@@ -95,7 +95,7 @@
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        // The receiver lives as long as `serving`, which is awaited below.
+        // Cannot fail: the receiver lives as long as `serving`, which is awaited below.
         let _ = stop.send(true);
     };
     let reloading = async {
@@ -105,13 +105,13 @@
     };
     tokio::select! {
         _ = async { tokio::join!(serving, stopped) } => {}
-        // Continues for as long as the node serves, also after the signal to stop.
+        // Runs as long as the node serves, also after the signal to stop.
         () = reloading => {}
     }
     Ok(())
 }
 
-/// Applies a new configuration. Only discovery's address in it may change while the node runs; a
+/// Applies a changed configuration. Only the address of discovery may change while the node runs; a
 /// configuration that cannot be read changes nothing.
 fn reload(host: &Rc<Host>) {
     match config::reload_discovery_address() {
@@ -120,7 +120,7 @@
     }
 }
 
-/// The text of an error without line ends, whatever its cause contains.
+/// The text of an error on one line, as the text of its cause may contain line breaks.
 fn on_one_line(error: &dyn std::error::Error) -> String {
     error.to_string().replace('\n', " ")
 }
--- a/balancer-node/src/log.rs
+++ b/balancer-node/src/log.rs
@@ -1,9 +1,9 @@
-//! The node's log: lines on standard error.
+//! The node's log on standard error.
 
 use std::fmt;
 use std::io::Write;
 
-/// Writes one line. A log whose reader has gone must not end the node, as `eprintln!` would.
+/// Writes one line. Unlike `eprintln!`, this does not panic if standard error is closed.
 pub fn log(line: fmt::Arguments<'_>) {
     let _ = writeln!(std::io::stderr(), "{line}");
 }
--- a/balancer-node/src/main.rs
+++ b/balancer-node/src/main.rs
@@ -1,4 +1,4 @@
-//! The program; what it does is in the library.
+//! The `glenfall-node` program, a thin wrapper of the library.
 
 use std::process::ExitCode;
 
--- a/balancer-node/src/open_requests.rs
+++ b/balancer-node/src/open_requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests that have no final answer yet.
+//! Client requests that have no final answer yet.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -16,12 +16,12 @@
 pub enum Answer {
     /// The response of a server.
     Served(ServerResponse),
-    /// Not served; a repeat is harmless, best after the stated time.
+    /// Not served, and the request has not run: a retry is safe, preferably after the stated time in seconds.
     Refused(Option<Seconds>),
-    /// Not served; it may have run.
+    /// Not served, but the request may have run.
     Failed,
-    /// The host's own answer where the balancer gave none.
-    Overdue,
+    /// The balancer gave no answer before the deadline.
+    DeadlineExceeded,
 }
 
 /// A request without its final answer.
@@ -34,19 +34,19 @@
 
 /// A request that has just been accepted.
 pub struct Accepted {
-    /// The host's number of it.
+    /// The id that the host assigned to the request.
     pub id: RequestId,
-    /// Brings its final answer.
+    /// Receives the final answer.
     pub answer: oneshot::Receiver<Answer>,
 }
 
 /// The next attempt of a request.
 pub struct NextAttempt {
-    /// Its index among the attempts of the request.
+    /// The index among the attempts of the request, from 0.
     pub index: u32,
-    /// What is sent.
+    /// The content to send.
     pub payload: Rc<Payload>,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub deadline: Instant,
 }
 
@@ -55,13 +55,13 @@
 pub struct OpenRequests {
     next_id: Cell<u64>,
     by_id: RefCell<HashMap<RequestId, OpenRequest>>,
-    /// The ids that clients gave the requests.
+    /// The ids that clients gave to their requests.
     client_ids: RefCell<HashSet<HeaderValue>>,
 }
 
 impl OpenRequests {
-    /// Accepts a request. `None` if one with the client's id is open: servers could not distinguish the two,
-    /// and one of the clients might get the other's answer.
+    /// Accepts a request. `None` if a request with the same client-supplied id is open: servers could not
+    /// distinguish the two, and one client might get the answer to the other's request.
     pub fn accept(&self, payload: Payload, deadline: Instant) -> Option<Accepted> {
         if !self.client_ids.borrow_mut().insert(payload.id.clone()) {
             return None;
@@ -79,7 +79,7 @@
         self.by_id.borrow().contains_key(&request)
     }
 
-    /// Counts one more attempt of a request; `None` if it has its final answer.
+    /// Counts one more attempt of a request; `None` if the request already has its final answer.
     pub fn begin_attempt(&self, request: RequestId) -> Option<NextAttempt> {
         let mut requests = self.by_id.borrow_mut();
         let request = requests.get_mut(&request)?;
@@ -91,7 +91,7 @@
     /// Gives a request its final answer, unless it has one.
     pub fn answer(&self, request: RequestId, answer: Answer) {
         if let Some(request) = self.remove(request) {
-            // A client that has disconnected gets nothing; its pending answer notifies the balancer.
+            // A client that has disconnected gets nothing; dropping its pending answer notifies the balancer.
             let _ = request.answer.send(answer);
         }
     }
--- a/balancer-node/src/payload.rs
+++ b/balancer-node/src/payload.rs
@@ -1,4 +1,4 @@
-//! The part of a client's request that is forwarded to servers.
+//! Builds the request that is forwarded to servers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,13 +10,13 @@
 
 use crate::protocol::{DEADLINE_MS_HEADER, IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER};
 
-/// A client's request as it is forwarded to servers.
+/// The parts of a client's request that are forwarded.
 pub struct Payload {
     /// The client's method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// The client's id of the request.
+    /// The id that the client gave to the request.
     pub id: HeaderValue,
     /// The client's idempotency key, where it sent one.
     pub idempotency_key: Option<HeaderValue>,
@@ -25,12 +25,12 @@
 }
 
 impl Payload {
-    /// Whether it writes.
+    /// Whether the request is a write; any method but GET counts as one.
     pub fn is_write(&self) -> bool {
         self.method != Method::GET
     }
 
-    /// The request to the server at `addr`, for an answer within `time_left`.
+    /// Builds the request to the server at `addr`. `time_left` is sent as its deadline.
     pub fn to_request(&self, addr: SocketAddr, time_left: Duration) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
--- a/balancer-node/src/peers.rs
+++ b/balancer-node/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between nodes. They may be lost, so nothing waits for one.
+//! Datagrams between nodes. They may be lost, so nothing depends on the arrival of one.
 
 use std::net::SocketAddr;
 
@@ -6,10 +6,10 @@
 
 use crate::config::Config;
 
-/// Largest message that nodes may send, in bytes.
+/// Largest message between nodes, in bytes.
 const MAX_MESSAGE_SIZE: usize = 256;
 
-/// A message of another node.
+/// A message from another node.
 pub struct Datagram {
     /// The number of the sending node.
     pub from: u32,
@@ -21,14 +21,14 @@
 pub struct PeerSocket {
     socket: UdpSocket,
     own_addr: SocketAddr,
-    /// Addresses by node number, this node's among them.
+    /// Addresses by node number, including this node's.
     peers: Vec<SocketAddr>,
     /// An address that reaches every node at once, where there is one.
     broadcast_addr: Option<SocketAddr>,
 }
 
 impl PeerSocket {
-    /// Opens the socket; `None` where the deployment does not let nodes exchange messages.
+    /// Opens the socket; `None` if the configuration does not let nodes exchange messages.
     ///
     /// # Errors
     ///
@@ -43,7 +43,8 @@
         Ok(Some(PeerSocket { socket, own_addr, peers, broadcast_addr: config.peers_all }))
     }
 
-    /// Sends to all other nodes. What the socket does not take at once is lost, as it may be in transit.
+    /// Sends to all other nodes. A datagram that the socket does not accept at once is dropped, as the network
+    /// may do too.
     pub fn broadcast(&self, bytes: &[u8]) {
         if bytes.len() > MAX_MESSAGE_SIZE {
             return;
@@ -57,16 +58,18 @@
         }
     }
 
-    /// The next message of another node. What comes from elsewhere or is too long is dropped.
+    /// Waits for the next message from another node. Datagrams from unknown senders or above `MAX_MESSAGE_SIZE`
+    /// are dropped.
     pub async fn receive(&self) -> Datagram {
         let mut buffer = [0; MAX_MESSAGE_SIZE + 1];
         loop {
-            // An error here reports an earlier send that reached nobody.
+            // An error here means that an earlier datagram was not delivered.
             let Ok((length, sender)) = self.socket.recv_from(&mut buffer).await else {
                 tokio::task::yield_now().await;
                 continue;
             };
-            // An own message that comes back must not count as the observation of a second node.
+            // A broadcast also reaches this node itself, and must not count as the observation of a second
+            // node.
             if sender == self.own_addr {
                 continue;
             }
--- a/balancer-node/src/request.rs
+++ b/balancer-node/src/request.rs
@@ -1,4 +1,4 @@
-//! Reads clients' requests and rejects what cannot be one.
+//! Reads client requests and rejects invalid ones.
 
 use std::time::Duration;
 
@@ -17,45 +17,44 @@
     REQUEST_ID_HEADER, TENANT_HEADER,
 };
 
-/// Time that a request may have spent in transit, in the kernel and in this node's queue, since the client's
-/// clock started, and that its response needs back.
+/// Subtracted from the client's time limit: the time that a request may have spent in transit, in the kernel
+/// and in this node's queue since the client's clock started, and that its response takes to return.
 const TRANSIT_TIME: Duration = Duration::from_millis(10);
-/// Longest wait that a request gets, whatever its client states: each request has a timer.
+/// Longest time limit that a request gets, whatever its client states, as each request holds a timer.
 const MAX_WAIT: Duration = Duration::from_secs(100);
-/// A stated wait beyond this is an error, in milliseconds.
+/// Largest time limit that a client may state, in milliseconds; a request with a larger one is rejected.
 const MAX_STATED_WAIT_MS: u64 = 3_600_000;
 /// Longest path with its query, in bytes.
 const MAX_PATH_LENGTH: usize = 2 << 10;
 /// Longest id of a request, in bytes.
 const MAX_ID_LENGTH: usize = 64;
-/// Microseconds in a second.
 const MICROSECONDS_PER_SECOND: Seconds = 1e6;
 
 /// A client's request that can be forwarded.
 pub struct ClientRequest {
-    /// Time until the client gives up.
+    /// Time until the client stops waiting.
     pub time_left: Duration,
-    /// Its class.
+    /// The class that its path names.
     pub class: ClassId,
-    /// Its tenant, if it has one that the settings know.
+    /// Its tenant, if it states one that the settings contain.
     pub tenant: Option<TenantId>,
-    /// What it concerns.
+    /// The key of the object that it reads or writes.
     pub key: Key,
-    /// Whether it writes.
+    /// Whether the request is a write.
     pub is_write: bool,
-    /// The client's estimate of its work.
+    /// The client's estimate of the work, in seconds.
     pub work_hint: Option<Seconds>,
     /// The part that is forwarded.
     pub payload: Payload,
 }
 
-/// A request that is not accepted, with the status that the client is answered.
+/// A rejected request, with the status of the response.
 pub struct Rejected(pub StatusCode);
 
 const BAD_REQUEST: Rejected = Rejected(StatusCode::BAD_REQUEST);
 const NOT_FOUND: Rejected = Rejected(StatusCode::NOT_FOUND);
 
-/// Reads requests by the classes and tenants of the settings.
+/// Reads requests, with the classes and tenants of the settings.
 pub struct RequestReader {
     names: Names,
     settings: Settings,
@@ -67,13 +66,14 @@
         RequestReader { names: Names::of(settings), settings: settings.clone() }
     }
 
-    /// Reads a complete request, its body within `body_timeout`. Rejects what no client that follows the
-    /// protocol sends, before the balancer gets it: servers close on what they cannot read, whatever else
-    /// waits there, and neither they nor a tenant's quota shall suffer from it.
+    /// Reads a complete request, with its body within `body_timeout`. Requests that violate the protocol are
+    /// rejected before they reach the balancer: a server closes the connection on a request that it cannot
+    /// read, whatever else waits on that connection, and such requests must neither affect servers nor count
+    /// against a tenant's quota.
     ///
     /// # Errors
     ///
-    /// The status with which the request is rejected.
+    /// The status with which the request was rejected.
     pub async fn read(
         &self,
         request: Request<Incoming>,
@@ -85,17 +85,18 @@
         let class = self.names.class(target.class).ok_or(NOT_FOUND)?;
         let key = target.key;
         let is_write = is_write(&head.method)?;
-        // The class is in the path as well, and both must agree.
+        // The path names the class as well, and the two must agree.
         if text(&head.headers, &CLASS_HEADER)?.is_some_and(|name| name != target.class) {
             return Err(BAD_REQUEST);
         }
         let id = request_id(&head.headers)?;
         let tenant = text(&head.headers, &TENANT_HEADER)?.and_then(|name| self.names.tenant(name));
-        let wait = self.wait_of(&head.headers, class)?;
+        let client_timeout = self.client_timeout(&head.headers, class)?;
         let work_hint =
             number(&head.headers, &COST_HINT_HEADER)?.map(|work| work as Seconds / MICROSECONDS_PER_SECOND);
         check_body(&body, is_write)?;
-        let body = timeout(wait.min(body_timeout), Limited::new(body, MAX_BODY_SIZE).collect()).await;
+        let body =
+            timeout(client_timeout.min(body_timeout), Limited::new(body, MAX_BODY_SIZE).collect()).await;
         let body = body.map_err(|_| Rejected(StatusCode::REQUEST_TIMEOUT))?.map_err(|_| BAD_REQUEST)?;
         let payload = Payload {
             method: head.method,
@@ -104,13 +105,13 @@
             idempotency_key: single(&head.headers, &IDEMPOTENCY_KEY_HEADER)?.cloned(),
             body: body.to_bytes(),
         };
-        // The client's time runs from its last byte, which has just arrived.
-        let time_left = wait.saturating_sub(TRANSIT_TIME);
+        // The client's time limit counts from the last byte of the request, which has just arrived.
+        let time_left = client_timeout.saturating_sub(TRANSIT_TIME);
         Ok(ClientRequest { time_left, class, tenant, key, is_write, work_hint, payload })
     }
 
-    /// How long the client waits: as it states, else as its class states.
-    fn wait_of(&self, headers: &HeaderMap, class: ClassId) -> Result<Duration, Rejected> {
+    /// The client's time limit: the one that it states, or else that of its class.
+    fn client_timeout(&self, headers: &HeaderMap, class: ClassId) -> Result<Duration, Rejected> {
         match number(headers, &DEADLINE_MS_HEADER)? {
             Some(ms) if ms > MAX_STATED_WAIT_MS => Err(BAD_REQUEST),
             Some(ms) => Ok(Duration::from_millis(ms).min(MAX_WAIT)),
@@ -119,9 +120,9 @@
     }
 }
 
-/// hyper hides a `Content-Length` that comes with `Transfer-Encoding`, in either order, and the two may
-/// disagree on where the next request begins. Clients state lengths, so that nothing is lost by accepting
-/// none of these.
+/// Rejects what could make node and server disagree on where a request ends. hyper hides a `Content-Length`
+/// that comes with a `Transfer-Encoding`, in either order, and the two may disagree on where the next request
+/// begins. Valid clients send a `Content-Length`, so they never need a `Transfer-Encoding`.
 fn check_framing(head: &Parts) -> Result<(), Rejected> {
     if head.headers.contains_key(header::TRANSFER_ENCODING) || head.uri.authority().is_some() {
         return Err(BAD_REQUEST);
@@ -140,7 +141,7 @@
     }
 }
 
-/// A length that is stated too long is answered at once, not when the client has sent everything.
+/// Rejects a body whose stated length is too large at once, before the client has sent it.
 fn check_body(body: &Incoming, is_write: bool) -> Result<(), Rejected> {
     if body.size_hint().lower() > MAX_BODY_SIZE as u64 {
         return Err(Rejected(StatusCode::PAYLOAD_TOO_LARGE));
@@ -151,11 +152,11 @@
     Ok(())
 }
 
-/// What a path says of its request.
+/// The class and key that a path names.
 struct Target<'a> {
-    /// The first part, which names the class.
+    /// The first segment of the path, which names the class.
     class: &'a str,
-    /// A number for the last part, which is what the request concerns.
+    /// The hash of the last segment of the path, which names the object.
     key: Key,
 }
 
@@ -167,26 +168,26 @@
     }
 }
 
-/// FNV-1a: the same at every node and in every version, which the standard hashers do not promise.
+/// FNV-1a: the same on every node and in every version, which the standard library's hashers do not guarantee.
 fn fnv1a(text: &str) -> u64 {
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
     text.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
 }
 
-/// Servers answer nothing without an id, so that a request without one cannot be served.
+/// The request's id, which is required: servers respond to no request without one.
 fn request_id(headers: &HeaderMap) -> Result<HeaderValue, Rejected> {
     let id = single(headers, &REQUEST_ID_HEADER)?.filter(|id| is_id(id.as_bytes()));
     id.cloned().ok_or(BAD_REQUEST)
 }
 
-/// Ids are short words; what else may be in a header is not an id.
+/// Ids consist of up to `MAX_ID_LENGTH` letters, digits, `-`, `_` and `.`.
 fn is_id(id: &[u8]) -> bool {
     let is_allowed = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.".contains(byte);
     (1..=MAX_ID_LENGTH).contains(&id.len()) && id.iter().all(is_allowed)
 }
 
-/// A header that appears once or not at all: of two, node and server may use different ones.
+/// The value of a header that may appear at most once: of two values, node and server might use different ones.
 fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a HeaderValue>, Rejected> {
     let mut values = headers.get_all(name).iter();
     let first = values.next();
--- a/balancer-node/src/response.rs
+++ b/balancer-node/src/response.rs
@@ -1,4 +1,4 @@
-//! Reads the responses of servers: complete, or malformed.
+//! Reads server responses and rejects malformed ones.
 
 use bytes::Bytes;
 use glenfall_balancer::{CacheStatus, Load, Status};
@@ -10,9 +10,9 @@
 
 use crate::protocol::{CACHE_HEADER, LOAD_HEADER, MAX_BODY_SIZE, NOT_RUN_HEADER};
 
-/// A complete response of a server that served the request.
+/// A complete response of a server with status 200.
 pub struct ServerResponse {
-    /// The content type that the server stated.
+    /// The content type that the server stated, if any.
     pub content_type: Option<HeaderValue>,
     /// The complete body.
     pub body: Bytes,
@@ -22,29 +22,29 @@
 pub struct AttemptResult {
     /// The status for the balancer.
     pub status: Status,
-    /// Whether a cache had the object.
+    /// Whether the server had the object in its cache; `None` if the response does not state it.
     pub cache_status: Option<CacheStatus>,
-    /// The load that the server reported.
+    /// The load that the server reported, if any.
     pub load: Option<Load>,
-    /// The response; only with a success.
+    /// The response; only with `Status::Success`.
     pub response: Option<ServerResponse>,
 }
 
 impl AttemptResult {
-    /// An end without a complete response, or with one that is no success.
+    /// The result of an attempt without a successful response.
     pub fn without_response(status: Status) -> Self {
         AttemptResult { status, cache_status: None, load: None, response: None }
     }
 }
 
-/// Reads a response. The status is `Malformed` where it is none that the protocol knows, or where the end of
-/// the response cannot be recognised by what follows on the connection.
+/// Reads a response. The status is `Malformed` if the protocol does not know the status code, or if the
+/// response does not state where its body ends.
 pub async fn read(response: Response<Incoming>) -> AttemptResult {
     let (head, body) = response.into_parts();
     let Some(status) = status_of(head.status, &head.headers) else {
         return AttemptResult::without_response(Status::Malformed);
     };
-    // A length beyond any response is not waited for.
+    // A body whose stated length is too large is not read.
     let is_too_large = body.size_hint().lower() > MAX_BODY_SIZE as u64;
     if BodyFraming::of(&head.headers) != BodyFraming::Delimited || is_too_large {
         return AttemptResult::without_response(Status::Malformed);
@@ -66,8 +66,8 @@
     }
 }
 
-/// How an exchange ended whose request was written completely: the connection is gone, or what arrived on it
-/// is no response. The first tells of the server's process, the second does not.
+/// The status of a failed exchange whose request was written completely: either the connection was lost, or the
+/// received bytes are not a response. Only a lost connection is evidence about the server's process.
 pub fn status_of_error(error: Option<&hyper::Error>) -> Status {
     if error.is_some_and(glenfall_http_client::is_invalid_response) {
         Status::Malformed
--- a/balancer-node/src/server.rs
+++ b/balancer-node/src/server.rs
@@ -1,4 +1,4 @@
-//! The client side: accepts connections, reads requests, writes the final answers.
+//! The client side: accepts connections, reads requests and writes their final answers.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -24,22 +24,22 @@
 use crate::protocol::MAX_HEAD_SIZE;
 use crate::request::{Rejected, RequestReader};
 
-/// A connection between requests is closed after this time. It is long, as a close may cross a request; where
-/// capacity is needed, or too many are idle, they are closed sooner.
+/// Time limit for idle client connections. Long, as a close may cross with a new request; idle connections are
+/// closed sooner when capacity is needed or too many are idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// After the signal to stop, new connections continue to arrive for up to 0.4 s.
+/// How long the node accepts connections after the signal to stop. New ones continue to arrive for up to 0.4 s.
 const ACCEPT_TIME_AFTER_STOP: Duration = Duration::from_millis(600);
-/// Pause when no descriptor is left for a connection.
+/// Pause after a failed accept, for example if no descriptor is left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// What all connections share.
+/// State shared by all connections.
 struct Service {
     host: Rc<Host>,
     reader: RequestReader,
     stopping: watch::Receiver<bool>,
 }
 
-/// Serves clients until it is signalled to stop and all requests that were accepted are answered.
+/// Serves clients until the signal to stop, then finishes the accepted requests.
 pub async fn serve(listener: TcpListener, host: Rc<Host>, config: &Config, stopping: watch::Receiver<bool>) {
     let max_deadline = config.settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
     let service =
@@ -48,18 +48,18 @@
     tokio::select! {
         () = accept(&listener, &service, &clients) => {}
         () = async {
-            signalled(stopping).await;
+            stop_signalled(stopping).await;
             sleep(ACCEPT_TIME_AFTER_STOP).await;
         } => {}
     }
     drop(listener);
-    // Open connections are answering, or have sent nothing: the latter are not waited for longer than the
-    // longest request could take.
+    // Open connections have a request in progress or have sent nothing. No request takes longer than the
+    // longest deadline, so the wait ends then.
     let _ = timeout(Duration::from_secs_f64(max_deadline), clients.all_closed()).await;
 }
 
-async fn signalled(mut stopping: watch::Receiver<bool>) {
-    // An error means that nobody is left to signal, which ends the node as well.
+async fn stop_signalled(mut stopping: watch::Receiver<bool>) {
+    // An error means that the sender is gone, which ends the node as well.
     let _ = stopping.wait_for(|stop| *stop).await;
 }
 
@@ -76,7 +76,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, service: Rc<Service>, client: ClientConnection) {
-    // Without it a small answer may wait for the client's acknowledgement of the one before.
+    // Without this option a small response may wait for the client's acknowledgement of the previous one.
     let _ = stream.set_nodelay(true);
     let respond = service_fn(|request| {
         let body_timeout = client.body_timeout();
@@ -94,12 +94,11 @@
         .max_buf_size(MAX_HEAD_SIZE)
         .serve_connection(TokioIo::new(stream), respond));
     tokio::select! {
-        // An error is the client's, which has disconnected, or could not be understood and has been answered
-        // so.
+        // An error means that the client disconnected, or sent an invalid request and got an error response.
         _ = serving.as_mut() => return,
         () = client.close_requested() => {
-            // Between requests it is dropped: hyper would keep one that has sent half a head or nothing, and
-            // with it the capacity that another client waits for.
+            // An idle connection is dropped: on a graceful shutdown, hyper would keep one that has sent nothing
+            // or half a head, and with it the capacity that another client waits for.
             if client.is_idle() {
                 return;
             }
@@ -109,14 +108,14 @@
                 std::future::pending::<()>().await;
             }
         } => return,
-        // hyper would close a new connection at once, and with it a request that is in transit: what the
-        // node still accepts after the signal gets its first answer.
+        // On a graceful shutdown, hyper would close a new connection at once, and lose a request that is in
+        // transit. So each connection accepted after the signal first gets the response to its first request.
         () = async {
-            signalled(service.stopping.clone()).await;
+            stop_signalled(service.stopping.clone()).await;
             client.first_request().await;
         } => {}
     }
-    // Closes at once between requests, else with the answer.
+    // Closes an idle connection at once, and a busy one after its response.
     serving.as_mut().graceful_shutdown();
     let _ = serving.await;
 }
@@ -125,7 +124,7 @@
     async fn respond(&self, request: Request<Incoming>, body_timeout: Duration) -> Response<Full<Bytes>> {
         if request.uri().path() == "/health/ready" {
             let is_ready = self.host.is_ready() && !*self.stopping.borrow();
-            return plain(if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
+            return empty_response(if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
         }
         let accepted = match self.reader.read(request, body_timeout).await {
             Ok(request) => self.host.accept(request).ok_or(Rejected(StatusCode::CONFLICT)),
@@ -134,8 +133,8 @@
         match accepted {
             Ok(pending) => response_to(pending.wait().await),
             Err(Rejected(status)) => {
-                // What follows on the connection may be the remainder of what was not understood.
-                let mut response = plain(status);
+                // The connection is closed, as the following bytes may belong to the rejected request.
+                let mut response = empty_response(status);
                 response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
                 response
             }
@@ -143,8 +142,8 @@
     }
 }
 
-/// A response without a body.
-fn plain(status: StatusCode) -> Response<Full<Bytes>> {
+/// A response with an empty body.
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
@@ -160,14 +159,15 @@
             response
         }
         Answer::Refused(retry_after) => {
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
-            let advice = retry_after.and_then(|seconds| HeaderValue::from_str(&format!("{seconds:.3}")).ok());
-            if let Some(advice) = advice {
-                response.headers_mut().insert(header::RETRY_AFTER, advice);
+            let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
+            let retry_after_value =
+                retry_after.and_then(|seconds| HeaderValue::from_str(&format!("{seconds:.3}")).ok());
+            if let Some(retry_after_value) = retry_after_value {
+                response.headers_mut().insert(header::RETRY_AFTER, retry_after_value);
             }
             response
         }
-        Answer::Failed => plain(StatusCode::BAD_GATEWAY),
-        Answer::Overdue => plain(StatusCode::GATEWAY_TIMEOUT),
+        Answer::Failed => empty_response(StatusCode::BAD_GATEWAY),
+        Answer::DeadlineExceeded => empty_response(StatusCode::GATEWAY_TIMEOUT),
     }
 }
--- a/balancer-node/src/server_list.rs
+++ b/balancer-node/src/server_list.rs
@@ -1,33 +1,33 @@
-//! Lists of servers in the form in which discovery gives them.
+//! Lists of servers in the JSON format of discovery.
 
 use std::net::SocketAddr;
 
 use glenfall_balancer::{RosterEntry, ServerId, ServerState};
 use serde_json::Value;
 
-/// A list of servers, or the changes of one.
+/// A complete list of servers, or the changed entries of one.
 #[derive(Debug)]
 pub struct ServerList {
-    /// Rises with each change of the list.
+    /// The version of the list, which rises with each change.
     pub version: u64,
     /// Whether this is the complete list, or the changed entries only.
     pub is_complete: bool,
-    /// The entries.
+    /// All servers of the list, or the changed ones.
     pub servers: Vec<ListedServer>,
 }
 
 /// One server of a list.
 #[derive(Clone, Debug)]
 pub struct ListedServer {
-    /// The entry as the balancer takes it.
+    /// The entry for the balancer.
     pub entry: RosterEntry,
-    /// Where this node connects to the server.
+    /// The address at which this node connects to the server.
     pub addr: SocketAddr,
 }
 
 impl ServerList {
-    /// Reads a list. `None` if any part cannot be read: half of a list that passes for a complete one would
-    /// remove servers that run.
+    /// Reads a list. `None` if any part cannot be read: a truncated list taken for a complete one would remove
+    /// servers that are running.
     pub fn read(json: &Value) -> Option<ServerList> {
         Some(ServerList {
             version: json["version"].as_u64()?,
@@ -40,7 +40,7 @@
 impl ListedServer {
     fn read(json: &Value) -> Option<ListedServer> {
         let text = |name: &str| json[name].as_str();
-        // Unix time, as on the balancer's clock; 0 is long ago.
+        // Unix time, as on the balancer's clock; 0 means that the server started long ago.
         let started = json["started_ms"].as_f64().filter(|&ms| ms > 0.0).map(|ms| ms / 1000.0);
         let entry = RosterEntry {
             server: ServerId(text("id")?.into()),
--- a/balancer-node/src/upstream/connection_slots.rs
+++ b/balancer-node/src/upstream/connection_slots.rs
@@ -1,4 +1,4 @@
-//! Counts this node's connections to one server, and the requests that wait for one of them.
+//! Counts this node's connections to one server, and queues the requests that wait for one of them.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,17 +6,17 @@
 
 use tokio::sync::Notify;
 
-/// What all connections of this node to one server share.
+/// State shared by all of this node's connections to one server.
 #[derive(Default)]
 pub struct ConnectionSlots {
-    /// How many are open or being opened.
+    /// Number of connections that are open or being opened.
     open: Cell<usize>,
-    /// A connection has become idle or closed. Writes that wait come first: they are few, and reads that have
-    /// missed come in crowds.
+    /// Notified when a connection has become idle or closed. Waiting writes come before waiting reads: writes
+    /// are few, while reads after cache misses come in large numbers.
     freed_for_writes: Notify,
     freed_for_reads: Notify,
     writes_waiting: Cell<usize>,
-    /// Until when the server is assumed to accept no more connections.
+    /// Until when the server is assumed to accept no more connections; `None` if it never rejected one.
     full_until: Cell<Option<Instant>>,
 }
 
@@ -27,29 +27,30 @@
         ConnectionSlot(Rc::clone(self))
     }
 
-    /// The server is known to accept no more connections until then.
+    /// Records that the server accepts no more connections until this time.
     pub fn set_full_until(&self, until: Instant) {
         self.full_until.set(Some(until));
     }
 
-    /// Whether the server accepts no more connections, and this node has one there that may become free.
+    /// Whether a request must wait for a connection: the server accepts no more, and this node has at least one
+    /// that may become free.
     pub fn must_wait(&self) -> bool {
         self.open.get() > 0 && self.full_until.get().is_some_and(|until| Instant::now() < until)
     }
 
-    /// Whether a write must get the next free connection.
+    /// Whether the next free connection is reserved for a waiting write.
     pub fn are_reserved_for_writes(&self) -> bool {
         self.must_wait() && self.writes_waiting.get() > 0
     }
 
-    /// Wakes one request that waits for a connection.
+    /// Wakes one request that waits for a connection, a write if there is one.
     pub fn notify_freed(&self) {
         let is_for_write = self.writes_waiting.get() > 0;
         let freed = if is_for_write { &self.freed_for_writes } else { &self.freed_for_reads };
         freed.notify_one();
     }
 
-    /// Waits until a connection may be free. The caller looks again.
+    /// Waits until a connection may be free. The caller must check whether there is one.
     pub async fn wait(self: Rc<Self>, is_write: bool) {
         if is_write {
             let waiting = WaitingWrite::begin(self);
@@ -60,7 +61,7 @@
     }
 }
 
-/// A write that waits for a connection.
+/// Counts a waiting write for as long as it exists.
 struct WaitingWrite(Rc<ConnectionSlots>);
 
 impl WaitingWrite {
@@ -73,17 +74,17 @@
 impl Drop for WaitingWrite {
     fn drop(&mut self) {
         self.0.writes_waiting.set(self.0.writes_waiting.get() - 1);
-        // If it was given up, it may have been notified of a connection that another can use; a request that
-        // wakes for nothing looks again.
+        // A write that was cancelled may have received the notification of a connection that another request
+        // can use. A request that is woken in vain checks again and waits on.
         self.0.notify_freed();
     }
 }
 
-/// One of the connections to a server, from before it is opened.
+/// One connection to a server, counted from before it is opened until this is dropped.
 pub struct ConnectionSlot(Rc<ConnectionSlots>);
 
 impl ConnectionSlot {
-    /// The slots of the server that it belongs to.
+    /// The shared state of the connections to the same server.
     pub fn slots(&self) -> Rc<ConnectionSlots> {
         Rc::clone(&self.0)
     }
--- a/balancer-node/src/upstream/mod.rs
+++ b/balancer-node/src/upstream/mod.rs
@@ -1,5 +1,6 @@
-//! Connections to cache servers and the origin: one request at a time on each, retained while idle, the most
-//! recently used is reused first. Nothing is opened or sent unless an attempt needs it.
+//! Connections to cache servers and the origin. Each carries one request at a time and is kept while idle; the
+//! most recently used one is reused first. Nothing is opened or sent unless an attempt or a health check needs
+//! it.
 
 mod connection_slots;
 
@@ -22,35 +23,36 @@
 pub use connection_slots::ConnectionSlot;
 use connection_slots::ConnectionSlots;
 
-/// Connections are closed after this part of the time at which servers close them: a request that crosses
-/// the server's close ends as a reset.
+/// Idle connections are closed after this share of the time at which servers close them: a request that crosses
+/// with the server's close ends in a reset.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
-/// The idle time-out where servers state none.
+/// The idle time-out if the settings state none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Up to so many nodes each may keep all connections that it once needed at a server. With more nodes, the
-/// time for which a node keeps those beyond the first shrinks in proportion: a server accepts a limited
-/// number, and what one node keeps unused another is rejected for. 100 nodes at an origin of 160 connections
-/// had 3 to 10 each idle for 12 s, and a third of all fetches got no connection.
+/// Up to this number of nodes, each node may keep all connections that it once needed at a server. With more
+/// nodes, the time for which a node keeps connections beyond the first shrinks in proportion: a server accepts
+/// a limited number, and an unused connection of one node causes rejections for another. When 100 nodes shared
+/// an origin with 160 connections, each had 3 to 10 idle for 12 s, and a third of all fetches got no
+/// connection.
 const MAX_NODES_KEEPING_SURPLUS: f64 = 10.0;
-/// A server that has rejected a new connection is assumed to accept no more for so long: until then this node
-/// waits for those it has there.
+/// How long a server that has rejected a new connection is assumed to accept no more. Until then, requests wait
+/// for one of the node's open connections to it.
 const CONNECTION_REJECTION_TIME: Duration = Duration::from_secs(2);
 /// How often idle connections are checked for their time-outs.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// From its first byte a response arrives completely within this time, or it is malformed.
+/// Time limit for a complete response, from its first byte; a slower one counts as malformed.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
-/// For a health check, and for a connect where the settings state no time.
+/// Time limit for a health check, and for a connect if the settings state none.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// An open connection to a server of the list.
+/// A connection to a server, in use or idle.
 struct PooledConnection {
     connection: Connection,
     idle_since: Instant,
-    /// Counts it at its server; dropped with it.
+    /// Counts the connection at its server until it is dropped.
     slot: ConnectionSlot,
 }
 
-/// A server as last listed, and this node's idle connections to it, the last used at the end.
+/// A server as last listed, with this node's idle connections to it, the most recently used one last.
 struct Upstream {
     addr: SocketAddr,
     is_ready: bool,
@@ -58,12 +60,12 @@
     slots: Rc<ConnectionSlots>,
 }
 
-/// How long unused connections are retained.
+/// How long unused connections are kept.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IdleTimeouts {
-    /// The connection of a server that was used last.
+    /// For the connection to a server that was used last.
     pub last_used: Duration,
-    /// Each other connection of a server.
+    /// For each other connection to a server.
     pub surplus: Duration,
 }
 
@@ -77,25 +79,27 @@
 }
 
 impl Upstreams {
-    /// Opens no connection yet. `nodes` is how many share the servers, `max_open` bounds this node's
-    /// connections.
+    /// Opens no connection yet. `nodes` is the number of nodes that share the servers, and `max_open` limits
+    /// this node's connections.
     pub fn start(limits: &Limits, nodes: u32, max_open: usize) -> Rc<Self> {
-        let stated = |seconds: f64| Duration::try_from_secs_f64(seconds).ok().filter(|time| !time.is_zero());
-        let last_used = stated(limits.idle_timeout * IDLE_TIMEOUT_SHARE).unwrap_or(DEFAULT_IDLE_TIMEOUT);
+        let positive_duration =
+            |seconds: f64| Duration::try_from_secs_f64(seconds).ok().filter(|time| !time.is_zero());
+        let last_used =
+            positive_duration(limits.idle_timeout * IDLE_TIMEOUT_SHARE).unwrap_or(DEFAULT_IDLE_TIMEOUT);
         let surplus = last_used.mul_f64((MAX_NODES_KEEPING_SURPLUS / f64::from(nodes.max(1))).min(1.0));
         let upstreams = Rc::new(Upstreams {
             servers: RefCell::default(),
             open: Rc::default(),
             max_open,
-            connect_timeout: stated(limits.connect_timeout).unwrap_or(HEALTH_CHECK_TIMEOUT),
+            connect_timeout: positive_duration(limits.connect_timeout).unwrap_or(HEALTH_CHECK_TIMEOUT),
             idle_timeouts: IdleTimeouts { last_used, surplus },
         });
         spawn_local(sweep(Rc::downgrade(&upstreams)));
         upstreams
     }
 
-    /// Takes the servers' addresses and states from a list. Idle connections are closed where nothing new may
-    /// be sent.
+    /// Applies the addresses and states of the servers in a list. Closes the idle connections to servers that
+    /// no longer accept requests, and to old addresses.
     pub fn update(&self, list: &ServerList) {
         let mut servers = self.servers.borrow_mut();
         if list.is_complete {
@@ -119,7 +123,7 @@
         }
     }
 
-    /// Whether some server takes requests.
+    /// Whether at least one server accepts requests.
     pub fn any_ready(&self) -> bool {
         self.servers.borrow().values().any(|server| server.is_ready)
     }
@@ -136,7 +140,7 @@
         self.servers.borrow().get(server).map_or(0, |server| server.idle.len())
     }
 
-    /// How long unused connections are retained.
+    /// The idle time-outs in use.
     pub fn idle_timeouts(&self) -> IdleTimeouts {
         self.idle_timeouts
     }
@@ -146,25 +150,26 @@
         self.servers.borrow().get(server).map(|server| server.slots.claim())
     }
 
-    /// A server is known to accept no more connections until then.
+    /// Records that a server accepts no more connections until this time.
     pub fn set_full_until(&self, server: &ServerId, until: Instant) {
         if let Some(server) = self.servers.borrow().get(server) {
             server.slots.set_full_until(until);
         }
     }
 
-    /// Whether a request waits for one of this node's connections to a server, because it accepts no more.
+    /// Whether a request must wait for one of this node's connections to a server, because the server accepts
+    /// no more.
     pub fn must_wait(&self, server: &ServerId) -> bool {
         self.servers.borrow().get(server).is_some_and(|server| server.slots.must_wait())
     }
 
-    /// The address of a server that may be sent to.
+    /// The address of a server that accepts requests.
     fn addr(&self, server: &ServerId) -> Option<SocketAddr> {
         self.servers.borrow().get(server).filter(|server| server.is_ready).map(|server| server.addr)
     }
 
-    /// Makes one attempt; `sent` records how much of the request has been written. The caller bounds its
-    /// time, and ends it by dropping the future.
+    /// Makes one attempt. `sent` records how much of the request has been written. The caller limits the time,
+    /// and ends the attempt by dropping the future.
     pub async fn exchange(
         &self,
         server: &ServerId,
@@ -183,8 +188,8 @@
                 },
             };
             let connection = &mut pooled.connection;
-            // The server may have begun to drain during the connect: then nothing new is sent to it, and the
-            // balancer gets the status that the server itself would have answered.
+            // The server may have begun to drain during the connect. Then nothing is sent to it, and the
+            // balancer gets the status with which the server itself would have rejected the request.
             if self.addr(server) != Some(connection.addr) {
                 return AttemptResult::without_response(Status::Overloaded);
             }
@@ -193,8 +198,8 @@
             let exchange = async {
                 match connection.send(request, None, sent).await {
                     Ok(response) => Some(response::read(response).await),
-                    // It had been closed, or something arrived on it unsolicited: the server has not failed,
-                    // and has seen no request.
+                    // The connection had been closed, or had received unsolicited bytes: the server has not
+                    // failed, and has not received the request.
                     Err(ExchangeError::NotSent) if is_reused => None,
                     Err(ExchangeError::NotSent) => Some(AttemptResult::without_response(Status::Unreachable)),
                     Err(ExchangeError::WrongRequest) => {
@@ -205,26 +210,27 @@
                     }
                 }
             };
-            let ended = tokio::select! {
+            let result = tokio::select! {
                 biased;
-                ended = exchange => ended,
+                result = exchange => result,
                 () = progress.stalled(RESPONSE_TIMEOUT) => Some(AttemptResult::without_response(Status::Malformed)),
             };
-            let Some(ended) = ended else { continue };
-            if !matches!(ended.status, Status::Malformed | Status::Broken | Status::Unreachable) {
-                // Before the outcome is reported, as the balancer may answer it with the next attempt.
+            let Some(result) = result else { continue };
+            if !matches!(result.status, Status::Malformed | Status::Broken | Status::Unreachable) {
+                // Done before the outcome is reported, as the balancer may start the next attempt in response.
                 let slots = pooled.slot.slots();
-                let is_reusable = self.keep(server, pooled).await;
-                // A server whose queue is full does not close the connection.
-                if ended.status == Status::Overloaded && !is_reused && !is_reusable {
+                let is_reusable = self.return_to_pool(server, pooled).await;
+                // A server that rejects a request because its queue is full keeps the connection open, so this
+                // one has rejected the connection.
+                if result.status == Status::Overloaded && !is_reused && !is_reusable {
                     slots.set_full_until(Instant::now() + CONNECTION_REJECTION_TIME);
                 }
             }
-            return ended;
+            return result;
         }
     }
 
-    /// Health-checks a server on a connection of its own.
+    /// Checks a server's health on a new connection.
     pub async fn check_health(&self, server: &ServerId) -> Status {
         let check = async {
             let mut connection = self.connect(server).await?.connection;
@@ -242,10 +248,10 @@
         status.map_or(Status::TimedOut, |status| status.unwrap_or_else(|failed| failed))
     }
 
-    /// Closes connections that would be unused for too long by the next sweep.
+    /// Closes idle connections that would exceed their time-out before the next sweep.
     pub fn close_unused(&self, now: Instant) {
         for server in self.servers.borrow_mut().values_mut() {
-            // The last used one is at the end, and retained longest.
+            // The most recently used connection is last, and is kept longest.
             let surplus = server.idle.len().saturating_sub(1);
             let mut index = 0;
             server.idle.retain(|pooled| {
@@ -274,8 +280,8 @@
         None
     }
 
-    /// Where a server accepts no more connections, waits until one of this node's connections there may be
-    /// free. Returns whether it has waited; then the caller looks again.
+    /// If a server accepts no more connections, waits until one of this node's connections to it may be free.
+    /// Returns whether it waited; the caller must then check again.
     async fn wait_for_slot(&self, server: &ServerId, is_write: bool) -> bool {
         let slots = self.servers.borrow().get(server).map(|server| Rc::clone(&server.slots));
         let Some(slots) = slots.filter(|slots| slots.must_wait()) else { return false };
@@ -289,7 +295,7 @@
             let server = servers.get(server).filter(|server| server.is_ready).ok_or(Status::Overloaded)?;
             (server.addr, server.slots.claim())
         };
-        // That no socket is left is this node's fault, not the server's: nothing was sent.
+        // Having no socket left is this node's fault, not the server's: nothing was sent.
         let open = self.claim_socket().ok_or(Status::NotSent)?;
         let connecting = Connection::open(addr, open, MAX_HEAD_SIZE);
         let connection = tokio::time::timeout(self.connect_timeout, connecting).await;
@@ -297,7 +303,8 @@
         Ok(PooledConnection { connection, idle_since: Instant::now(), slot })
     }
 
-    /// Counts one more socket; at the limit the connection that has been idle longest is closed.
+    /// Counts one more socket. At the limit, the connection that has been idle longest is closed for it; `None`
+    /// if no connection is idle.
     fn claim_socket(&self) -> Option<OpenSocket> {
         if self.open.get() >= self.max_open {
             let mut servers = self.servers.borrow_mut();
@@ -307,9 +314,9 @@
         Some(OpenSocket::claim(&self.open))
     }
 
-    /// Retains a connection whose response has been read completely, if it can be used again. Returns whether
-    /// it is retained.
-    async fn keep(&self, server: &ServerId, mut pooled: PooledConnection) -> bool {
+    /// Returns a connection whose response has been read completely to the idle ones, if it can be reused.
+    /// Returns whether it was kept.
+    async fn return_to_pool(&self, server: &ServerId, mut pooled: PooledConnection) -> bool {
         if !pooled.connection.is_reusable().await {
             return false;
         }
@@ -324,7 +331,7 @@
     }
 }
 
-/// Closes connections before their servers do, for as long as the pool exists.
+/// Closes idle connections before their servers do, for as long as the pool exists.
 async fn sweep(upstreams: Weak<Upstreams>) {
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
