--- a/balancer-node/tests/common/mod.rs
+++ b/balancer-node/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The node's program as a child, and plain sockets on loopback around it: servers and discovery that do as a
-//! test says, and clients. Tests wait on events, within `TEST_TIMEOUT`.
+//! Runs the node's program as a child process, with plain loopback sockets around it: servers and discovery
+//! that reply as a test specifies, and clients. Tests wait for events, for at most `TEST_TIMEOUT`.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Write};
@@ -15,36 +15,36 @@
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
 
-/// Longest wait for anything; a machine under load must not fail a test.
+/// Time limit of every wait; long, so that a machine under load does not fail a test.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 // ---- Messages -------------------------------------------------------------------------------------------
 
-/// A request or an answer as it came.
+/// A request or response as received.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Request or status line.
-    pub first: String,
+    /// The request line or status line.
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: String,
 }
 
 impl Message {
-    /// `None` where the connection ends first.
+    /// Reads a message; `None` if the connection ends first.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut line = || {
             let mut line = String::new();
             from.read_line(&mut line).ok().filter(|&n| n > 0)?;
             Some(line.trim_end().to_owned())
         };
-        let first = line()?;
+        let start_line = line()?;
         let mut headers = Vec::new();
         loop {
             let line = line()?;
             let Some((name, value)) = line.split_once(':') else { break };
             headers.push((name.to_lowercase(), value.trim().to_owned()));
         }
-        let mut message = Message { first, headers, body: String::new() };
+        let mut message = Message { start_line, headers, body: String::new() };
         let length = message.header("content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
         let mut body = vec![0; length];
         from.read_exact(&mut body).ok()?;
@@ -57,45 +57,45 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
     }
 
     pub fn path(&self) -> &str {
-        self.first.split(' ').nth(1).expect("a request line")
+        self.start_line.split(' ').nth(1).expect("a request line")
     }
 }
 
-pub fn answer(status: &str, headers: &str, body: &str) -> String {
+pub fn response(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
 pub fn hit(body: &str) -> Reply {
-    Reply::Keep(answer("200 OK", "X-Cache: hit\r\n", body))
+    Reply::KeepOpen(response("200 OK", "X-Cache: hit\r\n", body))
 }
 
 pub fn miss() -> Reply {
-    Reply::Keep(answer("404 Not Found", "X-Cache: miss\r\n", ""))
+    Reply::KeepOpen(response("404 Not Found", "X-Cache: miss\r\n", ""))
 }
 
 // ---- Servers --------------------------------------------------------------------------------------------
 
-/// What a server does with a request.
+/// How a server replies to a request.
 pub enum Reply {
-    /// Writes this and keeps the connection open.
-    Keep(String),
-    /// Writes this much and closes.
+    /// Writes this text and keeps the connection open.
+    KeepOpen(String),
+    /// Writes this text and closes the connection.
     Close(String),
-    /// Writes the first part, and the second one after the delay.
+    /// Writes the first text, and the second one after the delay.
     Delayed(String, Duration, String),
     /// Writes nothing for as long as the connection is open.
     NoResponse,
 }
 
-/// A server whose answers a test gives; requests and ended connections come out of the channels.
+/// A server that replies as a test specifies, and reports its requests and ended connections.
 pub struct Server {
     pub addr: SocketAddr,
     pub requests: Receiver<Message>,
-    /// The paths of the requests that a connection carried, once it has ended.
+    /// For each ended connection, the paths of the requests on it.
     pub ended: Receiver<Vec<String>>,
 }
 
@@ -109,7 +109,7 @@
             for stream in listener.incoming().flatten() {
                 let (reply, seen, end) = (Arc::clone(&reply), seen.clone(), end.clone());
                 thread::spawn(move || {
-                    let paths = attend(stream, &*reply, &seen);
+                    let paths = serve_connection(stream, &*reply, &seen);
                     let _ = end.send(paths);
                 });
             }
@@ -122,8 +122,12 @@
     }
 }
 
-/// Serves a connection until it ends; the paths of its requests.
-fn attend(mut stream: TcpStream, reply: &dyn Fn(&Message) -> Reply, seen: &Sender<Message>) -> Vec<String> {
+/// Serves a connection until it ends, and returns the paths of its requests.
+fn serve_connection(
+    mut stream: TcpStream,
+    reply: &dyn Fn(&Message) -> Reply,
+    seen: &Sender<Message>,
+) -> Vec<String> {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let mut paths = Vec::new();
     while let Some(request) = Message::read(&mut reader) {
@@ -131,7 +135,7 @@
         paths.push(request.path().to_owned());
         let reply = reply(&request);
         let text = match &reply {
-            Reply::Keep(text) | Reply::Close(text) => text.as_str(),
+            Reply::KeepOpen(text) | Reply::Close(text) => text.as_str(),
             Reply::Delayed(ahead, pause, text) => {
                 let _ = stream.write_all(ahead.as_bytes());
                 thread::sleep(*pause);
@@ -143,15 +147,15 @@
             break;
         }
     }
-    // A child that another test is starting holds a copy of every descriptor until it has run its program: dropping
-    // this one alone would close the connection only then.
+    // Another test may be starting a child process, which holds a copy of every descriptor until it runs its
+    // program. Dropping the stream alone would then close the connection only later.
     let _ = stream.shutdown(Shutdown::Both);
     paths
 }
 
-/// An address at which connections are refused. Its port stays bound, and nobody listens there: a port that is given
-/// back may be another test's server a moment later.
-pub fn refusing() -> SocketAddr {
+/// An address at which connections are refused. The port stays bound without a listener, as a released port
+/// might be taken by another test's server.
+pub fn refusing_addr() -> SocketAddr {
     static REFUSING_SOCKETS: Mutex<Vec<Socket>> = Mutex::new(Vec::new());
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -163,7 +167,7 @@
 
 // ---- Discovery ------------------------------------------------------------------------------------------
 
-/// An entry of the list.
+/// An entry of a server list.
 pub fn entry(id: &str, addr: SocketAddr, state: &str) -> Value {
     let kind = if id == "origin" { "origin" } else { "box" };
     json!({"id": id, "addr": addr.to_string(), "zone": "here", "kind": kind, "cell": 0, "state": state,
@@ -174,7 +178,8 @@
     json!({"version": version, "full": full, "servers": servers})
 }
 
-/// Discovery: a watch waits until something newer is published, which goes out as it is.
+/// A discovery server: a call of a watch waits until something newer is published, and gets that text
+/// unchanged.
 pub struct Discovery {
     pub server: Server,
     newest: Arc<(Mutex<(u64, String)>, Condvar)>,
@@ -191,24 +196,24 @@
             };
             let (lock, published) = &*newest_list;
             let (from, hold) = (query("from="), query("hold_ms=").unwrap_or(0));
-            let older = |newest: &mut (u64, String)| from.is_some_and(|from| newest.0 <= from);
+            let is_unchanged = |newest: &mut (u64, String)| from.is_some_and(|from| newest.0 <= from);
             let newest = lock.lock().unwrap();
             let hold = Duration::from_millis(hold);
-            let (newest, wait) = published.wait_timeout_while(newest, hold, older).unwrap();
+            let (newest, wait) = published.wait_timeout_while(newest, hold, is_unchanged).unwrap();
             let unchanged = list(from.unwrap_or(0), false, &[]).to_string();
             let body = if wait.timed_out() { unchanged } else { newest.1.clone() };
-            Reply::Keep(answer("200 OK", "", &body))
+            Reply::KeepOpen(response("200 OK", "", &body))
         });
         Discovery { server, newest }
     }
 
-    /// `body` is what watches from before `version` are answered.
+    /// Publishes a list: calls for changes after an earlier version get `body`.
     pub fn publish(&self, version: u64, body: &str) {
         *self.newest.0.lock().unwrap() = (version, body.to_owned());
         self.newest.1.notify_all();
     }
 
-    /// Waits for a call that shows that this version has been read.
+    /// Waits for a call for changes after this version, which shows that the node has read it.
     pub fn wait_for_call(&self, version: u64) {
         while !self.server.next().path().contains(&format!("from={version}&")) {}
     }
@@ -216,9 +221,10 @@
 
 // ---- The node -------------------------------------------------------------------------------------------
 
-/// A node's settings: reads are safe, stores keyed, orders unsafe; misses go to the origin.
+/// A node's settings: the class `read` is safe, `store` keyed and `order` unsafe; cache misses go to the
+/// origin.
 pub fn settings() -> Value {
-    let grade = |name: &str, effect: &str| {
+    let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "group": "all", "key-ttl-s": 5.0, "target-s": 4.0,
                "hard-limit-s": 8.0})
     };
@@ -226,7 +232,7 @@
         "balancers": 1, "locality": "here", "membership-mode": "on_request", "round-s": 0.005,
         "weight-source": "off", "skus": ["box", "origin"],
         "family-info": {"mode": "aside", "origin-kind": 1},
-        "grades": [grade("read", "free"), grade("store", "guarded"), grade("order", "single_shot")],
+        "grades": [class("read", "free"), class("store", "guarded"), class("order", "single_shot")],
         "tenants": [{"name": "acme", "quota-per-s": 1000.0}],
         "guarantees": {"grace-to-answer-s": 0.02, "ask-every-s": 10.0, "cold-from": 0.3, "ramp-time-s": 8.0,
                        "drain-grace-s": 0.25, "fall-multiple": 3.0, "fall-s": 3.0},
@@ -235,14 +241,14 @@
     })
 }
 
-/// A configuration whose node starts from this list.
+/// A configuration of a node that starts with this list of servers.
 pub fn config(discovery: SocketAddr, known: &[Value]) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
            "known": list(1, true, known), "settings": settings()})
 }
 
-/// Writes a file of its own, which goes when it is dropped.
+/// A temporary configuration file, which is removed on drop.
 pub struct ConfigFile(pub PathBuf);
 
 impl ConfigFile {
@@ -271,19 +277,19 @@
 /// A running node.
 pub struct Node {
     pub addr: SocketAddr,
-    /// Its log, a line each.
+    /// The lines of the node's log.
     pub log: Receiver<String>,
     child: Child,
     config: ConfigFile,
 }
 
 impl Node {
-    /// Starts it and waits until it listens.
+    /// Starts a node and waits until it listens.
     pub fn start(config: &Value) -> Node {
         Node::start_with(config, &[])
     }
 
-    /// The same with more in its environment.
+    /// The same, with additional environment variables.
     pub fn start_with(config: &Value, environment: &[(&str, String)]) -> Node {
         let config = ConfigFile::new(&config.to_string());
         let environment = environment.iter().map(|(name, value)| (name, value));
@@ -303,7 +309,7 @@
         Client { reader: BufReader::new(stream), id: String::new() }
     }
 
-    /// One request on a new connection.
+    /// Sends one request on a new connection.
     pub fn get(&self, path: &str) -> Message {
         self.client().get(path, "X-Deadline-Ms: 6000\r\n")
     }
@@ -312,7 +318,7 @@
         self.signal("-TERM");
     }
 
-    /// Replaces its configuration and tells it so.
+    /// Replaces the node's configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.config.0, config).expect("the configuration is replaced");
         self.signal("-HUP");
@@ -335,32 +341,32 @@
     }
 }
 
-/// Asks again and again until there is a result.
-pub fn wait_until<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
+/// Polls until there is a result, for at most `TEST_TIMEOUT`.
+pub fn wait_until<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + TEST_TIMEOUT;
     loop {
-        if let Some(result) = ask() {
+        if let Some(result) = poll() {
             return result;
         }
-        assert!(Instant::now() < end, "{what}: not in time");
+        assert!(Instant::now() < end, "{what}: no result within {TEST_TIMEOUT:?}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct Client {
     reader: BufReader<TcpStream>,
-    /// That of the last request sent; new with each.
+    /// The id of the last request sent; each request gets a new one.
     pub id: String,
 }
 
 impl Client {
     pub fn write(&mut self, text: &str) {
-        // The node may have closed already; what it has said still shows.
+        // The node may have closed the connection already; its response can still be read.
         let _ = self.reader.get_mut().write_all(text.as_bytes());
     }
 
-    /// The next answer; `None` where the node closes instead.
+    /// The next response; `None` if the node closes the connection instead.
     pub fn read(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
@@ -378,6 +384,6 @@
 
     pub fn get(&mut self, path: &str, headers: &str) -> Message {
         self.send("GET", path, headers, "");
-        self.read().expect("an answer")
+        self.read().expect("a response")
     }
 }
--- a/balancer-node/tests/malformed_responses.rs
+++ b/balancer-node/tests/malformed_responses.rs
@@ -1,4 +1,4 @@
-//! Answers of servers that are spoilt, or bring more than belongs to them.
+//! Malformed server responses, and bytes before or after a valid one.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 /// One response for each kind of malformation; the connection stays open after each.
-fn spoilt() -> Vec<String> {
+fn malformed_responses() -> Vec<String> {
     let head = "HTTP/1.1 200 OK\r\n";
     vec![
         "\x01\x02 noise \x03".into(),
@@ -30,28 +30,28 @@
 }
 
 #[test]
-fn a_malformed_response_is_dropped_early_and_its_server_retried() {
-    for text in spoilt() {
+fn a_malformed_response_is_dropped_early_and_the_request_retried() {
+    for text in malformed_responses() {
         let requests = AtomicUsize::new(0);
-        let spoil = text.clone();
+        let malformed = text.clone();
         let cache = Server::start(move |_| match requests.fetch_add(1, Ordering::SeqCst) {
-            0 => Reply::Keep(spoil.clone()),
+            0 => Reply::KeepOpen(malformed.clone()),
             _ => hit("value"),
         });
         let discovery = Discovery::start();
         let node = Node::start(&config(discovery.server.addr, &[entry("s-1", cache.addr, "active")]));
         let started = Instant::now();
-        let answer = node.client().get("/read/a", "X-Deadline-Ms: 100000\r\n");
-        let shown = &text[..text.len().min(80)];
-        assert_eq!((answer.status(), answer.body.as_str()), (200, "value"), "{shown}");
-        assert!(started.elapsed() < TEST_TIMEOUT, "{shown}");
-        cache.ended.recv_timeout(TEST_TIMEOUT).expect("the spoilt connection is closed");
+        let response = node.client().get("/read/a", "X-Deadline-Ms: 100000\r\n");
+        let excerpt = &text[..text.len().min(80)];
+        assert_eq!((response.status(), response.body.as_str()), (200, "value"), "{excerpt}");
+        assert!(started.elapsed() < TEST_TIMEOUT, "{excerpt}");
+        cache.ended.recv_timeout(TEST_TIMEOUT).expect("the connection with the malformed response is closed");
     }
 }
 
 #[test]
 fn a_request_with_a_malformed_response_may_have_run() {
-    let cache = Server::start(|_| Reply::Keep("HTTP/1.1 200 OK\r\n\r\nno length".into()));
+    let cache = Server::start(|_| Reply::KeepOpen("HTTP/1.1 200 OK\r\n\r\nno length".into()));
     let discovery = Discovery::start();
     let node = Node::start(&config(discovery.server.addr, &[entry("s-1", cache.addr, "active")]));
     assert_eq!(node.get("/order/a").status(), 502);
@@ -62,7 +62,7 @@
 fn malformed_responses_do_not_eject_a_server() {
     let requests = AtomicUsize::new(0);
     let cache = Server::start(move |_| match requests.fetch_add(1, Ordering::SeqCst) % 2 {
-        0 => Reply::Keep("noise\r\n\r\n".into()),
+        0 => Reply::KeepOpen("noise\r\n\r\n".into()),
         _ => hit("value"),
     });
     let discovery = Discovery::start();
@@ -73,16 +73,16 @@
 }
 
 #[test]
-fn bytes_after_a_valid_response_are_not_the_next_response() {
-    let second = answer("200 OK", "X-Cache: hit\r\n", "/read/a");
-    for behind in [second.as_str(), "noise", "noise\r\n\r\n"] {
-        let behind = behind.to_owned();
+fn bytes_after_a_valid_response_are_not_read_as_the_next_response() {
+    let second_response = response("200 OK", "X-Cache: hit\r\n", "/read/a");
+    for trailing in [second_response.as_str(), "noise", "noise\r\n\r\n"] {
+        let trailing = trailing.to_owned();
         let cache = Server::start(move |request| {
-            let good = answer("200 OK", "X-Cache: hit\r\n", request.path());
-            Reply::Keep(if request.path() == "/read/a" { good + &behind } else { good })
+            let valid = response("200 OK", "X-Cache: hit\r\n", request.path());
+            Reply::KeepOpen(if request.path() == "/read/a" { valid + &trailing } else { valid })
         });
-        let mut config = config(refusing(), &[entry("s-1", cache.addr, "active")]);
-        // One attempt for a request, so that none hides another.
+        let mut config = config(refusing_addr(), &[entry("s-1", cache.addr, "active")]);
+        // One attempt per request, so that a retry cannot hide a failure.
         config["settings"]["limits"]["max-attempts"] = json!(1);
         let node = Node::start(&config);
         for path in ["/read/a", "/read/b", "/read/c"] {
@@ -94,14 +94,14 @@
 #[test]
 fn informational_responses_before_a_valid_one_are_skipped() {
     let cache = Server::start(|request| {
-        let ahead = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
+        let informational = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
         Reply::Delayed(
-            ahead.into(),
+            informational.into(),
             Duration::from_millis(600),
-            answer("200 OK", "X-Load: odd=;\r\n", request.path()),
+            response("200 OK", "X-Load: odd=;\r\n", request.path()),
         )
     });
-    let mut config = config(refusing(), &[entry("s-1", cache.addr, "active")]);
+    let mut config = config(refusing_addr(), &[entry("s-1", cache.addr, "active")]);
     config["settings"]["limits"]["max-attempts"] = json!(1);
     let node = Node::start(&config);
     for path in ["/read/a", "/read/b"] {
--- a/balancer-node/tests/origin.rs
+++ b/balancer-node/tests/origin.rs
@@ -1,4 +1,4 @@
-//! What a node does about a server that answers some badly and the others well: above all the origin.
+//! How a node treats a server, above all the origin, that fails some requests and serves others.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use common::*;
 use serde_json::{json, Value};
 
-/// A node in front of a cache that has nothing and an origin that answers as the test says, but delays reads of
+/// A node with an empty cache and an origin that replies as the test specifies, but delays reads of
 /// `/read/held-` until the gate opens.
 struct Fleet {
     node: Node,
@@ -19,26 +19,27 @@
     _cache: Server,
 }
 
-/// The latency target of reads; for a quarter of it the node queues what no server can take.
+/// Latency target of reads, in seconds. For a quarter of this time the node queues reads that no server can
+/// take.
 const LATENCY_TARGET: f64 = 1.0;
 
 impl Fleet {
-    /// The limit of the origin starts at 16 over the number of nodes. Where `hedging` is allowed, a read that
-    /// is not answered may be sent a second time in parallel to the first.
+    /// The node's concurrency limit at the origin starts at 16 divided by the number of nodes. If `hedging` is
+    /// allowed, a read without a response may be sent a second time in parallel.
     fn start(nodes: u64, hedging: bool, reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Fleet {
         let cache = Server::start(|_| miss());
         let gate = Arc::new((Mutex::new(false), Condvar::new()));
-        let shut = Arc::clone(&gate);
+        let origin_gate = Arc::clone(&gate);
         let origin = Server::start(move |request| {
             if !request.path().starts_with("/read/held-") {
                 return reply(request);
             }
-            let open = shut.0.lock().unwrap();
-            drop(shut.1.wait_timeout_while(open, TEST_TIMEOUT, |open| !*open).unwrap());
-            fetched()
+            let open = origin_gate.0.lock().unwrap();
+            drop(origin_gate.1.wait_timeout_while(open, TEST_TIMEOUT, |open| !*open).unwrap());
+            origin_response()
         });
         let servers = [entry("s-1", cache.addr, "active"), entry("origin", origin.addr, "active")];
-        let mut config = config(refusing(), &servers);
+        let mut config = config(refusing_addr(), &servers);
         config["settings"]["balancers"] = json!(nodes);
         config["settings"]["limits"]["parallel-tries"] = json!(hedging);
         let classes = config["settings"]["grades"].as_array_mut().expect("classes");
@@ -46,47 +47,50 @@
         Fleet { node: Node::start(&config), origin, gate, _cache: cache }
     }
 
-    /// How many of these reads are served when none is answered before all are at the origin or refused.
-    fn served_at_once(&self, reads: usize) -> usize {
+    /// How many of this number of concurrent reads are served, if the origin responds to none before each of
+    /// them has arrived there or was refused.
+    fn served_concurrently(&self, reads: usize) -> usize {
         while self.origin.requests.try_recv().is_ok() {}
-        let (tell, told) = channel();
+        let (status_sender, status_receiver) = channel();
         for n in 0..reads {
-            let (mut client, tell) = (self.node.client(), tell.clone());
+            let (mut client, status_sender) = (self.node.client(), status_sender.clone());
             thread::spawn(move || {
-                let _ = tell.send(client.get(&format!("/read/held-{n}"), "X-Deadline-Ms: 8000\r\n").status());
+                let _ = status_sender
+                    .send(client.get(&format!("/read/held-{n}"), "X-Deadline-Ms: 8000\r\n").status());
             });
         }
-        let (mut statuses, mut held) = (Vec::new(), 0);
+        let (mut statuses, mut at_origin) = (Vec::new(), 0);
         wait_until("each read is at the origin or refused", || {
-            statuses.extend(told.try_iter());
-            held += self.origin.requests.try_iter().count();
-            (statuses.len() + held >= reads).then_some(())
+            statuses.extend(status_receiver.try_iter());
+            at_origin += self.origin.requests.try_iter().count();
+            (statuses.len() + at_origin >= reads).then_some(())
         });
         *self.gate.0.lock().unwrap() = true;
         self.gate.1.notify_all();
         while statuses.len() < reads {
-            statuses.push(told.recv_timeout(TEST_TIMEOUT).expect("an answer"));
+            statuses.push(status_receiver.recv_timeout(TEST_TIMEOUT).expect("a response"));
         }
         statuses.iter().filter(|&&status| status == 200).count()
     }
 }
 
-/// An origin's answer: it says that no cache had the key.
-fn fetched() -> Reply {
-    Reply::Keep(answer("200 OK", "X-Cache: miss\r\n", "value"))
+/// An origin's response, marked as a cache miss.
+fn origin_response() -> Reply {
+    Reply::KeepOpen(response("200 OK", "X-Cache: miss\r\n", "value"))
 }
 
-/// The node let one read at a time through for good: no answer of the origin counted for its limit.
+/// Guards against a limit that stays at one request at a time after rejections: no response of the origin
+/// counted towards raising it.
 #[test]
-fn an_origin_that_rejected_reads_gets_more_again_once_it_answers() {
+fn the_limit_of_an_origin_that_rejected_reads_rises_again_once_it_serves() {
     let full = Arc::new(Mutex::new(true));
     let is_full = Arc::clone(&full);
     let fleet = Fleet::start(8, true, move |_| {
-        let away = answer("503 Service Unavailable", "X-Not-Run: 1\r\n", "");
+        let rejection = response("503 Service Unavailable", "X-Not-Run: 1\r\n", "");
         if *is_full.lock().unwrap() {
-            Reply::Keep(away)
+            Reply::KeepOpen(rejection)
         } else {
-            fetched()
+            origin_response()
         }
     });
     for n in 0..3 {
@@ -96,10 +100,10 @@
     for n in 0..12 {
         assert_eq!(fleet.node.get(&format!("/read/{n}")).status(), 200);
     }
-    assert_eq!(fleet.served_at_once(2), 2);
+    assert_eq!(fleet.served_concurrently(2), 2);
 }
 
-/// Each dead connection lowered the limit of an origin that answered all later requests.
+/// Guards against a limit that falls with each dead connection, although the origin answers all later requests.
 #[test]
 fn dead_connections_to_an_origin_that_answers_others_do_not_change_its_limit() {
     let fleet = Fleet::start(4, false, |request| {
@@ -107,26 +111,28 @@
         if is_unanswered {
             Reply::NoResponse
         } else {
-            fetched()
+            origin_response()
         }
     });
     for n in 0..2 {
         let mut client = fleet.node.client();
         client.send("GET", &format!("/read/silent-{n}"), "X-Deadline-Ms: 2000\r\n", "");
         while !fleet.origin.next().path().starts_with("/read/silent-") {}
-        // What is answered must have been sent clearly later: half a latency target.
+        // Only a request that is sent at least half a latency target later, and answered first, counts as
+        // having overtaken the unanswered one.
         thread::sleep(Duration::from_secs_f64(0.6 * LATENCY_TARGET));
         assert_eq!(fleet.node.get(&format!("/read/{n}")).status(), 200);
-        assert_eq!(client.read().expect("an answer").status(), 503);
+        assert_eq!(client.read().expect("a response").status(), 503);
     }
-    assert_eq!(fleet.served_at_once(4), 4);
+    assert_eq!(fleet.served_concurrently(4), 4);
 }
 
-/// Times of an origin vary: at any load some answers took over half a latency target, and each of them lowered its limit.
+/// Guards against a limit that falls with each slow response. An origin's response times vary: at any load,
+/// some exceed half a latency target.
 #[test]
 fn single_slow_answers_of_an_origin_that_is_quick_on_average_do_not_change_its_limit() {
     let fleet = Fleet::start(4, false, |request| {
-        let body = answer("200 OK", "X-Cache: miss\r\n", "value");
+        let body = response("200 OK", "X-Cache: miss\r\n", "value");
         let slow = request.path().starts_with("/read/slow-");
         Reply::Delayed(
             String::new(),
@@ -137,10 +143,10 @@
     for path in ["a", "b", "c", "slow-1", "d", "e", "f", "slow-2"] {
         assert_eq!(fleet.node.get(&format!("/read/{path}")).status(), 200);
     }
-    assert_eq!(fleet.served_at_once(4), 4);
+    assert_eq!(fleet.served_concurrently(4), 4);
 }
 
-/// A read on a connection that had died waited there until its time-out.
+/// Guards against a read that waits on a dead connection until its time-out.
 #[test]
 fn a_read_that_later_ones_have_overtaken_is_hedged() {
     let first = Mutex::new(true);
@@ -149,14 +155,14 @@
         if is_unanswered {
             Reply::NoResponse
         } else {
-            fetched()
+            origin_response()
         }
     });
     let mut client = fleet.node.client();
     client.send("GET", "/read/silent", "X-Deadline-Ms: 8000\r\n", "");
-    let seen = fleet.origin.next();
+    let first_attempt = fleet.origin.next();
     thread::sleep(Duration::from_secs_f64(0.6 * LATENCY_TARGET));
     assert_eq!(fleet.node.get("/read/other").status(), 200);
-    assert_eq!(client.read().expect("an answer").status(), 200);
-    while fleet.origin.next().header("x-request-id") != seen.header("x-request-id") {}
+    assert_eq!(client.read().expect("a response").status(), 200);
+    while fleet.origin.next().header("x-request-id") != first_attempt.header("x-request-id") {}
 }
--- a/balancer-node/tests/reload.rs
+++ b/balancer-node/tests/reload.rs
@@ -1,17 +1,17 @@
-//! New configurations while the node runs: SIGHUP, and discovery at another address.
+//! Configuration changes while the node runs: SIGHUP, and another address of discovery.
 
 mod common;
 
 use common::*;
 use serde_json::Value;
 
-/// A node that follows `discovery`, by the environment and by the file.
+/// A node that gets its servers from `discovery`, whose address is in both the environment and the file.
 fn start(discovery: &Discovery, known: &[Value]) -> (Node, Value) {
     let config = config(discovery.server.addr, known);
     (Node::start_with(&config, &[("LB_DISCOVERY", discovery.server.addr.to_string())]), config)
 }
 
-fn at(config: &Value, discovery: &Discovery) -> String {
+fn config_with_discovery(config: &Value, discovery: &Discovery) -> String {
     let mut config = config.clone();
     config["discovery"] = discovery.server.addr.to_string().into();
     config.to_string()
@@ -25,20 +25,21 @@
     first.publish(50, &list(50, true, &[entry("s-1", old.addr, "active")]).to_string());
     first.wait_for_call(50);
     assert_eq!(node.get("/read/a").body, "old");
-    // The other address counts from the start again: by the old version its list would never come.
+    // The other address numbers its lists from the start again: a watch from the old version would never get
+    // its list.
     second.publish(2, &list(2, true, &[entry("s-1", new.addr, "active")]).to_string());
-    node.reload(&at(&config, &second));
+    node.reload(&config_with_discovery(&config, &second));
     assert_eq!(second.server.next().path(), "/registry/instances");
     second.wait_for_call(2);
     assert_eq!(node.get("/read/a").body, "new");
-    // What the old address still sends is out of date.
+    // A late list from the old address is ignored.
     first.publish(51, &list(51, true, &[]).to_string());
     second.publish(3, &list(3, false, &[]).to_string());
     second.wait_for_call(3);
     assert_eq!(node.get("/read/a").body, "new");
-    // And back: reloads may follow one another.
+    // A second reload moves back to the first address.
     first.publish(52, &list(52, true, &[entry("s-1", old.addr, "active")]).to_string());
-    node.reload(&at(&config, &first));
+    node.reload(&config_with_discovery(&config, &first));
     first.wait_for_call(52);
     assert_eq!(node.get("/read/a").body, "old");
 }
@@ -53,7 +54,7 @@
     node.reload(&config.to_string());
     unresponsive.next();
     first.publish(2, &list(2, true, &[entry("s-1", cache.addr, "active")]).to_string());
-    wait_until("a list by the old address", || (node.get("/health/ready").status() == 200).then_some(()));
+    wait_until("a list from the old address", || (node.get("/health/ready").status() == 200).then_some(()));
 }
 
 #[test]
@@ -61,8 +62,8 @@
     let cache = Server::start(|_| hit("value"));
     let discovery = Discovery::start();
     let (node, _) = start(&discovery, &[entry("s-1", cache.addr, "active")]);
-    for broken in ["", "{\"discovery\":", "{}", "{\"discovery\":\"nowhere\"}"] {
-        node.reload(broken);
+    for invalid in ["", "{\"discovery\":", "{}", "{\"discovery\":\"nowhere\"}"] {
+        node.reload(invalid);
         let line = node.log.recv_timeout(TEST_TIMEOUT).expect("a line in the log");
         assert!(line.starts_with("configuration: "), "{line}");
     }
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn sighup_after_sigterm_does_no_harm() {
+fn sighup_after_sigterm_does_not_end_the_node_early() {
     let cache = Server::start(|_| hit("value"));
     let discovery = Discovery::start();
     let (mut node, config) = start(&discovery, &[entry("s-1", cache.addr, "active")]);
--- a/balancer-node/tests/upstream.rs
+++ b/balancer-node/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! Exchanges with servers: which connection a request takes, when it waits for one, and how an answer is read.
+//! Exchanges with servers: which connection a request uses, when it waits for one, and how a response is read.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
 
 /// One server, `s-1`, at a listener.
 fn upstreams(listener: &TcpListener, nodes: u32, max_open: usize) -> Rc<Upstreams> {
-    // At 100 nodes the surplus is closed after a tenth of the time.
+    // With 100 nodes, surplus connections are closed after a tenth of the time.
     let upstreams = Upstreams::start(&Limits { idle_timeout: 15.0, ..limits() }, nodes, max_open);
     upstreams.update(&list(&[listener.local_addr().unwrap()], ServerState::Ready));
     upstreams
@@ -61,7 +61,7 @@
     })
 }
 
-/// Serves one request on the next connection, and hands that back.
+/// Serves one request on the next connection, and returns the connection.
 async fn serve_one(listener: &TcpListener, status: &str) -> TcpStream {
     let (mut stream, _) = listener.accept().await.unwrap();
     serve_again(&mut stream, status).await;
@@ -70,8 +70,8 @@
 
 async fn serve_again(stream: &mut TcpStream, status: &str) {
     assert!(stream.read(&mut [0; 1024]).await.unwrap() > 0, "a request");
-    let answer = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
-    stream.write_all(answer.as_bytes()).await.unwrap();
+    let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
+    stream.write_all(response.as_bytes()).await.unwrap();
 }
 
 #[test]
@@ -79,17 +79,17 @@
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 1, 8);
         let (server, payload, sent) = (server(1), payload(""), RequestProgress::default());
-        let (ended, ()) = tokio::join! {
+        let (result, ()) = tokio::join! {
             biased;
             upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent),
             // Polled while the connect is in progress.
             async { upstreams.update(&list(&[listener.local_addr().unwrap()], ServerState::Draining)) },
         };
-        assert_eq!((ended.status, sent.is_sent()), (Status::Overloaded, false));
-        let mut seen = Vec::new();
+        assert_eq!((result.status, sent.is_sent()), (Status::Overloaded, false));
+        let mut received = Vec::new();
         let (mut stream, _) = listener.accept().await.unwrap();
-        stream.read_to_end(&mut seen).await.unwrap();
-        assert_eq!(seen, b"");
+        stream.read_to_end(&mut received).await.unwrap();
+        assert_eq!(received, b"");
     });
 }
 
@@ -98,21 +98,21 @@
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 1, 8);
         let (server, payload, sent) = (server(1), payload("body"), RequestProgress::default());
-        let answered = async {
+        let reply = async {
             let (mut stream, _) = listener.accept().await.unwrap();
-            let mut seen = Vec::new();
-            while !seen.ends_with(b"body") {
-                assert!(stream.read_buf(&mut seen).await.unwrap() > 0);
+            let mut received = Vec::new();
+            while !received.ends_with(b"body") {
+                assert!(stream.read_buf(&mut received).await.unwrap() > 0);
             }
-            // Closed unanswered: it may have run.
+            // Closes without a response: the request may have run.
         };
-        let (ended, ()) = tokio::join!(upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent), answered);
-        assert_eq!((ended.status, sent.is_sent()), (Status::Broken, true));
+        let (result, ()) = tokio::join!(upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent), reply);
+        assert_eq!((result.status, sent.is_sent()), (Status::Broken, true));
     });
 }
 
 #[test]
-fn at_the_limit_the_longest_idle_connection_is_closed_and_none_is_opened_beyond() {
+fn at_the_limit_the_longest_idle_connection_is_closed_and_no_more_are_opened() {
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 1, 1);
         let second = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -120,18 +120,18 @@
         upstreams.update(&list(&addrs, ServerState::Ready));
         let (payload, first, other) = (payload(""), server(1), server(2));
         let (sent, unsent) = (RequestProgress::default(), RequestProgress::default());
-        let (ended, beyond, mut stream) = tokio::join! {
+        let (result, over_limit, mut stream) = tokio::join! {
             biased;
             upstreams.exchange(&first, &payload, TEST_TIMEOUT, &sent),
             upstreams.exchange(&first, &payload, TEST_TIMEOUT, &unsent),
             serve_one(&listener, "200 OK"),
         };
-        assert_eq!((ended.status, beyond.status), (Status::Success, Status::NotSent));
-        let (ended, _) = tokio::join! {
+        assert_eq!((result.status, over_limit.status), (Status::Success, Status::NotSent));
+        let (result, _) = tokio::join! {
             upstreams.exchange(&other, &payload, TEST_TIMEOUT, &sent),
             serve_one(&second, "200 OK"),
         };
-        assert_eq!(ended.status, Status::Success);
+        assert_eq!(result.status, Status::Success);
         assert_eq!(stream.read(&mut [0]).await.unwrap(), 0, "the idle connection is closed");
     });
 }
@@ -141,13 +141,13 @@
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 1, 8);
         let (server, payload) = (server(1), payload(""));
-        let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{body}");
+        let response = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{body}");
         let serve = |body: &'static str| {
             let listener = &listener;
             async move {
                 let (mut stream, _) = listener.accept().await.unwrap();
                 let _ = stream.read(&mut [0; 1024]).await.unwrap();
-                stream.write_all(answer(body).as_bytes()).await.unwrap();
+                stream.write_all(response(body).as_bytes()).await.unwrap();
                 stream
             }
         };
@@ -155,13 +155,13 @@
         let (_, stream) =
             tokio::join!(upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent), serve("one"));
         // A second response follows, which the reactor has not reported when the next request begins.
-        assert!(stream.try_write(answer("one").as_bytes()).is_ok());
-        let (ended, _) = tokio::join! {
+        assert!(stream.try_write(response("one").as_bytes()).is_ok());
+        let (result, _) = tokio::join! {
             biased;
             upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent),
             serve("two"),
         };
-        assert_eq!(ended.response.map(|response| response.body), Some(Bytes::from("two")));
+        assert_eq!(result.response.map(|response| response.body), Some(Bytes::from("two")));
     });
 }
 
@@ -172,27 +172,29 @@
         let (server, payload) = (server(1), payload(""));
         let sent = [RequestProgress::default(), RequestProgress::default(), RequestProgress::default()];
         let exchange = |n: usize| upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent[n]);
-        let (begun, turned_away) = (Notify::new(), Notify::new());
+        let (first_started, second_rejected) = (Notify::new(), Notify::new());
         let (first, second, third, ()) = tokio::join! {
             exchange(0),
-            // On a connection of its own, as the first is out; it is turned away.
+            // On a new connection, as the first one is in use; the server rejects it.
             async {
-                begun.notified().await;
-                let ended = exchange(1).await;
-                // However slowly the test runs, the server accepts no more connections.
+                first_started.notified().await;
+                let result = exchange(1).await;
+                // Extends the time for which the server counts as full, so that it does not end during a slow
+                // test run.
                 assert!(upstreams.must_wait(&server));
                 upstreams.set_full_until(&server, Instant::now() + TEST_TIMEOUT);
-                turned_away.notify_one();
-                ended
+                second_rejected.notify_one();
+                result
             },
             async {
-                turned_away.notified().await;
-                // The server still has the first; the third must not connect again in parallel.
+                second_rejected.notified().await;
+                // The first connection is still open; the third request must wait for it and not open another
+                // one.
                 exchange(2).await
             },
             async {
                 let (mut stream, _) = listener.accept().await.unwrap();
-                begun.notify_one();
+                first_started.notify_one();
                 drop(serve_one(&listener, "503 Service Unavailable\r\nX-Not-Run: 1\r\nConnection: close").await);
                 serve_again(&mut stream, "200 OK").await;
                 serve_again(&mut stream, "200 OK").await;
@@ -211,13 +213,13 @@
         let (server, payload, sent) = (server(1), payload(""), RequestProgress::default());
         upstreams.set_full_until(&server, Instant::now() + TEST_TIMEOUT);
         let other = upstreams.claim_slot(&server);
-        let (ended, _, ()) = tokio::join! {
+        let (result, _, ()) = tokio::join! {
             biased;
             upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent),
             serve_one(&listener, "200 OK"),
             async { drop(other) },
         };
-        assert_eq!(ended.status, Status::Success);
+        assert_eq!(result.status, Status::Success);
     });
 }
 
@@ -235,11 +237,13 @@
             let (mut stream, _) = listener.accept().await.unwrap();
             let mut methods = Vec::new();
             for _ in 0..3 {
-                let mut seen = Vec::new();
-                while !(seen.ends_with(b"body") || seen.ends_with(b"\r\n\r\n") && seen.starts_with(b"GET")) {
-                    assert!(stream.read_buf(&mut seen).await.unwrap() > 0);
+                let mut received = Vec::new();
+                while !(received.ends_with(b"body")
+                    || received.ends_with(b"\r\n\r\n") && received.starts_with(b"GET"))
+                {
+                    assert!(stream.read_buf(&mut received).await.unwrap() > 0);
                 }
-                methods.push(seen[..3].to_vec());
+                methods.push(received[..3].to_vec());
                 stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.unwrap();
             }
             (methods, stream)
@@ -268,9 +272,9 @@
 }
 
 #[test]
-fn of_two_idle_connections_the_one_used_last_outlives_the_other() {
+fn of_two_idle_connections_the_one_used_last_is_kept_longer() {
     on_loopback(|listener| async move {
-        // The test's own sweeps alone matter.
+        // Only the explicit calls of `close_unused` below matter here.
         let upstreams = upstreams(&listener, 100, 8);
         let (server, payload) = (server(1), payload(""));
         let sent = [RequestProgress::default(), RequestProgress::default()];
@@ -297,16 +301,16 @@
     });
 }
 
-/// How an exchange ends at a server that answers with this head.
-fn answered(status: &str) -> (Status, Option<CacheStatus>) {
+/// The result of an exchange with a server that responds with this status line and these headers.
+fn exchange_result(status: &str) -> (Status, Option<CacheStatus>) {
     on_loopback(|listener| async move {
         let upstreams = upstreams(&listener, 1, 8);
         let (server, payload, sent) = (server(1), payload(""), RequestProgress::default());
-        let (ended, _) = tokio::join!(
+        let (result, _) = tokio::join!(
             upstreams.exchange(&server, &payload, TEST_TIMEOUT, &sent),
             serve_one(&listener, status)
         );
-        (ended.status, ended.cache_status)
+        (result.status, result.cache_status)
     })
 }
 
@@ -324,14 +328,18 @@
         ("204 Empty", Status::Malformed),
         ("206 Part", Status::Malformed),
     ] {
-        assert_eq!(answered(head).0, status, "{head}");
+        assert_eq!(exchange_result(head).0, status, "{head}");
     }
-    for (word, note) in [
+    for (value, cache_status) in [
         ("hit", Some(CacheStatus::Hit)),
         ("miss", Some(CacheStatus::Miss)),
         ("pending", Some(CacheStatus::MissInProgress)),
         ("odd", None),
     ] {
-        assert_eq!(answered(&format!("200 OK\r\nX-Cache: {word}")), (Status::Success, note), "{word}");
+        assert_eq!(
+            exchange_result(&format!("200 OK\r\nX-Cache: {value}")),
+            (Status::Success, cache_status),
+            "{value}"
+        );
     }
 }
