--- a/balancer-adapter/src/messages.rs
+++ b/balancer-adapter/src/messages.rs
@@ -161,7 +161,7 @@
     fields.server()?;
     let attempt = AttemptId(fields.required("an attempt number")?);
     let status = status(fields.text());
-    let cache_status = match fields.optional::<u64>("a cache status")? {
+    let cache_status = match fields.optional::<u64>("a cache status (`remark`)")? {
         Some(1) => Some(CacheStatus::Hit),
         Some(2) => Some(CacheStatus::Miss),
         Some(3) => Some(CacheStatus::MissInProgress),
--- a/balancer-adapter/tests/wire.rs
+++ b/balancer-adapter/tests/wire.rs
@@ -190,7 +190,7 @@
     }
 }
 
-/// Changes, removes or cuts off random bytes of a valid transcript. The adapter must end with an error message
+/// Changes or removes random bytes of a valid transcript, or truncates it. The adapter must end with an error message
 /// or write complete replies, and never panic.
 #[test]
 fn corrupted_input_never_causes_a_panic() {
--- a/balancer-node/src/config.rs
+++ b/balancer-node/src/config.rs
@@ -47,7 +47,7 @@
     #[error("configuration: {0}: missing")]
     Missing(&'static str),
     /// A value is not an IP address with a port.
-    #[error("configuration: {name}: expected an address with a port, got `{found}`")]
+    #[error("configuration: {name}: expected an IP address with a port, got `{found}`")]
     Address {
         /// The name of the value.
         name: &'static str,
--- a/balancer-node/src/discovery.rs
+++ b/balancer-node/src/discovery.rs
@@ -30,7 +30,7 @@
 /// Largest accepted response, in bytes; far larger than any list.
 const MAX_LIST_SIZE: usize = 4 << 20;
 
-/// Why a call returned no list. The balancer is told only that the call failed.
+/// Why a call returned no list. The balancer learns only that the call failed.
 #[derive(Debug, thiserror::Error)]
 enum CallError {
     #[error(transparent)]
--- a/balancer-node/src/request.rs
+++ b/balancer-node/src/request.rs
@@ -122,7 +122,8 @@
 
 /// Rejects what could make node and server disagree on where a request ends. hyper hides a `Content-Length`
 /// that comes with a `Transfer-Encoding`, in either order, and the two may disagree on where the next request
-/// begins. Valid clients send a `Content-Length`, so they never need a `Transfer-Encoding`.
+/// begins. Valid clients send a `Content-Length`, so they never need a `Transfer-Encoding`. Also rejects a
+/// target with an authority, and a path above `MAX_PATH_LENGTH`.
 fn check_framing(head: &Parts) -> Result<(), Rejected> {
     if head.headers.contains_key(header::TRANSFER_ENCODING) || head.uri.authority().is_some() {
         return Err(BAD_REQUEST);
--- a/balancer-node/src/response.rs
+++ b/balancer-node/src/response.rs
@@ -10,7 +10,7 @@
 
 use crate::protocol::{CACHE_HEADER, LOAD_HEADER, MAX_BODY_SIZE, NOT_RUN_HEADER};
 
-/// A complete response of a server with status 200.
+/// A complete server response with status 200.
 pub struct ServerResponse {
     /// The content type that the server stated, if any.
     pub content_type: Option<HeaderValue>,
--- a/balancer-node/src/server.rs
+++ b/balancer-node/src/server.rs
@@ -76,7 +76,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, service: Rc<Service>, client: ClientConnection) {
-    // Without this option a small response may wait for the client's acknowledgement of the previous one.
+    // Without TCP_NODELAY a small response may wait for the client's acknowledgement of the previous one.
     let _ = stream.set_nodelay(true);
     let respond = service_fn(|request| {
         let body_timeout = client.body_timeout();
--- a/http-client/src/connection.rs
+++ b/http-client/src/connection.rs
@@ -80,7 +80,7 @@
     /// if the future is dropped.
     ///
     /// `id_header` is the header with the request id that a response repeats, for servers that do so. Without it, a
-    /// late duplicate response cannot be told from the expected one, as both arrive in order on the connection.
+    /// late duplicate response cannot be distinguished from the expected one, as both arrive in order on the connection.
     pub async fn send(
         &mut self,
         mut request: Request<Full<Bytes>>,
