--- a/glenfall/src/cli.rs
+++ b/glenfall/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: parses the arguments of the process and runs the role or the operator's command that they name.
+//! The command line: parses the arguments of the process and runs the role or operator command that they name.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -14,7 +14,7 @@
 use crate::signals::{ignore_hangup, wait_for_termination};
 use crate::{agent, control};
 
-/// The log filter where `RUST_LOG` states none.
+/// The log filter if `RUST_LOG` is not set or invalid.
 const DEFAULT_LOG_FILTER: &str = "info";
 
 #[derive(Parser)]
@@ -26,19 +26,19 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Take clients' requests and forward them.
+    /// Run an edge: accept client requests, and answer them from the cache or forward them
     Edge,
-    /// Hold the link to control for the edge on this machine.
+    /// Run the agent of an edge: relay updates from control to the edge on this machine
     Agent,
-    /// Answer edges' reads from copies.
+    /// Run a shield: answer reads of edges from its cache, or fetch from servers
     Shield,
-    /// Keep the configuration and the lists, and push them to all.
+    /// Run a control node: store the configuration, track servers, and publish both to edges and shields
     Control,
     #[command(flatten)]
     Operator(OperatorCommand),
-    /// Run the whole system on loopback with stand-in servers
+    /// Run a complete system on loopback, with stub servers
     Demo {
-        /// End once the path has been shown
+        /// Exit after the requests of the demo have succeeded
         #[arg(long)]
         once: bool,
     },
@@ -46,23 +46,23 @@
 
 #[derive(Subcommand)]
 enum OperatorCommand {
-    /// Check a settings file or a configuration, and name the place of a mistake
+    /// Validate a settings file (TOML) or a configuration (JSON), and report where an error is
     Check { file: PathBuf },
     /// Read or change the configuration
     #[command(subcommand)]
     Config(commands::config::ConfigCommand),
-    /// Keep the configuration as files under version control
+    /// Manage the configuration as files under version control
     #[command(subcommand)]
     Declared(commands::declared::DeclaredCommand),
-    /// Back up, restore and check the state of control
+    /// Export, import and verify the state of control
     #[command(subcommand)]
     State(commands::state::StateCommand),
-    /// Show, add and remove the voters of the core
+    /// List, add and remove the voters of the core
     #[command(subcommand)]
     Core(commands::core::CoreCommand),
-    /// End all copies of an object, or of all objects with a label
+    /// Purge the stored responses of one object, or of all objects with a label
     Purge(commands::purge::PurgeArguments),
-    /// Show members, servers, and who has applied what
+    /// Show members, servers, and the versions that each member has applied
     Status {
         #[command(flatten)]
         at: ControlAddresses,
@@ -99,7 +99,7 @@
     match run(arguments.command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // Always one line, so that scripts and logs can rely on it.
+            // Always one line, which scripts and logs rely on.
             eprintln!("glenfall: {}", error.to_string().replace('\n', " "));
             ExitCode::FAILURE
         }
@@ -133,8 +133,8 @@
     Settings::load().map(Rc::new)
 }
 
-/// Runs the agent until a signal ends it. The edge needs its watch stream until it has ended itself, but no updates: it
-/// knows from its own signal that it is draining.
+/// Runs the agent until the process receives a termination signal. The edge needs the watch stream until its own exit,
+/// but no further updates: it receives a signal itself and knows that it is draining.
 async fn agent_until_terminated(settings: Rc<Settings>) -> std::io::Result<()> {
     tokio::select! {
         ended = agent::run(settings) => ended,
@@ -142,7 +142,7 @@
     }
 }
 
-/// Runs a command of the operator; returns what it prints.
+/// Runs an operator command; returns its output.
 async fn run_operator_command(command: OperatorCommand) -> Result<String, OperatorError> {
     match command {
         OperatorCommand::Check { file } => commands::check(&file),
--- a/glenfall/src/operator/commands/config.rs
+++ b/glenfall/src/operator/commands/config.rs
@@ -1,4 +1,4 @@
-//! `config`: reads or changes the configuration as one document.
+//! `config`: reads or changes the configuration as one JSON document.
 
 use std::path::PathBuf;
 
@@ -9,37 +9,37 @@
 use super::control_client::{call_control, get, text, ControlAddresses};
 use super::error::OperatorError;
 
-/// Where control has the configuration.
+/// The path of the configuration in control's HTTP API.
 pub(super) const CONFIG_PATH: &str = "/api/config";
 
 #[derive(Subcommand)]
 pub(crate) enum ConfigCommand {
-    /// Print the newest configuration
+    /// Print the active configuration
     Get {
         #[command(flatten)]
         at: ControlAddresses,
     },
-    /// Put a whole configuration in force
+    /// Replace the complete configuration
     Put {
         #[command(flatten)]
         at: ControlAddresses,
-        /// The version that it builds on, 0 for the first
+        /// Version that the new configuration replaces; 0 if there is none yet
         #[arg(long)]
         builds_on: u64,
         file: PathBuf,
     },
-    /// Change named items
+    /// Add, replace or remove individual items of the configuration
     Patch {
         #[command(flatten)]
         at: ControlAddresses,
-        /// The version that it builds on
+        /// Version that the change is based on
         #[arg(long)]
         builds_on: u64,
         file: PathBuf,
     },
 }
 
-/// Runs the command; returns what it prints.
+/// Runs the command; returns its output.
 pub(crate) async fn run(command: &ConfigCommand) -> Result<String, OperatorError> {
     let response = match command {
         ConfigCommand::Get { at } => get(at, CONFIG_PATH).await?,
--- a/glenfall/src/operator/commands/control_client.rs
+++ b/glenfall/src/operator/commands/control_client.rs
@@ -29,10 +29,10 @@
 /// The field by which control says that a change builds on a version whose outcome it no longer knows.
 const FORGOTTEN_UP_TO: &str = "forgottenUpTo";
 
-/// Where control is.
+/// The addresses of the control nodes to call.
 #[derive(Args, Clone)]
 pub struct ControlAddresses {
-    /// `controlAddr` of a control node; may be repeated
+    /// Address of a control node (its `controlAddr` setting); may be repeated
     #[arg(long = "control", required = true)]
     pub controls: Vec<SocketAddrV4>,
 }
--- a/glenfall/src/operator/commands/core.rs
+++ b/glenfall/src/operator/commands/core.rs
@@ -11,33 +11,33 @@
 use super::error::OperatorError;
 
 const CORE_PATH: &str = "/api/core";
-/// Bound on one call that changes the voters. The node waits for three views.
+/// Timeout of a call that changes the voters. The node responds once three successive views are active.
 const VOTER_CHANGE_TIMEOUT: Duration = Duration::from_millis(4500);
 
 #[derive(Subcommand)]
 pub(crate) enum CoreCommand {
-    /// Show who votes, who stands by, and what may be lost, as each control node sees it
+    /// Show the voters, the standbys and the number of tolerated losses, as each control node reports them
     List {
         #[command(flatten)]
         at: ControlAddresses,
     },
-    /// Make a control node that stands by a voter
+    /// Make a standby control node a voter
     Add {
         #[command(flatten)]
         at: ControlAddresses,
-        /// Address of the machine
+        /// IP address of the control node (its `bindIp` setting)
         node: Ipv4Addr,
     },
-    /// Take a voter out; one that stands by takes its place
+    /// Remove a voter; a standby replaces it if too few voters would be left
     Remove {
         #[command(flatten)]
         at: ControlAddresses,
-        /// Address of the machine
+        /// IP address of the control node (its `bindIp` setting)
         node: Ipv4Addr,
     },
 }
 
-/// Runs the command; returns what it prints.
+/// Runs the command; returns its output.
 pub(crate) async fn run(command: &CoreCommand) -> Result<String, OperatorError> {
     match command {
         CoreCommand::List { at } => get_from_each(at, CORE_PATH).await,
--- a/glenfall/src/operator/commands/declared.rs
+++ b/glenfall/src/operator/commands/declared.rs
@@ -1,4 +1,4 @@
-//! `declared`: keeps the configuration as files under version control.
+//! `declared`: manages the configuration as files under version control.
 
 use std::path::{Path, PathBuf};
 
@@ -14,24 +14,24 @@
 
 #[derive(Subcommand)]
 pub(crate) enum DeclaredCommand {
-    /// Check the files of a folder, and what they make together
+    /// Validate the files of a folder, and the configuration that they form together
     Check { folder: PathBuf },
-    /// Show what would change
+    /// Show how the configuration in a folder differs from the active one
     Plan {
         #[command(flatten)]
         at: ControlAddresses,
         folder: PathBuf,
     },
-    /// Put what a folder declares in force
+    /// Make the configuration in a folder the active one
     Apply {
         #[command(flatten)]
         at: ControlAddresses,
-        /// Only where this version is in force, as it was when the change was looked at
+        /// Apply only if this is the active version, against which the change was reviewed
         #[arg(long)]
         if_rev: Option<u64>,
         folder: PathBuf,
     },
-    /// Write what is in force as files into a folder
+    /// Write the active configuration as files into a folder
     Export {
         #[command(flatten)]
         at: ControlAddresses,
@@ -39,7 +39,7 @@
     },
 }
 
-/// Runs the command; returns what it prints.
+/// Runs the command; returns its output.
 pub(crate) async fn run(command: DeclaredCommand) -> Result<String, OperatorError> {
     match command {
         DeclaredCommand::Check { folder } => check(&folder),
@@ -75,7 +75,7 @@
         return Ok(active.is_declared());
     }
     let next_rev = active.rev + 1;
-    // A concurrent change makes this fail with 412, and nothing is lost.
+    // After a concurrent change this fails with 412, so that it can't overwrite that change.
     let document = declared.document(next_rev);
     call_control(at, Method::PUT, CONFIG_PATH, Some(active.rev), document.into()).await?;
     Ok(format!("version {next_rev} is in force:\n{}", lines(&differences)))
@@ -97,9 +97,9 @@
 
 /// The active configuration.
 struct ActiveConfig {
-    /// 0 before the first.
+    /// The version; 0 if there is no configuration yet.
     rev: u64,
-    /// Empty before the first.
+    /// The JSON document; empty if there is no configuration yet.
     document: Bytes,
 }
 
@@ -116,7 +116,7 @@
         Ok(ActiveConfig { rev, document: response.body().clone() })
     }
 
-    /// The message that nothing differs from it.
+    /// The message for a folder that does not differ from it.
     fn is_declared(&self) -> String {
         format!("version {} is what is declared", self.rev)
     }
--- a/glenfall/src/operator/commands/purge.rs
+++ b/glenfall/src/operator/commands/purge.rs
@@ -1,4 +1,4 @@
-//! `purge`: ends all stored responses for an object, or for all objects with a label.
+//! `purge`: removes the stored responses of one object, or of all objects with a label.
 
 use clap::Args;
 use hyper::Method;
@@ -11,18 +11,18 @@
 pub(crate) struct PurgeArguments {
     #[command(flatten)]
     at: ControlAddresses,
-    /// All objects with this label
+    /// Purge all objects with this label
     #[arg(long, conflicts_with_all = ["host", "path"])]
     label: Option<String>,
-    /// Host of one object
+    /// Host of the object to purge
     #[arg(long, requires = "path", required_unless_present = "label")]
     host: Option<String>,
-    /// Path of one object
+    /// Path of the object to purge
     #[arg(long, requires = "host")]
     path: Option<String>,
 }
 
-/// Runs the command; returns what it prints.
+/// Runs the command; returns its output.
 pub(crate) async fn run(arguments: &PurgeArguments) -> Result<String, OperatorError> {
     let body = match &arguments.label {
         Some(label) => json!({ "label": label }),
--- a/glenfall/src/operator/commands/state.rs
+++ b/glenfall/src/operator/commands/state.rs
@@ -1,4 +1,4 @@
-//! `state`: backs up, restores and checks the state of control.
+//! `state`: exports, imports and verifies the state of control.
 
 use std::io::Write;
 use std::net::Ipv4Addr;
@@ -20,27 +20,27 @@
     Export {
         #[command(flatten)]
         at: ControlAddresses,
-        /// A new file; one that exists is not written over
+        /// Path of the new file; an existing file is not overwritten
         file: PathBuf,
     },
-    /// Put an exported state into an empty state folder, before control starts there
+    /// Create the state of a control node from an exported file, before the node is started
     Import {
         file: PathBuf,
-        /// `stateDir` of the control node
+        /// State folder of the control node (its `stateDir` setting)
         #[arg(long)]
         into: PathBuf,
-        /// Addresses of the control nodes that vote, if others than in the file; may be repeated
+        /// Address of a voter, to replace the voters listed in the file; may be repeated
         #[arg(long = "voter")]
         voters: Vec<Ipv4Addr>,
-        /// The highest version that may have been acknowledged since the export: none up to it is taken again
+        /// Highest version that may have been acknowledged since the export; versions up to it are not accepted again
         #[arg(long, default_value_t = 0)]
         acknowledged: u64,
     },
-    /// Check an exported file, or the state folder of a control node that is stopped
+    /// Verify an exported file, or the state folder of a stopped control node
     Verify { path: PathBuf },
 }
 
-/// Runs the command; returns what it prints.
+/// Runs the command; returns its output.
 pub(crate) async fn run(command: StateCommand) -> Result<String, OperatorError> {
     match command {
         StateCommand::Export { at, file } => export(&at, &file).await,
@@ -54,7 +54,7 @@
 
 async fn export(at: &ControlAddresses, file: &Path) -> Result<String, OperatorError> {
     let response = get(at, "/api/state").await?;
-    // An incomplete backup would be of no use when it is needed.
+    // The backup is validated before it is written, so that an incomplete one is not found only when it is needed.
     let backup = Backup::read(response.body()).map_err(PathError::at(file))?;
     write_durably(file, response.body()).map_err(PathError::at(file))?;
     Ok(format!("configuration {}, change {}, exported", backup.rev, backup.seq))
