--- a/glenfall/src/operator/commands/error.rs
+++ b/glenfall/src/operator/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why an operator's command has failed.
+//! Errors of the operator commands.
 
 use std::string::FromUtf8Error;
 
@@ -10,7 +10,7 @@
 use crate::operator::PathError;
 use crate::settings::SettingsError;
 
-/// Why an operator's command has failed; its text is one line.
+/// Why an operator command has failed; the message is one line.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
     /// A file can't be read or written.
@@ -20,7 +20,7 @@
     #[error(transparent)]
     InvalidFile(#[from] PathError<InvalidFile>),
     /// Control has rejected the request, and would reject it again.
-    #[error("{status}: {body}")]
+    #[error("control rejected the request with status {status}: {body}")]
     Rejected {
         /// The HTTP status.
         status: u16,
@@ -37,28 +37,28 @@
     #[error(transparent)]
     Declared(#[from] DeclareError),
     /// The active configuration is not the one that the operator has reviewed the change against.
-    #[error("version {current} is in force, not {expected}: look at the change again")]
+    #[error("version {current} is in force, not {expected}: review the change again with `declared plan`")]
     VersionMismatch {
-        /// The version that the operator has named.
+        /// The version given with `--if-rev`.
         expected: u64,
         /// The active version.
         current: u64,
     },
     /// No control node has given a definite response, after all retries.
-    #[error("no control node gives a clear answer; the same call may be made again")]
+    #[error("no control node gave a definite response; the command can be repeated safely")]
     NoAnswer,
 }
 
 /// Why a settings file or a configuration is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidFile {
-    /// It is no valid configuration.
+    /// It is not a valid configuration.
     #[error(transparent)]
     Config(#[from] InvalidConfig),
-    /// It is no text.
+    /// It is not UTF-8 text.
     #[error(transparent)]
     Encoding(#[from] FromUtf8Error),
-    /// It is no valid settings file; the message names the line and column.
+    /// It is not a valid settings file; the message names the field, or the line and column.
     #[error("{0}")]
     Settings(String),
     /// The settings contradict each other.
--- a/glenfall/src/operator/commands/state.rs
+++ b/glenfall/src/operator/commands/state.rs
@@ -85,7 +85,7 @@
 
 fn verify_folder(folder: &Path) -> Result<String, OperatorError> {
     let Some(state) = store::verify(folder).map_err(PathError::at(folder))? else {
-        return Ok("a store without state: nothing was promised or accepted yet".into());
+        return Ok("the store is empty: the node has neither promised a view nor accepted a state yet".into());
     };
     let (record, view) = (&state.record, state.accepted);
     let (rev, seq, voters) = (record.rev, record.seq, state.members.voters.len());
--- a/glenfall/src/operator/declarative_config/files.rs
+++ b/glenfall/src/operator/declarative_config/files.rs
@@ -21,7 +21,7 @@
     for path in toml_files(folder)? {
         let mut item = read_item(&path, fields)?;
         if item.contains_key(NAME_FIELD) {
-            return Err(PathError { path, error: InvalidItem::OwnName }.into());
+            return Err(PathError { path, error: InvalidItem::NameField }.into());
         }
         let name = path.file_stem().map(|stem| stem.to_string_lossy().into_owned()).unwrap_or_default();
         item.insert(NAME_FIELD.into(), name.into());
--- a/glenfall/src/operator/declarative_config/mod.rs
+++ b/glenfall/src/operator/declarative_config/mod.rs
@@ -16,7 +16,7 @@
 use self::schema::{LIMITS_FILE, ROUTE_LIST, SERVICE_LIST};
 use crate::operator::PathError;
 
-/// Why a configuration as files can't be read or written; its text is one line.
+/// Why a configuration as files can't be read or written; the message is one line.
 #[derive(Debug, thiserror::Error)]
 pub enum DeclareError {
     /// A file or folder can't be read or written.
@@ -25,34 +25,34 @@
     /// A file is not valid.
     #[error(transparent)]
     InvalidFile(#[from] PathError<InvalidItem>),
-    /// The files do not make a valid configuration together.
+    /// The files don't form a valid configuration together.
     #[error("the declared configuration is invalid: {0}")]
     Invalid(#[from] InvalidConfig),
-    /// An item of the active configuration has a name that no file can have.
-    #[error("{0:?} can't be the name of a file")]
+    /// A route or service of the active configuration has a name that can't be a file name.
+    #[error("{0:?}: this name of a route or service can't be used as a file name")]
     Name(String),
-    /// The active configuration is no JSON.
-    #[error("what is in force can't be read: {0}")]
-    Current(#[from] serde_json::Error),
+    /// The active configuration is not valid JSON.
+    #[error("the active configuration is not valid JSON: {0}")]
+    InvalidActiveConfig(#[from] serde_json::Error),
 }
 
 /// Why a file is not a valid route, service or limits file.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidItem {
-    /// It is no valid TOML.
+    /// It is not valid TOML.
     #[error("{}{message}", line.map(|line| format!("line {line}: ")).unwrap_or_default())]
     Toml {
-        /// The line of the mistake, counted from 1, where it is known.
+        /// The line of the error, counted from 1; `None` if it is unknown.
         line: Option<usize>,
-        /// What the parser says, on one line.
+        /// The message of the parser, on one line.
         message: String,
     },
-    /// It has a field that no such item has.
+    /// It has a field that items of its kind don't have.
     #[error("no such field: {0}")]
     UnknownField(String),
-    /// It states a name. An item has the name of its file, so that no two files can describe one item.
-    #[error("name: the file's name is the item's")]
-    OwnName,
+    /// It has the field `name`. The file name is the name of the item, so that no two files can describe one item.
+    #[error("name: not allowed, as the file name is the name of the route or service")]
+    NameField,
 }
 
 /// The numbers of items that a folder declares.
--- a/glenfall/src/settings/derived.rs
+++ b/glenfall/src/settings/derived.rs
@@ -27,7 +27,7 @@
         let (hosts, sync_s) = (self.survive.hosts, self.timing.sync_s);
         let settings =
             ChainSettings { losses: hosts, eligible: self.voter, sync: (sync_s * MS_PER_S) as Millis };
-        settings.check().map_err(|why| SettingsError::Promise { hosts, sync_s, why })?;
+        settings.check().map_err(|error| SettingsError::SyncTooShort { hosts, sync_s, error })?;
         Ok(settings)
     }
 
--- a/glenfall/src/settings/error.rs
+++ b/glenfall/src/settings/error.rs
@@ -1,4 +1,4 @@
-//! Why settings can't be used. Each text is one line.
+//! Errors of the settings file. Each message is one line.
 
 use std::fmt;
 
@@ -8,52 +8,52 @@
 use super::model::SETTINGS_VARIABLE;
 use super::port_range::PortRange;
 
-/// Why the settings of this process can't be used.
+/// Why the settings of a process can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The environment names no file.
-    #[error("{SETTINGS_VARIABLE} is not set: the path of the settings file expected")]
+    #[error("environment variable {SETTINGS_VARIABLE} is not set: it has to hold the path of the settings file")]
     NoPath,
     /// The file can't be read.
-    #[error("{path}: {what}")]
+    #[error("can't read settings file {path}: {error}")]
     Unreadable {
         /// Path of the file.
         path: String,
-        /// What the file system reports.
-        what: std::io::Error,
+        /// The error of the file system.
+        error: std::io::Error,
     },
     /// The content of the file is invalid.
-    #[error("{path}: {what}")]
+    #[error("{path}: {error}")]
     Invalid {
         /// Path of the file.
         path: String,
         /// What is wrong with its content.
-        what: InvalidSettings,
+        error: InvalidSettings,
     },
     /// A listener that the role needs is not set.
-    #[error("{path}: listeners.{name}: missing")]
+    #[error("{path}: listeners.{name} is not set, but this role requires it")]
     MissingListener {
         /// Path of the file.
         path: String,
         /// Name of the listener in the file.
         name: &'static str,
     },
-    /// The promised losses can't be tolerated in the time that is set for catching up.
-    #[error("survive.hosts {hosts} with timing.syncS {sync_s}: {why}")]
-    Promise {
-        /// Machines that may be lost at once.
+    /// The repair after `survive.hosts` losses takes longer than `timing.syncS`.
+    #[error("survive.hosts {hosts} with timing.syncS {sync_s}: {error}")]
+    SyncTooShort {
+        /// Number of voters that may be lost at once.
         hosts: usize,
-        /// Time for catching up, in seconds.
+        /// Time that a machine has for catching up, in seconds.
         sync_s: f64,
-        /// How much time would be needed.
-        why: SyncTooShort,
+        /// The time that would be needed.
+        error: SyncTooShort,
     },
 }
 
 /// Why a text does not hold valid settings.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidSettings {
-    /// The text is no TOML, or a field is missing or has a wrong type.
+    /// The text is not valid TOML, or a field is missing or has a wrong type.
     #[error("{}{message}", .position.map(|position| format!("{position}: ")).unwrap_or_default())]
     Syntax {
         /// Where the error is, if that is known.
@@ -62,31 +62,31 @@
         message: String,
     },
     /// The range has too few ports.
-    #[error("portRange: {expected} ports expected, got {got}")]
+    #[error("portRange: {expected} ports expected at least, got {got}")]
     PortRange {
-        /// Ports that are needed.
+        /// Number of ports that are needed.
         expected: u16,
         /// The range in the settings.
         got: PortRange,
     },
-    /// No seed is named.
-    #[error("seedNodes: one address at least expected, got none")]
+    /// The list of seed nodes is empty.
+    #[error("seedNodes: at least one address expected, got none")]
     NoSeedNodes,
-    /// More losses are promised than any number of voters tolerates.
-    #[error("survive.hosts: {MAX_LOSSES} at most expected, got {0}")]
+    /// More losses are to be tolerated than the largest set of voters can tolerate.
+    #[error("survive.hosts: {MAX_LOSSES} at most can be tolerated, got {0}")]
     TooManyLosses(usize),
     /// A value of `timing` is out of its bounds.
     #[error("timing.{name}: a number from 0 to {MAX_TIMING_VALUE} expected, got {value}")]
     Timing {
         /// Name of the value in the file.
         name: &'static str,
-        /// The value.
+        /// The value in the file.
         value: f64,
     },
 }
 
 impl InvalidSettings {
-    /// The error of the parser, with its position in the text.
+    /// Converts an error of the parser, and adds its position in the text.
     pub(super) fn syntax(text: &str, error: &toml::de::Error) -> Self {
         InvalidSettings::Syntax {
             position: error.span().map(|span| Position::of(text, span.start)),
--- a/glenfall/src/settings/file.rs
+++ b/glenfall/src/settings/file.rs
@@ -1,20 +1,20 @@
-//! Reads settings from their file.
+//! Reads the settings file.
 
 use super::error::{InvalidSettings, SettingsError};
 use super::model::{Settings, SETTINGS_VARIABLE};
 use super::validation;
 
 impl Settings {
-    /// Reads the file that the environment names.
+    /// Reads the file whose path is in the environment variable [`SETTINGS_VARIABLE`].
     ///
     /// # Errors
     ///
-    /// When the environment names no file, or the file can't be read or is invalid.
+    /// When the variable is not set, or the file can't be read or is invalid.
     pub fn load() -> Result<Settings, SettingsError> {
         let path = std::env::var(SETTINGS_VARIABLE).map_err(|_| SettingsError::NoPath)?;
         match std::fs::read_to_string(&path) {
-            Ok(text) => Settings::parse(&text).map_err(|what| SettingsError::Invalid { path, what }),
-            Err(what) => Err(SettingsError::Unreadable { path, what }),
+            Ok(text) => Settings::parse(&text).map_err(|error| SettingsError::Invalid { path, error }),
+            Err(error) => Err(SettingsError::Unreadable { path, error }),
         }
     }
 
@@ -22,7 +22,8 @@
     ///
     /// # Errors
     ///
-    /// When the text is not what the settings expect, or a value is out of its bounds. The error names the field or the line.
+    /// When the text is not valid TOML, a field is missing or has a wrong type, or a value is out of its bounds. The error
+    /// names the field or the line.
     pub fn parse(text: &str) -> Result<Settings, InvalidSettings> {
         let settings: Settings =
             toml::from_str(text).map_err(|error| InvalidSettings::syntax(text, &error))?;
