--- a/glenfall/src/operator/commands/declared.rs
+++ b/glenfall/src/operator/commands/declared.rs
@@ -87,7 +87,8 @@
         0 => Vec::new(),
         _ => declarative_config::write(&active.document, folder)?,
     };
-    let left_out: String = left_out.iter().map(|field| format!("\nnot written, as files don't support the field: {field}")).collect();
+    let left_out: String =
+        left_out.iter().map(|field| format!("\nfield not supported in files, omitted: {field}")).collect();
     Ok(format!("version {} written{left_out}", active.rev))
 }
 
--- a/glenfall/src/operator/demo/client.rs
+++ b/glenfall/src/operator/demo/client.rs
@@ -17,12 +17,12 @@
 use crate::operator::commands::MAX_RESPONSE_BYTES;
 use crate::upstream::pool::{ExchangeParams, Pool};
 
-/// Bound on one request.
+/// Timeout of one request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bound on the connections of one request.
+/// The most connections that one request may use.
 const MAX_CONNECTIONS: usize = 8;
 
-/// Sends a request to an edge; `None` unless a server has answered it successfully.
+/// Sends a request to an edge. `None` unless the response is a server's 200, as its seal shows.
 pub(super) async fn request(
     edge: SocketAddrV4,
     method: Method,
@@ -44,17 +44,17 @@
     request
 }
 
-/// Repeats a step until it succeeds, or [`STEP_TIMEOUT`] has passed.
+/// Repeats the attempts of a step until one succeeds or [`STEP_TIMEOUT`] has passed.
 pub(super) async fn retry<F: Future<Output = Option<ServerResponse>>>(
-    what: &'static str,
-    step: impl Fn() -> F,
+    step: &'static str,
+    attempt: impl Fn() -> F,
 ) -> Result<ServerResponse, DemoError> {
     let started = Instant::now();
     while started.elapsed() < STEP_TIMEOUT {
-        if let Some(response) = step().await {
+        if let Some(response) = attempt().await {
             return Ok(response);
         }
         sleep(RETRY_INTERVAL).await;
     }
-    Err(DemoError::StepTimeout { what })
+    Err(DemoError::StepFailed { step })
 }
--- a/glenfall/src/operator/demo/set_up.rs
+++ b/glenfall/src/operator/demo/set_up.rs
@@ -5,12 +5,10 @@
 use serde_json::{json, Value};
 use tokio::time::{sleep, Instant};
 
-use super::{
-    DemoError, CORE_MACHINES, DEMO_HOST, EDGE_MACHINES, RETRY_INTERVAL, STAND_IN_SERVERS, STEP_TIMEOUT,
-};
+use super::{DemoError, CORE_MACHINES, DEMO_HOST, EDGE_MACHINES, RETRY_INTERVAL, STEP_TIMEOUT, STUB_SERVERS};
 use crate::operator::commands::{call_control, status, ControlAddresses, OperatorError};
 
-/// Puts the first configuration, once a control node accepts it.
+/// Sets the first configuration, as soon as a control node accepts it.
 pub(super) async fn put_config(controls: &ControlAddresses) -> Result<(), DemoError> {
     let document = Bytes::from(config().to_string());
     let started = Instant::now();
@@ -23,7 +21,7 @@
     }
 }
 
-/// A route for reads and one for writes, to one service.
+/// A configuration with a route for reads and one for writes, both to one service.
 fn config() -> Value {
     json!({
         "rev": 1,
@@ -40,8 +38,8 @@
     })
 }
 
-/// Waits until every control node knows all shields and servers, and every session has applied that and holds a lease: an
-/// edge does not use the cache of a shield without one.
+/// Waits until every control node knows all shields and servers, and every session has applied these updates and holds a
+/// lease: without a lease an edge does not use the cache of a shield.
 pub(super) async fn await_published(controls: &ControlAddresses) -> Result<(), DemoError> {
     let started = Instant::now();
     while started.elapsed() < STEP_TIMEOUT {
@@ -52,31 +50,31 @@
         }
         sleep(RETRY_INTERVAL).await;
     }
-    Err(DemoError::StepTimeout { what: "the word of all shields and servers" })
+    Err(DemoError::StepFailed { step: "publication of all shields and servers to all processes" })
 }
 
 fn is_published(nodes: &[Value]) -> bool {
     let session_count: usize = nodes.iter().map(|node| sessions(node).len()).sum();
-    let knows_all = |node: &Value| {
+    let is_complete = |node: &Value| {
         ready_count(&node["shields"]) == Some(CORE_MACHINES.into())
-            && ready_count(&node["servers"]) == Some(STAND_IN_SERVERS.into())
+            && ready_count(&node["servers"]) == Some(STUB_SERVERS.into())
             && node["sessions"].is_array()
             && sessions(node).iter().all(is_up_to_date)
     };
-    session_count == usize::from(CORE_MACHINES + EDGE_MACHINES) && nodes.iter().all(knows_all)
+    session_count == usize::from(CORE_MACHINES + EDGE_MACHINES) && nodes.iter().all(is_complete)
 }
 
 fn sessions(node: &Value) -> &[Value] {
     node["sessions"].as_array().map_or(&[], Vec::as_slice)
 }
 
-/// How many members of a list are ready; `None` where there is no list.
+/// How many members of a list are ready; `None` if the value is not a list.
 fn ready_count(list: &Value) -> Option<usize> {
     let members = list.as_array()?;
     Some(members.iter().filter(|member| member["ready"] == true).count())
 }
 
-/// Whether a session has applied all that was pushed to it, and holds a lease.
+/// Whether a session has applied all updates pushed to it, and holds a lease.
 fn is_up_to_date(session: &Value) -> bool {
     session["applied"] == session["pushed"] && session["leased"] == true
 }
--- a/glenfall/src/operator/demo/stand_in_server.rs
+++ b/glenfall/src/operator/demo/stub_server.rs
@@ -1,4 +1,4 @@
-//! A stub of a user's server: it answers requests and sends heartbeats to control.
+//! A stub of a user's server: it responds to requests and sends heartbeats to control.
 
 use std::cell::Cell;
 use std::net::SocketAddrV4;
@@ -27,32 +27,33 @@
 
 /// The number of the first server's machine.
 const FIRST_MACHINE: u8 = 100;
-/// Bound on the connections from proxies.
+/// The most open connections from proxies.
 const MAX_CONNECTIONS: usize = 64;
-/// Bound on the bytes of request bodies in memory.
+/// The most bytes of request bodies in memory.
 const MAX_BODY_BYTES: usize = 1 << 20;
-/// Bound on the connections to control.
+/// The most open connections to control.
 const MAX_CONTROL_CONNECTIONS: usize = 8;
-/// Bound on one heartbeat to one control node.
+/// Timeout of one heartbeat to one control node.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The header by which a proxy names the server that it means.
-const WANT_SERVER: &str = "x-glenfall-want-server";
+/// The header in which a proxy names the server that the request is for. The address may have passed to another server.
+const TARGET_SERVER_HEADER: &str = "x-glenfall-want-server";
 
-struct StandInServer {
+struct StubServer {
     id: String,
-    /// Requests that it has run.
-    runs: Cell<u64>,
+    /// The number of requests that it has executed.
+    executed_requests: Cell<u64>,
 }
 
-impl Handler for StandInServer {
+impl Handler for StubServer {
     async fn handle(&self, request: FullRequest) -> FullResponse {
-        let wanted = request.head.headers.get(WANT_SERVER).and_then(|value| value.to_str().ok());
-        if wanted.is_some_and(|wanted| wanted != self.id) {
+        let target = request.head.headers.get(TARGET_SERVER_HEADER).and_then(|value| value.to_str().ok());
+        if target.is_some_and(|target| target != self.id) {
             return plain_response(StatusCode::MISDIRECTED_REQUEST, "another server");
         }
-        self.runs.set(self.runs.get() + 1);
-        let (method, uri, runs) = (&request.head.method, &request.head.uri, self.runs.get());
-        let body = format!("{method} {uri} run {runs} at {}\n", self.id);
+        self.executed_requests.set(self.executed_requests.get() + 1);
+        let (method, uri, executed_requests) =
+            (&request.head.method, &request.head.uri, self.executed_requests.get());
+        let body = format!("{method} {uri} run {executed_requests} at {}\n", self.id);
         let mut response = FullResponse::new(Full::new(Bytes::from(body)));
         let headers = response.headers_mut();
         headers.insert(SEAL_HEADER, HeaderValue::from_static("demo"));
@@ -72,7 +73,7 @@
     }
 }
 
-/// Starts a server and its heartbeats.
+/// Starts a stub server and its heartbeats. `stopping` stops the server; its heartbeats go on until the process ends.
 pub(super) async fn start(
     number: u8,
     system: &LocalSystem,
@@ -89,7 +90,7 @@
         drain_accept_time: Duration::ZERO,
         shutdown_timeout: Duration::ZERO,
     };
-    let server = Rc::new(StandInServer { id: id.clone(), runs: Cell::new(0) });
+    let server = Rc::new(StubServer { id: id.clone(), executed_requests: Cell::new(0) });
     spawn_local(http_server::serve_at(listener, config, server, stopping));
     let heartbeats = Heartbeats { id, address, zone: system.zone(number), controls: system.controls() };
     spawn_local(heartbeats.send_all());
--- a/glenfall/src/settings/error.rs
+++ b/glenfall/src/settings/error.rs
@@ -12,7 +12,9 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The environment names no file.
-    #[error("environment variable {SETTINGS_VARIABLE} is not set: it has to hold the path of the settings file")]
+    #[error(
+        "environment variable {SETTINGS_VARIABLE} is not set: it has to hold the path of the settings file"
+    )]
     NoPath,
     /// The file can't be read.
     #[error("can't read settings file {path}: {error}")]
