--- a/glenfall/src/cli.rs
+++ b/glenfall/src/cli.rs
@@ -65,7 +65,7 @@
     /// Show members, servers, and the versions that each member has applied
     Status {
         #[command(flatten)]
-        at: ControlAddresses,
+        addresses: ControlAddresses,
     },
 }
 
@@ -151,6 +151,6 @@
         OperatorCommand::State(command) => commands::state::run(command).await,
         OperatorCommand::Core(command) => commands::core::run(&command).await,
         OperatorCommand::Purge(arguments) => commands::purge::run(&arguments).await,
-        OperatorCommand::Status { at } => commands::status(&at).await,
+        OperatorCommand::Status { addresses } => commands::status(&addresses).await,
     }
 }
--- a/glenfall/src/http_server/connection_limit.rs
+++ b/glenfall/src/http_server/connection_limit.rs
@@ -18,7 +18,7 @@
     open: Cell<usize>,
     /// The connections that are idle after a response, in the order in which they became idle, with what evicts them.
     idle: RefCell<BTreeMap<u64, Rc<Notify>>>,
-    last_idle_number: Cell<u64>,
+    last_idle_key: Cell<u64>,
     connection_closed: Notify,
 }
 
@@ -29,7 +29,7 @@
             max_open,
             open: Cell::new(0),
             idle: RefCell::default(),
-            last_idle_number: Cell::new(0),
+            last_idle_key: Cell::new(0),
             connection_closed: Notify::new(),
         }
     }
@@ -66,7 +66,7 @@
 pub struct ConnectionSlot {
     limit: Rc<ConnectionLimit>,
     /// The key among the idle connections, while this one is idle.
-    idle_number: Cell<Option<u64>>,
+    idle_key: Cell<Option<u64>>,
     evicted: Rc<Notify>,
 }
 
@@ -74,22 +74,22 @@
     /// Counts a new connection. It is not evicted before its first response.
     pub fn claim(limit: &Rc<ConnectionLimit>) -> Self {
         limit.open.set(limit.open.get() + 1);
-        ConnectionSlot { limit: Rc::clone(limit), idle_number: Cell::new(None), evicted: Rc::default() }
+        ConnectionSlot { limit: Rc::clone(limit), idle_key: Cell::new(None), evicted: Rc::default() }
     }
 
     /// A request has arrived: the connection can't be evicted until it is idle again.
     pub fn set_busy(&self) {
-        if let Some(idle_number) = self.idle_number.take() {
-            self.limit.idle.borrow_mut().remove(&idle_number);
+        if let Some(idle_key) = self.idle_key.take() {
+            self.limit.idle.borrow_mut().remove(&idle_key);
         }
     }
 
     /// The response is ready: the connection can be evicted from now on.
     pub fn set_idle(&self) {
-        let idle_number = self.limit.last_idle_number.get() + 1;
-        self.limit.last_idle_number.set(idle_number);
-        self.idle_number.set(Some(idle_number));
-        self.limit.idle.borrow_mut().insert(idle_number, Rc::clone(&self.evicted));
+        let idle_key = self.limit.last_idle_key.get() + 1;
+        self.limit.last_idle_key.set(idle_key);
+        self.idle_key.set(Some(idle_key));
+        self.limit.idle.borrow_mut().insert(idle_key, Rc::clone(&self.evicted));
     }
 
     /// Waits until the connection is evicted.
--- a/glenfall/src/http_server/request_body.rs
+++ b/glenfall/src/http_server/request_body.rs
@@ -77,8 +77,8 @@
 ) -> Result<ReservedBody<'a>, RequestError> {
     check_head(head)?;
     let max_bytes = limits.max_body_bytes.min(memory.capacity());
-    let stated_bytes = body.size_hint().lower() as usize;
-    if stated_bytes > max_bytes {
+    let declared_bytes = body.size_hint().lower() as usize;
+    if declared_bytes > max_bytes {
         return Err(RequestError::BodyTooLarge);
     }
     let mut reservation = memory.reservation();
@@ -86,7 +86,7 @@
         return Ok(ReservedBody { bytes: Bytes::new(), reservation });
     }
     let idle_timeout = Duration::from_millis(limits.idle_timeout_ms.max(1));
-    let bounds = BodyBounds { stated_bytes, max_bytes, idle_timeout };
+    let bounds = BodyBounds { declared_bytes, max_bytes, idle_timeout };
     let bytes = read_body(body, bounds, &mut reservation).await?;
     Ok(ReservedBody { bytes, reservation })
 }
@@ -104,7 +104,7 @@
 /// The size and time that a body may take.
 struct BodyBounds {
     /// The length that its head states; 0 where it states none.
-    stated_bytes: usize,
+    declared_bytes: usize,
     max_bytes: usize,
     /// The longest pause between two parts of the body, and the time that any body has.
     idle_timeout: Duration,
@@ -125,8 +125,8 @@
     reservation: &mut BodyReservation<'_>,
 ) -> Result<Bytes, RequestError> {
     let started = Instant::now();
-    reservation.resize(bounds.stated_bytes)?;
-    let mut buffer = BytesMut::with_capacity(bounds.stated_bytes);
+    reservation.resize(bounds.declared_bytes)?;
+    let mut buffer = BytesMut::with_capacity(bounds.declared_bytes);
     loop {
         let deadline = bounds.deadline(started, buffer.len());
         let data = match timeout_at(deadline, body.frame()).await {
--- a/glenfall/src/operator/commands/config.rs
+++ b/glenfall/src/operator/commands/config.rs
@@ -6,7 +6,7 @@
 use hyper::Method;
 
 use super::check::{check, read_file};
-use super::control_client::{call_control, get, text, ControlAddresses};
+use super::control_client::{body_text, call_control, get, ControlAddresses};
 use super::error::OperatorError;
 
 /// The path of the configuration in control's HTTP API.
@@ -17,12 +17,12 @@
     /// Print the active configuration
     Get {
         #[command(flatten)]
-        at: ControlAddresses,
+        addresses: ControlAddresses,
     },
     /// Replace the complete configuration
     Put {
         #[command(flatten)]
-        at: ControlAddresses,
+        addresses: ControlAddresses,
         /// Version that the new configuration replaces; 0 if there is none yet
         #[arg(long)]
         builds_on: u64,
@@ -31,7 +31,7 @@
     /// Add, replace or remove individual items of the configuration
     Patch {
         #[command(flatten)]
-        at: ControlAddresses,
+        addresses: ControlAddresses,
         /// Version that the change is based on
         #[arg(long)]
         builds_on: u64,
@@ -42,16 +42,16 @@
 /// Runs the command; returns its output.
 pub(crate) async fn run(command: &ConfigCommand) -> Result<String, OperatorError> {
     let response = match command {
-        ConfigCommand::Get { at } => get(at, CONFIG_PATH).await?,
-        ConfigCommand::Put { at, builds_on, file } => {
+        ConfigCommand::Get { addresses } => get(addresses, CONFIG_PATH).await?,
+        ConfigCommand::Put { addresses, builds_on, file } => {
             check(file)?;
             let document = read_file(file)?;
-            call_control(at, Method::PUT, CONFIG_PATH, Some(*builds_on), document.into()).await?
+            call_control(addresses, Method::PUT, CONFIG_PATH, Some(*builds_on), document.into()).await?
         }
-        ConfigCommand::Patch { at, builds_on, file } => {
+        ConfigCommand::Patch { addresses, builds_on, file } => {
             let change = read_file(file)?;
-            call_control(at, Method::PATCH, CONFIG_PATH, Some(*builds_on), change.into()).await?
+            call_control(addresses, Method::PATCH, CONFIG_PATH, Some(*builds_on), change.into()).await?
         }
     };
-    Ok(text(&response))
+    Ok(body_text(&response))
 }
--- a/glenfall/src/operator/commands/control_client.rs
+++ b/glenfall/src/operator/commands/control_client.rs
@@ -27,7 +27,7 @@
 /// Bound on the bytes of control's responses in memory. It is above the largest of them, a complete state.
 pub const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// The field by which control says that a change builds on a version whose outcome it no longer knows.
-const FORGOTTEN_UP_TO: &str = "forgottenUpTo";
+const FORGOTTEN_UP_TO_FIELD: &str = "forgottenUpTo";
 
 /// The addresses of the control nodes to call.
 #[derive(Args, Clone)]
@@ -51,32 +51,35 @@
 /// Calls control nodes in turn until one gives a definite response: one of success, or a rejection that no other node
 /// would decide otherwise. `if_match` is the version of the configuration that the request builds on.
 pub async fn call_control(
-    at: &ControlAddresses,
+    addresses: &ControlAddresses,
     method: Method,
     path: &'static str,
     if_match: Option<u64>,
     body: Bytes,
 ) -> Result<ServerResponse, OperatorError> {
-    ControlRequest { method, path, if_match, body, timeout: CALL_TIMEOUT }.send(at).await
+    ControlRequest { method, path, if_match, body, timeout: CALL_TIMEOUT }.send(addresses).await
 }
 
 /// Reads a document of control.
-pub(super) async fn get(at: &ControlAddresses, path: &'static str) -> Result<ServerResponse, OperatorError> {
-    call_control(at, Method::GET, path, None, Bytes::new()).await
+pub(super) async fn get(
+    addresses: &ControlAddresses,
+    path: &'static str,
+) -> Result<ServerResponse, OperatorError> {
+    call_control(addresses, Method::GET, path, None, Bytes::new()).await
 }
 
 impl ControlRequest {
     /// Sends the request to control nodes in turn until one gives a definite response. A repeated request is safe:
     /// control recognizes changes and purges that it has received before.
-    pub async fn send(&self, at: &ControlAddresses) -> Result<ServerResponse, OperatorError> {
+    pub async fn send(&self, addresses: &ControlAddresses) -> Result<ServerResponse, OperatorError> {
         let pool = Pool::new(MAX_CONNECTIONS, MemoryBudget::new(MAX_RESPONSE_BYTES));
-        for address in at.controls.iter().cycle().take(at.controls.len() * ATTEMPTS_PER_NODE) {
+        for address in addresses.controls.iter().cycle().take(addresses.controls.len() * ATTEMPTS_PER_NODE) {
             let params = ExchangeParams::internal(*address, Instant::now() + self.timeout);
             match pool.exchange(params, || self.to_http(*address)).await {
                 Ok(response) if response.status().is_success() => return Ok(response),
                 Ok(response) if response.status().is_client_error() || is_final(&response) => {
                     let status = response.status().as_u16();
-                    return Err(OperatorError::Rejected { status, body: text(&response) });
+                    return Err(OperatorError::Rejected { status, body: body_text(&response) });
                 }
                 Ok(_) | Err(_) => sleep(RETRY_BACKOFF).await,
             }
@@ -102,21 +105,21 @@
 /// control remembers.
 fn is_final(response: &ServerResponse) -> bool {
     let body = serde_json::from_slice::<Value>(response.body());
-    body.is_ok_and(|body| body.get(FORGOTTEN_UP_TO).is_some())
+    body.is_ok_and(|body| body.get(FORGOTTEN_UP_TO_FIELD).is_some())
 }
 
-/// The body of a response as text.
-pub(super) fn text(response: &ServerResponse) -> String {
+/// The body of a response as text; invalid UTF-8 is replaced.
+pub(super) fn body_text(response: &ServerResponse) -> String {
     String::from_utf8_lossy(response.body()).into_owned()
 }
 
 /// A list of the documents of all control nodes, as indented JSON. A node that can't be reached has an entry with `error`.
 pub(super) async fn get_from_each(
-    at: &ControlAddresses,
+    addresses: &ControlAddresses,
     path: &'static str,
 ) -> Result<String, OperatorError> {
     let mut documents = Vec::new();
-    for control in &at.controls {
+    for control in &addresses.controls {
         let one_node = ControlAddresses { controls: vec![*control] };
         documents.push(match get(&one_node, path).await {
             Ok(response) => serde_json::from_slice(response.body()).unwrap_or(Value::Null),
--- a/glenfall/src/operator/commands/core.rs
+++ b/glenfall/src/operator/commands/core.rs
@@ -7,7 +7,7 @@
 use hyper::Method;
 use serde_json::{json, Value};
 
-use super::control_client::{get_from_each, text, ControlAddresses, ControlRequest};
+use super::control_client::{body_text, get_from_each, ControlAddresses, ControlRequest};
 use super::error::OperatorError;
 
 const CORE_PATH: &str = "/api/core";
@@ -19,19 +19,19 @@
     /// Show the voters, the standbys and the number of tolerated losses, as each control node reports them
     List {
         #[command(flatten)]
-        at: ControlAddresses,
+        addresses: ControlAddresses,
     },
     /// Make a standby control node a voter
     Add {
         #[command(flatten)]
-        at: ControlAddresses,
+        addresses: ControlAddresses,
         /// IP address of the control node (its `bindIp` setting)
         node: Ipv4Addr,
     },
     /// Remove a voter; a standby replaces it if too few voters would be left
     Remove {
         #[command(flatten)]
-        at: ControlAddresses,
+        addresses: ControlAddresses,
         /// IP address of the control node (its `bindIp` setting)
         node: Ipv4Addr,
     },
@@ -40,13 +40,13 @@
 /// Runs the command; returns its output.
 pub(crate) async fn run(command: &CoreCommand) -> Result<String, OperatorError> {
     match command {
-        CoreCommand::List { at } => get_from_each(at, CORE_PATH).await,
-        CoreCommand::Add { at, node } => change_voters(at, &json!({ "add": node })).await,
-        CoreCommand::Remove { at, node } => change_voters(at, &json!({ "remove": node })).await,
+        CoreCommand::List { addresses } => get_from_each(addresses, CORE_PATH).await,
+        CoreCommand::Add { addresses, node } => change_voters(addresses, &json!({ "add": node })).await,
+        CoreCommand::Remove { addresses, node } => change_voters(addresses, &json!({ "remove": node })).await,
     }
 }
 
-async fn change_voters(at: &ControlAddresses, change: &Value) -> Result<String, OperatorError> {
+async fn change_voters(addresses: &ControlAddresses, change: &Value) -> Result<String, OperatorError> {
     let request = ControlRequest {
         method: Method::POST,
         path: CORE_PATH,
@@ -54,5 +54,5 @@
         body: change.to_string().into(),
         timeout: VOTER_CHANGE_TIMEOUT,
     };
-    request.send(at).await.map(|response| text(&response))
+    request.send(addresses).await.map(|response| body_text(&response))
 }
--- a/glenfall/src/operator/commands/declared.rs
+++ b/glenfall/src/operator/commands/declared.rs
@@ -19,13 +19,13 @@
     /// Show how the configuration in a folder differs from the active one
     Plan {
         #[command(flatten)]
-        at: ControlAddresses,
+        addresses: ControlAddresses,
         folder: PathBuf,
     },
     /// Make the configuration in a folder the active one
     Apply {
         #[command(flatten)]
-        at: ControlAddresses,
+        addresses: ControlAddresses,
         /// Apply only if this is the active version, against which the change was reviewed
         #[arg(long)]
         if_rev: Option<u64>,
@@ -34,7 +34,7 @@
     /// Write the active configuration as files into a folder
     Export {
         #[command(flatten)]
-        at: ControlAddresses,
+        addresses: ControlAddresses,
         folder: PathBuf,
     },
 }
@@ -43,9 +43,9 @@
 pub(crate) async fn run(command: DeclaredCommand) -> Result<String, OperatorError> {
     match command {
         DeclaredCommand::Check { folder } => check(&folder),
-        DeclaredCommand::Plan { at, folder } => plan(&at, &folder).await,
-        DeclaredCommand::Apply { at, if_rev, folder } => apply(&at, if_rev, &folder).await,
-        DeclaredCommand::Export { at, folder } => export(&at, &folder).await,
+        DeclaredCommand::Plan { addresses, folder } => plan(&addresses, &folder).await,
+        DeclaredCommand::Apply { addresses, if_rev, folder } => apply(&addresses, if_rev, &folder).await,
+        DeclaredCommand::Export { addresses, folder } => export(&addresses, &folder).await,
     }
 }
 
@@ -54,45 +54,51 @@
     Ok(format!("{routes} routes, {services} services"))
 }
 
-async fn plan(at: &ControlAddresses, folder: &Path) -> Result<String, OperatorError> {
+async fn plan(addresses: &ControlAddresses, folder: &Path) -> Result<String, OperatorError> {
     let declared = Declared::read(folder)?;
-    let active = ActiveConfig::get(at).await?;
+    let active = ActiveConfig::get(addresses).await?;
     let differences = declared.differences(&active.document)?;
     Ok(match &differences[..] {
-        [] => active.is_declared(),
-        differences => format!("to version {}:\n{}", active.rev, lines(differences)),
+        [] => active.unchanged_message(),
+        differences => format!("to version {}:\n{}", active.rev, format_differences(differences)),
     })
 }
 
-async fn apply(at: &ControlAddresses, if_rev: Option<u64>, folder: &Path) -> Result<String, OperatorError> {
+async fn apply(
+    addresses: &ControlAddresses,
+    if_rev: Option<u64>,
+    folder: &Path,
+) -> Result<String, OperatorError> {
     let declared = Declared::read(folder)?;
-    let active = ActiveConfig::get(at).await?;
+    let active = ActiveConfig::get(addresses).await?;
     if let Some(expected) = if_rev.filter(|expected| *expected != active.rev) {
         return Err(OperatorError::VersionMismatch { expected, current: active.rev });
     }
     let differences = declared.differences(&active.document)?;
     if differences.is_empty() && active.rev > 0 {
-        return Ok(active.is_declared());
+        return Ok(active.unchanged_message());
     }
     let next_rev = active.rev + 1;
     // After a concurrent change this fails with 412, so that it can't overwrite that change.
     let document = declared.document(next_rev);
-    call_control(at, Method::PUT, CONFIG_PATH, Some(active.rev), document.into()).await?;
-    Ok(format!("version {next_rev} is in force:\n{}", lines(&differences)))
+    call_control(addresses, Method::PUT, CONFIG_PATH, Some(active.rev), document.into()).await?;
+    Ok(format!("version {next_rev} is in force:\n{}", format_differences(&differences)))
 }
 
-async fn export(at: &ControlAddresses, folder: &Path) -> Result<String, OperatorError> {
-    let active = ActiveConfig::get(at).await?;
-    let left_out = match active.rev {
+async fn export(addresses: &ControlAddresses, folder: &Path) -> Result<String, OperatorError> {
+    let active = ActiveConfig::get(addresses).await?;
+    let unsupported_fields = match active.rev {
         0 => Vec::new(),
         _ => declarative_config::write(&active.document, folder)?,
     };
-    let left_out: String =
-        left_out.iter().map(|field| format!("\nfield not supported in files, omitted: {field}")).collect();
-    Ok(format!("version {} written{left_out}", active.rev))
+    let unsupported_fields: String = unsupported_fields
+        .iter()
+        .map(|field| format!("\nfield not supported in files, omitted: {field}"))
+        .collect();
+    Ok(format!("version {} written{unsupported_fields}", active.rev))
 }
 
-fn lines(differences: &[Difference]) -> String {
+fn format_differences(differences: &[Difference]) -> String {
     differences.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
@@ -105,8 +111,8 @@
 }
 
 impl ActiveConfig {
-    async fn get(at: &ControlAddresses) -> Result<ActiveConfig, OperatorError> {
-        let response = match get(at, CONFIG_PATH).await {
+    async fn get(addresses: &ControlAddresses) -> Result<ActiveConfig, OperatorError> {
+        let response = match get(addresses, CONFIG_PATH).await {
             Err(OperatorError::Rejected { status: 404, .. }) => {
                 return Ok(ActiveConfig { rev: 0, document: Bytes::new() });
             }
@@ -118,7 +124,7 @@
     }
 
     /// The message for a folder that does not differ from it.
-    fn is_declared(&self) -> String {
+    fn unchanged_message(&self) -> String {
         format!("version {} is what is declared", self.rev)
     }
 }
--- a/glenfall/src/operator/commands/purge.rs
+++ b/glenfall/src/operator/commands/purge.rs
@@ -4,13 +4,13 @@
 use hyper::Method;
 use serde_json::json;
 
-use super::control_client::{call_control, text, ControlAddresses};
+use super::control_client::{body_text, call_control, ControlAddresses};
 use super::error::OperatorError;
 
 #[derive(Args)]
 pub(crate) struct PurgeArguments {
     #[command(flatten)]
-    at: ControlAddresses,
+    addresses: ControlAddresses,
     /// Purge all objects with this label
     #[arg(long, conflicts_with_all = ["host", "path"])]
     label: Option<String>,
@@ -29,6 +29,6 @@
         None => json!({ "hostname": arguments.host, "urlPath": arguments.path }),
     };
     let body = body.to_string().into();
-    let response = call_control(&arguments.at, Method::POST, "/api/purge", None, body).await?;
-    Ok(text(&response))
+    let response = call_control(&arguments.addresses, Method::POST, "/api/purge", None, body).await?;
+    Ok(body_text(&response))
 }
--- a/glenfall/src/operator/commands/state.rs
+++ b/glenfall/src/operator/commands/state.rs
@@ -19,7 +19,7 @@
     /// Write the newest acknowledged state of a running core to a file
     Export {
         #[command(flatten)]
-        at: ControlAddresses,
+        addresses: ControlAddresses,
         /// Path of the new file; an existing file is not overwritten
         file: PathBuf,
     },
@@ -43,7 +43,7 @@
 /// Runs the command; returns its output.
 pub(crate) async fn run(command: StateCommand) -> Result<String, OperatorError> {
     match command {
-        StateCommand::Export { at, file } => export(&at, &file).await,
+        StateCommand::Export { addresses, file } => export(&addresses, &file).await,
         StateCommand::Import { file, into, voters, acknowledged } => {
             import(&file, &into, voters, acknowledged)
         }
@@ -52,8 +52,8 @@
     }
 }
 
-async fn export(at: &ControlAddresses, file: &Path) -> Result<String, OperatorError> {
-    let response = get(at, "/api/state").await?;
+async fn export(addresses: &ControlAddresses, file: &Path) -> Result<String, OperatorError> {
+    let response = get(addresses, "/api/state").await?;
     // The backup is validated before it is written, so that an incomplete one is not found only when it is needed.
     let backup = Backup::read(response.body()).map_err(PathError::at(file))?;
     write_durably(file, response.body()).map_err(PathError::at(file))?;
--- a/glenfall/src/operator/commands/status.rs
+++ b/glenfall/src/operator/commands/status.rs
@@ -4,6 +4,6 @@
 use super::error::OperatorError;
 
 /// What each control node sees: a list with one document per node, as indented JSON.
-pub async fn status(at: &ControlAddresses) -> Result<String, OperatorError> {
-    get_from_each(at, "/api/status").await
+pub async fn status(addresses: &ControlAddresses) -> Result<String, OperatorError> {
+    get_from_each(addresses, "/api/status").await
 }
--- a/glenfall/src/operator/declarative_config/difference.rs
+++ b/glenfall/src/operator/declarative_config/difference.rs
@@ -105,7 +105,7 @@
     let mut changes = BTreeMap::new();
     for name in old.keys().chain(new.keys()) {
         let change = FieldChange { old: value(old, name), new: value(new, name) };
-        if !is_same(&change.old, &change.new) {
+        if !is_equal(&change.old, &change.new) {
             changes.insert(name.clone(), change);
         }
     }
@@ -113,16 +113,16 @@
 }
 
 /// Whether two values are equal, however their numbers are written: 40 equals 40.0.
-fn is_same(left: &Value, right: &Value) -> bool {
+fn is_equal(left: &Value, right: &Value) -> bool {
     match (left, right) {
         (Value::Number(left), Value::Number(right)) => left == right || left.as_f64() == right.as_f64(),
         (Value::Array(left), Value::Array(right)) => {
-            left.len() == right.len() && left.iter().zip(right).all(|(left, right)| is_same(left, right))
+            left.len() == right.len() && left.iter().zip(right).all(|(left, right)| is_equal(left, right))
         }
         (Value::Object(left), Value::Object(right)) => {
-            let has_same =
-                |(name, left): (&String, &Value)| right.get(name).is_some_and(|right| is_same(left, right));
-            left.len() == right.len() && left.iter().all(has_same)
+            let has_equal_field =
+                |(name, left): (&String, &Value)| right.get(name).is_some_and(|right| is_equal(left, right));
+            left.len() == right.len() && left.iter().all(has_equal_field)
         }
         (left, right) => left == right,
     }
--- a/glenfall/src/operator/declarative_config/files.rs
+++ b/glenfall/src/operator/declarative_config/files.rs
@@ -72,12 +72,12 @@
 
 /// The files that a document makes, and the fields that files can't have.
 #[derive(Default)]
-struct FilesOfDocument {
+struct DocumentFiles {
     files: Vec<NewFile>,
-    left_out: Vec<String>,
+    unsupported_fields: Vec<String>,
 }
 
-impl FilesOfDocument {
+impl DocumentFiles {
     fn add(&mut self, path: PathBuf, item: &Value, fields: &[&str]) {
         let mut table = toml::Table::new();
         for (field, value) in item.as_object().into_iter().flatten().filter(|(field, _)| *field != NAME_FIELD)
@@ -86,7 +86,7 @@
                 Ok(value) if fields.contains(&field.as_str()) => {
                     table.insert(field.clone(), value);
                 }
-                _ => self.left_out.push(format!("{}: {field}", path.display())),
+                _ => self.unsupported_fields.push(format!("{}: {field}", path.display())),
             }
         }
         self.files.push(NewFile { path, text: table.to_string() });
@@ -97,7 +97,7 @@
 /// out and returned.
 pub fn write(document: &[u8], folder: &Path) -> Result<Vec<String>, DeclareError> {
     let document: Value = serde_json::from_slice(document)?;
-    let mut output = FilesOfDocument::default();
+    let mut output = DocumentFiles::default();
     for list in [&ROUTE_LIST, &SERVICE_LIST] {
         for (name, item) in by_name(&document[list.section]) {
             let file = file_name(&name).ok_or(DeclareError::Name(name))?;
@@ -110,7 +110,7 @@
     for file in output.files {
         create(&file).map_err(PathError::at(&file.path))?;
     }
-    Ok(output.left_out)
+    Ok(output.unsupported_fields)
 }
 
 /// The name of an item's file; `None` where its name would be no single, visible file.
--- a/glenfall/src/operator/local_system.rs
+++ b/glenfall/src/operator/local_system.rs
@@ -227,9 +227,9 @@
 
     /// The process ids of a machine, of one role or of all roles.
     pub fn pids(&self, node: &str, role: Option<&str>) -> Vec<u32> {
-        let is_named =
+        let is_selected =
             |process: &&Process| process.node == node && role.is_none_or(|role| role == process.role);
-        self.processes.iter().filter(is_named).map(|process| process.child.id()).collect()
+        self.processes.iter().filter(is_selected).map(|process| process.child.id()).collect()
     }
 
     /// The ids of all processes, with the names of their machines.
--- a/glenfall/src/settings/derived.rs
+++ b/glenfall/src/settings/derived.rs
@@ -11,7 +11,7 @@
 use super::model::Settings;
 
 /// Part of the grace period that the end of a process itself takes, in seconds.
-const SHUTDOWN_S: f64 = 0.7;
+const EXIT_TIME_S: f64 = 0.7;
 /// The shortest grace period that processes keep to, in seconds.
 const MIN_GRACE_S: f64 = 0.3;
 const BYTES_PER_MIB: f64 = (1 << 20) as f64;
@@ -55,6 +55,6 @@
 
     /// How long a process may go on after SIGTERM before it is killed, less what its end takes.
     pub fn grace(&self) -> Duration {
-        Duration::from_secs_f64((self.timing.grace_s - SHUTDOWN_S).max(MIN_GRACE_S))
+        Duration::from_secs_f64((self.timing.grace_s - EXIT_TIME_S).max(MIN_GRACE_S))
     }
 }
--- a/glenfall/src/settings/error.rs
+++ b/glenfall/src/settings/error.rs
@@ -4,7 +4,7 @@
 
 use glenfall_control_plane::chain::SyncTooShort;
 
-use super::bounds::{MAX_LOSSES, MAX_TIMING_VALUE};
+use super::bounds::{MAX_TIMING_VALUE, MAX_TOLERATED_LOSSES};
 use super::model::SETTINGS_VARIABLE;
 use super::port_range::PortRange;
 
@@ -75,7 +75,7 @@
     #[error("seedNodes: at least one address expected, got none")]
     NoSeedNodes,
     /// More losses are to be tolerated than the largest set of voters can tolerate.
-    #[error("survive.hosts: {MAX_LOSSES} at most can be tolerated, got {0}")]
+    #[error("survive.hosts: {MAX_TOLERATED_LOSSES} at most can be tolerated, got {0}")]
     TooManyLosses(usize),
     /// A value of `timing` is out of its bounds.
     #[error("timing.{name}: a number from 0 to {MAX_TIMING_VALUE} expected, got {value}")]
--- a/glenfall/src/settings/validation.rs
+++ b/glenfall/src/settings/validation.rs
@@ -1,23 +1,23 @@
 //! Checks settings that could be parsed.
 
 use super::addresses::WATCH_PORT_OFFSET;
-use super::bounds::{MAX_LOSSES, MAX_TIMING_VALUE};
+use super::bounds::{MAX_TIMING_VALUE, MAX_TOLERATED_LOSSES};
 use super::error::InvalidSettings;
 use super::model::{Settings, Timing};
 
 /// Ports that the system's processes use.
-const USED_PORTS: u16 = WATCH_PORT_OFFSET + 1;
+const USED_PORT_COUNT: u16 = WATCH_PORT_OFFSET + 1;
 
 /// Checks that each value is within its bounds.
 pub(super) fn check(settings: &Settings) -> Result<(), InvalidSettings> {
     let ports = settings.port_range;
-    if ports.last < ports.first.saturating_add(USED_PORTS - 1) {
-        return Err(InvalidSettings::PortRange { expected: USED_PORTS, got: ports });
+    if ports.last < ports.first.saturating_add(USED_PORT_COUNT - 1) {
+        return Err(InvalidSettings::PortRange { expected: USED_PORT_COUNT, got: ports });
     }
     if settings.seed_nodes.is_empty() {
         return Err(InvalidSettings::NoSeedNodes);
     }
-    if settings.survive.hosts > MAX_LOSSES {
+    if settings.survive.hosts > MAX_TOLERATED_LOSSES {
         return Err(InvalidSettings::TooManyLosses(settings.survive.hosts));
     }
     check_timing(&settings.timing)
