--- a/glenfall/src/operator/commands/check.rs
+++ b/glenfall/src/operator/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: whether a settings file or a configuration is valid.
+//! `check`: validates a settings file or a configuration.
 
 use std::path::Path;
 
@@ -8,12 +8,12 @@
 use crate::operator::PathError;
 use crate::settings::Settings;
 
-/// Reads a file.
+/// Reads a file; an error contains the path.
 pub(super) fn read_file(path: &Path) -> Result<Vec<u8>, OperatorError> {
     Ok(std::fs::read(path).map_err(PathError::at(path))?)
 }
 
-/// Checks a settings file (TOML) or a configuration (JSON); returns one line that says what the file is.
+/// Validates a settings file (TOML) or a configuration (JSON); returns a line that summarizes the file.
 pub fn check(path: &Path) -> Result<String, OperatorError> {
     let bytes = read_file(path)?;
     let is_json = bytes.iter().find(|byte| !byte.is_ascii_whitespace()) == Some(&b'{');
--- a/glenfall/src/operator/commands/control_client.rs
+++ b/glenfall/src/operator/commands/control_client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to control, with retries over its nodes.
+//! HTTP calls to control, retried over its nodes.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -16,17 +16,18 @@
 use crate::memory_budget::MemoryBudget;
 use crate::upstream::pool::{ExchangeParams, Pool};
 
-/// Bound on one call to a control node, which answers within a second or not at all.
+/// Timeout of one call to a control node. A node that can respond does so within a second.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How often each node is called before the command gives up.
+/// How often each node is called before the command fails.
 const ATTEMPTS_PER_NODE: usize = 3;
 /// The pause after a call without a definite response.
 const RETRY_BACKOFF: Duration = Duration::from_millis(100);
-/// Bound on the connections that a command opens.
+/// The most connections that a command opens.
 const MAX_CONNECTIONS: usize = 8;
-/// Bound on the bytes of control's responses in memory. It is above the largest of them, a complete state.
+/// The most bytes of control's responses in memory; more than the largest response, an exported state, has.
 pub const MAX_RESPONSE_BYTES: usize = 64 << 20;
-/// The field by which control says that a change builds on a version whose outcome it no longer knows.
+/// The field by which control rejects a change that builds on a version so old that control no longer knows whether the
+/// change was applied.
 const FORGOTTEN_UP_TO_FIELD: &str = "forgottenUpTo";
 
 /// The addresses of the control nodes to call.
@@ -44,12 +45,12 @@
     /// The version of the configuration that the request builds on.
     pub if_match: Option<u64>,
     pub body: Bytes,
-    /// Bound on one call to one node.
+    /// Timeout of one call to one node.
     pub timeout: Duration,
 }
 
-/// Calls control nodes in turn until one gives a definite response: one of success, or a rejection that no other node
-/// would decide otherwise. `if_match` is the version of the configuration that the request builds on.
+/// Calls control nodes in turn until one gives a definite response: a success, or a rejection that every other node would
+/// give too. `if_match` is the version of the configuration that the request builds on.
 pub async fn call_control(
     addresses: &ControlAddresses,
     method: Method,
@@ -60,7 +61,7 @@
     ControlRequest { method, path, if_match, body, timeout: CALL_TIMEOUT }.send(addresses).await
 }
 
-/// Reads a document of control.
+/// Reads a document from control.
 pub(super) async fn get(
     addresses: &ControlAddresses,
     path: &'static str,
@@ -101,8 +102,8 @@
     }
 }
 
-/// Whether no other node and no later call gives another response, whatever the status: the request is older than what
-/// control remembers.
+/// Whether every node would give this response, now and later, whatever its status: the request is older than the changes
+/// that control remembers.
 fn is_final(response: &ServerResponse) -> bool {
     let body = serde_json::from_slice::<Value>(response.body());
     body.is_ok_and(|body| body.get(FORGOTTEN_UP_TO_FIELD).is_some())
@@ -113,7 +114,8 @@
     String::from_utf8_lossy(response.body()).into_owned()
 }
 
-/// A list of the documents of all control nodes, as indented JSON. A node that can't be reached has an entry with `error`.
+/// Reads a document from each control node; returns a list of them as indented JSON. A node that can't be reached has an
+/// entry with the field `error`.
 pub(super) async fn get_from_each(
     addresses: &ControlAddresses,
     path: &'static str,
--- a/glenfall/src/operator/commands/mod.rs
+++ b/glenfall/src/operator/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's commands: checks of files, and calls to control.
+//! The operator commands: validation of files, and calls to control.
 
 mod check;
 pub(crate) mod config;
--- a/glenfall/src/operator/commands/state.rs
+++ b/glenfall/src/operator/commands/state.rs
@@ -60,7 +60,7 @@
     Ok(format!("configuration {}, change {}, exported", backup.rev, backup.seq))
 }
 
-/// Writes a new file, and waits until it is on disk together with its directory entry.
+/// Writes a new file, and syncs it and its directory entry to disk.
 fn write_durably(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
     let mut file = std::fs::File::create_new(path)?;
     file.write_all(bytes)?;
--- a/glenfall/src/operator/commands/status.rs
+++ b/glenfall/src/operator/commands/status.rs
@@ -3,7 +3,7 @@
 use super::control_client::{get_from_each, ControlAddresses};
 use super::error::OperatorError;
 
-/// What each control node sees: a list with one document per node, as indented JSON.
+/// The status that each control node reports: a list with one document for each node, as indented JSON.
 pub async fn status(addresses: &ControlAddresses) -> Result<String, OperatorError> {
     get_from_each(addresses, "/api/status").await
 }
--- a/glenfall/src/operator/declarative_config/difference.rs
+++ b/glenfall/src/operator/declarative_config/difference.rs
@@ -1,4 +1,4 @@
-//! Differences between a declared configuration and the active one, item by item.
+//! Differences between a declared configuration and the active one, by item.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,7 +7,7 @@
 
 use super::schema::{ItemList, LIMITS_FILE, ROUTE_LIST, SERVICE_LIST};
 
-/// The change of one field; `null` means a field that is not set.
+/// The change of one field. `null` stands for a field that is not set.
 #[derive(Debug, PartialEq)]
 pub struct FieldChange {
     /// The active value.
@@ -16,28 +16,28 @@
     pub new: Value,
 }
 
-/// The difference of one item. Its text is what operators are shown.
+/// The difference of one item. Operators see its `Display` text.
 #[derive(Debug, PartialEq)]
 pub enum Difference {
     /// The item is declared and not active.
     Added {
-        /// The list that it is in.
+        /// The section of the configuration: `paths` or `backends`.
         list: &'static str,
-        /// Its name.
+        /// The name of the route or service.
         name: String,
     },
     /// The item is active and not declared.
     Removed {
-        /// The list that it is in.
+        /// The section of the configuration: `paths` or `backends`.
         list: &'static str,
-        /// Its name.
+        /// The name of the route or service.
         name: String,
     },
-    /// The item has other fields.
+    /// Fields of the item differ.
     Changed {
-        /// The list or section that it is in.
+        /// The section of the configuration: `paths`, `backends` or `reqLimits`.
         list: &'static str,
-        /// Its name; empty for a section.
+        /// The name of the route or service; empty for `reqLimits`.
         name: String,
         /// The fields that differ.
         fields: BTreeMap<String, FieldChange>,
--- a/glenfall/src/operator/declarative_config/files.rs
+++ b/glenfall/src/operator/declarative_config/files.rs
@@ -10,12 +10,12 @@
 use super::{DeclareError, InvalidItem};
 use crate::operator::PathError;
 
-/// Bound on the length of an item's name, so that it makes a file name on every file system.
+/// The longest name of an item, in bytes, so that with its extension it is a valid file name on every file system.
 const MAX_NAME_LENGTH: usize = 200;
-/// The field that is the name of an item's file.
+/// The field that is not stored in an item's file, but as the name of the file.
 const NAME_FIELD: &str = "name";
 
-/// Reads all items of a folder. A folder that does not exist has none.
+/// Reads all items of a folder, in the order of their names. A folder that does not exist has none.
 pub(super) fn read_items(folder: &Path, fields: &[&str]) -> Result<Vec<Value>, DeclareError> {
     let mut items = Vec::new();
     for path in toml_files(folder)? {
@@ -43,7 +43,7 @@
     Ok(paths)
 }
 
-/// Reads a file that may have these fields.
+/// Reads the file of an item. A field other than these is an error.
 pub(super) fn read_item(path: &Path, fields: &[&str]) -> Result<Map<String, Value>, DeclareError> {
     let text = std::fs::read_to_string(path).map_err(PathError::at(path))?;
     Ok(parse_item(&text, fields).map_err(PathError::at(path))?)
@@ -60,7 +60,7 @@
     }
 }
 
-/// The line of a byte offset, counted from 1.
+/// The number of the line that contains a byte offset, counted from 1.
 fn line_of(text: &str, offset: usize) -> usize {
     text[..offset.min(text.len())].matches('\n').count() + 1
 }
@@ -70,7 +70,7 @@
     text: String,
 }
 
-/// The files that a document makes, and the fields that files can't have.
+/// The files that a document is written as, and the fields of it that files don't support.
 #[derive(Default)]
 struct DocumentFiles {
     files: Vec<NewFile>,
@@ -93,8 +93,8 @@
     }
 }
 
-/// Writes a document as files into a folder; files that exist are not overwritten. Fields that files can't have are left
-/// out and returned.
+/// Writes a document as files into a folder. An existing file is an error and is not overwritten. Fields that files don't
+/// support are omitted; returns their names with the paths of their files.
 pub fn write(document: &[u8], folder: &Path) -> Result<Vec<String>, DeclareError> {
     let document: Value = serde_json::from_slice(document)?;
     let mut output = DocumentFiles::default();
@@ -113,7 +113,7 @@
     Ok(output.unsupported_fields)
 }
 
-/// The name of an item's file; `None` where its name would be no single, visible file.
+/// The name of an item's file; `None` if the name is empty, too long, hidden, or contains `/` or NUL.
 fn file_name(item: &str) -> Option<String> {
     let is_valid = !item.is_empty()
         && item.len() <= MAX_NAME_LENGTH
--- a/glenfall/src/operator/declarative_config/mod.rs
+++ b/glenfall/src/operator/declarative_config/mod.rs
@@ -1,5 +1,5 @@
-//! A configuration as files, one for each route and service, which suits version control: read, compared with the active
-//! configuration, and written from it.
+//! The configuration as files under version control, one for each route and service: reads the files, compares them with
+//! the active configuration, and writes the active configuration as files.
 
 mod difference;
 mod files;
@@ -55,7 +55,7 @@
     NameField,
 }
 
-/// The numbers of items that a folder declares.
+/// How many items a folder declares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ItemCounts {
     /// Files in `routes`.
@@ -69,8 +69,8 @@
 pub struct Declared(Map<String, Value>);
 
 impl Declared {
-    /// Reads `routes/*.toml`, `services/*.toml` and `limits.toml`, and checks that they make a valid configuration
-    /// together.
+    /// Reads `routes/*.toml`, `services/*.toml` and, if it exists, `limits.toml`, and checks that they form a valid
+    /// configuration together.
     pub fn read(folder: &Path) -> Result<Declared, DeclareError> {
         let mut document = Map::new();
         for list in [&ROUTE_LIST, &SERVICE_LIST] {
@@ -87,7 +87,7 @@
         Ok(declared)
     }
 
-    /// The configuration as the JSON document of this version.
+    /// The configuration as a JSON document with this version.
     pub fn document(&self, rev: u64) -> Vec<u8> {
         let mut document = Map::new();
         document.insert("rev".into(), rev.into());
@@ -101,7 +101,7 @@
         ItemCounts { routes: count(ROUTE_LIST.section), services: count(SERVICE_LIST.section) }
     }
 
-    /// What changes if this replaces the JSON document `current`; empty bytes stand for no configuration yet.
+    /// What would change if this replaced the JSON document `current`, which is empty if there is no configuration yet.
     pub fn differences(&self, current: &[u8]) -> Result<Vec<Difference>, DeclareError> {
         let current = if current.is_empty() { Value::Null } else { serde_json::from_slice(current)? };
         Ok(difference::between(&current, &self.0))
--- a/glenfall/src/operator/declarative_config/schema.rs
+++ b/glenfall/src/operator/declarative_config/schema.rs
@@ -1,7 +1,7 @@
-//! Where items of the configuration lie in files, and the fields that they may have. An unknown field is an error here,
-//! although JSON documents may have some: in a file that people write it is a spelling mistake.
+//! The files of the configuration's items, and the fields that they may have. An unknown field in a file is an error, as
+//! it is probably a spelling mistake; in JSON documents unknown fields are allowed.
 
-/// A list of named items, of which each is a file.
+/// A list of named items that are stored in one file each.
 pub(super) struct ItemList {
     /// The name of the list in the document.
     pub section: &'static str,
@@ -9,7 +9,7 @@
     pub fields: &'static [&'static str],
 }
 
-/// A section of the document that is one file.
+/// A section of the document that is stored in one file.
 pub(super) struct SingleItem {
     /// The name of the section in the document.
     pub section: &'static str,
@@ -17,7 +17,6 @@
     pub fields: &'static [&'static str],
 }
 
-/// The routes.
 pub(super) const ROUTE_LIST: ItemList = ItemList {
     section: "paths",
     folder: "routes",
@@ -36,7 +35,6 @@
     ],
 };
 
-/// The services.
 pub(super) const SERVICE_LIST: ItemList = ItemList {
     section: "backends",
     folder: "services",
--- a/glenfall/src/operator/demo/mod.rs
+++ b/glenfall/src/operator/demo/mod.rs
@@ -1,5 +1,5 @@
-//! A demo: runs the complete system on loopback, with stub servers, to try it out. It first sends requests end to end, and
-//! fails if one of them gets no response in time or a wrong one.
+//! A demo: runs the complete system on loopback, with stub servers, to try it out. It first sends requests end to end,
+//! and fails if one of them gets no response in time or a wrong one.
 
 mod client;
 mod set_up;
@@ -28,7 +28,7 @@
 const CORE_MACHINES: u8 = 3;
 const EDGE_MACHINES: u8 = 2;
 const STUB_SERVERS: u8 = 2;
-/// The host of all routes.
+/// The host that all routes match.
 const DEMO_HOST: &str = "demo.example";
 /// The object that the demo reads and purges.
 const DEMO_PATH: &str = "/pages/hello";
--- a/glenfall/src/operator/local_system.rs
+++ b/glenfall/src/operator/local_system.rs
@@ -1,4 +1,4 @@
-//! A complete system on loopback, for the demo and for experiments: each machine is an address of its own, each role a
+//! A complete system on loopback, for the demo and for experiments. Each machine has its own address, and each role is a
 //! process.
 
 use std::collections::BTreeSet;
@@ -12,9 +12,9 @@
 use crate::operator::commands::ControlAddresses;
 use crate::settings::SETTINGS_VARIABLE;
 
-/// Number of ports that a machine needs, next to each other.
+/// Number of consecutive ports that a machine needs.
 const PORT_COUNT: u16 = 6;
-// Ports, counted from the first one of a machine.
+// The ports, as offsets from the first port of a machine.
 const SESSION_PORT: u16 = 0;
 const SHIELD_PORT: u16 = 1;
 const WATCH_PORT: u16 = 2;
@@ -22,19 +22,19 @@
 const HTTP_PORT: u16 = 4;
 const READY_PORT: u16 = 5;
 
-/// Bound on the file descriptors of a process.
+/// The most open file descriptors of a process (`maxFds`).
 const MAX_DESCRIPTORS: usize = 4096;
 
 /// The machines of a local system, and their settings.
 #[derive(Clone, Copy, Debug)]
 pub struct SystemLayout {
-    /// Third byte of the machines' addresses, 127.0.N.x. Several systems can run at once with different ones.
+    /// Third byte N of the machines' addresses 127.0.N.x. Systems that run at the same time need different ones.
     pub net: u8,
-    /// Number of machines with control and a shield.
+    /// Number of core machines, with a control node and a shield each.
     pub cores: u8,
-    /// Number of core machines that the settings name: they vote at the first start.
+    /// Number of core machines that `seedNodes` lists. They are the voters of the first start.
     pub seeds: u8,
-    /// Number of machines with an edge and its agent.
+    /// Number of edge machines, with an edge and its agent each.
     pub edges: u8,
     /// Number of zones that the machines are distributed over.
     pub zones: u8,
@@ -42,14 +42,16 @@
     pub heartbeat_interval_ms: u64,
     /// Memory of each process, in MiB.
     pub mem_mb: u64,
-    /// Number of core machines that may be lost at once with their disks. Above 0, all core machines may vote.
+    /// Number of core machines that may be lost at once with their disks (`survive.hosts`). If it is above 0, all core
+    /// machines may vote.
     pub tolerated_losses: usize,
-    /// Core processes listen at other addresses than they announce, so that relays can listen at the announced ones.
+    /// Whether core processes listen on other addresses than they announce, so that relays that simulate network faults
+    /// can listen on the announced ones.
     pub relayed: bool,
 }
 
 impl SystemLayout {
-    /// A layout whose core machines all vote, in three zones, without relays, with 256 MiB for each process and
+    /// A layout in three zones whose core machines all vote, without relays, with 256 MiB of memory for each process and
     /// heartbeats every 500 ms.
     pub fn new(net: u8, cores: u8, edges: u8) -> Self {
         SystemLayout {
@@ -85,13 +87,14 @@
 pub struct LocalSystem {
     layout: SystemLayout,
     program: PathBuf,
-    /// The first port of every machine.
+    /// The first port, which is the same on all machines.
     first_port: u16,
     /// The folder of settings, logs and state.
     pub folder: PathBuf,
     processes: Vec<Process>,
     keeps_folder: bool,
-    /// Machines that have lost their disks: their next start is not the first one of the system.
+    /// Machines whose state was removed. They start without `bootstrap`, as their next start is not the first start of
+    /// the system.
     wiped: BTreeSet<String>,
 }
 
@@ -108,7 +111,7 @@
 }
 
 impl LocalSystem {
-    /// Starts all processes of `program`; they find each other by themselves.
+    /// Starts all processes as children that run `program`. Returns without waiting until they have found each other.
     pub async fn start(layout: SystemLayout, program: &Path) -> std::io::Result<LocalSystem> {
         let first_port = free_ports().await?;
         let name = format!("glenfall-local-{}-{first_port}", std::process::id());
@@ -154,7 +157,7 @@
         1..=self.layout.machine_count()
     }
 
-    /// The name of a machine. Core machines have the first numbers, from 1 on.
+    /// The name of a machine. Machines are numbered from 1, core machines first.
     pub fn machine_name(&self, number: u8) -> String {
         match number.checked_sub(self.layout.cores + 1) {
             None => format!("core-{number}"),
@@ -175,12 +178,12 @@
         format!("zone-{}", number % self.layout.zones.max(1) + 1)
     }
 
-    /// The address of a machine. Numbers after the last machine are free for servers.
+    /// The address of a machine. Numbers above that of the last machine can be used for servers.
     pub fn machine_address(&self, number: u8) -> Ipv4Addr {
         Ipv4Addr::new(127, 0, self.layout.net, number)
     }
 
-    /// Where the processes of a machine listen.
+    /// The address on which the processes of a machine listen.
     fn listen_ip(&self, number: u8) -> Ipv4Addr {
         match self.layout.relayed && self.layout.is_core(number) {
             true => Ipv4Addr::new(127, 1, self.layout.net, number),
@@ -188,8 +191,8 @@
         }
     }
 
-    /// For each core machine, the addresses that it announces with those where it listens, for sessions, reads and calls
-    /// of control.
+    /// For each core machine, its number and the pairs of announced and listening address: for sessions, for reads of the
+    /// shield, and for control's HTTP API.
     pub fn relayed_machines(&self) -> Vec<(u8, [(SocketAddrV4, SocketAddrV4); 3])> {
         let pair = |number, offset| {
             let port = self.first_port + offset;
@@ -201,7 +204,7 @@
         cores.map(|number| (number, ports.map(|offset| pair(number, offset)))).collect()
     }
 
-    /// The addresses where control takes calls.
+    /// The addresses of the HTTP API of all control nodes.
     pub fn controls(&self) -> ControlAddresses {
         ControlAddresses { controls: (1..=self.layout.cores).map(|number| self.control(number)).collect() }
     }
@@ -214,12 +217,12 @@
         (1..=self.layout.seeds.min(self.layout.cores)).map(|number| self.control(number)).collect()
     }
 
-    /// The control nodes that the settings name, and the port where all of them take sessions.
+    /// The addresses of the control nodes in `seedNodes`, and the port on which all of them accept sessions.
     pub fn session_addresses(&self) -> (Vec<Ipv4Addr>, u16) {
         (self.seeds().iter().map(|seed| *seed.ip()).collect(), self.first_port + SESSION_PORT)
     }
 
-    /// The addresses where edges take clients.
+    /// The addresses on which edges accept clients.
     pub fn edges(&self) -> Vec<SocketAddrV4> {
         let address = |number| SocketAddrV4::new(self.machine_address(number), self.first_port + HTTP_PORT);
         self.machine_numbers().filter(|number| !self.layout.is_core(*number)).map(address).collect()
@@ -237,7 +240,7 @@
         self.processes.iter().map(|process| (process.child.id(), &process.node[..])).collect()
     }
 
-    /// Processes that have ended: machine, role, and exit status.
+    /// The processes that have ended, with machine, role and exit status.
     pub fn exited_processes(&mut self) -> std::io::Result<Vec<(String, &'static str, ExitStatus)>> {
         let mut ended = Vec::new();
         for process in &mut self.processes {
@@ -248,7 +251,7 @@
         Ok(ended)
     }
 
-    /// Removes the state of a machine from disk. Its processes must have ended.
+    /// Deletes the state of a machine from disk. Its processes must have ended.
     pub fn wipe(&mut self, node: &str) -> std::io::Result<()> {
         self.wiped.insert(node.to_owned());
         if let Some(number) = self.machine_numbers().find(|number| self.machine_name(*number) == node) {
@@ -272,7 +275,7 @@
         Ok(())
     }
 
-    /// Log lines about violated invariants, of processes that have ended as well.
+    /// The log lines about violated invariants, also those of processes that have ended.
     pub fn invariant_violations(&self) -> Vec<String> {
         let entries = std::fs::read_dir(&self.folder).into_iter().flatten().flatten();
         let paths = entries.map(|entry| entry.path());
@@ -285,7 +288,7 @@
         violations
     }
 
-    /// Keeps the folder with its logs and state when this is dropped, so that a failure can be examined.
+    /// Keeps the folder with logs and state when this is dropped, so that a failure can be examined. Returns the folder.
     pub fn retain_folder(&mut self) -> &Path {
         self.keeps_folder = true;
         &self.folder
@@ -328,7 +331,7 @@
     }
 }
 
-/// The first of [`PORT_COUNT`] free ports next to each other.
+/// The first of [`PORT_COUNT`] consecutive free ports.
 async fn free_ports() -> std::io::Result<u16> {
     loop {
         let first = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?.local_addr()?.port();
--- a/glenfall/src/operator/mod.rs
+++ b/glenfall/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's side: commands that call control, the configuration as files under version control, and a complete
+//! Tools for operators: commands that call control, the configuration as files under version control, and a complete
 //! system on this machine for the demo and for experiments.
 
 pub mod commands;
--- a/glenfall/src/operator/path_error.rs
+++ b/glenfall/src/operator/path_error.rs
@@ -1,10 +1,10 @@
-//! An error with the file or folder that it concerns.
+//! An error with the path of the file or folder that it concerns.
 
 use std::error::Error;
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// An error that concerns a file or folder. Its text is the path and the error's own text.
+/// An error that concerns a file or folder. Its message consists of the path and the message of the error.
 #[derive(Debug)]
 pub struct PathError<E> {
     /// The file or folder.
--- a/glenfall/src/settings/file.rs
+++ b/glenfall/src/settings/file.rs
@@ -22,8 +22,8 @@
     ///
     /// # Errors
     ///
-    /// When the text is not valid TOML, a field is missing or has a wrong type, or a value is out of its bounds. The error
-    /// names the field or the line.
+    /// When the text is not valid TOML, a field is missing or has a wrong type, or a value is out of its bounds. The
+    /// error names the field or the line.
     pub fn parse(text: &str) -> Result<Settings, InvalidSettings> {
         let settings: Settings =
             toml::from_str(text).map_err(|error| InvalidSettings::syntax(text, &error))?;
