--- a/glenfall/src/memory_budget.rs
+++ b/glenfall/src/memory_budget.rs
@@ -1,6 +1,6 @@
 //! A memory budget for responses. A proxy holds complete responses in memory, in its cache and until its clients have
-//! received them, and a few slow clients of large objects would otherwise use up all memory. A response counts from before
-//! it is read until the last slice of its body is dropped, wherever that has been passed on to.
+//! received them. Without a bound, a few slow clients of large objects could use up all memory. Memory is reserved
+//! before a response is read, and returned once the last slice of its body is dropped, whichever component holds it.
 
 use std::sync::Arc;
 
@@ -9,14 +9,14 @@
 
 /// Memory is reserved in multiples of this many bytes.
 pub const UNIT_BYTES: usize = 1024;
-/// The fraction of the budget, as its divisor, that is reserved for responses in flight: while less than an eighth is
-/// left, no new request is sent.
+/// The divisor of the budget that gives the reserve for responses in flight: no new request is sent while only an eighth
+/// of the budget or less is free.
 const RESERVE_DIVISOR: usize = 8;
 
 /// The memory that one process has for responses.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
-    /// A permit for each unit that is not reserved.
+    /// One permit for each unit that is free.
     free_units: Arc<Semaphore>,
     total_units: usize,
 }
@@ -57,14 +57,14 @@
         self.free_units.available_permits() > self.total_units / RESERVE_DIVISOR
     }
 
-    /// How many bytes are reserved.
+    /// How many bytes are reserved, over all reservations.
     pub fn reserved_bytes(&self) -> usize {
         let free_units = self.free_units.available_permits().min(self.total_units);
         (self.total_units - free_units) * UNIT_BYTES
     }
 
-    /// Waits until this many bytes are free, in the order of the calls, and reserves them. `None` where the budget is
-    /// smaller.
+    /// Waits until this many bytes are free, and reserves them. Calls are served in their order. `None` if the budget is
+    /// smaller than that.
     pub async fn reserve(&self, bytes: usize) -> Option<Reservation> {
         let units = units(bytes);
         if units as usize > self.total_units {
@@ -77,13 +77,13 @@
 }
 
 impl Reservation {
-    /// How many bytes are reserved.
+    /// How many bytes this reservation holds; a multiple of [`UNIT_BYTES`].
     pub fn bytes(&self) -> usize {
         self.permit.num_permits() * UNIT_BYTES
     }
 
-    /// Waits until the reservation can grow to this many bytes in total. Where the budget is smaller this never ends: the
-    /// caller bounds the time. `None` only if the budget was closed, which does not happen.
+    /// Waits until the reservation can grow to this many bytes in total. If the budget is smaller this never returns, so
+    /// the caller has to set a timeout. `None` only if the budget was closed, which does not happen.
     pub async fn grow_to(&mut self, bytes: usize) -> Option<()> {
         let additional_units = units(bytes).saturating_sub(units(self.bytes()));
         let additional = Arc::clone(&self.free_units).acquire_many_owned(additional_units).await.ok()?;
@@ -91,8 +91,8 @@
         Some(())
     }
 
-    /// The body for which the memory was reserved. The memory is returned once the last slice of the body is dropped; at
-    /// once where the body is empty.
+    /// Attaches the reservation to the body that it was made for. The memory is returned once the last slice of the
+    /// body is dropped, or at once if the body is empty.
     pub fn attach_to(self, body: Bytes) -> Bytes {
         if body.is_empty() {
             return body;
--- a/glenfall/src/metrics/counter.rs
+++ b/glenfall/src/metrics/counter.rs
@@ -7,12 +7,12 @@
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Counts one event.
+    /// Adds one event.
     pub fn increment(&self) {
         self.increment_by(1);
     }
 
-    /// Counts this many events.
+    /// Adds this many events.
     pub fn increment_by(&self, count: usize) {
         self.0.set(self.0.get() + count as u64);
     }
--- a/glenfall/src/metrics/latency.rs
+++ b/glenfall/src/metrics/latency.rs
@@ -1,5 +1,5 @@
-//! Latencies for `status`: quantiles over the last one to two minutes, as those since the start of the process would hide a
-//! present problem.
+//! Latencies for `status`: quantiles over the last one to two minutes, as quantiles since the start of the process would
+//! hide a current problem.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -7,14 +7,15 @@
 use hdrhistogram::Histogram;
 use tokio::time::Instant;
 
-/// How long one histogram is filled. A report covers the current histogram and the one before.
+/// How long one histogram records. A report covers the current histogram and the previous one.
 pub const WINDOW_DURATION: Duration = Duration::from_mins(1);
-/// The longest latency that is distinguished, in microseconds: 2 minutes, longer than any deadline. Longer ones count as
-/// this.
+/// The longest latency that is recorded, in microseconds: 2 minutes, longer than any deadline. Longer ones are recorded
+/// as this value.
 pub const MAX_LATENCY_US: u64 = 120_000_000;
-/// The precision of the histograms. Two digits suffice for an operator, and take some 10 KB for each histogram.
+/// The precision of the histograms, in decimal digits. Two are enough for operators, and take about 10 KB for each
+/// histogram.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// What is reported, by its name in `status` and its quantile.
+/// The quantiles that are reported, with the part of their counter's name.
 const REPORTED_QUANTILES: [(&str, f64); 4] = [("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("max", 1.0)];
 
 struct Histograms {
@@ -22,9 +23,9 @@
     previous: Histogram<u32>,
 }
 
-/// The latencies of one kind of work.
+/// The latencies of one kind of operation.
 pub struct Latency {
-    /// `None` only if the bounds above were invalid.
+    /// `None` only if the bounds above are invalid.
     histograms: RefCell<Option<Histograms>>,
     window_started: Cell<Instant>,
 }
@@ -63,7 +64,7 @@
         report
     }
 
-    /// Starts a new window where the current one is over.
+    /// Starts a new window if the current one is over.
     fn rotate(&self, histograms: &mut Histograms) {
         if self.window_started.get().elapsed() >= WINDOW_DURATION {
             self.window_started.set(Instant::now());
--- a/glenfall/src/metrics/log_limit.rs
+++ b/glenfall/src/metrics/log_limit.rs
@@ -1,16 +1,16 @@
-//! A token bucket for log lines: in a flood all lines are counted, but only some are written.
+//! A rate limit for log lines (token bucket): lines beyond it are counted and not written.
 
 use tokio::time::Instant;
 
-/// Bounds how many lines of one kind are written.
+/// Limits how many log lines of one kind are written.
 #[derive(Debug)]
 pub struct LogLimit {
-    /// The capacity of the bucket.
+    /// Capacity of the bucket, in lines.
     burst: f64,
     lines_per_s: f64,
     tokens: f64,
     last_refill: Option<Instant>,
-    /// Lines that were not written since the last one that was.
+    /// Number of lines suppressed since the last line that was written.
     suppressed: u64,
 }
 
@@ -20,7 +20,8 @@
         LogLimit { burst, lines_per_s, tokens: burst, last_refill: None, suppressed: 0 }
     }
 
-    /// Asks to write a line now. If it may be written, returns how many lines were suppressed before it.
+    /// Returns how many lines were suppressed since the last one if a line may be written now, and `None` if this line
+    /// has to be suppressed too.
     pub fn admit(&mut self, now: Instant) -> Option<u64> {
         self.refill(now);
         if self.tokens < 1.0 {
--- a/glenfall/src/settings/derived.rs
+++ b/glenfall/src/settings/derived.rs
@@ -1,4 +1,4 @@
-//! The settings of the parts of a process, as they follow from the settings file.
+//! Settings of the components of a process, derived from the settings file.
 
 use std::time::Duration;
 
@@ -10,19 +10,19 @@
 use super::error::SettingsError;
 use super::model::Settings;
 
-/// Part of the grace period that the end of a process itself takes, in seconds.
+/// Part of the grace period that is kept for the exit of the process, in seconds.
 const EXIT_TIME_S: f64 = 0.7;
-/// The shortest grace period that processes keep to, in seconds.
+/// The shortest time for draining, in seconds, even if `graceS` is shorter.
 const MIN_GRACE_S: f64 = 0.3;
 const BYTES_PER_MIB: f64 = (1 << 20) as f64;
 const MS_PER_S: f64 = 1000.0;
 
 impl Settings {
-    /// The settings of the chain.
+    /// The settings of the replication chain.
     ///
     /// # Errors
     ///
-    /// When the chain can't tolerate the promised losses in the time that it has.
+    /// When the repair after `survive.hosts` losses takes longer than `timing.syncS`.
     pub fn chain_settings(&self) -> Result<ChainSettings, SettingsError> {
         let (hosts, sync_s) = (self.survive.hosts, self.timing.sync_s);
         let settings =
@@ -31,7 +31,7 @@
         Ok(settings)
     }
 
-    /// The retries that all machines together may send.
+    /// The bound on the retries of all machines together.
     pub fn retry_budget(&self) -> RetryBudgetSettings {
         RetryBudgetSettings {
             ratio: self.timing.retry_ratio,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The requests that all machines together may send to a service that states a rate.
+    /// The bound on the requests of all machines together to a service that sets `ratePerS`.
     pub fn rate_limit(&self) -> RateLimitSettings {
         RateLimitSettings {
             window: (self.timing.ceiling_window_s * MS_PER_S) as Millis,
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Bytes of a share of the memory that a process may use.
+    /// A share, from 0 to 1, of the memory that a process may use, in bytes.
     pub fn memory_share(&self, share: f64) -> usize {
         (self.req_limits.mem_mb as f64 * share * BYTES_PER_MIB) as usize
     }
 
-    /// How long a process may go on after SIGTERM before it is killed, less what its end takes.
+    /// How long a process may drain after SIGTERM: the grace period less the time for its exit.
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64((self.timing.grace_s - EXIT_TIME_S).max(MIN_GRACE_S))
     }
--- a/glenfall/src/settings/mod.rs
+++ b/glenfall/src/settings/mod.rs
@@ -1,6 +1,6 @@
 //! The settings file that a process starts with.
 //!
-//! Names and defaults of the fields are the interface to operators; see `docs/operate.md`.
+//! The names and defaults of the fields are an interface to operators; see `docs/operate.md`.
 
 mod addresses;
 mod bounds;
--- a/glenfall/src/settings/model.rs
+++ b/glenfall/src/settings/model.rs
@@ -1,4 +1,4 @@
-//! The fields of the settings file and their defaults.
+//! The fields of the settings file, and their defaults.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 
 use super::port_range::PortRange;
 
-/// The environment variable that names the settings file.
+/// The environment variable that holds the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "GLENFALL_CONFIG";
 
 /// The settings of all processes on a machine.
@@ -20,28 +20,28 @@
     pub zone: String,
     /// The machine's address for the other machines of the system.
     pub bind_ip: Ipv4Addr,
-    /// The ports that the system's processes have for each other.
+    /// The ports on which processes of the system connect to each other.
     pub port_range: PortRange,
-    /// `controlAddr` of some control nodes.
+    /// `controlAddr` of the control nodes that a process contacts first; at least one.
     pub seed_nodes: Vec<SocketAddrV4>,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the system, not only of this machine.
     #[serde(default)]
     pub bootstrap: bool,
     /// The folder in which control and shield keep their state.
     #[serde(default)]
     pub state_dir: Option<PathBuf>,
-    /// The interval of the heartbeats of servers, in milliseconds.
+    /// The interval at which servers send heartbeats, in milliseconds.
     #[serde(default = "default_beat_ms")]
     pub beat_ms: u64,
-    /// The address at which agent and control publish to the proxy on this machine. It differs from 127.0.0.1 only where
+    /// The address on which agent and control publish to the proxy on this machine. It differs from 127.0.0.1 only if
     /// several machines are simulated on one.
     #[serde(default = "default_feed_ip")]
     pub feed_ip: Ipv4Addr,
-    /// The address at which control accepts links and shields accept reads, if not `bindIp`. It is set only where a relay
-    /// that simulates network faults listens at that address.
+    /// The address on which control accepts links and shields accept reads, if not `bindIp`. It is set only if a relay
+    /// that simulates network faults listens on `bindIp`.
     #[serde(default)]
     pub listen_ip: Option<Ipv4Addr>,
-    /// Whether this machine's control node may vote. The seeds of the first start vote in any case.
+    /// Whether this machine's control node may become a voter. At the first start the seed nodes are voters in any case.
     #[serde(default)]
     pub voter: bool,
     /// The losses that the system has to tolerate.
@@ -57,15 +57,15 @@
     pub timing: Timing,
 }
 
-/// The addresses at which processes accept requests from outside of the system. Each role needs some of them.
+/// The addresses on which processes accept requests from outside the system. Each role requires some of them.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Listeners {
-    /// Where an edge accepts the requests of clients.
+    /// On which an edge accepts requests of clients.
     pub http: Option<SocketAddrV4>,
-    /// Where an edge reports whether it is ready.
+    /// On which an edge reports whether it is ready.
     pub ready_addr: Option<SocketAddrV4>,
-    /// Where control accepts the requests of servers and operators.
+    /// On which control accepts requests of servers and operators.
     pub control_addr: Option<SocketAddrV4>,
 }
 
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Survive {
-    /// Machines that vote.
+    /// Number of voters, with their disks.
     pub hosts: usize,
 }
 
@@ -101,17 +101,17 @@
 pub struct Timing {
     /// Time after SIGTERM until a process is killed, in seconds.
     pub grace_s: f64,
-    /// Time that a machine that starts or returns has for catching up, in seconds.
+    /// Time that a machine has for catching up after a start or an outage, in seconds.
     pub sync_s: f64,
-    /// Retries allowed over all machines, as a part of the requests in a window.
+    /// Retries that all machines together may send in a window, as a fraction of the requests in it.
     pub retry_ratio: f64,
-    /// Length of that window, in seconds.
+    /// Length of the window for retries, in seconds.
     pub retry_window_s: f64,
-    /// Retries allowed in a window in any case.
+    /// Retries that all machines together may send in a window in addition to that fraction.
     pub retry_slack: f64,
     /// Length of the window over which the rate limit of a service is enforced, in seconds.
     pub ceiling_window_s: f64,
-    /// What all machines together may send to a service over any such window, as a multiple of its `ratePerS`.
+    /// The rate that all machines together may reach in any such window, as a multiple of the service's `ratePerS`.
     pub ceiling_over: f64,
 }
 
--- a/glenfall/src/settings/port_range.rs
+++ b/glenfall/src/settings/port_range.rs
@@ -1,16 +1,16 @@
-//! The range of ports that the system's processes have for each other.
+//! The range of ports on which processes of the system connect to each other.
 
 use std::fmt;
 
 use serde::Deserialize;
 
-/// A range of ports; a pair of numbers in the settings file.
+/// A range of ports. In the settings file it is a pair of numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "(u16, u16)")]
 pub struct PortRange {
-    /// The first port.
+    /// The first port of the range.
     pub first: u16,
-    /// The last port.
+    /// The last port of the range, included.
     pub last: u16,
 }
 
--- a/glenfall/src/settings/validation.rs
+++ b/glenfall/src/settings/validation.rs
@@ -1,11 +1,11 @@
-//! Checks settings that could be parsed.
+//! Checks the values of settings after parsing.
 
 use super::addresses::WATCH_PORT_OFFSET;
 use super::bounds::{MAX_TIMING_VALUE, MAX_TOLERATED_LOSSES};
 use super::error::InvalidSettings;
 use super::model::{Settings, Timing};
 
-/// Ports that the system's processes use.
+/// Number of ports of the range that are in use.
 const USED_PORT_COUNT: u16 = WATCH_PORT_OFFSET + 1;
 
 /// Checks that each value is within its bounds.
