--- a/glenfall/src/http/failure/cause.rs
+++ b/glenfall/src/http/failure/cause.rs
@@ -1,9 +1,9 @@
-//! The causes for which requests fail.
+//! The causes of failed requests.
 
-/// Defines [`Cause`] with the name of each cause, so that a new one has to be added in one place only.
+/// Defines [`Cause`] together with the names of its variants, so that a new one is added at a single place.
 macro_rules! causes {
     ($($(#[$doc:meta])* $cause:ident = $name:literal,)+) => {
-        /// Why a request got no response of a server, or got a server's failure.
+        /// Why a request got no response from a server, or got an error from it.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum Cause {
             $($(#[$doc])* $cause,)+
@@ -34,11 +34,11 @@
     NoMemory = "no-memory",
     /// There is no memory for the request's body.
     NoBodyMemory = "no-body-memory",
-    /// The service is slow, and this machine has as many requests in flight to it as its concurrency limit allows.
+    /// The service responds slowly, and this machine's concurrency limit for it is reached.
     ConcurrencyLimit = "concurrency-limit",
     /// This machine's share of the service's rate limit is used up.
     RateLimit = "rate-limit",
-    /// No server of the service is known, or each was tried already.
+    /// No server of the service is known, or all were tried already.
     NoServer = "no-server",
     /// The deadline passed before the request could be sent.
     DeadlineBeforeSend = "deadline-before-send",
@@ -46,28 +46,28 @@
     RetryBudget = "retry-budget",
     /// None of the servers that were tried could be connected to.
     NoConnection = "no-connection",
-    /// The servers that were tried have rejected the request as overloaded.
+    /// The servers that were tried rejected the request because they are overloaded.
     ServersFull = "servers-full",
     /// The service reports that its rate limit is used up.
     ServerRateLimit = "server-rate-limit",
-    /// The request was sent, and the connection was lost before the response was complete, or what was received is no
-    /// response to it.
+    /// The request was sent, but the connection was lost before the response was complete, or the bytes that were
+    /// received are not a valid response to it.
     AnswerLost = "answer-lost",
-    /// The status of the server's response suggests that the request has not run, but the response does not state it.
+    /// The status of the server's response suggests that the request has not run, but the response does not confirm it.
     UnprovenRefusal = "unproven-refusal",
-    /// The request was sent, and no response was received in time.
+    /// The request was sent, but no response was received before the deadline.
     NoAnswer = "no-answer",
-    /// A server responded with an error of its own.
+    /// A server responded with an error.
     ServerError = "server-error",
-    /// The shield has not received the configuration that the edge used for its decision.
+    /// The shield has not yet received the configuration with which the edge routed the request.
     ShieldBehind = "shield-behind",
     /// The shield has reached its limit of fetches in flight.
     TooManyFetches = "too-many-fetches",
-    /// The request reached the shield with no send left in its budget, and there is no stored response.
+    /// The request reached the shield with an allowance of no sends, and there is no stored response.
     NoSendLeft = "no-send-left",
-    /// No shield responded, and the request could be sent to no server instead.
+    /// No shield responded, and the edge could not send the request to a server itself.
     NoShield = "no-shield",
-    /// The shield stated no cause.
+    /// The shield reported no cause, or one that this release does not know.
     Unstated = "unstated",
     /// The request is invalid.
     BadRequest = "bad-request",
--- a/glenfall/src/http/failure/description.rs
+++ b/glenfall/src/http/failure/description.rs
@@ -1,4 +1,4 @@
-//! A failure as it is passed from shield to edge and written to the log: its cause and the attempts before it.
+//! The description of a failure that a shield sends to its edge and that is logged: the cause and the attempts.
 
 use std::borrow::Cow;
 
@@ -8,16 +8,16 @@
 
 /// Carries a [`Failure`] from a shield to its edge. It is not forwarded to clients.
 pub const FAILURE_HEADER: HeaderName = HeaderName::from_static("x-glenfall-failure");
-/// Bounds the description of the attempts in the header and in the log.
+/// The longest description of attempts in the header and in the log.
 const MAX_ATTEMPTS_BYTES: usize = 400;
 
 /// Why a request failed, and the attempts that were made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// What the request failed for.
+    /// Why the request failed.
     pub cause: Cause,
-    /// The servers and shields that the request was sent to, in order, and how each attempt ended; empty where it was not
-    /// sent.
+    /// The servers and shields that the request was sent to, in order, and the outcome of each attempt; empty if it was
+    /// not sent.
     pub attempts: Cow<'static, str>,
 }
 
@@ -28,12 +28,12 @@
 }
 
 impl Failure {
-    /// A failure after these attempts.
+    /// A failure with the attempts that were made.
     pub fn with_attempts(cause: Cause, attempts: String) -> Self {
         Failure { cause, attempts: Cow::Owned(attempts) }
     }
 
-    /// Adds earlier attempts.
+    /// Adds attempts that were made earlier, before those in the description.
     pub fn preceded_by(mut self, attempts: &str) -> Self {
         if !attempts.is_empty() {
             let separator = if self.attempts.is_empty() { "" } else { ", " };
@@ -42,12 +42,12 @@
         self
     }
 
-    /// The attempts, as much of them as the header and the log take.
+    /// The attempts, shortened for the header and the log.
     pub(super) fn shortened_attempts(&self) -> &str {
         shortened(&self.attempts, MAX_ATTEMPTS_BYTES)
     }
 
-    /// The value of the header. Attempts that can't be part of a header are left out.
+    /// The value of the header. Attempts that a header value can't contain are left out.
     pub fn encode(&self) -> HeaderValue {
         let text = format!("{} {}", self.cause.name(), self.shortened_attempts());
         HeaderValue::from_str(text.trim_end()).unwrap_or_else(|_| HeaderValue::from_static(self.cause.name()))
--- a/glenfall/src/http/failure/log.rs
+++ b/glenfall/src/http/failure/log.rs
@@ -8,33 +8,33 @@
 use super::description::{shortened, Failure};
 use crate::metrics::log_limit::LogLimit;
 
-/// Bounds each text from a client that a log line quotes.
+/// The longest quotation of a text from a client in a log line.
 const MAX_QUOTED_BYTES: usize = 160;
-/// How many lines of one cause may be written at once. A flood of one cause must not hide another one in the log, nor use
-/// up the processor.
+/// How many lines of one cause may be written at once. A flood of one cause must not hide another one in the log, nor
+/// use up the processor.
 const LOG_BURST: f64 = 64.0;
 /// How many lines of one cause may be written per second after a burst.
 const LOG_LINES_PER_S: f64 = 4.0;
 
-/// The properties of a failed request that its log line has.
+/// The properties of a failed request that are logged.
 pub struct FailedRequest<'a> {
     /// The id of the client's attempt.
     pub try_id: &'a str,
-    /// The method.
+    /// The method of the request line.
     pub method: &'a str,
-    /// The host.
+    /// The value of the `Host` header.
     pub host: &'a str,
-    /// Path and query.
+    /// Path and query, as in the request line.
     pub path: &'a str,
     /// The route that matches the request; empty where none does.
     pub route: &'a str,
     /// The status that the client receives; 0 where it receives none.
     pub status: u16,
-    /// The version of the configuration in force; 0 where there was none.
+    /// The version of the active configuration; 0 if there was none.
     pub rev: u64,
     /// Whether this process held a lease, and so had received all updates and purges of control.
     pub holds_lease: bool,
-    /// When the request had been read.
+    /// When the request had been received.
     pub started: Instant,
 }
 
@@ -43,9 +43,9 @@
     log_limit: LogLimit,
 }
 
-/// Counts failures by cause, and writes a log line for each, as far as the rate limit of its cause allows.
+/// Counts failures by cause, and logs each failure unless the rate limit of its cause is exceeded.
 pub struct FailureLog {
-    /// By the discriminant of the cause.
+    /// Indexed by the discriminant of the cause.
     causes: RefCell<Vec<CauseState>>,
 }
 
@@ -73,7 +73,7 @@
         state.log_limit.admit(Instant::now())
     }
 
-    /// How many requests failed for each cause that has occurred, by the names of the counters in `status`.
+    /// The counters of `status`: the number of failed requests for each cause that has occurred.
     pub fn report(&self) -> Vec<(String, u64)> {
         let causes = self.causes.borrow();
         let counts = Cause::ALL.iter().zip(causes.iter().map(|state| state.count));
--- a/glenfall/src/http/failure/mod.rs
+++ b/glenfall/src/http/failure/mod.rs
@@ -1,5 +1,5 @@
-//! Why requests fail: a typed cause for each failure, which is counted, logged with the id of the request, and reported by a
-//! shield to its edge, so that a failed request can be explained afterwards.
+//! Why requests fail. Each failure has a typed cause, which is counted, logged with the id of the request, and reported
+//! by a shield to its edge, so that a failed request can be explained afterwards.
 
 mod cause;
 mod description;
--- a/glenfall/src/http/headers.rs
+++ b/glenfall/src/http/headers.rs
@@ -1,16 +1,16 @@
-//! Names of the system's own headers, and which headers a proxy forwards.
+//! Names of the system's own headers, and the filter for headers that a proxy forwards.
 
 use std::time::Duration;
 
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 
-/// The id of a client's attempt, as the client gave it.
+/// The id that a client gave its attempt.
 pub const TRY_ID_HEADER: HeaderName = HeaderName::from_static("x-glenfall-try-id");
 /// How long the sender of a request waits for its response, in milliseconds.
 pub const DEADLINE_HEADER: HeaderName = HeaderName::from_static("x-glenfall-deadline");
 
-/// Headers that the system sets itself, between its processes or for servers. They are never forwarded, so that nobody
-/// else can set them.
+/// Headers with which processes of the system communicate with each other and with servers. They are never forwarded, so
+/// that nobody can pass forged ones through a proxy.
 const SYSTEM_HEADERS: [&str; 9] = [
     "x-glenfall-deadline",
     "x-glenfall-want-server",
@@ -22,10 +22,10 @@
     "x-glenfall-failure",
     "x-glenfall-age-ms",
 ];
-/// The labels of an object. Caches read them; clients never receive them.
+/// The labels of an object, for caches. Clients never receive them.
 const LABELS_HEADER: &str = "x-glenfall-tags";
-/// Headers that concern one connection (RFC 9110, section 7.6.1), or the length and coding of a body, which the forwarded
-/// message gets anew.
+/// Headers that concern one connection (RFC 9110, section 7.6.1), or the length and coding of a body, which are set
+/// again for the forwarded message.
 const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -40,7 +40,7 @@
 /// Hop-by-hop headers that are not standardised.
 const LEGACY_HOP_BY_HOP_HEADERS: [&str; 2] = ["keep-alive", "proxy-connection"];
 
-/// The headers that a proxy forwards: all but those of one connection, and the system's own.
+/// The headers that a proxy forwards: all except hop-by-hop headers and those of the system.
 pub fn forwardable_headers(headers: &HeaderMap) -> HeaderMap {
     let connection_options = connection_options(headers);
     headers
@@ -50,7 +50,7 @@
         .collect()
 }
 
-/// The names in `Connection`: headers with these names concern one connection too.
+/// The names listed in `Connection`: the headers with these names are hop-by-hop headers too.
 fn connection_options(headers: &HeaderMap) -> Vec<&str> {
     let values = headers.get_all(header::CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
--- a/glenfall/src/http/mod.rs
+++ b/glenfall/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP between the processes of the system and with their clients: header names, responses typed by their source, and
-//! why a request failed.
+//! HTTP between the processes of the system and with their clients: header names, responses typed by their source, the
+//! send budget of requests, and the causes of failures.
 
 pub mod failure;
 pub mod headers;
--- a/glenfall/src/http/response/accessors.rs
+++ b/glenfall/src/http/response/accessors.rs
@@ -1,4 +1,4 @@
-//! Read access to a response whose parts can't be replaced.
+//! Read-only accessors for the parts of a response.
 
 /// Implements the accessors of a type with the private fields `status`, `headers` and `body`.
 macro_rules! response_accessors {
--- a/glenfall/src/http/response/cached.rs
+++ b/glenfall/src/http/response/cached.rs
@@ -8,7 +8,7 @@
 use super::proxy::ProxyResponse;
 use super::SEAL_HEADER;
 
-/// A response made from a stored response, a server's 200. Its constructors determine the status: 200, 206, 304 or 416.
+/// A response made from a stored response (a server's 200). Each constructor sets the status: 200, 206, 304 or 416.
 #[derive(Clone, Debug)]
 pub struct CachedResponse {
     status: StatusCode,
@@ -24,7 +24,7 @@
         CachedResponse { status: StatusCode::OK, headers, body }
     }
 
-    /// 206: a range of the object, from the byte `first` up to and including `last`. Both have to be within the body.
+    /// 206: the bytes `first` to `last` of the object, both included. Both must be within the body.
     pub fn range(mut headers: HeaderMap, body: &Bytes, first: usize, last: usize) -> Self {
         let range = format!("bytes {first}-{last}/{}", body.len());
         if let Ok(range) = HeaderValue::from_str(&range) {
@@ -33,14 +33,14 @@
         CachedResponse { status: StatusCode::PARTIAL_CONTENT, headers, body: body.slice(first..=last) }
     }
 
-    /// 304: the client's stored response is still fresh. No server sent this status, so that it has no seal.
+    /// 304: the client's stored response is still fresh. It has no seal, as no server sent this status.
     pub fn not_modified(mut headers: HeaderMap) -> Self {
         headers.remove(SEAL_HEADER);
         CachedResponse { status: StatusCode::NOT_MODIFIED, headers, body: Bytes::new() }
     }
 
-    /// 416: the range begins after the end of the object. No server sent this failure, so that it states nothing about the
-    /// object but its length.
+    /// 416: the range begins after the end of the object. Its only header is the length of the object, as no server sent
+    /// this response.
     pub fn range_not_satisfiable(length: usize) -> Self {
         let mut headers = HeaderMap::new();
         if let Ok(range) = HeaderValue::from_str(&format!("bytes */{length}")) {
--- a/glenfall/src/http/response/forward.rs
+++ b/glenfall/src/http/response/forward.rs
@@ -1,4 +1,4 @@
-//! How a server's response becomes the response to a client.
+//! Conversion of a server's response to the response to a client.
 
 use hyper::{header, Method};
 
@@ -9,10 +9,10 @@
 use crate::http::headers::forwardable_headers;
 
 impl ServerResponse {
-    /// The response to a request with this method, as the client receives it: without hop-by-hop headers.
+    /// The response that the client of a request with this method receives: without hop-by-hop headers.
     pub fn forward(self, method: &Method) -> ProxyResponse {
         let mut headers = forwardable_headers(self.headers());
-        // The response to `HEAD` has no body, but the length of the body that `GET` would return.
+        // The response to `HEAD` has no body, but states the length of the body that `GET` would return.
         if method == Method::HEAD {
             if let Some(length) = self.headers().get(header::CONTENT_LENGTH) {
                 headers.insert(header::CONTENT_LENGTH, length.clone());
@@ -21,8 +21,8 @@
         ProxyResponse::new(self.status(), headers, self.body().clone(), self.failure())
     }
 
-    /// A shield's response as its edge returns it. One that the shield made itself gets no header of a server, and so no
-    /// seal.
+    /// A shield's response as its edge returns it. A response that the shield made itself has no headers of a server,
+    /// and so no seal.
     pub fn forward_from_shield(self) -> ProxyResponse {
         match self.shield_source() {
             Some(ShieldSource::Local | ShieldSource::ConfigOutdated) => LocalResponse::relayed(&self).into(),
--- a/glenfall/src/http/response/local.rs
+++ b/glenfall/src/http/response/local.rs
@@ -1,4 +1,4 @@
-//! A response that this process makes itself.
+//! A response made by this process, not by a server.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::http::failure::{Cause, Failure, FAILURE_HEADER};
 use crate::http::headers::retry_after_value;
 
-/// A response that this process gives instead of a server. It has no header of any server, and always a failure.
+/// A response that this process makes because a request failed. It has no headers of a server.
 #[derive(Clone, Debug)]
 pub struct LocalResponse {
     status: StatusCode,
@@ -50,7 +50,7 @@
         Self::new(StatusCode::GATEWAY_TIMEOUT, failure)
     }
 
-    /// 400: the request is invalid, for this reason.
+    /// 400: the request is invalid. The reason is the body of the response.
     pub fn bad_request(reason: &'static str) -> Self {
         let failure = Failure { cause: Cause::BadRequest, attempts: reason.into() };
         let body = Bytes::from_static(reason.as_bytes());
@@ -67,14 +67,14 @@
         Self::new(StatusCode::REQUEST_TIMEOUT, Cause::BodyTooSlow)
     }
 
-    /// A server's failure, for requests that waited for the response to another request. The server did not send it to
-    /// them, so that they get its status and nothing else of it.
+    /// The failure of a fetch, for the requests that joined it. They get only the status of the server's response, as
+    /// the response was not sent for them.
     pub fn same_failure(failure: &ServerResponse) -> Self {
         let cause = Failure::with_attempts(Cause::ServerError, failure.attempts().to_owned());
         Self::new(failure.status(), cause)
     }
 
-    /// A response that a shield made itself, for the client of its edge.
+    /// A response that a shield made itself, as its edge returns it to the client.
     pub(super) fn relayed(response: &ServerResponse) -> Self {
         LocalResponse {
             status: response.status(),
--- a/glenfall/src/http/response/mod.rs
+++ b/glenfall/src/http/response/mod.rs
@@ -1,14 +1,14 @@
-//! Responses to clients, typed by their source, so that status, seal and body are always those of one response of one
+//! Responses to clients, typed by their source, so that status, seal and body always belong to one response of one
 //! server.
 //!
 //! | type | created from | seal |
 //! | --- | --- | --- |
-//! | [`ServerResponse`] | what was read in one upstream exchange | the server's own, with its own status |
-//! | [`CachedResponse`] | a stored response, a server's 200 | with 200 and 206 only: it is valid for the object and its ranges |
-//! | [`LocalResponse`] | this process, instead of a server | never |
+//! | [`ServerResponse`] | the response received in one upstream exchange | the server's, with the server's status |
+//! | [`CachedResponse`] | a stored response (a server's 200) | with 200 and 206 only: it is valid for the object and its ranges |
+//! | [`LocalResponse`] | this process, for a failed request | never |
 //!
-//! Each becomes a [`ProxyResponse`], the only type that proxies return to their clients. None of them allows its status,
-//! its seal or its body to be replaced, so that mixing two of them does not compile:
+//! Each is converted to a [`ProxyResponse`], the only type that proxies return to their clients. None of the types
+//! allows its status, seal or body to be replaced, so that code that combines two responses does not compile:
 //!
 //! ```compile_fail,E0616
 //! # use glenfall::http::response::ServerResponse;
--- a/glenfall/src/http/response/proxy.rs
+++ b/glenfall/src/http/response/proxy.rs
@@ -1,4 +1,4 @@
-//! A response as a proxy returns it.
+//! The response that a proxy returns.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::http::headers::TRY_ID_HEADER;
 use crate::http::send_budget::{SendReport, SENDS_HEADER};
 
-/// What a proxy returns to its client. Only headers between the processes of this system can still be set.
+/// The response that a proxy returns to its client. Only headers for other processes of the system can still be set.
 #[derive(Debug)]
 pub struct ProxyResponse {
     response: Response<Full<Bytes>>,
@@ -43,7 +43,7 @@
         self.failure.as_ref()
     }
 
-    /// Adds earlier attempts to the failure, if there is one.
+    /// Adds attempts that were made earlier to the failure, if there is one.
     pub fn preceded_by(mut self, attempts: &str) -> Self {
         self.failure = self.failure.map(|failure| failure.preceded_by(attempts));
         self
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Reports to an edge how much of its allowance was used. There is no header where nothing was used.
+    /// Reports to an edge how much of its allowance was used. The header is omitted if nothing was used.
     pub fn set_send_report(&mut self, report: SendReport) {
         if report != SendReport::default() {
             self.response.headers_mut().insert(SENDS_HEADER, report.encode());
--- a/glenfall/src/http/response/server.rs
+++ b/glenfall/src/http/response/server.rs
@@ -1,4 +1,4 @@
-//! A response that was read from an upstream.
+//! A response received from an upstream.
 
 use bytes::Bytes;
 use hyper::header::HeaderMap;
@@ -15,14 +15,14 @@
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
-    /// The servers that the request was sent to, where the response is a failure.
+    /// The servers that the request was sent to, if the response is a failure.
     attempts: String,
 }
 
 response_accessors!(ServerResponse);
 
 impl ServerResponse {
-    /// A response as it was read from one connection: its head and its complete body.
+    /// A response with the head and the complete body that were read from one connection.
     pub fn new(head: Parts, body: Bytes) -> Self {
         ServerResponse { status: head.status, headers: head.headers, body, attempts: String::new() }
     }
@@ -37,7 +37,7 @@
         &self.attempts
     }
 
-    /// Why the request failed, where a server responded with an error of its own or the shield reports a failure.
+    /// Why the request failed, if a server responded with a 5xx status or the shield reports a failure.
     pub(super) fn failure(&self) -> Option<Failure> {
         if self.shield_source().is_some() {
             return self.headers.get(FAILURE_HEADER).map(|value| Failure::decode(Some(value)));
@@ -46,7 +46,7 @@
         is_failure.then(|| Failure::with_attempts(Cause::ServerError, self.attempts.clone()))
     }
 
-    /// Where a shield has this response from; `None` where it was not sent by a shield.
+    /// Where the shield that sent this response has it from; `None` if it was not sent by a shield.
     pub fn shield_source(&self) -> Option<ShieldSource> {
         ShieldSource::parse(self.headers.get(SHIELD_HEADER)?)
     }
--- a/glenfall/src/http/response/shield_source.rs
+++ b/glenfall/src/http/response/shield_source.rs
@@ -1,4 +1,4 @@
-//! Where a shield has its response from, as it tells its edge.
+//! The source of a shield's response, which the shield reports to its edge.
 
 use hyper::header::{HeaderName, HeaderValue};
 
@@ -12,14 +12,15 @@
     Hit,
     /// A response that the shield fetched and stored.
     Miss,
-    /// A stored response, or the response to a fetch that began before the request, while the shield holds no lease: it
-    /// may have missed purges.
+    /// A stored response, or the response to a fetch that began before the request. The shield holds no lease, so it may
+    /// have missed purges.
     WithoutLease,
     /// A server's response that can't be stored.
     Uncacheable,
-    /// The shield itself.
+    /// The shield made the response itself.
     Local,
-    /// The shield itself: it has not received the edge's configuration yet, and has sent the request to no server.
+    /// The shield made the response itself: it has not received the edge's configuration yet, and has sent the request
+    /// to no server.
     ConfigOutdated,
 }
 
--- a/glenfall/src/http/send_budget.rs
+++ b/glenfall/src/http/send_budget.rs
@@ -1,11 +1,11 @@
-//! The send budget of one client request: how many servers it may still be sent to, by all processes together.
+//! The send budget of a client request: the number of servers that all processes together may still send it to.
 //!
-//! A route's setting `tries` bounds the servers that one request may run on. The edge that receives a request owns its
-//! budget. It lends sends to each shield that it uses, as an [`Allowance`] in the request, and the shield's response
-//! reports in a [`SendReport`] how many of them it has used. Sends that are returned without a report count as used, unless
-//! it is certain that the request was sent to no server.
+//! The setting `tries` of a route limits the number of servers that one request may run on. The edge that receives the
+//! request owns its budget. It lends sends to each shield that it uses, as an [`Allowance`] in the request, and the
+//! shield reports in its response how many of them it has used ([`SendReport`]). Without a report, all lent sends count
+//! as used, unless the request was certainly sent to no server.
 //!
-//! A read that joins the fetch of another request uses no send: servers see the id of the request that began the fetch.
+//! A read that joins a fetch in flight uses no send: servers see the id of the request that began the fetch.
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 
@@ -15,27 +15,27 @@
 /// How many sends a process may use for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowance {
-    /// The number of servers that it may send the request to. With 0 only stored responses and fetches in flight can
-    /// answer it.
+    /// The number of servers that it may send the request to. With 0, only a stored response or a fetch in flight can
+    /// provide the response.
     pub sends: u32,
-    /// The number of servers that the lender of the allowance may still have the request sent to by another process. While
-    /// there are any, a server that does not respond is not waited for until the deadline.
+    /// The number of sends that the lender keeps for another process. If there are any, the holder of the allowance does
+    /// not wait until the deadline for a server that does not respond.
     pub reserved_sends: u32,
 }
 
 impl Allowance {
-    /// All sends that a route allows, with none reserved by a lender.
+    /// All sends that the route allows, at least one, with none reserved by a lender.
     pub fn all(tries: u32) -> Self {
         Allowance { sends: tries.max(1), reserved_sends: 0 }
     }
 
-    /// The value of its header.
+    /// The value of [`SENDS_HEADER`] in a request.
     pub fn encode(self) -> HeaderValue {
         header_value(&format!("allowed={}, held-back={}", self.sends, self.reserved_sends))
     }
 
-    /// Reads the allowance of a request, bounded by the route's `tries`. A request without one comes from an edge of an
-    /// earlier release, and may use all of them.
+    /// Reads the allowance of a request, limited to the route's `tries`. A request without one comes from an edge of an
+    /// earlier release, and may use all `tries`.
     pub fn from_request(headers: &HeaderMap, tries: u32) -> Self {
         let all = Allowance::all(tries);
         let Some(text) = text(headers) else { return all };
@@ -50,17 +50,17 @@
 /// How an allowance was used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SendReport {
-    /// The number of servers that the request was sent to under its own id.
+    /// The number of servers that the request was sent to with its own id.
     pub used: u32,
-    /// Whether it got no successful response because the allowance was used up.
+    /// Whether the request got no successful response because the allowance was used up.
     pub exhausted: bool,
 }
 
 impl SendReport {
-    /// The value of its header.
+    /// The value of [`SENDS_HEADER`] in a response.
     pub fn encode(self) -> HeaderValue {
-        let short = if self.exhausted { ", short" } else { "" };
-        header_value(&format!("used={}{short}", self.used))
+        let suffix = if self.exhausted { ", short" } else { "" };
+        header_value(&format!("used={}{suffix}", self.used))
     }
 
     /// Reads the report of a response; `None` where it has no valid one.
@@ -71,46 +71,45 @@
     }
 }
 
-/// A header value; the fallback can't occur, as the texts above are ASCII.
+/// Converts a text to a header value. The fallback is never used, as both texts are ASCII.
 fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static("used=0"))
 }
 
-/// The text of the header.
 fn text(headers: &HeaderMap) -> Option<&str> {
     headers.get(SENDS_HEADER)?.to_str().ok()
 }
 
-/// The text after a name in a comma-separated list.
-fn member<'a>(list: &'a str, name: &str) -> Option<&'a str> {
-    list.split(',').find_map(|member| member.trim().strip_prefix(name))
+/// The rest of the first member with this prefix in a comma-separated list.
+fn member<'a>(list: &'a str, prefix: &str) -> Option<&'a str> {
+    list.split(',').find_map(|member| member.trim().strip_prefix(prefix))
 }
 
-/// What is known about the use of an allowance once the shield has responded, or will not.
+/// What is known about the use of an allowance once the shield has responded or the request to it has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Usage {
     /// The request was certainly sent to no server.
     Unused,
-    /// As the shield reported it.
+    /// The shield's response reports the use.
     Reported(SendReport),
-    /// There is no report: all of the allowance may be used.
+    /// There is no report: all sends of the allowance may have been used.
     Unknown,
 }
 
-/// The sends that a request has left.
+/// The sends that remain for a request.
 #[derive(Debug)]
 pub struct SendBudget {
     left: u32,
 }
 
-/// Sends that were lent from a [`SendBudget`]. They count as used if this is dropped without being settled.
+/// Sends lent from a [`SendBudget`]. They count as used unless they are returned by [`SendBudget::repay`].
 #[derive(Debug)]
 pub struct Loan {
     sends: u32,
 }
 
 impl SendBudget {
-    /// The budget of a request that may be sent to this many servers, at least one.
+    /// The budget of a request that may be sent to `tries` servers; at least one.
     pub fn new(tries: u32) -> Self {
         SendBudget { left: tries.max(1) }
     }
@@ -127,7 +126,7 @@
         Loan { sends: lent }
     }
 
-    /// Adds the sends of a loan that were certainly not used to the budget again.
+    /// Returns to the budget the sends of a loan that were certainly not used.
     pub fn repay(&mut self, loan: Loan, usage: Usage) {
         self.left += match usage {
             Usage::Unused => loan.sends,
--- a/glenfall/src/http_server/body_memory.rs
+++ b/glenfall/src/http_server/body_memory.rs
@@ -1,16 +1,16 @@
-//! The memory budget of request bodies, over all connections of a server.
+//! The memory budget for request bodies, shared by all connections of a server.
 
 use std::cell::Cell;
 
-/// The memory that request bodies may use.
+/// The budget of memory that request bodies may use.
 pub struct BodyMemory {
     capacity: usize,
     reserved: Cell<usize>,
 }
 
-/// The budget has not enough memory left.
+/// The reservation exceeds the memory that is left in the budget.
 #[derive(Debug, thiserror::Error)]
-#[error("request bodies in flight use all of the memory for bodies")]
+#[error("not enough memory left for the body: it is used by the bodies of other requests")]
 pub struct BodyMemoryExhausted;
 
 impl BodyMemory {
@@ -19,12 +19,12 @@
         BodyMemory { capacity, reserved: Cell::new(0) }
     }
 
-    /// The budget in bytes: no body can be larger.
+    /// The size of the budget in bytes. No body can be larger.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// A reservation of no bytes yet.
+    /// A reservation of 0 bytes, which can be resized.
     pub fn reservation(&self) -> BodyReservation<'_> {
         BodyReservation { memory: self, bytes: 0 }
     }
@@ -37,7 +37,7 @@
 }
 
 impl BodyReservation<'_> {
-    /// Sets the reservation to this many bytes in total. On failure it stays as it was.
+    /// Sets the reservation to this many bytes in total. On failure it is unchanged.
     pub fn resize(&mut self, bytes: usize) -> Result<(), BodyMemoryExhausted> {
         let reserved_by_others = self.memory.reserved.get() - self.bytes;
         let total = reserved_by_others + bytes;
--- a/glenfall/src/http_server/connection.rs
+++ b/glenfall/src/http_server/connection.rs
@@ -1,4 +1,4 @@
-//! Serves one client's connection: one request after another, until it ends, is evicted, or the process stops.
+//! Serves the connection of a client: one request after another, until it is closed or evicted, or the process stops.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -27,11 +27,11 @@
 use crate::http_server::shutdown::{close, drain, stop_requested, ServerConnection};
 use crate::http_server::timed_stream::TimedStream;
 
-/// hyper reads heads into a buffer of at least this size.
+/// The smallest read buffer that hyper accepts.
 const MIN_HEAD_BUFFER_BYTES: usize = 8 << 10;
-/// Upper bound, in milliseconds, of the time that a new connection has for its first request while the process stops.
+/// The longest time, in milliseconds, that a new connection has for its first request while the process stops.
 const MAX_FIRST_REQUEST_MS: u64 = 1000;
-/// The response to a client that took too long for a head. hyper has no means to send one.
+/// The response to a client that took too long to send a request head; hyper can't send one.
 const HEAD_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Drives the connection until it ends. An error on it is the client's, which has gone or was answered.
+    /// Drives the connection until it ends. Errors on it are ignored: the client has disconnected, or hyper has already
+    /// responded to its invalid request.
     async fn run<S>(
         &self,
         connection: &mut ServerConnection<S>,
@@ -104,10 +105,10 @@
         Ok(response)
     }
 
-    /// The response to a request. Its `Connection` header says whether another request may follow.
+    /// The response to a request. It has `Connection: close` if no further request is read on this connection.
     async fn response_to(&self, request: Request<Incoming>) -> FullResponse {
-        // hyper hides a length that comes with `Transfer-Encoding`. The two may disagree on where the next request begins,
-        // so that no further request is read on this connection.
+        // hyper removes a `Content-Length` that comes with `Transfer-Encoding`. The two may disagree on where the next
+        // request begins (request smuggling), so no further request is read on this connection.
         let is_chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
         let limits = self.handler.limits();
         let started = Instant::now();
@@ -131,7 +132,7 @@
     }
 }
 
-/// The timeouts for clients that the configuration has now.
+/// The timeouts for clients in the current configuration.
 fn client_timeouts<H: Handler>(handler: &H) -> ClientTimeouts {
     let limits = handler.limits();
     ClientTimeouts {
--- a/glenfall/src/http_server/connection_limit.rs
+++ b/glenfall/src/http_server/connection_limit.rs
@@ -1,4 +1,4 @@
-//! Bounds the open connections of a server. At the limit the connection that has been idle longest is evicted.
+//! Limits the open connections of a server. At the limit, the connection that has been idle longest is evicted.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -8,22 +8,23 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// An evicted connection stays open if its next request arrives at the same moment. If none has closed after this time,
-/// the next one is evicted.
+/// How long to wait for an evicted connection to close before the next one is evicted: it stays open if its next request
+/// arrives at the same moment.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(10);
 
 /// The open connections of a server.
 pub struct ConnectionLimit {
     max_open: usize,
     open: Cell<usize>,
-    /// The connections that are idle after a response, in the order in which they became idle, with what evicts them.
+    /// The connections that are idle after a response, in the order in which they became idle. The value notifies the
+    /// connection that it is evicted.
     idle: RefCell<BTreeMap<u64, Rc<Notify>>>,
     last_idle_key: Cell<u64>,
     connection_closed: Notify,
 }
 
 impl ConnectionLimit {
-    /// A server without connections, which may have this many.
+    /// The limit of a server without open connections.
     pub fn new(max_open: usize) -> Self {
         ConnectionLimit {
             max_open,
@@ -39,7 +40,7 @@
         self.open.get()
     }
 
-    /// Waits until there is capacity for one more connection, and evicts idle ones until there is.
+    /// Waits until there is capacity for one more connection. Until then it evicts idle connections.
     pub async fn capacity_available(&self) {
         while self.open.get() >= self.max_open {
             self.evict_longest_idle();
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Asks the connection that has been idle longest to close. Its client opens a new one for its next request.
+    /// Requests that the connection that has been idle longest closes. Its client opens a new one for its next request.
     fn evict_longest_idle(&self) {
         if let Some((_, evicted)) = self.idle.borrow_mut().pop_first() {
             evicted.notify_one();
@@ -62,29 +63,29 @@
     }
 }
 
-/// One open connection, counted until this is dropped.
+/// The slot of an open connection. The connection is counted until this is dropped.
 pub struct ConnectionSlot {
     limit: Rc<ConnectionLimit>,
-    /// The key among the idle connections, while this one is idle.
+    /// The key of this connection in [`ConnectionLimit::idle`]; `None` unless it is idle.
     idle_key: Cell<Option<u64>>,
     evicted: Rc<Notify>,
 }
 
 impl ConnectionSlot {
-    /// Counts a new connection. It is not evicted before its first response.
+    /// Counts a new connection. It can't be evicted before its first response.
     pub fn claim(limit: &Rc<ConnectionLimit>) -> Self {
         limit.open.set(limit.open.get() + 1);
         ConnectionSlot { limit: Rc::clone(limit), idle_key: Cell::new(None), evicted: Rc::default() }
     }
 
-    /// A request has arrived: the connection can't be evicted until it is idle again.
+    /// Marks the connection as busy when a request arrives. It can't be evicted until it is idle again.
     pub fn set_busy(&self) {
         if let Some(idle_key) = self.idle_key.take() {
             self.limit.idle.borrow_mut().remove(&idle_key);
         }
     }
 
-    /// The response is ready: the connection can be evicted from now on.
+    /// Marks the connection as idle when the response is ready. It can be evicted from then on.
     pub fn set_idle(&self) {
         let idle_key = self.limit.last_idle_key.get() + 1;
         self.limit.last_idle_key.set(idle_key);
--- a/glenfall/src/http_server/deadlines.rs
+++ b/glenfall/src/http_server/deadlines.rs
@@ -1,5 +1,5 @@
-//! The deadlines of a client's connection: for completing a head that has begun, and for staying idle between requests
-//! or while it reads a response.
+//! The deadlines of a client's connection: for the rest of a request head that has begun, for the next request, and for
+//! reading a response.
 
 use std::cell::Cell;
 use std::future::{poll_fn, Future};
@@ -10,16 +10,16 @@
 
 use tokio::time::{sleep_until, Instant};
 
-/// A client reads a response at this rate at least, in addition to the idle timeout, or it would occupy the memory of the
-/// response without end. A faster client is never disconnected.
+/// The lowest rate at which a client may read a response: it may take the idle timeout plus the time that it needs at
+/// this rate. Without it, slow clients could occupy the memory of their responses for any time.
 const MIN_RESPONSE_BYTES_PER_S: f64 = 8.0 * 1024.0;
 
 /// What a connection waits for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// For the next request, or for the client to read the last response.
+    /// For the next request, or for the client to read the previous response.
     Idle,
-    /// For the remaining bytes of a head.
+    /// For the remaining bytes of a request head.
     ReadingHead,
     /// For the handler.
     Responding,
@@ -35,7 +35,7 @@
 }
 
 impl ClientTimeouts {
-    /// The longer of each.
+    /// The longer value of each timeout.
     fn max(self, other: ClientTimeouts) -> ClientTimeouts {
         ClientTimeouts { head: self.head.max(other.head), idle: self.idle.max(other.idle) }
     }
@@ -44,30 +44,30 @@
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// Both sides were done, or the connection broke.
+    /// Either side closed the connection, or it failed.
     Closed,
-    /// The client took too long for a head.
+    /// The client took too long to send a request head.
     HeadTimeout,
-    /// The client sent no further request, or read no more of its response.
+    /// The client sent no further request, or read its response too slowly.
     IdleTimeout,
 }
 
-/// What a connection waits for, and until when.
+/// What a connection waits for, and the deadline for it.
 pub struct Deadlines {
     phase: Cell<Phase>,
-    /// When the phase began; in [`Phase::Idle`], when the client last read part of the response.
+    /// When the phase began, or, in [`Phase::Idle`], when the client last read part of the response.
     last_activity: Cell<Instant>,
     response_ready: Cell<Instant>,
-    /// How many bytes of the response the client has read since it was ready.
+    /// How many bytes of the response the client has read since `response_ready`.
     response_bytes: Cell<usize>,
-    /// The timeouts for clients now: a configuration may change them while a connection is open.
+    /// Returns the current timeouts, which a new configuration may change while the connection is open.
     current_timeouts: Box<dyn Fn() -> ClientTimeouts>,
-    /// The timeouts that the deadlines are computed with.
+    /// The timeouts with which the deadlines are computed.
     timeouts: Cell<ClientTimeouts>,
 }
 
 impl Deadlines {
-    /// The deadlines of a connection that opens now, under timeouts that may change.
+    /// The deadlines of a connection that was just opened.
     pub fn new(current_timeouts: impl Fn() -> ClientTimeouts + 'static) -> Rc<Self> {
         let now = Instant::now();
         Rc::new(Deadlines {
@@ -85,26 +85,26 @@
         self.last_activity.set(Instant::now());
     }
 
-    /// The head of a request is complete. Until the guard is dropped, the connection waits for the handler.
+    /// To be called when the head of a request is complete. No deadline applies until the guard is dropped.
     pub fn begin_response(&self) -> ResponseGuard<'_> {
         self.phase.set(Phase::Responding);
         self.timeouts.set((self.current_timeouts)());
         ResponseGuard(self)
     }
 
-    /// Whether nothing of the next request has arrived.
+    /// Whether no byte of the next request has arrived.
     pub fn is_idle(&self) -> bool {
         self.phase.get() == Phase::Idle
     }
 
-    /// Records that the client has sent bytes, or closed its side.
+    /// Records that the client has sent bytes or closed its side.
     pub fn record_read(&self) {
         if self.is_idle() {
             self.enter(Phase::ReadingHead);
         }
     }
 
-    /// Records that the client has read part of the response: it is not idle.
+    /// Records that the client has read part of the response, which restarts the idle timeout.
     pub fn record_written(&self, bytes: usize) {
         if self.is_idle() {
             self.last_activity.set(Instant::now());
@@ -112,7 +112,7 @@
         }
     }
 
-    /// When the client has to act; `None` while the connection waits for the handler.
+    /// The client's deadline; `None` while the connection waits for the handler.
     fn deadline(&self) -> Option<Instant> {
         let ClientTimeouts { head, idle } = self.timeouts.get();
         match self.phase.get() {
@@ -129,7 +129,7 @@
 
     /// Drives a connection until it ends, or until its client misses a deadline.
     pub async fn drive<C: Future + Unpin>(&self, connection: &mut C) -> ConnectionEnd {
-        // The timer is only moved to an earlier deadline. For most requests it never fires, and costs nothing.
+        // The timer is reset before it fires only for an earlier deadline, so that most requests need no reset.
         let mut timer = pin!(sleep_until(self.last_activity.get() + self.timeouts.get().idle));
         poll_fn(|cx| {
             if Pin::new(&mut *connection).poll(cx).is_ready() {
@@ -152,8 +152,8 @@
         .await
     }
 
-    /// Applies the current timeouts where they are longer. They are never shortened before the next request: a response
-    /// may still be in transit, and an idle client relies on the timeouts of when it was answered.
+    /// Applies each current timeout that is longer. Timeouts are not shortened before the next request: a response may
+    /// still be in transit, and an idle client relies on the timeouts that applied to its last response.
     fn extend_timeouts(&self) {
         self.timeouts.set(self.timeouts.get().max((self.current_timeouts)()));
     }
@@ -166,7 +166,7 @@
     }
 }
 
-/// A request is being answered until this is dropped.
+/// Marks that a response is being produced, until this is dropped.
 pub struct ResponseGuard<'a>(&'a Deadlines);
 
 impl Drop for ResponseGuard<'_> {
--- a/glenfall/src/http_server/handler.rs
+++ b/glenfall/src/http_server/handler.rs
@@ -1,4 +1,4 @@
-//! What a role implements to respond to requests.
+//! The interface that a role implements to respond to requests.
 
 use std::future::Future;
 
@@ -11,14 +11,14 @@
 
 /// Responds to complete requests.
 pub trait Handler: 'static {
-    /// Responds to a request. The future is dropped when the client closes its connection.
+    /// Responds to a request. The future is dropped if the client closes its connection.
     fn handle(&self, request: FullRequest) -> impl Future<Output = FullResponse>;
-    /// The limits that apply to clients now; they are read again for each request.
+    /// The current limits for clients; called for each request.
     fn limits(&self) -> RequestLimits;
-    /// Whether the process is draining: each response then closes its connection.
+    /// Whether the process is draining. If so, the connection is closed after each response.
     fn is_draining(&self) -> bool;
-    /// Called when a request is rejected before it was read completely. `started` is when its head had been read.
+    /// Called when a request is rejected before it was read completely. `started` is when its head was complete.
     fn on_rejected(&self, _head: &Parts, _response: &LocalResponse, _started: Instant) {}
-    /// Called when a client took too long for the head of a request.
+    /// Called when a client took too long to send the head of a request.
     fn on_slow_head(&self) {}
 }
--- a/glenfall/src/http_server/listener.rs
+++ b/glenfall/src/http_server/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections until the process stops, and then waits until the open ones are drained.
+//! Accepts connections until the process stops, and then waits until the open connections are drained.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -16,25 +16,25 @@
 use crate::http_server::handler::Handler;
 use crate::http_server::shutdown::stop_requested;
 
-/// The pause after a failed accept, which mostly means that no file descriptor is left.
+/// The pause after a failed accept, which usually means that no file descriptor is left.
 const ACCEPT_ERROR_BACKOFF: Duration = Duration::from_millis(10);
 
-/// Where a server listens, and its bounds.
+/// The address of a server and its limits.
 pub struct ServerConfig {
-    /// Where clients connect.
+    /// The address to listen on.
     pub listen: SocketAddrV4,
-    /// The most open connections. At the limit a new connection evicts the one that has been idle longest.
+    /// The most open connections. At the limit, a new connection evicts the one that has been idle longest.
     pub max_connections: usize,
     /// The most bytes of request bodies in memory, over all connections.
     pub max_body_bytes: usize,
-    /// How long after the stop signal connections are still accepted: those who send clients here are notified with a
-    /// delay.
+    /// How long after the stop signal connections are still accepted, as load balancers and edges are notified of the
+    /// shutdown with a delay.
     pub drain_accept_time: Duration,
-    /// How long after the stop signal the process waits for open connections, `drain_accept_time` included.
+    /// How long after the stop signal the server waits for open connections, including `drain_accept_time`.
     pub shutdown_timeout: Duration,
 }
 
-/// Binds the listening socket and serves until the process stops and all accepted requests are answered. Fails where the
+/// Binds the listening socket, and serves until the process stops and the open connections are drained. Fails if the
 /// socket can't be bound.
 pub async fn serve<H: Handler>(
     config: ServerConfig,
@@ -53,8 +53,8 @@
     handler: Rc<H>,
     stopping: watch::Receiver<bool>,
 ) {
-    // Accepted sockets inherit this option, which saves a system call for each. Without it responses are correct, but
-    // slower.
+    // Accepted sockets inherit this option, which saves a system call for each. A failure is ignored: responses are then
+    // slower, but correct.
     let _ = SockRef::from(&listener).set_tcp_nodelay(true);
     let limit = Rc::new(ConnectionLimit::new(config.max_connections));
     let body_memory = Rc::new(BodyMemory::new(config.max_body_bytes));
--- a/glenfall/src/http_server/message.rs
+++ b/glenfall/src/http_server/message.rs
@@ -1,4 +1,4 @@
-//! Complete requests and responses, as handlers see them.
+//! The complete requests and responses that handlers work with.
 
 use std::time::Duration;
 
@@ -10,24 +10,24 @@
 
 use crate::http::headers::retry_after_value;
 
-/// A complete response. Proxies create theirs as [`ProxyResponse`](crate::http::response::ProxyResponse).
+/// A complete response. Proxies create it from a [`ProxyResponse`](crate::http::response::ProxyResponse).
 pub type FullResponse = Response<Full<Bytes>>;
 
 /// A request with its complete body.
 pub struct FullRequest {
     /// Method, target and headers.
     pub head: Parts,
-    /// The complete body; empty where the request has none.
+    /// The complete body; empty if the request has none.
     pub body: Bytes,
 }
 
 impl FullRequest {
-    /// The host that the request is for; empty where the header is not text.
+    /// The value of the `Host` header; empty if it is missing or not text.
     pub fn host(&self) -> &str {
         self.head.headers.get(header::HOST).and_then(|host| host.to_str().ok()).unwrap_or("")
     }
 
-    /// Path and query, as in the request line.
+    /// Path and query, as in the request line; `/` if there are none.
     pub fn path_and_query(&self) -> &str {
         self.head.uri.path_and_query().map_or("/", |path| path.as_str())
     }
@@ -40,7 +40,7 @@
     response
 }
 
-/// A response which promises that the request has not run and never will. The client may retry it after this time.
+/// A response that guarantees that the request has not run and never will. The client may retry it after this time.
 pub fn retry_later_response(status: StatusCode, text: &'static str, retry_after: Duration) -> FullResponse {
     let mut response = plain_response(status, text);
     if let Some(value) = retry_after_value(retry_after) {
--- a/glenfall/src/http_server/mod.rs
+++ b/glenfall/src/http_server/mod.rs
@@ -1,14 +1,14 @@
 //! The HTTP/1.1 server of every role: accepts connections, reads complete requests, and drains on shutdown.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `listener` | accepts connections until the process stops, then waits until the open ones are drained |
-//! | `connection_limit` | bounds the open connections, and evicts the one that has been idle longest |
+//! | `connection_limit` | limits the open connections, and evicts the one that has been idle longest |
 //! | `connection` | serves one connection |
-//! | `deadlines`, `timed_stream` | how long a client may take for a head, stay idle, or take to read a response |
-//! | `request_body`, `body_memory` | reads bodies completely, within a memory budget of all connections |
+//! | `deadlines`, `timed_stream` | how long a client may take to send a head or read a response, and how long it may be idle |
+//! | `request_body`, `body_memory` | reads bodies completely, within a memory budget shared by all connections |
 //! | `shutdown` | what an open connection does when the process stops |
-//! | `handler`, `message` | what a role implements, with the complete requests and responses that it sees |
+//! | `handler`, `message` | the interface that a role implements, and its complete requests and responses |
 
 mod body_memory;
 mod connection;
--- a/glenfall/src/http_server/request_body.rs
+++ b/glenfall/src/http_server/request_body.rs
@@ -1,5 +1,5 @@
-//! Reads a request completely before it is handled: a proxy can then send it to a second server if the first has not run
-//! it.
+//! Reads a request completely before it is handled, so that a proxy can send it to a second server if the first one has
+//! not run it.
 
 use std::time::Duration;
 
@@ -16,31 +16,33 @@
 use crate::http::response::LocalResponse;
 use crate::http_server::body_memory::{BodyMemory, BodyMemoryExhausted, BodyReservation};
 
-/// A body may take `idleTimeoutMs` and, beyond that, the time that it needs at this rate. A slower client would occupy
-/// the memory for its body without end.
+/// The lowest rate at which a client may send a body: a body may take `idleTimeoutMs` plus the time that it needs at
+/// this rate. Without it, slow clients could occupy the memory for their bodies for any time.
 const MIN_BODY_BYTES_PER_S: f64 = 32.0 * 1024.0;
-/// When a client may retry a request for whose body there was no memory.
+/// The `Retry-After` of a request that was rejected because there was no memory for its body.
 const BODY_MEMORY_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Why a request was rejected before it was read completely.
+/// Why a request was rejected before it was read completely. Its response has a short text instead of this message.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    /// The target is an absolute URI, or the method is CONNECT: this server is no forward proxy.
+    /// The target is an absolute URI, or the method is CONNECT: this server is not a forward proxy. The response body is
+    /// `a path expected`: the target has to be in origin form (RFC 9112, section 3.2.1).
     #[error("the request target is not a path")]
     NotOriginForm,
-    /// There is no `Host` header, or more than one.
-    #[error("the request has not exactly one Host header")]
+    /// There is no `Host` header, or more than one. The response body is `one Host expected`.
+    #[error("the request does not have exactly one Host header")]
     HostCount,
     /// The body is longer than the limit.
     #[error("the body is too large")]
     BodyTooLarge,
-    /// The body violates its framing, or the client has closed the connection.
+    /// The body violates its framing, or the client closed the connection before its end. The response body is
+    /// `broken body`.
     #[error("the body is malformed or incomplete")]
     MalformedBody,
-    /// The body was not complete in time.
-    #[error("the body was not complete in time")]
+    /// The body was not received completely in time.
+    #[error("the body was not received completely in time")]
     BodyTimeout,
-    /// The bodies in flight use all of the memory for bodies.
+    /// There is no memory for the body.
     #[error(transparent)]
     NoBodyMemory(#[from] BodyMemoryExhausted),
 }
@@ -60,15 +62,15 @@
     }
 }
 
-/// A complete body, with the memory that is reserved for it.
+/// A complete body and the reservation of its memory.
 pub struct ReservedBody<'a> {
     /// The complete body.
     pub bytes: Bytes,
-    /// To be dropped once the request is answered.
+    /// Returns the memory when dropped, which should be after the response.
     pub reservation: BodyReservation<'a>,
 }
 
-/// Checks the head of a request, and reads its body completely.
+/// Checks the head of a request, and reads its body completely, within the limits and the memory budget.
 pub async fn read_request_body<'a>(
     head: &Parts,
     body: Incoming,
@@ -101,24 +103,25 @@
     Ok(())
 }
 
-/// The size and time that a body may take.
+/// Limits on the size of a body and on the time to receive it.
 struct BodyBounds {
-    /// The length that its head states; 0 where it states none.
+    /// The length of the body according to the request head; 0 if the head has none.
     declared_bytes: usize,
     max_bytes: usize,
-    /// The longest pause between two parts of the body, and the time that any body has.
+    /// The longest pause between two parts of the body, and the time that any body may take however short it is.
     idle_timeout: Duration,
 }
 
 impl BodyBounds {
-    /// When more of the body has to arrive, of which this many bytes are there.
+    /// The deadline for the next part of the body, after this many bytes were received.
     fn deadline(&self, started: Instant, received_bytes: usize) -> Instant {
         let transfer_time = Duration::from_secs_f64(received_bytes as f64 / MIN_BODY_BYTES_PER_S);
         (Instant::now() + self.idle_timeout).min(started + self.idle_timeout + transfer_time)
     }
 }
 
-/// Reads a body. For a stated length all memory is reserved at once, else twice of what has arrived.
+/// Reads a body. If its length is known, its memory is reserved at once; otherwise the reservation is twice the received
+/// length each time it has to grow.
 async fn read_body(
     mut body: Incoming,
     bounds: BodyBounds,
@@ -140,7 +143,7 @@
             return Err(RequestError::BodyTooLarge);
         }
         if buffer.is_empty() && body.is_end_stream() {
-            // The complete body is in one frame, and needs no copy.
+            // The complete body is in one frame, so it is not copied to the buffer.
             reservation.resize(length)?;
             return Ok(data);
         }
--- a/glenfall/src/http_server/shutdown.rs
+++ b/glenfall/src/http_server/shutdown.rs
@@ -1,4 +1,4 @@
-//! The stop signal of the process, and what an open connection does then.
+//! The stop signal of the process, and how an open connection is closed after it.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -23,13 +23,13 @@
 /// A client's connection as hyper serves it.
 pub type ServerConnection<S> = http1::Connection<TokioIo<TimedStream>, S>;
 
-/// Resolves once the process is signalled to stop.
+/// Returns once the process is told to stop.
 pub async fn stop_requested(mut stopping: watch::Receiver<bool>) {
     // An error means that the sender is gone, which ends the process as well.
     let _ = stopping.wait_for(|stop| *stop).await;
 }
 
-/// Closes a connection because the process stops. A connection that has carried no request is first given
+/// Closes a connection because the process stops. A connection without any request yet is first given
 /// `first_request_timeout`, as its request may be in transit.
 pub async fn drain<S>(
     connection: &mut ServerConnection<S>,
@@ -50,7 +50,7 @@
     close(connection, deadlines).await
 }
 
-/// Closes a connection: at once between requests, else with the response in progress.
+/// Closes a connection: at once between requests, otherwise after the response in progress.
 pub async fn close<S>(connection: &mut ServerConnection<S>, deadlines: &Deadlines) -> ConnectionEnd
 where
     S: HttpService<Incoming, ResBody = Full<Bytes>, Error = Infallible>,
--- a/glenfall/src/http_server/timed_stream.rs
+++ b/glenfall/src/http_server/timed_stream.rs
@@ -1,4 +1,4 @@
-//! A client's socket that reports to its [`Deadlines`] what is read and written.
+//! The socket of a client, which reports reads and writes to the [`Deadlines`] of its connection.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -24,8 +24,8 @@
         TimedStream { stream, deadlines: Rc::clone(deadlines), read_closed: false }
     }
 
-    /// Writes a final response to a client that has violated the protocol, as far as the socket buffer has space. Whether
-    /// the client reads it is up to the client.
+    /// Writes the last response before the connection is closed, as far as the socket buffer has space. Errors are
+    /// ignored, as the connection is closed anyway.
     pub fn write_final(&self, bytes: &[u8]) {
         let _ = self.stream.try_write(bytes);
     }
@@ -78,8 +78,8 @@
         Pin::new(&mut self.stream).poll_flush(cx)
     }
 
-    /// Shuts the write side down, unless the client has closed its side: the socket is closed next, which has the same
-    /// effect without a system call more.
+    /// Shuts down the write side, unless the client has closed its side: the socket is closed next in that case, which
+    /// has the same effect and saves a system call.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.read_closed {
             return Poll::Ready(Ok(()));
