--- a/glenfall/src/cli.rs
+++ b/glenfall/src/cli.rs
@@ -47,7 +47,10 @@
 #[derive(Subcommand)]
 enum OperatorCommand {
     /// Validate a settings file (TOML) or a configuration (JSON), and report where an error is
-    Check { file: PathBuf },
+    Check {
+        /// Path of the settings file or configuration
+        file: PathBuf,
+    },
     /// Read or change the configuration
     #[command(subcommand)]
     Config(commands::config::ConfigCommand),
--- a/glenfall/src/http/failure/log.rs
+++ b/glenfall/src/http/failure/log.rs
@@ -26,9 +26,9 @@
     pub host: &'a str,
     /// Path and query, as in the request line.
     pub path: &'a str,
-    /// The route that matches the request; empty where none does.
+    /// The route that matches the request; empty if none does.
     pub route: &'a str,
-    /// The status that the client receives; 0 where it receives none.
+    /// The status that the client receives; 0 if it receives none.
     pub status: u16,
     /// The version of the active configuration; 0 if there was none.
     pub rev: u64,
--- a/glenfall/src/http/send_budget.rs
+++ b/glenfall/src/http/send_budget.rs
@@ -63,7 +63,7 @@
         header_value(&format!("used={}{suffix}", self.used))
     }
 
-    /// Reads the report of a response; `None` where it has no valid one.
+    /// Reads the report of a response; `None` if it has no valid one.
     pub fn from_response(headers: &HeaderMap) -> Option<Self> {
         let text = text(headers)?;
         let used = member(text, "used=")?.parse().ok()?;
--- a/glenfall/src/http_server/deadlines.rs
+++ b/glenfall/src/http_server/deadlines.rs
@@ -25,7 +25,7 @@
     Responding,
 }
 
-/// How long a client may take.
+/// The time limits for a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientTimeouts {
     /// From the first byte of a head until the head is complete.
--- a/glenfall/src/http_server/mod.rs
+++ b/glenfall/src/http_server/mod.rs
@@ -5,7 +5,7 @@
 //! | `listener` | accepts connections until the process stops, then waits until the open ones are drained |
 //! | `connection_limit` | limits the open connections, and evicts the one that has been idle longest |
 //! | `connection` | serves one connection |
-//! | `deadlines`, `timed_stream` | how long a client may take to send a head or read a response, and how long it may be idle |
+//! | `deadlines`, `timed_stream` | how long a client may take for a head or a response, and may be idle |
 //! | `request_body`, `body_memory` | reads bodies completely, within a memory budget shared by all connections |
 //! | `shutdown` | what an open connection does when the process stops |
 //! | `handler`, `message` | the interface that a role implements, and its complete requests and responses |
--- a/glenfall/src/metrics/latency.rs
+++ b/glenfall/src/metrics/latency.rs
@@ -15,7 +15,7 @@
 /// The precision of the histograms, in decimal digits. Two are enough for operators, and take about 10 KB for each
 /// histogram.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// The quantiles that are reported, with the part of their counter's name.
+/// The quantiles that are reported, with their part of the counters' names.
 const REPORTED_QUANTILES: [(&str, f64); 4] = [("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("max", 1.0)];
 
 struct Histograms {
--- a/glenfall/src/operator/commands/config.rs
+++ b/glenfall/src/operator/commands/config.rs
@@ -26,6 +26,7 @@
         /// Version that the new configuration replaces; 0 if there is none yet
         #[arg(long)]
         builds_on: u64,
+        /// JSON file with the new configuration
         file: PathBuf,
     },
     /// Add, replace or remove individual items of the configuration
@@ -35,6 +36,7 @@
         /// Version that the change is based on
         #[arg(long)]
         builds_on: u64,
+        /// JSON file with the items to add, replace (`upsert`) and remove (`remove`)
         file: PathBuf,
     },
 }
--- a/glenfall/src/operator/commands/control_client.rs
+++ b/glenfall/src/operator/commands/control_client.rs
@@ -24,7 +24,7 @@
 const RETRY_BACKOFF: Duration = Duration::from_millis(100);
 /// The most connections that a command opens.
 const MAX_CONNECTIONS: usize = 8;
-/// The most bytes of control's responses in memory; more than the largest response, an exported state, has.
+/// The most bytes of control's responses in memory; above the size of the largest response, an exported state.
 pub const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// The field by which control rejects a change that builds on a version so old that control no longer knows whether the
 /// change was applied.
--- a/glenfall/src/operator/commands/core.rs
+++ b/glenfall/src/operator/commands/core.rs
@@ -1,4 +1,4 @@
-//! `core`: shows, adds and removes the voters of the core.
+//! `core`: lists, adds and removes the voters of the core.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
--- a/glenfall/src/operator/commands/declared.rs
+++ b/glenfall/src/operator/commands/declared.rs
@@ -15,11 +15,15 @@
 #[derive(Subcommand)]
 pub(crate) enum DeclaredCommand {
     /// Validate the files of a folder, and the configuration that they form together
-    Check { folder: PathBuf },
+    Check {
+        /// Folder with `routes`, `services` and `limits.toml`
+        folder: PathBuf,
+    },
     /// Show how the configuration in a folder differs from the active one
     Plan {
         #[command(flatten)]
         addresses: ControlAddresses,
+        /// Folder with `routes`, `services` and `limits.toml`
         folder: PathBuf,
     },
     /// Make the configuration in a folder the active one
@@ -29,12 +33,14 @@
         /// Apply only if this is the active version, against which the change was reviewed
         #[arg(long)]
         if_rev: Option<u64>,
+        /// Folder with `routes`, `services` and `limits.toml`
         folder: PathBuf,
     },
     /// Write the active configuration as files into a folder
     Export {
         #[command(flatten)]
         addresses: ControlAddresses,
+        /// Folder for the files; existing files are not overwritten
         folder: PathBuf,
     },
 }
--- a/glenfall/src/operator/commands/state.rs
+++ b/glenfall/src/operator/commands/state.rs
@@ -25,6 +25,7 @@
     },
     /// Create the state of a control node from an exported file, before the node is started
     Import {
+        /// Path of the exported file
         file: PathBuf,
         /// State folder of the control node (its `stateDir` setting)
         #[arg(long)]
@@ -37,7 +38,10 @@
         acknowledged: u64,
     },
     /// Verify an exported file, or the state folder of a stopped control node
-    Verify { path: PathBuf },
+    Verify {
+        /// Path of the exported file or state folder
+        path: PathBuf,
+    },
 }
 
 /// Runs the command; returns its output.
@@ -54,7 +58,7 @@
 
 async fn export(addresses: &ControlAddresses, file: &Path) -> Result<String, OperatorError> {
     let response = get(addresses, "/api/state").await?;
-    // The backup is validated before it is written, so that an incomplete one is not found only when it is needed.
+    // Validated before it is written, as an incomplete backup would otherwise be noticed only when it is needed.
     let backup = Backup::read(response.body()).map_err(PathError::at(file))?;
     write_durably(file, response.body()).map_err(PathError::at(file))?;
     Ok(format!("configuration {}, change {}, exported", backup.rev, backup.seq))
--- a/glenfall/src/settings/model.rs
+++ b/glenfall/src/settings/model.rs
@@ -61,11 +61,11 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Listeners {
-    /// On which an edge accepts requests of clients.
+    /// Address on which an edge accepts requests of clients.
     pub http: Option<SocketAddrV4>,
-    /// On which an edge reports whether it is ready.
+    /// Address on which an edge reports whether it is ready.
     pub ready_addr: Option<SocketAddrV4>,
-    /// On which control accepts requests of servers and operators.
+    /// Address on which control accepts requests of servers and operators.
     pub control_addr: Option<SocketAddrV4>,
 }
 
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Survive {
-    /// Number of voters, with their disks.
+    /// Number of voters that may be lost with their disks.
     pub hosts: usize,
 }
 
