--- a/glenfall/src/operator/commands/config.rs
+++ b/glenfall/src/operator/commands/config.rs
@@ -1,4 +1,4 @@
-//! `config`: reads or changes the configuration as one document.
+//! `config`: reads or changes the configuration as one JSON document.
 
 use std::path::PathBuf;
 
@@ -6,52 +6,54 @@
 use hyper::Method;
 
 use super::check::{check, read_file};
-use super::control_client::{call_control, get, text, ControlAddresses};
+use super::control_client::{body_text, call_control, get, ControlAddresses};
 use super::error::OperatorError;
 
-/// Where control has the configuration.
+/// The path of the configuration in control's HTTP API.
 pub(super) const CONFIG_PATH: &str = "/api/config";
 
 #[derive(Subcommand)]
 pub(crate) enum ConfigCommand {
-    /// Print the newest configuration
+    /// Print the active configuration
     Get {
         #[command(flatten)]
-        at: ControlAddresses,
+        addresses: ControlAddresses,
     },
-    /// Put a whole configuration in force
+    /// Replace the complete configuration
     Put {
         #[command(flatten)]
-        at: ControlAddresses,
-        /// The version that it builds on, 0 for the first
+        addresses: ControlAddresses,
+        /// Version that the new configuration replaces; 0 if there is none yet
         #[arg(long)]
         builds_on: u64,
+        /// JSON file with the new configuration
         file: PathBuf,
     },
-    /// Change named items
+    /// Add, replace or remove individual items of the configuration
     Patch {
         #[command(flatten)]
-        at: ControlAddresses,
-        /// The version that it builds on
+        addresses: ControlAddresses,
+        /// Version that the change is based on
         #[arg(long)]
         builds_on: u64,
+        /// JSON file with the items to add, replace (`upsert`) and remove (`remove`)
         file: PathBuf,
     },
 }
 
-/// Runs the command; returns what it prints.
+/// Runs the command; returns its output.
 pub(crate) async fn run(command: &ConfigCommand) -> Result<String, OperatorError> {
     let response = match command {
-        ConfigCommand::Get { at } => get(at, CONFIG_PATH).await?,
-        ConfigCommand::Put { at, builds_on, file } => {
+        ConfigCommand::Get { addresses } => get(addresses, CONFIG_PATH).await?,
+        ConfigCommand::Put { addresses, builds_on, file } => {
             check(file)?;
             let document = read_file(file)?;
-            call_control(at, Method::PUT, CONFIG_PATH, Some(*builds_on), document.into()).await?
+            call_control(addresses, Method::PUT, CONFIG_PATH, Some(*builds_on), document.into()).await?
         }
-        ConfigCommand::Patch { at, builds_on, file } => {
+        ConfigCommand::Patch { addresses, builds_on, file } => {
             let change = read_file(file)?;
-            call_control(at, Method::PATCH, CONFIG_PATH, Some(*builds_on), change.into()).await?
+            call_control(addresses, Method::PATCH, CONFIG_PATH, Some(*builds_on), change.into()).await?
         }
     };
-    Ok(text(&response))
+    Ok(body_text(&response))
 }
--- a/glenfall/src/operator/commands/state.rs
+++ b/glenfall/src/operator/commands/state.rs
@@ -1,4 +1,4 @@
-//! `state`: backs up, restores and checks the state of control.
+//! `state`: exports, imports and verifies the state of control.
 
 use std::io::Write;
 use std::net::Ipv4Addr;
@@ -19,31 +19,35 @@
     /// Write the newest acknowledged state of a running core to a file
     Export {
         #[command(flatten)]
-        at: ControlAddresses,
-        /// A new file; one that exists is not written over
+        addresses: ControlAddresses,
+        /// Path of the new file; an existing file is not overwritten
         file: PathBuf,
     },
-    /// Put an exported state into an empty state folder, before control starts there
+    /// Create the state of a control node from an exported file, before the node is started
     Import {
+        /// Path of the exported file
         file: PathBuf,
-        /// `stateDir` of the control node
+        /// State folder of the control node (its `stateDir` setting)
         #[arg(long)]
         into: PathBuf,
-        /// Addresses of the control nodes that vote, if others than in the file; may be repeated
+        /// Address of a voter, to replace the voters listed in the file; may be repeated
         #[arg(long = "voter")]
         voters: Vec<Ipv4Addr>,
-        /// The highest version that may have been acknowledged since the export: none up to it is taken again
+        /// Highest version that may have been acknowledged since the export; versions up to it are not accepted again
         #[arg(long, default_value_t = 0)]
         acknowledged: u64,
     },
-    /// Check an exported file, or the state folder of a control node that is stopped
-    Verify { path: PathBuf },
+    /// Verify an exported file, or the state folder of a stopped control node
+    Verify {
+        /// Path of the exported file or state folder
+        path: PathBuf,
+    },
 }
 
-/// Runs the command; returns what it prints.
+/// Runs the command; returns its output.
 pub(crate) async fn run(command: StateCommand) -> Result<String, OperatorError> {
     match command {
-        StateCommand::Export { at, file } => export(&at, &file).await,
+        StateCommand::Export { addresses, file } => export(&addresses, &file).await,
         StateCommand::Import { file, into, voters, acknowledged } => {
             import(&file, &into, voters, acknowledged)
         }
@@ -52,15 +56,15 @@
     }
 }
 
-async fn export(at: &ControlAddresses, file: &Path) -> Result<String, OperatorError> {
-    let response = get(at, "/api/state").await?;
-    // An incomplete backup would be of no use when it is needed.
+async fn export(addresses: &ControlAddresses, file: &Path) -> Result<String, OperatorError> {
+    let response = get(addresses, "/api/state").await?;
+    // Validated before it is written, as an incomplete backup would otherwise be noticed only when it is needed.
     let backup = Backup::read(response.body()).map_err(PathError::at(file))?;
     write_durably(file, response.body()).map_err(PathError::at(file))?;
     Ok(format!("configuration {}, change {}, exported", backup.rev, backup.seq))
 }
 
-/// Writes a new file, and waits until it is on disk together with its directory entry.
+/// Writes a new file, and syncs it and its directory entry to disk.
 fn write_durably(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
     let mut file = std::fs::File::create_new(path)?;
     file.write_all(bytes)?;
@@ -85,7 +89,7 @@
 
 fn verify_folder(folder: &Path) -> Result<String, OperatorError> {
     let Some(state) = store::verify(folder).map_err(PathError::at(folder))? else {
-        return Ok("a store without state: nothing was promised or accepted yet".into());
+        return Ok("the store is empty: the node has neither promised a view nor accepted a state yet".into());
     };
     let (record, view) = (&state.record, state.accepted);
     let (rev, seq, voters) = (record.rev, record.seq, state.members.voters.len());
--- a/glenfall/src/operator/declarative_config/difference.rs
+++ b/glenfall/src/operator/declarative_config/difference.rs
@@ -1,4 +1,4 @@
-//! Differences between a declared configuration and the active one, item by item.
+//! Differences between a declared configuration and the active one, by item.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,7 +7,7 @@
 
 use super::schema::{ItemList, LIMITS_FILE, ROUTE_LIST, SERVICE_LIST};
 
-/// The change of one field; `null` means a field that is not set.
+/// The change of one field. `null` stands for a field that is not set.
 #[derive(Debug, PartialEq)]
 pub struct FieldChange {
     /// The active value.
@@ -16,28 +16,28 @@
     pub new: Value,
 }
 
-/// The difference of one item. Its text is what operators are shown.
+/// The difference of one item. Operators see its `Display` text.
 #[derive(Debug, PartialEq)]
 pub enum Difference {
     /// The item is declared and not active.
     Added {
-        /// The list that it is in.
+        /// The section of the configuration: `paths` or `backends`.
         list: &'static str,
-        /// Its name.
+        /// The name of the route or service.
         name: String,
     },
     /// The item is active and not declared.
     Removed {
-        /// The list that it is in.
+        /// The section of the configuration: `paths` or `backends`.
         list: &'static str,
-        /// Its name.
+        /// The name of the route or service.
         name: String,
     },
-    /// The item has other fields.
+    /// Fields of the item differ.
     Changed {
-        /// The list or section that it is in.
+        /// The section of the configuration: `paths`, `backends` or `reqLimits`.
         list: &'static str,
-        /// Its name; empty for a section.
+        /// The name of the route or service; empty for `reqLimits`.
         name: String,
         /// The fields that differ.
         fields: BTreeMap<String, FieldChange>,
@@ -105,7 +105,7 @@
     let mut changes = BTreeMap::new();
     for name in old.keys().chain(new.keys()) {
         let change = FieldChange { old: value(old, name), new: value(new, name) };
-        if !is_same(&change.old, &change.new) {
+        if !is_equal(&change.old, &change.new) {
             changes.insert(name.clone(), change);
         }
     }
@@ -113,16 +113,16 @@
 }
 
 /// Whether two values are equal, however their numbers are written: 40 equals 40.0.
-fn is_same(left: &Value, right: &Value) -> bool {
+fn is_equal(left: &Value, right: &Value) -> bool {
     match (left, right) {
         (Value::Number(left), Value::Number(right)) => left == right || left.as_f64() == right.as_f64(),
         (Value::Array(left), Value::Array(right)) => {
-            left.len() == right.len() && left.iter().zip(right).all(|(left, right)| is_same(left, right))
+            left.len() == right.len() && left.iter().zip(right).all(|(left, right)| is_equal(left, right))
         }
         (Value::Object(left), Value::Object(right)) => {
-            let has_same =
-                |(name, left): (&String, &Value)| right.get(name).is_some_and(|right| is_same(left, right));
-            left.len() == right.len() && left.iter().all(has_same)
+            let has_equal_field =
+                |(name, left): (&String, &Value)| right.get(name).is_some_and(|right| is_equal(left, right));
+            left.len() == right.len() && left.iter().all(has_equal_field)
         }
         (left, right) => left == right,
     }
