--- a/experiments/src/soak/clients/checks.rs
+++ b/experiments/src/soak/clients/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of what clients receive, against what servers ran, which objects were purged, and which machines had faults.
+//! Checks the responses to clients against the requests that servers executed, the purges, and the history of faults.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
 use crate::soak::fault_history::FaultKind;
 use crate::soak::oracle::Invariant;
 
-/// A response may arrive this long after its deadline, on a machine that is busy with several runs.
+/// How long after its deadline a response may arrive. Large enough for a machine that is busy with several runs.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(1200);
 
 /// A request whose connection ended without a response.
 pub struct UnansweredRequest {
-    /// Its try id.
+    /// The try id of the request.
     pub id: String,
-    /// The index of the edge.
+    /// Index of the edge that the request was sent to.
     pub edge: usize,
-    /// Milliseconds until the connection ended.
+    /// Milliseconds from sending the request until its connection ended.
     pub after_ms: u64,
 }
 
@@ -32,8 +32,8 @@
         let status = response.status();
         let latest = Duration::from_millis(class.deadline_ms) + DEADLINE_TOLERANCE;
         if elapsed > latest && self.in_contact_since(*edge, *sent_at) {
-            let details = format!("{id}: {status} after {} ms", elapsed.as_millis());
-            self.oracle.violated(Invariant::AnsweredByDeadline, details);
+            let details = format!("{id}: response {status} only after {} ms", elapsed.as_millis());
+            self.oracle.record_violation(Invariant::AnsweredByDeadline, details);
         }
         if status.is_success() {
             self.check_success(sent, response);
@@ -53,10 +53,16 @@
         match self.ledger.check(path, *sent_at, sealed, response.body(), class.bytes) {
             ResponseCheck::Valid => {}
             ResponseCheck::Incomplete => {
-                self.oracle.violated(Invariant::ResponseComplete, format!("{id} {path}"));
+                self.oracle.record_violation(
+                    Invariant::ResponseComplete,
+                    format!("{id}: incomplete response for {path}"),
+                );
             }
             ResponseCheck::Stale if self.in_contact_since(*edge, *sent_at - PURGE_TIMEOUT) => {
-                self.oracle.violated(Invariant::NoStaleAfterPurge, format!("{id} {path}"));
+                self.oracle.record_violation(
+                    Invariant::NoStaleAfterPurge,
+                    format!("{id}: purged version of {path}"),
+                );
             }
             ResponseCheck::Stale => self.oracle.count("old version, out of touch"),
         }
@@ -73,18 +79,19 @@
             _ => "other failures",
         });
         if status == StatusCode::NOT_FOUND {
-            self.oracle.violated(Invariant::RouteKnown, format!("{id} {path} at edge {edge}"));
+            self.oracle
+                .record_violation(Invariant::RouteKnown, format!("{id}: no route for {path} at edge {edge}"));
         }
         if is_not_executed(status) && class.kind == RouteKind::Mutating {
             self.rejected_writes.borrow_mut().push(id.clone());
         }
         if !response.headers().contains_key(SEAL_HEADER) {
-            self.oracle.request_failed(id, *edge, status.as_u16());
+            self.oracle.record_failed_request(id, *edge, status.as_u16());
         }
-        // Servers fail some requests themselves.
+        // Status 500 is excluded: the emulated servers fail a share of the requests on purpose.
         if self.expects_success.get() && status != StatusCode::INTERNAL_SERVER_ERROR {
             let details = format!("{id}: {status} at edge {edge}");
-            self.oracle.violated(Invariant::ServedAfterRecovery, details);
+            self.oracle.record_violation(Invariant::ServedAfterRecovery, details);
         }
     }
 
@@ -92,52 +99,58 @@
         let SentRequest { edge, id, sent_at, .. } = sent;
         match error {
             SendError::NotSent => self.oracle.count("not read"),
-            SendError::NoResponse => self.note_unanswered(sent, elapsed),
+            SendError::NoResponse => self.record_unanswered(sent, elapsed),
             SendError::TimedOut => {
                 self.oracle.count("no answer");
                 if self.in_contact_since(*edge, *sent_at) {
-                    let details = format!("{id}: none at edge {edge}");
-                    self.oracle.violated(Invariant::AnsweredByDeadline, details);
+                    let details = format!("{id}: no response from edge {edge}");
+                    self.oracle.record_violation(Invariant::AnsweredByDeadline, details);
                 }
             }
         }
         if self.expects_success.get() {
             let details = format!("{id}: {error:?} at edge {edge}");
-            self.oracle.violated(Invariant::ServedAfterRecovery, details);
+            self.oracle.record_violation(Invariant::ServedAfterRecovery, details);
         }
     }
 
-    fn note_unanswered(&self, sent: &SentRequest, elapsed: Duration) {
+    fn record_unanswered(&self, sent: &SentRequest, elapsed: Duration) {
         let SentRequest { edge, id, sent_at, .. } = sent;
         self.oracle.count("cut off");
         let machine = self.edges[*edge].machine;
         if self.history.is_free_of(FaultKind::Unplanned, machine, *sent_at) {
-            // A request that crosses the close of a connection was not read; whether this one was is checked after the run.
+            // A request sent while the edge closes the connection is lost without being read, which is allowed. Whether
+            // this one was read is checked after the run.
             let after_ms = elapsed.as_millis() as u64;
             self.unanswered.borrow_mut().push(UnansweredRequest { id: id.clone(), edge: *edge, after_ms });
         }
     }
 
-    /// Checks what can only be checked after the run: no rejected write has run, and no unanswered request had been read.
+    /// Makes the checks that are only possible after the run: no rejected write was executed, no unanswered request
+    /// had been read, and no write was executed twice.
     pub fn check_after_run(&self, was_read: impl Fn(&UnansweredRequest) -> bool) {
         for request in self.unanswered.borrow().iter() {
             if was_read(request) || self.ledger.has_run(&request.id) {
                 let UnansweredRequest { id, edge, after_ms } = request;
-                let details = format!("{id} at edge {edge}, after {after_ms} ms");
-                self.oracle.violated(Invariant::ReadRequestAnswered, details);
+                let details =
+                    format!("{id}: connection to edge {edge} ended without a response after {after_ms} ms");
+                self.oracle.record_violation(Invariant::ReadRequestAnswered, details);
             }
         }
         for id in self.rejected_writes.borrow().iter().filter(|id| self.ledger.has_run(id)) {
-            self.oracle.violated(Invariant::RejectedNotExecuted, id.clone());
+            self.oracle.record_violation(Invariant::RejectedNotExecuted, id.clone());
         }
         let ran_twice = self.ledger.violations().ran_twice;
         if ran_twice > 0 {
-            self.oracle.violated(Invariant::AtMostOnce, format!("{ran_twice} requests"));
+            self.oracle.record_violation(
+                Invariant::AtMostOnce,
+                format!("{ran_twice} requests were executed more than once"),
+            );
         }
     }
 }
 
-/// Whether a status says that a request has not been executed.
+/// Whether a status code guarantees that the request was not executed.
 fn is_not_executed(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
--- a/experiments/src/soak/clients/edges.rs
+++ b/experiments/src/soak/clients/edges.rs
@@ -1,44 +1,45 @@
-//! The edges of a run, as clients see them.
+//! What clients know about the edges of a run.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// An edge.
+/// An edge, its restarts, and the configuration versions it has applied.
 pub struct Edge {
-    /// Its address.
+    /// Where the edge accepts requests.
     pub address: SocketAddrV4,
-    /// The number of its machine.
+    /// Number of the machine of the edge.
     pub machine: u8,
-    /// How often its process was ended or started.
+    /// Number of times that the process was stopped or started.
     restarts: Cell<u64>,
-    /// The versions that it has shown to know since the last restart.
+    /// Configuration versions that probes have found applied since the last restart.
     known_versions: RefCell<BTreeSet<u64>>,
 }
 
 impl Edge {
-    /// Creates an edge that has shown to know no version.
+    /// Creates an edge without known versions.
     pub fn new(address: SocketAddrV4, machine: u8) -> Self {
         Edge { address, machine, restarts: Cell::new(0), known_versions: RefCell::default() }
     }
 
-    /// Notes that its process ends or starts: it may go back to an older version.
-    pub fn restarts(&self) {
+    /// Records that the process is stopped or started. It may revert to an older version by that, so the known
+    /// versions are cleared.
+    pub fn record_restart(&self) {
         self.restarts.set(self.restarts.get() + 1);
         self.known_versions.borrow_mut().clear();
     }
 
-    /// Returns how often its process was ended or started.
+    /// Returns how often the process was stopped or started.
     pub fn restart_count(&self) -> u64 {
         self.restarts.get()
     }
 
-    /// Notes that it has shown to know a version.
-    pub fn knows(&self, rev: u64) {
+    /// Records that a probe has found a version applied.
+    pub fn record_known_version(&self, rev: u64) {
         self.known_versions.borrow_mut().insert(rev);
     }
 
-    /// Whether it has shown to know a version since the last restart.
+    /// Whether a probe has found a version applied since the last restart.
     pub fn has_known(&self, rev: u64) -> bool {
         self.known_versions.borrow().contains(&rev)
     }
--- a/experiments/src/soak/clients/mod.rs
+++ b/experiments/src/soak/clients/mod.rs
@@ -1,5 +1,5 @@
-//! The clients of a run: reads, and writes that may run at most once. Their responses are checked against what servers ran
-//! and which objects were purged.
+//! The clients of a run. They send reads, and writes that may run at most once, and check the responses against the
+//! requests that servers executed and the objects that were purged.
 
 mod checks;
 mod edges;
@@ -32,20 +32,20 @@
 use checks::UnansweredRequest;
 pub use edges::Edge;
 
-/// Connections that the clients hold together.
+/// Maximum number of connections of all clients together.
 const MAX_CONNECTIONS: usize = 256;
-/// Bytes of responses that the clients hold at the same time.
+/// Maximum size of all buffered responses, in bytes.
 const RESPONSE_MEMORY: usize = 64 << 20;
-/// A client abandons a request this long after its deadline.
-const ABANDONED_AFTER_DEADLINE: Duration = Duration::from_millis(2500);
-/// While clients disconnect, this share of them does.
+/// How long after its deadline a client abandons a request.
+const ABANDON_DELAY: Duration = Duration::from_millis(2500);
+/// Share of requests whose client disconnects while that fault is active.
 const DISCONNECT_SHARE: f64 = 0.4;
-/// They disconnect within this time, in milliseconds.
+/// Range of times after which such a client disconnects, in milliseconds.
 const DISCONNECT_WITHIN_MS: Range<u64> = 1..250;
-/// How often it is looked whether requests are still in flight.
+/// Interval between checks whether requests are still in flight.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a client sends to an edge.
+/// The parts of a request to an edge that vary.
 struct ClientRequest<'a> {
     method: Method,
     host: &'a str,
@@ -70,7 +70,7 @@
     }
 }
 
-/// A request that a client has sent.
+/// A request that was sent, with what the checks of its response need.
 struct SentRequest<'a> {
     class: &'a ClassPlan,
     edge: usize,
@@ -92,16 +92,16 @@
     next_number: Cell<u64>,
     in_flight: Cell<u32>,
     disconnects: ActiveFaults,
-    /// The ids of writes that were rejected as not executed.
+    /// Try ids of writes that were rejected as not executed.
     rejected_writes: RefCell<Vec<String>>,
-    /// Requests whose connections ended without a response, at edges without faults but planned work.
+    /// Requests whose connections ended without a response, at edges that had no unplanned fault meanwhile.
     unanswered: RefCell<Vec<UnansweredRequest>>,
-    /// Whether all requests have to be served, as all faults have ended.
+    /// Whether all requests must succeed, which holds after recovery from all faults.
     expects_success: Cell<bool>,
 }
 
 impl Clients {
-    /// Creates the clients of these edges.
+    /// Creates clients that send requests to `edges`.
     pub fn new(
         plan: &Plan,
         edges: Vec<Edge>,
@@ -129,29 +129,30 @@
         })
     }
 
-    /// Returns how many edges there are.
+    /// Returns the number of edges.
     pub fn edge_count(&self) -> usize {
         self.edges.len()
     }
 
-    /// Notes that a process of a machine ends or starts, if that machine has an edge.
-    pub fn edge_restarts(&self, machine: u8) {
-        self.edges.iter().filter(|edge| edge.machine == machine).for_each(Edge::restarts);
+    /// Records that a process of a machine is stopped or started. Has no effect on machines without an edge.
+    pub fn record_edge_restart(&self, machine: u8) {
+        self.edges.iter().filter(|edge| edge.machine == machine).for_each(Edge::record_restart);
     }
 
-    /// Begins a fault in which clients disconnect while their requests are in flight.
+    /// Begins a fault in which clients disconnect while their requests are in flight. It ends when the guard is
+    /// dropped.
     pub fn begin_disconnects(&self) -> ActiveFault {
         self.disconnects.begin()
     }
 
-    /// Sets whether all requests have to be served.
+    /// Sets whether a request that is not served counts as a violation.
     pub fn expect_success(&self, expects_success: bool) {
         self.expects_success.set(expects_success);
     }
 
     // ---- Load ----
 
-    /// Sends requests of one class until it is aborted.
+    /// Sends requests of one class at random intervals. Runs until it is aborted.
     pub async fn generate_load(self: Rc<Self>, class: usize) {
         let per_s = self.plan.classes[class].per_s;
         loop {
@@ -173,10 +174,10 @@
         }
     }
 
-    /// Draws after which time the client of the next request disconnects, if it does.
+    /// Draws after what time the client of the next request disconnects; `None` if it stays connected.
     fn draw_disconnect(&self) -> Option<Duration> {
         let mut rng = self.rng.borrow_mut();
-        let disconnects = self.disconnects.any() && rng.random_bool(DISCONNECT_SHARE);
+        let disconnects = self.disconnects.any_active() && rng.random_bool(DISCONNECT_SHARE);
         disconnects.then(|| Duration::from_millis(rng.random_range(DISCONNECT_WITHIN_MS)))
     }
 
@@ -202,7 +203,7 @@
             ClientRequest { method, host: crate::plan::ROUTE_HOST, path: &sent.path, id: &sent.id, deadline };
         let exchange = self.exchange(sent.edge, &request);
         let result = match disconnects_after {
-            // The connection ends as the exchange is dropped.
+            // Dropping the exchange closes its connection.
             Some(after) => match timeout(after, exchange).await {
                 Ok(result) => result,
                 Err(_) => return self.oracle.count("client left"),
@@ -217,7 +218,7 @@
     }
 
     async fn exchange(&self, edge: usize, request: &ClientRequest<'_>) -> Result<ServerResponse, SendError> {
-        let until = Instant::now() + request.deadline + ABANDONED_AFTER_DEADLINE;
+        let until = Instant::now() + request.deadline + ABANDON_DELAY;
         let params = ExchangeParams::internal(self.edges[edge].address, until);
         let params = ExchangeParams { completion_timeout: None, ..params };
         self.pool.exchange(params, || request.to_http()).await
--- a/experiments/src/soak/clients/version_probes.rs
+++ b/experiments/src/soak/clients/version_probes.rs
@@ -1,4 +1,5 @@
-//! Probes that show which version of the configuration an edge has applied: each version adds a route.
+//! Probes whether an edge has applied a configuration version. Each version adds a route, so a probe requests that
+//! route.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,13 +12,14 @@
 use crate::soak::operators::{host_of_version, CommittedVersion};
 use crate::soak::oracle::Invariant;
 
-/// Pause between the probes of an edge.
+/// Pause between two probes of an edge.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
-/// A version is applied everywhere this long after it was acknowledged: `applyMs`, and what a busy machine adds.
+/// Maximum time from the acknowledgement of a version until every edge has applied it: `applyMs`, plus a margin for a
+/// busy machine.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_millis(3500);
 
 impl Clients {
-    /// Probes the versions of an edge until it is aborted.
+    /// Probes an edge for the newest version. Runs until it is aborted.
     pub async fn probe_versions(self: Rc<Self>, edge: usize) {
         loop {
             sleep(PROBE_INTERVAL).await;
@@ -38,8 +40,8 @@
         if status == StatusCode::NOT_FOUND {
             self.check_unknown_version(edge, version, sent_at);
         } else if status.is_success() {
-            // An edge without any configuration answers with 503.
-            probed.knows(version.rev);
+            // Other statuses prove nothing: an edge without any configuration returns 503.
+            probed.record_known_version(version.rev);
         }
     }
 
@@ -61,12 +63,16 @@
         self.oracle.count("probe: version not known yet");
         let is_newest = self.operators.newest().is_some_and(|newest| newest.rev == rev);
         if self.edges[edge].has_known(rev) && is_newest {
-            self.oracle.violated(Invariant::NoVersionRollback, format!("version {rev} at edge {edge}"));
+            self.oracle.record_violation(
+                Invariant::NoVersionRollback,
+                format!("edge {edge} no longer has version {rev}"),
+            );
         }
         if sent_at > known_at + PROPAGATION_TIMEOUT && self.in_contact_since(edge, sent_at) {
             let after_ms = (sent_at - known_at).as_millis();
-            let details = format!("{rev} at edge {edge}, {after_ms} ms after");
-            self.oracle.violated(Invariant::VersionPropagated, details);
+            let details =
+                format!("edge {edge} has not applied version {rev}, {after_ms} ms after its acknowledgement");
+            self.oracle.record_violation(Invariant::VersionPropagated, details);
         }
     }
 }
--- a/experiments/src/soak/fault_history.rs
+++ b/experiments/src/soak/fault_history.rs
@@ -1,4 +1,4 @@
-//! When which machine had faults: invariants with a time bound hold only for machines without any.
+//! The history of faults by machine. Invariants with a time limit hold only for machines that had no recent fault.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,13 +7,14 @@
 
 use tokio::time::Instant;
 
-/// A machine is in contact again this long after its faults, and all machines are after one of the core: `contactMs`.
+/// Maximum time until a machine is in contact with control again after a fault of its own or of any core machine:
+/// `contactMs`.
 pub const CONTACT_TIME: Duration = Duration::from_secs(4);
 
-/// Whether a fault is planned work, in which requests are still answered.
+/// The kind of a fault: during planned work requests must still be answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultKind {
-    /// Planned work, such as a restart by SIGTERM.
+    /// Planned work: termination by SIGTERM, or a reload by SIGHUP.
     Planned,
     /// Any other fault.
     Unplanned,
@@ -22,9 +23,9 @@
 /// The faults of one kind at a machine.
 #[derive(Default)]
 struct MachineFaults {
-    /// How many it has now.
+    /// Number of active faults.
     active: u32,
-    /// When the last one ended.
+    /// When a fault ended last; `None` if none has ended yet.
     last_ended_at: Option<Instant>,
 }
 
@@ -34,7 +35,7 @@
     }
 }
 
-/// The faults of all machines.
+/// The active and past faults of all machines.
 pub struct FaultHistory {
     began_at: Instant,
     cores: u8,
@@ -42,12 +43,12 @@
 }
 
 impl FaultHistory {
-    /// Begins a history without faults. The first `cores` machines are those of the core.
+    /// Creates an empty history that starts now. The machines 1 to `cores` are those of the core.
     pub fn new(cores: u8) -> Rc<Self> {
         Rc::new(FaultHistory { began_at: Instant::now(), cores, faults: RefCell::default() })
     }
 
-    /// Begins a fault of a machine, which ends when the guard is dropped.
+    /// Records the begin of a fault, which ends when the returned guard is dropped.
     pub fn begin(self: &Rc<Self>, machine: u8, kind: FaultKind) -> FaultGuard {
         self.faults.borrow_mut().entry((machine, kind)).or_default().active += 1;
         FaultGuard { history: Rc::clone(self), machine, kind }
@@ -60,7 +61,7 @@
         of_machine.last_ended_at = Some(Instant::now());
     }
 
-    /// Whether a machine has had no fault of a kind since `since`.
+    /// Whether a machine has had no active fault of a kind since `since`.
     pub fn is_free_of(&self, kind: FaultKind, machine: u8, since: Instant) -> bool {
         let faults = self.faults.borrow();
         faults.get(&(machine, kind)).is_none_or(|faults| faults.is_free_since(since))
@@ -71,21 +72,21 @@
             && self.is_free_of(FaultKind::Unplanned, machine, since)
     }
 
-    /// Whether a machine has been in contact ever since `since`: neither it nor the core has had any fault since
-    /// `CONTACT_TIME` before that.
+    /// Whether a machine has been in contact with control since `since`: neither the machine nor any core machine has
+    /// had a fault later than `CONTACT_TIME` before `since`.
     pub fn in_contact_since(&self, machine: u8, since: Instant) -> bool {
         let before = since.checked_sub(CONTACT_TIME).unwrap_or(since);
         let is_free = |machine| self.is_free_since(machine, before);
         since >= self.began_at + CONTACT_TIME && is_free(machine) && (1..=self.cores).all(is_free)
     }
 
-    /// Whether all machines up to the number `last` have been in contact ever since `since`.
+    /// Whether the machines 1 to `last` have all been in contact with control since `since`.
     pub fn all_in_contact_since(&self, last: u8, since: Instant) -> bool {
         (1..=last).all(|machine| self.in_contact_since(machine, since))
     }
 }
 
-/// A fault of a machine, which ends when this is dropped.
+/// Guard of an active fault of a machine, which ends when the guard is dropped.
 pub struct FaultGuard {
     history: Rc<FaultHistory>,
     machine: u8,
--- a/experiments/src/soak/faults.rs
+++ b/experiments/src/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection: carries out the faults of a schedule on real processes, servers, clients and operators.
+//! Fault injection: applies the faults of a schedule to processes, servers, clients and operators.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,28 +14,28 @@
 use super::schedule::{Fault, PartitionDirection, ProcessSet, ScheduledFault};
 use super::servers::{Server, Servers};
 
-/// Pause between hangups.
+/// Pause between SIGHUP signals.
 const HANGUP_INTERVAL: Duration = Duration::from_millis(150);
-/// How long a server serves on beyond the time that it has to.
+/// How long a drained or deregistered server continues to serve beyond its drain time, so that late requests are seen.
 const LINGER_TIME: Duration = Duration::from_secs(5);
 
-/// What faults are injected into.
+/// Injects faults into one running system.
 #[derive(Clone)]
 pub struct FaultInjector {
-    /// The machines of the system.
+    /// Machines, whose processes receive signals and whose connections are partitioned.
     pub machines: Rc<Machines>,
-    /// The servers behind it.
+    /// Origin servers of the system.
     pub servers: Rc<Servers>,
-    /// Its clients.
+    /// Clients, which can be made to disconnect.
     pub clients: Rc<Clients>,
-    /// Its operators.
+    /// Operators, whose responses can be lost.
     pub operators: Rc<Operators>,
-    /// Where faults are noted.
+    /// History of the faults of each machine, which time-bounded checks consult.
     pub history: Rc<FaultHistory>,
 }
 
 impl FaultInjector {
-    /// Injects a fault at its time, counted from `load_began_at`, and ends it.
+    /// Waits until a fault is due, counted from `load_began_at`, injects it, and ends it after its duration.
     pub async fn inject(self, scheduled: ScheduledFault, load_began_at: Instant) {
         sleep_until(load_began_at + Duration::from_secs_f64(scheduled.at)).await;
         let ends_at = load_began_at + Duration::from_secs_f64(scheduled.at + scheduled.duration_s);
@@ -74,20 +74,20 @@
         }
     }
 
-    fn note(&self, machine: u8, kind: FaultKind) -> FaultGuard {
+    fn begin_fault(&self, machine: u8, kind: FaultKind) -> FaultGuard {
         self.history.begin(machine, kind)
     }
 
-    fn note_all(&self, machines: &[u8], kind: FaultKind) -> Vec<FaultGuard> {
-        machines.iter().map(|machine| self.note(*machine, kind)).collect()
+    fn begin_faults(&self, machines: &[u8], kind: FaultKind) -> Vec<FaultGuard> {
+        machines.iter().map(|machine| self.begin_fault(*machine, kind)).collect()
     }
 
     // ---- Machines ----
 
     async fn kill(&self, machines: &[u8], processes: ProcessSet, ends_at: Instant) {
-        let _noted = self.note_all(machines, FaultKind::Unplanned);
+        let _active_faults = self.begin_faults(machines, FaultKind::Unplanned);
         for machine in machines {
-            self.clients.edge_restarts(*machine);
+            self.clients.record_edge_restart(*machine);
             self.machines.signal(*machine, processes, Signal::SIGKILL);
         }
         sleep_until(ends_at).await;
@@ -98,27 +98,27 @@
 
     async fn restart_exited(&self, machine: u8, processes: ProcessSet) {
         self.machines.wait_for_exits(machine, processes).await;
-        self.clients.edge_restarts(machine);
+        self.clients.record_edge_restart(machine);
         self.machines.restart(machine);
     }
 
     async fn pause(&self, machine: u8, processes: ProcessSet, ends_at: Instant) {
-        let _noted = self.note(machine, FaultKind::Unplanned);
+        let _active_fault = self.begin_fault(machine, FaultKind::Unplanned);
         self.machines.signal(machine, processes, Signal::SIGSTOP);
         sleep_until(ends_at).await;
         self.machines.signal(machine, processes, Signal::SIGCONT);
     }
 
     async fn terminate(&self, machine: u8, processes: ProcessSet, ends_at: Instant) {
-        // An edge goes on while its agent alone is terminated.
-        let _noted = self.note(machine, FaultKind::Planned);
+        // A planned fault even for an agent alone: its edge continues to serve.
+        let _active_fault = self.begin_fault(machine, FaultKind::Planned);
         self.machines.signal(machine, processes, Signal::SIGTERM);
         sleep_until(ends_at).await;
         self.restart_exited(machine, processes).await;
     }
 
     async fn hang_up(&self, machine: u8, ends_at: Instant) {
-        let _noted = self.note(machine, FaultKind::Planned);
+        let _active_fault = self.begin_fault(machine, FaultKind::Planned);
         while Instant::now() < ends_at {
             self.machines.signal(machine, ProcessSet::Both, Signal::SIGHUP);
             sleep(HANGUP_INTERVAL).await;
@@ -126,7 +126,7 @@
     }
 
     async fn wipe(&self, machine: u8, ends_at: Instant) {
-        let _noted = self.note(machine, FaultKind::Unplanned);
+        let _active_fault = self.begin_fault(machine, FaultKind::Unplanned);
         self.machines.signal(machine, ProcessSet::Both, Signal::SIGKILL);
         self.machines.wait_for_exits(machine, ProcessSet::Both).await;
         self.machines.wipe(machine);
@@ -135,7 +135,7 @@
     }
 
     async fn partition(&self, machine: u8, others: &[u8], direction: PartitionDirection, ends_at: Instant) {
-        let _noted = self.note_all(&[others, &[machine]].concat(), FaultKind::Unplanned);
+        let _active_faults = self.begin_faults(&[others, &[machine]].concat(), FaultKind::Unplanned);
         let blocked = self.machines.partition(machine, others, direction);
         sleep_until(ends_at).await;
         self.machines.end_partition(&blocked);
@@ -179,7 +179,7 @@
 
     async fn replace_server(&self, service: usize) {
         if let Err(error) = self.servers.add(service).await {
-            eprintln!("no other server: {error}");
+            eprintln!("can't start a replacement server: {error}");
         }
     }
 }
--- a/experiments/src/soak/machines.rs
+++ b/experiments/src/soak/machines.rs
@@ -1,5 +1,5 @@
-//! The machines of the system under test: signals to their processes, restarts, and a watch over processes that exit
-//! unexpectedly.
+//! The machines of the system under test: signals, restarts, disk wipes and partitions, and detection of unexpected
+//! process exits.
 
 use std::cell::{Ref, RefCell};
 use std::collections::BTreeSet;
@@ -17,30 +17,30 @@
 use super::oracle::{Invariant, Oracle};
 use super::schedule::{PartitionDirection, ProcessSet};
 
-/// How often exited processes are looked for.
+/// Interval between checks for exited processes.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A process exits within this time after SIGTERM.
+/// Maximum time until a process exits after SIGTERM.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(9);
 
-/// A process by its machine and role.
+/// Identifies a process by its machine and role.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct ProcessRole {
     machine: String,
     role: &'static str,
 }
 
-/// The machines of a run, and which of their processes are expected to exit.
+/// Controls the machines of a run, and tracks which of their processes are expected to exit.
 pub struct Machines {
     local: RefCell<LocalSystem>,
     partitions: Rc<Partitions>,
     oracle: Rc<Oracle>,
-    /// Processes that a fault ends; they may be found exited.
+    /// Processes that were killed or terminated by a fault, or whose unexpected exit was already reported.
     expected_exits: RefCell<BTreeSet<ProcessRole>>,
     cores: u8,
 }
 
 impl Machines {
-    /// Takes over the machines of a system that runs.
+    /// Takes control of the machines of a running system.
     pub fn new(local: LocalSystem, partitions: Rc<Partitions>, oracle: Rc<Oracle>) -> Rc<Self> {
         let cores = local.relayed_machines().len() as u8;
         let machines = Machines {
@@ -54,17 +54,17 @@
         Rc::new(machines)
     }
 
-    /// Returns the numbers of the core machines.
+    /// Returns the numbers of the core machines, starting at 1.
     pub fn cores(&self) -> Vec<u8> {
         (1..=self.cores).collect()
     }
 
-    /// Returns the system that the machines belong to.
+    /// Borrows the system that the machines belong to.
     pub fn local_system(&self) -> Ref<'_, LocalSystem> {
         self.local.borrow()
     }
 
-    /// Retains the logs of the run after its end, and returns their folder.
+    /// Keeps the logs of the run after its end, and returns their folder.
     pub fn retain_logs(&self) -> std::path::PathBuf {
         self.local.borrow_mut().retain_folder().to_owned()
     }
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Sends a signal to processes of a machine. After SIGKILL and SIGTERM their exits are expected.
+    /// Sends a signal to processes of a machine. SIGKILL and SIGTERM mark the exits of these processes as expected.
     pub fn signal(&self, machine: u8, processes: ProcessSet, signal: Signal) {
         let local = self.local.borrow();
         let node = local.machine_name(machine);
@@ -96,14 +96,14 @@
                 self.expected_exits.borrow_mut().insert(ProcessRole { machine: node.clone(), role });
             }
             for pid in local.pids(&node, Some(role)) {
-                // One that has exited already needs no signal.
+                // Fails if the process has already exited, which needs no signal.
                 let _ = kill(Pid::from_raw(pid as i32), signal);
             }
         }
     }
 
-    /// Waits until the processes of a machine that a fault ends have exited, or another fault has restarted them. Those
-    /// that do not exit in time are killed.
+    /// Waits until the processes of a machine have exited, or were restarted because of another fault. Processes that
+    /// do not exit in time are reported and killed.
     pub async fn wait_for_exits(&self, machine: u8, processes: ProcessSet) {
         let began_at = Instant::now();
         let node = self.local.borrow().machine_name(machine);
@@ -113,7 +113,10 @@
             }
             sleep(EXIT_POLL_INTERVAL).await;
         }
-        self.oracle.violated(Invariant::NoUnexpectedExit, format!("{node} has not ended after SIGTERM"));
+        self.oracle.record_violation(
+            Invariant::NoUnexpectedExit,
+            format!("{node}: processes did not exit in time after SIGTERM"),
+        );
         self.signal(machine, processes, Signal::SIGKILL);
         sleep(EXIT_POLL_INTERVAL).await;
     }
@@ -128,16 +131,17 @@
         self.roles(machine, processes).iter().all(has_exited)
     }
 
-    /// Restarts what has exited on a machine.
+    /// Restarts the exited processes of a machine.
     pub fn restart(&self, machine: u8) {
         let node = self.local.borrow().machine_name(machine);
         if let Err(error) = self.restart_node(&node) {
-            let details = format!("{node} can't be started: {error}");
-            self.oracle.violated(Invariant::NoUnexpectedExit, details);
+            let details = format!("can't restart processes of {node}: {error}");
+            self.oracle.record_violation(Invariant::NoUnexpectedExit, details);
         }
     }
 
-    /// Restarts what has exited on a machine. The exits of processes that another fault is about to end stay expected.
+    /// Restarts the exited processes of a machine. Running processes that another fault has signalled stay expected to
+    /// exit.
     fn restart_node(&self, node: &str) -> std::io::Result<()> {
         let mut local = self.local.borrow_mut();
         for (machine, role, _) in local.exited_processes()?.into_iter().filter(|(of, ..)| of == node) {
@@ -149,26 +153,29 @@
         Ok(())
     }
 
-    /// Restarts what has exited, on all machines.
+    /// Restarts the exited processes of all machines.
     ///
     /// # Errors
     ///
-    /// Returns the first error of a start.
+    /// Returns the first error of a restart.
     pub fn restart_all(&self) -> std::io::Result<()> {
         let exited = self.local.borrow_mut().exited_processes()?;
         exited.into_iter().try_for_each(|(machine_name, ..)| self.restart_node(&machine_name))
     }
 
-    /// Erases the disk of a machine whose processes have exited.
+    /// Erases the disk of a machine. Its processes must have exited.
     pub fn wipe(&self, machine: u8) {
         let node = self.local.borrow().machine_name(machine);
         let result = self.local.borrow_mut().wipe(&node);
         if let Err(error) = result {
-            self.oracle.violated(Invariant::NoUnexpectedExit, format!("{node} can't be wiped: {error}"));
+            self.oracle.record_violation(
+                Invariant::NoUnexpectedExit,
+                format!("can't wipe the disk of {node}: {error}"),
+            );
         }
     }
 
-    /// Looks for processes that exit unexpectedly, and restarts them, until it is aborted.
+    /// Reports and restarts processes that exit unexpectedly. Runs until it is aborted.
     pub async fn watch_exits(self: Rc<Self>) {
         loop {
             sleep(EXIT_POLL_INTERVAL).await;
@@ -177,28 +184,31 @@
                 let process = ProcessRole { machine: node, role };
                 let is_new = self.expected_exits.borrow_mut().insert(process.clone());
                 if is_new {
-                    self.unexpected_exit(&process, status);
+                    self.handle_unexpected_exit(&process, status);
                 }
             }
         }
     }
 
-    fn unexpected_exit(&self, process: &ProcessRole, status: ExitStatus) {
+    fn handle_unexpected_exit(&self, process: &ProcessRole, status: ExitStatus) {
         let ProcessRole { machine, role } = process;
         if status.signal() == Some(Signal::SIGHUP as i32) {
-            // Between the start of a process and its handler the signal has its default effect.
+            // Until a new process has installed its signal handler, SIGHUP has its default action and terminates it.
             self.oracle.count("ended by a hangup at its start");
         } else {
-            let details = format!("{role} on {machine} ended: {status}");
-            self.oracle.violated(Invariant::NoUnexpectedExit, details);
+            let details = format!("{role} on {machine} exited unexpectedly: {status}");
+            self.oracle.record_violation(Invariant::NoUnexpectedExit, details);
         }
-        // The platform restarts processes that exit.
+        // In production the platform restarts exited processes.
         if let Err(error) = self.restart_node(machine) {
-            self.oracle.violated(Invariant::NoUnexpectedExit, format!("{machine}: {error}"));
+            self.oracle.record_violation(
+                Invariant::NoUnexpectedExit,
+                format!("can't restart processes of {machine}: {error}"),
+            );
         }
     }
 
-    /// Partitions a machine from others, and returns the directions that are blocked.
+    /// Partitions a machine from others, and returns the blocked directions for [`Machines::end_partition`].
     pub fn partition(
         &self,
         machine: u8,
@@ -210,7 +220,7 @@
         directions
     }
 
-    /// Ends a partition.
+    /// Unblocks the directions of a partition.
     pub fn end_partition(&self, directions: &[MachineDirection]) {
         directions.iter().for_each(|direction| self.partitions.unblock(direction));
     }
--- a/experiments/src/soak/mod.rs
+++ b/experiments/src/soak/mod.rs
@@ -1,6 +1,7 @@
-//! The soak: the system's own processes on this machine, over real sockets, under faults that a seed draws: kills, pauses,
-//! partitions, lost responses, lost disks, reloads, and clients and servers that misbehave, two or three at a time. What
-//! clients, servers and operators observe is checked against the invariants of the system, and the code checks its own.
+//! Soak tests: run the real processes of a system on this machine, over real sockets, under random faults drawn from
+//! a seed: kills, pauses, partitions, lost responses, lost disks, reloads, and misbehaving clients and servers,
+//! mostly two or three at a time. What clients, servers and operators observe is checked against the invariants of
+//! the system; runtime assertions that failed in the processes are collected from their logs.
 
 mod active_faults;
 mod clients;
@@ -28,36 +29,36 @@
 use run::Outcome;
 use schedule::Schedule;
 
-/// Third byte of the addresses of the first thread's machines; the next threads have the next ones.
+/// Third byte of the addresses of the machines that the first thread starts; each further thread uses the next value.
 const FIRST_NET: u8 = 40;
-/// Runs at the same time at most.
+/// Maximum number of concurrent runs.
 const MAX_THREADS: usize = 16;
 
-/// The options of a soak.
+/// Command-line options of `glenfall-lab soak`.
 #[derive(clap::Args)]
 pub struct SoakOptions {
-    /// How many seeds
+    /// Number of seeds to run
     #[arg(long, default_value_t = 20)]
     count: u64,
-    /// The first of them; the others follow it
+    /// First seed; the others follow consecutively
     #[arg(long, default_value_t = 0)]
     first: u64,
-    /// Seconds in which there are faults
+    /// Seconds during which faults are injected
     #[arg(long, default_value_t = 14.0)]
     seconds: f64,
-    /// Runs at the same time
+    /// Number of concurrent runs (1 to 16)
     #[arg(long, default_value_t = 3)]
     threads: usize,
-    /// Folder of what failed: the schedule, the violations, and the logs
+    /// Output folder for failed seeds: schedule, violations and logs
     #[arg(long, default_value = "target/soak")]
     out: PathBuf,
-    /// The program under test; the one beside this one if not given
+    /// Program under test; by default `glenfall` in the folder of this program
     #[arg(long)]
     pub program: Option<PathBuf>,
-    /// Run this schedule (JSON) under each seed in place of drawn ones
+    /// Run the schedule in this JSON file with each seed, instead of random schedules
     #[arg(long)]
     schedule: Option<PathBuf>,
-    /// Print the faults of the seeds, and run nothing
+    /// Print the schedules without running them
     #[arg(long)]
     show: bool,
 }
@@ -78,12 +79,12 @@
     }
 }
 
-/// Runs the seeds; false where an invariant was violated.
+/// Runs all seeds. Returns false if any seed failed.
 ///
 /// # Errors
 ///
-/// Returns an error where a schedule can't be read or the folder of the output can't be made. A run that can't be started
-/// is a failed seed.
+/// Returns an error if a schedule can't be read or the output folder can't be created. A run that can't be started
+/// counts as a failed seed.
 pub fn run(options: &SoakOptions, program: &Path) -> Result<bool, LabError> {
     if options.show {
         for seed in options.seeds() {
@@ -106,7 +107,7 @@
     Ok(report.has_no_failures())
 }
 
-/// Runs one seed after the other until all have been started.
+/// Runs seeds one after another until none is left.
 fn run_seeds(
     options: &SoakOptions,
     program: &Path,
--- a/experiments/src/soak/network/mod.rs
+++ b/experiments/src/soak/network/mod.rs
@@ -1,5 +1,5 @@
-//! The network between the processes of a run, with fault injection and without any privilege: TCP relays stand between
-//! machines, and in front of servers.
+//! The network between the processes of a run. TCP relays between machines and in front of servers inject faults, which
+//! needs no privileges.
 
 mod partitions;
 mod relay;
--- a/experiments/src/soak/network/partitions.rs
+++ b/experiments/src/soak/network/partitions.rs
@@ -1,4 +1,4 @@
-//! Partitions between machines, each in one direction.
+//! Network partitions between machines, tracked separately for each direction.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -10,20 +10,20 @@
 
 use super::socket_owner::MachineProcess;
 
-/// What a partition holds up for longer is lost with its connection: the processes close their connections by then, as the
-/// kernel of the sender would have.
-const LOST_AFTER: Duration = Duration::from_millis(1500);
+/// Data that a partition delays for longer than this is lost, and its connection is closed: by this time the
+/// processes close unresponsive connections, as the sender's kernel would with a real partition.
+const LOSS_DELAY: Duration = Duration::from_millis(1500);
 
-/// A direction from one machine to another, by their names.
+/// Traffic from one machine to another.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct MachineDirection {
-    /// The sender.
+    /// Name of the sending machine.
     pub from: String,
-    /// The receiver.
+    /// Name of the receiving machine.
     pub to: String,
 }
 
-/// Which machines are partitioned from which.
+/// The active partitions between machines.
 pub struct Partitions {
     blocked: RefCell<HashSet<MachineDirection>>,
     changes: watch::Sender<u64>,
@@ -40,7 +40,7 @@
         })
     }
 
-    /// Replaces the processes of the system, which callers are recognized by.
+    /// Replaces the list of processes by which the machine of a caller is identified. Call after each restart.
     pub fn set_processes(&self, processes: Vec<MachineProcess>) {
         self.processes.replace(processes);
     }
@@ -50,13 +50,13 @@
         find(&self.processes.borrow())
     }
 
-    /// Blocks a direction.
+    /// Blocks traffic in a direction. Blocking it twice has no further effect.
     pub fn block(&self, direction: &MachineDirection) {
         self.blocked.borrow_mut().insert(direction.clone());
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Unblocks a direction.
+    /// Lets traffic in a direction pass again, however often it was blocked.
     pub fn unblock(&self, direction: &MachineDirection) {
         self.blocked.borrow_mut().remove(direction);
         self.changes.send_modify(|count| *count += 1);
@@ -66,8 +66,8 @@
         self.blocked.borrow().contains(direction)
     }
 
-    /// Waits until what is sent in a direction arrives; false where it was lost meanwhile.
-    pub(super) async fn arrives(&self, direction: &MachineDirection) -> bool {
+    /// Waits until data sent in a direction can be delivered. Returns false if it was delayed so long that it is lost.
+    pub(super) async fn delivered(&self, direction: &MachineDirection) -> bool {
         if !self.is_blocked(direction) {
             return true;
         }
@@ -78,6 +78,6 @@
                 return false;
             }
         }
-        began_at.elapsed() < LOST_AFTER
+        began_at.elapsed() < LOSS_DELAY
     }
 }
--- a/experiments/src/soak/network/relay.rs
+++ b/experiments/src/soak/network/relay.rs
@@ -1,4 +1,4 @@
-//! TCP relays, which pass bytes between the two ends of a connection as long as the network between them lets them.
+//! TCP relays, which forward bytes between the two ends of a connection and apply the injected network faults.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -16,14 +16,14 @@
 use super::server_faults::ServerNetwork;
 use super::socket_owner::machine_of_caller;
 
-/// The name of all callers that are no machine of the system: clients, servers and operators.
+/// Name for all callers outside the machines of the system: clients, servers and operators.
 const OUTSIDE_CALLER: &str = "outside";
-/// Bytes that are passed on at once.
+/// Maximum number of bytes forwarded at once.
 const CHUNK_BYTES: usize = 16 << 10;
-/// How long a listener pauses when no file descriptor is left for a connection.
+/// Pause before a listener accepts again after an error, such as a lack of file descriptors.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// What is between the two ends of a connection.
+/// The network between the two ends of a connection.
 #[derive(Clone)]
 enum NetworkPath {
     Machines { partitions: Rc<Partitions>, to_callee: Rc<MachineDirection>, to_caller: Rc<MachineDirection> },
@@ -41,28 +41,28 @@
         }
     }
 
-    /// Waits until what the caller sends passes; false where the connection breaks.
-    async fn passes_to_callee(&self) -> bool {
+    /// Waits until data from the caller can be delivered. Returns false if the connection is to be reset instead.
+    async fn delivered_to_callee(&self) -> bool {
         match self {
-            NetworkPath::Machines { partitions, to_callee, .. } => partitions.arrives(to_callee).await,
-            NetworkPath::Server(network) => network.passes_request().await,
+            NetworkPath::Machines { partitions, to_callee, .. } => partitions.delivered(to_callee).await,
+            NetworkPath::Server(network) => network.request_delivered().await,
         }
     }
 
-    /// Waits until what the callee sends passes; false where the connection breaks.
-    async fn passes_to_caller(&self) -> bool {
+    /// Waits until data from the callee can be delivered. Returns false if the connection is to be reset instead.
+    async fn delivered_to_caller(&self) -> bool {
         match self {
-            NetworkPath::Machines { partitions, to_caller, .. } => partitions.arrives(to_caller).await,
-            NetworkPath::Server(network) => network.passes_response().await,
+            NetworkPath::Machines { partitions, to_caller, .. } => partitions.delivered(to_caller).await,
+            NetworkPath::Server(network) => network.response_delivered().await,
         }
     }
 }
 
-/// Relays connections to `announced` to `target`, a process of the machine `callee`.
+/// Forwards connections made to `announced` to `target`, a process of the machine `callee`.
 ///
 /// # Errors
 ///
-/// Returns an error where `announced` can't be bound.
+/// Returns an error if `announced` can't be bound.
 pub async fn relay_to_machine(
     partitions: Rc<Partitions>,
     announced: SocketAddrV4,
@@ -92,7 +92,7 @@
     })
 }
 
-/// Relays connections to a listener to a server.
+/// Forwards connections accepted by a listener to a server.
 pub fn relay_to_server(listener: TcpListener, target: SocketAddrV4, network: ServerNetwork) {
     spawn_local(async move {
         loop {
@@ -108,21 +108,21 @@
 }
 
 async fn relay_connection(stream: TcpStream, target: SocketAddrV4, path: NetworkPath) {
-    // A dropped connection is reset: an orderly close would mean that everything was sent.
+    // Makes a dropped connection be reset: an orderly close would signal that all data was sent.
     let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
-    if !path.passes_to_callee().await {
+    if !path.delivered_to_callee().await {
         return;
     }
     let Ok(callee) = TcpStream::connect(target).await else { return };
     let _ = (stream.set_nodelay(true), callee.set_nodelay(true));
     let (from_caller, to_caller) = stream.into_split();
     let (from_callee, to_callee) = callee.into_split();
-    let requests = pass_bytes(from_caller, to_callee, || path.passes_to_callee());
-    let responses = pass_bytes(from_callee, to_caller, || path.passes_to_caller());
+    let requests = forward_bytes(from_caller, to_callee, || path.delivered_to_callee());
+    let responses = forward_bytes(from_callee, to_caller, || path.delivered_to_caller());
     tokio::pin!(requests, responses);
     tokio::select! {
         closed_in_order = &mut requests => if closed_in_order {
-            // The caller sends nothing more, and may still receive.
+            // The caller has closed its sending side only, and may still receive.
             responses.await;
         },
         closed_in_order = &mut responses => if closed_in_order {
@@ -131,12 +131,16 @@
     }
 }
 
-/// Passes bytes until one side ends; true where it closed the connection in order.
-async fn pass_bytes(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, passes: impl AsyncFn() -> bool) -> bool {
+/// Forwards bytes until the sender closes the connection or it fails. Returns true after an orderly close.
+async fn forward_bytes(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    delivered: impl AsyncFn() -> bool,
+) -> bool {
     let mut chunk = vec![0; CHUNK_BYTES];
     loop {
         let Ok(length) = from.read(&mut chunk).await else { return false };
-        if !passes().await {
+        if !delivered().await {
             return false;
         }
         if length == 0 {
--- a/experiments/src/soak/network/server_faults.rs
+++ b/experiments/src/soak/network/server_faults.rs
@@ -1,20 +1,20 @@
-//! Faults of the network in front of a server.
+//! Faults of the network between a server and its callers.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use tokio::sync::watch;
 
-/// What the network of a server does.
+/// A fault of the network in front of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerNetworkFault {
-    /// Everything passes.
+    /// No fault: all data is delivered.
     None,
-    /// Nothing passes, in either direction.
+    /// No data is delivered in either direction; connections stay open.
     Unresponsive,
-    /// Requests arrive, and connections are reset in place of responses.
+    /// Requests are delivered, and connections are reset instead of delivering responses.
     LosesResponses,
-    /// Connections are reset as they are opened.
+    /// Connections are reset when they are opened or used.
     ResetsConnections,
 }
 
@@ -23,7 +23,7 @@
     changes: watch::Sender<()>,
 }
 
-/// The network of a server, with the fault that it has now.
+/// The network in front of a server, with its current fault. Clones share the fault.
 #[derive(Clone)]
 pub struct ServerNetwork(Rc<SharedFault>);
 
@@ -34,25 +34,25 @@
         ServerNetwork(Rc::new(SharedFault { current, changes: watch::Sender::new(()) }))
     }
 
-    /// Replaces the fault.
+    /// Replaces the current fault, also for open connections.
     pub fn set_fault(&self, fault: ServerNetworkFault) {
         self.0.current.set(fault);
         self.0.changes.send_replace(());
     }
 
-    /// Returns the fault that it has now.
+    /// Returns the current fault.
     pub fn fault(&self) -> ServerNetworkFault {
         self.0.current.get()
     }
 
-    /// Waits until a request passes; false where the connection is reset.
-    pub(super) async fn passes_request(&self) -> bool {
+    /// Waits until a request can be delivered. Returns false if the connection is to be reset instead.
+    pub(super) async fn request_delivered(&self) -> bool {
         self.wait_until_responsive().await;
         self.fault() != ServerNetworkFault::ResetsConnections
     }
 
-    /// Waits until a response passes; false where the connection is reset.
-    pub(super) async fn passes_response(&self) -> bool {
+    /// Waits until a response can be delivered. Returns false if the connection is to be reset instead.
+    pub(super) async fn response_delivered(&self) -> bool {
         self.wait_until_responsive().await;
         self.fault() == ServerNetworkFault::None
     }
--- a/experiments/src/soak/network/socket_owner.rs
+++ b/experiments/src/soak/network/socket_owner.rs
@@ -1,17 +1,17 @@
-//! Finds the process that has opened a connection, from what the kernel publishes under `/proc`: on loopback all machines
-//! have the same address as senders.
+//! Finds the process that opened a connection, by means of `/proc`. The address of the caller does not identify its
+//! machine, because on loopback all machines connect from the same IP address.
 
 use std::net::SocketAddrV4;
 
-/// How many fields of a line in `/proc/net/tcp` are between the addresses and the inode: state, queues, timer,
+/// Number of fields between the addresses and the inode in a line of `/proc/net/tcp`: state, queues, timer,
 /// retransmits, owner and timeout.
 const FIELDS_BEFORE_INODE: usize = 6;
 
-/// A process of the system, and its machine.
+/// A process of the system under test.
 pub struct MachineProcess {
-    /// The process.
+    /// The process id.
     pub pid: u32,
-    /// The name of the machine.
+    /// Name of the machine that the process belongs to.
     pub machine: String,
 }
 
@@ -23,14 +23,14 @@
     }
 }
 
-/// Returns an address as `/proc/net/tcp` writes it.
-fn hexadecimal(address: SocketAddrV4) -> String {
+/// Formats an address as in `/proc/net/tcp`.
+fn proc_net_address(address: SocketAddrV4) -> String {
     format!("{:08X}:{:04X}", u32::from_le_bytes(address.ip().octets()), address.port())
 }
 
-/// Returns the inode of the socket that is connected from one address to another.
-fn inode(table: &str, from: SocketAddrV4, to: SocketAddrV4) -> Option<&str> {
-    let (from, to) = (hexadecimal(from), hexadecimal(to));
+/// Finds the inode of the socket that is connected from one address to another in the text of `/proc/net/tcp`.
+fn socket_inode(table: &str, from: SocketAddrV4, to: SocketAddrV4) -> Option<&str> {
+    let (from, to) = (proc_net_address(from), proc_net_address(to));
     table.lines().find_map(|line| {
         let mut fields = line.split_whitespace().skip(1);
         let is_connection = fields.next() == Some(&from[..]) && fields.next() == Some(&to[..]);
@@ -42,9 +42,10 @@
     })
 }
 
-/// Returns the machine of the process that has connected from one address to another, among these processes.
+/// Returns the machine of the process that has connected from one address to another. `None` if it is not one of
+/// `processes`.
 pub fn machine_of_caller(from: SocketAddrV4, to: SocketAddrV4, processes: &[MachineProcess]) -> Option<&str> {
     let table = std::fs::read_to_string("/proc/net/tcp").ok()?;
-    let socket = format!("socket:[{}]", inode(&table, from, to)?);
+    let socket = format!("socket:[{}]", socket_inode(&table, from, to)?);
     processes.iter().find(|process| process.has_open(&socket)).map(|process| &process.machine[..])
 }
--- a/experiments/src/soak/operators/calls.rs
+++ b/experiments/src/soak/operators/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of operators to control nodes. Some responses are lost on purpose, so that operators have to retry.
+//! Calls from operators to control nodes. Some responses are dropped on purpose, so that operators have to retry.
 
 use std::cell::RefCell;
 use std::ops::Range;
@@ -19,28 +19,28 @@
 
 use crate::soak::active_faults::ActiveFaults;
 
-/// One call ends within this time; then another node is called.
+/// Timeout of one call to a control node.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// A call whose response is lost ends within this time, in milliseconds.
+/// Range of times after which a call is dropped to lose its response, in milliseconds.
 const LOST_WITHIN_MS: Range<u64> = 1..40;
-/// The share of responses that are lost while there is a fault.
+/// Share of responses that are lost while such a fault is active.
 const LOST_SHARE_DURING_FAULT: f64 = 0.6;
-/// The share of responses that are lost otherwise.
+/// Share of responses that are lost at all other times.
 const LOST_SHARE: f64 = 0.05;
-/// Bytes of responses that are buffered at the same time.
+/// Maximum size of all buffered responses, in bytes.
 const RESPONSE_MEMORY: usize = 64 << 20;
-/// Connections that the operators hold.
+/// Maximum number of connections of all operators together.
 const MAX_CONNECTIONS: usize = 64;
 
 /// A call to a control node.
 pub struct Call {
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// Its path.
+    /// Path of the API, without a query.
     pub path: &'static str,
-    /// The version that it changes, if any.
+    /// The version that must be current for the call to apply, sent as `If-Match`; `None` without a condition.
     pub builds_on: Option<u64>,
-    /// Its body.
+    /// Body of the request, empty for a read.
     pub body: Bytes,
 }
 
@@ -50,7 +50,7 @@
         Call { method: Method::GET, path: "/api/config", builds_on: None, body: Bytes::new() }
     }
 
-    /// Returns a call that puts a configuration.
+    /// Returns a call that replaces the configuration, if the version `builds_on` is current.
     pub fn put_config(builds_on: u64, body: Bytes) -> Call {
         Call { method: Method::PUT, path: "/api/config", builds_on: Some(builds_on), body }
     }
@@ -67,7 +67,7 @@
     }
 }
 
-/// The connections of the operators to the control nodes.
+/// Calls control nodes on behalf of the operators.
 pub struct ControlClient {
     controls: ControlAddresses,
     pool: Rc<Pool>,
@@ -76,7 +76,7 @@
 }
 
 impl ControlClient {
-    /// Creates a client; many responses are lost while there are active `response_losses`.
+    /// Creates a client. More responses are lost while any of `response_losses` is active.
     pub fn new(
         controls: ControlAddresses,
         rng: Rc<RefCell<ChaCha8Rng>>,
@@ -86,37 +86,37 @@
         ControlClient { controls, pool, rng, response_losses }
     }
 
-    /// Returns how many control nodes there are.
+    /// Returns the number of control nodes.
     pub fn node_count(&self) -> usize {
         self.controls.controls.len()
     }
 
-    /// Draws one of the control nodes.
+    /// Returns the index of a random control node.
     pub fn any_node(&self) -> usize {
         self.rng.borrow_mut().random_range(0..self.node_count())
     }
 
-    /// Calls any control node.
+    /// Calls a random control node; `None` if no response arrives.
     pub async fn call_any(&self, call: &Call) -> Option<ServerResponse> {
         self.call(self.any_node(), call).await
     }
 
-    /// Calls a control node; `None` where no response arrives.
+    /// Calls the control node with the index `node`; `None` if no response arrives.
     pub async fn call(&self, node: usize, call: &Call) -> Option<ServerResponse> {
         let control = self.controls.controls[node % self.node_count()];
         let params = ExchangeParams::internal(control, Instant::now() + CALL_TIMEOUT);
         let exchange = self.pool.exchange(params, || call.request());
         match self.draw_loss() {
-            // The connection ends as the exchange is dropped.
+            // Dropping the exchange closes its connection.
             Some(within) => timeout(within, exchange).await.ok()?.ok(),
             None => exchange.await.ok(),
         }
     }
 
-    /// Draws whether the next response is lost, and after which time.
+    /// Draws after what time the next call is dropped; `None` if its response is not lost.
     fn draw_loss(&self) -> Option<Duration> {
         let mut rng = self.rng.borrow_mut();
-        let share = if self.response_losses.any() { LOST_SHARE_DURING_FAULT } else { LOST_SHARE };
+        let share = if self.response_losses.any_active() { LOST_SHARE_DURING_FAULT } else { LOST_SHARE };
         rng.random_bool(share).then(|| Duration::from_millis(rng.random_range(LOST_WITHIN_MS)))
     }
 }
--- a/experiments/src/soak/operators/changes.rs
+++ b/experiments/src/soak/operators/changes.rs
@@ -1,14 +1,14 @@
-//! The configuration changes that operators send, and the documents that they contain.
+//! The configuration changes that operators send, and their documents.
 
 use serde_json::{json, Value};
 
 use crate::plan::Plan;
 
-/// How many versions before a version still have their route in it.
+/// Number of preceding versions whose routes a version still contains.
 const MAX_PARENTS: usize = 2;
-/// The host of the routes that distinguish changes of the same version.
+/// Host of the marker routes, which distinguish changes that make the same version.
 const MARKER_HOST: &str = "mark.example";
-/// What the name of such a route begins with; the number of the change follows.
+/// Prefix of the names of marker routes; the number of the change follows.
 const MARKER_NAME_PREFIX: &str = "mark-";
 
 /// Returns the host of the route that a version adds.
@@ -16,26 +16,26 @@
     format!("v{rev}.example")
 }
 
-/// A change to a complete configuration.
+/// A change, which replaces the complete configuration.
 #[derive(Clone, Debug)]
 pub struct ConfigChange {
-    /// Distinguishes the change from others of the same version.
+    /// Unique number of the change. Several changes may make the same version.
     pub number: u64,
-    /// The version that it changes.
+    /// The version that the change is based on.
     pub builds_on: u64,
-    /// The version that it makes.
+    /// The version that the change makes.
     pub rev: u64,
-    /// The versions before it that it was made from, the newest last.
+    /// The preceding versions whose routes the change contains, newest last.
     parents: Vec<u64>,
 }
 
 impl ConfigChange {
-    /// Returns the state before the first change.
-    pub fn none() -> ConfigChange {
+    /// Returns the state before the first change, version 0.
+    pub fn initial() -> ConfigChange {
         ConfigChange { number: 0, builds_on: 0, rev: 0, parents: Vec::new() }
     }
 
-    /// Returns a change of this version to one that is higher by `version_step`.
+    /// Returns a change that is based on this one, and increases the version by `version_step`.
     pub fn next(&self, number: u64, version_step: u64) -> ConfigChange {
         let mut parents = self.parents.clone();
         if self.rev > 0 {
@@ -45,8 +45,8 @@
         ConfigChange { number, builds_on: self.rev, rev: self.rev + version_step, parents }
     }
 
-    /// Returns the configuration: that of the plan, with a route for this version and its parents, and one that marks the
-    /// change.
+    /// Returns the configuration document: that of the plan, plus a route for this version and each of its parents,
+    /// and the marker route.
     pub fn document(&self, plan: &Plan) -> Value {
         let mut document = plan.document();
         document["rev"] = self.rev.into();
@@ -72,7 +72,7 @@
     })
 }
 
-/// Returns the number of the change that made a document, if its marker is there.
+/// Returns the number of the change that made a document; `None` if the document has no marker route.
 pub fn change_number(document: &Value) -> Option<u64> {
     let routes = document["paths"].as_array()?;
     let mut names = routes.iter().filter_map(|route| route["name"].as_str());
@@ -82,20 +82,20 @@
 /// A kind of invalid document.
 #[derive(Clone, Copy, Debug)]
 pub enum InvalidDocument {
-    /// A route names a backend that does not exist.
+    /// A route refers to a backend that does not exist.
     UnknownBackend,
     /// A route has a deadline of zero.
     ZeroDeadline,
-    /// Two routes are the same.
+    /// Two routes are identical.
     DuplicateRoute,
-    /// The version is the one that it builds on.
+    /// The version is not higher than the one that the change is based on.
     SameVersion,
     /// The second half of the document is missing.
     Truncated,
 }
 
 impl InvalidDocument {
-    /// All kinds.
+    /// All kinds, to draw from.
     pub const ALL: [InvalidDocument; 5] = [
         InvalidDocument::UnknownBackend,
         InvalidDocument::ZeroDeadline,
@@ -104,7 +104,7 @@
         InvalidDocument::Truncated,
     ];
 
-    /// Returns the document of a change, made invalid.
+    /// Returns the document of a change with this defect.
     pub fn of(self, change: &ConfigChange, plan: &Plan) -> String {
         let mut document = change.document(plan);
         match self {
--- a/experiments/src/soak/operators/mod.rs
+++ b/experiments/src/soak/operators/mod.rs
@@ -1,5 +1,6 @@
-//! The operators of a run: they change the configuration, race each other, retry what had no definite answer, read at any
-//! node, and purge. Every answer is checked against what they sent.
+//! The operators of a run. They change the configuration, sometimes concurrently, retry calls without a definite
+//! response, read from any control node, and purge objects. Every response is checked against the changes that were
+//! sent.
 
 mod calls;
 mod changes;
@@ -26,43 +27,43 @@
 pub use changes::host_of_version;
 use changes::{ConfigChange, InvalidDocument};
 
-/// A change without a definite answer is retried for this time.
+/// How long a change without a definite response is retried.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(6);
-/// A purge without a definite answer is retried for this time.
+/// How long a purge that was not acknowledged is retried.
 const PURGE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Pause before the next node is called.
+/// Pause before a call is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// How often the first configuration is sent.
+/// Maximum number of attempts to put the first configuration, each with its own retries.
 const FIRST_CONFIG_ATTEMPTS: usize = 10;
-/// Pauses between changes, in milliseconds.
+/// Range of pauses between changes, in milliseconds.
 const CHANGE_PAUSE_MS: std::ops::Range<u64> = 300..1400;
-/// Pauses between purges, in milliseconds.
+/// Range of pauses between purges, in milliseconds.
 const PURGE_PAUSE_MS: std::ops::Range<u64> = 100..500;
-/// Objects that are purged.
+/// Number of objects that purges are drawn from.
 const PURGED_OBJECTS: u64 = 8;
 
-/// What is known of a change.
+/// What the operators know about the outcome of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChangeState {
-    /// No definite answer so far: it may be committed or not.
-    Unclear,
+    /// No definite response so far: the change may be committed or not.
+    Unknown,
     Acknowledged,
-    Refused,
+    Rejected,
 }
 
-/// A change that was sent, and its state.
+/// A change that was sent, with what is known about its outcome.
 #[derive(Clone)]
 struct SentChange {
     change: ConfigChange,
     state: ChangeState,
 }
 
-/// The newest version that is known to be committed, and since when.
+/// A version that is known to be committed.
 #[derive(Clone, Copy)]
 pub struct CommittedVersion {
-    /// The version.
+    /// Number of the version.
     pub rev: u64,
-    /// When it was acknowledged or read first.
+    /// When it was first acknowledged or read.
     pub known_at: Instant,
 }
 
@@ -72,19 +73,19 @@
     control: ControlClient,
     oracle: Rc<Oracle>,
     rng: Rc<RefCell<ChaCha8Rng>>,
-    /// By the numbers of the changes.
+    /// All changes sent so far, by their numbers.
     sent: RefCell<BTreeMap<u64, SentChange>>,
-    /// The number of the change that was acknowledged upon each version.
+    /// The number of the acknowledged change, by the version that it is based on.
     winners: RefCell<BTreeMap<u64, u64>>,
     newest: Cell<Option<CommittedVersion>>,
-    /// What the operators take for the newest version.
+    /// The change that the operators assume to be the newest, on which the next change is based.
     current: RefCell<ConfigChange>,
     next_number: Cell<u64>,
     response_losses: ActiveFaults,
 }
 
 impl Operators {
-    /// Creates the operators of a system with these control nodes.
+    /// Creates operators that call the control nodes `controls`.
     pub fn new(plan: &Plan, controls: ControlAddresses, oracle: &Rc<Oracle>, seed: u64) -> Rc<Self> {
         let rng = Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(seed)));
         let response_losses = ActiveFaults::default();
@@ -96,23 +97,23 @@
             sent: RefCell::default(),
             winners: RefCell::default(),
             newest: Cell::new(None),
-            current: RefCell::new(ConfigChange::none()),
+            current: RefCell::new(ConfigChange::initial()),
             next_number: Cell::new(1),
             response_losses,
         })
     }
 
-    /// Begins a fault in which many responses to operators are lost.
+    /// Begins a fault in which most responses to operators are lost. It ends when the guard is dropped.
     pub fn begin_response_losses(&self) -> ActiveFault {
         self.response_losses.begin()
     }
 
-    /// Returns the newest version that is known to be committed.
+    /// Returns the newest version that is known to be committed; `None` before the first.
     pub fn newest(&self) -> Option<CommittedVersion> {
         self.newest.get()
     }
 
-    /// Puts the first configuration; false where it is not acknowledged.
+    /// Puts the first configuration. Returns false if it is not acknowledged.
     pub async fn put_first_config(&self) -> bool {
         let change = self.next_change();
         for _ in 0..FIRST_CONFIG_ATTEMPTS {
@@ -125,7 +126,8 @@
 
     // ---- Changes ----
 
-    /// Changes the configuration until it is aborted; at times two operators race, or a document is invalid.
+    /// Changes the configuration at random intervals: with single, concurrent, repeated and invalid changes. Runs
+    /// until it is aborted.
     pub async fn change_config(self: Rc<Self>) {
         loop {
             let pause = self.rng.borrow_mut().random_range(CHANGE_PAUSE_MS);
@@ -140,16 +142,16 @@
         }
     }
 
-    async fn change_once(&self, repeats: bool) {
+    async fn change_once(&self, resend: bool) {
         let change = self.next_change();
         if !self.send_until_answered(&change).await {
-            self.read_current().await;
-        } else if repeats {
+            self.refresh_current().await;
+        } else if resend {
             self.send_again(&change).await;
         }
     }
 
-    /// Returns the next change of the newest version that is known.
+    /// Returns a new change based on the newest known version.
     fn next_change(&self) -> ConfigChange {
         let number = self.next_number.replace(self.next_number.get() + 1);
         let version_step = self.rng.borrow_mut().random_range(1..4);
@@ -161,21 +163,21 @@
         Call::put_config(change.builds_on, body)
     }
 
-    /// Sends a change until it has a definite answer; whether it was acknowledged.
+    /// Sends a change until it gets a definite response. Returns whether it was acknowledged.
     async fn send_until_answered(&self, change: &ConfigChange) -> bool {
         let call = self.put_call(change);
-        let sent = SentChange { change: change.clone(), state: ChangeState::Unclear };
+        let sent = SentChange { change: change.clone(), state: ChangeState::Unknown };
         self.sent.borrow_mut().insert(change.number, sent);
         let began_at = Instant::now();
         while began_at.elapsed() < CHANGE_TIMEOUT {
             let response = self.control.call_any(&call).await;
             match response.map(|response| response.status()) {
                 Some(StatusCode::OK) => {
-                    self.acknowledged(change);
+                    self.record_acknowledged(change);
                     return true;
                 }
                 Some(status) if status.is_client_error() => {
-                    self.refused(change);
+                    self.record_rejected(change);
                     return false;
                 }
                 _ => sleep(RETRY_PAUSE).await,
@@ -191,33 +193,36 @@
         }
     }
 
-    fn acknowledged(&self, change: &ConfigChange) {
+    fn record_acknowledged(&self, change: &ConfigChange) {
         self.oracle.count("order acknowledged");
         self.set_state(change, ChangeState::Acknowledged);
         let before = self.winners.borrow_mut().insert(change.builds_on, change.number);
         if let Some(before) = before.filter(|before| *before != change.number) {
-            let details = format!("orders {before} and {} upon version {}", change.number, change.builds_on);
-            self.oracle.violated(Invariant::OneChangePerVersion, details);
+            let details = format!(
+                "changes {before} and {} to version {} were both acknowledged",
+                change.number, change.builds_on
+            );
+            self.oracle.record_violation(Invariant::OneChangePerVersion, details);
         }
-        self.note_committed(change.rev);
+        self.record_committed(change.rev);
         if self.current.borrow().rev < change.rev {
             self.current.replace(change.clone());
         }
     }
 
-    fn refused(&self, change: &ConfigChange) {
+    fn record_rejected(&self, change: &ConfigChange) {
         self.oracle.count("order refused");
-        self.set_state(change, ChangeState::Refused);
+        self.set_state(change, ChangeState::Rejected);
     }
 
-    /// What was acknowledged or read is committed, and nothing older is read from then on.
-    fn note_committed(&self, rev: u64) {
+    /// Records that a version was acknowledged or read, and so is committed: later reads must not return an older one.
+    fn record_committed(&self, rev: u64) {
         if self.newest.get().is_none_or(|newest| newest.rev < rev) {
             self.newest.set(Some(CommittedVersion { rev, known_at: Instant::now() }));
         }
     }
 
-    /// Two operators change the same version at the same time.
+    /// Sends two concurrent changes to the same version.
     async fn race(&self) {
         let (first, mut second) = (self.next_change(), self.next_change());
         if self.rng.borrow_mut().random_bool(0.5) {
@@ -226,19 +231,19 @@
         let (first_acknowledged, second_acknowledged) =
             tokio::join!(self.send_until_answered(&first), self.send_until_answered(&second));
         if first_acknowledged && second_acknowledged {
-            let details = "both of a race were acknowledged".to_owned();
-            self.oracle.violated(Invariant::OneChangePerVersion, details);
+            let details = "two concurrent changes to the same version were acknowledged".to_owned();
+            self.oracle.record_violation(Invariant::OneChangePerVersion, details);
         }
-        self.read_current().await;
+        self.refresh_current().await;
     }
 
-    /// Sends an acknowledged change again, with no other sent since.
+    /// Sends an acknowledged change again before any other change is sent.
     async fn send_again(&self, change: &ConfigChange) {
         let response = self.control.call_any(&self.put_call(change)).await;
         let status = response.map(|response| response.status());
         if let Some(status) = status.filter(hyper::StatusCode::is_client_error) {
-            let details = format!("order {}: {status}", change.number);
-            self.oracle.violated(Invariant::RetryAcknowledged, details);
+            let details = format!("change {} was rejected when sent again: {status}", change.number);
+            self.oracle.record_violation(Invariant::RetryAcknowledged, details);
         }
     }
 
@@ -249,14 +254,14 @@
         let call = Call::put_config(change.builds_on, invalid.of(&change, &self.plan).into());
         let response = self.control.call_any(&call).await;
         if response.is_some_and(|response| response.status().is_success()) {
-            let details = format!("an invalid document of kind {invalid:?}");
-            self.oracle.violated(Invariant::InvalidConfigRejected, details);
+            let details = format!("an invalid document was accepted: {invalid:?}");
+            self.oracle.record_violation(Invariant::InvalidConfigRejected, details);
         }
     }
 
     // ---- Purges ----
 
-    /// Changes and purges objects until it is aborted.
+    /// Modifies and purges random objects. Runs until it is aborted.
     pub async fn purge_objects(self: Rc<Self>, ledger: Rc<Ledger>) {
         loop {
             let pause = self.rng.borrow_mut().random_range(PURGE_PAUSE_MS);
@@ -273,7 +278,7 @@
         }
     }
 
-    /// Sends a purge until it is acknowledged; false where it is not in time.
+    /// Sends a purge until it is acknowledged. Returns false if that takes longer than `PURGE_TIMEOUT`.
     async fn purge(&self, path: &str) -> bool {
         let body = json!({ "hostname": crate::plan::ROUTE_HOST, "urlPath": path }).to_string();
         let call = Call { method: Method::POST, path: "/api/purge", builds_on: None, body: body.into() };
--- a/experiments/src/soak/oracle.rs
+++ b/experiments/src/soak/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle of a run: the invariants that it found violated, and counts of how requests ended.
+//! The test oracle of a run: collects violated invariants, failed requests, and counts of outcomes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -6,77 +6,77 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-/// How many violations of one invariant are retained.
+/// Maximum number of violations retained for one invariant.
 const MAX_VIOLATIONS_PER_INVARIANT: usize = 20;
 
-/// An invariant that a run can find violated.
+/// An invariant that a run checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum Invariant {
-    /// A request that is not idempotent runs at most once.
+    /// A non-idempotent request is executed at most once.
     AtMostOnce,
-    /// A request that was rejected as not executed has not run.
+    /// A request that was rejected as not executed was not executed.
     RejectedNotExecuted,
-    /// A successful response is the complete response of the server.
+    /// A successful response is the complete response of an origin server.
     ResponseComplete,
-    /// No old version is served after its purge.
+    /// No purged version of an object is served after the purge has taken effect.
     NoStaleAfterPurge,
-    /// A request of a configured route is not answered with 404.
+    /// A request for a configured route does not get a 404 response.
     RouteKnown,
-    /// A request that was read is answered completely.
+    /// A request that an edge has read gets a complete response.
     ReadRequestAnswered,
-    /// The answer comes soon after the deadline of the request at the latest.
+    /// A request gets a response before its deadline, plus a small tolerance.
     AnsweredByDeadline,
-    /// No request reaches a server after it has deregistered.
+    /// No request reaches a server once its drain time after draining or deregistration has passed.
     NoRequestAfterDeregistration,
-    /// A read of the configuration is not older than what was acknowledged before.
+    /// A configuration read returns a version at least as new as any version acknowledged or read before it began.
     LinearizableRead,
-    /// The document that is read under a version was sent, and was not rejected.
+    /// A configuration document that is read is identical to one that was sent and not rejected.
     ReadDocumentWasSent,
-    /// One change wins upon each version.
+    /// At most one change to each version is acknowledged.
     OneChangePerVersion,
     /// An acknowledged change is not rejected when it is sent again.
     RetryAcknowledged,
     /// An invalid configuration is rejected.
     InvalidConfigRejected,
-    /// A version is applied everywhere soon after it was acknowledged.
+    /// Every edge applies a version within a time limit after it was acknowledged.
     VersionPropagated,
-    /// No edge goes back to an older version.
+    /// No edge reverts to an older version.
     NoVersionRollback,
     /// No process exits unexpectedly.
     NoUnexpectedExit,
-    /// The invariants that the code checks itself hold.
+    /// No runtime assertion fails in the processes under test.
     RuntimeAssertion,
-    /// A failed request is in the log of its edge.
+    /// Each failed request is logged by its edge, unless the edge has suppressed log lines.
     FailureLogged,
-    /// After all faults the system recovers.
+    /// The system is ready again within a time limit after the last fault.
     SystemRecovers,
-    /// After that all requests are served.
+    /// All requests are served after the system has recovered.
     ServedAfterRecovery,
 }
 
-/// An invariant that was violated.
+/// A violation of an invariant.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
-    /// The invariant.
+    /// Which invariant was violated.
     #[serde(rename = "promise")]
     pub invariant: Invariant,
-    /// When it was found violated, in seconds from the start of the run.
+    /// When the violation was found, in seconds from the start of the run.
     pub at: f64,
     /// What was observed.
     pub details: String,
 }
 
-/// A failed request, which the log of its edge has to explain.
+/// A request that failed, and so must be in the log of its edge.
 pub struct FailedRequest {
-    /// Its try id.
+    /// The try id of the request.
     pub id: String,
-    /// The index of the edge.
+    /// Index of the edge that received the request, from 0.
     pub edge: usize,
-    /// The status of its response.
+    /// Status code of the response.
     pub status: u16,
 }
 
-/// What one run has shown so far.
+/// The observations of one run.
 pub struct Oracle {
     began_at: Instant,
     violations: RefCell<Vec<Violation>>,
@@ -86,7 +86,7 @@
 }
 
 impl Oracle {
-    /// Begins a run.
+    /// Creates an oracle for a run that starts now.
     pub fn new() -> Self {
         Oracle {
             began_at: Instant::now(),
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Notes a violation, unless there are enough of its invariant.
-    pub fn violated(&self, invariant: Invariant, details: String) {
+    /// Records a violation, unless the maximum number is already retained for its invariant.
+    pub fn record_violation(&self, invariant: Invariant, details: String) {
         let mut violations = self.violations.borrow_mut();
         let count = violations.iter().filter(|violation| violation.invariant == invariant).count();
         if count < MAX_VIOLATIONS_PER_INVARIANT {
@@ -106,37 +106,37 @@
         }
     }
 
-    /// Counts how something ended.
-    pub fn count(&self, how: &'static str) {
-        *self.counts.borrow_mut().entry(how).or_default() += 1;
+    /// Adds one to the count of an outcome.
+    pub fn count(&self, outcome: &'static str) {
+        *self.counts.borrow_mut().entry(outcome).or_default() += 1;
     }
 
-    /// Notes a failed request that the log of its edge has to explain.
-    pub fn request_failed(&self, id: &str, edge: usize, status: u16) {
+    /// Records a failed request, which must be in the log of its edge.
+    pub fn record_failed_request(&self, id: &str, edge: usize, status: u16) {
         self.failed_requests.borrow_mut().push(FailedRequest { id: id.to_owned(), edge, status });
     }
 
-    /// Returns the failed requests that were noted, and forgets them.
+    /// Returns the recorded failed requests, and clears them.
     pub fn take_failed_requests(&self) -> Vec<FailedRequest> {
         self.failed_requests.take()
     }
 
-    /// Notes the causes of failures, as logged, with their counts.
+    /// Stores the logged causes of failures with their counts.
     pub fn set_logged_causes(&self, causes: BTreeMap<String, u64>) {
         self.logged_causes.replace(causes);
     }
 
-    /// Returns the causes of failures, as logged, with their counts.
+    /// Returns the logged causes of failures with their counts.
     pub fn logged_causes(&self) -> BTreeMap<String, u64> {
         self.logged_causes.borrow().clone()
     }
 
-    /// Returns the violations so far.
+    /// Returns the retained violations in the order in which they were found.
     pub fn violations(&self) -> Vec<Violation> {
         self.violations.borrow().clone()
     }
 
-    /// Returns how often each outcome was counted.
+    /// Returns the count of each outcome.
     pub fn counts(&self) -> BTreeMap<&'static str, u64> {
         self.counts.borrow().clone()
     }
--- a/experiments/src/soak/run.rs
+++ b/experiments/src/soak/run.rs
@@ -1,4 +1,5 @@
-//! One run of the soak: a system of real processes, its servers, clients and operators, and the faults of a schedule.
+//! One soak run: starts a system of real processes with servers, clients and operators, injects the faults of a
+//! schedule, and checks that the system recovers.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -19,7 +20,7 @@
 use super::network::{relay_to_machine, Partitions};
 use super::operators::Operators;
 use super::oracle::{Invariant, Oracle, Violation};
-use super::readiness::{missing, POLL_INTERVAL};
+use super::readiness::{unmet_conditions, POLL_INTERVAL};
 use super::schedule::Schedule;
 use super::servers::Servers;
 use crate::error::LabError;
@@ -27,46 +28,47 @@
 use crate::origin::HEARTBEAT_INTERVAL;
 use crate::plan::Plan;
 
-/// The system is up within this time.
+/// Maximum time until the system is ready after its start.
 const START_TIMEOUT: Duration = Duration::from_mins(1);
-/// The system has recovered within this time after the last fault: `recoverS`.
+/// Maximum time until the system is ready again after the last fault: `recoverS`.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
-/// After the recovery ejected servers are used again within this time; then all requests are served for as long.
-const CALM_TIME: Duration = Duration::from_secs(2);
-/// The newest configuration is read back within this time.
+/// After recovery, ejected servers must be back in use within this time. For the same time after that, all requests
+/// must succeed.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
+/// Maximum time until each control node returns the newest configuration after the run.
 const READ_BACK_TIMEOUT: Duration = Duration::from_secs(4);
-/// Core machines whose disks may be lost at the same time.
+/// Number of core machines whose disks may be lost at the same time.
 const TOLERATED_LOSSES: usize = 1;
-/// Core machines that the settings name and that vote.
+/// Number of core machines that are listed as seeds in the settings. These are the voters.
 const SEED_COUNT: u8 = 3;
 
-/// Two services: reads that may be cached, and writes that may run at most once.
+/// Plan with two services: cacheable reads, and writes that may run at most once.
 const SOAK_PLAN: &str = include_str!("../../plans/soak.toml");
-/// Machines with an edge.
+/// Number of machines with an edge.
 pub const EDGE_COUNT: u8 = 3;
-/// Services of the plan.
+/// Number of services in the plan.
 pub const SERVICE_COUNT: usize = 2;
 
-/// What a run has shown.
+/// The result of a run.
 #[derive(Debug, Serialize)]
 pub struct Outcome {
-    /// The schedule that was run.
+    /// The schedule that was executed.
     pub schedule: Schedule,
-    /// The invariants that were violated.
+    /// The violations found, empty if all invariants held.
     pub violations: Vec<Violation>,
-    /// Requests, configuration changes and purges by how they ended.
+    /// Requests, reads, configuration changes and purges, counted by outcome.
     pub counts: BTreeMap<&'static str, u64>,
-    /// Failed requests by the causes that edges have logged.
+    /// Failed requests, counted by the cause in the logs of the edges.
     pub causes: BTreeMap<String, u64>,
-    /// The folder of the logs, if any invariant was violated.
+    /// The folder with the logs of the run; `None` if no invariant was violated.
     pub logs: Option<PathBuf>,
 }
 
-/// Runs a schedule on the addresses 127.0.`net`.x and 127.1.`net`.x.
+/// Runs a schedule. Machines and relays use the addresses 127.0.`net`.x and 127.1.`net`.x, servers 127.2.`net`.x.
 ///
 /// # Errors
 ///
-/// Returns an error where the system can't be started. A violated invariant is part of the outcome.
+/// Returns an error if the system can't be started. Violated invariants are part of the outcome.
 pub async fn run(schedule: Schedule, net: u8, program: &Path) -> Result<Outcome, LabError> {
     let size = schedule.size;
     let mut plan = Plan::read(SOAK_PLAN).unwrap_or_else(|error| unreachable!("{error}"));
@@ -100,11 +102,11 @@
     machines: Rc<Machines>,
 }
 
-/// The tasks of a run that go on until they are aborted.
+/// Tasks that run until they are aborted at the end of the run.
 struct BackgroundTasks {
     /// Clients and version probes.
     load: Vec<JoinHandle<()>>,
-    /// Operators, and the watch over what should not happen.
+    /// Operators, and watches for unexpected exits and for requests to drained servers.
     operations: Vec<JoinHandle<()>>,
 }
 
@@ -149,7 +151,7 @@
     }
 
     async fn run(self) -> Result<Outcome, LabError> {
-        if !self.operators.put_first_config().await || !self.is_ready_within(START_TIMEOUT).await {
+        if !self.operators.put_first_config().await || !self.wait_until_ready(START_TIMEOUT).await {
             return Err(LabError::NotUp(START_TIMEOUT));
         }
         let background = self.start_background_tasks();
@@ -186,7 +188,7 @@
         BackgroundTasks { load, operations }
     }
 
-    /// Injects all faults, and waits until they have ended.
+    /// Injects all faults of the schedule, and waits until they have ended.
     async fn inject_faults(&self) {
         let injector = FaultInjector {
             machines: Rc::clone(&self.machines),
@@ -202,28 +204,28 @@
         }
         sleep_until(load_began_at + Duration::from_secs_f64(self.schedule.seconds)).await;
         for fault in active {
-            // One that panicked has printed its message.
+            // The panic message of a failed task has already been printed.
             let _ = fault.await;
         }
     }
 
-    /// Waits until the system has recovered, and then for a time in which all requests are served.
+    /// Waits until the system has recovered and settled, then requires all requests to succeed for `SETTLE_TIME`.
     async fn recover(&self) -> Result<(), LabError> {
         self.machines.restart_all()?;
-        if !self.is_ready_within(RECOVERY_TIMEOUT).await {
-            self.oracle.violated(Invariant::SystemRecovers, self.missing().await);
+        if !self.wait_until_ready(RECOVERY_TIMEOUT).await {
+            self.oracle.record_violation(Invariant::SystemRecovers, self.unmet_conditions().await);
             return Ok(());
         }
-        sleep(CALM_TIME).await;
+        sleep(SETTLE_TIME).await;
         self.clients.expect_success(true);
-        sleep(CALM_TIME).await;
+        sleep(SETTLE_TIME).await;
         self.clients.expect_success(false);
         Ok(())
     }
 
-    async fn is_ready_within(&self, timeout: Duration) -> bool {
+    async fn wait_until_ready(&self, timeout: Duration) -> bool {
         let began_at = Instant::now();
-        while !self.missing().await.is_empty() {
+        while !self.unmet_conditions().await.is_empty() {
             if began_at.elapsed() > timeout {
                 return false;
             }
@@ -232,22 +234,22 @@
         true
     }
 
-    async fn missing(&self) -> String {
-        missing(&self.controls, &self.plan, self.schedule.size).await
+    async fn unmet_conditions(&self) -> String {
+        unmet_conditions(&self.controls, &self.plan, self.schedule.size).await
     }
 
     fn check_logs(&self) {
         let local = self.machines.local_system();
         for line in local.invariant_violations() {
-            self.oracle.violated(Invariant::RuntimeAssertion, line);
+            self.oracle.record_violation(Invariant::RuntimeAssertion, line);
         }
         let logs = Logs::read(&local.folder);
-        self.clients.check_after_run(|request| logs.has_read(&request.id, request.edge));
+        self.clients.check_after_run(|request| logs.was_read(&request.id, request.edge));
         for line in logs.panics() {
-            self.oracle.violated(Invariant::NoUnexpectedExit, line);
+            self.oracle.record_violation(Invariant::NoUnexpectedExit, line);
         }
-        for line in logs.unexplained(&self.oracle.take_failed_requests()) {
-            self.oracle.violated(Invariant::FailureLogged, line);
+        for line in logs.unlogged_failures(&self.oracle.take_failed_requests()) {
+            self.oracle.record_violation(Invariant::FailureLogged, line);
         }
         self.oracle.set_logged_causes(logs.causes());
     }
@@ -260,7 +262,7 @@
     }
 }
 
-/// Checks requests that reach servers which have deregistered, while all machines are in contact.
+/// Reports requests that reach servers after their deregistration while all machines are in contact with control.
 async fn watch_arrivals_after_drain(
     servers: Rc<Servers>,
     oracle: Rc<Oracle>,
@@ -269,10 +271,10 @@
 ) {
     loop {
         sleep(POLL_INTERVAL).await;
-        for late in servers.take_arrivals_after_drain() {
-            // What an edge sent before its fault ended may still be in flight.
+        for arrivals in servers.take_arrivals_after_drain() {
+            // Requests that an edge sent before its fault ended may still be in flight.
             if history.all_in_contact_since(last_machine, Instant::now()) {
-                oracle.violated(Invariant::NoRequestAfterDeregistration, late);
+                oracle.record_violation(Invariant::NoRequestAfterDeregistration, arrivals);
             } else {
                 oracle.count("late at a server that left, out of touch");
             }
--- a/experiments/src/soak/schedule.rs
+++ b/experiments/src/soak/schedule.rs
@@ -1,170 +1,171 @@
-//! The faults of a soak run and their times, drawn from a seed alone: the same seed gives the same schedule. The
-//! processes, the sockets and this machine are real, and what follows from a schedule may differ from run to run.
+//! The faults of a soak run and their times, derived only from a seed: the same seed gives the same schedule. The
+//! outcome may still differ from run to run, because processes, sockets and the machine are real.
 
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-/// The first fault begins at this time, in seconds from the start of the load.
+/// No fault begins before this time, in seconds from the start of the load.
 const FIRST_FAULT_AT_S: f64 = 1.0;
-/// Faults in a second: with the durations below, two or three overlap most of the time.
+/// Faults per second. With the durations below, two or three overlap most of the time.
 const FAULTS_PER_S: f64 = 0.7;
-/// The shortest fault, in seconds.
+/// Minimum duration of a fault, in seconds.
 const MIN_DURATION_S: f64 = 0.3;
-/// The longest fault, in seconds.
+/// Maximum duration of a fault, in seconds.
 const MAX_DURATION_S: f64 = 5.0;
-/// How often a run has four core machines in place of three.
+/// Probability that a run has four core machines instead of three.
 const FOUR_CORES_PROBABILITY: f64 = 0.3;
 
-/// Which processes of a machine a fault concerns.
+/// The processes of a machine that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProcessSet {
-    /// Both processes.
+    /// All processes of the machine.
     Both,
-    /// The edge or the shield.
+    /// The edge or the shield only.
     Proxy,
-    /// The agent or the control node.
+    /// The agent or the control node only.
     Control,
 }
 
-/// The direction in which a partition blocks a machine.
+/// The direction of traffic that a partition blocks, as seen from the partitioned machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PartitionDirection {
-    /// Both directions.
+    /// Traffic in both directions is lost.
     Both,
-    /// What the machine sends is lost.
+    /// Traffic from the machine is lost.
     #[serde(rename = "Says")]
     Outgoing,
-    /// What the machine receives is lost.
+    /// Traffic to the machine is lost.
     #[serde(rename = "Hears")]
     Incoming,
 }
 
-/// A fault. Machines are numbered from 1, those of the core first; services are numbered as in the plan.
+/// A fault. Machine numbers start at 1, with the core machines first; services are indexes into the services of the
+/// plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Fault {
-    /// Processes of a machine are killed, and started again at the end.
+    /// Kills processes of a machine with SIGKILL, and restarts them at the end.
     Kill {
-        /// The machine.
+        /// Number of the affected machine.
         machine: u8,
-        /// Which of its processes.
+        /// The affected processes.
         #[serde(rename = "part")]
         processes: ProcessSet,
     },
-    /// Processes of all core machines are killed, and started again at the end.
+    /// Kills processes of all core machines with SIGKILL, and restarts them at the end.
     KillCore {
-        /// Which processes of each machine.
+        /// The affected processes of each machine.
         #[serde(rename = "part")]
         processes: ProcessSet,
     },
-    /// Processes are paused by SIGSTOP, and go on by SIGCONT at the end.
+    /// Pauses processes with SIGSTOP, and resumes them with SIGCONT at the end.
     #[serde(rename = "Freeze")]
     Pause {
-        /// The machine.
+        /// Number of the affected machine.
         machine: u8,
-        /// Which of its processes.
+        /// The affected processes.
         #[serde(rename = "part")]
         processes: ProcessSet,
     },
-    /// Processes are ended by SIGTERM, and started again once they have ended.
+    /// Terminates processes with SIGTERM, and restarts them at the end, once they have exited.
     #[serde(rename = "Leave")]
     Terminate {
-        /// The machine.
+        /// Number of the affected machine.
         machine: u8,
-        /// Which of its processes.
+        /// The affected processes.
         #[serde(rename = "part")]
         processes: ProcessSet,
     },
-    /// Processes receive SIGHUP several times.
+    /// Sends SIGHUP to all processes of a machine repeatedly.
     Hangup {
-        /// The machine.
+        /// Number of the affected machine.
         machine: u8,
     },
-    /// The processes of a machine are killed, and its disk is lost.
+    /// Kills the processes of a machine with SIGKILL, erases its disk, and restarts them at the end.
     Wipe {
-        /// The machine.
+        /// Number of the affected machine.
         machine: u8,
     },
-    /// A machine is partitioned from all core machines but itself.
+    /// Partitions a machine from all other core machines.
     #[serde(rename = "Cut")]
     Partition {
-        /// The machine.
+        /// Number of the affected machine.
         machine: u8,
-        /// In which direction.
+        /// The blocked direction.
         #[serde(rename = "kind")]
         direction: PartitionDirection,
     },
-    /// Two core machines are partitioned from each other.
+    /// Partitions two core machines from each other.
     #[serde(rename = "CutPair")]
     PartitionPair {
-        /// The machine that the direction is seen from.
+        /// The machine that `direction` refers to.
         first: u8,
-        /// The other machine.
+        /// The machine on the other side of the partition.
         second: u8,
-        /// In which direction.
+        /// The blocked direction.
         #[serde(rename = "kind")]
         direction: PartitionDirection,
     },
-    /// A server drains, and a new one starts.
+    /// Drains a server, and starts a replacement.
     Drain {
-        /// The service of the server.
+        /// Index of the server's service.
         service: usize,
     },
-    /// A server deregisters without draining first and serves on for a while, and a new one starts.
+    /// Deregisters a server that has not drained and continues to serve for a while, and starts a replacement.
     #[serde(rename = "Goodbye")]
     Deregister {
-        /// The service of the server.
+        /// Index of the server's service.
         service: usize,
     },
-    /// A server crashes, and a new one starts.
+    /// Crashes a server, and starts a replacement.
     Crash {
-        /// The service of the server.
+        /// Index of the server's service.
         service: usize,
     },
-    /// A server is slower.
+    /// Slows down a server.
     Slow {
-        /// The service of the server.
+        /// Index of the server's service.
         service: usize,
-        /// How many times as long its work takes.
+        /// Factor by which the processing time of each request is multiplied.
         #[serde(rename = "times")]
         factor: f64,
     },
-    /// Nothing reaches a server or comes from it.
+    /// Blocks all traffic to and from a server.
     #[serde(rename = "Silent")]
     Unresponsive {
-        /// The service of the server.
+        /// Index of the server's service.
         service: usize,
     },
-    /// A server runs requests, and its connections are reset in place of responses.
+    /// Delivers requests to a server, and resets the connections instead of delivering its responses.
     #[serde(rename = "LosesAnswers")]
     LosesResponses {
-        /// The service of the server.
+        /// Index of the server's service.
         service: usize,
     },
-    /// A server resets connections.
+    /// Resets connections to a server.
     #[serde(rename = "Refuses")]
     ResetsConnections {
-        /// The service of the server.
+        /// Index of the server's service.
         service: usize,
     },
-    /// Clients disconnect while their requests are in flight.
+    /// Disconnects clients while their requests are in flight.
     #[serde(rename = "ClientsLeave")]
     ClientsDisconnect,
-    /// Responses to operators are lost, and the operators retry.
+    /// Loses most responses to operators, which have to retry.
     #[serde(rename = "AnswersLost")]
     OperatorResponsesLost,
 }
 
-/// A fault and its time, in seconds from the start of the load.
+/// A fault and the time at which it is injected.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ScheduledFault {
-    /// When it begins.
+    /// When the fault begins, in seconds from the start of the load.
     pub at: f64,
-    /// How long it lasts.
+    /// Duration of the fault, in seconds.
     #[serde(rename = "for_s")]
     pub duration_s: f64,
-    /// The fault.
+    /// What is injected.
     #[serde(rename = "trouble")]
     pub fault: Fault,
 }
@@ -172,30 +173,30 @@
 /// The size of the system under test.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct SystemSize {
-    /// Core machines.
+    /// Number of core machines.
     pub cores: u8,
-    /// Machines with an edge.
+    /// Number of machines with an edge.
     pub edges: u8,
-    /// Services.
+    /// Number of services.
     pub services: usize,
 }
 
 /// All faults of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Schedule {
-    /// The seed of the faults and of the load.
+    /// Seed of the random generators for faults, load and operators.
     pub seed: u64,
-    /// The size of the system.
+    /// The machines and services of the system.
     pub size: SystemSize,
-    /// Seconds of load in which there are faults.
+    /// Seconds from the start of the load within which all faults begin and end.
     pub seconds: f64,
-    /// The faults, by time.
+    /// The faults, ordered by start time.
     #[serde(rename = "troubles")]
     pub faults: Vec<ScheduledFault>,
 }
 
 impl Schedule {
-    /// Draws the faults of a seed; all end within `seconds`.
+    /// Generates the schedule of a seed. All faults end within `seconds`.
     pub fn draw(seed: u64, seconds: f64, edges: u8, services: usize) -> Schedule {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let cores = if rng.random_bool(FOUR_CORES_PROBABILITY) { 4 } else { 3 };
@@ -207,7 +208,7 @@
             let at = rng.random_range(FIRST_FAULT_AT_S..last_start);
             let duration_s = rng.random_range(MIN_DURATION_S..MAX_DURATION_S).min(seconds - at);
             let mut fault = draw_fault(&mut rng, size);
-            // The system tolerates the loss of one disk.
+            // The system tolerates the loss of one disk only, so further wipes are replaced by another fault.
             if matches!(fault, Fault::Wipe { .. }) && std::mem::replace(&mut has_wiped, true) {
                 fault = Fault::OperatorResponsesLost;
             }
@@ -233,7 +234,8 @@
     *weighted.choose(rng).unwrap_or(&PartitionDirection::Both)
 }
 
-/// Draws a fault. All parts are drawn in the same order whatever the kind, so that a seed keeps its faults.
+/// Draws a fault. Every parameter is drawn in the same order for each kind of fault, so that a seed always gives the
+/// same faults.
 fn draw_fault(rng: &mut ChaCha8Rng, size: SystemSize) -> Fault {
     let machine = rng.random_range(1..=size.cores + size.edges);
     let core = rng.random_range(1..=size.cores);
--- a/experiments/src/soak/servers.rs
+++ b/experiments/src/soak/servers.rs
@@ -1,5 +1,4 @@
-//! The servers of a run, each behind a relay that can inject faults into its network. Those that drain or crash are
-//! replaced.
+//! The emulated origin servers of a run, each behind a relay that can inject network faults.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -15,23 +14,23 @@
 use crate::origin::Origin;
 use crate::plan::Plan;
 
-/// Where servers listen behind their relays, each at an address of its own.
+/// Port of all servers; each listens on its own IP address behind its relay.
 const LISTEN_PORT: u16 = 8000;
-/// Last byte of the address where all relays in front of servers listen.
+/// Last byte of the IP address of all relays in front of servers.
 const RELAY_HOST: u8 = 100;
 
-/// A server and its network.
+/// An origin server and the network in front of it.
 pub struct Server {
-    /// The server.
+    /// The emulated server.
     pub origin: Rc<Origin>,
-    /// The network in front of it.
+    /// The relayed network, into which faults can be injected.
     pub network: ServerNetwork,
 }
 
 /// All servers of a run.
 pub struct Servers {
     plan: Plan,
-    /// Third byte of their addresses.
+    /// Third byte of the addresses of servers and relays.
     net: u8,
     controls: ControlAddresses,
     ledger: Rc<Ledger>,
@@ -40,11 +39,11 @@
 }
 
 impl Servers {
-    /// Starts all servers of a plan.
+    /// Starts the servers of all services in a plan.
     ///
     /// # Errors
     ///
-    /// Returns an error where an address can't be bound.
+    /// Returns an error if an address can't be bound.
     pub async fn start(
         plan: &Plan,
         net: u8,
@@ -67,11 +66,11 @@
         Ok(servers)
     }
 
-    /// Starts one more server of a service.
+    /// Starts one more server for a service, an index into the services of the plan.
     ///
     /// # Errors
     ///
-    /// Returns an error where no address can be bound.
+    /// Returns an error if the address of its relay can't be bound.
     pub async fn add(&self, service: usize) -> io::Result<()> {
         let number = self.started.replace(self.started.get() + 1);
         let plan = &self.plan.services[service];
@@ -89,7 +88,7 @@
         Ok(())
     }
 
-    /// Returns a server of a service that has no fault, if there is one.
+    /// Returns the first server of a service without an active fault; `None` if there is none.
     pub fn any_healthy(&self, service: usize) -> Option<Rc<Server>> {
         let name = &self.plan.services[service].name;
         let is_healthy = |server: &&Rc<Server>| {
@@ -99,12 +98,12 @@
         all.iter().filter(|server| server.origin.plan.name == *name).find(is_healthy).cloned()
     }
 
-    /// Returns which servers received requests after they had deregistered, and how many, since the last call.
+    /// Describes the requests that arrived at drained or deregistered servers since the last call, one text per server.
     pub fn take_arrivals_after_drain(&self) -> Vec<String> {
         let all = self.all.borrow();
         let describe = |server: &Rc<Server>| match server.origin.take_arrivals_after_drain() {
             0 => None,
-            count => Some(format!("{count} at {}", server.origin.id)),
+            count => Some(format!("{count} requests at {} after its drain time", server.origin.id)),
         };
         all.iter().filter_map(describe).collect()
     }
