--- a/experiments/src/origin/control_calls.rs
+++ b/experiments/src/origin/control_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of servers to control nodes.
+//! Calls from origin servers to control nodes, with failover between nodes.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 use hyper::{Method, Request};
 use tokio::time::Instant;
 
-/// One call ends within this time; then the next node is called.
+/// Timeout of a call to one control node, after which the next one is called.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Calls control nodes in turn until one accepts the call; whether any did.
+/// Calls control nodes in turn until one accepts the call. Returns whether any did.
 pub async fn call(pool: &Pool, controls: &ControlAddresses, method: Method, uri: &str, body: Bytes) -> bool {
     call_from(0, pool, controls, method, uri, body).await.is_some()
 }
 
-/// Calls control nodes in turn, beginning with the one at the index `first`, and returns the index of the one that
-/// accepted the call.
+/// Calls control nodes in turn, starting with the index `first`, until one accepts the call. Returns the index of that
+/// node; `None` if none accepted it.
 pub(super) async fn call_from(
     first: usize,
     pool: &Pool,
--- a/experiments/src/origin/heartbeats.rs
+++ b/experiments/src/origin/heartbeats.rs
@@ -1,4 +1,4 @@
-//! The heartbeats of a server, by which control knows that it is there, and its deregistration.
+//! Registration of a server at control: heartbeats, draining and deregistration.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -15,18 +15,19 @@
 use super::control_calls::call_from;
 use super::Origin;
 
-/// How often a server sends a heartbeat.
+/// Interval between heartbeats of a server.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// A server serves on for this time after its draining or deregistration was acknowledged; later no request may arrive.
+/// How long a server continues to serve after its draining or deregistration was acknowledged. No request may arrive
+/// later.
 pub(super) const DRAIN_TIME: Duration = Duration::from_secs(3);
-/// How often it is looked whether a server is to drain.
+/// Interval between checks whether a server is to drain.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Connections to control.
+/// Maximum number of connections to control.
 const MAX_CONNECTIONS: usize = 8;
-/// Bytes of responses of control that are buffered.
+/// Maximum size of buffered responses from control, in bytes.
 const RESPONSE_MEMORY: usize = 1 << 20;
 
-/// The calls of a server to control.
+/// Makes the calls of a server to control.
 struct Registration<'a> {
     origin: &'a Origin,
     pool: Rc<Pool>,
@@ -37,7 +38,7 @@
 }
 
 impl Registration<'_> {
-    /// Sends a heartbeat; whether a control node accepted it.
+    /// Sends a heartbeat. Returns whether a control node accepted it.
     async fn send_heartbeat(&self, seq: u64, draining: bool) -> bool {
         let plan = &self.origin.plan;
         let status = if draining { "draining" } else { "ready" };
@@ -52,7 +53,7 @@
         self.call(Method::DELETE, Bytes::new()).await
     }
 
-    /// Calls control nodes in turn until one accepts the call, beginning with the one that accepted the last.
+    /// Calls control nodes in turn until one accepts the call, starting with the one that accepted the last call.
     async fn call(&self, method: Method, body: Bytes) -> bool {
         let first = self.origin.last_control.get();
         let accepted_by = call_from(first, &self.pool, self.controls, method, &self.uri, body).await;
@@ -62,7 +63,7 @@
 }
 
 impl Origin {
-    /// Sends heartbeats until the server has drained or deregistered, and has served on for the time that it has to.
+    /// Sends heartbeats until the server has drained or deregistered, and its drain and linger times have passed.
     pub(super) async fn send_heartbeats(
         &self,
         address: SocketAddrV4,
@@ -78,11 +79,11 @@
                 while !registration.deregister().await {
                     sleep(HEARTBEAT_INTERVAL).await;
                 }
-                return self.serve_on().await;
+                return self.wait_for_drain().await;
             }
             let accepted = registration.send_heartbeat(seq, draining).await;
             if draining && accepted {
-                self.serve_on().await;
+                self.wait_for_drain().await;
                 registration.deregister().await;
                 return;
             }
@@ -90,13 +91,13 @@
         }
     }
 
-    /// Serves on after the draining or deregistration was acknowledged.
-    async fn serve_on(&self) {
+    /// Records that the draining or deregistration was acknowledged, and waits for the drain and linger times.
+    async fn wait_for_drain(&self) {
         self.drain_acknowledged_at.set(Some(Instant::now()));
         sleep(DRAIN_TIME + self.linger_time.get()).await;
     }
 
-    /// Waits until the next heartbeat is due, or the server begins to drain.
+    /// Waits until the next heartbeat is due, or until draining begins if it has not yet.
     async fn wait_for_next_heartbeat(&self, draining: bool) {
         let drain_begins = async {
             while !self.draining.get() || draining {
@@ -106,8 +107,8 @@
         let _ = timeout(HEARTBEAT_INTERVAL, drain_begins).await;
     }
 
-    /// Notes a request that arrives after the server no longer has to serve.
-    pub(super) fn note_arrival_after_drain(&self) {
+    /// Counts a request if it arrives after the drain time.
+    pub(super) fn count_arrival_after_drain(&self) {
         let acknowledged_at = self.drain_acknowledged_at.get();
         if acknowledged_at.is_some_and(|acknowledged_at| acknowledged_at.elapsed() > DRAIN_TIME) {
             self.arrivals_after_drain.set(self.arrivals_after_drain.get() + 1);
--- a/experiments/src/origin/mod.rs
+++ b/experiments/src/origin/mod.rs
@@ -1,5 +1,5 @@
-//! Emulated origin servers: they send heartbeats, have slots and a queue, take their time for each request, and declare
-//! which requests they have not run.
+//! Emulated origin servers. They send heartbeats, process requests in a limited number of slots with a bounded queue,
+//! take a random processing time for each request, and mark responses to requests that they have not executed.
 
 mod control_calls;
 mod heartbeats;
@@ -24,34 +24,34 @@
 pub use control_calls::call;
 pub use heartbeats::HEARTBEAT_INTERVAL;
 
-/// Connections that a server accepts.
+/// Maximum number of connections to a server.
 const MAX_CONNECTIONS: usize = 256;
-/// The longest request body that a server accepts.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// An emulated server.
+/// An emulated origin server.
 pub struct Origin {
-    /// Its id, as it registers.
+    /// The id under which the server registers.
     pub id: String,
-    /// Its service.
+    /// The plan of the service that the server belongs to.
     pub plan: ServicePlan,
     classes: Vec<ClassPlan>,
     ledger: Rc<Ledger>,
     slots: Semaphore,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     queued: Cell<u32>,
-    /// How many times as long as usual its work takes.
+    /// Factor by which processing times are multiplied; 1.0 without a fault.
     slowdown: Cell<f64>,
     draining: Cell<bool>,
-    /// Whether it deregisters without having been registered as draining.
+    /// Whether the server deregisters without announcing `draining` first.
     deregisters_at_once: Cell<bool>,
-    /// How long it serves on beyond the time that it has to.
+    /// How long the server continues to serve beyond `DRAIN_TIME`.
     linger_time: Cell<Duration>,
-    /// When its draining or deregistration was acknowledged.
+    /// When control acknowledged the draining or deregistration; `None` before.
     drain_acknowledged_at: Cell<Option<Instant>>,
-    /// Requests that came after it no longer had to serve.
+    /// Number of requests that arrived after the drain time, since it was last taken.
     arrivals_after_drain: Cell<u64>,
-    /// The control node that accepted its last call.
+    /// Index of the control node that accepted the last call.
     last_control: Cell<usize>,
     rng: RefCell<ChaCha8Rng>,
     arrivals: Cell<u64>,
@@ -60,7 +60,7 @@
 }
 
 impl Origin {
-    /// Creates a server of a service.
+    /// Creates a server of the service `plan`, whose id contains `number`.
     pub fn new(
         number: u8,
         plan: &ServicePlan,
@@ -89,7 +89,8 @@
         })
     }
 
-    /// Serves and sends heartbeats until it crashes or has drained. `announced` is the address that it registers.
+    /// Serves requests and sends heartbeats until the server crashes or has drained. It registers the address
+    /// `announced`.
     pub async fn run(
         self: Rc<Self>,
         listen: SocketAddrV4,
@@ -120,56 +121,56 @@
 
     // ---- Faults ----
 
-    /// Lets it drain, and end after that.
+    /// Starts draining, after which the server stops.
     pub fn drain(&self) {
         self.draining.set(true);
     }
 
-    /// Lets it deregister without draining first, and end after that.
+    /// Starts deregistration without draining first, after which the server stops.
     pub fn deregister(&self) {
         self.deregisters_at_once.set(true);
         self.draining.set(true);
     }
 
-    /// Ends it at once.
+    /// Stops the server at once, without deregistration.
     pub fn crash(&self) {
         self.crash.send_replace(true);
     }
 
-    /// Makes its work take so many times as long as usual.
+    /// Sets the factor by which processing times are multiplied; 1.0 ends the fault.
     pub fn set_slowdown(&self, factor: f64) {
         self.slowdown.set(factor);
     }
 
-    /// Sets how long it serves on beyond the time that it has to.
+    /// Sets how long the server continues to serve beyond the drain time, to detect late requests.
     pub fn set_linger_time(&self, time: Duration) {
         self.linger_time.set(time);
     }
 
-    /// Whether it has no fault.
+    /// Whether the server is neither draining, crashed nor slowed down.
     pub fn is_healthy(&self) -> bool {
         !self.draining.get() && !*self.crash.borrow() && self.slowdown.get() == 1.0
     }
 
     // ---- Counts ----
 
-    /// Returns how many requests arrived.
+    /// Returns the number of requests received, including rejected ones.
     pub fn arrivals(&self) -> u64 {
         self.arrivals.get()
     }
 
-    /// Returns how many requests were rejected.
+    /// Returns the number of requests rejected without execution.
     pub fn rejections(&self) -> u64 {
         self.rejections.get()
     }
 
-    /// Returns how many requests came after it no longer had to serve, since the last call.
+    /// Returns the number of requests that arrived after the drain time, and resets it.
     pub fn take_arrivals_after_drain(&self) -> u64 {
         self.arrivals_after_drain.take()
     }
 }
 
-/// Serves the requests of a server.
+/// Adapts an origin to the HTTP server.
 struct OriginHandler(Rc<Origin>);
 
 impl Handler for OriginHandler {
--- a/experiments/src/origin/requests.rs
+++ b/experiments/src/origin/requests.rs
@@ -1,4 +1,5 @@
-//! How a server handles a request: it waits for a slot, works for a drawn time, and answers with its object.
+//! Request handling of an origin server: waits for a slot, takes a random processing time, and responds with the
+//! requested object.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -17,16 +18,16 @@
 use crate::ledger::body;
 use crate::plan::{ClassPlan, RouteKind};
 
-/// A rejected request may be sent again after this time.
+/// Delay that rejected clients are told to wait before a retry.
 const REJECTION_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// The work that a request takes.
+/// The processing of a request, drawn at random.
 struct Work {
     duration: Duration,
     fails: bool,
 }
 
-/// A request that waits for a slot, and counts as queued until this is dropped.
+/// Counts a request as queued until this guard is dropped.
 struct QueuedRequest<'a>(&'a Cell<u32>);
 
 impl<'a> QueuedRequest<'a> {
@@ -49,7 +50,7 @@
 impl Origin {
     pub(super) async fn serve(&self, request: &FullRequest) -> FullResponse {
         self.arrivals.set(self.arrivals.get() + 1);
-        self.note_arrival_after_drain();
+        self.count_arrival_after_drain();
         let wanted_server = header_text(request, "x-glenfall-want-server");
         if wanted_server.is_some_and(|wanted| wanted != self.id) {
             return self.reject(StatusCode::MISDIRECTED_REQUEST, "another server");
@@ -77,14 +78,15 @@
         }
     }
 
-    /// Returns the class of a request, if it belongs to this service.
+    /// Returns the class named in the path of a request; `None` if it does not belong to this service.
     fn class_of(&self, request: &FullRequest) -> Option<&ClassPlan> {
         let name = request.head.uri.path().split('/').nth(1)?;
         let class = self.classes.iter().find(|class| class.name == name);
         class.filter(|class| class.service == self.plan.name)
     }
 
-    /// Waits for a slot until the deadline of a request; returns the rejection where there is none.
+    /// Waits for a slot until the deadline of a request. Returns a rejection if the queue is full or the deadline
+    /// passes.
     async fn wait_for_slot(
         &self,
         request: &FullRequest,
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Rejects a request that has not been run.
+    /// Returns a response that marks the request as not executed and invites a retry.
     fn reject(&self, status: StatusCode, reason: &'static str) -> FullResponse {
         self.rejections.set(self.rejections.get() + 1);
         let mut response = retry_later_response(status, reason, REJECTION_RETRY_AFTER);
