--- a/experiments/src/processor/cases.rs
+++ b/experiments/src/processor/cases.rs
@@ -1,17 +1,17 @@
-//! The kinds of requests whose cost is measured.
+//! The cases, which are the kinds of requests whose cost is measured.
 
-/// Requests of one kind.
+/// A kind of request.
 #[derive(Clone, Copy)]
 pub struct Case {
-    /// Its name in the report.
+    /// Name of the case in reports.
     pub name: &'static str,
-    /// The method of its requests.
+    /// HTTP method.
     pub method: &'static str,
-    /// The class of its requests in the plan.
+    /// Name of the request class in the plan.
     pub class: &'static str,
-    /// Whether each request is for an object of its own; otherwise all are for the same.
+    /// Whether each request is for a different object instead of the same one.
     pub new_objects: bool,
-    /// Whether each request is sent on a connection of its own.
+    /// Whether each request opens a new connection.
     pub new_connections: bool,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// The cases that shields or origins serve.
+/// Cases in which a shield or an origin server produces the response.
 pub const SHIELD_CASES: [Case; 6] = [
     Case::read("shield's copy"),
     Case::read("shield's copy, new connection").with_new_connections(),
@@ -39,6 +39,6 @@
     Case::write("write, new connection").with_new_connections(),
 ];
 
-/// The cases that edges serve.
+/// Cases in which an edge serves a stored response.
 pub const EDGE_CASES: [Case; 2] =
     [Case::read("edge's copy"), Case::read("edge's copy, new connection").with_new_connections()];
--- a/experiments/src/processor/cost.rs
+++ b/experiments/src/processor/cost.rs
@@ -1,4 +1,4 @@
-//! What requests cost the processes of each role: sums over a time, and the cost of a unit of it.
+//! Processor costs by process role: totals over a measurement, and costs per request or per idle second.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,47 +9,47 @@
 use super::trace::SystemCalls;
 use super::MEASURED_ROLES;
 
-/// What one request, or one second without requests, costs the processes of a role.
+/// Average cost of one request, or of one idle second, for the processes of a role. Also holds totals.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Cost {
-    /// Times that a thread was woken.
+    /// Number of thread wake-ups.
     pub wakeups: f64,
     /// Processor time, in microseconds.
     pub processor_us: f64,
-    /// System calls by name; empty where they were not traced.
+    /// Number of system calls by name; empty without tracing.
     pub calls: BTreeMap<String, f64>,
-    /// Bytes that the kernel copied, in thousands.
+    /// Data copied by system calls, in units of 1000 bytes.
     pub kilobytes: f64,
 }
 
 impl Cost {
-    /// Returns the number of all system calls.
+    /// Returns the total number of system calls.
     pub fn all_calls(&self) -> f64 {
         self.calls.values().sum()
     }
 }
 
-/// The costs of a time, by role.
+/// Total costs over a period, by role.
 pub struct Measurement {
     seconds: f64,
     costs: BTreeMap<&'static str, Cost>,
 }
 
 impl Measurement {
-    /// Creates a measurement without costs of a time.
+    /// Creates a measurement of a period of this length, with all costs zero.
     pub fn new(duration: Duration) -> Measurement {
         let costs = MEASURED_ROLES.iter().map(|role| (*role, Cost::default())).collect();
         Measurement { seconds: duration.as_secs_f64(), costs }
     }
 
-    /// Adds what a process has used between two readings of its totals.
+    /// Adds the difference between two readings of the totals of a process.
     pub fn add_totals(&mut self, role: &'static str, before: ProcessTotals, after: ProcessTotals) {
         let cost = self.costs.entry(role).or_default();
         cost.wakeups += after.wakeups.saturating_sub(before.wakeups) as f64;
         cost.processor_us += after.processor_ns.saturating_sub(before.processor_ns) as f64 / 1000.0;
     }
 
-    /// Adds the system calls of a process.
+    /// Adds the traced system calls of a process.
     pub fn add_calls(&mut self, role: &'static str, calls: SystemCalls) {
         let cost = self.costs.entry(role).or_default();
         cost.kilobytes += calls.bytes_copied as f64 / 1000.0;
@@ -59,29 +59,29 @@
     }
 }
 
-/// The same work, measured without and with a trace: a traced process is slower, and is woken at other times.
+/// The same work measured without and with `strace`, because tracing slows a process down and changes its wake-ups.
 pub struct MeasuredWork {
-    /// Wake-ups and processor time.
+    /// The run that gives wake-ups and processor time.
     pub untraced: Measurement,
-    /// System calls and bytes.
+    /// The run that gives system calls and copied data. Has a duration of zero without tracing.
     pub traced: Measurement,
 }
 
-/// How many units of work there were in each measurement, which a cost is divided by.
+/// Number of units of work in each measurement, by which total costs are divided.
 struct Units {
     untraced: f64,
     traced: f64,
 }
 
-/// What idle processes cost.
+/// The idle costs to be subtracted.
 struct IdleProcesses<'a> {
-    /// The cost of one of them in a second.
+    /// Cost of one idle process per second.
     cost: &'a Cost,
     processes: f64,
 }
 
 impl MeasuredWork {
-    /// Returns what one process of a role costs in a second, where a role has this many `processes`.
+    /// Returns the cost of one process of a role per second. `processes` is the number of processes of the role.
     pub fn per_second(&self, role: &str, processes: f64) -> Cost {
         let units =
             Units { untraced: self.untraced.seconds * processes, traced: self.traced.seconds * processes };
@@ -89,7 +89,8 @@
         self.per_unit(role, &units, &idle)
     }
 
-    /// Returns what one of so many requests costs a role, less what its processes cost while idle.
+    /// Returns the cost of one request for all processes of a role, without their idle cost. `processes` is the
+    /// number of processes of the role.
     pub fn per_request(&self, role: &str, requests: f64, idle_cost: &Cost, processes: f64) -> Cost {
         let units = Units { untraced: requests, traced: requests };
         self.per_unit(role, &units, &IdleProcesses { cost: idle_cost, processes })
--- a/experiments/src/processor/mod.rs
+++ b/experiments/src/processor/mod.rs
@@ -1,6 +1,6 @@
-//! What the system costs the processor: wake-ups, system calls, kilobytes through the kernel and processor time, for one
-//! request of each kind and for each idle process. The system runs as processes on loopback; the servers and the
-//! client are in this process, and are not counted.
+//! Measures the processor cost of the system: wake-ups, system calls, data copied by the kernel and processor time, per
+//! request of each kind and per second of an idle process. The system runs as separate processes on loopback; origin
+//! servers and the client run in this process and are not measured.
 
 mod cases;
 mod cost;
@@ -19,34 +19,34 @@
 pub use report::ProcessorReport;
 use system::SystemUnderTest;
 
-/// The roles of processes that are measured.
+/// The process roles that are measured.
 const MEASURED_ROLES: [&str; 4] = ["edge", "agent", "shield", "control"];
-/// Third byte of the addresses of the first system's machines; the second system has the next.
+/// Third byte of the machine addresses of the first system; the second system uses the next value.
 const FIRST_NET: u8 = 12;
-/// Edges store only responses whose shield is in another zone: with one zone they store none.
+/// Number of zones with which edges store no responses: they store only those whose shield is in another zone.
 const ONE_ZONE: u8 = 1;
-/// With this many zones no edge is in the zone of a shield, so that edges store responses.
+/// Number of zones with which no edge is in the zone of a shield, so that edges store responses.
 const SEPARATE_ZONES: u8 = 5;
 
-/// The options of the measurement.
+/// Command-line options of `glenfall-lab processor`.
 #[derive(Args, Clone, Debug)]
 pub struct ProcessorOptions {
-    /// Requests of each case, one after the other
+    /// Number of sequential requests of each case
     #[arg(long, default_value_t = 300)]
     requests: u32,
-    /// Seconds without requests
+    /// Duration of the idle measurement, in seconds
     #[arg(long, default_value_t = 10.0)]
     idle_s: f64,
-    /// Count no system calls, where there is no `strace`
+    /// Do not count system calls, for machines without `strace`
     #[arg(long)]
     no_trace: bool,
 }
 
-/// Measures all cases with this program.
+/// Measures all cases with systems that run `program`.
 ///
 /// # Errors
 ///
-/// Returns an error where the system can't be started, or its processes can't be traced.
+/// Returns an error if a system can't be started or its processes can't be traced.
 pub async fn run(options: &ProcessorOptions, program: &Path) -> Result<ProcessorReport, LabError> {
     let mut cases = Vec::new();
     let mut one_zone = SystemUnderTest::start(ONE_ZONE, FIRST_NET, program).await?;
--- a/experiments/src/processor/process.rs
+++ b/experiments/src/processor/process.rs
@@ -1,18 +1,18 @@
-//! What the kernel counts of a process: wake-ups and processor time, from `/proc`.
+//! Wake-ups and processor time of a process, read from `/proc`.
 
 use std::fs::{read_dir, read_to_string};
 use std::path::PathBuf;
 
-/// Totals of a process since its start.
+/// Totals over the current threads of a process, each since its start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProcessTotals {
-    /// Times that a thread gave up the processor to wait, and so has been or will be woken.
+    /// Number of voluntary context switches: each is a wait after which the thread is woken.
     pub wakeups: u64,
     /// Processor time, in nanoseconds.
     pub processor_ns: u64,
 }
 
-/// Returns the totals of all threads of a process; zeros for one that has exited.
+/// Returns the totals of a process; zeros if it has exited.
 pub fn totals(pid: u32) -> ProcessTotals {
     let mut totals = ProcessTotals::default();
     for thread in threads(pid) {
@@ -26,7 +26,7 @@
     totals
 }
 
-/// Returns the threads of a process, as folders in `/proc`.
+/// Returns the `/proc` folders of the threads of a process; empty if it has exited.
 pub fn threads(pid: u32) -> Vec<PathBuf> {
     let tasks = read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
     tasks.map(|task| task.path()).collect()
--- a/experiments/src/processor/report.rs
+++ b/experiments/src/processor/report.rs
@@ -1,4 +1,4 @@
-//! The report of processor costs: a table, and the system calls by name.
+//! The report of processor costs: a table of totals, and a list of system calls by name.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -8,38 +8,38 @@
 use super::cost::Cost;
 use super::MEASURED_ROLES;
 
-/// System calls that are made less often for each request are not listed.
+/// System calls that occur less often per request than this are not listed.
 const MIN_LISTED_CALLS: f64 = 0.05;
 
-/// What one case costs, by role.
+/// The costs of one case.
 #[derive(Clone, Debug, Serialize)]
 pub struct CaseReport {
-    /// The name of the case.
+    /// Name of the case, which identifies it in reports.
     pub name: &'static str,
-    /// The costs by role.
+    /// The costs of each measured role.
     pub costs: BTreeMap<&'static str, Cost>,
 }
 
-/// The costs of all cases.
+/// The result of a measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct ProcessorReport {
-    /// Requests of each case.
+    /// Number of requests of each case.
     pub requests: u32,
-    /// Seconds without requests.
+    /// Duration of the idle measurement, in seconds.
     pub idle_s: f64,
     /// Whether system calls were counted.
     pub traced: bool,
-    /// Threads of a process of each role after all requests, the most of any.
+    /// Maximum number of threads in a process of each role, read after all requests of the shield cases.
     pub threads: BTreeMap<&'static str, usize>,
-    /// The cases.
+    /// The idle costs, followed by the costs of each case.
     pub cases: Vec<CaseReport>,
 }
 
 impl ProcessorReport {
-    /// Returns a table of wake-ups, system calls, kilobytes and processor time, and the calls by name.
+    /// Formats the report as Markdown: a table of costs, and the system calls by name if they were traced.
     pub fn markdown(&self) -> String {
         let mut text = format!(
-            "Each cell: wake-ups, system calls, kB through the kernel, processor µs; {} requests, {} s at rest.\n\n",
+            "Each cell: wake-ups, system calls, kB copied, processor time in µs; {} requests, {} s idle.\n\n",
             self.requests, self.idle_s
         );
         let _ = writeln!(text, "| | {} |", MEASURED_ROLES.join(" | "));
@@ -50,7 +50,7 @@
         }
         let threads: Vec<String> =
             self.threads.iter().map(|(role, count)| format!("{role} {count}")).collect();
-        let _ = writeln!(text, "\nThreads of a process: {}.", threads.join(", "));
+        let _ = writeln!(text, "\nThreads per process: {}.", threads.join(", "));
         if self.traced {
             self.list_calls(&mut text);
         }
--- a/experiments/src/processor/system.rs
+++ b/experiments/src/processor/system.rs
@@ -1,4 +1,4 @@
-//! The system whose processes are measured.
+//! The system under measurement: starts its processes, sends requests, and measures the costs.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -29,49 +29,49 @@
 use crate::plan::{Plan, ROUTE_HOST};
 
 const PROCESSOR_PLAN: &str = include_str!("../../plans/processor.toml");
-/// After the start nodes still exchange all that they know, and edges store no responses for a while.
+/// Pause after the start, during which nodes still exchange their state and edges store no responses.
 const WARM_UP_TIME: Duration = Duration::from_secs(5);
-/// Pause before each case, so that what the one before began is over.
+/// Pause before each case, so that work triggered by earlier requests has finished.
 const CASE_PAUSE: Duration = Duration::from_secs(1);
-/// Requests before each case, which open connections and fill caches.
+/// Number of unmeasured requests before each case, which open connections and fill caches.
 const WARM_UP_REQUESTS: u32 = 20;
-/// A request is answered within this time.
+/// Timeout of a request.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The body of a write.
+/// Body of each write, 300 bytes.
 const WRITE_BODY: &[u8] = &[b'b'; 300];
-/// Machines of each kind at most, whatever the plan.
+/// Upper bound for the number of core machines and of edge machines in the plan.
 const MAX_MACHINES: u8 = 9;
-/// Connections of the client.
+/// Maximum number of connections of the client.
 const MAX_CONNECTIONS: usize = 8;
-/// Bytes of responses that the client holds.
+/// Maximum size of responses that the client buffers, in bytes.
 const RESPONSE_MEMORY: usize = 1 << 20;
 
-/// A process of the system.
+/// A measured process and its role.
 #[derive(Clone, Copy)]
 struct RoleProcess {
     role: &'static str,
     pid: u32,
 }
 
-/// A system that runs.
+/// A running system whose costs are measured.
 pub struct SystemUnderTest {
     local: LocalSystem,
     /// The edge that requests are sent to.
     edge: SocketAddrV4,
-    /// The number of the last request.
+    /// Number of the last request, from 1; numbers are used as request ids and for distinct objects.
     last_request: u32,
 }
 
-fn client() -> Rc<Pool> {
+fn client_pool() -> Rc<Pool> {
     Pool::new(MAX_CONNECTIONS, MemoryBudget::new(RESPONSE_MEMORY))
 }
 
 impl SystemUnderTest {
-    /// Starts a system with this number of zones, and waits until it is ready.
+    /// Starts a system with this number of zones, and waits until it is ready and warmed up.
     ///
     /// # Errors
     ///
-    /// Returns an error where it can't be started.
+    /// Returns an error if the system can't be started or does not become ready.
     pub async fn start(zones: u8, net: u8, program: &Path) -> Result<Self, LabError> {
         let plan = Plan::read(PROCESSOR_PLAN).map_err(std::io::Error::other)?;
         let layout = SystemLayout {
@@ -89,7 +89,7 @@
         Ok(SystemUnderTest { local, edge, last_request: 0 })
     }
 
-    /// Returns the processes of a role, on all machines.
+    /// Returns the process ids of a role on all machines.
     fn pids(&self, role: &str) -> Vec<u32> {
         let machines =
             (1..=MAX_MACHINES).flat_map(|number| [format!("core-{number}"), format!("edge-{number}")]);
@@ -102,7 +102,7 @@
         MEASURED_ROLES.into_iter().flat_map(of_role).collect()
     }
 
-    /// Returns the number of threads of a process of each role, the most of any.
+    /// Returns the maximum number of threads in a process of each role.
     pub fn threads_by_role(&self) -> BTreeMap<&'static str, usize> {
         let max_threads = |role| {
             let counts = self.pids(role).into_iter().map(|pid| process::threads(pid).len());
@@ -111,11 +111,11 @@
         MEASURED_ROLES.into_iter().map(|role| (role, max_threads(role))).collect()
     }
 
-    /// Measures what a process of each role costs in a second without requests.
+    /// Measures the cost per second of one idle process of each role.
     ///
     /// # Errors
     ///
-    /// Returns an error where a process can't be traced.
+    /// Returns an error if a process can't be traced.
     pub async fn measure_idle(
         &mut self,
         options: &ProcessorOptions,
@@ -130,11 +130,11 @@
         Ok(costs)
     }
 
-    /// Measures what one request of a case costs the processes of each role together, less what they cost while idle.
+    /// Measures the cost of one request of a case for all processes of each role together, without their idle cost.
     ///
     /// # Errors
     ///
-    /// Returns an error where a process can't be traced.
+    /// Returns an error if a process can't be traced.
     pub async fn measure(
         &mut self,
         case: Case,
@@ -155,16 +155,16 @@
     }
 
     async fn send_requests(&mut self, case: Case, count: u32) {
-        let mut pool = client();
+        let mut pool = client_pool();
         for _ in 0..count {
             if case.new_connections {
-                pool = client();
+                pool = client_pool();
             }
             self.send_request(case, &pool).await;
         }
     }
 
-    /// Sends one request. One that does not succeed would be another case, and is printed.
+    /// Sends one request. Prints a line if it does not succeed, because its cost does not belong to the case.
     async fn send_request(&mut self, case: Case, pool: &Pool) {
         self.last_request += 1;
         let number = self.last_request;
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Does the same work twice: once to count wake-ups and processor time, once traced.
+    /// Does the same work twice: untraced for wake-ups and processor time, then traced for system calls.
     async fn measure_work(
         &mut self,
         options: &ProcessorOptions,
--- a/experiments/src/processor/trace.rs
+++ b/experiments/src/processor/trace.rs
@@ -1,4 +1,4 @@
-//! System calls of a process, counted with `strace`.
+//! Counts the system calls of a process with `strace`.
 
 use std::collections::BTreeMap;
 use std::fs::read_to_string;
@@ -13,31 +13,31 @@
 
 use super::process::threads;
 
-/// `strace` attaches to all threads within this time.
+/// Maximum time until `strace` is attached to all threads of a process.
 const ATTACH_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often it is looked whether it has attached.
+/// Interval between checks whether `strace` is attached.
 const ATTACH_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Calls whose result is a number of bytes that the kernel has copied.
+/// System calls whose result is the number of bytes copied.
 const COPYING_CALLS: [&str; 10] =
     ["read", "write", "readv", "writev", "pread64", "pwrite64", "recvfrom", "sendto", "recvmsg", "sendmsg"];
 
 /// System calls of a process while it was traced.
 #[derive(Clone, Debug, Default)]
 pub struct SystemCalls {
-    /// How often each was called.
+    /// Number of calls by name.
     pub by_name: BTreeMap<String, u64>,
-    /// Bytes that the kernel has copied.
+    /// Total number of bytes copied.
     pub bytes_copied: u64,
 }
 
 impl SystemCalls {
-    /// Reads the lines that `strace -f -o` writes. A call that other threads interrupt has two lines, of which the
-    /// second has the result; one that was in progress at the end has no result.
+    /// Parses the output of `strace -f -o`. A call interleaved with calls of other threads has two lines, of which
+    /// only the second has the result; a call in progress at the end has no result and is not counted.
     fn read(log: &str) -> SystemCalls {
         let mut calls = SystemCalls::default();
         for line in log.lines() {
             if let Some((call, result)) = line.rsplit_once(" = ") {
-                calls.add(without_thread(call), result);
+                calls.add(strip_thread_id(call), result);
             }
         }
         calls
@@ -53,8 +53,8 @@
     }
 }
 
-/// Returns a call without the number of its thread, which begins the line.
-fn without_thread(call: &str) -> &str {
+/// Strips the thread id at the start of the line.
+fn strip_thread_id(call: &str) -> &str {
     call.split_once(' ').map_or(call, |(_thread, call)| call).trim_start()
 }
 
@@ -74,7 +74,7 @@
 
 impl Drop for Trace {
     fn drop(&mut self) {
-        // After `stop` it has exited already.
+        // Fails after `stop`, because `strace` has already exited.
         let _ = kill(Pid::from_raw(self.strace.id() as i32), Signal::SIGINT);
         let _ = self.strace.wait();
         let _ = std::fs::remove_file(&self.log);
@@ -82,11 +82,11 @@
 }
 
 impl Trace {
-    /// Attaches to a process, and waits until all of its threads are traced.
+    /// Attaches to a process, and waits until all its threads are traced.
     ///
     /// # Errors
     ///
-    /// Returns an error where `strace` can't be started or does not attach in time.
+    /// Returns an error if `strace` can't be started or does not attach in time.
     pub async fn start(pid: u32) -> io::Result<Trace> {
         let log = std::env::temp_dir().join(format!("glenfall-strace-{}-{pid}", std::process::id()));
         let strace = start_strace(pid, &log)?;
@@ -94,18 +94,21 @@
         let began_at = Instant::now();
         while !is_traced(pid) {
             if began_at.elapsed() > ATTACH_TIMEOUT {
-                return Err(io::Error::new(io::ErrorKind::TimedOut, "strace does not attach"));
+                return Err(io::Error::new(
+                    io::ErrorKind::TimedOut,
+                    "strace did not attach to all threads of the process in time",
+                ));
             }
             sleep(ATTACH_POLL_INTERVAL).await;
         }
         Ok(trace)
     }
 
-    /// Ends the trace, and returns the calls that it has counted.
+    /// Stops tracing, and returns the counted calls.
     ///
     /// # Errors
     ///
-    /// Returns an error where `strace` can't be ended or its log can't be read.
+    /// Returns an error if `strace` can't be stopped or its output can't be read.
     pub fn stop(mut self) -> io::Result<SystemCalls> {
         kill(Pid::from_raw(self.strace.id() as i32), Signal::SIGINT)?;
         self.strace.wait()?;
@@ -119,7 +122,7 @@
         .arg(log)
         .stdin(Stdio::null())
         .spawn()
-        .map_err(|error| io::Error::new(error.kind(), format!("strace: {error}")))
+        .map_err(|error| io::Error::new(error.kind(), format!("can't start strace: {error}")))
 }
 
 fn is_traced(pid: u32) -> bool {
