--- a/experiments/src/error.rs
+++ b/experiments/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of the program's commands.
+//! Errors of the commands of `glenfall-lab`.
 
 use std::fmt::Display;
 use std::path::Path;
@@ -12,10 +12,10 @@
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum LabError {
-    /// An input or output failed.
+    /// An I/O operation failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// A file can't be read.
+    /// A file can't be read or parsed.
     #[error("{0}")]
     File(#[from] FileError),
     /// A plan is invalid.
@@ -24,19 +24,19 @@
     /// A call to control failed.
     #[error("{0}")]
     Operator(#[from] OperatorError),
-    /// A process has logged that an invariant of the code is violated.
-    #[error("{count} invariants broken: {first}")]
+    /// A process under test has logged that a runtime assertion failed.
+    #[error("{count} invariant violations in the logs, the first: {first}")]
     InvariantViolated {
-        /// How many violations are in the logs.
+        /// Number of violations in the logs.
         count: usize,
-        /// The first of them.
+        /// The log line of the first violation.
         first: String,
     },
-    /// The system was not ready within this time.
-    #[error("the system is not up after {} s", .0.as_secs())]
+    /// The system did not become ready within this time.
+    #[error("the system was not ready after {} s", .0.as_secs())]
     NotUp(Duration),
-    /// A histogram can't be made.
-    #[error("histogram: {0}")]
+    /// A histogram can't be created.
+    #[error("can't create a histogram: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
     /// A report can't be written as JSON.
     #[error("{0}")]
@@ -46,7 +46,7 @@
     Plot(#[from] PlotError),
 }
 
-/// Why a file can't be read, with its path.
+/// The reason why a file can't be read or parsed, with its path.
 #[derive(Debug, thiserror::Error)]
 #[error("{path}: {reason}")]
 pub struct FileError {
--- a/experiments/src/ledger.rs
+++ b/experiments/src/ledger.rs
@@ -1,5 +1,4 @@
-//! The ledger of an experiment: what servers ran and which objects were purged. Responses to clients are checked against
-//! it.
+//! Records which requests servers executed, and which objects were changed and purged, to check responses to clients.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -8,50 +7,51 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-/// An acknowledged purge takes effect everywhere within this time.
+/// Maximum time until an acknowledged purge takes effect on all edges.
 pub const PURGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How often each guarantee was violated.
+/// Number of violations of each guarantee.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ViolationCounts {
-    /// A request that may run at most once ran more than once.
+    /// Requests that may run at most once and ran more than once.
     pub ran_twice: u64,
-    /// A request was rejected as not executed, and had run.
+    /// Requests rejected as not executed that had been executed.
     pub rejected_after_run: u64,
-    /// A successful response is not the complete response of the server.
+    /// Successful responses that were not the complete response of the server.
     pub incomplete: u64,
-    /// An old version of an object was served, long after its purge.
+    /// Responses with a purged version, to requests sent more than `PURGE_TIMEOUT` after the purge.
     pub stale: u64,
 }
 
-/// What the check of a successful response found.
+/// Result of the check of a successful response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseCheck {
-    /// It is complete and not too old.
+    /// The response is complete and not stale.
     Valid,
-    /// It is not the complete response of the server.
+    /// The response is not the complete response of the server.
     Incomplete,
-    /// It is an old version, long after its purge.
+    /// The response is a version whose purge was acknowledged more than `PURGE_TIMEOUT` before the request.
     Stale,
 }
 
 #[derive(Default)]
 struct Object {
     version: u64,
-    /// When the purge of each older version was acknowledged.
+    /// When the purge of each older version was acknowledged, by version.
     purged_at: HashMap<u64, Instant>,
 }
 
-/// The state of all objects, and the requests that servers ran.
+/// The state of all objects, and the executed requests that may run at most once.
 #[derive(Default)]
 pub struct Ledger {
     objects: RefCell<HashMap<String, Object>>,
-    /// How often each request that may run at most once ran, by its try id.
+    /// Number of executions of each request that may run at most once, by try id.
     runs: RefCell<HashMap<String, u32>>,
     violations: RefCell<ViolationCounts>,
 }
 
-/// Returns the body of a version of an object: a line that names both, and filler up to `length` bytes.
+/// Returns the body of a version of an object: a line with path and version, and deterministic filler up to `length`
+/// bytes.
 pub fn body(path: &str, version: u64, length: usize) -> Bytes {
     let mut body = format!("{path} v{version}\n").into_bytes();
     let mut filler = glenfall_balancer::mix(version ^ path.len() as u64);
@@ -63,7 +63,7 @@
     body.into()
 }
 
-/// Returns the version that a body names.
+/// Returns the version in the first line of a body; `None` if the body is not of the object at `path`.
 fn version_of(path: &str, body: &[u8]) -> Option<u64> {
     let first_line = body.split(|byte| *byte == b'\n').next()?;
     let first_line = std::str::from_utf8(first_line).ok()?;
@@ -71,12 +71,12 @@
 }
 
 impl Ledger {
-    /// Returns the newest version of an object.
+    /// Returns the newest version of an object, 0 if it was never changed.
     pub fn version(&self, path: &str) -> u64 {
         self.objects.borrow().get(path).map_or(0, |object| object.version)
     }
 
-    /// Changes an object, and returns the version that is outdated.
+    /// Changes an object, and returns the version that was replaced.
     pub fn change(&self, path: &str) -> u64 {
         let mut objects = self.objects.borrow_mut();
         let object = objects.entry(path.to_owned()).or_default();
@@ -84,14 +84,14 @@
         object.version - 1
     }
 
-    /// Notes that the purge of a version was acknowledged.
+    /// Records that the purge of a version has just been acknowledged.
     pub fn purged(&self, path: &str, version: u64) {
         if let Some(object) = self.objects.borrow_mut().get_mut(path) {
             object.purged_at.insert(version, Instant::now());
         }
     }
 
-    /// Notes that a server begins to run a request that may run at most once.
+    /// Records that a server starts to execute a request that may run at most once.
     pub fn ran(&self, id: &str) {
         let mut runs = self.runs.borrow_mut();
         let times = runs.entry(id.to_owned()).or_default();
@@ -101,19 +101,19 @@
         }
     }
 
-    /// Whether a request that may run at most once has run.
+    /// Whether a server has started to execute a request that may run at most once.
     pub fn has_run(&self, id: &str) -> bool {
         self.runs.borrow().contains_key(id)
     }
 
-    /// Notes that a request was rejected as not executed.
+    /// Records that a request was rejected as not executed, and counts a violation if it was executed.
     pub fn rejected(&self, id: &str) {
         if self.has_run(id) {
             self.violations.borrow_mut().rejected_after_run += 1;
         }
     }
 
-    /// Checks a successful response to a request that was sent at `sent_at`, and counts a violation. See [`Ledger::check`].
+    /// Checks a successful response like [`Ledger::check`], and counts any violation.
     pub fn check_and_count(
         &self,
         path: &str,
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Checks a successful response to a request that was sent at `sent_at`. It has to be `sealed` by its server, and to
-    /// have the body of a version that is `length` bytes long.
+    /// Checks a successful response to a request that was sent at `sent_at`. The response must have the seal header
+    /// of its server, and a body of `length` bytes that is that of some version of the object.
     pub fn check(
         &self,
         path: &str,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Returns how often each guarantee was violated.
+    /// Returns the number of violations of each guarantee so far.
     pub fn violations(&self) -> ViolationCounts {
         self.violations.borrow().clone()
     }
--- a/experiments/src/lib.rs
+++ b/experiments/src/lib.rs
@@ -1,5 +1,5 @@
-//! An emulator of the systems that glenfall serves, with a load generator: experiments on loopback from a plan, and
-//! reports of them. It measures this machine along with the system; a violated guarantee is a fault of the system.
+//! Experiments with glenfall on loopback: emulated origin servers, a load generator, fault injection, simulations and
+//! reports. Measured times depend on the machine; a violated guarantee is always a fault of the system.
 
 mod cli;
 mod error;
--- a/experiments/src/main.rs
+++ b/experiments/src/main.rs
@@ -1,4 +1,4 @@
-//! The program; what it does is in the library.
+//! Entry point of `glenfall-lab`; see the library for its commands.
 
 use std::process::ExitCode;
 
--- a/experiments/src/schedules.rs
+++ b/experiments/src/schedules.rs
@@ -1,4 +1,5 @@
-//! Runs random schedules of the replicated chain in parallel, names those that fail, and shrinks them.
+//! Simulates random schedules of the replicated control plane in parallel, reports the seeds that fail, and shrinks
+//! their schedules.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -9,35 +10,36 @@
 
 use crate::error::{FileError, LabError};
 
-/// How often progress is printed.
+/// Interval between progress messages.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(10);
-/// How often it is looked whether all schedules have run.
+/// Interval between checks whether all schedules have run.
 const END_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How many failing schedules are shrunk and written, so that a machine whose every schedule fails fills no disk.
+/// Maximum number of failing schedules that are shrunk and written, so that the disk does not fill up if all
+/// schedules fail.
 const MAX_SHRUNK: usize = 20;
 
-/// The options of the schedules.
+/// Command-line options of `glenfall-lab schedules`.
 #[derive(clap::Args)]
 pub struct ScheduleOptions {
-    /// How many schedules
+    /// Number of schedules to run
     #[arg(long, default_value_t = 10_000)]
     count: u64,
-    /// Seed of the first; the others follow it
+    /// Seed of the first schedule; the others follow consecutively
     #[arg(long, default_value_t = 0)]
     first: u64,
-    /// Targeted at rare situations of views, in a seed space of their own
+    /// Run schedules that target rare situations in view changes; they have their own seed space
     #[arg(long)]
     aimed: bool,
-    /// In so many threads; one for each processor if not given
+    /// Number of threads; by default one per processor
     #[arg(long)]
     threads: Option<usize>,
-    /// Shrink failing schedules, and write each as a file
+    /// Shrink failing schedules, and write each to a file
     #[arg(long)]
     shrink: bool,
-    /// Folder of the files; it is made
+    /// Folder for the shrunk schedules; created if missing
     #[arg(long, default_value = "target/schedules")]
     out: PathBuf,
-    /// Run one schedule from its file, exactly as it was
+    /// Replay a single schedule from its file
     #[arg(long, conflicts_with_all = ["count", "first", "shrink", "aimed"])]
     replay: Option<PathBuf>,
 }
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Returns the name of the kind of schedules, as files and summaries have it.
+    /// Returns the kind of schedules, as named in file names and summaries.
     fn kind(&self) -> &'static str {
         match self.aimed {
             true => "aimed",
@@ -64,13 +66,13 @@
     }
 }
 
-/// Runs schedules; false where one failed.
+/// Runs or replays schedules. Returns false if one failed.
 ///
 /// # Errors
 ///
-/// Returns an error where a file can't be read or written, or a schedule file is invalid.
+/// Returns an error if a file can't be read or written, or if a schedule file is invalid.
 pub fn run(options: &ScheduleOptions) -> Result<bool, LabError> {
-    // A node that panics violates an invariant, and is reported as such.
+    // A panic of a simulated node is reported as a violated invariant, so its message is not printed.
     std::panic::set_hook(Box::new(|_| {}));
     match &options.replay {
         Some(file) => replay(file),
@@ -85,7 +87,7 @@
     print!("{}", describe(&schedule));
     match schedule.run() {
         Ok(coverage) => {
-            println!("holds; {}", describe_coverage(&coverage));
+            println!("all invariants hold; {}", describe_coverage(&coverage));
             Ok(true)
         }
         Err(failed) => {
@@ -107,8 +109,8 @@
         requested_voter_changes,
     } = coverage;
     format!(
-        "{changes} changes acknowledged, {reads} reads, {refusals} refusals, {repeats} orders sent again, {sessions} sessions opened, {views} views, \
-         {member_changes} changes of who counts, {requested_voter_changes} asked for by operators"
+        "{changes} changes acknowledged, {reads} reads, {refusals} rejections, {repeats} retried changes, {sessions} sessions opened, {views} views, \
+         {member_changes} membership changes, {requested_voter_changes} voter changes requested by operators"
     )
 }
 
@@ -116,7 +118,7 @@
     let Schedule { seed, size, faults_end_at, events, .. } = schedule;
     let (voters, losses, spare) = (size.voters(), size.losses, size.spare);
     let mut lines = format!(
-        "seed {seed}: {voters} voters that outlive {losses} losses, {spare} standing by, troubles for {faults_end_at} ms\n"
+        "seed {seed}: {voters} voters tolerating {losses} losses, {spare} standbys, faults until {faults_end_at} ms\n"
     );
     for event in events {
         lines += &format!("{:>7} {:?}\n", event.at, event.action);
@@ -125,13 +127,13 @@
 }
 
 fn describe_failure(failed: &FailedRun) -> String {
-    format!("{} ms: {}\n{}", failed.at, failed.violation, failed.nodes)
+    format!("failed at {} ms: {}\n{}", failed.at, failed.violation, failed.nodes)
 }
 
-/// Schedules that several threads run.
+/// A batch of schedules run by several threads.
 struct Batch<'a> {
     options: &'a ScheduleOptions,
-    /// How many schedules have been started.
+    /// Number of schedules started; may exceed the total at the end.
     started: AtomicU64,
     ended: AtomicBool,
     coverage: Mutex<Coverage>,
@@ -156,16 +158,16 @@
             let workers: Vec<_> = (0..threads.max(1)).map(|_| scope.spawn(|| self.run_worker())).collect();
             scope.spawn(|| self.report_progress());
             for worker in workers {
-                // A panic of a node is caught in its schedule: this is one of the worker itself.
+                // Panics of simulated nodes are caught by their schedule: this is a panic of the worker itself.
                 if worker.join().is_err() {
-                    eprintln!("a thread ended early");
+                    eprintln!("a worker thread panicked; its coverage is missing from the summary");
                 }
             }
             self.ended.store(true, Ordering::Relaxed);
         });
     }
 
-    /// Runs one schedule after the other until all have been started.
+    /// Runs schedules one after another until none is left.
     fn run_worker(&self) {
         let mut worker_coverage = Coverage::default();
         loop {
@@ -199,7 +201,10 @@
                 reported_at = Instant::now();
                 let count = self.options.count;
                 let started = self.started.load(Ordering::Relaxed).min(count);
-                eprintln!("{started} of {count} schedules, {} s", self.began_at.elapsed().as_secs());
+                eprintln!(
+                    "{started} of {count} schedules started, {} s elapsed",
+                    self.began_at.elapsed().as_secs()
+                );
             }
         }
     }
@@ -231,17 +236,17 @@
 
 fn shrink_and_write(options: &ScheduleOptions, seed: u64) -> Result<(), LabError> {
     let complete = options.schedule(seed);
-    let Some(ShrunkSchedule { schedule: short, attempts }) = shrink(&complete) else { return Ok(()) };
-    let Err(failed) = short.run() else { return Ok(()) };
+    let Some(ShrunkSchedule { schedule: shrunk, attempts }) = shrink(&complete) else { return Ok(()) };
+    let Err(failed) = shrunk.run() else { return Ok(()) };
     std::fs::create_dir_all(&options.out)?;
     let file = options.out.join(format!("{}-{seed}.json", options.kind()));
-    std::fs::write(&file, serde_json::to_string_pretty(&short)?)?;
+    std::fs::write(&file, serde_json::to_string_pretty(&shrunk)?)?;
     println!(
-        "\nseed {seed}, {} events cut down to {} in {attempts} tries",
+        "\nseed {seed}: {} events shrunk to {} in {attempts} attempts",
         complete.events.len(),
-        short.events.len()
+        shrunk.events.len()
     );
-    print!("{}{}", describe(&short), describe_failure(&failed));
+    print!("{}{}", describe(&shrunk), describe_failure(&failed));
     println!("replay with: glenfall-lab schedules --replay {}", file.display());
     Ok(())
 }
