--- a/experiments/src/soak/clients/checks.rs
+++ b/experiments/src/soak/clients/checks.rs
@@ -64,7 +64,7 @@
                     format!("{id}: purged version of {path}"),
                 );
             }
-            ResponseCheck::Stale => self.oracle.count("old version, out of touch"),
+            ResponseCheck::Stale => self.oracle.count("stale response, edge not in contact"),
         }
     }
 
@@ -72,9 +72,9 @@
         let SentRequest { class, edge, path, id, .. } = sent;
         let status = response.status();
         self.oracle.count(match status.as_u16() {
-            503 => "refused (503)",
-            502 => "no promise (502)",
-            504 => "no answer in time (504)",
+            503 => "rejected (503)",
+            502 => "outcome unknown (502)",
+            504 => "deadline exceeded (504)",
             500 => "failed (500)",
             _ => "other failures",
         });
@@ -98,10 +98,10 @@
     pub(super) fn check_unanswered(&self, sent: &SentRequest, error: SendError, elapsed: Duration) {
         let SentRequest { edge, id, sent_at, .. } = sent;
         match error {
-            SendError::NotSent => self.oracle.count("not read"),
+            SendError::NotSent => self.oracle.count("not sent"),
             SendError::NoResponse => self.record_unanswered(sent, elapsed),
             SendError::TimedOut => {
-                self.oracle.count("no answer");
+                self.oracle.count("no response in time");
                 if self.in_contact_since(*edge, *sent_at) {
                     let details = format!("{id}: no response from edge {edge}");
                     self.oracle.record_violation(Invariant::AnsweredByDeadline, details);
@@ -116,7 +116,7 @@
 
     fn record_unanswered(&self, sent: &SentRequest, elapsed: Duration) {
         let SentRequest { edge, id, sent_at, .. } = sent;
-        self.oracle.count("cut off");
+        self.oracle.count("connection ended without a response");
         let machine = self.edges[*edge].machine;
         if self.history.is_free_of(FaultKind::Unplanned, machine, *sent_at) {
             // A request sent while the edge closes the connection is lost without being read, which is allowed. Whether
--- a/experiments/src/soak/clients/mod.rs
+++ b/experiments/src/soak/clients/mod.rs
@@ -206,7 +206,7 @@
             // Dropping the exchange closes its connection.
             Some(after) => match timeout(after, exchange).await {
                 Ok(result) => result,
-                Err(_) => return self.oracle.count("client left"),
+                Err(_) => return self.oracle.count("client disconnected"),
             },
             None => exchange.await,
         };
--- a/experiments/src/soak/clients/version_probes.rs
+++ b/experiments/src/soak/clients/version_probes.rs
@@ -60,7 +60,7 @@
 
     fn check_unknown_version(&self, edge: usize, version: CommittedVersion, sent_at: Instant) {
         let CommittedVersion { rev, known_at } = version;
-        self.oracle.count("probe: version not known yet");
+        self.oracle.count("probe: version not applied yet");
         let is_newest = self.operators.newest().is_some_and(|newest| newest.rev == rev);
         if self.edges[edge].has_known(rev) && is_newest {
             self.oracle.record_violation(
--- a/experiments/src/soak/machines.rs
+++ b/experiments/src/soak/machines.rs
@@ -194,7 +194,7 @@
         let ProcessRole { machine, role } = process;
         if status.signal() == Some(Signal::SIGHUP as i32) {
             // Until a new process has installed its signal handler, SIGHUP has its default action and terminates it.
-            self.oracle.count("ended by a hangup at its start");
+            self.oracle.count("terminated by SIGHUP during startup");
         } else {
             let details = format!("{role} on {machine} exited unexpectedly: {status}");
             self.oracle.record_violation(Invariant::NoUnexpectedExit, details);
--- a/experiments/src/soak/operators/mod.rs
+++ b/experiments/src/soak/operators/mod.rs
@@ -183,7 +183,7 @@
                 _ => sleep(RETRY_PAUSE).await,
             }
         }
-        self.oracle.count("order without a clear answer");
+        self.oracle.count("change without a definite response");
         false
     }
 
@@ -194,7 +194,7 @@
     }
 
     fn record_acknowledged(&self, change: &ConfigChange) {
-        self.oracle.count("order acknowledged");
+        self.oracle.count("change acknowledged");
         self.set_state(change, ChangeState::Acknowledged);
         let before = self.winners.borrow_mut().insert(change.builds_on, change.number);
         if let Some(before) = before.filter(|before| *before != change.number) {
@@ -211,7 +211,7 @@
     }
 
     fn record_rejected(&self, change: &ConfigChange) {
-        self.oracle.count("order refused");
+        self.oracle.count("change rejected");
         self.set_state(change, ChangeState::Rejected);
     }
 
@@ -273,7 +273,7 @@
                 self.oracle.count("purge acknowledged");
                 ledger.purged(&path, old_version);
             } else {
-                self.oracle.count("purge without an answer");
+                self.oracle.count("purge not acknowledged");
             }
         }
     }
--- a/experiments/src/soak/operators/reads.rs
+++ b/experiments/src/soak/operators/reads.rs
@@ -66,7 +66,7 @@
             self.check_failed_read(response.status(), newest_before);
             return None;
         }
-        self.oracle.count("read answered");
+        self.oracle.count("read succeeded");
         let document: Value = serde_json::from_slice(response.body()).unwrap_or_default();
         self.check_read_version(node, &document, newest_before);
         let change = self.check_read_document(&document)?;
@@ -75,7 +75,7 @@
     }
 
     fn check_failed_read(&self, status: StatusCode, newest_before: Option<CommittedVersion>) {
-        self.oracle.count(if status.is_server_error() { "read refused" } else { "read: 4xx" });
+        self.oracle.count(if status.is_server_error() { "read failed (5xx)" } else { "read failed (4xx)" });
         if newest_before.is_some() && status.is_client_error() {
             let details = format!("a read failed with {status} although a version is committed");
             self.oracle.record_violation(Invariant::LinearizableRead, details);
--- a/experiments/src/soak/run.rs
+++ b/experiments/src/soak/run.rs
@@ -276,7 +276,7 @@
             if history.all_in_contact_since(last_machine, Instant::now()) {
                 oracle.record_violation(Invariant::NoRequestAfterDeregistration, arrivals);
             } else {
-                oracle.count("late at a server that left, out of touch");
+                oracle.count("request after drain, machines not in contact");
             }
         }
     }
