--- a/experiments/src/processor/cost.rs
+++ b/experiments/src/processor/cost.rs
@@ -9,7 +9,7 @@
 use super::trace::SystemCalls;
 use super::MEASURED_ROLES;
 
-/// Average cost of one request, or of one idle second, for the processes of a role. Also holds totals.
+/// Cost for the processes of a role: an average per request or idle second, or the total of a measurement.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Cost {
     /// Number of thread wake-ups.
--- a/experiments/src/soak/machines.rs
+++ b/experiments/src/soak/machines.rs
@@ -115,7 +115,7 @@
         }
         self.oracle.record_violation(
             Invariant::NoUnexpectedExit,
-            format!("{node}: processes did not exit in time after SIGTERM"),
+            format!("{node}: processes did not exit in time after SIGTERM or SIGKILL"),
         );
         self.signal(machine, processes, Signal::SIGKILL);
         sleep(EXIT_POLL_INTERVAL).await;
