--- a/balancer-node/src/upstream/mod.rs
+++ b/balancer-node/src/upstream/mod.rs
@@ -213,7 +213,7 @@
             let result = tokio::select! {
                 biased;
                 result = exchange => result,
-                () = progress.stalled(RESPONSE_TIMEOUT) => Some(AttemptResult::without_response(Status::Malformed)),
+                () = progress.response_timed_out(RESPONSE_TIMEOUT) => Some(AttemptResult::without_response(Status::Malformed)),
             };
             let Some(result) = result else { continue };
             if !matches!(result.status, Status::Malformed | Status::Broken | Status::Unreachable) {
--- a/balancer/src/balancer/admission.rs
+++ b/balancer/src/balancer/admission.rs
@@ -3,7 +3,7 @@
 use super::Balancer;
 use crate::interface::{Action, Key, NewRequest, RequestId, Seconds, ServerId, TimerToken};
 use crate::request::{Attempt, Request};
-use crate::rjch::mix;
+use crate::rjch::splitmix64;
 
 /// How long a request may be queued while all servers are full, as a share of its class's latency target.
 const MAX_QUEUE_TIME: f64 = 0.25;
@@ -26,7 +26,7 @@
             return;
         }
         self.retry_budget.record_request(self.now);
-        let key = new.key.unwrap_or(Key(mix(new.id.0)));
+        let key = new.key.unwrap_or(Key(splitmix64(new.id.0)));
         self.popularity.record(key, self.now);
         let over_quota = self.quotas.charge(
             new.tenant,
--- a/balancer/src/balancer/placement.rs
+++ b/balancer/src/balancer/placement.rs
@@ -4,7 +4,7 @@
 use crate::cached_keys::CacheLocation;
 use crate::interface::{Key, ServerId};
 use crate::request::Request;
-use crate::rjch::{cap, mix, unit_fraction};
+use crate::rjch::{cap, splitmix64, unit_fraction};
 use crate::server::{Server, FLEET_MIN_IN_FLIGHT};
 
 /// Minimum cap of a node at one server in mode `Aside`, where a miss after a jump costs another attempt and a
@@ -96,7 +96,7 @@
     /// key share: if all servers are equally overloaded, no server could take the keys over, and each takes
     /// all of its own.
     fn takes_key(&self, server: &Server, key: Key, jumps: u64, hash: u32) -> bool {
-        let fraction = unit_fraction(mix(key.0 ^ u64::from(hash)));
+        let fraction = unit_fraction(splitmix64(key.0 ^ u64::from(hash)));
         let offered_capacity = server.usable_capacity() * server.key_share.value();
         let is_warming_up = server.is_warming_up();
         server.usable_capacity() > 0.0
--- a/balancer/src/jitter.rs
+++ b/balancer/src/jitter.rs
@@ -1,6 +1,6 @@
 //! Pseudo-random numbers for jitter, reproducible for each seed.
 
-use crate::rjch::{mix, unit_fraction};
+use crate::rjch::{splitmix64, unit_fraction};
 
 /// A pseudo-random number generator.
 pub struct Jitter {
@@ -10,12 +10,12 @@
 impl Jitter {
     /// A generator for this seed.
     pub fn new(seed: u64) -> Self {
-        Jitter { state: mix(seed) }
+        Jitter { state: splitmix64(seed) }
     }
 
     /// The next number, uniform from 0 to 1.
     pub fn next_fraction(&mut self) -> f64 {
         self.state = self.state.wrapping_add(1);
-        unit_fraction(mix(self.state))
+        unit_fraction(splitmix64(self.state))
     }
 }
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -137,6 +137,6 @@
 
 pub use balancer::Balancer;
 pub use interface::*;
-pub use rjch::mix;
+pub use rjch::splitmix64;
 pub use settings::*;
 pub use shields::Shields;
--- a/balancer/src/rjch.rs
+++ b/balancer/src/rjch.rs
@@ -26,7 +26,7 @@
 }
 
 /// The splitmix64 finaliser, written out so that other implementations compute the same homes.
-pub fn mix(mut hash: u64) -> u64 {
+pub fn splitmix64(mut hash: u64) -> u64 {
     hash = hash.wrapping_add(0x9e37_79b9_7f4a_7c15);
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -40,7 +40,7 @@
 
 /// h(key, attempt) of the paper.
 fn slot_of(key: Key, attempt: u64) -> usize {
-    (mix(mix(key.0) ^ attempt.wrapping_mul(0xd6e8_feb8_6659_fd93)) % SLOT_COUNT as u64) as usize
+    (splitmix64(splitmix64(key.0) ^ attempt.wrapping_mul(0xd6e8_feb8_6659_fd93)) % SLOT_COUNT as u64) as usize
 }
 
 /// The weight by which a server gets points in the slot array.
@@ -137,10 +137,10 @@
 
 /// The points of a server, derived from its name and weight.
 fn points_of(server: &ServerWeight, member: u16) -> impl Iterator<Item = Point> {
-    let name_hash = server.server.0.bytes().fold(0, |hash, byte| mix(hash ^ u64::from(byte)));
+    let name_hash = server.server.0.bytes().fold(0, |hash, byte| splitmix64(hash ^ u64::from(byte)));
     let count = (POINTS_PER_WEIGHT * server.weight).round().max(1.0) as u64;
     (0..count).map(move |index| {
-        let hash = mix(name_hash ^ mix(index));
+        let hash = splitmix64(name_hash ^ splitmix64(index));
         Point { slot: (hash % SLOT_COUNT as u64) as u16, hash: (hash >> 32) as u32, member }
     })
 }
--- a/balancer/src/shields.rs
+++ b/balancer/src/shields.rs
@@ -96,7 +96,7 @@
     }
 
     /// Counts a request that is sent to a shield.
-    pub fn begin(&mut self, shield: &ServerId) {
+    pub fn begin_request(&mut self, shield: &ServerId) {
         self.in_flight += 1;
         if let Some(shield) = self.ready.get_mut(shield) {
             shield.in_flight += 1;
@@ -104,7 +104,7 @@
     }
 
     /// Counts the end of a request at a shield, also when the edge gives it up.
-    pub fn end(&mut self, shield: &ServerId) {
+    pub fn end_request(&mut self, shield: &ServerId) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(shield) = self.ready.get_mut(shield) {
             shield.in_flight = shield.in_flight.saturating_sub(1);
--- a/balancer/tests/shields.rs
+++ b/balancer/tests/shields.rs
@@ -1,6 +1,6 @@
 //! The edge's choice of a shield: RJ-CH over the ready shields and its exceptions.
 
-use glenfall_balancer::{mix, Key, ServerId, Shields};
+use glenfall_balancer::{splitmix64, Key, ServerId, Shields};
 
 fn id(n: u64) -> ServerId {
     ServerId(format!("10.0.0.{n}:7721").as_str().into())
@@ -13,7 +13,7 @@
 }
 
 fn key(n: u64) -> Key {
-    Key(mix(n))
+    Key(splitmix64(n))
 }
 
 fn homes(shields: &mut Shields) -> Vec<ServerId> {
@@ -41,7 +41,7 @@
     let home = shields.choose(0.0, key(1), &[]).unwrap().clone();
     let mut in_flight = 0;
     while shields.choose(0.0, key(1), &[]) == Some(&home) {
-        shields.begin(&home);
+        shields.begin_request(&home);
         in_flight += 1;
         assert!(in_flight < 100, "a cap");
     }
@@ -54,7 +54,7 @@
         .filter(|shield| *shield != home)
         .collect();
     assert_eq!(next.len(), 2);
-    shields.end(&home);
+    shields.end_request(&home);
     shields.record_outcome(0.0, &home, 0.0, false);
     assert_eq!(shields.choose(0.0, key(1), &[]), Some(&home));
 }
@@ -64,13 +64,13 @@
     let mut shields = shields([1, 2, 3]);
     let others: Vec<_> = [1, 2, 3].map(id).into_iter().collect();
     for _ in 0..40 {
-        others.iter().for_each(|s| shields.begin(s));
+        others.iter().for_each(|s| shields.begin_request(s));
     }
     // 120 in flight: ⌈1.7 · 121 / 3⌉ = 69 at each.
     let home = shields.choose(0.0, key(1), &[]).unwrap().clone();
     let mut in_flight = 40;
     while shields.choose(0.0, key(1), &[]) == Some(&home) {
-        shields.begin(&home);
+        shields.begin_request(&home);
         in_flight += 1;
     }
     assert!((69..=120).contains(&in_flight), "{in_flight}");
@@ -80,22 +80,22 @@
 fn a_failed_shield_is_ejected_and_while_all_are_ejected_one_request_tests_them() {
     let mut shields = shields([1, 2, 3]);
     let home = shields.choose(0.0, key(1), &[]).unwrap().clone();
-    shields.begin(&home);
-    shields.end(&home);
+    shields.begin_request(&home);
+    shields.end_request(&home);
     shields.record_outcome(1.0, &home, 0.5, true);
     assert_ne!(shields.choose(2.0, key(1), &[]), Some(&home));
     assert_eq!(shields.choose(3.1, key(1), &[]), Some(&home));
     for n in 1..=3 {
-        shields.begin(&id(n));
-        shields.end(&id(n));
+        shields.begin_request(&id(n));
+        shields.end_request(&id(n));
         shields.record_outcome(4.0, &id(n), 3.5, true);
     }
     assert_eq!(shields.choose(4.1, key(1), &[]), Some(&home), "to see whether it answers");
     assert_eq!(shields.choose(4.2, key(1), &[]), None);
     assert_eq!(shields.choose(4.7, key(1), &[id(9)]), None, "one that has waited does not wait again");
     assert_eq!(shields.choose(4.7, key(1), &[]), Some(&home));
-    shields.begin(&home);
-    shields.end(&home);
+    shields.begin_request(&home);
+    shields.end_request(&home);
     assert!(shields.all_ejected(4.7));
     shields.record_outcome(4.8, &home, 4.7, false);
     assert!(!shields.all_ejected(4.8), "one answers again");
@@ -116,16 +116,16 @@
 fn a_shield_that_answers_others_is_not_ejected_for_one_request_that_waits() {
     let mut shields = shields([1, 2, 3]);
     let home = shields.choose(0.0, key(1), &[]).unwrap().clone();
-    shields.begin(&home);
-    shields.begin(&home);
-    shields.end(&home);
+    shields.begin_request(&home);
+    shields.begin_request(&home);
+    shields.end_request(&home);
     shields.record_outcome(1.2, &home, 1.1, false);
-    shields.end(&home);
+    shields.end_request(&home);
     shields.record_outcome(1.3, &home, 1.0, true);
     assert_eq!(shields.choose(1.4, key(1), &[]), Some(&home));
     // The shield has answered nothing since this request was sent.
-    shields.begin(&home);
-    shields.end(&home);
+    shields.begin_request(&home);
+    shields.end_request(&home);
     shields.record_outcome(1.8, &home, 1.5, true);
     assert_ne!(shields.choose(1.9, key(1), &[]), Some(&home));
 }
--- a/control-plane/src/chain/mod.rs
+++ b/control-plane/src/chain/mod.rs
@@ -263,7 +263,7 @@
     }
 
     /// Announces that this node is about to stop, so that the others form a chain without it at once.
-    pub fn leave(&mut self, now: Millis) -> Vec<Output> {
+    pub fn start_draining(&mut self, now: Millis) -> Vec<Output> {
         self.now = now;
         self.draining = true;
         self.send_heartbeats();
--- a/control-plane/src/chain/peers.rs
+++ b/control-plane/src/chain/peers.rs
@@ -289,7 +289,7 @@
 
     /// Whether this node, together with the peers that it reaches, forms a quorum of the voters.
     pub fn has_quorum(&self) -> bool {
-        self.members().majority(|node| !self.has_failed(*node))
+        self.members().is_quorum(|node| !self.has_failed(*node))
     }
 
     /// [`Chain::has_quorum`] at the time `now`. The last tick may be old if the process was suspended.
@@ -301,8 +301,9 @@
     /// Whether this node and the peers that have answered it form a quorum, both of the voters that this node knows and
     /// of those that each of the peers knows: this node may have been replaced without knowing it.
     pub fn is_quorum(&self, answered: &[NodeId]) -> bool {
-        let is_quorum =
-            |members: &JointConfig| members.majority(|node| *node == self.node_id || answered.contains(node));
+        let is_quorum = |members: &JointConfig| {
+            members.is_quorum(|node| *node == self.node_id || answered.contains(node))
+        };
         let known_to_peers =
             answered.iter().filter_map(|node| self.peers.get(*node)).map(|peer| &peer.heartbeat.members);
         is_quorum(self.members())
--- a/control-plane/src/chain/proposal.rs
+++ b/control-plane/src/chain/proposal.rs
@@ -74,7 +74,7 @@
     /// the new set could never form a majority again.
     fn can_become_voters(&self, wanted: &[NodeId], current: &JointConfig) -> bool {
         wanted.iter().all(|node| current.contains(*node) || self.has_vote(node))
-            && JointConfig::of(wanted.to_vec()).majority(|node| self.has_vote(node))
+            && JointConfig::of(wanted.to_vec()).is_quorum(|node| self.has_vote(node))
     }
 
     /// The voters of the next view. `started` is whether the view with the current voters is known to have started.
@@ -162,7 +162,7 @@
     /// started.
     pub(super) fn choose_view(&mut self, newest: &Accepted, started: bool) -> Option<ChosenView> {
         let Phase::Gathering(gathering) = &self.phase else { return None };
-        if !newest.members.majority(|node| gathering.has_vote(node)) {
+        if !newest.members.is_quorum(|node| gathering.has_vote(node)) {
             return None;
         }
         let view = View {
--- a/control-plane/src/chain/quorum.rs
+++ b/control-plane/src/chain/quorum.rs
@@ -25,7 +25,7 @@
     }
 
     /// Whether the nodes that the predicate selects form a quorum: a majority of each voter set.
-    pub fn majority(&self, predicate: impl Fn(&NodeId) -> bool) -> bool {
+    pub fn is_quorum(&self, predicate: impl Fn(&NodeId) -> bool) -> bool {
         self.every_set(|set| set.iter().filter(|node| predicate(node)).count() > set.len() / 2)
     }
 
--- a/control-plane/src/chain/reconfiguration.rs
+++ b/control-plane/src/chain/reconfiguration.rs
@@ -155,7 +155,7 @@
         let members = self.members();
         let has_no_vote = |node: NodeId| members.contains(node) && self.is_wiped(node);
         let can_vote = |node: &NodeId| reachable.contains(node) && !has_no_vote(*node);
-        if JointConfig::of(voters.to_vec()).majority(can_vote) {
+        if JointConfig::of(voters.to_vec()).is_quorum(can_vote) {
             return Ok(());
         }
         let there = voters.iter().filter(|node| can_vote(node)).count();
@@ -228,7 +228,7 @@
     /// never come back, and is replaced before it stops.
     fn has_to_be_replaced(&self, voter: NodeId) -> bool {
         self.peers.matches(voter, |peer| peer.draining)
-            || self.time_since_last_message(voter) >= self.settings.replaced_after()
+            || self.time_since_last_message(voter) >= self.settings.replacement_delay()
     }
 
     /// The standbys: reachable control nodes that are not voters, and whose settings allow them to become voters.
--- a/control-plane/src/chain/replication.rs
+++ b/control-plane/src/chain/replication.rs
@@ -56,7 +56,7 @@
             let ack = Message::Acked { view: view.number, seq: entry.seq };
             view.chain.iter().map(|member| Output::Send(*member, ack.clone())).collect()
         };
-        self.hard_state.record = Arc::new(self.hard_state.record.after(entry));
+        self.hard_state.record = Arc::new(self.hard_state.record.with_entry_applied(entry));
         self.persist(follow_up);
     }
 
--- a/control-plane/src/chain/settings.rs
+++ b/control-plane/src/chain/settings.rs
@@ -36,7 +36,7 @@
 /// Default of [`ChainSettings::sync`].
 const DEFAULT_SYNC: Millis = 4000;
 /// Time for the three views of a reconfiguration on slow disks (50 ms for each sync), each view after one
-/// [`PROPOSER_STAGGER`]: see [`ChainSettings::replaced_after`].
+/// [`PROPOSER_STAGGER`]: see [`ChainSettings::replacement_delay`].
 const RECONFIGURATION_TIME: Millis = 1200;
 /// Upper bound of the time that a further loss adds to a reconfiguration, besides the time to detect it: one more view,
 /// without the lost node.
@@ -118,7 +118,7 @@
     /// Upper bound of the time from the start of a standby until the machine that it replaces is no longer a voter,
     /// with all further losses during the reconfiguration. It has to be within `sync`.
     pub fn replacement_time(&self) -> Millis {
-        self.replaced_after() + self.view_changes_time() + self.further_losses() * self.peer_timeout()
+        self.replacement_delay() + self.view_changes_time() + self.further_losses() * self.peer_timeout()
     }
 
     /// Checks that `losses` that happen one after another can be repaired within `sync`.
@@ -137,7 +137,7 @@
     /// Time without a message after which a voter is replaced by a standby. The standby may have started at the time of
     /// the loss, so that the rest of `sync` has to suffice for the reconfiguration, with all other losses during it. If
     /// `sync` leaves enough time, a machine that only restarts keeps its vote.
-    pub fn replaced_after(&self) -> Millis {
+    pub fn replacement_delay(&self) -> Millis {
         let reconfiguration = self.view_changes_time() + self.further_losses() * self.peer_timeout();
         let time_left = self.sync.saturating_sub(reconfiguration);
         time_left.min(self.sync / 2).max(self.peer_timeout())
--- a/control-plane/src/chain/view_change.rs
+++ b/control-plane/src/chain/view_change.rs
@@ -85,7 +85,7 @@
 
     fn can_gather_quorum(&self, target: &[NodeId]) -> bool {
         let has_vote = |node: &NodeId| target.contains(node) && !self.is_wiped(*node);
-        self.hard_state.votes && self.members().majority(has_vote)
+        self.hard_state.votes && self.members().is_quorum(has_vote)
     }
 
     /// Whether this node is outside the newest started chain, and waits until a member of that chain proposes a view
--- a/control-plane/src/config/change.rs
+++ b/control-plane/src/config/change.rs
@@ -55,7 +55,7 @@
         if document.len() > MAX_DOCUMENT_BYTES {
             return Err(InvalidConfig::TooLarge(document.len()));
         }
-        let rev = Config::read(&document)?.rev;
+        let rev = Config::parse(&document)?.rev;
         if rev <= current_rev {
             return Err(InvalidConfig::OldVersion { current: current_rev, got: rev });
         }
--- a/control-plane/src/config/document.rs
+++ b/control-plane/src/config/document.rs
@@ -77,7 +77,7 @@
     /// Name of the service for a request. `draw` is a number from 0 to 1 that the caller draws at random for the
     /// request; equal numbers give the same service. `None` if the route has no backend and no split with a positive
     /// weight.
-    pub fn service(&self, draw: f64) -> Option<&str> {
+    pub fn choose_backend(&self, draw: f64) -> Option<&str> {
         if let Some(backend) = &self.backend {
             return Some(backend);
         }
--- a/control-plane/src/config/mod.rs
+++ b/control-plane/src/config/mod.rs
@@ -50,7 +50,7 @@
     /// # Errors
     ///
     /// [`InvalidConfig`] if the document is malformed or inconsistent.
-    pub fn read(document: &[u8]) -> Result<Config, InvalidConfig> {
+    pub fn parse(document: &[u8]) -> Result<Config, InvalidConfig> {
         let mut config: Config =
             serde_json::from_slice(document).map_err(|error| InvalidConfig::Unreadable(error.to_string()))?;
         validation::check(&config.paths, &config.backends)?;
--- a/control-plane/src/fleet/mod.rs
+++ b/control-plane/src/fleet/mod.rs
@@ -7,7 +7,7 @@
 mod list_delta;
 mod members_update;
 
-use glenfall_balancer::mix;
+use glenfall_balancer::splitmix64;
 use serde::{Deserialize, Serialize};
 
 use crate::nodes::{Member, Server};
@@ -33,7 +33,7 @@
 
 /// Hash of the name of an edge's machine. It identifies the edge among all edges.
 pub fn edge_hash(node: &str) -> u64 {
-    node.bytes().fold(0, |hash, byte| mix(hash ^ u64::from(byte)))
+    node.bytes().fold(0, |hash, byte| splitmix64(hash ^ u64::from(byte)))
 }
 
 impl Fleet {
@@ -99,7 +99,7 @@
 /// The base version of a delta is not the version that the receiver has: the receiver has missed an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("fleet update builds on version {base_version}, but the local version is {local_version}")]
-pub struct Gap {
+pub struct VersionMismatch {
     /// The version that the delta applies to.
     pub base_version: u64,
     /// The version that the receiver has.
@@ -127,7 +127,7 @@
     /// Replaces the fleet by `next`, and returns the update for receivers of the current version; `None` if they need
     /// none. A change of a server's remaining slow start alone causes no update, as it only decreases with time. It is
     /// sent when the server is new or another field of it changes.
-    pub fn advance_to(&mut self, next: Fleet) -> Option<FleetUpdate> {
+    pub fn replace(&mut self, next: Fleet) -> Option<FleetUpdate> {
         let current = &self.fleet;
         let delta = FleetDelta {
             base_version: self.version,
@@ -160,8 +160,8 @@
     ///
     /// # Errors
     ///
-    /// [`Gap`] if the delta has another base version than the local one. The fleet is not changed then.
-    pub fn apply_update(&mut self, update: FleetUpdate) -> Result<(), Gap> {
+    /// [`VersionMismatch`] if the delta has another base version than the local one. The fleet is not changed then.
+    pub fn apply_update(&mut self, update: FleetUpdate) -> Result<(), VersionMismatch> {
         match update {
             FleetUpdate::Snapshot { version, fleet } => {
                 self.version = version;
@@ -169,7 +169,10 @@
             }
             FleetUpdate::Delta(delta) => {
                 if delta.base_version != self.version {
-                    return Err(Gap { base_version: delta.base_version, local_version: self.version });
+                    return Err(VersionMismatch {
+                        base_version: delta.base_version,
+                        local_version: self.version,
+                    });
                 }
                 self.apply(&delta);
             }
--- a/control-plane/src/known_fleet.rs
+++ b/control-plane/src/known_fleet.rs
@@ -5,7 +5,7 @@
 
 use std::collections::HashSet;
 
-use crate::fleet::{Fleet, FleetDelta, FleetUpdate, Gap, VersionedFleet};
+use crate::fleet::{Fleet, FleetDelta, FleetUpdate, VersionMismatch, VersionedFleet};
 
 /// The fleet that a process uses, and may publish to others.
 #[derive(Default)]
@@ -34,9 +34,9 @@
     ///
     /// # Errors
     ///
-    /// [`Gap`] if the update is a delta whose base version is not the publisher's last known version. Nothing changes
+    /// [`VersionMismatch`] if the update is a delta whose base version is not the publisher's last known version. Nothing changes
     /// then.
-    pub fn apply_update(&mut self, update: FleetUpdate) -> Result<Option<FleetUpdate>, Gap> {
+    pub fn apply_update(&mut self, update: FleetUpdate) -> Result<Option<FleetUpdate>, VersionMismatch> {
         let direct_delta = match &update {
             FleetUpdate::Delta(delta) if self.can_apply_directly(delta) => Some(delta.clone()),
             FleetUpdate::Delta(_) | FleetUpdate::Snapshot { .. } => None,
@@ -58,7 +58,7 @@
         let is_first = self.merged.is_none();
         let merged = self.merged.get_or_insert_default();
         let next = merge(merged.fleet(), self.published.fleet().clone());
-        let delta = merged.advance_to(next);
+        let delta = merged.replace(next);
         self.in_sync = merged.fleet() == self.published.fleet();
         if is_first {
             Some(merged.snapshot())
--- a/control-plane/src/lease.rs
+++ b/control-plane/src/lease.rs
@@ -3,7 +3,7 @@
 //! A proxy serves stored responses only while it holds a lease. Before a process acknowledges a purge, each lease
 //! holder must have acknowledged the purge, or its lease must have expired.
 //!
-//! Leases are nested. Each voter grants every control node a lease of [`VOTER_LEASE`]. A control node that holds leases
+//! Leases are nested. Each voter grants every control node a lease of [`VOTER_LEASE_DURATION`]. A control node that holds leases
 //! from a quorum of the voters grants its sessions a part of the remaining time, and an agent does the same for its
 //! proxies. So the proxies below a control node, over any number of hops, serve no stored responses once the voters'
 //! grants to that node have expired.
@@ -20,11 +20,11 @@
 use crate::Millis;
 
 /// Length of the lease that a voter grants a control node.
-pub const VOTER_LEASE: Millis = 1500;
+pub const VOTER_LEASE_DURATION: Millis = 1500;
 /// Interval at which control nodes renew the leases of voters.
-pub const VOTER_RENEWAL: Millis = 250;
+pub const VOTER_LEASE_RENEWAL_INTERVAL: Millis = 250;
 /// Longest lease that is granted to a session. Subscribers renew it with each ping.
-pub const SESSION_LEASE: Millis = 1200;
+pub const MAX_SESSION_LEASE_DURATION: Millis = 1200;
 /// The rates of two clocks may differ by 1 %: a granter adds the lease duration divided by this number to its wait.
 const CLOCK_DRIFT_DIVISOR: Millis = 100;
 /// Margin for clock readings that are truncated to milliseconds at each hop.
@@ -83,7 +83,7 @@
 
     /// Grants a part of a lease that the granter itself holds until `own_expiry`. Returns its duration, measured from
     /// the request; `None` if no time is left to grant.
-    pub fn grant_part(
+    pub fn grant_sublease(
         &mut self,
         now: Millis,
         holder: K,
@@ -93,7 +93,7 @@
         if now >= own_expiry {
             return None;
         }
-        let expires_at = own_expiry.min(now + SESSION_LEASE);
+        let expires_at = own_expiry.min(now + MAX_SESSION_LEASE_DURATION);
         let duration = expires_at.checked_sub(received_at)?;
         self.grant(holder, received_at, duration);
         Some(duration)
@@ -143,7 +143,7 @@
     /// A node that is a quorum by itself grants itself a lease.
     pub fn quorum_expiry(&self, now: Millis, is_quorum: impl Fn(&[Ipv4Addr]) -> bool) -> Millis {
         if is_quorum(&[]) {
-            return now + VOTER_LEASE;
+            return now + VOTER_LEASE_DURATION;
         }
         let mut latest_first: Vec<(&Ipv4Addr, &Lease)> = self.by_voter.iter().collect();
         latest_first.sort_unstable_by_key(|(voter, lease)| Reverse((lease.expires_at, **voter)));
--- a/control-plane/src/purge_history.rs
+++ b/control-plane/src/purge_history.rs
@@ -107,7 +107,7 @@
     }
 
     /// The purges that a session has to apply after it has connected.
-    pub fn missed(&self, now: Millis) -> Vec<AgedPurge> {
+    pub fn purges_for_new_session(&self, now: Millis) -> Vec<AgedPurge> {
         if self.overflowed_at.is_some() {
             return vec![AgedPurge { purge: Purge::Everything, age_ms: 0 }];
         }
--- a/control-plane/src/record.rs
+++ b/control-plane/src/record.rs
@@ -73,7 +73,7 @@
     }
 
     /// The record with one more log entry applied.
-    pub fn after(&self, entry: &LogEntry) -> Record {
+    pub fn with_entry_applied(&self, entry: &LogEntry) -> Record {
         let mut applied_orders = self.applied_orders.clone();
         applied_orders.push(entry.order);
         Record { seq: entry.seq, rev: entry.order.rev, document: entry.document.clone(), applied_orders }
--- a/control-plane/src/subset.rs
+++ b/control-plane/src/subset.rs
@@ -17,7 +17,7 @@
 
 use std::collections::BTreeMap;
 
-use glenfall_balancer::mix;
+use glenfall_balancer::splitmix64;
 
 use crate::fleet::edge_hash;
 
@@ -60,14 +60,14 @@
     let ring = Ring::new(servers, total_capacity);
     let mut free_slots = slots(edges.len() * size, servers, total_capacity);
     let mut edges = edges.to_vec();
-    edges.sort_unstable_by_key(|edge| mix(*edge));
+    edges.sort_unstable_by_key(|edge| splitmix64(*edge));
     let mut subsets: BTreeMap<u64, Vec<usize>> = edges.iter().map(|edge| (*edge, Vec::new())).collect();
     // In each turn, every edge chooses one server, so that no edge has to take all its servers from the last free
     // slots.
     for turn in 0..size {
         for edge in &edges {
             let Some(subset) = subsets.get_mut(edge) else { continue };
-            let start = mix(edge ^ mix(turn as u64 + 1));
+            let start = splitmix64(edge ^ splitmix64(turn as u64 + 1));
             if let Some(server) = ring.choose(start, subset, &free_slots) {
                 free_slots[server] = free_slots[server].saturating_sub(1);
                 subset.push(server);
@@ -105,7 +105,7 @@
         for (index, server) in servers.iter().enumerate() {
             let count = (POINTS_PER_SERVER as f64 * server.capacity() / mean_capacity).ceil() as u64;
             let server_hash = edge_hash(server.id);
-            let hashes = (0..count).map(|point| mix(server_hash ^ mix(point + 1)));
+            let hashes = (0..count).map(|point| splitmix64(server_hash ^ splitmix64(point + 1)));
             points.extend(hashes.map(|hash| Point { hash, server: index }));
         }
         points.sort_unstable();
--- a/control-plane/tests/chain.rs
+++ b/control-plane/tests/chain.rs
@@ -80,7 +80,7 @@
         step(&mut world);
     }
     let now = world.now;
-    world.with_chain(1, glenfall_control_plane::chain::Chain::leave);
+    world.with_chain(1, glenfall_control_plane::chain::Chain::start_draining);
     let needed = |world: &World| world.chain(1).is_some_and(Chain::is_needed);
     while needed(&world) && world.now < now + 600 {
         step(&mut world);
--- a/control-plane/tests/deduplication.rs
+++ b/control-plane/tests/deduplication.rs
@@ -37,7 +37,7 @@
 
 fn apply(record: &mut Record, order: &Order) {
     match record.decide(order.0, &order.1) {
-        Decision::New(entry) => *record = record.after(&entry),
+        Decision::New(entry) => *record = record.with_entry_applied(&entry),
         other => panic!("{order:?} was not applied to version {}: {other:?}", record.rev),
     }
 }
@@ -291,7 +291,7 @@
                 Decision::Invalid(_) => 4,
             }] += 1;
             if let Decision::New(entry) = decision {
-                record = record.after(&entry);
+                record = record.with_entry_applied(&entry);
                 reference.applied.push((order.clone(), rev));
             }
             if rng.random_bool(0.3) && in_flight.len() < 8 {
--- a/control-plane/tests/documents.rs
+++ b/control-plane/tests/documents.rs
@@ -175,7 +175,7 @@
                     assert_eq!(rev, next.rev, "{case}");
                     let value: Value = serde_json::from_slice(&new_document).unwrap();
                     assert_eq!(value, next.json(), "{case}");
-                    let config = Config::read(&new_document).unwrap();
+                    let config = Config::parse(&new_document).unwrap();
                     for host in HOSTNAMES.iter().chain(&["three.example"]) {
                         for path in ["/", "/a", "/a/", "/a/b", "/a/b/c/d", "/ab/x", "/b/b/", "*", "/c"] {
                             let found = config.route(host, path).map(|route| route.name.as_str());
--- a/control-plane/tests/exhaustive/reconfiguration.rs
+++ b/control-plane/tests/exhaustive/reconfiguration.rs
@@ -47,7 +47,7 @@
             !lost.contains(&n) && disk.as_ref().map_or(n < FIRST_VOTERS, |disk| disk.votes)
         };
         let mut configs = configs.into_iter().flatten();
-        configs.all(|members| members.majority(votes))
+        configs.all(|members| members.is_quorum(votes))
     }
 
     /// Checks that the acknowledged change is committed after all nodes have lost power, and these their disks, and restarted.
--- a/control-plane/tests/exhaustive/world.rs
+++ b/control-plane/tests/exhaustive/world.rs
@@ -394,7 +394,7 @@
         let Some(rev) = self.acknowledged else { return Ok(()) };
         let has_change = |machine: &Machine| machine.disk.as_ref().is_some_and(|disk| disk.record.rev == rev);
         let is_replicated =
-            |members: &JointConfig| members.majority(|id| has_change(&self.machines[index_of(*id)]));
+            |members: &JointConfig| members.is_quorum(|id| has_change(&self.machines[index_of(*id)]));
         if self.newest_started_view().is_some_and(|view| is_replicated(&view.members)) {
             Ok(())
         } else {
--- a/control-plane/tests/lease_world/control.rs
+++ b/control-plane/tests/lease_world/control.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-use glenfall_control_plane::lease::{granter_wait, Grants, VoterLeases, VOTER_LEASE};
+use glenfall_control_plane::lease::{granter_wait, Grants, VoterLeases, VOTER_LEASE_DURATION};
 use glenfall_control_plane::messages::ProcessId;
 use glenfall_control_plane::Millis;
 use rand::Rng;
@@ -60,7 +60,7 @@
 
 impl Control {
     pub fn started(now: Millis) -> Control {
-        Control { previous_grants_until: now + granter_wait(VOTER_LEASE), ..Control::default() }
+        Control { previous_grants_until: now + granter_wait(VOTER_LEASE_DURATION), ..Control::default() }
     }
 
     fn open_links(&self) -> impl Iterator<Item = (usize, &Link)> {
@@ -190,11 +190,15 @@
             Message::PeerRenew { incarnation: peer_incarnation, sent }
                 if peer_incarnation == peer.incarnation =>
             {
-                control.peer_grants.grant(peer, now, VOTER_LEASE);
+                control.peer_grants.grant(peer, now, VOTER_LEASE_DURATION);
                 self.send(
                     me,
                     connection,
-                    Message::PeerGranted { incarnation: peer_incarnation, sent, duration: VOTER_LEASE },
+                    Message::PeerGranted {
+                        incarnation: peer_incarnation,
+                        sent,
+                        duration: VOTER_LEASE_DURATION,
+                    },
                 );
             }
             Message::PeerGranted { incarnation: granted_incarnation, sent, duration }
--- a/control-plane/tests/lease_world/sessions.rs
+++ b/control-plane/tests/lease_world/sessions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use glenfall_control_plane::lease::{Grants, Lease, SESSION_LEASE};
+use glenfall_control_plane::lease::{Grants, Lease, MAX_SESSION_LEASE_DURATION};
 use glenfall_control_plane::Millis;
 use rand::Rng;
 
@@ -96,11 +96,11 @@
             sessions.by_connection.get(&connection).filter(|session| session.last_applied >= session.overdue);
         let Some((sent, received)) = session.and_then(|session| session.renewal) else { return };
         let until = if grants_in_full && now < sessions.lease_expiry {
-            now + SESSION_LEASE
+            now + MAX_SESSION_LEASE_DURATION
         } else {
             sessions.lease_expiry
         };
-        if let Some(duration) = sessions.grants.grant_part(now, connection, received, until) {
+        if let Some(duration) = sessions.grants.grant_sublease(now, connection, received, until) {
             self.send(publisher, connection, Message::Granted { sent, duration });
         }
     }
--- a/control-plane/tests/members.rs
+++ b/control-plane/tests/members.rs
@@ -44,7 +44,7 @@
 
 struct RunResult {
     /// Time from the start of each replacement until the removed machine has no vote.
-    replaced_after: Vec<Millis>,
+    replacement_delay: Vec<Millis>,
     /// Time from each return of a machine until it is in a chain again.
     readmitted_after: Vec<Millis>,
     changes: u64,
@@ -88,7 +88,7 @@
             next_spare: size.voters() + 1,
             planned_removals: BTreeMap::new(),
             result: RunResult {
-                replaced_after: Vec::new(),
+                replacement_delay: Vec::new(),
                 readmitted_after: Vec::new(),
                 changes: 0,
                 losses: 0,
@@ -155,7 +155,7 @@
             Loss::Killed { .. } => self.world.kill(n),
             Loss::PoweredOff { .. } => self.world.power_off(n, wipe),
             Loss::Removed { .. } => self.world.power_off(n, true),
-            Loss::Draining { .. } => self.world.with_chain(n, Chain::leave),
+            Loss::Draining { .. } => self.world.with_chain(n, Chain::start_draining),
             Loss::Paused { .. } | Loss::Back { .. } => self.world.pause(n, 2 * SIMULATED_TIME),
         }
         if matches!(loss, Loss::Removed { .. }) {
@@ -241,7 +241,7 @@
         let Some(n) = self.planned_removals.iter().find_map(due) else { return };
         if self.losses.len() < usize::from(self.world.size.losses) {
             self.planned_removals.remove(&n);
-            self.world.with_chain(n, Chain::leave);
+            self.world.with_chain(n, Chain::start_draining);
             self.losses.insert(n, Loss::Draining { until: now + DRAIN_TIMEOUT, restart_after: None });
         }
     }
@@ -257,7 +257,7 @@
             running.contains(&n) && disk(&n).is_some_and(|disk| disk.votes)
         };
         assert!(
-            newest.members.majority(votes),
+            newest.members.is_quorum(votes),
             "seed {}: at {} ms no majority of {:?} is running\n{}",
             self.seed,
             self.world.now,
@@ -287,9 +287,9 @@
             |replacement: &u8| members.voters.contains(&node(*replacement)) && members.outgoing.is_empty();
         self.awaiting_vote.retain(|replacement, _| !has_vote(replacement));
         let has_no_vote = |n: &u8| !members.contains(node(*n)) && members.outgoing.is_empty();
-        let replaced_after = &mut self.result.replaced_after;
+        let replacement_delay = &mut self.result.replacement_delay;
         self.removed.retain(|n, replacement| {
-            replaced_after.extend(replacement.filter(|_| has_no_vote(n)).map(|since| now - since));
+            replacement_delay.extend(replacement.filter(|_| has_no_vote(n)).map(|since| now - since));
             replacement.is_none() || !has_no_vote(n)
         });
         let readmitted_after = &mut self.result.readmitted_after;
@@ -377,7 +377,7 @@
     let mut results: BTreeMap<(u8, Millis), (Vec<Millis>, Millis)> = BTreeMap::new();
     let mut record_result = |(losses, sync, result): (u8, Millis, RunResult)| {
         let entry = results.entry((losses, sync)).or_default();
-        entry.0.extend(&result.replaced_after);
+        entry.0.extend(&result.replacement_delay);
         entry.1 = result.readmitted_after.iter().copied().max().unwrap_or(0).max(entry.1);
         (result.changes, result.losses)
     };
@@ -403,11 +403,11 @@
         }
     });
     println!("{changes} changes acknowledged, {losses} losses");
-    for ((losses, sync), (mut replaced_after, longest_readmission)) in results {
-        replaced_after.sort_unstable();
-        let (removed, longest) = (replaced_after.len(), replaced_after.last().copied().unwrap_or(0));
-        let percentile_99 = replaced_after.get(removed * 99 / 100).copied().unwrap_or(0);
-        let later_than_sync = replaced_after.iter().filter(|took| **took > sync).count();
+    for ((losses, sync), (mut replacement_delay, longest_readmission)) in results {
+        replacement_delay.sort_unstable();
+        let (removed, longest) = (replacement_delay.len(), replacement_delay.last().copied().unwrap_or(0));
+        let percentile_99 = replacement_delay.get(removed * 99 / 100).copied().unwrap_or(0);
+        let later_than_sync = replacement_delay.iter().filter(|took| **took > sync).count();
         println!("losses {losses}, syncS {sync} ms: {removed} removed, 99 % without a vote after {percentile_99} ms, the last after {longest} ms, {later_than_sync} later than syncS; returned machines in a chain after {longest_readmission} ms at most");
     }
     assert!(changes > runs * 50 && losses > runs * 5, "{changes} changes, {losses} losses");
--- a/control-plane/tests/unit/config.rs
+++ b/control-plane/tests/unit/config.rs
@@ -18,7 +18,7 @@
 }
 
 fn read(document: &Value) -> Result<Config, InvalidConfig> {
-    Config::read(document.to_string().as_bytes())
+    Config::parse(document.to_string().as_bytes())
 }
 
 #[test]
@@ -40,9 +40,9 @@
 fn a_split_divides_requests_by_weight() {
     let config = read(&document()).unwrap();
     let route = config.route("one.example", "/a/b/").unwrap();
-    let drawn = (0..1000).filter(|n| route.service(f64::from(*n) / 1000.0) == Some("t")).count();
+    let drawn = (0..1000).filter(|n| route.choose_backend(f64::from(*n) / 1000.0) == Some("t")).count();
     assert_eq!(drawn, 100);
-    assert_eq!(route.service(1.0), Some("t"));
+    assert_eq!(route.choose_backend(1.0), Some("t"));
 }
 
 #[test]
@@ -74,7 +74,7 @@
     }
     let json_text = document().to_string();
     assert!(matches!(
-        Config::read(&json_text.as_bytes()[..json_text.len() - 9]),
+        Config::parse(&json_text.as_bytes()[..json_text.len() - 9]),
         Err(InvalidConfig::Unreadable(_))
     ));
 }
@@ -94,7 +94,7 @@
     let NewDocument { rev, document: patched } = change.apply(&current, 5).unwrap();
     let patched_json: Value = serde_json::from_slice(&patched).unwrap();
     assert_eq!((rev, &patched_json["extra"]["kept"]), (8, &Value::from(1.5)));
-    let config = Config::read(&patched).unwrap();
+    let config = Config::parse(&patched).unwrap();
     let names: Vec<_> = config.paths.iter().map(|route| route.name.as_str()).collect();
     assert_eq!(names, ["ab", "c"]);
     assert_eq!(config.backend("s").unwrap().rate_per_s, Some(9.0));
--- a/control-plane/tests/unit/fleet.rs
+++ b/control-plane/tests/unit/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use glenfall_control_plane::fleet::{edge_hash, Fleet, Gap, MembersUpdate, VersionedFleet};
+use glenfall_control_plane::fleet::{edge_hash, Fleet, MembersUpdate, VersionMismatch, VersionedFleet};
 use glenfall_control_plane::messages::{Member, ProxyRole, Server};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -49,12 +49,12 @@
     let mut changes = 0;
     for _ in 0..5000 {
         let next = random_fleet(&mut rng);
-        if let Some(update) = publisher.advance_to(next.clone()) {
+        if let Some(update) = publisher.replace(next.clone()) {
             receiver.apply_update(update).unwrap();
             changes += 1;
         }
         assert_eq!(receiver.fleet(), &next);
-        assert_eq!(publisher.advance_to(next), None, "nothing has changed");
+        assert_eq!(publisher.replace(next), None, "nothing has changed");
     }
     assert!(changes > 4900);
 }
@@ -63,12 +63,15 @@
 fn a_delta_with_another_base_version_is_rejected_and_changes_nothing() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let (mut publisher, mut receiver) = (VersionedFleet::default(), VersionedFleet::default());
-    let first = publisher.advance_to(random_fleet(&mut rng)).unwrap();
-    let missed = publisher.advance_to(random_fleet(&mut rng)).unwrap();
-    let third = publisher.advance_to(random_fleet(&mut rng)).unwrap();
+    let first = publisher.replace(random_fleet(&mut rng)).unwrap();
+    let missed = publisher.replace(random_fleet(&mut rng)).unwrap();
+    let third = publisher.replace(random_fleet(&mut rng)).unwrap();
     receiver.apply_update(first).unwrap();
     let before = receiver.fleet().clone();
-    assert_eq!(receiver.apply_update(third.clone()), Err(Gap { base_version: 2, local_version: 1 }));
+    assert_eq!(
+        receiver.apply_update(third.clone()),
+        Err(VersionMismatch { base_version: 2, local_version: 1 })
+    );
     assert_eq!(receiver.fleet(), &before);
     receiver.apply_update(missed).unwrap();
     receiver.apply_update(third).unwrap();
@@ -81,11 +84,11 @@
     let warming_up = |left| Server { warmup_left_ms: left, ready: true, ..server(1, &mut rng.clone()) };
     let fleet = |servers| Fleet { servers, ..Fleet::default() };
     let (mut publisher, mut receiver) = (VersionedFleet::default(), VersionedFleet::default());
-    receiver.apply_update(publisher.advance_to(fleet(vec![warming_up(3000)])).unwrap()).unwrap();
+    receiver.apply_update(publisher.replace(fleet(vec![warming_up(3000)])).unwrap()).unwrap();
     assert_eq!(receiver.fleet().servers[0].warmup_left_ms, 3000);
-    assert_eq!(publisher.advance_to(fleet(vec![warming_up(1000)])), None);
+    assert_eq!(publisher.replace(fleet(vec![warming_up(1000)])), None);
     let next = fleet(vec![warming_up(500), server(2, &mut rng)]);
-    receiver.apply_update(publisher.advance_to(next).unwrap()).unwrap();
+    receiver.apply_update(publisher.replace(next).unwrap()).unwrap();
     assert_eq!(receiver.fleet().servers.len(), 2);
 }
 
--- a/control-plane/tests/unit/settings.rs
+++ b/control-plane/tests/unit/settings.rs
@@ -34,7 +34,7 @@
         (3, 6000, 1000, 2200, 6000),
     ] {
         let settings = settings(losses, sync);
-        let times = (detection_time(settings), settings.replaced_after(), settings.replacement_time());
+        let times = (detection_time(settings), settings.replacement_delay(), settings.replacement_time());
         assert_eq!(times, (detected, replaced, needed), "{losses} losses, {sync} ms");
     }
 }
--- a/control-plane/tests/wire_format.rs
+++ b/control-plane/tests/wire_format.rs
@@ -156,12 +156,12 @@
         AgedPurge { purge: Purge::Everything, age_ms: 0 },
     ];
     let mut versioned_fleet = VersionedFleet::default();
-    let first = versioned_fleet.advance_to(fleet()).expect("the fleet has changed");
+    let first = versioned_fleet.replace(fleet()).expect("the fleet has changed");
     let mut next = fleet();
     next.servers.remove(0);
     next.shields.push(member("shield-2", ProxyRole::Shield));
     next.edges = vec![4];
-    let delta = versioned_fleet.advance_to(next).expect("the fleet has changed");
+    let delta = versioned_fleet.replace(next).expect("the fleet has changed");
     let updates = [
         ("config", Update::Config { rev: 9, document: Arc::new(br#"{"rev": 9}"#.to_vec()) }),
         ("fleet.whole", Update::Fleet(FleetUpdate::Snapshot { version: 6, fleet: fleet() })),
--- a/experiments/src/fleet/control_traffic.rs
+++ b/experiments/src/fleet/control_traffic.rs
@@ -217,7 +217,7 @@
         for node in self.nodes.iter_mut().filter(|node| node.dirty) {
             node.dirty = false;
             let fleet = node.current_fleet(self.now, self.cores);
-            let Some(update) = node.fleet.advance_to(fleet) else { continue };
+            let Some(update) = node.fleet.replace(fleet) else { continue };
             let sessions = node.sessions.len() as u64;
             let snapshot = node.fleet.snapshot();
             self.traffic.messages_to_edges += sessions;
--- a/experiments/src/fleet/reads.rs
+++ b/experiments/src/fleet/reads.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use glenfall_balancer::{mix, Key, ServerId, Shields};
+use glenfall_balancer::{splitmix64, Key, ServerId, Shields};
 use glenfall_control_plane::rate_limit::{QuotaHolder, RateLimitSettings, RateLimiter};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -118,7 +118,7 @@
     /// An edge reads an object at a time in seconds. A read is over before the next one where it finds a stored response;
     /// misses are few.
     fn read(&mut self, now: f64, edge: usize, object: u32) {
-        let key = Key(mix(u64::from(object) + 1));
+        let key = Key(splitmix64(u64::from(object) + 1));
         let Some(chosen) = self.choosers[edge].choose(now, key, &[]) else { return };
         let Some(index) = self.ids.iter().position(|id| id == chosen) else { return };
         let now_ms = (now * 1000.0) as u64;
--- a/experiments/src/hollow/nodes/mod.rs
+++ b/experiments/src/hollow/nodes/mod.rs
@@ -151,8 +151,8 @@
         let (hello, now) = (|| self.hello(), || self.lease.now());
         tokio::select! {
             () = self.wait_for_move(control) => {}
-            () = subscriber::follow(frames, outbox.clone(), hello, now, &self.became_ready, apply) => {}
-            () = subscriber::send_reports(&outbox, counters) => {}
+            () = subscriber::run_session(frames, outbox.clone(), hello, now, &self.became_ready, apply) => {}
+            () = subscriber::send_counters(&outbox, counters) => {}
         }
         self.observations.lost_sessions.fetch_add(1, Ordering::Relaxed);
         self.lose_contact();
--- a/experiments/src/ledger.rs
+++ b/experiments/src/ledger.rs
@@ -54,9 +54,9 @@
 /// bytes.
 pub fn body(path: &str, version: u64, length: usize) -> Bytes {
     let mut body = format!("{path} v{version}\n").into_bytes();
-    let mut filler = glenfall_balancer::mix(version ^ path.len() as u64);
+    let mut filler = glenfall_balancer::splitmix64(version ^ path.len() as u64);
     while body.len() < length {
-        filler = glenfall_balancer::mix(filler);
+        filler = glenfall_balancer::splitmix64(filler);
         body.extend_from_slice(&filler.to_le_bytes());
     }
     body.truncate(length);
--- a/experiments/src/load.rs
+++ b/experiments/src/load.rs
@@ -12,7 +12,7 @@
 use glenfall::memory_budget::MemoryBudget;
 use glenfall::operator::commands::{call_control, ControlAddresses};
 use glenfall::upstream::pool::{ExchangeParams, Pool, SendError};
-use glenfall_balancer::mix;
+use glenfall_balancer::splitmix64;
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Request, StatusCode};
@@ -144,7 +144,7 @@
     /// Generates the requests of a class: their arrivals are a Poisson process, their objects follow a Zipf law.
     async fn generate_class(self: Rc<Self>, number: usize, began_at: Instant, ends_at: Instant) {
         let class = self.plan.classes[number].clone();
-        let mut rng = ChaCha8Rng::seed_from_u64(mix(self.plan.seed ^ mix(number as u64)));
+        let mut rng = ChaCha8Rng::seed_from_u64(splitmix64(self.plan.seed ^ splitmix64(number as u64)));
         let Ok(objects) = Zipf::new(f64::from(class.objects), class.skew) else { return };
         let mut at = began_at;
         loop {
@@ -201,7 +201,7 @@
 
     fn next_id(&self) -> String {
         let number = self.next_id.replace(self.next_id.get() + 1);
-        format!("{:016x}", mix(self.plan.seed ^ mix(number)))
+        format!("{:016x}", splitmix64(self.plan.seed ^ splitmix64(number)))
     }
 
     async fn attempt(&self, attempt: &Attempt<'_>, began_at: Instant) -> AttemptResult {
@@ -258,7 +258,7 @@
 
     /// Changes objects and purges them, until it is aborted.
     pub async fn change_objects(self: Rc<Self>, controls: ControlAddresses) {
-        let mut rng = ChaCha8Rng::seed_from_u64(mix(self.plan.seed ^ CHANGE_STREAM));
+        let mut rng = ChaCha8Rng::seed_from_u64(splitmix64(self.plan.seed ^ CHANGE_STREAM));
         let rate: f64 = self.plan.classes.iter().map(|class| class.changes_per_s).sum();
         if rate <= 0.0 {
             return;
--- a/experiments/tests/unit/plan.rs
+++ b/experiments/tests/unit/plan.rs
@@ -8,7 +8,7 @@
     for text in [text, include_str!("../../plans/losses.toml"), include_str!("../../plans/small.toml")] {
         let plan = Plan::read(text).unwrap();
         let document = plan.document().to_string();
-        glenfall_control_plane::config::Config::read(document.as_bytes()).unwrap();
+        glenfall_control_plane::config::Config::parse(document.as_bytes()).unwrap();
     }
     assert_eq!(Plan::read(text).unwrap().load_factor(11.0), 6.0);
     assert_eq!(Plan::read(text).unwrap().load_factor(1.0), 1.0);
--- a/glenfall/src/agent/control_link.rs
+++ b/glenfall/src/agent/control_link.rs
@@ -89,7 +89,7 @@
         let relay = self.relay;
         tracing::info!(control = %addr, "connected to control");
         tokio::select! {
-            () = subscriber::follow(
+            () = subscriber::run_session(
                 frames,
                 outbox.clone(),
                 || relay.hello(),
@@ -97,7 +97,7 @@
                 relay.members_changed(),
                 async |message| relay.handle(message).await,
             ) => {}
-            () = subscriber::send_reports(&outbox, || relay.counters()) => {}
+            () = subscriber::send_counters(&outbox, || relay.counters()) => {}
         }
         tracing::warn!(control = %addr, "connection to control lost");
         if relay.release_leases().await {
--- a/glenfall/src/agent/known_state.rs
+++ b/glenfall/src/agent/known_state.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-use glenfall_control_plane::fleet::{FleetUpdate, Gap};
+use glenfall_control_plane::fleet::{FleetUpdate, VersionMismatch};
 use glenfall_control_plane::known_fleet::KnownFleet;
 use glenfall_control_plane::messages::{AgedPurge, Purge, Update};
 
@@ -40,7 +40,7 @@
 
     /// Applies an update of the fleet. Returns the update to forward; `None` if nothing changes. Fails if the update builds
     /// on an unknown version.
-    pub(super) fn apply_fleet(&mut self, update: FleetUpdate) -> Result<Option<Update>, Gap> {
+    pub(super) fn apply_fleet(&mut self, update: FleetUpdate) -> Result<Option<Update>, VersionMismatch> {
         let change = self.fleet.apply_update(update)?;
         Ok(change.map(Update::Fleet))
     }
--- a/glenfall/src/agent/proxy_listener.rs
+++ b/glenfall/src/agent/proxy_listener.rs
@@ -10,7 +10,7 @@
 
 use super::relay::Relay;
 use crate::session::link::{self, FrameReader, Outbox};
-use crate::session::publisher::{Reach, SubscriberConnection};
+use crate::session::publisher::{SubscriberConnection, SubscriberLocation};
 
 /// Pause after accepting a connection has failed. The usual reason is that no file descriptor is left.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
@@ -37,5 +37,5 @@
         return;
     }
     let outbox = Outbox::start(write);
-    relay.serve(SubscriberConnection { reach: Reach::SameMachine, frames, outbox }).await;
+    relay.serve(SubscriberConnection { location: SubscriberLocation::SameMachine, frames, outbox }).await;
 }
--- a/glenfall/src/agent/relay.rs
+++ b/glenfall/src/agent/relay.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use glenfall_control_plane::lease::{granter_wait, SESSION_LEASE};
+use glenfall_control_plane::lease::{granter_wait, MAX_SESSION_LEASE_DURATION};
 use glenfall_control_plane::messages::{AgedPurge, PublisherMessage, SubscriberMessage, Update};
 use glenfall_control_plane::Millis;
 use tokio::sync::Notify;
@@ -20,7 +20,7 @@
 /// How long the agent waits for its proxies to apply an update before it acknowledges the update.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time after which a proxy that is lost or has not applied a purge can't serve stored responses: its lease has ended.
-const LEASE_END_TIMEOUT: Duration = Duration::from_millis(granter_wait(SESSION_LEASE) + 100);
+const LEASE_END_TIMEOUT: Duration = Duration::from_millis(granter_wait(MAX_SESSION_LEASE_DURATION) + 100);
 /// How long to wait for proxies to acknowledge that they no longer serve stored responses.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(200);
 
--- a/glenfall/src/cache/disk/disk_cache.rs
+++ b/glenfall/src/cache/disk/disk_cache.rs
@@ -96,7 +96,7 @@
     }
 
     /// Sets the age of a response that was revalidated and has not changed.
-    pub fn revalidated(&self, key: &ObjectKey, age: Duration) {
+    pub fn set_revalidated(&self, key: &ObjectKey, age: Duration) {
         // If the queue is full, the row keeps its greater age.
         if let Some(row_reservation) = self.queued_rows.reserve(1) {
             let change = Change::Revalidate { id: row_id(key), requested_at_ms: monotonic_ms_before(age) };
--- a/glenfall/src/control/backup/mod.rs
+++ b/glenfall/src/control/backup/mod.rs
@@ -159,7 +159,7 @@
             return Err(BackupError::NoVoters);
         }
         if self.rev > 0 {
-            Config::read(self.document.as_bytes())?;
+            Config::parse(self.document.as_bytes())?;
         }
         self.deduplication_table()?;
         Ok(())
--- a/glenfall/src/control/chain_driver.rs
+++ b/glenfall/src/control/chain_driver.rs
@@ -108,7 +108,7 @@
 
     /// Requests that the chain replaces this node, which is shutting down.
     pub fn leave(&self) {
-        self.step(Chain::leave);
+        self.step(Chain::start_draining);
     }
 
     /// Tells the chain of each write that is on disk, for as long as the writer thread runs.
--- a/glenfall/src/control/fleet_publisher.rs
+++ b/glenfall/src/control/fleet_publisher.rs
@@ -84,7 +84,7 @@
     /// Publishes the current fleet if it has changed.
     pub fn publish_now(&self) {
         let current = self.current();
-        let change = self.published.borrow_mut().advance_to(current);
+        let change = self.published.borrow_mut().replace(current);
         if let Some(change) = change {
             self.sessions.push(&Update::Fleet(change));
         }
--- a/glenfall/src/control/inbound.rs
+++ b/glenfall/src/control/inbound.rs
@@ -12,32 +12,32 @@
 use super::node::{Control, TICK_INTERVAL};
 use super::session_publisher::SessionPublisher;
 use crate::session::link::{self, FrameReader, Outbox};
-use crate::session::publisher::{Reach, SubscriberConnection};
+use crate::session::publisher::{SubscriberConnection, SubscriberLocation};
 
 /// Pause after a failure to accept a connection.
 const ACCEPT_RETRY_PAUSE: Duration = TICK_INTERVAL;
 
 /// Accepts connections for as long as the process runs. `reach` tells whether they come from the same machine or over
 /// the network.
-pub async fn accept(control: Rc<Control>, listener: TcpListener, reach: Reach) {
+pub async fn accept(control: Rc<Control>, listener: TcpListener, location: SubscriberLocation) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                spawn_local(serve(Rc::clone(&control), stream, reach));
+                spawn_local(serve(Rc::clone(&control), stream, location));
             }
             Err(_) => sleep(ACCEPT_RETRY_PAUSE).await,
         }
     }
 }
 
-async fn serve(control: Rc<Control>, stream: TcpStream, reach: Reach) {
+async fn serve(control: Rc<Control>, stream: TcpStream, location: SubscriberLocation) {
     if link::configure_socket(&stream).is_err() {
         return;
     }
     let (read, write) = stream.into_split();
     let mut frames = FrameReader::new(read);
     match frames.next_or_timeout().await {
-        Ok(ConnectionOpening::Session) => serve_session(&control, frames, write, reach).await,
+        Ok(ConnectionOpening::Session) => serve_session(&control, frames, write, location).await,
         Ok(ConnectionOpening::Peer { ip, incarnation, known_peers }) => {
             control.connect_to(&known_peers);
             control.connect_to(&[ip]);
@@ -50,13 +50,18 @@
 
 /// Serves a session until it ends or, if it is over the network, until this node is isolated. The session of the shield
 /// on the same machine stays open, as the shield has no other control node to connect to.
-async fn serve_session(control: &Control, frames: FrameReader, write: OwnedWriteHalf, reach: Reach) {
-    let is_local = reach == Reach::SameMachine;
+async fn serve_session(
+    control: &Control,
+    frames: FrameReader,
+    write: OwnedWriteHalf,
+    location: SubscriberLocation,
+) {
+    let is_local = location == SubscriberLocation::SameMachine;
     if control.is_shutting_down() || !is_local && control.quorum.update() {
         return;
     }
-    let connection = SubscriberConnection { reach, frames, outbox: Outbox::start(write) };
-    let publisher = SessionPublisher::new(control, reach);
+    let connection = SubscriberConnection { location, frames, outbox: Outbox::start(write) };
+    let publisher = SessionPublisher::new(control, location);
     let serving = control.sessions.serve(connection, &publisher);
     let isolated = async {
         control.quorum.isolated().await;
--- a/glenfall/src/control/mod.rs
+++ b/glenfall/src/control/mod.rs
@@ -58,7 +58,7 @@
 use tokio::task::spawn_local;
 
 use crate::http_server;
-use crate::session::publisher::Reach;
+use crate::session::publisher::SubscriberLocation;
 use crate::settings::Settings;
 use node::Control;
 
@@ -86,8 +86,8 @@
     let network_listener =
         TcpListener::bind(settings.listen_address(settings.link_address(settings.bind_ip))).await?;
     let local_listener = TcpListener::bind(settings.watch_address()).await?;
-    spawn_local(inbound::accept(Rc::clone(&control), network_listener, Reach::Network));
-    spawn_local(inbound::accept(Rc::clone(&control), local_listener, Reach::SameMachine));
+    spawn_local(inbound::accept(Rc::clone(&control), network_listener, SubscriberLocation::Network));
+    spawn_local(inbound::accept(Rc::clone(&control), local_listener, SubscriberLocation::SameMachine));
     control.connect_to(&seeds);
     control.start(completed_writes);
     let server = http_server::ServerConfig {
--- a/glenfall/src/control/purge_coordinator.rs
+++ b/glenfall/src/control/purge_coordinator.rs
@@ -99,7 +99,7 @@
 
     /// The recent purges, for a session that begins now and may have missed them.
     pub fn missed(&self) -> Vec<AgedPurge> {
-        self.history.borrow().missed(self.dependencies.clock.now())
+        self.history.borrow().purges_for_new_session(self.dependencies.clock.now())
     }
 
     /// The message that sends a peer the complete history.
@@ -148,7 +148,7 @@
         if !(other_leases_over && applied && is_quorum) {
             return Err(PurgeError::NotApplied);
         }
-        let unapplied = sessions.lease_holders_behind(&leased);
+        let unapplied = sessions.lease_holders_not_applied(&leased);
         Invariant::PurgeIsApplied.check(unapplied.is_empty(), || format!("{unapplied:?} have a lease"));
         Ok(())
     }
--- a/glenfall/src/control/purge_log_completeness.rs
+++ b/glenfall/src/control/purge_log_completeness.rs
@@ -61,7 +61,7 @@
     pub fn update(&self) {
         let history_known =
             |node: &Ipv4Addr| *node == self.local || self.received_from.borrow().contains(node);
-        let complete = self.chain.state().members().majority(history_known);
+        let complete = self.chain.state().members().is_quorum(history_known);
         let was_complete = self.complete.replace(complete);
         if complete && !was_complete {
             self.sessions.push(&Update::Connected(true));
--- a/glenfall/src/control/session_publisher.rs
+++ b/glenfall/src/control/session_publisher.rs
@@ -7,7 +7,7 @@
 
 use super::chain_driver::config_update;
 use super::node::Control;
-use crate::session::publisher::{Greeting, Publisher, Reach};
+use crate::session::publisher::{Greeting, Publisher, SubscriberLocation};
 
 /// Time limit for the quorum read that confirms the newest configuration for a new session of an agent. The first view
 /// after a failure of all control nodes takes 0.2 to 0.7 s to form, and the replacement of a node in the chain 1.2 s.
@@ -17,20 +17,20 @@
 /// A control node as the publisher of one session.
 pub struct SessionPublisher<'a> {
     control: &'a Control,
-    reach: Reach,
+    location: SubscriberLocation,
 }
 
 impl<'a> SessionPublisher<'a> {
     /// `reach` tells whether the subscriber is on the same machine or connects over the network.
-    pub fn new(control: &'a Control, reach: Reach) -> Self {
-        SessionPublisher { control, reach }
+    pub fn new(control: &'a Control, location: SubscriberLocation) -> Self {
+        SessionPublisher { control, location }
     }
 
     /// The shield on the same machine has no other control node to try, so that there is no limit for its session.
     fn opening_timeout(&self) -> Duration {
-        match self.reach {
-            Reach::SameMachine => Duration::MAX,
-            Reach::Network => SESSION_OPENING_TIMEOUT,
+        match self.location {
+            SubscriberLocation::SameMachine => Duration::MAX,
+            SubscriberLocation::Network => SESSION_OPENING_TIMEOUT,
         }
     }
 }
--- a/glenfall/src/control/voter_leases.rs
+++ b/glenfall/src/control/voter_leases.rs
@@ -8,7 +8,9 @@
 use std::time::Duration;
 
 use glenfall_control_plane::chain::JointConfig;
-use glenfall_control_plane::lease::{granter_wait, Grants, VoterLeases, VOTER_LEASE, VOTER_RENEWAL};
+use glenfall_control_plane::lease::{
+    granter_wait, Grants, VoterLeases, VOTER_LEASE_DURATION, VOTER_LEASE_RENEWAL_INTERVAL,
+};
 use glenfall_control_plane::messages::{CallId, PeerMessage, ProcessId};
 use glenfall_control_plane::Millis;
 use tokio::time::{sleep, timeout};
@@ -47,7 +49,8 @@
             return;
         }
         let Some(replaced) = self.current.replace(voters.clone()) else { return };
-        self.former.push(FormerVoters { voters: replaced, leases_end: now + granter_wait(VOTER_LEASE) });
+        self.former
+            .push(FormerVoters { voters: replaced, leases_end: now + granter_wait(VOTER_LEASE_DURATION) });
         if self.former.len() > MAX_FORMER_VOTER_SETS {
             self.former.remove(0);
         }
@@ -85,7 +88,8 @@
         sessions: Rc<Sessions>,
         is_first_start: bool,
     ) -> Self {
-        let unknown_grants_end = if is_first_start { 0 } else { PROCESS_START + granter_wait(VOTER_LEASE) };
+        let unknown_grants_end =
+            if is_first_start { 0 } else { PROCESS_START + granter_wait(VOTER_LEASE_DURATION) };
         VoterLeaseManager {
             clock,
             chain,
@@ -99,12 +103,12 @@
         }
     }
 
-    /// Requests leases from the voters once per `VOTER_RENEWAL`. If this node is shutting down and no session holds a
+    /// Requests leases from the voters once per `VOTER_LEASE_RENEWAL_INTERVAL`. If this node is shutting down and no session holds a
     /// lease from it, it releases its leases instead.
     pub fn renew(&self, shutting_down: bool) {
         let now = self.clock.now();
         self.voters.borrow_mut().record(now, self.chain.state().members());
-        if now < self.last_renewal.get() + VOTER_RENEWAL {
+        if now < self.last_renewal.get() + VOTER_LEASE_RENEWAL_INTERVAL {
             return;
         }
         self.last_renewal.set(now);
@@ -129,8 +133,8 @@
     pub fn grant(&self, peer: Ipv4Addr, id: CallId) {
         let holder = ProcessId { ip: peer, incarnation: id.incarnation };
         if self.links.connected_process(peer) == Some(holder) {
-            self.granted.borrow_mut().grant(holder, self.clock.now(), VOTER_LEASE);
-            self.links.send(peer, PeerMessage::LeaseGranted { id, duration: VOTER_LEASE });
+            self.granted.borrow_mut().grant(holder, self.clock.now(), VOTER_LEASE_DURATION);
+            self.links.send(peer, PeerMessage::LeaseGranted { id, duration: VOTER_LEASE_DURATION });
         }
     }
 
@@ -185,7 +189,7 @@
     pub fn is_quorum_for_all_leases(&self, nodes: &[Ipv4Addr]) -> bool {
         let local = self.links.local().ip;
         let is_majority =
-            |voters: &JointConfig| voters.majority(|node| *node == local || nodes.contains(node));
+            |voters: &JointConfig| voters.is_quorum(|node| *node == local || nodes.contains(node));
         self.chain.state().is_quorum(nodes)
             && self.voters.borrow().former_with_leases(self.clock.now()).all(is_majority)
     }
--- a/glenfall/src/edge/mod.rs
+++ b/glenfall/src/edge/mod.rs
@@ -37,7 +37,7 @@
 use crate::http::response::{LocalResponse, ProxyResponse, ServerResponse};
 use crate::http_server::FullRequest;
 use crate::settings::Settings;
-use crate::shield::object_draw;
+use crate::shield::object_fraction;
 use crate::upstream::forward::{Forwarder, Outcome};
 use crate::upstream::pool::Pool;
 use crate::watch_client::{WatchClient, WatchHandler};
@@ -103,10 +103,10 @@
         let is_read = is_cacheable_read(route, request);
         // For a read the draw depends only on the object, so that a shield chooses the same service as the edge.
         let draw = match is_read {
-            true => object_draw(request.host(), request.path_and_query()),
+            true => object_fraction(request.host(), request.path_and_query()),
             false => self.forwarder.origins.next_random(),
         };
-        let Some(service) = route.service(draw) else {
+        let Some(service) = route.choose_backend(draw) else {
             return LocalResponse::rejected(Cause::NoService, NOT_READY_RETRY_AFTER).into();
         };
         let headers = forwardable_headers(&request.head.headers);
--- a/glenfall/src/edge/read/shield_request.rs
+++ b/glenfall/src/edge/read/shield_request.rs
@@ -15,7 +15,7 @@
 use crate::http::headers::DEADLINE_HEADER;
 use crate::http::response::{ServerResponse, ShieldSource};
 use crate::http::send_budget::{Allowance, SENDS_HEADER};
-use crate::shield::{CONFIG_REV, REPEATED_REQUEST};
+use crate::shield::{CONFIG_VERSION_HEADER, REPEATED_REQUEST_HEADER};
 use crate::upstream::pool::{ExchangeParams, SendError};
 
 /// A request for an object to one shield.
@@ -36,10 +36,10 @@
         let headers = request.headers_mut();
         *headers = self.headers.clone();
         headers.insert(DEADLINE_HEADER, HeaderValue::from((remaining.as_millis() as u64).max(1)));
-        headers.insert(CONFIG_REV, HeaderValue::from(self.routed.config.rev));
+        headers.insert(CONFIG_VERSION_HEADER, HeaderValue::from(self.routed.config.rev));
         headers.insert(SENDS_HEADER, self.allowance.encode());
         if self.is_retry {
-            headers.insert(REPEATED_REQUEST, HeaderValue::from_static("1"));
+            headers.insert(REPEATED_REQUEST_HEADER, HeaderValue::from_static("1"));
         }
         request
     }
--- a/glenfall/src/edge/read_plan.rs
+++ b/glenfall/src/edge/read_plan.rs
@@ -6,7 +6,7 @@
 //! budget. The unresponsive attempt is not cancelled: a server may have received what it was allowed to send, and may
 //! still answer.
 
-use crate::http::send_budget::{Allowance, Loan, SendBudget, SendReport, Usage};
+use crate::http::send_budget::{Allowance, Reservation, SendBudget, SendReport, Usage};
 
 /// Maximum number of attempts of one read at shields, repeated attempts at one shield included.
 pub const MAX_SHIELD_ATTEMPTS: usize = 3;
@@ -53,9 +53,9 @@
 
 #[derive(Debug)]
 enum AttemptState {
-    InFlight(Loan),
+    InFlight(Reservation),
     /// In flight, and without a response for so long that another attempt is made in parallel.
-    Unresponsive(Loan),
+    Unresponsive(Reservation),
     Ended,
 }
 
@@ -147,7 +147,7 @@
             }
             NextStep::Wait | NextStep::GiveUp => 0,
         };
-        self.attempts.push(AttemptState::InFlight(self.budget.lend(sends)));
+        self.attempts.push(AttemptState::InFlight(self.budget.reserve(sends)));
         self.attempts.len() - 1
     }
 
@@ -160,7 +160,7 @@
     pub fn hedge_delay_passed(&mut self) {
         for attempt in &mut self.attempts {
             *attempt = match std::mem::replace(attempt, AttemptState::Ended) {
-                AttemptState::InFlight(loan) => AttemptState::Unresponsive(loan),
+                AttemptState::InFlight(reservation) => AttemptState::Unresponsive(reservation),
                 other => other,
             };
         }
@@ -177,8 +177,8 @@
         };
         self.may_be_counted |= usage != Usage::Unused;
         let state = self.attempts.get_mut(number).map(|state| std::mem::replace(state, AttemptState::Ended));
-        if let Some(AttemptState::InFlight(loan) | AttemptState::Unresponsive(loan)) = state {
-            self.budget.repay(loan, usage);
+        if let Some(AttemptState::InFlight(reservation) | AttemptState::Unresponsive(reservation)) = state {
+            self.budget.settle_reservation(reservation, usage);
         }
         verdict
     }
--- a/glenfall/src/edge/shield_selector.rs
+++ b/glenfall/src/edge/shield_selector.rs
@@ -85,7 +85,7 @@
 
     /// Counts a request as in flight until the guard is dropped, which also happens when its client disconnects.
     pub fn begin_request<'a>(&'a self, shield: &'a ServerId) -> InFlightGuard<'a> {
-        self.shields.borrow_mut().begin(shield);
+        self.shields.borrow_mut().begin_request(shield);
         InFlightGuard { shields: &self.shields, shield }
     }
 
@@ -130,6 +130,6 @@
 
 impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
-        self.shields.borrow_mut().end(self.shield);
+        self.shields.borrow_mut().end_request(self.shield);
     }
 }
--- a/glenfall/src/http/response/local.rs
+++ b/glenfall/src/http/response/local.rs
@@ -69,7 +69,7 @@
 
     /// The failure of a fetch, for the requests that joined it. They get only the status of the server's response, as
     /// the response was not sent for them.
-    pub fn same_failure(failure: &ServerResponse) -> Self {
+    pub fn for_joined_request(failure: &ServerResponse) -> Self {
         let cause = Failure::with_attempts(Cause::ServerError, failure.attempts().to_owned());
         Self::new(failure.status(), cause)
     }
--- a/glenfall/src/http/send_budget.rs
+++ b/glenfall/src/http/send_budget.rs
@@ -1,9 +1,9 @@
 //! The send budget of a client request: the number of servers that all processes together may still send it to.
 //!
 //! The setting `tries` of a route limits the number of servers that one request may run on. The edge that receives the
-//! request owns its budget. It lends sends to each shield that it uses, as an [`Allowance`] in the request, and the
-//! shield reports in its response how many of them it has used ([`SendReport`]). Without a report, all lent sends count
-//! as used, unless the request was certainly sent to no server.
+//! request owns its budget. It reserves sends for each shield that it uses, as an [`Allowance`] in the request, and the
+//! shield reports in its response how many of them it has used ([`SendReport`]). Without a report, all of them count as
+//! used, unless the request was certainly sent to no server.
 //!
 //! A read that joins a fetch in flight uses no send: servers see the id of the request that began the fetch.
 
@@ -18,13 +18,13 @@
     /// The number of servers that it may send the request to. With 0, only a stored response or a fetch in flight can
     /// provide the response.
     pub sends: u32,
-    /// The number of sends that the lender keeps for another process. If there are any, the holder of the allowance does
-    /// not wait until the deadline for a server that does not respond.
+    /// The number of sends that the edge keeps in reserve for another process. If there are any, the holder of the
+    /// allowance does not wait until the deadline for a server that does not respond.
     pub reserved_sends: u32,
 }
 
 impl Allowance {
-    /// All sends that the route allows, at least one, with none reserved by a lender.
+    /// All sends that the route allows, at least one, with none kept in reserve.
     pub fn all(tries: u32) -> Self {
         Allowance { sends: tries.max(1), reserved_sends: 0 }
     }
@@ -102,9 +102,9 @@
     left: u32,
 }
 
-/// Sends lent from a [`SendBudget`]. They count as used unless they are returned by [`SendBudget::repay`].
+/// Sends reserved in a [`SendBudget`]. They count as used unless they are returned by [`SendBudget::settle_reservation`].
 #[derive(Debug)]
-pub struct Loan {
+pub struct Reservation {
     sends: u32,
 }
 
@@ -114,23 +114,23 @@
         SendBudget { left: tries.max(1) }
     }
 
-    /// The number of sends that are neither used nor lent.
+    /// The number of sends that are neither used nor reserved.
     pub fn left(&self) -> u32 {
         self.left
     }
 
-    /// Lends this many sends, or all that are left.
-    pub fn lend(&mut self, sends: u32) -> Loan {
-        let lent = sends.min(self.left);
-        self.left -= lent;
-        Loan { sends: lent }
+    /// Reserves this many sends, or all that are left.
+    pub fn reserve(&mut self, sends: u32) -> Reservation {
+        let reserved = sends.min(self.left);
+        self.left -= reserved;
+        Reservation { sends: reserved }
     }
 
-    /// Returns to the budget the sends of a loan that were certainly not used.
-    pub fn repay(&mut self, loan: Loan, usage: Usage) {
+    /// Returns to the budget the sends of a reservation that were certainly not used.
+    pub fn settle_reservation(&mut self, reservation: Reservation, usage: Usage) {
         self.left += match usage {
-            Usage::Unused => loan.sends,
-            Usage::Reported(report) => loan.sends.saturating_sub(report.used),
+            Usage::Unused => reservation.sends,
+            Usage::Reported(report) => reservation.sends.saturating_sub(report.used),
             Usage::Unknown => 0,
         };
     }
--- a/glenfall/src/operator/commands/check.rs
+++ b/glenfall/src/operator/commands/check.rs
@@ -22,7 +22,7 @@
 }
 
 fn check_config(document: &[u8]) -> Result<String, InvalidFile> {
-    let config = Config::read(document)?;
+    let config = Config::parse(document)?;
     let (paths, backends) = (config.paths.len(), config.backends.len());
     Ok(format!("configuration {}: {paths} paths, {backends} backends", config.rev))
 }
--- a/glenfall/src/operator/commands/declared.rs
+++ b/glenfall/src/operator/commands/declared.rs
@@ -10,7 +10,7 @@
 use super::config::CONFIG_PATH;
 use super::control_client::{call_control, get, ControlAddresses};
 use super::error::OperatorError;
-use crate::operator::declarative_config::{self, DeclareError, Declared, Difference, ItemCounts};
+use crate::operator::declarative_config::{self, Declared, DeclaredConfigError, Difference, ItemCounts};
 
 #[derive(Subcommand)]
 pub(crate) enum DeclaredCommand {
@@ -124,7 +124,7 @@
             }
             response => response?,
         };
-        let document: Value = serde_json::from_slice(response.body()).map_err(DeclareError::from)?;
+        let document: Value = serde_json::from_slice(response.body()).map_err(DeclaredConfigError::from)?;
         let rev = document["rev"].as_u64().unwrap_or(0);
         Ok(ActiveConfig { rev, document: response.body().clone() })
     }
--- a/glenfall/src/operator/commands/error.rs
+++ b/glenfall/src/operator/commands/error.rs
@@ -6,7 +6,7 @@
 
 use crate::control::backup::BackupError;
 use crate::control::store::StoreError;
-use crate::operator::declarative_config::DeclareError;
+use crate::operator::declarative_config::DeclaredConfigError;
 use crate::operator::PathError;
 use crate::settings::SettingsError;
 
@@ -35,7 +35,7 @@
     Store(#[from] PathError<StoreError>),
     /// The configuration as files can't be used.
     #[error(transparent)]
-    Declared(#[from] DeclareError),
+    Declared(#[from] DeclaredConfigError),
     /// The active configuration is not the one that the operator has reviewed the change against.
     #[error("version {current} is in force, not {expected}: review the change again with `declared plan`")]
     VersionMismatch {
--- a/glenfall/src/operator/declarative_config/files.rs
+++ b/glenfall/src/operator/declarative_config/files.rs
@@ -7,7 +7,7 @@
 
 use super::difference::by_name;
 use super::schema::{LIMITS_FILE, ROUTE_LIST, SERVICE_LIST};
-use super::{DeclareError, InvalidItem};
+use super::{DeclaredConfigError, InvalidItem};
 use crate::operator::PathError;
 
 /// The longest name of an item, in bytes, so that with its extension it is a valid file name on every file system.
@@ -16,7 +16,7 @@
 const NAME_FIELD: &str = "name";
 
 /// Reads all items of a folder, in the order of their names. A folder that does not exist has none.
-pub(super) fn read_items(folder: &Path, fields: &[&str]) -> Result<Vec<Value>, DeclareError> {
+pub(super) fn read_items(folder: &Path, fields: &[&str]) -> Result<Vec<Value>, DeclaredConfigError> {
     let mut items = Vec::new();
     for path in toml_files(folder)? {
         let mut item = read_item(&path, fields)?;
@@ -30,7 +30,7 @@
     Ok(items)
 }
 
-fn toml_files(folder: &Path) -> Result<Vec<PathBuf>, DeclareError> {
+fn toml_files(folder: &Path) -> Result<Vec<PathBuf>, DeclaredConfigError> {
     let entries = match std::fs::read_dir(folder) {
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(Vec::new()),
         entries => entries.map_err(PathError::at(folder))?,
@@ -44,7 +44,7 @@
 }
 
 /// Reads the file of an item. A field other than these is an error.
-pub(super) fn read_item(path: &Path, fields: &[&str]) -> Result<Map<String, Value>, DeclareError> {
+pub(super) fn read_item(path: &Path, fields: &[&str]) -> Result<Map<String, Value>, DeclaredConfigError> {
     let text = std::fs::read_to_string(path).map_err(PathError::at(path))?;
     Ok(parse_item(&text, fields).map_err(PathError::at(path))?)
 }
@@ -95,12 +95,12 @@
 
 /// Writes a document as files into a folder. An existing file is an error and is not overwritten. Fields that files don't
 /// support are omitted; returns their names with the paths of their files.
-pub fn write(document: &[u8], folder: &Path) -> Result<Vec<String>, DeclareError> {
+pub fn write(document: &[u8], folder: &Path) -> Result<Vec<String>, DeclaredConfigError> {
     let document: Value = serde_json::from_slice(document)?;
     let mut output = DocumentFiles::default();
     for list in [&ROUTE_LIST, &SERVICE_LIST] {
         for (name, item) in by_name(&document[list.section]) {
-            let file = file_name(&name).ok_or(DeclareError::Name(name))?;
+            let file = file_name(&name).ok_or(DeclaredConfigError::Name(name))?;
             output.add(folder.join(list.folder).join(file), item, list.fields);
         }
     }
--- a/glenfall/src/operator/declarative_config/mod.rs
+++ b/glenfall/src/operator/declarative_config/mod.rs
@@ -18,7 +18,7 @@
 
 /// Why a configuration as files can't be read or written; the message is one line.
 #[derive(Debug, thiserror::Error)]
-pub enum DeclareError {
+pub enum DeclaredConfigError {
     /// A file or folder can't be read or written.
     #[error(transparent)]
     File(#[from] PathError<std::io::Error>),
@@ -71,7 +71,7 @@
 impl Declared {
     /// Reads `routes/*.toml`, `services/*.toml` and, if it exists, `limits.toml`, and checks that they form a valid
     /// configuration together.
-    pub fn read(folder: &Path) -> Result<Declared, DeclareError> {
+    pub fn read(folder: &Path) -> Result<Declared, DeclaredConfigError> {
         let mut document = Map::new();
         for list in [&ROUTE_LIST, &SERVICE_LIST] {
             let items = read_items(&folder.join(list.folder), list.fields)?;
@@ -83,7 +83,7 @@
             document.insert(LIMITS_FILE.section.to_owned(), Value::Object(limits));
         }
         let declared = Declared(document);
-        Config::read(&declared.document(1))?;
+        Config::parse(&declared.document(1))?;
         Ok(declared)
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// What would change if this replaced the JSON document `current`, which is empty if there is no configuration yet.
-    pub fn differences(&self, current: &[u8]) -> Result<Vec<Difference>, DeclareError> {
+    pub fn differences(&self, current: &[u8]) -> Result<Vec<Difference>, DeclaredConfigError> {
         let current = if current.is_empty() { Value::Null } else { serde_json::from_slice(current)? };
         Ok(difference::between(&current, &self.0))
     }
--- a/glenfall/src/session/publisher/lease_snapshot.rs
+++ b/glenfall/src/session/publisher/lease_snapshot.rs
@@ -26,7 +26,7 @@
     /// The nodes of the sessions in a snapshot that still exist, still hold the lease that they had then, and have not
     /// applied the updates sent before it. Leases granted since need no check: they follow those updates on the same
     /// connection.
-    pub fn lease_holders_behind(&self, leased: &[LeasedSession]) -> Vec<String> {
+    pub fn lease_holders_not_applied(&self, leased: &[LeasedSession]) -> Vec<String> {
         let now = self.leases.now();
         let sessions = self.by_id.borrow();
         leased
--- a/glenfall/src/session/publisher/leases.rs
+++ b/glenfall/src/session/publisher/leases.rs
@@ -40,7 +40,7 @@
     /// Grants a lease for a request that was received at this reading of the clock. Returns its duration, counted from
     /// the request; `None` if the publisher has no lease itself.
     pub(super) fn grant(&self, holder: SessionId, received: Millis) -> Option<Millis> {
-        self.grants.borrow_mut().grant_part(self.now(), holder, received, self.own_expiry.get())
+        self.grants.borrow_mut().grant_sublease(self.now(), holder, received, self.own_expiry.get())
     }
 
     pub(super) fn release(&self, holder: SessionId) {
--- a/glenfall/src/session/publisher/mod.rs
+++ b/glenfall/src/session/publisher/mod.rs
@@ -15,7 +15,7 @@
 mod status;
 
 pub use lease_snapshot::LeasedSession;
-pub use serve::{Reach, SubscriberConnection};
+pub use serve::{SubscriberConnection, SubscriberLocation};
 pub use sessions::{Sessions, MAX_ACKNOWLEDGEMENT_DELAY};
 pub use source::{Greeting, Publisher};
 pub use status::SessionStatus;
--- a/glenfall/src/session/publisher/serve.rs
+++ b/glenfall/src/session/publisher/serve.rs
@@ -21,7 +21,7 @@
 
 /// Where the subscriber of a session is.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
+pub enum SubscriberLocation {
     /// On this machine: the kernel closes a connection only if the subscriber has closed it or its process has ended.
     SameMachine,
     /// On another machine: a connection may break while the subscriber continues to run.
@@ -31,7 +31,7 @@
 /// A connection on which a subscriber opens a session.
 pub struct SubscriberConnection {
     /// Where the subscriber is.
-    pub reach: Reach,
+    pub location: SubscriberLocation,
     /// The receiving side.
     pub frames: FrameReader,
     /// The sending side.
@@ -60,7 +60,7 @@
 impl Sessions {
     /// Serves one session until it ends.
     pub async fn serve(&self, connection: SubscriberConnection, publisher: &impl Publisher) {
-        let SubscriberConnection { reach, mut frames, outbox } = connection;
+        let SubscriberConnection { location, mut frames, outbox } = connection;
         let Ok(SubscriberMessage::Hello { node, member }) = frames.next_or_timeout().await else { return };
         if self.by_id.borrow().len() >= MAX_SESSIONS {
             tracing::warn!(%node, "session rejected: too many sessions");
@@ -72,7 +72,9 @@
         }
         let active = ActiveSession::start(self, publisher, session);
         let end = active.run(&mut frames, &outbox, removed).await;
-        if reach == Reach::SameMachine && (end == SessionEnd::Closed || is_closed(&mut frames).await) {
+        if location == SubscriberLocation::SameMachine
+            && (end == SessionEnd::Closed || is_closed(&mut frames).await)
+        {
             self.leases.release(active.id);
         }
     }
--- a/glenfall/src/session/subscriber.rs
+++ b/glenfall/src/session/subscriber.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use glenfall_control_plane::invariant::Invariant;
-use glenfall_control_plane::lease::VOTER_LEASE;
+use glenfall_control_plane::lease::VOTER_LEASE_DURATION;
 use glenfall_control_plane::messages::{Counter, PublisherMessage, SubscriberMessage};
 use glenfall_control_plane::Millis;
 use tokio::sync::Notify;
@@ -15,7 +15,7 @@
 const COUNTERS_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Sends the counters that `report` returns at regular intervals, until the session is lost.
-pub async fn send_reports(outbox: &Outbox<SubscriberMessage>, report: impl Fn() -> Vec<(String, u64)>) {
+pub async fn send_counters(outbox: &Outbox<SubscriberMessage>, report: impl Fn() -> Vec<(String, u64)>) {
     loop {
         sleep(COUNTERS_INTERVAL).await;
         let counters = report().into_iter().map(|(name, value)| Counter { name, value }).collect();
@@ -31,7 +31,7 @@
 ///
 /// Returns when the session is lost, the publisher is draining, or `handle` returns false because an update does not build
 /// on the known state. The subscriber must then open a new session.
-pub async fn follow(
+pub async fn run_session(
     mut frames: FrameReader,
     outbox: Outbox<SubscriberMessage>,
     hello: impl Fn() -> SubscriberMessage,
@@ -101,5 +101,5 @@
     // The request may have been sent a while ago, so that the remaining time is checked and not the duration.
     let remaining = sent_at.saturating_add(duration).saturating_sub(now);
     Invariant::LeaseIsBounded
-        .check(remaining <= VOTER_LEASE, || format!("lease granted with {remaining} ms remaining"));
+        .check(remaining <= VOTER_LEASE_DURATION, || format!("lease granted with {remaining} ms remaining"));
 }
--- a/glenfall/src/shield/fetch.rs
+++ b/glenfall/src/shield/fetch.rs
@@ -15,7 +15,7 @@
 
 use super::fetch_result::{FetchOutcome, FetchResult};
 use super::singleflight::{FetchReceiver, StartedFetch, TooManyFetches};
-use super::{Shield, REPEATED_REQUEST};
+use super::{Shield, REPEATED_REQUEST_HEADER};
 use crate::cache::{ObjectKey, StoredResponse};
 use crate::http::headers::forwardable_headers;
 use crate::http::response::ServerResponse;
@@ -81,7 +81,7 @@
         if let Some(etag) = stale.as_ref().and_then(|stale| stale.headers.get(header::ETAG)) {
             headers.insert(header::IF_NONE_MATCH, etag.clone());
         }
-        let is_retry = request.headers.contains_key(REPEATED_REQUEST);
+        let is_retry = request.headers.contains_key(REPEATED_REQUEST_HEADER);
         let route_params = RouteParams::new(config, route, &key.service);
         let uri = request.uri.clone();
         FetchRequest { key, uri, headers, stale, is_retry, allowance, read_deadline, route_params }
--- a/glenfall/src/shield/mod.rs
+++ b/glenfall/src/shield/mod.rs
@@ -25,7 +25,7 @@
 use self::counters::Counters;
 pub(crate) use self::freshness::max_age;
 pub use self::handler::ShieldHandler;
-pub use self::object_hash::{object_draw, object_hash};
+pub use self::object_hash::{object_fraction, object_hash};
 use self::singleflight::SingleFlight;
 use self::warm_start::WarmStart;
 use crate::cache::disk::DiskCache;
@@ -37,10 +37,10 @@
 
 /// The header with the version of the configuration by which an edge has routed a read. The shield never uses an older
 /// one for it.
-pub const CONFIG_REV: HeaderName = HeaderName::from_static("x-glenfall-rev");
+pub const CONFIG_VERSION_HEADER: HeaderName = HeaderName::from_static("x-glenfall-rev");
 /// The header of a request that another shield has received before, which may have counted it or sent it to a server.
 /// Further sends of it are retries, and spend the retry budget.
-pub const REPEATED_REQUEST: HeaderName = HeaderName::from_static("x-glenfall-again");
+pub const REPEATED_REQUEST_HEADER: HeaderName = HeaderName::from_static("x-glenfall-again");
 /// Fraction of the machine's memory for the cache. The rest is for requests in flight, and for the control node on the
 /// same machine.
 pub const CACHE_MEMORY_SHARE: f64 = 0.4;
@@ -103,7 +103,7 @@
     fn store(&self, key: ObjectKey, response: &Rc<StoredResponse>, is_revalidated: bool) {
         if let Some(disk_cache) = &self.disk_cache {
             if is_revalidated {
-                disk_cache.revalidated(&key, response.age());
+                disk_cache.set_revalidated(&key, response.age());
             } else {
                 disk_cache.put(&key, &response.headers, &response.labels, &response.body, response.age());
             }
--- a/glenfall/src/shield/object_hash.rs
+++ b/glenfall/src/shield/object_hash.rs
@@ -1,12 +1,12 @@
 //! Hashes of objects, the same on all machines.
 
-use glenfall_balancer::mix;
+use glenfall_balancer::splitmix64;
 
 /// Bits of a hash that an `f64` holds exactly.
 const F64_MANTISSA_BITS: u32 = 53;
 
 /// A number from 0 up to 1 that chooses an object's service where a route splits its requests; the same at all shields.
-pub fn object_draw(host: &str, path: &str) -> f64 {
+pub fn object_fraction(host: &str, path: &str) -> f64 {
     let bits = object_hash(host, path) >> (u64::BITS - F64_MANTISSA_BITS);
     bits as f64 / (1u64 << F64_MANTISSA_BITS) as f64
 }
@@ -22,6 +22,6 @@
     text.as_bytes().chunks(size_of::<u64>()).fold(seed, |hash, chunk| {
         let mut block = [0; size_of::<u64>()];
         block[..chunk.len()].copy_from_slice(chunk);
-        mix(hash ^ u64::from_le_bytes(block))
+        splitmix64(hash ^ u64::from_le_bytes(block))
     })
 }
--- a/glenfall/src/shield/read.rs
+++ b/glenfall/src/shield/read.rs
@@ -13,7 +13,7 @@
 use super::fetch_result::{FetchOutcome, FetchResult};
 use super::freshness::max_age;
 use super::singleflight::{FetchReceiver, TooManyFetches};
-use super::{object_draw, Shield, CONFIG_REV, REPEATED_REQUEST};
+use super::{object_fraction, Shield, CONFIG_VERSION_HEADER, REPEATED_REQUEST_HEADER};
 use crate::cache::{ObjectKey, StoredResponse};
 use crate::http::failure::Cause;
 use crate::http::headers::DEADLINE_HEADER;
@@ -74,7 +74,7 @@
         let Some((route, key)) = route_and_object(&config, request) else {
             return ReadResult::local(LocalResponse::no_route());
         };
-        if !request.head.headers.contains_key(REPEATED_REQUEST) {
+        if !request.head.headers.contains_key(REPEATED_REQUEST_HEADER) {
             self.forwarder.record_client_request(&key.service);
         }
         let stored = self.cache.borrow_mut().get(&key);
@@ -119,7 +119,7 @@
 
     /// The configuration, once it is at least as new as the edge's. A rejection if it does not become so in time.
     async fn config_for(&self, headers: &HeaderMap, deadline: Instant) -> Result<Arc<Config>, ReadResult> {
-        let version = numeric_header(headers, CONFIG_REV).unwrap_or(0);
+        let version = numeric_header(headers, CONFIG_VERSION_HEADER).unwrap_or(0);
         let not_ready = |cause| ReadResult::local(LocalResponse::rejected(cause, NOT_READY_RETRY_AFTER));
         let wait_until = deadline.min(Instant::now() + CONFIG_WAIT);
         if timeout_at(wait_until, self.watch_client.wait_for_version(version)).await.is_err() {
@@ -185,7 +185,7 @@
                 ReadResult::from_stored(&stored_response, &request.head.headers, ShieldSource::Miss)
             }
             FetchOutcome::Uncacheable(failure) if !failure.status().is_success() => {
-                ReadResult::local(LocalResponse::same_failure(&failure))
+                ReadResult::local(LocalResponse::for_joined_request(&failure))
             }
             FetchOutcome::Uncacheable(response) => ReadResult::uncacheable(response),
             FetchOutcome::Rejected(rejection) => self.reject(rejection),
@@ -216,7 +216,7 @@
     let (host, path) = (request.host(), request.path_and_query());
     let route = config.route(host, request.head.uri.path());
     let route = route.filter(|_| request.head.method == Method::GET)?;
-    let service = route.service(object_draw(host, path))?;
+    let service = route.choose_backend(object_fraction(host, path))?;
     Some((route, ObjectKey { service: service.into(), host: host.into(), path: path.into() }))
 }
 
--- a/glenfall/src/upstream/forward/attempts.rs
+++ b/glenfall/src/upstream/forward/attempts.rs
@@ -42,8 +42,8 @@
     }
 
     /// Whether the request may be sent to another server now.
-    pub fn may_begin(&self) -> bool {
-        self.sends.may_begin()
+    pub fn may_send(&self) -> bool {
+        self.sends.may_send()
     }
 
     /// Whether another attempt may follow the one that begins now, whatever its outcome.
@@ -247,6 +247,6 @@
 fn stage_of(result: &Result<ServerResponse, SendError>) -> SendStage {
     match result {
         Err(SendError::NotSent) => SendStage::Unconnected,
-        Ok(_) | Err(SendError::NoResponse | SendError::TimedOut) => SendStage::Answering,
+        Ok(_) | Err(SendError::NoResponse | SendError::TimedOut) => SendStage::ResponseStarted,
     }
 }
--- a/glenfall/src/upstream/forward/forwarder.rs
+++ b/glenfall/src/upstream/forward/forwarder.rs
@@ -206,7 +206,7 @@
         allowance: Allowance,
     ) -> (Outcome, SendReport) {
         let mut attempts = Attempts::new(allowance.sends, request.idempotent);
-        while attempts.may_begin() {
+        while attempts.may_send() {
             let server = match self.next_server(&request, &mut attempts).await {
                 Ok(server) => server,
                 Err(cause) => {
@@ -216,8 +216,8 @@
             };
             let Ok(server_id) = HeaderValue::from_str(&server.id) else { continue };
             request.headers.insert(EXPECTED_SERVER_HEADER, server_id);
-            let lender_may_retry = request.idempotent && allowance.reserved_sends > 0;
-            let retry_may_follow = attempts.another_may_follow() || lender_may_retry;
+            let edge_may_retry = request.idempotent && allowance.reserved_sends > 0;
+            let retry_may_follow = attempts.another_may_follow() || edge_may_retry;
             attempts.check_send();
             let in_flight = self.origins.track(&server.id);
             let result = self.exchange(&request, &server, retry_may_follow).await;
--- a/glenfall/src/upstream/origins/load_balancer.rs
+++ b/glenfall/src/upstream/origins/load_balancer.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-use glenfall_balancer::mix;
+use glenfall_balancer::splitmix64;
 use glenfall_control_plane::fleet::edge_hash;
 use glenfall_control_plane::messages::Server;
 use tokio::time::Instant;
@@ -129,7 +129,7 @@
         let mut state = self.random_state.borrow_mut();
         *state = state.wrapping_add(1);
         // Uses the upper 53 bits, as the mantissa of an `f64` has 53.
-        (mix(*state) >> 11) as f64 / (1u64 << 53) as f64
+        (splitmix64(*state) >> 11) as f64 / (1u64 << 53) as f64
     }
 
     /// Whether the server is known and accepts requests.
--- a/glenfall/src/upstream/pool/response_reader.rs
+++ b/glenfall/src/upstream/pool/response_reader.rs
@@ -81,7 +81,7 @@
     pub async fn stalled(&self, progress: &Progress, completion_timeout: Option<Duration>) {
         let Some(completion_timeout) = completion_timeout else { return std::future::pending().await };
         loop {
-            progress.stalled(completion_timeout).await;
+            progress.response_timed_out(completion_timeout).await;
             if !self.is_waiting_for_memory.get() {
                 return;
             }
--- a/glenfall/src/watch_client.rs
+++ b/glenfall/src/watch_client.rs
@@ -146,7 +146,7 @@
         if rev <= *self.rev.borrow() {
             return;
         }
-        match Config::read(document) {
+        match Config::parse(document) {
             Ok(config) => {
                 let config = Arc::new(config);
                 handler.config_changed(&config);
@@ -213,7 +213,7 @@
     ) {
         let counters = || handler.counters().into_iter().chain(link::report("")).collect();
         tokio::select! {
-            () = subscriber::follow(
+            () = subscriber::run_session(
                 frames,
                 outbox.clone(),
                 || self.hello(),
@@ -221,7 +221,7 @@
                 &self.member_changed,
                 async |message| self.handle_message(message, handler),
             ) => {}
-            () = subscriber::send_reports(&outbox, counters) => {}
+            () = subscriber::send_counters(&outbox, counters) => {}
         }
         // This must happen before the connection is closed and before any other task runs: the publisher takes a closed
         // connection to mean that no stored response is served.
--- a/glenfall/tests/bounds.rs
+++ b/glenfall/tests/bounds.rs
@@ -62,7 +62,7 @@
     let mut purges = PurgeHistory::default();
     purges.add(0, records);
     assert_eq!(
-        purges.missed(0),
+        purges.purges_for_new_session(0),
         [AgedPurge { purge: Purge::Everything, age_ms: 0 }],
         "purges are known to be missing"
     );
@@ -96,7 +96,7 @@
         }
     }
     for _ in 0..5 {
-        (0..8000).for_each(|n| cache.revalidated(&key(n), Duration::ZERO));
+        (0..8000).for_each(|n| cache.set_revalidated(&key(n), Duration::ZERO));
         (0..50).for_each(|_| measure());
     }
     cache.remove(&(0..8000).map(key).collect::<Vec<_>>());
@@ -125,7 +125,7 @@
             "frame of {frame_bytes} bytes after purge {number}"
         );
     }
-    assert_eq!(purges.missed(1000), [AgedPurge { purge: Purge::Everything, age_ms: 0 }]);
+    assert_eq!(purges.purges_for_new_session(1000), [AgedPurge { purge: Purge::Everything, age_ms: 0 }]);
     // Also short purges, whose numbers take more bytes than their labels.
     let mut purges = PurgeHistory::default();
     let short_purge = |number: u64| {
--- a/glenfall/tests/send_budget.rs
+++ b/glenfall/tests/send_budget.rs
@@ -120,7 +120,7 @@
     fn fetch(&mut self, sender: usize, began: Ms, allowance: Allowance) -> (Ms, bool, SendReport) {
         let mut sends = SendSequence::new(allowance.sends, true);
         let (mut now, mut success) = (began, false);
-        while sends.may_begin() && now < DEADLINE_MS {
+        while sends.may_send() && now < DEADLINE_MS {
             let server = self.senders[sender].next % SERVER_COUNT;
             self.senders[sender].next += 1;
             self.reached.insert(server);
@@ -137,7 +137,7 @@
             let (at, event) = if at > timeout_at { (timeout_at, SendEvent::TimedOut) } else { (at, event) };
             now = at;
             success = event == SendEvent::Success;
-            sends.record_end(SendStage::Answering, event, event == SendEvent::Failure);
+            sends.record_end(SendStage::ResponseStarted, event, event == SendEvent::Failure);
         }
         (now, success, SendReport { used: sends.used(), exhausted: sends.is_exhausted() })
     }
@@ -339,13 +339,13 @@
         (report(9), 1),
     ] {
         let mut budget = SendBudget::new(3);
-        let loan = budget.lend(2);
+        let reservation = budget.reserve(2);
         assert_eq!(budget.left(), 1);
-        budget.repay(loan, usage);
+        budget.settle_reservation(reservation, usage);
         assert_eq!(budget.left(), left, "{usage:?}");
     }
     let mut budget = SendBudget::new(1);
-    let _unsettled = budget.lend(5);
+    let _unsettled = budget.reserve(5);
     assert_eq!((budget.left(), SendBudget::new(0).left()), (0, 1));
 }
 
--- a/glenfall/tests/sessions.rs
+++ b/glenfall/tests/sessions.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use glenfall::session::link::{self, FrameReader, Outbox};
-use glenfall::session::publisher::{Greeting, Publisher, Reach, Sessions, SubscriberConnection};
+use glenfall::session::publisher::{Greeting, Publisher, Sessions, SubscriberConnection, SubscriberLocation};
 use glenfall_control_plane::messages::{
     ConnectionOpening, Counter, PublisherMessage, SubscriberMessage, Update,
 };
@@ -43,7 +43,7 @@
         let mut frames = FrameReader::new(read);
         frames.next::<ConnectionOpening>().await.unwrap();
         let outbox = Outbox::start(write);
-        let connection = SubscriberConnection { reach: Reach::Network, frames, outbox };
+        let connection = SubscriberConnection { location: SubscriberLocation::Network, frames, outbox };
         serving_sessions.serve(connection, &EmptyPublisher).await;
     });
     let (read, write) = link::open(addr, &ConnectionOpening::Session).await.unwrap();
--- a/glenfall/tests/unit/concurrency_limit.rs
+++ b/glenfall/tests/unit/concurrency_limit.rs
@@ -48,7 +48,7 @@
     let (mut counted, mut on_time, mut rejected) = ([0.0; 2], [0.0; 2], [0.0; 2]);
     let mut seed = 7u64;
     let mut draw = || {
-        seed = glenfall_balancer::mix(seed);
+        seed = glenfall_balancer::splitmix64(seed);
         seed
     };
     for n in 0..20 * requests_per_s {
--- a/glenfall/tests/unit/declarative_config.rs
+++ b/glenfall/tests/unit/declarative_config.rs
@@ -1,6 +1,6 @@
 //! The declared configuration: its files, and how it differs from the active one.
 
-use glenfall::operator::declarative_config::{write, DeclareError, Declared, ItemCounts};
+use glenfall::operator::declarative_config::{write, Declared, DeclaredConfigError, ItemCounts};
 
 use crate::support::Folder;
 
@@ -63,5 +63,5 @@
         assert!(error.contains(expected) && !error.contains('\n'), "{case}: {error}");
     }
     let outside = DOCUMENT.replace("r-a", "../r-a");
-    assert!(matches!(write(outside.as_bytes(), &folder("outside")), Err(DeclareError::Name(_))));
+    assert!(matches!(write(outside.as_bytes(), &folder("outside")), Err(DeclaredConfigError::Name(_))));
 }
--- a/glenfall/tests/unit/disk_cache.rs
+++ b/glenfall/tests/unit/disk_cache.rs
@@ -108,7 +108,7 @@
         disk_cache.remove(&[key("/a"), key("/queued")]);
         // No other change fits in the queue either, and no caller waits for capacity.
         put(disk_cache, "/late", 5, 0);
-        disk_cache.revalidated(&key("/a"), Duration::ZERO);
+        disk_cache.set_revalidated(&key("/a"), Duration::ZERO);
     });
     assert_eq!(stored(&folder), []);
     change(&folder, |disk_cache| put(disk_cache, "/new", 5, 0));
--- a/glenfall/tests/unit/known_fleet.rs
+++ b/glenfall/tests/unit/known_fleet.rs
@@ -52,23 +52,23 @@
     let mut control = VersionedFleet::default();
     let mut known_fleet = KnownFleet::default();
     let mut proxy = VersionedFleet::default();
-    control.advance_to(fleet(true, vec![server("a", 1, true), server("b", 2, true)]));
+    control.replace(fleet(true, vec![server("a", 1, true), server("b", 2, true)]));
     let first = known_fleet.apply_update(control.snapshot()).unwrap().expect("a snapshot");
     assert!(matches!(first, FleetUpdate::Snapshot { .. }));
     proxy.apply_update(first).unwrap();
-    let update = control.advance_to(fleet(true, vec![server("b", 2, false), server("c", 3, true)])).unwrap();
+    let update = control.replace(fleet(true, vec![server("b", 2, false), server("c", 3, true)])).unwrap();
     proxy.apply_update(known_fleet.apply_update(update).unwrap().expect("a change")).unwrap();
     assert_eq!(proxy.fleet(), control.fleet());
     // The fleet of another control node, which has just started and counts its versions from 1, adds and removes
     // nothing: only its incompleteness is passed on.
     let mut other = VersionedFleet::default();
-    other.advance_to(fleet(false, vec![server("c", 3, true)]));
+    other.replace(fleet(false, vec![server("c", 3, true)]));
     let update = known_fleet.apply_update(other.snapshot()).unwrap().expect("it is not complete");
     proxy.apply_update(update).unwrap();
     let ids: Vec<_> = proxy.fleet().servers.iter().map(|server| &server.id[..]).collect();
     assert_eq!((ids, proxy.fleet().complete), (vec!["b", "c"], false));
     // A delta that builds on a version of the first control node is rejected.
-    let stale_delta = control.advance_to(fleet(true, Vec::new())).unwrap();
+    let stale_delta = control.replace(fleet(true, Vec::new())).unwrap();
     assert!(known_fleet.apply_update(stale_delta).is_err());
 }
 
@@ -101,7 +101,7 @@
         let (mut proxy, mut reference) = (VersionedFleet::default(), VersionedFleet::default());
         let mut controls = [VersionedFleet::default(), VersionedFleet::default()];
         for control in &mut controls {
-            control.advance_to(apply_random_changes(&fleet(false, Vec::new()), &mut rng));
+            control.replace(apply_random_changes(&fleet(false, Vec::new()), &mut rng));
         }
         let mut connected = usize::MAX;
         for step in 0..30 {
@@ -110,7 +110,7 @@
                 Some(controls[connected].snapshot())
             } else {
                 let next = apply_random_changes(controls[connected].fleet(), &mut rng);
-                controls[connected].advance_to(next)
+                controls[connected].replace(next)
             };
             let Some(update) = update else { continue };
             if let Some(update) = from_deltas.apply_update(update).expect("it builds on the previous version")
--- a/http-client/src/progress.rs
+++ b/http-client/src/progress.rs
@@ -49,7 +49,7 @@
     /// has finished its work on the request when it sends that byte; without this limit, half a head or a body
     /// shorter than its length would use up all the time that the request has left. Interim responses do not count as
     /// a first byte.
-    pub async fn stalled(&self, timeout: Duration) {
+    pub async fn response_timed_out(&self, timeout: Duration) {
         loop {
             self.bytes_received.notified().await;
             tokio::time::sleep(timeout).await;
@@ -137,7 +137,7 @@
         self.stage().is_sent()
     }
 
-    /// The stage of the send as the socket sees it. Never `Answering`, which only the reader of the response can see.
+    /// The stage of the send as the socket sees it. Never `ResponseStarted`, which only the reader of the response can see.
     pub fn stage(&self) -> SendStage {
         let progress = self.0.borrow();
         let Some(progress) = progress.as_ref() else { return SendStage::Unconnected };
@@ -145,7 +145,7 @@
             WriteState::NotStarted => SendStage::Connected,
             WriteState::Partial => SendStage::PartlySent,
             WriteState::Complete if progress.received_informational.load(Ordering::Relaxed) => {
-                SendStage::Informed
+                SendStage::InterimReceived
             }
             WriteState::Complete => SendStage::Sent,
         }
--- a/http-client/src/send.rs
+++ b/http-client/src/send.rs
@@ -20,9 +20,9 @@
     /// The request has been written completely.
     Sent,
     /// An interim response (1xx) was received.
-    Informed,
+    InterimReceived,
     /// The head of a response was received, but not all of its body.
-    Answering,
+    ResponseStarted,
 }
 
 impl SendStage {
@@ -32,8 +32,8 @@
         SendStage::Connected,
         SendStage::PartlySent,
         SendStage::Sent,
-        SendStage::Informed,
-        SendStage::Answering,
+        SendStage::InterimReceived,
+        SendStage::ResponseStarted,
     ];
 
     /// Whether the server has, or may have, the last byte of the request.
@@ -177,7 +177,7 @@
     }
 
     /// Whether the request may be sent to another server now.
-    pub fn may_begin(&self) -> bool {
+    pub fn may_send(&self) -> bool {
         !self.stopped && self.used < self.max_sends && self.unreachable < MAX_UNREACHABLE_SERVERS
     }
 
--- a/http-client/tests/retry_safety.rs
+++ b/http-client/tests/retry_safety.rs
@@ -87,9 +87,9 @@
 #[test]
 fn sends_end_at_the_limit_at_a_final_response_or_after_four_unreachable_servers() {
     let ended = |sends: &mut SendSequence, event| {
-        sends.record_end(SendStage::Answering, event, event == SendEvent::Failure)
+        sends.record_end(SendStage::ResponseStarted, event, event == SendEvent::Failure)
     };
-    for (case, idempotent, events, used, may_begin, is_exhausted) in [
+    for (case, idempotent, events, used, may_send, is_exhausted) in [
         ("none yet", true, &[][..], 0, true, false),
         ("a success", true, &[SendEvent::Success], 1, false, false),
         ("a failure", true, &[SendEvent::Failure], 1, true, false),
@@ -102,27 +102,27 @@
     ] {
         let mut sends = SendSequence::new(2, idempotent);
         for event in events {
-            assert!(sends.may_begin(), "{case}");
+            assert!(sends.may_send(), "{case}");
             ended(&mut sends, *event);
         }
         assert_eq!(
-            (sends.used(), sends.may_begin(), sends.is_exhausted()),
-            (used, may_begin, is_exhausted),
+            (sends.used(), sends.may_send(), sends.is_exhausted()),
+            (used, may_send, is_exhausted),
             "{case}"
         );
     }
     let mut sends = SendSequence::new(2, false);
     for _ in 0..4 {
-        assert!(sends.may_begin());
+        assert!(sends.may_send());
         sends.record_end(SendStage::Unconnected, SendEvent::NoConnection, false);
     }
     assert_eq!(
-        (sends.used(), sends.may_begin(), sends.is_exhausted()),
+        (sends.used(), sends.may_send(), sends.is_exhausted()),
         (0, false, false),
         "no server was reached"
     );
     let mut sends = SendSequence::new(2, true);
     ended(&mut sends, SendEvent::NotRun);
     sends.stop();
-    assert!(!sends.may_begin() && !sends.is_exhausted(), "a stopped sequence sends to no other server");
+    assert!(!sends.may_send() && !sends.is_exhausted(), "a stopped sequence sends to no other server");
 }
