--- a/control-plane-sim/src/cluster.rs
+++ b/control-plane-sim/src/cluster.rs
@@ -49,6 +49,10 @@
 
     /// Returns the settings of each node.
     pub fn settings(self) -> ChainSettings {
-        ChainSettings { losses: usize::from(self.losses), eligible: true, ..ChainSettings::default() }
+        ChainSettings {
+            tolerated_losses: usize::from(self.losses),
+            eligible: true,
+            ..ChainSettings::default()
+        }
     }
 }
--- a/control-plane/src/chain/mod.rs
+++ b/control-plane/src/chain/mod.rs
@@ -176,7 +176,7 @@
 
     /// Whether there are enough voters to tolerate the losses that the settings require ([`ChainSettings::losses`]).
     pub fn tolerates_losses(&self) -> bool {
-        self.members().tolerates(self.settings.losses)
+        self.members().tolerates(self.settings.tolerated_losses)
     }
 
     /// The newest view that is known to have started; `None` until this node learns of one.
--- a/control-plane/src/chain/reconfiguration.rs
+++ b/control-plane/src/chain/reconfiguration.rs
@@ -140,7 +140,7 @@
         }
         let mut voters = members.voters.clone();
         voters.retain(|voter| *voter != node);
-        let (left, losses) = (voters.len(), self.settings.losses);
+        let (left, losses) = (voters.len(), self.settings.tolerated_losses);
         let needed = self.settings.voters_needed();
         if left < needed {
             let standby = reachable.iter().find(|node| !members.contains(**node));
--- a/control-plane/src/chain/settings.rs
+++ b/control-plane/src/chain/settings.rs
@@ -76,7 +76,7 @@
 pub struct ChainSettings {
     /// Number of losses to tolerate: as many machines may fail together, with their disks, without the loss of an
     /// acknowledged change.
-    pub losses: usize,
+    pub tolerated_losses: usize,
     /// Whether this node may become a voter.
     pub eligible: bool,
     /// Time for catching up, in milliseconds: a failed machine counts as a loss until its replacement has been running
@@ -86,19 +86,19 @@
 
 impl Default for ChainSettings {
     fn default() -> Self {
-        ChainSettings { losses: 0, eligible: false, sync: DEFAULT_SYNC }
+        ChainSettings { tolerated_losses: 0, eligible: false, sync: DEFAULT_SYNC }
     }
 }
 
 impl ChainSettings {
     /// Number of voters that tolerate `losses`: the remaining ones are still a majority.
     pub(super) fn voters_needed(&self) -> usize {
-        2 * self.losses + 1
+        2 * self.tolerated_losses + 1
     }
 
     /// Number of further losses that may happen during the reconfiguration after the first loss.
     fn further_losses(&self) -> Millis {
-        self.losses.saturating_sub(1) as Millis
+        self.tolerated_losses.saturating_sub(1) as Millis
     }
 
     /// Time that the views of a reconfiguration take, with all further losses during it, but without the time to detect
@@ -110,7 +110,7 @@
     /// Time without a message after which a peer counts as failed. All `losses` may happen one after another, and have
     /// to be detected within `sync`: more losses, or a shorter `sync`, need a shorter time-out.
     pub(super) fn peer_timeout(&self) -> Millis {
-        let detections = (self.losses as Millis).max(1);
+        let detections = (self.tolerated_losses as Millis).max(1);
         let time_left = self.sync.saturating_sub(self.view_changes_time());
         (time_left / detections).clamp(MIN_PEER_TIMEOUT, MAX_PEER_TIMEOUT)
     }
@@ -128,10 +128,10 @@
     /// [`SyncTooShort`] with the time that the repair needs.
     pub fn check(&self) -> Result<(), SyncTooShort> {
         let (needed, sync) = (self.replacement_time(), self.sync);
-        if self.losses == 0 || needed <= sync {
+        if self.tolerated_losses == 0 || needed <= sync {
             return Ok(());
         }
-        Err(SyncTooShort { losses: self.losses, needed, sync })
+        Err(SyncTooShort { losses: self.tolerated_losses, needed, sync })
     }
 
     /// Time without a message after which a voter is replaced by a standby. The standby may have started at the time of
--- a/control-plane/src/rate_limit.rs
+++ b/control-plane/src/rate_limit.rs
@@ -55,14 +55,14 @@
     /// Length of the window in milliseconds.
     pub window: Millis,
     /// Factor by which the rate may be exceeded; 1.1 allows 10 % more requests.
-    pub over: f64,
+    pub overshoot_factor: f64,
 }
 
 impl RateLimitSettings {
     /// Refill rate of a token bucket, in tokens per millisecond. `quota` is the machine's share of `rate_per_s`, which
     /// is in requests per second.
     fn tokens_per_ms(&self, quota: f64, rate_per_s: f64) -> f64 {
-        rate_per_s.max(0.0) * self.over * LIMIT_UTILIZATION * quota / 1000.0
+        rate_per_s.max(0.0) * self.overshoot_factor * LIMIT_UTILIZATION * quota / 1000.0
     }
 
     /// Burst time: how long a bucket may accumulate tokens, in milliseconds.
@@ -82,14 +82,14 @@
     /// A shield. Shields share most of the rate.
     Shield {
         /// Number of shields.
-        of: usize,
+        shield_count: usize,
     },
     /// An edge. Edges share a small part of the rate while there are shields.
     Edge {
         /// Number of edges.
-        of: usize,
+        edge_count: usize,
         /// Whether there are no shields. Edges share the part of the shields then.
-        alone: bool,
+        without_shields: bool,
     },
 }
 
@@ -97,9 +97,13 @@
     /// The share of the rate for one machine with this role.
     fn quota(self) -> f64 {
         match self {
-            QuotaHolder::Shield { of } => (1.0 - EDGE_QUOTA_SHARE) / of.max(1) as f64,
-            QuotaHolder::Edge { of, alone: false } => EDGE_QUOTA_SHARE / of.max(1) as f64,
-            QuotaHolder::Edge { of, alone: true } => (1.0 - EDGE_QUOTA_SHARE) / of.max(1) as f64,
+            QuotaHolder::Shield { shield_count } => (1.0 - EDGE_QUOTA_SHARE) / shield_count.max(1) as f64,
+            QuotaHolder::Edge { edge_count, without_shields: false } => {
+                EDGE_QUOTA_SHARE / edge_count.max(1) as f64
+            }
+            QuotaHolder::Edge { edge_count, without_shields: true } => {
+                (1.0 - EDGE_QUOTA_SHARE) / edge_count.max(1) as f64
+            }
         }
     }
 }
--- a/control-plane/tests/contact.rs
+++ b/control-plane/tests/contact.rs
@@ -114,7 +114,8 @@
     fn new(seed: u64) -> Self {
         let voters = if seed.is_multiple_of(3) { 5 } else { 3 };
         let seeds: Vec<NodeId> = (0..voters).map(node).collect();
-        let settings = ChainSettings { losses: voters / 2, eligible: true, ..ChainSettings::default() };
+        let settings =
+            ChainSettings { tolerated_losses: voters / 2, eligible: true, ..ChainSettings::default() };
         let chain = |n| match n {
             n if n < voters => Chain::new(node(n), settings, Start::Fresh(seeds.clone())),
             // A standby.
@@ -407,7 +408,7 @@
                 self.pending.retain(|(node, _), _| *node != victim);
                 let start = self.machines[victim].disk.clone().map_or(Start::Wiped, Start::Recovered);
                 let settings = ChainSettings {
-                    losses: (self.nodes() - 1) / 2,
+                    tolerated_losses: (self.nodes() - 1) / 2,
                     eligible: true,
                     ..ChainSettings::default()
                 };
--- a/control-plane/tests/deduplication.rs
+++ b/control-plane/tests/deduplication.rs
@@ -345,7 +345,7 @@
     }
 
     fn start(&mut self, n: usize, start: Start) {
-        let settings = ChainSettings { losses: 1, eligible: true, ..ChainSettings::default() };
+        let settings = ChainSettings { tolerated_losses: 1, eligible: true, ..ChainSettings::default() };
         self.chains[n] = Some(Chain::new(node(n), settings, start));
         for other in self.running().into_iter().filter(|other| *other != n) {
             self.links.insert((n, other), VecDeque::new());
--- a/control-plane/tests/exhaustive/world.rs
+++ b/control-plane/tests/exhaustive/world.rs
@@ -105,7 +105,7 @@
 
     /// Nodes that start from these states, all connected to each other. A node with `None` does not run.
     pub fn with_starts(losses: usize, starts: Vec<Option<Start>>) -> World {
-        let settings = ChainSettings { losses, eligible: true, ..ChainSettings::default() };
+        let settings = ChainSettings { tolerated_losses: losses, eligible: true, ..ChainSettings::default() };
         let machine = |(n, start): (usize, Option<Start>)| Machine {
             disk: match &start {
                 Some(Start::Recovered(disk)) => Some(disk.clone()),
--- a/control-plane/tests/unit/peers.rs
+++ b/control-plane/tests/unit/peers.rs
@@ -17,7 +17,7 @@
         accepted: 1,
         record: std::sync::Arc::default(),
     };
-    let settings = ChainSettings { losses: 1, eligible: true, ..ChainSettings::default() };
+    let settings = ChainSettings { tolerated_losses: 1, eligible: true, ..ChainSettings::default() };
     Chain::new(node(3), settings, Start::Recovered(state))
 }
 
--- a/control-plane/tests/unit/rate_limit.rs
+++ b/control-plane/tests/unit/rate_limit.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const LIMIT: RateLimitSettings = RateLimitSettings { window: 5000, over: 1.1 };
+const LIMIT: RateLimitSettings = RateLimitSettings { window: 5000, overshoot_factor: 1.1 };
 const RATE_PER_S: f64 = 280.0;
 
 /// Numbers of requests that were sent in a simulation.
@@ -48,9 +48,9 @@
             }
             let known = known_shields[n].0;
             let holder = if n < shields {
-                QuotaHolder::Shield { of: known.max(1) }
+                QuotaHolder::Shield { shield_count: known.max(1) }
             } else {
-                QuotaHolder::Edge { of: edges, alone: known == 0 }
+                QuotaHolder::Edge { edge_count: edges, without_shields: known == 0 }
             };
             limiter.set_holder(now, holder);
             // Shields send whenever they run. Edges always send, with a small quota while there are shields.
@@ -71,7 +71,7 @@
 
 #[test]
 fn no_window_exceeds_the_limit_while_machines_stop_and_restart() {
-    let allowed = (RATE_PER_S * 5.0 * LIMIT.over) as usize + 5;
+    let allowed = (RATE_PER_S * 5.0 * LIMIT.overshoot_factor) as usize + 5;
     for (shields, edges) in [(3, 10), (5, 90), (5, 900)] {
         for seed in 0..4 {
             let most = simulate(seed, shields, edges, true).max_in_window;
@@ -92,7 +92,7 @@
 #[test]
 fn a_process_starts_without_tokens_and_reserves_saved_tokens_for_high_priority() {
     let mut limiter = RateLimiter::new(LIMIT, 0.0);
-    limiter.set_holder(0, QuotaHolder::Shield { of: 1 });
+    limiter.set_holder(0, QuotaHolder::Shield { shield_count: 1 });
     let wait = limiter.try_acquire(0, "s", 100.0, 0.0).expect_err("nothing saved yet");
     assert!((10..12).contains(&wait), "one in about 10 ms, got {wait}");
     assert_eq!(limiter.try_acquire(wait, "s", 100.0, 0.0), Ok(()));
@@ -108,7 +108,7 @@
 #[test]
 fn a_small_quota_yields_single_tokens_that_do_not_accumulate() {
     let mut limiter = RateLimiter::new(LIMIT, 0.5);
-    limiter.set_holder(0, QuotaHolder::Edge { of: 1000, alone: false });
+    limiter.set_holder(0, QuotaHolder::Edge { edge_count: 1000, without_shields: false });
     assert!(limiter.try_acquire(0, "s", 100.0, 1.0).is_err());
     let (mut sent, mut wait) = (0, 0);
     // After a long time without requests, there is at most one token.
--- a/control-plane/tests/unit/settings.rs
+++ b/control-plane/tests/unit/settings.rs
@@ -6,7 +6,7 @@
 const STEP_MS: Millis = 10;
 
 fn settings(losses: usize, sync: Millis) -> ChainSettings {
-    ChainSettings { losses, eligible: true, sync }
+    ChainSettings { tolerated_losses: losses, eligible: true, sync }
 }
 
 /// Time without a message after which a node considers a peer as failed.
--- a/control-plane/tests/unit/voters.rs
+++ b/control-plane/tests/unit/voters.rs
@@ -15,7 +15,7 @@
         accepted: 1,
         record: std::sync::Arc::default(),
     };
-    let settings = ChainSettings { losses: 1, eligible: true, ..ChainSettings::default() };
+    let settings = ChainSettings { tolerated_losses: 1, eligible: true, ..ChainSettings::default() };
     let mut chain = Chain::new(node(1), settings, Start::Recovered(state));
     chain.peer_connected(0, node(2));
     let mut is_quorum_after_heartbeat = |members: JointConfig| {
--- a/experiments/src/fleet/reads.rs
+++ b/experiments/src/fleet/reads.rs
@@ -13,7 +13,7 @@
 use super::FleetPlan;
 
 /// The bound that users are given: in any window, not more than the rate times `over`, and [`EXTRA_REQUESTS`].
-const RATE_LIMIT: RateLimitSettings = RateLimitSettings { window: 5000, over: 1.1 };
+const RATE_LIMIT: RateLimitSettings = RateLimitSettings { window: 5000, overshoot_factor: 1.1 };
 /// Requests that are permitted in a window beyond that.
 const EXTRA_REQUESTS: f64 = 5.0;
 /// Separates the random stream of reads from that of writes.
@@ -49,7 +49,7 @@
     /// Creates an empty shield, one of `count`.
     fn new(count: usize, rng: &mut ChaCha8Rng) -> Shield {
         let mut limiter = RateLimiter::new(RATE_LIMIT, rng.random());
-        limiter.set_holder(0, QuotaHolder::Shield { of: count });
+        limiter.set_holder(0, QuotaHolder::Shield { shield_count: count });
         Shield { limiter, fresh_until: HashMap::new(), reads: 0 }
     }
 }
@@ -149,7 +149,8 @@
 
     fn report(&self) -> ReadReport {
         let share = |part: u64| part as f64 / self.reads.max(1) as f64;
-        let permitted = self.rate * RATE_LIMIT.over * RATE_LIMIT.window as f64 / 1000.0 + EXTRA_REQUESTS;
+        let permitted =
+            self.rate * RATE_LIMIT.overshoot_factor * RATE_LIMIT.window as f64 / 1000.0 + EXTRA_REQUESTS;
         let busiest = self.shields.iter().map(|shield| shield.reads).max().unwrap_or(0) as f64;
         ReadReport {
             reads: self.reads,
--- a/experiments/src/hollow/nodes/mod.rs
+++ b/experiments/src/hollow/nodes/mod.rs
@@ -259,7 +259,7 @@
         let before = std::mem::replace(&mut knowledge.counted, counted);
         update_count(&self.observations.in_contact, before.in_contact, counted.in_contact);
         update_count(&self.observations.know_everything, before.knows_everything, counted.knows_everything);
-        self.observations.set_contact(self.number, in_contact, self.lease.until().into_std());
+        self.observations.set_contact(self.number, in_contact, self.lease.expires_at().into_std());
     }
 
     fn lose_contact(&self) {
--- a/glenfall/src/agent/relay.rs
+++ b/glenfall/src/agent/relay.rs
@@ -88,7 +88,7 @@
             PublisherMessage::ControlNodes(nodes) => self.known.borrow_mut().set_control_nodes(nodes),
             PublisherMessage::LeaseGranted { sent_at, duration } => {
                 self.lease.renew(sent_at, duration);
-                self.proxies.set_own_lease_end(self.lease.until());
+                self.proxies.set_own_lease_end(self.lease.expires_at());
             }
             PublisherMessage::Push { update, .. } => return self.apply(update).await,
             PublisherMessage::Draining | PublisherMessage::Ping => {}
@@ -149,7 +149,7 @@
     fn set_connected(&self, is_connected: bool) {
         if !is_connected {
             self.lease.end();
-            self.proxies.set_own_lease_end(self.lease.until());
+            self.proxies.set_own_lease_end(self.lease.expires_at());
         }
         self.known.borrow_mut().set_connected(is_connected);
         self.proxies.push(&Update::Connected(is_connected));
--- a/glenfall/src/edge/mod.rs
+++ b/glenfall/src/edge/mod.rs
@@ -167,8 +167,12 @@
     /// edge, either the shields are down or the edge is partitioned from them. It then takes the larger quota of an edge
     /// without shields: edges that reach the shields do not use their own quotas meanwhile.
     fn update_quota_share(&self) {
-        let alone = !self.shields.any_ready() || !self.is_connected.get() || self.shields.all_failing();
-        self.forwarder.set_quota_holder(QuotaHolder::Edge { of: self.edge_count.get() as usize, alone });
+        let without_shields =
+            !self.shields.any_ready() || !self.is_connected.get() || self.shields.all_failing();
+        self.forwarder.set_quota_holder(QuotaHolder::Edge {
+            edge_count: self.edge_count.get() as usize,
+            without_shields,
+        });
     }
 
     /// Stores a shield's response in the local cache; `sent` is when the request was sent to the shield. Nothing is stored
--- a/glenfall/src/session/lease.rs
+++ b/glenfall/src/session/lease.rs
@@ -39,7 +39,7 @@
     }
 
     /// When the lease expires; not later than now if there is none.
-    pub fn until(&self) -> Instant {
+    pub fn expires_at(&self) -> Instant {
         self.clock_start + Duration::from_millis(self.lease.get().expires_at())
     }
 
--- a/glenfall/src/settings/derived.rs
+++ b/glenfall/src/settings/derived.rs
@@ -25,8 +25,11 @@
     /// When the repair after `survive.hosts` losses takes longer than `timing.syncS`.
     pub fn chain_settings(&self) -> Result<ChainSettings, SettingsError> {
         let (hosts, sync_s) = (self.survive.hosts, self.timing.sync_s);
-        let settings =
-            ChainSettings { losses: hosts, eligible: self.voter, sync: (sync_s * MS_PER_S) as Millis };
+        let settings = ChainSettings {
+            tolerated_losses: hosts,
+            eligible: self.voter,
+            sync: (sync_s * MS_PER_S) as Millis,
+        };
         settings.check().map_err(|error| SettingsError::SyncTooShort { hosts, sync_s, error })?;
         Ok(settings)
     }
@@ -44,7 +47,7 @@
     pub fn rate_limit(&self) -> RateLimitSettings {
         RateLimitSettings {
             window: (self.timing.ceiling_window_s * MS_PER_S) as Millis,
-            over: self.timing.ceiling_over,
+            overshoot_factor: self.timing.ceiling_over,
         }
     }
 
--- a/glenfall/src/shield/mod.rs
+++ b/glenfall/src/shield/mod.rs
@@ -127,7 +127,7 @@
         let ready = fleet.shields.iter().filter(|member| member.ready && member.proxy == ProxyRole::Shield);
         // Until it knows the complete fleet, a shield assumes that every core machine has a shield that sends requests.
         let sharing_shields = ready.count().max(if fleet.complete { 1 } else { fleet.cores as usize });
-        self.forwarder.set_quota_holder(QuotaHolder::Shield { of: sharing_shields });
+        self.forwarder.set_quota_holder(QuotaHolder::Shield { shield_count: sharing_shields });
     }
 
     fn purge(&self, purges: &[AgedPurge]) {
--- a/glenfall/tests/unit/forward.rs
+++ b/glenfall/tests/unit/forward.rs
@@ -92,7 +92,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_first_attempt_waits_a_little_for_the_rate_limit_and_a_retry_does_not() {
     let forwarder = forwarder(Vec::new(), 0);
-    forwarder.set_quota_holder(QuotaHolder::Shield { of: 1 });
+    forwarder.set_quota_holder(QuotaHolder::Shield { shield_count: 1 });
     let uri = Uri::from_static("/x");
     let limited = |per_s| UpstreamRequest { rate_limit_per_s: per_s, ..request(&uri, true, 2) };
     let acquire = async |request: &UpstreamRequest<'_>, may_wait| {
--- a/glenfall/tests/unit/settings.rs
+++ b/glenfall/tests/unit/settings.rs
@@ -30,7 +30,7 @@
         let checked = glenfall::operator::commands::check(&file).map_err(|e| e.to_string());
         let core = Settings::parse(&text).unwrap().chain_settings();
         assert_eq!(core.is_ok(), checked.is_ok(), "{checked:?}");
-        checked.map(|_| core.unwrap().losses)
+        checked.map(|_| core.unwrap().tolerated_losses)
     };
     // With `hosts` = h the chain has 2h + 1 voters; 0 promises nothing.
     for (hosts, sync_s) in [(1, 4.0), (2, 4.0), (2, 6.0), (3, 4.0), (0, 0.0)] {
@@ -90,7 +90,7 @@
     let retries = settings.retry_budget();
     assert_eq!((retries.ratio, retries.window, retries.slack), (0.3, 12_000, 70.0));
     let rate = settings.rate_limit();
-    assert_eq!((rate.window, rate.over), (8000, 1.2));
+    assert_eq!((rate.window, rate.overshoot_factor), (8000, 1.2));
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/v0.3.0/settings.toml");
     let checked = glenfall::operator::commands::check(std::path::Path::new(file));
     assert_eq!(checked.expect("accepted"), "settings of core-1 in zone north");
