--- a/control-plane/src/chain/mod.rs
+++ b/control-plane/src/chain/mod.rs
@@ -18,7 +18,7 @@
 //! A view is active only while all links between its members are up and no member has restarted. A lost link, a
 //! restart, a draining member or a stalled disk leads to a new view. A voter that has lost its disk ([`Start::Wiped`])
 //! may have lost a promise with it: it has no vote until a view that includes it has started. While there are too few
-//! voters to tolerate the required number of losses ([`ChainSettings::losses`]), no change is acknowledged.
+//! voters to tolerate the required number of losses ([`ChainSettings::tolerated_losses`]), no change is acknowledged.
 //!
 //! The module does no input or output and reads no clock. The caller passes in events and the time, and carries out the
 //! [`Output`]s.
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Whether there are enough voters to tolerate the losses that the settings require ([`ChainSettings::losses`]).
+    /// Whether there are enough voters to tolerate the losses that the settings require ([`ChainSettings::tolerated_losses`]).
     pub fn tolerates_losses(&self) -> bool {
         self.members().tolerates(self.settings.tolerated_losses)
     }
