--- a/experiments/src/cli.rs
+++ b/experiments/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the program.
+//! The command line of `glenfall-lab`.
 
 use std::future::Future;
 use std::path::{Path, PathBuf};
@@ -27,57 +27,58 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a plan, and write report.json, report.md and answers.svg
+    /// Run the experiment of a plan; write report.json, report.md and answers.svg
     Run {
         plan: PathBuf,
-        /// Folder of the report; it is made
+        /// Folder for the report, created if missing
         #[arg(long)]
         out: PathBuf,
-        /// The program under test; the one beside this one if not given
+        /// Path of the program under test; by default, `glenfall` in the folder of this program
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Run the machines' decisions for fleets of many sizes, without sockets; write fleet.json, fleet.md, fleet.svg
+    /// Simulate fleets of several sizes without sockets; write fleet.json, fleet.md and fleet.svg
     Fleet {
         plan: PathBuf,
-        /// Folder of the report; it is made
+        /// Folder for the report, created if missing
         #[arg(long)]
         out: PathBuf,
     },
-    /// Run random schedules of the replicated chain, without sockets or disks, and name those in which an invariant is violated
+    /// Simulate random schedules of the replicated chain without sockets or disks; print those that violate an invariant
     Schedules(ScheduleOptions),
-    /// Run the system's processes under random faults, and name the seeds in which an invariant is violated
+    /// Run the system's processes under random faults; print the seeds that violate an invariant
     Soak(SoakOptions),
-    /// Hold sessions of many hollow nodes at real control processes; write hollow.json, hollow.csv, hollow.md and plots
+    /// Connect many hollow nodes, which serve no traffic, to real control processes; write hollow.json, hollow.csv,
+    /// hollow.md and plots
     Hollow {
         #[command(flatten)]
         options: HollowOptions,
-        /// Folder of the report; it is made
+        /// Folder for the report, created if missing
         #[arg(long)]
         out: PathBuf,
-        /// The program under test; the one beside this one if not given
+        /// Path of the program under test; by default, `glenfall` in the folder of this program
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Count wake-ups, system calls and kilobytes for one request of each kind and for idle processes; write
+    /// Measure wake-ups, system calls and kilobytes of one request of each kind and of idle processes; write
     /// processor.json and processor.md
     Processor {
         #[command(flatten)]
         options: ProcessorOptions,
-        /// Folder of the report; it is made
+        /// Folder for the report, created if missing
         #[arg(long)]
         out: PathBuf,
-        /// The program under test; the one beside this one if not given
+        /// Path of the program under test; by default, `glenfall` in the folder of this program
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Check a plan, and name the place of a mistake
+    /// Validate a plan; print the first error with its field or line
     Check { plan: PathBuf },
-    /// Set two reports (report.json) side by side
+    /// Print the differences between two reports (report.json), by class
     Compare { before: PathBuf, after: PathBuf },
 }
 
-/// Runs the program with the arguments of the process.
+/// Parses the arguments of the process and runs the command. Fails on an error or a violated guarantee.
 pub fn main() -> ExitCode {
     match run(Arguments::parse().command) {
         Ok(true) => ExitCode::SUCCESS,
@@ -89,7 +90,7 @@
     }
 }
 
-/// Runs a command; false where the system violated a guarantee.
+/// Runs a command. Returns false if the system violated a guarantee.
 fn run(command: Command) -> Result<bool, LabError> {
     match command {
         Command::Run { plan, out, program } => run_experiment(&plan, &out, program),
@@ -154,7 +155,7 @@
     LocalSet::new().block_on(&runtime, task)
 }
 
-/// Writes a report as JSON and as Markdown into a folder, which is made.
+/// Writes a report as JSON and as Markdown into a folder, which is created if missing.
 fn write_report(out: &Path, name: &str, report: &impl Serialize, markdown: &str) -> Result<(), LabError> {
     std::fs::create_dir_all(out)?;
     std::fs::write(out.join(format!("{name}.json")), serde_json::to_string_pretty(report)?)?;
@@ -162,7 +163,7 @@
     Ok(())
 }
 
-/// Returns the program under test: the one that is named, or the one beside this one.
+/// Returns the path of the program under test: the given one, or `glenfall` in the folder of this program.
 fn program_path(program: Option<PathBuf>) -> std::io::Result<PathBuf> {
     match program {
         Some(program) => Ok(program),
--- a/experiments/src/experiment/faults.rs
+++ b/experiments/src/experiment/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection: carries out the faults of a plan on processes and servers.
+//! Injects the faults of a plan into processes and servers.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -12,10 +12,10 @@
 use crate::origin::Origin;
 use crate::plan::{FaultKind, PlannedFault};
 
-/// A process exits within this time after SIGTERM.
+/// The time in which a process exits after SIGTERM.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Injects a fault at its time, counted from `began_at`, and ends it.
+/// Injects a fault at its time, relative to `began_at`, and reverts it after its duration.
 pub async fn inject(
     fault: PlannedFault,
     began_at: Instant,
@@ -62,7 +62,7 @@
 
 fn signal(local: &RefCell<LocalSystem>, node: &str, role: Option<&str>, signal: Signal) {
     for pid in local.borrow().pids(node, role) {
-        // One that has exited already needs no signal.
+        // Fails if the process has already exited, which is fine.
         let _ = kill(Pid::from_raw(pid as i32), signal);
     }
 }
@@ -73,7 +73,7 @@
     }
 }
 
-/// Returns at most `count` servers of a service that have no fault.
+/// Returns up to `count` servers of a service that have no fault.
 fn healthy_origins(origins: &[Rc<Origin>], service: &str, count: u8) -> Vec<Rc<Origin>> {
     let healthy = origins.iter().filter(|origin| origin.plan.name == service && origin.is_healthy());
     healthy.take(count.into()).cloned().collect()
--- a/experiments/src/experiment/mod.rs
+++ b/experiments/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! One experiment from start to end: the system runs as processes, the servers and clients in this one.
+//! Runs an experiment from start to end. The system runs as separate processes; servers and clients run in this one.
 
 mod faults;
 mod setup;
@@ -23,17 +23,17 @@
 use crate::status::{control_nodes, sessions};
 pub use setup::{put_config, start_servers, wait_until_ready};
 
-/// Third byte of the addresses of the machines.
+/// The third octet of the IP addresses of the machines.
 const MACHINE_NET: u8 = 9;
-/// Processes report their counters to control at intervals; the last ones have arrived after this time.
+/// How long to wait until control has the final counters, which processes report at intervals.
 const COUNTERS_DELAY: Duration = Duration::from_secs(11);
 
-/// Runs a plan with this program.
+/// Runs a plan with the system's processes started from `program`.
 ///
 /// # Errors
 ///
-/// Returns an error where the system can't be started, a call to control fails, or a process has logged a violated
-/// invariant of the code.
+/// Returns an error if the system can't be started, a call to control fails, or a process has logged the violation of an
+/// invariant.
 pub async fn run(plan: &Plan, program: &Path) -> Result<Report, LabError> {
     let local = LocalSystem::start(layout(plan), program).await?;
     let controls = local.controls();
@@ -87,7 +87,7 @@
     services
 }
 
-/// Sums the counters of all sessions, without quantiles, which can't be summed.
+/// Sums the counters of all sessions. Skips quantiles (`_us`), which can't be summed.
 async fn sum_counters(controls: &ControlAddresses) -> Result<BTreeMap<String, u64>, LabError> {
     let mut sums = BTreeMap::new();
     for session in sessions(&control_nodes(controls).await?) {
--- a/experiments/src/experiment/setup.rs
+++ b/experiments/src/experiment/setup.rs
@@ -1,4 +1,4 @@
-//! Brings a system up: servers, the first configuration, and the wait until all processes have applied it.
+//! Sets a system up: starts servers, puts the initial configuration, and waits until all processes have applied it.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -18,18 +18,18 @@
 use crate::plan::Plan;
 use crate::status::{control_nodes, count_ready, has_applied_all, sessions};
 
-/// The system is up within this time, also on a busy machine.
+/// The time limit for the system to start; generous, for busy machines.
 const START_TIMEOUT: Duration = Duration::from_mins(1);
 /// The machine number of the first server.
 const FIRST_SERVER_MACHINE: u8 = 100;
-/// How often it is looked whether the system is ready.
+/// The interval between checks whether the system is ready.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Starts the servers of a plan in this process.
 ///
 /// # Errors
 ///
-/// Returns an error where no address can be bound.
+/// Returns an error if an address can't be bound.
 pub async fn start_servers(
     plan: &Plan,
     local: &LocalSystem,
@@ -52,11 +52,11 @@
     Ok(origins)
 }
 
-/// Puts the first configuration, and retries with a pause until a control node answers.
+/// Puts the initial configuration, and retries every `retry_pause` until a control node answers.
 ///
 /// # Errors
 ///
-/// Returns an error where control rejects it, or does not answer within [`START_TIMEOUT`].
+/// Returns an error if control rejects it, or does not answer within [`START_TIMEOUT`].
 pub async fn put_config(
     document: String,
     controls: &ControlAddresses,
@@ -73,11 +73,11 @@
     }
 }
 
-/// Waits until all control nodes know all servers and shields, and all sessions have applied what they were pushed.
+/// Waits until all control nodes know all servers and shields, and all sessions have applied all pushes.
 ///
 /// # Errors
 ///
-/// Returns an error where a call to control fails, or this takes longer than [`START_TIMEOUT`].
+/// Returns an error if a call to control fails, or the system is not ready within [`START_TIMEOUT`].
 pub async fn wait_until_ready(
     plan: &Plan,
     controls: &ControlAddresses,
--- a/experiments/src/fleet/control_traffic.rs
+++ b/experiments/src/fleet/control_traffic.rs
@@ -1,5 +1,6 @@
-//! The traffic of control: to edges over their sessions, and between control nodes, while the fleet starts, is idle,
-//! has its servers replaced, and has its edges restarted. Bytes are those of the frames that the processes would write.
+//! Simulates control-plane traffic: to edges over their sessions, and between control nodes, while the fleet starts, is
+//! idle, has its servers replaced, and has its edges restarted. Sizes are those of the frames that the real processes
+//! write.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::ops::Range;
@@ -14,43 +15,43 @@
 
 use super::FleetPlan;
 
-/// Changes of the fleet within this time are pushed as one.
+/// Fleet changes within this time are coalesced into one push.
 const COALESCING_TIME: Millis = 10;
-/// Bytes of the length in front of a frame.
+/// The size of the length prefix of a frame.
 const LENGTH_PREFIX_BYTES: usize = 4;
-/// All edges start within this time, and servers send their first heartbeats.
+/// All edges start, and all servers send their first heartbeat, within this time.
 const START_DURATION: Millis = 1000;
-/// How long the fleet is idle.
+/// The duration of the idle phase.
 const IDLE_DURATION: Millis = 10_000;
-/// All servers are replaced, or all edges restarted, within this time, whatever the size: a tenth of the fleet at a time.
+/// All servers are replaced, or all edges restarted, within this time at every size: a tenth of the fleet per second.
 const ROLL_DURATION: Millis = 10_000;
-/// An edge that is restarted is away for this share of the time in which all are.
+/// A restarting edge is down for [`ROLL_DURATION`] divided by this.
 const ROLL_PARTS_AWAY: Millis = 20;
-/// Old servers deregister once this share of the servers was replaced after them.
+/// An old server deregisters once the number of servers, divided by this, has been replaced after it.
 const DRAINING_PARTS: u32 = 10;
-/// The push number of a frame at a session that is long established.
+/// The push number in the frames of an established session; it affects their encoded length.
 const USUAL_PUSH_NUMBER: u64 = 1000;
 /// The address of the first edge; the others follow it.
 const FIRST_EDGE_ADDRESS: u32 = 0x0a01_0000;
 /// The address of the first server; the others follow it.
 const FIRST_SERVER_ADDRESS: u32 = 0x0a02_0000;
-/// Zones of edges and servers.
+/// The number of zones of edges and servers.
 const ZONE_COUNT: u32 = 4;
 
-/// The traffic in one phase.
+/// Control-plane traffic in one phase of the simulation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PhaseTraffic {
-    /// The name of the phase.
+    /// The name of the phase: `start`, `rest`, `release` or `roll`.
     pub name: String,
-    /// Messages to each edge.
+    /// Messages sent to each edge, mean.
     #[serde(rename = "to_edge")]
     pub messages_to_edge: f64,
-    /// Bytes to each edge.
+    /// Bytes sent to each edge, mean.
     pub bytes_to_edge: f64,
-    /// What the bytes to each edge would be if each change pushed a snapshot of the fleet.
+    /// Bytes that would be sent to each edge if each push were a snapshot of the fleet instead of a delta.
     #[serde(rename = "whole_bytes_to_edge")]
     pub snapshot_bytes_to_edge: f64,
-    /// Bytes between all control nodes.
+    /// Bytes sent between control nodes, total.
     pub bytes_between_controls: u64,
 }
 
@@ -62,16 +63,16 @@
     PublisherMessage::Push { number, update: Update::Fleet(update) }
 }
 
-/// A control node.
 struct ControlNode {
     registry: Registry,
     fleet: VersionedFleet,
-    /// The edges with sessions here, as peers know them.
+    /// The edges with sessions at this node, as last sent to its peers.
     published_sessions: Vec<Member>,
+    /// The edges with sessions at this node now.
     sessions: Vec<Member>,
-    /// The edges with sessions at each other node.
+    /// The edges with sessions at each peer, by the index of the peer.
     peer_sessions: Vec<Vec<Member>>,
-    /// Whether something has changed since the last push.
+    /// Whether the fleet may have changed since the last push.
     dirty: bool,
 }
 
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Returns the fleet as the node knows it now.
+    /// Returns the fleet as this node knows it at `now`.
     fn current_fleet(&self, now: Millis, cores: u8) -> Fleet {
         let edges = self.sessions.iter().chain(self.peer_sessions.iter().flatten());
         let mut fleet = Fleet {
@@ -102,7 +103,7 @@
     }
 }
 
-/// Traffic since the start of a phase.
+/// Traffic since the start of the current phase.
 #[derive(Default)]
 struct Traffic {
     messages_to_edges: u64,
@@ -143,7 +144,7 @@
     }
 }
 
-/// Returns which of `count` events, at even intervals of a phase, are due in one of its steps.
+/// Returns which of `count` events, spread evenly over a phase, are due in a step of [`COALESCING_TIME`].
 fn due_in_step(count: u32, step: Millis, phase_duration: Millis) -> Range<u32> {
     let due_before = |step: Millis| (u64::from(count) * step * COALESCING_TIME / phase_duration) as u32;
     due_before(step)..due_before(step + 1)
@@ -155,7 +156,7 @@
         ControlRun { now: 0, cores: plan.cores, nodes, traffic: Traffic::default() }
     }
 
-    /// Returns how many peers a control node sends to.
+    /// Returns the number of peers of a control node.
     fn peers(&self) -> u64 {
         self.nodes.len() as u64 - 1
     }
@@ -164,7 +165,7 @@
         edge_number as usize % self.nodes.len()
     }
 
-    /// Opens the session of an edge at its control node, which pushes a snapshot of the fleet.
+    /// Opens the session of an edge at its control node, which pushes it a snapshot of the fleet.
     fn open_session(&mut self, edge_number: u32) {
         let index = self.node_of(edge_number);
         let node = &mut self.nodes[index];
@@ -183,7 +184,7 @@
         self.publish_sessions(index);
     }
 
-    /// Sends the sessions of a control node to its peers, if they have changed.
+    /// Sends the peers of a control node the change of its sessions, if there is one.
     fn publish_sessions(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let members = MembersUpdate::sorted_by_name(node.sessions.clone());
@@ -201,7 +202,7 @@
         }
     }
 
-    /// A server sends a heartbeat to one control node, which forwards it to its peers.
+    /// Simulates a heartbeat of a server to one control node, which forwards it to its peers.
     fn heartbeat(&mut self, entry: &ServerEntry) {
         let message = PeerMessage::Servers(vec![ObservedServer::now(entry.clone())]);
         self.traffic.bytes_between_controls += self.peers() * frame_bytes(&message);
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Lets time pass; then each node pushes what has changed.
+    /// Advances the clock; then each control node pushes its fleet changes to its sessions.
     fn advance(&mut self, time: Millis) {
         self.now += time;
         for node in self.nodes.iter_mut().filter(|node| node.dirty) {
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Ends a phase, and returns its traffic.
+    /// Returns the traffic of the phase that ends, and resets the counts for the next one.
     fn end_phase(&mut self, name: &str, edges: u32) -> PhaseTraffic {
         let traffic = std::mem::take(&mut self.traffic);
         let per_edge = |count: u64| count as f64 / f64::from(edges);
@@ -263,7 +264,7 @@
         }
     }
 
-    /// Replaces all servers: each new one starts first, then the old one drains, and later deregisters.
+    /// Replaces all servers: a new server becomes ready, then the old one drains, and later deregisters.
     fn replace_servers(&mut self, servers: u32) {
         for step in 0..ROLL_DURATION / COALESCING_TIME {
             for number in due_in_step(servers, step, ROLL_DURATION) {
@@ -293,7 +294,7 @@
     }
 }
 
-/// Runs control for a fleet with this number of edges, and returns the traffic of each phase.
+/// Simulates the control plane of a fleet of `edges` edges, and returns the traffic of each phase.
 pub fn run(plan: &FleetPlan, edges: u32) -> Vec<PhaseTraffic> {
     let servers = plan.servers(edges);
     let mut run = ControlRun::new(plan);
--- a/experiments/src/fleet/mod.rs
+++ b/experiments/src/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet of any size in one process: the same state machines and decisions as in the system's processes, without
-//! sockets, under virtual time. It shows what grows with the number of edges: the traffic of control, how edges choose
-//! servers, and what reaches an origin under its rate limit.
+//! Simulates a fleet of any size in one process: the state machines and load-balancing decisions of the real processes,
+//! without sockets, under virtual time. It measures what grows with the number of edges: control-plane traffic,
+//! connections and load of servers, and the requests that reach a rate-limited origin.
 
 mod control_traffic;
 mod plan;
@@ -11,11 +11,11 @@
 pub use plan::{FleetPlan, InvalidFleetPlan, ReadPlan, WritePlan};
 pub use report::{FleetReport, SizeReport};
 
-/// Runs all sizes, each in a thread of its own.
+/// Simulates all sizes of the plan in parallel, each in its own thread.
 ///
 /// # Errors
 ///
-/// Returns an error where a thread panicked.
+/// Returns an error if a thread panics.
 pub fn run(plan: &FleetPlan) -> std::io::Result<FleetReport> {
     let sizes = std::thread::scope(|scope| {
         let threads: Vec<_> =
--- a/experiments/src/fleet/plan.rs
+++ b/experiments/src/fleet/plan.rs
@@ -1,4 +1,5 @@
-//! The plan of a fleet: its sizes, and rates of one edge, so that the load grows with the fleet. It is a TOML file.
+//! The plan of a fleet simulation, a TOML file: the fleet sizes, and the load per edge, so that the total load grows
+//! with the fleet.
 
 use std::path::Path;
 
@@ -6,99 +7,99 @@
 
 use crate::plan::PlanError;
 
-/// Edges of a size at most: a session is a row in a table, and a minute is long enough for them.
+/// The largest fleet size, in edges; one of this size is simulated within a minute.
 const MAX_EDGES: u32 = 5000;
-/// The deviation of work and the skew of objects are below this.
+/// Exclusive upper bound of `writes.spread` and `reads.skew`.
 const MAX_EXPONENT: f64 = 4.0;
 
-/// What grows, and by what.
+/// The sizes of a simulated fleet and its load.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetPlan {
-    /// Numbers of edges, each of which is run by itself.
+    /// Fleet sizes in edges; each is simulated separately.
     pub sizes: Vec<u32>,
-    /// Virtual seconds of requests.
+    /// How long requests arrive, in virtual seconds.
     pub seconds: f64,
-    /// The seed of requests.
+    /// The seed of the random arrivals, objects and service times.
     pub seed: u64,
-    /// Control nodes, each with a co-located shield; they don't grow with the edges.
+    /// Control nodes, each with a co-located shield: the same number at every size.
     pub cores: u8,
-    /// The writes of an edge.
+    /// The write load, and the servers that receive it.
     pub writes: WritePlan,
-    /// The reads of an edge.
+    /// The read load, and the origin that is behind the shields.
     pub reads: ReadPlan,
 }
 
-/// The writes of an edge, and the servers that receive them.
+/// The write load of one edge, and the servers that receive it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct WritePlan {
-    /// Writes a second of an edge.
+    /// Writes per second of one edge.
     pub per_s: f64,
-    /// Servers for each edge.
+    /// Servers per edge; may be below 1.
     pub servers: f64,
-    /// Writes that a server works on at the same time.
+    /// Writes that a server processes concurrently.
     pub slots: u32,
-    /// Writes that may wait at a server.
+    /// Writes that may wait in the queue of a server.
     pub queue: u32,
-    /// The mean time that a write takes, in milliseconds.
+    /// The mean service time of a write, in milliseconds.
     pub work_ms: f64,
-    /// The standard deviation of the logarithm of that time.
+    /// The standard deviation of the logarithm of the service time.
     #[serde(rename = "spread")]
     pub work_log_deviation: f64,
-    /// How long an edge retains an idle connection, in seconds.
+    /// How long an edge keeps an idle connection open, in seconds.
     #[serde(rename = "keep_s")]
     pub idle_timeout_s: f64,
-    /// Connections that a server accepts.
+    /// The connection limit of a server.
     #[serde(rename = "max_conns")]
     pub max_connections: u32,
-    /// How often servers send a heartbeat, in milliseconds.
+    /// The heartbeat interval of servers, in milliseconds.
     #[serde(rename = "beat_ms")]
     pub heartbeat_ms: u64,
 }
 
-/// The reads of an edge, and the origin of their objects.
+/// The read load of one edge, and the origin of the objects.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReadPlan {
-    /// Reads a second of an edge.
+    /// Reads per second of one edge.
     pub per_s: f64,
-    /// How many objects there are, whatever the size.
+    /// The number of objects; the same at every fleet size.
     pub objects: u32,
-    /// How much the first objects are preferred: the exponent of a Zipf law.
+    /// The exponent of the Zipf distribution by which objects are requested.
     pub skew: f64,
-    /// How long an object is fresh, in seconds.
+    /// The freshness lifetime of an object, in seconds.
     pub max_age_s: f64,
-    /// The rate limit of the origin, in requests a second for each edge.
+    /// The rate limit of the origin, in requests per second and edge.
     pub rate_per_s: f64,
 }
 
-/// A mistake in a plan.
+/// Why a plan is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidFleetPlan {
-    /// The text is no TOML, or not that of a plan.
+    /// The text is not valid TOML, or does not have the fields of a plan.
     #[error("{0}")]
     Syntax(String),
-    /// A figure is not above 0.
+    /// A number is not above 0, or not finite.
     #[error("{0}: a figure above 0 expected")]
     NotPositive(&'static str),
     /// A count is 0.
     #[error("{0}: at least 1 expected")]
     Zero(&'static str),
-    /// There are no sizes, or one is out of range.
+    /// The list of sizes is empty, or a size is out of range.
     #[error("sizes: numbers from 1 to {MAX_EDGES} expected")]
     Sizes,
-    /// The deviation of work or the skew of objects is out of range.
+    /// `writes.spread` or `reads.skew` is out of range.
     #[error("writes.spread, reads.skew: from 0 to {MAX_EXPONENT} expected")]
     Exponent,
 }
 
 impl FleetPlan {
-    /// Loads a plan from a file, and checks it.
+    /// Reads a plan from a file and validates it.
     ///
     /// # Errors
     ///
-    /// Returns an error where the file can't be read, or the plan is invalid.
+    /// Returns an error if the file can't be read or the plan is invalid.
     pub fn load(path: &Path) -> Result<Self, PlanError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| PlanError::File { path: path.to_owned(), source })?;
@@ -113,11 +114,11 @@
         Ok(plan)
     }
 
-    /// Checks the plan.
+    /// Validates the plan.
     ///
     /// # Errors
     ///
-    /// Returns the first mistake.
+    /// Returns the first error found.
     pub fn check(&self) -> Result<(), InvalidFleetPlan> {
         let positive = [
             ("seconds", self.seconds),
@@ -152,7 +153,7 @@
         Ok(())
     }
 
-    /// Returns the number of servers for a number of edges.
+    /// Returns the number of servers of a fleet of `edges` edges: at least 1.
     pub(super) fn servers(&self, edges: u32) -> u32 {
         (f64::from(edges) * self.writes.servers).round().max(1.0) as u32
     }
--- a/experiments/src/fleet/reads.rs
+++ b/experiments/src/fleet/reads.rs
@@ -1,5 +1,5 @@
-//! What reaches an origin under its rate limit: how edges choose shields, the stored responses of shields, and each
-//! shield's share of the rate. All shields begin empty.
+//! Simulates reads through shields to a rate-limited origin: how edges choose shields, the caches of the shields, and
+//! the share of the rate limit that each shield enforces. All caches are empty at the start.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,41 +12,42 @@
 
 use super::FleetPlan;
 
-/// The bound that users are given: in any window, not more than the rate times `over`, and [`EXTRA_REQUESTS`].
+/// The documented bound: in any window, at most the rate times `over`, plus [`EXTRA_REQUESTS`], reach the origin.
 const RATE_LIMIT: RateLimitSettings = RateLimitSettings { window: 5000, over: 1.1 };
-/// Requests that are permitted in a window beyond that.
+/// Requests permitted in a window in addition to the rate.
 const EXTRA_REQUESTS: f64 = 5.0;
-/// Separates the random stream of reads from that of writes.
+/// Makes the random stream of reads differ from that of writes.
 const READ_STREAM: u64 = 1;
 
-/// The figures of the reads of a size.
+/// The results of the reads at one fleet size.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReadReport {
-    /// All reads.
+    /// The number of reads.
     pub reads: u64,
-    /// The share of reads that were rejected under the rate limit.
+    /// The share of reads that were rejected by the rate limit.
     #[serde(rename = "refused")]
     pub rejected_share: f64,
     /// The share of reads that reached the origin.
     #[serde(rename = "fetched")]
     pub fetched_share: f64,
-    /// The most requests in a window, divided by those that are permitted.
+    /// The most origin requests in a window, divided by the permitted number: above 1, the limit was exceeded.
     #[serde(rename = "most_over_allowed")]
     pub max_over_limit: f64,
-    /// The reads of the busiest shield, divided by the mean.
+    /// The reads of the busiest shield, divided by the mean of all shields.
     #[serde(rename = "busiest")]
     pub busiest_over_mean: f64,
 }
 
 struct Shield {
     limiter: RateLimiter,
-    /// When the stored response of each object is stale, in milliseconds. A read while it is fetched joins the fetch.
+    /// When the cached response of each object becomes stale, in milliseconds. It is set when the fetch starts, as reads
+    /// during a fetch join it.
     fresh_until: HashMap<u32, u64>,
     reads: u64,
 }
 
 impl Shield {
-    /// Creates an empty shield, one of `count`.
+    /// Creates a shield with an empty cache, which has the share of one of `count` shields in the rate limit.
     fn new(count: usize, rng: &mut ChaCha8Rng) -> Shield {
         let mut limiter = RateLimiter::new(RATE_LIMIT, rng.random());
         limiter.set_holder(0, QuotaHolder::Shield { of: count });
@@ -54,16 +55,16 @@
     }
 }
 
-/// The reads of a fleet.
+/// The state of a simulation of reads.
 struct ReadRun<'a> {
     plan: &'a FleetPlan,
-    /// The rate limit of the origin, in requests a second.
+    /// The rate limit of the origin, in requests per second.
     rate: f64,
     ids: Vec<ServerId>,
     shields: Vec<Shield>,
-    /// How each edge chooses a shield.
+    /// The shield selection of each edge, by its index.
     choosers: Vec<Shields>,
-    /// When the last requests reached the origin, in milliseconds.
+    /// When the requests of the current window reached the origin, in milliseconds.
     window: VecDeque<u64>,
     max_in_window: usize,
     reads: u64,
@@ -71,10 +72,10 @@
     fetched: u64,
 }
 
-/// Runs the reads of a fleet with this number of edges.
+/// Simulates the reads of a fleet of `edges` edges.
 pub fn run(plan: &FleetPlan, edges: u32) -> ReadReport {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed ^ READ_STREAM);
-    // A plan that was checked has valid distributions.
+    // The distributions of a validated plan are always valid.
     let Ok(pauses) = Exp::new(plan.reads.per_s * f64::from(edges)) else { return ReadReport::default() };
     let Ok(objects) = Zipf::new(f64::from(plan.reads.objects), plan.reads.skew) else {
         return ReadReport::default();
@@ -115,8 +116,8 @@
         }
     }
 
-    /// An edge reads an object at a time in seconds. A read is over before the next one where it finds a stored response;
-    /// misses are few.
+    /// Simulates a read of an object by an edge at `now`, in seconds. It completes at once: cache hits finish before the
+    /// next read, and misses are rare.
     fn read(&mut self, now: f64, edge: usize, object: u32) {
         let key = Key(mix(u64::from(object) + 1));
         let Some(chosen) = self.choosers[edge].choose(now, key, &[]) else { return };
@@ -128,7 +129,7 @@
         if shield.fresh_until.get(&object).is_some_and(|until| now_ms < *until) {
             return;
         }
-        // In the system a miss may wait a little for its turn; here it does not.
+        // Unlike in the real system, a miss that exceeds the rate is rejected without a short wait.
         if shield.limiter.try_acquire(now_ms, "origin", self.rate, 0.0).is_err() {
             self.rejected += 1;
             return;
--- a/experiments/src/fleet/report.rs
+++ b/experiments/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! The report of a fleet: tables, and a plot of growth with the number of edges.
+//! The report of a fleet simulation: Markdown tables, and a plot of growth with the number of edges.
 
 use std::path::Path;
 
@@ -10,35 +10,35 @@
 use super::writes::WriteReport;
 use crate::plot::{draw_growth, Line, PlotError};
 
-/// Figures are divided by those of the smallest size, and by this where those are 0.
+/// The least divisor when a value is divided by that of the smallest size, which may be 0.
 const MIN_DIVISOR: f64 = 1e-9;
-/// The least figure in the plot, whose scales are logarithmic.
+/// The least value drawn, as the scales of the plot are logarithmic.
 const MIN_GROWTH: f64 = 1e-3;
 
-/// The figures of one size.
+/// The results at one fleet size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SizeReport {
-    /// Edges.
+    /// The number of edges.
     pub edges: u32,
-    /// Servers of writes.
+    /// The number of servers that receive writes.
     pub servers: u32,
-    /// The traffic of control, by phase.
+    /// Control-plane traffic in each phase, in the order of the phases.
     #[serde(rename = "telling")]
     pub control_traffic: Vec<PhaseTraffic>,
-    /// The writes.
+    /// Results of the simulated writes.
     pub writes: WriteReport,
-    /// The reads.
+    /// Results of the simulated reads.
     pub reads: ReadReport,
 }
 
-/// The figures of all sizes.
+/// The results at all fleet sizes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetReport {
-    /// The sizes, as the plan has them.
+    /// One report per size, in the order of the plan.
     pub sizes: Vec<SizeReport>,
 }
 
-/// A row of the table: its name, and its figure at a size.
+/// A row of the table: a name, and the function that returns its value at a size.
 struct Row {
     name: &'static str,
     figure: fn(&SizeReport) -> f64,
@@ -67,7 +67,7 @@
 }
 
 impl FleetReport {
-    /// Returns a table with all figures.
+    /// Returns a Markdown table with one column per size.
     pub fn markdown(&self) -> String {
         let mut text = self.line("edges", |size| size.edges.to_string());
         text += &table_line("---", vec!["---".to_owned(); self.sizes.len()]);
@@ -100,11 +100,11 @@
         .concat()
     }
 
-    /// Draws how figures grow with the number of edges, each divided by its value at the smallest size.
+    /// Draws how values grow with the number of edges, each divided by its value at the smallest size.
     ///
     /// # Errors
     ///
-    /// Returns an error where the file can't be written.
+    /// Returns an error if the file can't be written.
     pub fn draw(&self, path: &Path) -> Result<(), PlotError> {
         let lines = vec![
             self.growth("connections for each write", BLACK, |size| size.writes.opened_per_write),
--- a/experiments/src/fleet/writes.rs
+++ b/experiments/src/fleet/writes.rs
@@ -1,4 +1,4 @@
-//! How edges choose the servers of a service of writes: the real load balancer, with emulated connections and servers.
+//! Simulates writes to a service: the real load balancer of each edge, with emulated connections and servers.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -17,47 +17,46 @@
 
 use super::FleetPlan;
 
-/// The service.
+/// The only service of the simulation.
 const SERVICE_NAME: &str = "orders";
-/// Servers that one write may be sent to.
+/// The most servers that one write is sent to.
 const MAX_SERVERS_TRIED: usize = 2;
 /// The address of the first server; the others follow it.
 const FIRST_SERVER_ADDRESS: u32 = 0x0a02_0000;
-/// The port of all servers.
 const SERVER_PORT: u16 = 8080;
-/// The zone of all servers and edges.
+/// The one zone of all servers and edges.
 const ZONE_NAME: &str = "z";
-/// The least divisor of a share.
+/// The least divisor, as a mean may be 0.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// The figures of the writes of a size.
+/// The results of the writes at one fleet size.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WriteReport {
-    /// All writes.
+    /// The number of writes.
     pub writes: u64,
-    /// Connections that were opened, for each write.
+    /// Opened connections, divided by the number of writes.
     pub opened_per_write: f64,
-    /// The most connections of a server at the same time.
+    /// The most concurrent connections of a server.
     #[serde(rename = "most_at_a_server")]
     pub max_connections: u32,
-    /// Connections that were opened to a server which had as many as it accepts.
+    /// Connections that were opened to a server beyond its connection limit.
     #[serde(rename = "over_cap")]
     pub connections_over_limit: u64,
-    /// The writes of the busiest server, divided by the mean.
+    /// The writes of the busiest server, divided by the mean of all servers.
     #[serde(rename = "busiest")]
     pub busiest_over_mean: f64,
-    /// The share of writes that a server rejected.
+    /// Rejections by servers, divided by the number of writes; one write may be rejected by several servers.
     #[serde(rename = "turned_away")]
     pub rejected_share: f64,
-    /// The share of writes that no server ran.
+    /// The share of writes that no server accepted.
     #[serde(rename = "not_served")]
     pub failed_share: f64,
-    /// How many subsets the server is in that is in most of them, divided by the mean.
+    /// The most subsets that a server is in, divided by the mean of all servers.
     #[serde(rename = "subset_most")]
     pub subsets_max_over_mean: f64,
 }
 
-/// Microseconds since the start.
+/// Virtual microseconds since the start.
 type Micros = u64;
 
 const MICROS_PER_S: f64 = 1e6;
@@ -66,13 +65,13 @@
 enum Event {
     /// A write arrives at an edge.
     Arrives { edge: usize },
-    /// A server has run a write.
+    /// A server completes a write.
     Completes { server: usize, write: usize },
-    /// An idle connection closes, unless it was used since.
+    /// An idle connection times out, unless it has been used since `idle_since`.
     IdleTimeout { edge: usize, server: usize, idle_since: Micros },
 }
 
-/// An event and its time. Of those at the same time the one that was scheduled first comes first.
+/// An event and its time. Events at the same time are ordered by when they were scheduled.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledEvent {
     at: Micros,
@@ -90,13 +89,13 @@
 
 struct Write {
     edge: usize,
-    /// The ids of the servers that it was sent to.
+    /// The ids of the servers it was sent to, in order.
     tried: Vec<String>,
-    /// When it was sent last.
+    /// When it was last sent to a server.
     sent_at: Micros,
 }
 
-/// The connections between an edge and a server.
+/// Identifies the connections between an edge and a server, by their indices.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct ConnectionKey {
     edge: usize,
@@ -112,10 +111,10 @@
     events: BinaryHeap<Reverse<ScheduledEvent>>,
     scheduled: u64,
     balancers: Vec<OriginBalancer>,
-    /// The indices of servers by their ids.
+    /// The index of each server, by its id.
     server_index: HashMap<String, usize>,
     servers: Vec<EmulatedServer>,
-    /// Since when each idle connection is idle.
+    /// When each idle connection became idle; the most recent one is last.
     idle: HashMap<ConnectionKey, Vec<Micros>>,
     writes: HashMap<usize, Write>,
     arrived: u64,
@@ -130,7 +129,7 @@
     SocketAddrV4::new(Ipv4Addr::from(FIRST_SERVER_ADDRESS + number), SERVER_PORT)
 }
 
-/// Returns the index of a server by its address.
+/// Returns the index of the server at an address.
 fn index_of_address(address: SocketAddr) -> usize {
     match address {
         SocketAddr::V4(address) => (u32::from(*address.ip()) - FIRST_SERVER_ADDRESS) as usize,
@@ -148,7 +147,7 @@
         self.events.push(Reverse(ScheduledEvent { at, number: self.scheduled, event }));
     }
 
-    /// Runs all events.
+    /// Handles events in order of time until none is left.
     fn run(&mut self) {
         while let Some(Reverse(scheduled)) = self.events.pop() {
             self.now = scheduled.at;
@@ -171,7 +170,7 @@
         }
     }
 
-    /// Sends a write to a server that its edge chooses.
+    /// Sends a write to a server chosen by its edge; it fails if no server can be chosen.
     fn send(&mut self, number: usize) {
         let Some(chosen) = self.choose(number) else {
             self.failed += 1;
@@ -198,7 +197,8 @@
         }
     }
 
-    /// Returns the id of the server that a write is sent to next; `None` where it was sent to enough, or there is none.
+    /// Returns the id of the server to send a write to next; `None` if the write has been sent to [`MAX_SERVERS_TRIED`]
+    /// servers, or no server is available.
     fn choose(&self, number: usize) -> Option<String> {
         let write = self.writes.get(&number)?;
         if write.tried.len() >= MAX_SERVERS_TRIED {
@@ -213,7 +213,7 @@
         Some(chosen.id.clone())
     }
 
-    /// Takes the connection that was used last, or opens another.
+    /// Takes the most recently used idle connection, or opens a new one.
     fn take_connection(&mut self, key: ConnectionKey) {
         if self.idle.get_mut(&key).and_then(Vec::pop).is_some() {
             return;
@@ -240,7 +240,7 @@
         }
     }
 
-    /// The edge receives the response of a write, and its connection is idle.
+    /// Delivers the response to a write to its edge; the connection becomes idle.
     fn respond(&mut self, server: usize, number: usize, outcome: SendOutcome) {
         let Some(write) = self.writes.get(&number) else { return };
         let (edge, latency) = (write.edge, Duration::from_micros(self.now - write.sent_at));
@@ -284,7 +284,7 @@
     }
 }
 
-/// Returns how many subsets each server is in.
+/// Returns the number of subsets that each server is in.
 fn subset_memberships(servers: &[Server], edge_hashes: &[u64]) -> Vec<u32> {
     let subset_servers: Vec<_> =
         servers.iter().map(|server| SubsetServer { id: &server.id, capacity: server.capacity }).collect();
@@ -307,13 +307,13 @@
     }
 }
 
-/// Runs the writes of a fleet with this number of edges.
+/// Simulates the writes of a fleet of `edges` edges.
 pub fn run(plan: &FleetPlan, edges: u32) -> WriteReport {
     let servers: Vec<Server> = (0..plan.servers(edges)).map(|number| server(plan, number)).collect();
     let edge_names: Vec<String> = (0..edges).map(|number| format!("edge-{number}")).collect();
     let mut edge_hashes: Vec<u64> = edge_names.iter().map(|name| edge_hash(name)).collect();
     edge_hashes.sort_unstable();
-    // Any instant: virtual time is only added to it.
+    // Any instant works: virtual time is only added to it.
     let began_at = Instant::now();
     let balancer = |name: &String| {
         let balancer = OriginBalancer::new(ZONE_NAME, false, name);
@@ -321,7 +321,7 @@
         balancer
     };
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
-    // A plan that was checked has valid distributions.
+    // The distributions of a validated plan are always valid.
     let log_mean = plan.writes.work_ms.ln() - plan.writes.work_log_deviation.powi(2) / 2.0;
     let Ok(work_ms) = LogNormal::new(log_mean, plan.writes.work_log_deviation) else {
         return WriteReport::default();
--- a/experiments/src/hollow/measurement.rs
+++ b/experiments/src/hollow/measurement.rs
@@ -1,21 +1,21 @@
-//! What processes have used, and the traffic of sessions and links, between two samples.
+//! Resource usage of processes, and traffic of sessions and links, between two samples.
 
 use glenfall::session::link;
 use tokio::time::Instant;
 
 use super::usage::Usage;
 
-/// Bytes on the links of all control processes.
+/// Bytes sent and received on the links of all control processes.
 #[derive(Clone, Copy)]
 pub struct LinkBytes {
-    /// Bytes that they sent.
+    /// Bytes sent by control processes.
     pub sent: u64,
-    /// Bytes that they received.
+    /// Bytes received by control processes.
     pub received: u64,
 }
 
 impl LinkBytes {
-    /// Returns the bytes since an earlier time. Counters of a process that was restarted begin anew, and count as 0.
+    /// Returns the bytes since an earlier reading; 0 if the sum has decreased, as a process was restarted in between.
     pub fn since(self, before: LinkBytes) -> LinkBytes {
         LinkBytes {
             sent: self.sent.saturating_sub(before.sent),
@@ -24,7 +24,7 @@
     }
 }
 
-/// The traffic of all sessions of hollow nodes.
+/// Traffic of the sessions of all hollow nodes.
 #[derive(Clone, Copy)]
 pub struct SessionTraffic {
     /// Messages that nodes sent.
@@ -38,7 +38,7 @@
 }
 
 impl SessionTraffic {
-    /// Reads the counters of this process.
+    /// Reads the session counters of this process, in which the hollow nodes run.
     pub fn read() -> SessionTraffic {
         let [messages_sent, bytes_sent, messages_received, bytes_received] =
             link::traffic().map(|(_, count)| count);
@@ -55,54 +55,54 @@
     }
 }
 
-/// What processes have used so far.
+/// Cumulative usage and counts at one point in time.
 pub struct Sample {
-    /// When it was read.
+    /// When the sample was taken.
     pub at: Instant,
-    /// The control processes.
+    /// Usage of each control process.
     pub controls: Vec<Usage>,
-    /// The real agent.
+    /// Usage of the real agent.
     pub agent: Usage,
-    /// The real edge.
+    /// Usage of the real edge.
     pub edge: Usage,
-    /// This process.
+    /// Usage of this process.
     pub lab: Usage,
-    /// The sessions of hollow nodes.
+    /// Traffic of the sessions of hollow nodes.
     pub sessions: SessionTraffic,
-    /// Sessions that were lost.
+    /// Sessions of hollow nodes that were lost.
     pub lost_sessions: u32,
     /// Heartbeats of servers that no control node accepted.
     pub failed_heartbeats: u32,
 }
 
-/// What processes used between two samples. Cores are processor time divided by time.
+/// Usage between two samples. Cores are processor time divided by elapsed time.
 pub struct PhaseUsage {
-    /// The time between the samples.
+    /// Elapsed time between the samples.
     pub seconds: f64,
-    /// The cores of each control process.
+    /// Processor use of each control process, in cores.
     pub control_cores: Vec<f64>,
-    /// The peak memory of each control process, in MB.
+    /// Peak memory of each control process since its start, in MB.
     pub control_peak_mb: Vec<f64>,
-    /// The cores of the real agent.
+    /// Processor use of the real agent, in cores.
     pub agent_cores: f64,
-    /// The peak memory of the real agent, in MB.
+    /// Peak memory of the real agent since its start, in MB.
     pub agent_peak_mb: f64,
-    /// The cores of the real edge.
+    /// Processor use of the real edge, in cores.
     pub edge_cores: f64,
-    /// The peak memory of the real edge, in MB.
+    /// Peak memory of the real edge since its start, in MB.
     pub edge_peak_mb: f64,
-    /// The cores of this process.
+    /// Processor use of this process, in cores.
     pub lab_cores: f64,
-    /// The sessions of hollow nodes.
+    /// Traffic of the sessions of hollow nodes.
     pub sessions: SessionTraffic,
-    /// Sessions that were lost.
+    /// Sessions of hollow nodes that were lost.
     pub lost_sessions: u32,
     /// Heartbeats of servers that no control node accepted.
     pub failed_heartbeats: u32,
 }
 
 impl Sample {
-    /// Returns what processes used until a later sample.
+    /// Returns the usage from this sample to a later one.
     pub fn until(&self, after: &Sample) -> PhaseUsage {
         let seconds = (after.at - self.at).as_secs_f64();
         let cores = |before: &Usage, after: &Usage| (after.cpu_s - before.cpu_s).max(0.0) / seconds;
--- a/experiments/src/hollow/mod.rs
+++ b/experiments/src/hollow/mod.rs
@@ -1,6 +1,6 @@
-//! Hollow nodes at real control processes: sessions and frames as in the system, but no traffic. The report shows what
-//! control costs at each number of nodes, itself and at a node, and how long a change, a purge and the loss of a control
-//! process take until all nodes have it.
+//! Connects hollow nodes to real control processes: nodes with real sessions and frames, but without client traffic. The
+//! report shows, for each number of nodes, what the control plane costs at control processes and at a node, how long a
+//! change or a purge takes to reach all nodes, and how long nodes take to reconnect after a control process is killed.
 
 mod measurement;
 mod nodes;
@@ -32,60 +32,60 @@
 use waiting::{wait_until, READY_TIMEOUT};
 use workload::HEARTBEAT_INTERVAL;
 
-/// Third byte of the addresses of the machines.
+/// The third octet of the IP addresses of the machines.
 const MACHINE_NET: u8 = 11;
-/// The machine number that the servers share; no request is sent to them.
+/// The machine number that all servers share; they receive no requests.
 const SERVER_MACHINE: u8 = 200;
 /// The port of the first server; the others follow it.
 const FIRST_SERVER_PORT: u16 = 20_000;
-/// Zones of the machines and nodes.
+/// The number of zones of machines and hollow nodes.
 const ZONE_COUNT: u8 = 3;
 /// The memory limit of each process, in MB.
 const PROCESS_MEMORY_MB: u64 = 256;
-/// Real edges, each with its agent, in addition to the hollow nodes: what they use is measured too.
+/// Real edges, each with its agent, in addition to the hollow nodes; their usage is measured too.
 const REAL_EDGES: u8 = 1;
-/// Control knows all servers after this many heartbeats of each.
+/// All control nodes know a server after this many of its heartbeats.
 const HEARTBEATS_UNTIL_KNOWN: u32 = 5;
-/// The version of the first configuration.
+/// The version that the initial configuration gets.
 const FIRST_VERSION: u64 = 1;
 
-/// The options of hollow runs.
+/// Options of the `hollow` command.
 #[derive(Args, Clone, Debug, Serialize)]
 pub struct HollowOptions {
-    /// Numbers of hollow nodes, each of which is run by itself
+    /// Numbers of hollow nodes; each is run separately
     #[arg(long, value_delimiter = ',', default_value = "300,1000,2200")]
     sessions: Vec<u32>,
     /// Control nodes, each with a co-located shield
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u8).range(1..=60))]
     controls: u8,
-    /// Those of them that the settings name and that vote
+    /// Control nodes that are seed nodes and voters
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u8).range(1..=15))]
     seeds: u8,
-    /// Servers that send a heartbeat every 1.5 s
+    /// Emulated servers, which send a heartbeat every 1.5 s
     #[arg(long, default_value_t = 780, value_parser = clap::value_parser!(u32).range(0..=4000))]
     servers: u32,
-    /// Routes of the configuration
+    /// Routes in the configuration
     #[arg(long, default_value_t = 700, value_parser = clap::value_parser!(u32).range(1..=4000))]
     routes: u32,
-    /// Seconds of each phase
+    /// Duration of each phase, in seconds
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u64).range(1..=600))]
     seconds: u64,
-    /// Changes of the configuration a second, while there are any; the plan has 0.037
+    /// Configuration changes per second in their phase; the capacity plan expects 0.037
     #[arg(long, default_value_t = 1.0, value_parser = parse_rate)]
     changes: f64,
-    /// Purges a second, while there are any
+    /// Purges per second in their phases
     #[arg(long, default_value_t = 26.0, value_parser = parse_rate)]
     purges: f64,
-    /// Nodes that start again a second, while there are any
+    /// Node restarts per second in their phase
     #[arg(long, default_value_t = 2.0, value_parser = parse_rate)]
     restarts: f64,
-    /// Nodes distribute themselves over all control nodes: a trial of what agents don't do yet
+    /// Let nodes distribute themselves over all control nodes, which real agents do not do yet
     #[arg(long = "spread")]
     #[serde(rename = "spread")]
     distributed: bool,
 }
 
-/// Why an option is no rate.
+/// Why an option is not a valid rate.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 enum InvalidRate {
     #[error("a number expected")]
@@ -102,11 +102,11 @@
     }
 }
 
-/// Runs all sizes, one after the other.
+/// Runs all sizes one after the other.
 ///
 /// # Errors
 ///
-/// Returns an error where the system can't be started, or the first configuration is not acknowledged.
+/// Returns an error if the system can't be started or the initial configuration is not acknowledged.
 pub async fn run(options: &HollowOptions, program: &Path) -> Result<HollowReport, LabError> {
     let mut sizes = Vec::new();
     for nodes in &options.sessions {
--- a/experiments/src/hollow/nodes/mod.rs
+++ b/experiments/src/hollow/nodes/mod.rs
@@ -1,5 +1,6 @@
-//! Hollow nodes: what an agent and its edge are to control, and nothing else. Each has a real session, applies what it is
-//! pushed, acknowledges it, and connects to another control node when its session is lost. Many share a thread.
+//! Hollow nodes: each looks like an edge and its agent to the control plane, but serves no traffic. It has a real
+//! session, applies and acknowledges pushes, and connects to another control node when its session is lost. Many nodes
+//! share a thread.
 
 mod threads;
 
@@ -23,33 +24,33 @@
 use super::observations::Observations;
 pub use threads::NodeThreads;
 
-/// The first pause before control is called again, as agents have it.
+/// The initial backoff before reconnecting to control, as in agents.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest pause before control is called again, as agents have it.
+/// The longest backoff before reconnecting to control, as in agents.
 const MAX_RECONNECT_BACKOFF: Duration = Duration::from_millis(800);
-/// Counters of an edge and its agent, about this many.
+/// The number of counters in a report, about as many as an edge and its agent have.
 const COUNTERS_PER_NODE: usize = 40;
 /// The value of each counter.
 const COUNTER_VALUE: u64 = 100_000;
-/// Nodes that distribute themselves move to their control node within this time.
+/// The longest delay before a node moves to its preferred control node, where nodes distribute themselves.
 pub const MAX_MOVE_DELAY: Duration = Duration::from_secs(5);
-/// A node that is restarted is away for this time.
+/// The downtime of a node during a restart.
 const RESTART_TIME: Duration = Duration::from_millis(300);
 
-/// Where control is, and how nodes choose a control node.
+/// The addresses of control nodes, and how hollow nodes choose one.
 #[derive(Clone)]
 pub struct ControlAccess {
-    /// The control nodes that settings name.
+    /// The seed nodes: the control nodes known from the settings.
     pub seeds: Vec<Ipv4Addr>,
-    /// The port of sessions.
+    /// The port of control nodes for sessions.
     pub port: u16,
-    /// The zones of the nodes.
+    /// The number of zones of the hollow nodes.
     pub zones: u8,
-    /// Whether nodes distribute themselves over all control nodes that they know: a trial of what agents do not do yet.
+    /// Whether nodes distribute themselves over all known control nodes, which real agents do not do yet.
     pub distributed: bool,
 }
 
-/// What a node knows from its session.
+/// The state that a node has received over its session.
 #[derive(Default)]
 struct Knowledge {
     rev: u64,
@@ -66,7 +67,7 @@
     }
 }
 
-/// How a node is counted in the observations.
+/// The counts of the observations in which a node is included.
 #[derive(Clone, Copy, Default)]
 struct CountedAs {
     in_contact: bool,
@@ -81,7 +82,7 @@
     observations: Arc<Observations>,
     knowledge: RefCell<Knowledge>,
     lease: HeldLease,
-    /// Notified when the node becomes ready, which its session reports.
+    /// Notified when the node becomes ready, so that its session reports it.
     became_ready: Notify,
     restart: Notify,
     has_moved: Cell<bool>,
@@ -119,7 +120,7 @@
 
     // ---- Sessions ----
 
-    /// Calls control nodes in the order in which an agent does, and follows the one that answers.
+    /// Connects to control nodes in the same order as an agent until one accepts, and again when the session is lost.
     async fn follow_control(&self) {
         let mut pause = RECONNECT_BACKOFF;
         let mut first = match self.access.distributed {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Connects to a control node, and follows it until the session is lost; false where it can't be connected to.
+    /// Connects to a control node, and applies its pushes until the session is lost. Returns whether it could connect.
     async fn follow(&self, control: SocketAddrV4) -> bool {
         let Ok((read, write)) = link::open(control, &ConnectionOpening::Session).await else { return false };
         let outbox = Outbox::start(write);
@@ -156,12 +157,12 @@
         }
         self.observations.lost_sessions.fetch_add(1, Ordering::Relaxed);
         self.lose_contact();
-        // A hollow node serves no stored responses: its lease may be released at once.
+        // A hollow node serves no cached responses, so it can release its lease at once.
         let _ = outbox.send(SubscriberMessage::LeaseReleased);
         true
     }
 
-    /// Returns the control nodes in the order in which the node calls them.
+    /// Returns the addresses of control nodes in the order in which the node tries them.
     fn controls(&self) -> Vec<SocketAddrV4> {
         let knowledge = self.knowledge.borrow();
         let mut controls: Vec<SocketAddrV4> = Vec::new();
@@ -172,15 +173,15 @@
             }
         }
         if self.access.distributed {
-            // Rendezvous hashing: each node has an order of its own.
+            // Rendezvous hashing: each node has its own order.
             controls.sort_by_key(|address| edge_hash(&format!("{}{}", self.name, address.ip())));
         }
         controls
     }
 
-    /// Waits until the node should move to another control node than `current`, after a delay of its own.
+    /// Waits until the node should move from `current` to its preferred control node, plus a delay that differs by node.
     async fn wait_for_move(&self, current: SocketAddrV4) {
-        // A node moves once: if it returned to a control node that fails repeatedly, its session would never be stable.
+        // A node moves only once: returning to a control node that fails repeatedly would lose its session each time.
         if !self.access.distributed || self.has_moved.get() {
             return std::future::pending().await;
         }
@@ -198,7 +199,7 @@
             node: self.name.clone(),
             zone: self.zone.clone(),
             proxy: ProxyRole::Edge,
-            // No request is sent to it.
+            // Not used, as no requests are sent to hollow nodes.
             http: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1),
             ready: self.knowledge.borrow().is_ready(),
             incarnation: 1,
@@ -208,7 +209,7 @@
 
     // ---- Messages ----
 
-    /// Applies a message of control; false where it can't be applied.
+    /// Applies a message from a control node. Returns false if a fleet update does not apply to the known fleet.
     fn apply(&self, message: PublisherMessage) -> bool {
         let mut knowledge = self.knowledge.borrow_mut();
         let was_ready = knowledge.is_ready();
@@ -250,6 +251,7 @@
 
     // ---- Observations ----
 
+    /// Updates the observations from the state of this node.
     fn count(&self, knowledge: &mut Knowledge) {
         let fleet = knowledge.fleet.fleet();
         let in_contact = knowledge.in_contact && knowledge.is_ready();
--- a/experiments/src/hollow/nodes/threads.rs
+++ b/experiments/src/hollow/nodes/threads.rs
@@ -11,15 +11,15 @@
 use super::{ControlAccess, HollowNode};
 use crate::hollow::observations::Observations;
 
-/// Threads that the nodes are distributed over: a quarter of the cores that the largest runs are meant for, less the one
-/// of this process's main thread.
+/// The number of threads that run hollow nodes. With the main thread of this process, they use a quarter of the cores of
+/// the machine that the largest runs are meant for.
 const NODE_THREADS: u32 = 3;
 
 /// The numbers of the nodes of one thread.
 #[derive(Clone, Copy)]
 struct NodeNumbers {
     first: u32,
-    /// All nodes of the run.
+    /// The number of nodes in all threads.
     all: u32,
 }
 
@@ -28,13 +28,13 @@
         (self.first..self.all).step_by(NODE_THREADS as usize)
     }
 
-    /// Returns the index of a node among those of the thread.
+    /// Returns the index of a node among the nodes of this thread.
     fn index_of(self, number: u32) -> usize {
         (number.saturating_sub(self.first) / NODE_THREADS) as usize
     }
 }
 
-/// Threads of hollow nodes, which end when this is dropped.
+/// The threads that run hollow nodes. Dropping this stops and joins them.
 pub struct NodeThreads {
     access: ControlAccess,
     observations: Arc<Observations>,
@@ -49,7 +49,7 @@
 }
 
 impl NodeThreads {
-    /// Prepares the threads of a number of nodes; none runs yet.
+    /// Prepares to run `nodes` hollow nodes, which [`NodeThreads::start`] starts.
     pub fn new(access: &ControlAccess, observations: &Arc<Observations>, nodes: u32) -> NodeThreads {
         NodeThreads {
             access: access.clone(),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Starts all nodes.
+    /// Starts the threads and all their nodes.
     pub fn start(&self) {
         let mut running = self.running.borrow_mut();
         for first in 0..NODE_THREADS {
@@ -72,10 +72,10 @@
         }
     }
 
-    /// Restarts a node.
+    /// Requests a restart of the node with this number.
     pub fn restart(&self, number: u32) {
         let thread = (number % NODE_THREADS) as usize;
-        // A thread that has ended shows in the number of nodes in contact.
+        // If the thread has ended, its nodes are missing from the number of connected nodes.
         let _ = self.running.borrow().restarts[thread].send(number);
     }
 }
@@ -92,7 +92,7 @@
     }
 }
 
-/// Runs the nodes of one thread until `restarts` ends, which names nodes to restart.
+/// Runs the nodes of one thread until the channel `restarts` is closed, which carries the numbers of nodes to restart.
 fn run_nodes(
     access: &ControlAccess,
     observations: &Arc<Observations>,
--- a/experiments/src/hollow/observations.rs
+++ b/experiments/src/hollow/observations.rs
@@ -1,4 +1,5 @@
-//! What all hollow nodes of a run observe: contact, versions and purges. Nodes of several threads write it.
+//! Shared observations of all hollow nodes of a run: connections, applied versions and purges. The nodes run in several
+//! threads, so counts and flags are atomic.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -6,48 +7,49 @@
 
 use glenfall_control_plane::messages::{AgedPurge, Purge};
 
-/// What the labels of purges begin with; a number follows.
+/// The prefix of purge labels; the number of the purge follows it.
 pub const PURGE_LABEL_PREFIX: &str = "hollow-";
-/// Purges with higher numbers are not counted.
+/// Purges with this number or a higher one are not tracked.
 const MAX_PURGES: usize = 1 << 16;
+/// Bits of an atomic word, one for each node.
 const BITS: usize = u64::BITS as usize;
 
-/// What a node knows of its own contact.
+/// The connection of a node to control, as the node sees it.
 #[derive(Default)]
 struct Contact {
-    /// Whether it takes its session for alive.
+    /// Whether it considers its session alive.
     in_contact: AtomicBool,
-    /// When its lease ends, by which it may serve stored responses, in microseconds of the run.
+    /// When the lease ends that permits it to serve cached responses, in microseconds since the start of the run.
     lease_until: AtomicU64,
 }
 
-/// A version that a node applied.
+/// An application of a configuration version by a node.
 #[derive(Clone, Copy)]
 struct AppliedVersion {
     rev: u64,
-    /// Seconds of the run.
+    /// Seconds since the start of the run.
     at: f64,
 }
 
-/// How many nodes had not applied a purge when it was acknowledged.
+/// Counts of nodes that had not applied a purge when it was acknowledged.
 #[derive(Clone, Copy, Default)]
 pub struct EarlyAcknowledgement {
-    /// Nodes that could serve stored responses.
+    /// Nodes with a valid lease, which could serve cached responses.
     pub leased: u32,
-    /// Nodes that took their sessions for alive, whatever their leases.
+    /// Nodes that considered their session alive, with or without a valid lease.
     pub in_contact: u32,
 }
 
-/// What all nodes of a run have observed.
+/// Observations of all hollow nodes of a run.
 pub struct Observations {
     began_at: Instant,
-    /// Nodes that have received all that they need to serve.
+    /// Nodes that are connected and have received the configuration and the fleet.
     pub in_contact: AtomicU32,
-    /// Those of them that know every server and every edge.
+    /// Connected nodes that know every server and every edge.
     pub know_everything: AtomicU32,
-    /// Sessions that were lost since the start.
+    /// Sessions that were lost since the start of the run.
     pub lost_sessions: AtomicU32,
-    /// Which nodes have applied each purge: a bit for each node.
+    /// Which nodes have applied each purge, by its number: one bit per node.
     purges: Vec<Vec<AtomicU64>>,
     contacts: Vec<Contact>,
     applied: Mutex<Vec<AppliedVersion>>,
@@ -56,7 +58,7 @@
 }
 
 impl Observations {
-    /// Begins a run with this number of servers, hollow nodes, and edges, hollow and real ones.
+    /// Starts a run. `edges` counts hollow nodes and real edges.
     pub fn new(servers: u32, nodes: u32, edges: u32) -> Arc<Observations> {
         let words = nodes.div_ceil(u64::BITS);
         let no_nodes = || (0..words).map(|_| AtomicU64::new(0)).collect();
@@ -73,23 +75,23 @@
         })
     }
 
-    /// Returns the seconds of the run.
+    /// Returns the seconds since the start of the run.
     pub fn now(&self) -> f64 {
         self.began_at.elapsed().as_secs_f64()
     }
 
-    /// Whether these are all servers and edges.
+    /// Whether these counts include all servers and edges of the run.
     pub fn is_everything(&self, servers: usize, edges: usize) -> bool {
         servers >= self.servers && edges >= self.edges
     }
 
-    // ---- Contact ----
+    // ---- Connections ----
 
     fn microseconds(&self, at: Instant) -> u64 {
         at.saturating_duration_since(self.began_at).as_micros() as u64
     }
 
-    /// Notes the contact of a node, and when its lease ends.
+    /// Records whether a node is connected, and when its lease ends.
     pub fn set_contact(&self, node: usize, in_contact: bool, lease_until: Instant) {
         let Some(contact) = self.contacts.get(node) else { return };
         contact.lease_until.store(self.microseconds(lease_until), Ordering::SeqCst);
@@ -98,13 +100,13 @@
 
     // ---- Versions ----
 
-    /// Notes that a node has applied a version.
+    /// Records that a node has applied a configuration version now.
     pub fn add_applied(&self, rev: u64) {
         let applied = AppliedVersion { rev, at: self.now() };
         self.applied.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push(applied);
     }
 
-    /// Returns when nodes applied a version, in seconds of the run.
+    /// Returns when each node applied a version, in seconds since the start of the run.
     pub fn applied_at(&self, rev: u64) -> Vec<f64> {
         let applied = self.applied.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         applied.iter().filter(|version| version.rev == rev).map(|version| version.at).collect()
@@ -112,7 +114,7 @@
 
     // ---- Purges ----
 
-    /// Notes the purges that a node applies.
+    /// Records purges that a node has applied.
     pub fn add_purges(&self, purges: &[AgedPurge], node: usize) {
         for purge in purges {
             let Purge::Label(label) = &purge.purge else { continue };
@@ -132,8 +134,8 @@
         bits.is_some_and(|bits| bits.load(Ordering::SeqCst) >> (node % BITS) & 1 == 1)
     }
 
-    /// Counts the nodes that have not applied a purge which has just been acknowledged. Contact is read before the purges,
-    /// as nodes write it after them.
+    /// Counts the nodes that have not applied a purge that has just been acknowledged. The connection of a node is read
+    /// before its purges, as nodes write them in the opposite order.
     pub fn early_acknowledgement(&self, number: usize) -> EarlyAcknowledgement {
         let mut early = EarlyAcknowledgement::default();
         let now = self.microseconds(Instant::now());
--- a/experiments/src/hollow/phases.rs
+++ b/experiments/src/hollow/phases.rs
@@ -1,4 +1,4 @@
-//! The phases of a size: start, idle, changes, purges, restarts, and the loss of a control process.
+//! The phases of a run: start, idle, changes, purges, restarts, and the loss of a control process.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -23,23 +23,23 @@
 use super::workload::{change_config, purge, OperatorMeasurements, HEARTBEAT_INTERVAL};
 use crate::status::control_nodes;
 
-/// Pause between phases, so that one does not run into the next.
+/// Pause between phases, so that the effects of one are not measured in the next.
 const PHASE_PAUSE: Duration = Duration::from_secs(2);
-/// The machine whose control process is killed: the first seed, which is the head of the chain as a rule, and where
-/// sessions would concentrate if they did.
+/// The machine whose control process is killed: the first seed, which is usually the head of the chain, and where
+/// sessions would concentrate if nodes preferred the first seed.
 pub const LOST_MACHINE: &str = "core-1";
-/// Every node with a number that is a multiple of this is restarted, so that restarts are distributed over all nodes.
+/// Nodes whose number is a multiple of this are restarted, so that restarts are spread over all nodes.
 const RESTART_STEP: usize = 7;
 
-/// A system with hollow nodes.
+/// A running system with hollow nodes.
 pub struct HollowRun {
-    /// The system.
+    /// The processes of the system.
     pub local: LocalSystem,
-    /// Its control nodes.
+    /// The addresses of the control nodes.
     pub controls: ControlAddresses,
-    /// What the hollow nodes observe.
+    /// The observations of all hollow nodes.
     pub observations: Arc<Observations>,
-    /// How many hollow nodes there are.
+    /// The number of hollow nodes.
     pub nodes: u32,
     /// Heartbeats of servers that no control node accepted.
     pub failed_heartbeats: Rc<Cell<u32>>,
@@ -47,16 +47,16 @@
 
 /// How sessions are distributed over the control nodes.
 pub struct SessionDistribution {
-    /// The most sessions of a control node.
+    /// The most sessions at a control node.
     pub max: usize,
-    /// The least sessions of a control node.
+    /// The fewest sessions at a control node.
     pub min: usize,
 }
 
 impl HollowRun {
     // ---- Phases ----
 
-    /// Starts all nodes at once, and waits until each knows everything.
+    /// Starts all nodes at once, and waits until each knows the whole fleet.
     pub async fn start(&self, threads: &NodeThreads) -> PhaseReport {
         let before = self.sample();
         let links_before = self.link_bytes().await;
@@ -73,13 +73,13 @@
         self.report("start", &before, links_before, measurements).await
     }
 
-    /// Does nothing.
+    /// Waits without changes, purges or restarts.
     pub async fn idle(&self, duration: Duration) -> OperatorMeasurements {
         sleep(duration).await;
         OperatorMeasurements::default()
     }
 
-    /// Changes the configuration, beginning with the version after `first_rev`.
+    /// Changes the configuration at a constant rate, starting from version `first_rev`.
     pub async fn change(&self, first_rev: u64, per_s: f64, duration: Duration) -> OperatorMeasurements {
         let changes =
             change_config(&self.controls, &self.observations, self.nodes, first_rev, per_s, duration);
@@ -89,12 +89,12 @@
         })
     }
 
-    /// Purges; `next` is the number of the next purge.
+    /// Sends purges at a constant rate; `next` is the number of the next purge.
     pub async fn purge(&self, next: &Cell<usize>, per_s: f64, duration: Duration) -> OperatorMeasurements {
         purge(&self.controls, &self.observations, next, per_s, duration).await
     }
 
-    /// Restarts nodes, and waits until all are in contact.
+    /// Restarts nodes at a constant rate, and waits until all are connected.
     pub async fn restart(
         &self,
         threads: &NodeThreads,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Kills a control process while purges go on, and waits until its sessions are at other nodes.
+    /// Kills a control process while purges are sent, and waits until its sessions have moved to other control nodes.
     pub async fn lose_control(
         &self,
         next_purge: &Cell<usize>,
@@ -129,12 +129,13 @@
         OperatorMeasurements { applied: moved_ms.into_iter().collect(), ..measurements }
     }
 
-    /// Kills a control process, and returns how many milliseconds it takes until all nodes are in contact.
+    /// Kills a control process, and returns the milliseconds until all nodes are connected; `None` after
+    /// [`READY_TIMEOUT`].
     async fn kill_control(&self) -> Option<f64> {
         let lost_sessions = || self.observations.lost_sessions.load(Ordering::Relaxed);
         let lost_before = lost_sessions();
         for pid in self.local.pids(LOST_MACHINE, Some("control")) {
-            // One that has exited already needs no signal.
+            // Fails if the process has already exited, which is fine.
             let _ = kill(Pid::from_raw(pid as i32), Signal::SIGKILL);
         }
         let began_at = Instant::now();
@@ -145,12 +146,12 @@
 
     // ---- States ----
 
-    /// Whether all nodes are in contact.
+    /// Whether all hollow nodes are connected and ready to serve.
     pub fn all_in_contact(&self) -> bool {
         self.observations.in_contact.load(Ordering::Relaxed) == self.nodes
     }
 
-    /// Whether all nodes know every server and every edge.
+    /// Whether all hollow nodes know every server and every edge.
     pub fn all_know_everything(&self) -> bool {
         self.observations.know_everything.load(Ordering::Relaxed) == self.nodes
     }
@@ -168,14 +169,14 @@
 
     // ---- Measurements ----
 
-    /// Measures a phase, after a pause.
+    /// Measures the usage and traffic of a phase, after a pause.
     pub async fn measure(
         &self,
         name: &'static str,
         work: impl Future<Output = OperatorMeasurements>,
     ) -> PhaseReport {
         sleep(PHASE_PAUSE).await;
-        // Counters are read before the sample, as reading them costs control time.
+        // Counters are read before the sample, as reading them uses processor time of the control processes.
         let links_before = self.link_bytes().await;
         let before = self.sample();
         let measurements = work.await;
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Returns the bytes on the links of all control processes.
+    /// Returns the bytes sent and received on the links of all control processes since their start.
     async fn link_bytes(&self) -> LinkBytes {
         let nodes = self.status().await;
         let sum = |name: &str| nodes.iter().filter_map(|node| node["counters"][name].as_u64()).sum();
--- a/experiments/src/hollow/report/linear_fit.rs
+++ b/experiments/src/hollow/report/linear_fit.rs
@@ -1,29 +1,29 @@
-//! A straight line that is fitted through the figures of all sizes.
+//! Fits a straight line to the values of all sizes by least squares.
 
-/// The least divisor of a relative distance.
+/// The least divisor of a relative error, as a value may be 0.
 const MIN_DIVISOR: f64 = 1e-12;
 
-/// A point that a line is fitted through.
+/// A value at a number of nodes.
 #[derive(Clone, Copy)]
 pub struct Point {
     /// The number of nodes.
     pub x: f64,
-    /// The figure.
+    /// The measured value.
     pub y: f64,
 }
 
-/// A straight line through points, by least squares.
+/// A straight line fitted to points by least squares.
 pub struct LinearFit {
-    /// The height at no nodes.
+    /// The value of the line at 0 nodes.
     pub base: f64,
-    /// The height that each node adds.
+    /// What each node adds to the value.
     pub slope: f64,
-    /// The greatest distance of a point from the line, divided by its height.
+    /// The greatest vertical distance of a point from the line, divided by the value of the point.
     pub max_relative_distance: f64,
 }
 
 impl LinearFit {
-    /// Fits a line; `None` for fewer than two different sizes.
+    /// Fits a line to points; `None` if they have fewer than two different numbers of nodes.
     pub fn through(points: &[Point]) -> Option<LinearFit> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|point| point.x).sum::<f64>() / count;
--- a/experiments/src/hollow/report/mod.rs
+++ b/experiments/src/hollow/report/mod.rs
@@ -1,4 +1,5 @@
-//! The report of hollow runs: tables, lines that are fitted through the sizes, and plots with the bounds of the plan.
+//! The report of hollow runs: tables, straight lines fitted over the sizes, and plots with the bounds of the capacity
+//! plan.
 
 mod linear_fit;
 mod plots;
@@ -10,16 +11,16 @@
 use super::HollowOptions;
 use linear_fit::{LinearFit, Point};
 
-/// Quantiles of times in milliseconds.
+/// Count and quantiles of times, which are in milliseconds; 0 if there are none.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Times {
-    /// How many times there are.
+    /// The number of measured times.
     pub count: usize,
     /// The median.
     pub p50: f64,
     /// The 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// The maximum.
     #[serde(rename = "most")]
     pub max: f64,
 }
@@ -35,55 +36,58 @@
     }
 }
 
-/// What was measured in a phase; heartbeats go on in all of them.
+/// The measurements of one phase. Servers send heartbeats in all phases.
 #[derive(Clone, Debug, Serialize)]
 pub struct PhaseReport {
-    /// Its name.
+    /// The name of the phase: `start`, `rest`, `changes`, `purges`, `restarts` or `loss`.
     pub name: &'static str,
-    /// How long it took, in seconds.
+    /// The duration of the phase.
     pub seconds: f64,
-    /// Cores of a control process, mean.
+    /// Processor use of a control process in cores, mean.
     pub control_cores: f64,
-    /// Cores of the busiest control process.
+    /// Processor use of the busiest control process, in cores.
     #[serde(rename = "control_cores_most")]
     pub max_control_cores: f64,
     /// The highest peak memory of a control process, in MB.
     pub control_peak_mb: f64,
-    /// Kilobytes a second that a control process sent on its links, mean.
+    /// Kilobytes per second sent by a control process on its links, mean.
     #[serde(rename = "control_said_kb_s")]
     pub control_sent_kb_s: f64,
-    /// Kilobytes a second that a control process received on its links, mean.
+    /// Kilobytes per second received by a control process on its links, mean.
     #[serde(rename = "control_heard_kb_s")]
     pub control_received_kb_s: f64,
-    /// Bytes a second that a hollow node received.
+    /// Bytes per second received by a hollow node, mean.
     pub node_down_b_s: f64,
-    /// Bytes a second that a hollow node sent.
+    /// Bytes per second sent by a hollow node, mean.
     pub node_up_b_s: f64,
-    /// Messages a second of a hollow node, in both directions.
+    /// Messages per second of a hollow node, sent and received, mean.
     pub node_messages_s: f64,
-    /// Cores of the real agent.
+    /// Processor use of the real agent, in cores.
     pub agent_cores: f64,
     /// Peak memory of the real agent, in MB.
     pub agent_peak_mb: f64,
-    /// Cores of the real edge.
+    /// Processor use of the real edge, in cores.
     pub edge_cores: f64,
     /// Peak memory of the real edge, in MB.
     pub edge_peak_mb: f64,
-    /// Cores of this process, with hollow nodes, servers and operators together.
+    /// Processor use of this process, which runs the hollow nodes, servers and operators, in cores.
     pub lab_cores: f64,
-    /// From a call until it was acknowledged, or from the start until all nodes were in contact.
+    /// Time from a call to its acknowledgement; in `start` and `restarts`, time until all nodes were connected.
     pub acknowledged: Times,
-    /// From a call, the start or the loss until all nodes had applied it, knew everything, or were in contact.
+    /// Time until a change was applied, for each change and node; in `start`, until all nodes knew the whole fleet; in
+    /// `loss`, until all nodes were connected again.
     #[serde(rename = "in_force")]
     pub applied: Times,
-    /// Calls that failed.
+    /// Calls that were not acknowledged, or not applied on all nodes in time.
     pub failed: u32,
-    /// Purges that were acknowledged before a node had applied them which could serve stored responses.
+    /// Nodes with a valid lease, which could serve cached responses, that had not applied a purge when it was
+    /// acknowledged, summed over all purges.
     pub early: u32,
-    /// Purges that were acknowledged before a node had applied them which took its session for alive.
+    /// Connected nodes, with or without a valid lease, that had not applied a purge when it was acknowledged, summed
+    /// over all purges.
     #[serde(rename = "early_in_touch")]
     pub early_in_contact: u32,
-    /// Sessions that were lost.
+    /// Sessions of hollow nodes that were lost.
     pub lost_sessions: u32,
     /// Heartbeats of servers that no control node accepted.
     #[serde(rename = "failed_beats")]
@@ -91,7 +95,7 @@
 }
 
 impl PhaseReport {
-    /// Creates the report of a phase with this number of hollow nodes.
+    /// Creates the report of a phase in a run with `nodes` hollow nodes.
     pub fn new(
         name: &'static str,
         usage: &PhaseUsage,
@@ -130,43 +134,43 @@
         }
     }
 
-    /// Returns the bytes a second of a hollow node, in both directions.
+    /// Returns the bytes per second of a hollow node, sent and received.
     fn node_bytes_per_s(&self) -> f64 {
         self.node_down_b_s + self.node_up_b_s
     }
 }
 
-/// What was measured at one number of nodes.
+/// The measurements at one number of hollow nodes.
 #[derive(Clone, Debug, Serialize)]
 pub struct SizeReport {
-    /// Hollow nodes.
+    /// The number of hollow nodes.
     pub nodes: u32,
-    /// The length of the configuration.
+    /// The length of the initial configuration as JSON.
     pub document_bytes: usize,
-    /// The most sessions of a control node, once all nodes were in contact.
+    /// The most sessions at a control node once all nodes were connected.
     #[serde(rename = "sessions_most")]
     pub max_sessions: usize,
-    /// The least sessions of a control node, once all nodes were in contact.
+    /// The fewest sessions at a control node once all nodes were connected.
     #[serde(rename = "sessions_least")]
     pub min_sessions: usize,
-    /// Whether all nodes were in contact at the end.
+    /// Whether all hollow nodes were connected at the end of the run.
     #[serde(rename = "all_in_touch")]
     pub all_in_contact: bool,
-    /// The phases.
+    /// One report per phase, in the order in which they were run.
     pub phases: Vec<PhaseReport>,
 }
 
-/// What was measured at all numbers of nodes.
+/// The measurements at all numbers of hollow nodes.
 #[derive(Clone, Debug, Serialize)]
 pub struct HollowReport {
     /// The options of the run.
     #[serde(rename = "plan")]
     pub options: HollowOptions,
-    /// The sizes, as the options have them.
+    /// One report per number of nodes, in the order of the options.
     pub sizes: Vec<SizeReport>,
 }
 
-/// A column of the tables.
+/// A column of the CSV file and row of the Markdown tables.
 struct Column {
     name: &'static str,
     figure: fn(&PhaseReport) -> f64,
@@ -202,12 +206,12 @@
     column("beats failed", |phase| f64::from(phase.failed_heartbeats)),
 ];
 
-/// A figure of a phase that a line is fitted through, over the sizes.
+/// A value of a phase to which a line is fitted over the sizes.
 struct FittedFigure {
     phase: &'static str,
     name: &'static str,
     figure: fn(&PhaseReport) -> f64,
-    /// Whether the figure is the mean of the control processes, and their sum is fitted.
+    /// Whether to multiply the value, which is a mean over the control processes, by their number.
     sums_controls: bool,
 }
 
@@ -234,12 +238,12 @@
 ];
 
 impl HollowReport {
-    /// Whether all nodes were in contact at the end of each size.
+    /// Whether all hollow nodes were connected at the end of the run of each size.
     pub fn all_in_contact(&self) -> bool {
         self.sizes.iter().all(|size| size.all_in_contact)
     }
 
-    /// Returns a figure of a phase over the sizes.
+    /// Returns a value of a phase at each size.
     fn points(&self, phase: &str, figure: impl Fn(&PhaseReport) -> f64) -> Vec<Point> {
         let point = |size: &SizeReport| {
             let phase = size.phases.iter().find(|report| report.name == phase)?;
@@ -248,7 +252,7 @@
         self.sizes.iter().filter_map(point).collect()
     }
 
-    /// Returns all figures as comma-separated values.
+    /// Returns the measurements as CSV, one line per size and phase.
     pub fn csv(&self) -> String {
         let names: Vec<&str> = TABLE_COLUMNS.iter().map(|column| column.name).collect();
         let mut text = format!("nodes,phase,{}\n", names.join(",").replace(", ", " "));
@@ -262,7 +266,7 @@
         text
     }
 
-    /// Returns a page with all figures, and the lines that are fitted through them.
+    /// Returns the measurements and the fitted lines as Markdown tables.
     pub fn markdown(&self) -> String {
         let HollowOptions { controls, seeds, servers, routes, changes, purges, restarts, .. } = &self.options;
         let mut text = format!(
--- a/experiments/src/hollow/report/plots.rs
+++ b/experiments/src/hollow/report/plots.rs
@@ -1,4 +1,4 @@
-//! The plots of hollow runs, over the number of nodes.
+//! Plots of hollow runs over the number of nodes.
 
 use std::path::Path;
 
@@ -7,21 +7,22 @@
 use super::{HollowReport, PhaseReport};
 use crate::plot::{self, Line, PlotError};
 
-/// The bound of a node's session, in bytes a second.
+/// The bound for the traffic of a node's session, in bytes per second.
 const MAX_NODE_BYTES_PER_S: f64 = 5000.0;
-/// The bound of what control costs a node, in cores.
+/// The bound for the processor use of the control plane on a node, in cores.
 const MAX_NODE_CORES: f64 = 0.026;
-/// The bound until a change is applied everywhere, in milliseconds.
+/// The bound for a change to be applied on all nodes, in milliseconds.
 const MAX_CHANGE_MS: f64 = 16_000.0;
-/// The bound until a purge is done everywhere, in milliseconds.
+/// The bound for a purge to be applied on all nodes, in milliseconds.
 const MAX_PURGE_MS: f64 = 4300.0;
 
 impl HollowReport {
-    /// Draws plots over the number of nodes, with the bounds of the plan, into a folder.
+    /// Draws `hollow-node.svg`, `hollow-cores.svg` and `hollow-times.svg` into a folder, with the bounds of the capacity
+    /// plan.
     ///
     /// # Errors
     ///
-    /// Returns an error where a file can't be written.
+    /// Returns an error if a file can't be written.
     pub fn draw(&self, folder: &Path) -> Result<(), PlotError> {
         let draw = |file: &str, caption: &str, lines: Vec<Line>| {
             plot::draw_growth(&folder.join(file), caption, "nodes", lines)
--- a/experiments/src/hollow/usage.rs
+++ b/experiments/src/hollow/usage.rs
@@ -1,23 +1,23 @@
-//! What a process has used, from `/proc`.
+//! Processor time and memory of a process, read from `/proc`.
 
 use std::fs::read_to_string;
 
-/// Ticks of processor time in a second, as Linux counts them on all machines.
+/// Clock ticks per second of the times in `/proc/PID/stat`: `USER_HZ`, which is 100 on all Linux machines.
 const TICKS_PER_S: f64 = 100.0;
-/// The index of user time among the fields of `/proc/PID/stat` after the name; system time follows it.
+/// The index of user time among the fields after the process name in `/proc/PID/stat`; system time is next.
 const USER_TIME_FIELD: usize = 11;
 
-/// What a process has used since its start.
+/// Resource usage of a process since its start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
-    /// Processor time, in seconds.
+    /// User and system time, in seconds.
     pub cpu_s: f64,
-    /// Memory at its peak, in MB.
+    /// Peak resident memory, in MB.
     pub peak_mb: f64,
 }
 
 impl Usage {
-    /// Reads the usage of a process; zeros for one that has exited.
+    /// Reads the usage of a process; all zeros if it has exited.
     pub fn of(pid: u32) -> Usage {
         let stat = read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
         let status = read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
@@ -26,7 +26,7 @@
 }
 
 fn cpu_seconds(stat: &str) -> f64 {
-    // The name is in brackets and may hold anything.
+    // The process name is in parentheses and may itself contain spaces and parentheses.
     let after_name = stat.rsplit_once(')').map_or("", |(_, after)| after);
     let fields = after_name.split_whitespace().skip(USER_TIME_FIELD).take(2);
     let ticks: f64 = fields.filter_map(|ticks| ticks.parse::<f64>().ok()).sum();
--- a/experiments/src/hollow/waiting.rs
+++ b/experiments/src/hollow/waiting.rs
@@ -1,15 +1,15 @@
-//! Waits for states that are polled.
+//! Waits for conditions by polling.
 
 use std::time::Duration;
 
 use tokio::time::{sleep, Instant};
 
-/// Control is up, and all nodes are in contact, within this time.
+/// The time limit for all nodes to become connected.
 pub const READY_TIMEOUT: Duration = Duration::from_mins(1);
-/// How often a state that is waited for is polled; where nodes do not measure times themselves, they are no finer.
+/// The interval between checks of a condition; times measured by polling are no more precise than this.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Waits until a state holds, and returns how long that took, in milliseconds; `None` where it took longer than `timeout`.
+/// Waits until a condition holds, and returns how long that took, in milliseconds; `None` after `timeout`.
 pub async fn wait_until(timeout: Duration, holds: impl Fn() -> bool) -> Option<f64> {
     let began_at = Instant::now();
     while began_at.elapsed() < timeout {
@@ -21,7 +21,7 @@
     None
 }
 
-/// Returns the milliseconds since an instant.
+/// Returns the time since `began_at`, in milliseconds with a fraction.
 pub fn milliseconds_since(began_at: Instant) -> f64 {
     began_at.elapsed().as_secs_f64() * 1000.0
 }
--- a/experiments/src/hollow/workload.rs
+++ b/experiments/src/hollow/workload.rs
@@ -1,4 +1,4 @@
-//! The workload of control in addition to the hollow nodes: heartbeats of servers, and changes and purges of operators.
+//! The load on control processes besides the hollow nodes: heartbeats of servers, and changes and purges by operators.
 
 use std::cell::Cell;
 use std::net::SocketAddrV4;
@@ -18,35 +18,35 @@
 use super::waiting::{milliseconds_since, POLL_INTERVAL};
 use crate::origin;
 
-/// How often servers send heartbeats, as the sites have it.
+/// The heartbeat interval of servers, as in production sites.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1500);
-/// A change is applied everywhere within this time: the bound that users are given.
+/// The documented bound for a change to be applied on all nodes.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(16);
-/// Services that routes are distributed over.
+/// The number of services; routes are distributed over them.
 const SERVICE_COUNT: u32 = 50;
-/// Routes of a site.
+/// The number of consecutive routes that share a hostname.
 const ROUTES_PER_SITE: u32 = 4;
-/// How long responses of the first configuration may be stored, in seconds.
+/// The `maxAgeS` of routes in the initial configuration, in seconds.
 const FIRST_MAX_AGE_S: f64 = 40.0;
-/// Routes that changes concern.
+/// The number of routes that changes alternate between.
 const CHANGED_ROUTES: u32 = 7;
-/// Connections of a server to control.
+/// Connections from a server to control nodes.
 const SERVER_CONNECTIONS: usize = 4;
-/// Connections of the operators to each control node.
+/// Connections from operators to each control node.
 const OPERATOR_CONNECTIONS: usize = 64;
-/// Bytes of responses of control that a client holds.
+/// Memory for responses from control nodes, in bytes, of each client.
 const RESPONSE_MEMORY: usize = 1 << 20;
 
-/// What operators have measured, in milliseconds.
+/// Latencies and failures measured by operators. Times are in milliseconds.
 #[derive(Default)]
 pub struct OperatorMeasurements {
-    /// From a call until it was acknowledged.
+    /// Time from sending each call to its acknowledgement.
     pub acknowledged: Vec<f64>,
-    /// From a call until a node had applied it, for each node and call.
+    /// Time from sending a call until a node applied it, for each call and node.
     pub applied: Vec<f64>,
-    /// Calls that were not acknowledged, or not applied everywhere within the bound.
+    /// Calls that were not acknowledged, or not applied on all nodes within [`APPLY_TIMEOUT`].
     pub failed: u32,
-    /// Nodes that had not applied a purge when it was acknowledged, over all purges.
+    /// Nodes that had not applied a purge when it was acknowledged, summed over all purges.
     pub early: EarlyAcknowledgement,
 }
 
@@ -63,7 +63,7 @@
     })
 }
 
-/// Returns the first configuration, with this number of routes.
+/// Returns the initial configuration, with this number of routes.
 pub fn document(routes: u32) -> Value {
     let service = |number| json!({ "name": service_name(number), "maxConns": 256, "ratePerS": 900.0 });
     json!({
@@ -73,7 +73,7 @@
     })
 }
 
-/// Returns the same control nodes, with another one first.
+/// Returns the control nodes rotated left by `by` positions, so that another one is called first.
 fn rotated(controls: &ControlAddresses, by: usize) -> ControlAddresses {
     let mut all = controls.controls.clone();
     let by = by % all.len().max(1);
@@ -83,8 +83,8 @@
 
 // ---- Servers ----
 
-/// Starts servers that send heartbeats, distributed over the control nodes and over time. `failed` counts the heartbeats
-/// that no control node accepted.
+/// Starts servers that send heartbeats, spread evenly over the control nodes and over the heartbeat interval. `failed`
+/// counts the heartbeats that no control node accepted.
 pub fn start_servers(
     count: u32,
     controls: &ControlAddresses,
@@ -128,12 +128,12 @@
 
 // ---- Operators ----
 
-/// Changes one route after another at a constant rate, beginning with the version after `first_rev`. Each change is waited
-/// for at all nodes.
+/// Changes one route after another at a constant rate, starting from version `first_rev`. Waits after each change until
+/// all nodes have applied it, or [`APPLY_TIMEOUT`] has passed.
 ///
 /// # Errors
 ///
-/// Returns an error where control does not acknowledge a change.
+/// Returns an error if a change is not acknowledged.
 pub async fn change_config(
     controls: &ControlAddresses,
     observations: &Observations,
@@ -163,7 +163,7 @@
     Ok(measurements)
 }
 
-/// Changes one route of a version, which makes the next version.
+/// Changes one route in version `rev`, which creates version `rev + 1`.
 async fn change_route(controls: &ControlAddresses, rev: u64) -> Result<(), OperatorError> {
     let next = rev + 1;
     let changed = route(next as u32 % CHANGED_ROUTES, FIRST_MAX_AGE_S + next as f64);
@@ -173,14 +173,14 @@
     Ok(())
 }
 
-/// The result of a purge.
 struct PurgeResult {
     acknowledged: bool,
     latency_ms: f64,
     early: EarlyAcknowledgement,
 }
 
-/// Purges at a constant rate, whether or not those before are acknowledged. `next` is the number of the next purge.
+/// Sends purges at a constant rate without waiting for acknowledgements of earlier ones. `next` is the number of the
+/// next purge.
 pub async fn purge(
     controls: &ControlAddresses,
     observations: &Arc<Observations>,
--- a/experiments/src/load.rs
+++ b/experiments/src/load.rs
@@ -1,5 +1,5 @@
-//! The load generator: requests arrive whether or not those before were answered, and clients retry them as the protocol
-//! permits.
+//! The open-loop load generator: requests arrive independently of earlier responses, and clients retry them as the
+//! protocol permits.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
@@ -26,27 +26,27 @@
 use crate::plan::{ClassPlan, Plan, RouteKind, ROUTE_HOST};
 use crate::report::{Measurements, RequestOutcome};
 
-/// Clients of an experiment; each prefers one edge for its first attempts.
+/// Emulated clients; each sends its first attempts to one edge.
 const CLIENT_COUNT: u64 = 200;
-/// Requests in flight at most: beyond it the generator itself would be the bottleneck, and reports that.
+/// The most requests in flight. Beyond it the generator would be the bottleneck: requests are counted as not sent.
 const MAX_IN_FLIGHT: u32 = 20_000;
-/// Connections that the clients hold together.
+/// The connection limit of all clients together.
 const MAX_CONNECTIONS: usize = 2000;
-/// Bytes of responses that the clients hold at the same time.
+/// Memory for responses of all clients together, in bytes.
 const RESPONSE_MEMORY: usize = 512 << 20;
-/// A pause between arrivals is at most this long, in seconds, as a phase of the load may end within a longer one.
+/// The longest step between arrivals, in seconds; a longer one could skip a change of the load.
 const MAX_PAUSE_S: f64 = 1.0;
-/// The lowest rate of arrivals that is drawn from, in requests a second.
+/// The lowest arrival rate of the exponential distribution, in requests per second, as a load factor may be 0.
 const MIN_RATE_PER_S: f64 = 0.01;
-/// How often it is looked whether requests are still in flight.
+/// The interval between checks whether requests are still in flight.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Only this many objects of a class change: those that are requested most.
+/// How many objects of a class change: those that are requested most.
 const MAX_CHANGED_OBJECTS: u32 = 20;
-/// Separates the random stream of changes from those of the classes.
+/// Makes the random stream of changes differ from those of the classes.
 const CHANGE_STREAM: u64 = 0xc4a6;
-/// A client waits at least this long, in seconds, after a response 503 that names no time.
+/// How long a client waits after a response 503 without `Retry-After`, in seconds.
 const MIN_OVERLOAD_WAIT_S: f64 = 0.02;
-/// A client waits at most this long, in seconds, whatever a response names.
+/// The upper bound for `Retry-After`, in seconds.
 const MAX_WAIT_S: f64 = 60.0;
 
 /// Generates the load of a plan.
@@ -60,9 +60,9 @@
     next_id: Cell<u64>,
 }
 
-/// An arrival of a request.
+/// The arrival of a request.
 struct Arrival {
-    /// The index of its class.
+    /// The index of its class in the plan.
     class: usize,
     /// The second of the experiment in which it arrives.
     second: usize,
@@ -98,7 +98,7 @@
     }
 }
 
-/// What an attempt has led to.
+/// The result of an attempt.
 struct AttemptResult {
     outcome: RequestOutcome,
     /// How long to wait before the next attempt; `None` where no further attempt is permitted.
@@ -106,7 +106,7 @@
 }
 
 impl LoadGenerator {
-    /// Creates a generator that sends to these edges.
+    /// Creates a generator that sends requests to `edges`.
     pub fn new(
         plan: &Plan,
         edges: Vec<SocketAddrV4>,
@@ -133,7 +133,7 @@
             classes.push(spawn_local(Rc::clone(self).generate_class(class, began_at, ends_at)));
         }
         for class in classes {
-            // One that panicked has printed its message.
+            // A task that panicked has already printed its message.
             let _ = class.await;
         }
         while self.in_flight.get() > 0 {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Generates the requests of a class: their arrivals are a Poisson process, their objects follow a Zipf law.
+    /// Generates the requests of a class: arrivals are a Poisson process, objects follow a Zipf distribution.
     async fn generate_class(self: Rc<Self>, number: usize, began_at: Instant, ends_at: Instant) {
         let class = self.plan.classes[number].clone();
         let mut rng = ChaCha8Rng::seed_from_u64(mix(self.plan.seed ^ mix(number as u64)));
@@ -178,7 +178,7 @@
         });
     }
 
-    /// Sends a request of a client, with its retries.
+    /// Sends a request of a client, with its retries, and records the outcome.
     async fn request(&self, arrival: Arrival) {
         let class = &self.plan.classes[arrival.class];
         let path = format!("/{}/{}", class.name, arrival.object);
@@ -256,7 +256,7 @@
 
     // ---- Changes of objects ----
 
-    /// Changes objects and purges them, until it is aborted.
+    /// Changes and purges random objects at a constant rate until the task is aborted.
     pub async fn change_objects(self: Rc<Self>, controls: ControlAddresses) {
         let mut rng = ChaCha8Rng::seed_from_u64(mix(self.plan.seed ^ CHANGE_STREAM));
         let rate: f64 = self.plan.classes.iter().map(|class| class.changes_per_s).sum();
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Returns the class at a point of all rates of changes, put one after the other.
+    /// Returns the class whose share of the total change rate includes `point`: picks a class weighted by its rate.
     fn class_at(&self, point: f64) -> Option<&ClassPlan> {
         let mut remaining = point;
         self.plan.classes.iter().find(|class| {
@@ -293,7 +293,7 @@
     }
 }
 
-/// Returns how long a response asks clients to wait.
+/// Returns how long a client should wait before a retry, from the `Retry-After` header of a response.
 fn requested_wait(response: &ServerResponse) -> Duration {
     let value = response.headers().get(header::RETRY_AFTER);
     let stated_s = value.and_then(|value| value.to_str().ok()?.parse().ok());
--- a/experiments/src/plan/check.rs
+++ b/experiments/src/plan/check.rs
@@ -1,34 +1,34 @@
-//! Checks a plan, and names its first mistake.
+//! Validates a plan; the error names the first invalid field.
 
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 
 use super::{ClassPlan, FaultKind, Plan, ServicePlan};
 
-/// Servers of all services together at most: each has a machine number of its own.
+/// The most servers of all services together, as each has its own machine number.
 const MAX_SERVERS: u32 = 100;
 
-/// A mistake in a plan.
+/// Why a plan is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidPlan {
-    /// The text is no TOML, or not that of a plan.
+    /// The text is not valid TOML, or does not have the fields of a plan.
     #[error("{}{message}", line.map(|line| format!("line {line}: ")).unwrap_or_default())]
     Syntax {
-        /// The line, from 1, if it is known.
+        /// The line number, from 1; `None` if the parser doesn't state it.
         line: Option<usize>,
-        /// The message of the parser, in one line.
+        /// The message of the parser, without line breaks.
         message: String,
     },
-    /// A figure is out of its range.
+    /// A number is out of range.
     #[error("{field}: {min} to {max} expected, got {value}")]
     OutOfRange {
-        /// The field.
+        /// The path of the field in the plan.
         field: String,
-        /// The least value.
+        /// The least valid value.
         min: f64,
-        /// The greatest value.
+        /// The greatest valid value.
         max: f64,
-        /// The value of the plan.
+        /// The value in the plan.
         value: f64,
     },
     /// Two services or classes have the same name.
@@ -37,7 +37,7 @@
         /// The service or class.
         field: String,
     },
-    /// There are too many servers.
+    /// The services have too many servers in total.
     #[error("services: {MAX_SERVERS} servers at most")]
     TooManyServers,
     /// A class or fault names a service that does not exist.
@@ -45,19 +45,19 @@
     UnknownService {
         /// The class or fault.
         field: String,
-        /// The name.
+        /// The name of the missing service.
         name: String,
     },
     /// A fault names a machine that does not exist.
     #[error("fault: no machine is named {name:?}")]
     UnknownMachine {
-        /// The name.
+        /// The name of the missing machine.
         name: String,
     },
 }
 
 impl InvalidPlan {
-    /// Creates the error of a text that can't be parsed.
+    /// Converts an error of the TOML parser.
     pub(super) fn syntax(text: &str, error: &toml::de::Error) -> InvalidPlan {
         let line_of = |offset: usize| text[..offset.min(text.len())].matches('\n').count() + 1;
         let line = error.span().map(|span| line_of(span.start));
@@ -86,7 +86,7 @@
         self.check_faults(&services)
     }
 
-    /// Checks the services, and returns their names.
+    /// Validates the services and returns their names.
     fn check_services(&self) -> Result<BTreeSet<&str>, InvalidPlan> {
         let mut names = BTreeSet::new();
         for service in &self.services {
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    /// Returns the names of all machines.
+    /// Returns the names of all machines that faults can refer to.
     fn machines(&self) -> BTreeSet<String> {
         let cores = (1..=self.system.cores).map(|number| format!("core-{number}"));
         let edges = (1..=self.system.edges).map(|number| format!("edge-{number}"));
@@ -155,7 +155,7 @@
 }
 
 impl ServicePlan {
-    /// Names a field of the service, or the service where the field is empty.
+    /// Returns the path of a field of the service in messages, or that of the service if `field` is empty.
     fn field(&self, field: &str) -> String {
         named_field("service", &self.name, field)
     }
@@ -170,7 +170,7 @@
 }
 
 impl ClassPlan {
-    /// Names a field of the class, or the class where the field is empty.
+    /// Returns the path of a field of the class in messages, or that of the class if `field` is empty.
     fn field(&self, field: &str) -> String {
         named_field("class", &self.name, field)
     }
--- a/experiments/src/plan/mod.rs
+++ b/experiments/src/plan/mod.rs
@@ -1,4 +1,4 @@
-//! The plan of an experiment: the system, the services behind it, the load, and the faults. It is a TOML file.
+//! The plan of an experiment, a TOML file: the system, the services behind it, the load, and the injected faults.
 
 mod check;
 
@@ -8,9 +8,9 @@
 
 pub use check::InvalidPlan;
 
-/// The host of all routes.
+/// The hostname of all routes.
 pub const ROUTE_HOST: &str = "lab.example";
-/// Connections to a server that the configuration permits.
+/// The connection limit per server in the configuration of each service.
 const MAX_CONNECTIONS_PER_SERVER: u32 = 256;
 
 /// Why a plan can't be loaded.
@@ -19,17 +19,17 @@
     /// The file can't be read.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// The path of the plan.
         path: PathBuf,
-        /// The reason.
+        /// The error of the file system.
         source: std::io::Error,
     },
     /// The plan is invalid.
     #[error("{}: {reason}", path.display())]
     Invalid {
-        /// The file.
+        /// The path of the plan.
         path: PathBuf,
-        /// The reason.
+        /// The first error in the plan.
         reason: Box<dyn std::error::Error + Send + Sync>,
     },
 }
@@ -38,17 +38,17 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Seconds in which load is generated.
+    /// How long load is generated, in seconds.
     pub seconds: f64,
-    /// The seed of the load and of the servers' work.
+    /// The seed of the random load and service times.
     pub seed: u64,
-    /// The system.
+    /// The size of the system under test.
     pub system: SystemPlan,
-    /// The services behind it.
+    /// The services behind the system.
     pub services: Vec<ServicePlan>,
     /// The classes of requests.
     pub classes: Vec<ClassPlan>,
-    /// Times with another load.
+    /// Periods with a different load.
     #[serde(default)]
     pub phases: Vec<Phase>,
     /// Faults that are injected.
@@ -64,38 +64,38 @@
     pub cores: u8,
     /// Machines with an edge and its agent.
     pub edges: u8,
-    /// Zones that the machines are distributed over.
+    /// The number of zones; machines are distributed over them.
     pub zones: u8,
-    /// The memory limit of each process, in MB, as its settings have it.
+    /// The memory limit in the settings of each process, in MB.
     pub mem_mb: u64,
 }
 
-/// A service of emulated servers.
+/// A service with emulated servers.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServicePlan {
-    /// Its name.
+    /// The name of the service, unique in the plan.
     pub name: String,
-    /// How many servers it has.
+    /// The number of servers.
     pub servers: u8,
-    /// Requests that a server works on at the same time.
+    /// Requests that a server processes concurrently.
     pub slots: u32,
-    /// Requests that may wait at a server.
+    /// Requests that may wait in the queue of a server.
     pub queue: u32,
-    /// The mean time that a request takes, in milliseconds.
+    /// The mean service time of a request, in milliseconds.
     pub work_ms: f64,
-    /// The standard deviation of the logarithm of that time.
+    /// The standard deviation of the logarithm of the service time.
     #[serde(rename = "spread")]
     pub work_log_deviation: f64,
-    /// The share of requests that end as the server's own 500.
+    /// The share of requests to which the server itself responds with status 500.
     #[serde(default)]
     pub error_share: f64,
-    /// The rate limit of the service, in requests a second.
+    /// The rate limit of the service, in requests per second; `None` for no limit.
     #[serde(default)]
     pub rate_per_s: Option<f64>,
 }
 
-/// The kind of a route, as the configuration has it.
+/// The type of a route, as in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub enum RouteKind {
@@ -111,21 +111,21 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassPlan {
-    /// Its name, which is the first part of its paths.
+    /// The name of the class, unique in the plan; it is the first segment of its paths.
     pub name: String,
-    /// The service of its route.
+    /// The name of the service that its route leads to.
     pub service: String,
-    /// The kind of its route.
+    /// The type of its route.
     pub kind: RouteKind,
-    /// Requests a second.
+    /// Mean requests per second, outside of phases.
     pub per_s: f64,
-    /// How many objects there are.
+    /// The number of objects.
     #[serde(default = "one")]
     pub objects: u32,
-    /// How much the first objects are preferred: the exponent of a Zipf law.
+    /// The exponent of the Zipf distribution by which objects are requested.
     #[serde(default)]
     pub skew: f64,
-    /// Bytes of a response.
+    /// The size of a response body, in bytes.
     pub bytes: usize,
     /// The latency target, in milliseconds.
     #[serde(rename = "aim_ms")]
@@ -135,21 +135,21 @@
     /// The value of a request that is served within the latency target.
     #[serde(rename = "worth")]
     pub value: f64,
-    /// The value of a request that is served later.
+    /// The value of a request that is served after the latency target.
     #[serde(rename = "late_worth")]
     pub late_value: f64,
-    /// The priority of the route.
+    /// The priority of the route in the configuration.
     #[serde(rename = "prio")]
     pub priority: u32,
-    /// Servers that the system may send one attempt of a client to.
+    /// The most servers to which the system sends one attempt of a client.
     #[serde(rename = "tries")]
     pub max_servers_tried: u32,
-    /// Retries of a client.
+    /// The most retries by a client.
     pub retries: u32,
     /// How long responses may be cached, in seconds.
     #[serde(default)]
     pub max_age_s: f64,
-    /// Objects that change and are purged in a second.
+    /// Objects that are changed and purged per second.
     #[serde(default)]
     pub changes_per_s: f64,
 }
@@ -158,91 +158,92 @@
     1
 }
 
-/// A time in which the load is a multiple of the usual one.
+/// A period in which the load is a multiple of the base load.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Phase {
-    /// When it begins, in seconds from the start of the load.
+    /// The start, in seconds since the start of the load.
     pub at: f64,
-    /// How long it lasts, in seconds.
+    /// The duration, in seconds.
     #[serde(rename = "for_s")]
     pub duration_s: f64,
-    /// The multiple.
+    /// What the base load is multiplied by.
     pub factor: f64,
 }
 
-/// A fault and its time.
+/// A fault, and when it is injected.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PlannedFault {
-    /// When it begins, in seconds from the start of the load.
+    /// When it is injected, in seconds since the start of the load.
     pub at: f64,
-    /// Seconds until a process goes on or is started again, or a server is as fast as before; 0 where that never happens.
+    /// Seconds until a process is resumed or restarted, or a server regains its speed. 0 means never for killed and
+    /// terminated processes; drained and crashed servers never recover.
     #[serde(default, rename = "for_s")]
     pub duration_s: f64,
-    /// What happens.
+    /// What is injected.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
 
-/// What happens by a fault. Where a role is missing, all processes of the machine are concerned.
+/// The kinds of faults. Without a role, a fault affects all processes of the machine.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(tag = "kind", rename_all = "camelCase")]
 pub enum FaultKind {
-    /// Processes are killed.
+    /// Processes are killed by SIGKILL.
     Kill {
-        /// The machine.
+        /// The name of the machine, such as `core-1` or `edge-2`.
         node: String,
-        /// The role of the process.
+        /// The role of the process; all processes of the machine if `None`.
         role: Option<String>,
     },
-    /// Processes are paused.
+    /// Processes are paused by SIGSTOP.
     #[serde(rename = "freeze")]
     Pause {
-        /// The machine.
+        /// The name of the machine, such as `core-1` or `edge-2`.
         node: String,
-        /// The role of the process.
+        /// The role of the process; all processes of the machine if `None`.
         role: Option<String>,
     },
-    /// Processes are ended by SIGTERM.
+    /// Processes are terminated by SIGTERM.
     #[serde(rename = "leave")]
     Terminate {
-        /// The machine.
+        /// The name of the machine, such as `core-1` or `edge-2`.
         node: String,
-        /// The role of the process.
+        /// The role of the process; all processes of the machine if `None`.
         role: Option<String>,
     },
-    /// Servers are slower.
+    /// Servers slow down.
     Slow {
-        /// Their service.
+        /// The name of their service.
         service: String,
-        /// How many of them.
+        /// The number of servers, taken from those without a fault.
         count: u8,
-        /// How many times as long their work takes.
+        /// What the service time is multiplied by.
         #[serde(rename = "x")]
         factor: f64,
     },
     /// Servers drain.
     Drain {
-        /// Their service.
+        /// The name of their service.
         service: String,
-        /// How many of them.
+        /// The number of servers, taken from those without a fault.
         count: u8,
     },
     /// Servers crash.
     Crash {
-        /// Their service.
+        /// The name of their service.
         service: String,
-        /// How many of them.
+        /// The number of servers, taken from those without a fault.
         count: u8,
     },
 }
 
 impl Plan {
-    /// Loads a plan from a file, and checks it.
+    /// Reads a plan from a file and validates it.
     ///
     /// # Errors
     ///
-    /// Returns an error where the file can't be read, or the plan is invalid.
+    /// Returns an error if the file can't be read or the plan is invalid.
     pub fn load(path: &Path) -> Result<Plan, PlanError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| PlanError::File { path: path.to_owned(), source })?;
@@ -250,24 +251,25 @@
             .map_err(|reason| PlanError::Invalid { path: path.to_owned(), reason: reason.into() })
     }
 
-    /// Reads a plan from a text, and checks it.
+    /// Parses and validates a plan.
     ///
     /// # Errors
     ///
-    /// Returns the first mistake; its message is one line.
+    /// Returns the first error found; its message is a single line.
     pub fn read(text: &str) -> Result<Plan, InvalidPlan> {
         let plan: Plan = toml::from_str(text).map_err(|error| InvalidPlan::syntax(text, &error))?;
         plan.check()?;
         Ok(plan)
     }
 
-    /// Returns how many times the usual load is generated at a time, in seconds from the start of the load.
+    /// Returns the multiple of the base load at `at`, in seconds since the start of the load. The factors of overlapping
+    /// phases are multiplied.
     pub fn load_factor(&self, at: f64) -> f64 {
         let is_active = |phase: &&Phase| at >= phase.at && at < phase.at + phase.duration_s;
         self.phases.iter().filter(is_active).map(|phase| phase.factor).product()
     }
 
-    /// Returns the configuration of the system.
+    /// Returns the configuration of the system as JSON, with a route for each class.
     pub fn document(&self) -> serde_json::Value {
         serde_json::json!({
             "rev": 1,
--- a/experiments/src/plot.rs
+++ b/experiments/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of reports, as SVG.
+//! Draws the SVG plots of reports.
 
 use std::fmt::Display;
 use std::ops::Range;
@@ -11,7 +11,7 @@
 
 /// Width and height of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (960, 420);
-/// On logarithmic scales, figures of 0 are drawn here.
+/// The least value on logarithmic scales; smaller values are drawn at it.
 const MIN_LOGARITHMIC: f64 = 1e-3;
 
 /// Why a plot can't be drawn.
@@ -20,7 +20,7 @@
 pub struct PlotError(String);
 
 impl PlotError {
-    /// Creates an error with a message of one line.
+    /// Creates an error; line breaks in the reason are replaced by spaces.
     fn new(reason: impl Display) -> Self {
         PlotError(reason.to_string().replace('\n', " "))
     }
@@ -28,19 +28,19 @@
 
 /// A line of a plot.
 pub struct Line {
-    /// What the legend names it.
+    /// The label in the legend.
     pub name: &'static str,
-    /// Its color.
+    /// The color of the line and its legend entry.
     pub color: RGBColor,
-    /// Its points, as plotters takes them: horizontal and vertical coordinate.
+    /// The points of the line as (x, y), the form that `plotters` expects.
     pub points: Vec<(f64, f64)>,
 }
 
-/// Draws the outcomes of the requests of all classes in each second.
+/// Draws the number of requests with each outcome per second, over all classes.
 ///
 /// # Errors
 ///
-/// Returns an error where the file can't be written.
+/// Returns an error if the file can't be written.
 pub fn draw_outcomes(report: &Report, path: &Path) -> Result<(), PlotError> {
     let seconds = report.classes.iter().map(|class| class.seconds.len()).max().unwrap_or(0);
     let lines = outcome_lines(report, seconds);
@@ -77,7 +77,7 @@
     ]
 }
 
-/// Draws lines into a chart, and their legend.
+/// Draws lines and their legend into a chart.
 fn draw_lines<'a, X, Y>(
     chart: &mut ChartContext<'a, SVGBackend<'a>, Cartesian2d<X, Y>>,
     lines: Vec<Line>,
@@ -98,11 +98,11 @@
     labels.draw().map_err(PlotError::new)
 }
 
-/// Draws lines over sizes, both on logarithmic scales; figures of 0 are drawn at the lower edge.
+/// Draws lines over sizes, with both axes logarithmic; values of 0 are drawn at the lower edge.
 ///
 /// # Errors
 ///
-/// Returns an error where the file can't be written.
+/// Returns an error if the file can't be written.
 pub fn draw_growth(
     path: &Path,
     caption: &str,
@@ -130,7 +130,7 @@
     area.present().map_err(PlotError::new)
 }
 
-/// Returns the range of a coordinate of all points.
+/// Returns the range of one coordinate over all points.
 fn coordinate_range(lines: &[Line], coordinate: fn(&(f64, f64)) -> f64) -> Range<f64> {
     let coordinates = || lines.iter().flat_map(|line| &line.points).map(coordinate);
     coordinates().fold(f64::MAX, f64::min)..coordinates().fold(MIN_LOGARITHMIC, f64::max)
--- a/experiments/src/report.rs
+++ b/experiments/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of an experiment: figures as JSON, and a page as Markdown.
+//! The report of an experiment, as JSON and Markdown.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,9 +10,9 @@
 use crate::ledger::ViolationCounts;
 use crate::plan::Plan;
 
-/// The longest latency that is measured, in microseconds: no request waits for longer.
+/// The highest recorded latency, in microseconds; deadlines are shorter.
 const MAX_LATENCY_US: u64 = 120_000_000;
-/// Significant digits of latencies.
+/// Significant decimal digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
 
 /// How a request of a client ended.
@@ -20,15 +20,15 @@
 pub enum RequestOutcome {
     /// It succeeded within its latency target.
     WithinTarget,
-    /// It succeeded later.
+    /// It succeeded after its latency target.
     Late,
-    /// It was rejected as not executed, also after the client's retries.
+    /// It was rejected as not executed, and so were the client's retries.
     Rejected,
-    /// It failed otherwise.
+    /// It failed in any other way.
     Failed,
 }
 
-/// Counts of requests in one second, or in all.
+/// Counts of requests by outcome, in one second or in total.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counts {
     /// All requests.
@@ -37,12 +37,12 @@
     /// Those that succeeded within their latency target.
     #[serde(rename = "in_aim")]
     pub within_target: u64,
-    /// Those that succeeded later.
+    /// Those that succeeded after their latency target.
     pub late: u64,
     /// Those that were rejected as not executed.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Those that failed otherwise.
+    /// Those that failed in any other way.
     pub failed: u64,
 }
 
@@ -65,10 +65,10 @@
     latencies: Histogram<u64>,
 }
 
-/// What clients have measured so far.
+/// The measurements of all clients.
 pub struct Measurements {
     classes: Vec<ClassMeasurements>,
-    /// Requests that were not sent, as too many were in flight in the load generator itself.
+    /// Requests that were not sent because too many were in flight in the load generator.
     pub not_sent: u64,
     /// Purges that were sent.
     pub purges: u64,
@@ -77,11 +77,11 @@
 }
 
 impl Measurements {
-    /// Creates empty measurements of the classes of a plan.
+    /// Creates empty measurements for the classes of a plan.
     ///
     /// # Errors
     ///
-    /// Returns an error where a histogram can't be made.
+    /// Returns an error if a histogram can't be created.
     pub fn new(plan: &Plan) -> Result<Measurements, hdrhistogram::CreationError> {
         let mut classes = Vec::new();
         for _ in &plan.classes {
@@ -92,7 +92,7 @@
         Ok(Measurements { classes, not_sent: 0, purges: 0, failed_purges: 0 })
     }
 
-    /// Adds a request of a class that arrived in a second of the experiment.
+    /// Records the outcome of a request. `class` is its index in the plan, `second` the second of its arrival.
     pub fn add(&mut self, class: usize, second: usize, outcome: RequestOutcome, latency: Duration) {
         let class = &mut self.classes[class];
         class.total.add(outcome);
@@ -105,47 +105,47 @@
     }
 }
 
-/// The figures of a class.
+/// The results of one class.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ClassReport {
     /// The name of the class.
     pub name: String,
-    /// Counts of all its requests.
+    /// Counts over the whole experiment.
     pub counts: Counts,
-    /// The value of its served requests, as a share of the value of all.
+    /// The value earned by served requests, divided by the value if all met the latency target.
     #[serde(rename = "worth")]
     pub value_share: f64,
     /// The median latency of successful requests, in milliseconds.
     pub p50_ms: f64,
     /// The 99th percentile of the latencies of successful requests, in milliseconds.
     pub p99_ms: f64,
-    /// Counts of each second.
+    /// Counts by the second in which requests arrived.
     pub seconds: Vec<Counts>,
 }
 
-/// The figures of a service.
+/// The results of one service.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ServiceReport {
-    /// Requests that arrived at its servers.
+    /// Requests that arrived at the servers of the service.
     pub arrivals: u64,
-    /// Requests that its servers rejected.
+    /// Requests that the servers rejected.
     #[serde(rename = "turned_away")]
     pub rejections: u64,
 }
 
-/// The figures of an experiment.
+/// The results of an experiment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
-    /// The value of served requests, as a share of the value of all, over all classes.
+    /// The value earned by served requests of all classes, divided by the value if all met the latency target.
     #[serde(rename = "worth")]
     pub value_share: f64,
     /// The classes, in the order of the plan.
     pub classes: Vec<ClassReport>,
-    /// The services by name.
+    /// The services, by name.
     pub services: BTreeMap<String, ServiceReport>,
-    /// The counters of the system, summed over its machines.
+    /// The counters of the system's processes, summed over all sessions.
     pub counters: BTreeMap<String, u64>,
-    /// How often each guarantee was violated.
+    /// How often each guarantee was violated, by its name in reports.
     #[serde(rename = "broken")]
     pub violations: BTreeMap<String, u64>,
     /// Purges that were sent.
@@ -153,14 +153,14 @@
     /// Purges that were not acknowledged.
     #[serde(rename = "purges_failed")]
     pub failed_purges: u64,
-    /// Requests that the load generator could not send.
+    /// Requests that were not sent because too many were in flight in the load generator.
     #[serde(rename = "overrun")]
     pub not_sent: u64,
-    /// The plan.
+    /// The plan of the experiment, as JSON.
     pub plan: serde_json::Value,
 }
 
-/// The values of requests: what was earned by serving them, and what could have been earned.
+/// The value earned by requests, and the value if all had met their latency target.
 #[derive(Clone, Copy, Default)]
 struct Value {
     earned: f64,
@@ -183,7 +183,7 @@
 }
 
 impl Report {
-    /// Creates the report of an experiment.
+    /// Creates a report from the measurements of an experiment.
     pub fn new(
         plan: &Plan,
         measurements: &Measurements,
@@ -226,10 +226,10 @@
         self.violations.values().any(|count| *count > 0)
     }
 
-    /// Returns a page with all figures.
+    /// Returns the report as Markdown.
     pub fn markdown(&self) -> String {
         let mut text = format!("# Experiment\n\nWorth earned over worth owed: {:.3}.\n\n", self.value_share);
-        // Writing to a string does not fail.
+        // Writing to a `String` never fails.
         let mut line = |what: std::fmt::Arguments| {
             let _ = writeln!(text, "{what}");
         };
@@ -261,7 +261,7 @@
         text
     }
 
-    /// Returns a line for each class, with what changed from an earlier report to this one.
+    /// Returns a line in total and one for each class, with the changes from an earlier report to this one.
     pub fn compared(&self, before: &Report) -> String {
         let mut text = format!("all: worth {:.3} -> {:.3}\n", before.value_share, self.value_share);
         for class in &self.classes {
@@ -284,7 +284,7 @@
     }
 }
 
-/// Returns the violations by their names in reports.
+/// Returns the violation counts by their names in reports.
 fn violations_by_name(violations: &ViolationCounts) -> BTreeMap<String, u64> {
     let named = [
         ("twice", violations.ran_twice),
--- a/experiments/tests/hollow.rs
+++ b/experiments/tests/hollow.rs
@@ -1,5 +1,5 @@
-//! A few hollow nodes at real control processes, as `glenfall-lab hollow` runs them: all connect, all receive what they
-//! need, and all reconnect when a control process is killed. The measured figures are not checked.
+//! Runs `glenfall-lab hollow` with a few hollow nodes and real control processes: all nodes connect, receive the whole
+//! fleet, and reconnect when a control process is killed. The measured values are not checked.
 
 use std::process::Command;
 
--- a/experiments/tests/processor.rs
+++ b/experiments/tests/processor.rs
@@ -1,5 +1,5 @@
-//! A few requests of each kind at a small real system, as `glenfall-lab processor` measures them. The figures are not
-//! checked, only that they are complete.
+//! Runs `glenfall-lab processor` with a few requests of each kind on a small real system. Checks that the measurements
+//! are complete, and which process serves each kind of request.
 
 use std::path::Path;
 use std::process::Command;
@@ -24,7 +24,7 @@
     serde_json::from_str(&std::fs::read_to_string(out.join("processor.json")).unwrap()).unwrap()
 }
 
-/// Calls of this name that an edge makes for one request.
+/// Returns how many system calls of this name the edge makes for one request of a case.
 fn calls_at_edge(cases: &[serde_json::Value], case: &str, name: &str) -> f64 {
     let case = cases.iter().find(|other| other["name"] == case).unwrap();
     case["costs"]["edge"]["calls"][name].as_f64().unwrap_or(0.0)
@@ -35,7 +35,7 @@
     let out = std::env::temp_dir().join(format!("glenfall-processor-{}", std::process::id()));
     let has_strace = Command::new("strace").arg("-V").output().is_ok();
     let report = measure(&out, if has_strace { &[] } else { &["--no-trace"] });
-    // Whatever the number of cores: the runtime's, and one for each file that is written (docs/threads.md).
+    // Independent of the number of cores: the runtime's thread, and one per written file (docs/threads.md).
     assert_eq!(report["threads"], serde_json::json!({ "edge": 1, "agent": 1, "shield": 2, "control": 3 }));
     let cases = report["cases"].as_array().unwrap();
     assert_eq!(cases.len(), 9);
@@ -49,13 +49,14 @@
             let case = cases.iter().find(|case| case["name"] == name).unwrap();
             case["costs"][role]["kilobytes"].as_f64().unwrap()
         };
-        // 6 kB pass a shield for a response that it has stored, twice as much for one that it fetches, and none for one that
-        // the edge has stored.
+        // A response has 6 kB. A shield transfers it once on a cache hit, twice if it fetches it from the origin, and
+        // not at all if the edge has it cached.
         assert!((5.0..9.0).contains(&reads("shield's copy", "shield")));
         assert!(reads("miss", "shield") > 11.0);
         assert!(reads("edge's copy", "shield") < 3.0);
         assert!(reads("edge's copy", "edge") > 5.0);
-        // A client's connection is set up by its listener, and one that its client has closed is only closed.
+        // Accepted connections inherit their options from the listener, and one that the client has closed needs no
+        // shutdown.
         for name in ["setsockopt", "shutdown"] {
             assert_eq!(calls_at_edge(cases, "edge's copy, new connection", name), 0.0, "{name}");
         }
--- a/experiments/tests/unit/ledger.rs
+++ b/experiments/tests/unit/ledger.rs
@@ -1,4 +1,4 @@
-//! Which responses and runs violate a guarantee, and which do not.
+//! Tests which responses and executions count as violations of a guarantee.
 
 use std::time::Duration;
 
--- a/experiments/tests/unit/main.rs
+++ b/experiments/tests/unit/main.rs
@@ -1,4 +1,4 @@
-//! Plans, reports and simulations that need no processes.
+//! Tests of plans, reports and simulations, which start no processes.
 
 mod fleet;
 mod ledger;
--- a/experiments/tests/unit/plan.rs
+++ b/experiments/tests/unit/plan.rs
@@ -1,4 +1,4 @@
-//! Plans of experiments.
+//! Tests of the plans of experiments.
 
 use glenfall_experiments::plan::Plan;
 
--- a/experiments/tests/unit/report.rs
+++ b/experiments/tests/unit/report.rs
@@ -1,4 +1,4 @@
-//! Reports of experiments.
+//! Tests of the reports of experiments.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     }
     let report =
         Report::new(&plan, &measurements, BTreeMap::new(), BTreeMap::new(), &ViolationCounts::default());
-    // 2 within the target and 0.2 late, of four times 2.
+    // Earned: 2 for the request within the target and 0.2 for the late one. Possible: 2 for each of four requests.
     assert_eq!((report.value_share, report.classes[1].value_share), (2.2 / 8.0, 2.2 / 8.0));
     assert!((report.classes[1].p99_ms - 300.0).abs() < 1.0 && report.classes[1].p50_ms < 11.0);
     assert_eq!(report.classes[1].seconds[0].requests, 4);
