--- a/experiments/src/cli.rs
+++ b/experiments/src/cli.rs
@@ -104,7 +104,7 @@
         Command::Processor { options, out, program } => run_processor(&options, &out, program),
         Command::Check { plan } => check(&plan),
         Command::Compare { before, after } => {
-            print!("{}", read_report(&after)?.compared(&read_report(&before)?));
+            print!("{}", read_report(&after)?.comparison_with(&read_report(&before)?));
             Ok(true)
         }
     }
@@ -133,7 +133,7 @@
     std::fs::write(out.join("hollow.csv"), report.csv())?;
     report.draw(out)?;
     print!("{}", report.markdown());
-    Ok(report.all_in_contact())
+    Ok(report.all_connected())
 }
 
 fn run_processor(options: &ProcessorOptions, out: &Path, program: Option<PathBuf>) -> Result<bool, LabError> {
--- a/experiments/src/experiment/faults.rs
+++ b/experiments/src/experiment/faults.rs
@@ -24,18 +24,18 @@
 ) {
     sleep_until(began_at + Duration::from_secs_f64(fault.at)).await;
     let ends_at = began_at + Duration::from_secs_f64(fault.at + fault.duration_s);
-    let restarts = fault.duration_s > 0.0;
+    let will_restart = fault.duration_s > 0.0;
     match &fault.kind {
         FaultKind::Kill { node, role } => {
             signal(&local, node, role.as_deref(), Signal::SIGKILL);
-            if restarts {
+            if will_restart {
                 sleep_until(ends_at).await;
                 restart(&local, node);
             }
         }
         FaultKind::Terminate { node, role } => {
             signal(&local, node, role.as_deref(), Signal::SIGTERM);
-            if restarts {
+            if will_restart {
                 sleep_until(ends_at.max(Instant::now() + TERMINATION_TIMEOUT)).await;
                 restart(&local, node);
             }
--- a/experiments/src/fleet/control_traffic.rs
+++ b/experiments/src/fleet/control_traffic.rs
@@ -24,13 +24,13 @@
 /// The duration of the idle phase.
 const IDLE_DURATION: Millis = 10_000;
 /// All servers are replaced, or all edges restarted, within this time at every size: a tenth of the fleet per second.
-const ROLL_DURATION: Millis = 10_000;
-/// A restarting edge is down for [`ROLL_DURATION`] divided by this.
-const ROLL_PARTS_AWAY: Millis = 20;
+const ROLLOUT_DURATION: Millis = 10_000;
+/// A restarting edge is down for [`ROLLOUT_DURATION`] divided by this.
+const RESTART_DOWNTIME_DIVISOR: Millis = 20;
 /// An old server deregisters once the number of servers, divided by this, has been replaced after it.
-const DRAINING_PARTS: u32 = 10;
+const DRAINING_TIME_DIVISOR: u32 = 10;
 /// The push number in the frames of an established session; it affects their encoded length.
-const USUAL_PUSH_NUMBER: u64 = 1000;
+const TYPICAL_PUSH_NUMBER: u64 = 1000;
 /// The address of the first edge; the others follow it.
 const FIRST_EDGE_ADDRESS: u32 = 0x0a01_0000;
 /// The address of the first server; the others follow it.
@@ -112,7 +112,7 @@
     bytes_between_controls: u64,
 }
 
-struct ControlRun {
+struct ControlSimulation {
     now: Millis,
     cores: u8,
     nodes: Vec<ControlNode>,
@@ -150,10 +150,10 @@
     due_before(step)..due_before(step + 1)
 }
 
-impl ControlRun {
-    fn new(plan: &FleetPlan) -> ControlRun {
+impl ControlSimulation {
+    fn new(plan: &FleetPlan) -> ControlSimulation {
         let nodes = (0..plan.cores).map(|_| ControlNode::new(plan)).collect();
-        ControlRun { now: 0, cores: plan.cores, nodes, traffic: Traffic::default() }
+        ControlSimulation { now: 0, cores: plan.cores, nodes, traffic: Traffic::default() }
     }
 
     /// Returns the number of peers of a control node.
@@ -222,9 +222,9 @@
             let sessions = node.sessions.len() as u64;
             let snapshot = node.fleet.snapshot();
             self.traffic.messages_to_edges += sessions;
-            self.traffic.bytes_to_edges += sessions * frame_bytes(&push(USUAL_PUSH_NUMBER, update));
+            self.traffic.bytes_to_edges += sessions * frame_bytes(&push(TYPICAL_PUSH_NUMBER, update));
             self.traffic.snapshot_bytes_to_edges +=
-                sessions * frame_bytes(&push(USUAL_PUSH_NUMBER, snapshot));
+                sessions * frame_bytes(&push(TYPICAL_PUSH_NUMBER, snapshot));
         }
     }
 
@@ -266,11 +266,11 @@
 
     /// Replaces all servers: a new server becomes ready, then the old one drains, and later deregisters.
     fn replace_servers(&mut self, servers: u32) {
-        for step in 0..ROLL_DURATION / COALESCING_TIME {
-            for number in due_in_step(servers, step, ROLL_DURATION) {
+        for step in 0..ROLLOUT_DURATION / COALESCING_TIME {
+            for number in due_in_step(servers, step, ROLLOUT_DURATION) {
                 self.heartbeat(&server(servers + number, EntryStatus::Ready, 1));
                 self.heartbeat(&server(number, EntryStatus::Draining, 1000));
-                if let Some(earlier) = number.checked_sub(servers.div_ceil(DRAINING_PARTS)) {
+                if let Some(earlier) = number.checked_sub(servers.div_ceil(DRAINING_TIME_DIVISOR)) {
                     self.heartbeat(&server(earlier, EntryStatus::Deregistered, 1001));
                 }
             }
@@ -279,13 +279,13 @@
     }
 
     fn restart_edges(&mut self, edges: u32) {
-        let steps = ROLL_DURATION / COALESCING_TIME;
+        let steps = ROLLOUT_DURATION / COALESCING_TIME;
         for step in 0..steps {
-            for number in due_in_step(edges, step, ROLL_DURATION) {
+            for number in due_in_step(edges, step, ROLLOUT_DURATION) {
                 self.close_session(number);
             }
-            if let Some(earlier_step) = step.checked_sub(steps / ROLL_PARTS_AWAY) {
-                for number in due_in_step(edges, earlier_step, ROLL_DURATION) {
+            if let Some(earlier_step) = step.checked_sub(steps / RESTART_DOWNTIME_DIVISOR) {
+                for number in due_in_step(edges, earlier_step, ROLLOUT_DURATION) {
                     self.open_session(number);
                 }
             }
@@ -297,7 +297,7 @@
 /// Simulates the control plane of a fleet of `edges` edges, and returns the traffic of each phase.
 pub fn run(plan: &FleetPlan, edges: u32) -> Vec<PhaseTraffic> {
     let servers = plan.servers(edges);
-    let mut run = ControlRun::new(plan);
+    let mut run = ControlSimulation::new(plan);
     run.start(edges, servers);
     let start = run.end_phase("start", edges);
     run.idle(servers, plan.writes.heartbeat_ms);
--- a/experiments/src/fleet/reads.rs
+++ b/experiments/src/fleet/reads.rs
@@ -56,7 +56,7 @@
 }
 
 /// The state of a simulation of reads.
-struct ReadRun<'a> {
+struct ReadSimulation<'a> {
     plan: &'a FleetPlan,
     /// The rate limit of the origin, in requests per second.
     rate: f64,
@@ -76,14 +76,16 @@
 pub fn run(plan: &FleetPlan, edges: u32) -> ReadReport {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed ^ READ_STREAM);
     // The distributions of a validated plan are always valid.
-    let Ok(pauses) = Exp::new(plan.reads.per_s * f64::from(edges)) else { return ReadReport::default() };
+    let Ok(interarrival_times) = Exp::new(plan.reads.per_s * f64::from(edges)) else {
+        return ReadReport::default();
+    };
     let Ok(objects) = Zipf::new(f64::from(plan.reads.objects), plan.reads.skew) else {
         return ReadReport::default();
     };
-    let mut run = ReadRun::new(plan, edges, &mut rng);
+    let mut run = ReadSimulation::new(plan, edges, &mut rng);
     let mut now = 0.0;
     loop {
-        now += pauses.sample(&mut rng);
+        now += interarrival_times.sample(&mut rng);
         if now >= plan.seconds {
             return run.report();
         }
@@ -93,8 +95,8 @@
     }
 }
 
-impl ReadRun<'_> {
-    fn new<'a>(plan: &'a FleetPlan, edges: u32, rng: &mut ChaCha8Rng) -> ReadRun<'a> {
+impl ReadSimulation<'_> {
+    fn new<'a>(plan: &'a FleetPlan, edges: u32, rng: &mut ChaCha8Rng) -> ReadSimulation<'a> {
         let id = |number| ServerId(format!("10.3.0.{number}:1").as_str().into());
         let ids: Vec<ServerId> = (0..plan.cores).map(id).collect();
         let chooser = |_| {
@@ -102,7 +104,7 @@
             shields.update(&ids);
             shields
         };
-        ReadRun {
+        ReadSimulation {
             plan,
             rate: plan.reads.rate_per_s * f64::from(edges),
             shields: ids.iter().map(|_| Shield::new(ids.len(), rng)).collect(),
@@ -136,10 +138,10 @@
         }
         let max_age_ms = (self.plan.reads.max_age_s * 1000.0) as u64;
         shield.fresh_until.insert(object, now_ms + max_age_ms);
-        self.note_fetch(now_ms);
+        self.record_fetch(now_ms);
     }
 
-    fn note_fetch(&mut self, now_ms: u64) {
+    fn record_fetch(&mut self, now_ms: u64) {
         self.fetched += 1;
         self.window.push_back(now_ms);
         while self.window.front().is_some_and(|first| *first + RATE_LIMIT.window <= now_ms) {
--- a/experiments/src/fleet/report.rs
+++ b/experiments/src/fleet/report.rs
@@ -41,11 +41,11 @@
 /// A row of the table: a name, and the function that returns its value at a size.
 struct Row {
     name: &'static str,
-    figure: fn(&SizeReport) -> f64,
+    value: fn(&SizeReport) -> f64,
 }
 
-const fn row(name: &'static str, figure: fn(&SizeReport) -> f64) -> Row {
-    Row { name, figure }
+const fn row(name: &'static str, value: fn(&SizeReport) -> f64) -> Row {
+    Row { name, value }
 }
 
 const ROWS: [Row; 11] = [
@@ -72,8 +72,8 @@
         let mut text = self.line("edges", |size| size.edges.to_string());
         text += &table_line("---", vec!["---".to_owned(); self.sizes.len()]);
         text += &self.line("servers", |size| size.servers.to_string());
-        for Row { name, figure } in ROWS {
-            text += &self.line(name, |size| format!("{:.3}", figure(size)));
+        for Row { name, value } in ROWS {
+            text += &self.line(name, |size| format!("{:.3}", value(size)));
         }
         let phases = self.sizes.first().map_or(0, |size| size.control_traffic.len());
         for index in 0..phases {
@@ -120,9 +120,9 @@
         draw_growth(path, caption, "edges", lines)
     }
 
-    fn growth(&self, name: &'static str, color: RGBColor, figure: fn(&SizeReport) -> f64) -> Line {
-        let first = self.sizes.first().map_or(1.0, figure).max(MIN_DIVISOR);
-        let point = |size: &SizeReport| (f64::from(size.edges), (figure(size) / first).max(MIN_GROWTH));
+    fn growth(&self, name: &'static str, color: RGBColor, value: fn(&SizeReport) -> f64) -> Line {
+        let first = self.sizes.first().map_or(1.0, value).max(MIN_DIVISOR);
+        let point = |size: &SizeReport| (f64::from(size.edges), (value(size) / first).max(MIN_GROWTH));
         Line { name, color, points: self.sizes.iter().map(point).collect() }
     }
 }
--- a/experiments/src/fleet/writes.rs
+++ b/experiments/src/fleet/writes.rs
@@ -64,9 +64,9 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// A write arrives at an edge.
-    Arrives { edge: usize },
+    Arrival { edge: usize },
     /// A server completes a write.
-    Completes { server: usize, write: usize },
+    Completion { server: usize, write: usize },
     /// An idle connection times out, unless it has been used since `idle_since`.
     IdleTimeout { edge: usize, server: usize, idle_since: Micros },
 }
@@ -102,7 +102,7 @@
     server: usize,
 }
 
-struct WriteRun<'a> {
+struct WriteSimulation<'a> {
     plan: &'a FleetPlan,
     began_at: Instant,
     now: Micros,
@@ -137,7 +137,7 @@
     }
 }
 
-impl WriteRun<'_> {
+impl WriteSimulation<'_> {
     fn instant(&self) -> Instant {
         self.began_at + Duration::from_micros(self.now)
     }
@@ -157,13 +157,13 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrives { edge } => {
+            Event::Arrival { edge } => {
                 let number = self.arrived as usize;
                 self.arrived += 1;
                 self.writes.insert(number, Write { edge, tried: Vec::new(), sent_at: self.now });
                 self.send(number);
             }
-            Event::Completes { server, write } => self.complete(server, write),
+            Event::Completion { server, write } => self.complete(server, write),
             Event::IdleTimeout { edge, server, idle_since } => {
                 self.close_idle(ConnectionKey { edge, server }, idle_since);
             }
@@ -227,7 +227,7 @@
 
     fn start_work(&mut self, server: usize, write: usize) {
         let work = Duration::from_secs_f64(self.work_ms.sample(&mut self.rng) / 1000.0);
-        self.schedule(self.now + work.as_micros() as Micros, Event::Completes { server, write });
+        self.schedule(self.now + work.as_micros() as Micros, Event::Completion { server, write });
     }
 
     fn complete(&mut self, server: usize, write: usize) {
@@ -326,8 +326,8 @@
     let Ok(work_ms) = LogNormal::new(log_mean, plan.writes.work_log_deviation) else {
         return WriteReport::default();
     };
-    let Ok(pauses) = Exp::new(plan.writes.per_s) else { return WriteReport::default() };
-    let mut run = WriteRun {
+    let Ok(interarrival_times) = Exp::new(plan.writes.per_s) else { return WriteReport::default() };
+    let mut run = WriteSimulation {
         plan,
         began_at,
         now: 0,
@@ -348,10 +348,10 @@
         failed: 0,
     };
     for edge in 0..edges as usize {
-        let mut at_s = pauses.sample(&mut rng);
+        let mut at_s = interarrival_times.sample(&mut rng);
         while at_s < plan.seconds {
-            run.schedule((at_s * MICROS_PER_S) as Micros, Event::Arrives { edge });
-            at_s += pauses.sample(&mut rng);
+            run.schedule((at_s * MICROS_PER_S) as Micros, Event::Arrival { edge });
+            at_s += interarrival_times.sample(&mut rng);
         }
     }
     run.run();
--- a/experiments/src/hollow/measurement.rs
+++ b/experiments/src/hollow/measurement.rs
@@ -103,7 +103,7 @@
 
 impl Sample {
     /// Returns the usage from this sample to a later one.
-    pub fn until(&self, after: &Sample) -> PhaseUsage {
+    pub fn usage_until(&self, after: &Sample) -> PhaseUsage {
         let seconds = (after.at - self.at).as_secs_f64();
         let cores = |before: &Usage, after: &Usage| (after.cpu_s - before.cpu_s).max(0.0) / seconds;
         let controls = self.controls.iter().zip(&after.controls);
--- a/experiments/src/hollow/mod.rs
+++ b/experiments/src/hollow/mod.rs
@@ -26,7 +26,7 @@
 use crate::experiment::put_config;
 use nodes::{ControlAccess, NodeThreads, MAX_MOVE_DELAY};
 use observations::Observations;
-use phases::{HollowRun, LOST_MACHINE};
+use phases::{HollowRun, KILLED_MACHINE};
 pub use report::HollowReport;
 use report::SizeReport;
 use waiting::{wait_until, READY_TIMEOUT};
@@ -47,7 +47,7 @@
 /// All control nodes know a server after this many of its heartbeats.
 const HEARTBEATS_UNTIL_KNOWN: u32 = 5;
 /// The version that the initial configuration gets.
-const FIRST_VERSION: u64 = 1;
+const INITIAL_VERSION: u64 = 1;
 
 /// Options of the `hollow` command.
 #[derive(Args, Clone, Debug, Serialize)]
@@ -154,23 +154,25 @@
     let mut phases = vec![run.start(&threads).await];
     if options.distributed {
         sleep(MAX_MOVE_DELAY * 2).await;
-        wait_until(READY_TIMEOUT, || run.all_know_everything()).await;
+        wait_until(READY_TIMEOUT, || run.all_have_full_fleet()).await;
     }
     let sessions = run.session_distribution().await;
     let next_purge = Cell::new(0);
     phases.push(run.measure("rest", run.idle(duration)).await);
-    phases.push(run.measure("changes", run.change(FIRST_VERSION, options.changes, duration)).await);
+    phases.push(run.measure("changes", run.change(INITIAL_VERSION, options.changes, duration)).await);
     phases.push(run.measure("purges", run.purge(&next_purge, options.purges, duration)).await);
     phases.push(run.measure("restarts", run.restart(&threads, options.restarts, duration)).await);
-    phases.push(run.measure("loss", run.lose_control(&next_purge, options.purges, duration)).await);
-    run.local.restart_node(LOST_MACHINE)?;
-    let all_in_contact = wait_until(READY_TIMEOUT, || run.all_in_contact()).await.is_some();
+    phases.push(
+        run.measure("loss", run.kill_control_during_purges(&next_purge, options.purges, duration)).await,
+    );
+    run.local.restart_node(KILLED_MACHINE)?;
+    let all_connected = wait_until(READY_TIMEOUT, || run.all_connected()).await.is_some();
     Ok(SizeReport {
         nodes: run.nodes,
         document_bytes,
         max_sessions: sessions.max,
         min_sessions: sessions.min,
-        all_in_contact,
+        all_connected,
         phases,
     })
 }
--- a/experiments/src/hollow/nodes/mod.rs
+++ b/experiments/src/hollow/nodes/mod.rs
@@ -52,16 +52,16 @@
 
 /// The state that a node has received over its session.
 #[derive(Default)]
-struct Knowledge {
+struct NodeState {
     rev: u64,
     fleet: VersionedFleet,
     fleet_known: bool,
     controls: Vec<Ipv4Addr>,
-    in_contact: bool,
+    connected: bool,
     counted: CountedAs,
 }
 
-impl Knowledge {
+impl NodeState {
     fn is_ready(&self) -> bool {
         self.rev > 0 && self.fleet_known
     }
@@ -70,8 +70,8 @@
 /// The counts of the observations in which a node is included.
 #[derive(Clone, Copy, Default)]
 struct CountedAs {
-    in_contact: bool,
-    knows_everything: bool,
+    connected: bool,
+    has_full_fleet: bool,
 }
 
 struct HollowNode {
@@ -80,7 +80,7 @@
     zone: String,
     access: ControlAccess,
     observations: Arc<Observations>,
-    knowledge: RefCell<Knowledge>,
+    state: RefCell<NodeState>,
     lease: HeldLease,
     /// Notified when the node becomes ready, so that its session reports it.
     became_ready: Notify,
@@ -96,7 +96,7 @@
             zone: format!("zone-{}", number % u32::from(access.zones.max(1)) + 1),
             access,
             observations,
-            knowledge: RefCell::default(),
+            state: RefCell::default(),
             lease: HeldLease::default(),
             became_ready: Notify::new(),
             restart: Notify::new(),
@@ -109,8 +109,8 @@
             tokio::select! {
                 () = self.follow_control() => {}
                 () = self.restart.notified() => {
-                    self.lose_contact();
-                    self.knowledge.take();
+                    self.mark_disconnected();
+                    self.state.take();
                     self.has_moved.set(false);
                     sleep(RESTART_TIME).await;
                 }
@@ -156,7 +156,7 @@
             () = subscriber::send_reports(&outbox, counters) => {}
         }
         self.observations.lost_sessions.fetch_add(1, Ordering::Relaxed);
-        self.lose_contact();
+        self.mark_disconnected();
         // A hollow node serves no cached responses, so it can release its lease at once.
         let _ = outbox.send(SubscriberMessage::LeaseReleased);
         true
@@ -164,9 +164,9 @@
 
     /// Returns the addresses of control nodes in the order in which the node tries them.
     fn controls(&self) -> Vec<SocketAddrV4> {
-        let knowledge = self.knowledge.borrow();
+        let state = self.state.borrow();
         let mut controls: Vec<SocketAddrV4> = Vec::new();
-        for ip in knowledge.controls.iter().chain(&self.access.seeds) {
+        for ip in state.controls.iter().chain(&self.access.seeds) {
             let address = SocketAddrV4::new(*ip, self.access.port);
             if !controls.contains(&address) {
                 controls.push(address);
@@ -185,7 +185,7 @@
         if !self.access.distributed || self.has_moved.get() {
             return std::future::pending().await;
         }
-        while self.knowledge.borrow().controls.is_empty() || self.controls().first() == Some(&current) {
+        while self.state.borrow().controls.is_empty() || self.controls().first() == Some(&current) {
             sleep(MAX_RECONNECT_BACKOFF).await;
         }
         // The highest 53 bits of a hash are a fraction that an f64 holds exactly.
@@ -201,7 +201,7 @@
             proxy: ProxyRole::Edge,
             // Not used, as no requests are sent to hollow nodes.
             http: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1),
-            ready: self.knowledge.borrow().is_ready(),
+            ready: self.state.borrow().is_ready(),
             incarnation: 1,
         };
         SubscriberMessage::Hello { node: self.name.clone(), member: Some(member) }
@@ -211,39 +211,39 @@
 
     /// Applies a message from a control node. Returns false if a fleet update does not apply to the known fleet.
     fn apply(&self, message: PublisherMessage) -> bool {
-        let mut knowledge = self.knowledge.borrow_mut();
-        let was_ready = knowledge.is_ready();
+        let mut state = self.state.borrow_mut();
+        let was_ready = state.is_ready();
         match message {
-            PublisherMessage::ControlNodes(controls) => knowledge.controls = controls,
+            PublisherMessage::ControlNodes(controls) => state.controls = controls,
             PublisherMessage::Push { update, .. } => {
-                if !self.apply_update(&mut knowledge, update) {
+                if !self.apply_update(&mut state, update) {
                     return false;
                 }
             }
             PublisherMessage::LeaseGranted { sent_at, duration } => self.lease.renew(sent_at, duration),
             PublisherMessage::Draining | PublisherMessage::Ping => {}
         }
-        if !was_ready && knowledge.is_ready() {
+        if !was_ready && state.is_ready() {
             self.became_ready.notify_one();
         }
-        self.count(&mut knowledge);
+        self.update_counts(&mut state);
         true
     }
 
-    fn apply_update(&self, knowledge: &mut Knowledge, update: Update) -> bool {
+    fn apply_update(&self, state: &mut NodeState, update: Update) -> bool {
         match update {
-            Update::Config { rev, .. } if rev > knowledge.rev => {
-                knowledge.rev = rev;
+            Update::Config { rev, .. } if rev > state.rev => {
+                state.rev = rev;
                 self.observations.add_applied(rev);
             }
             Update::Fleet(update) => {
-                if knowledge.fleet.apply_update(update).is_err() {
+                if state.fleet.apply_update(update).is_err() {
                     return false;
                 }
-                knowledge.fleet_known = true;
+                state.fleet_known = true;
             }
             Update::Purges(purges) => self.observations.add_purges(&purges, self.number),
-            Update::Connected(connected) => knowledge.in_contact = connected,
+            Update::Connected(connected) => state.connected = connected,
             Update::Config { .. } => {}
         }
         true
@@ -251,24 +251,24 @@
 
     // ---- Observations ----
 
-    /// Updates the observations from the state of this node.
-    fn count(&self, knowledge: &mut Knowledge) {
-        let fleet = knowledge.fleet.fleet();
-        let in_contact = knowledge.in_contact && knowledge.is_ready();
+    /// Updates the observations from the state of the node.
+    fn update_counts(&self, state: &mut NodeState) {
+        let fleet = state.fleet.fleet();
+        let connected = state.connected && state.is_ready();
         let fleet_is_complete =
-            fleet.complete && self.observations.is_everything(fleet.servers.len(), fleet.edges.len());
-        let counted = CountedAs { in_contact, knows_everything: in_contact && fleet_is_complete };
-        let before = std::mem::replace(&mut knowledge.counted, counted);
-        update_count(&self.observations.in_contact, before.in_contact, counted.in_contact);
-        update_count(&self.observations.know_everything, before.knows_everything, counted.knows_everything);
-        self.observations.set_contact(self.number, in_contact, self.lease.until().into_std());
+            fleet.complete && self.observations.is_full_fleet(fleet.servers.len(), fleet.edges.len());
+        let counted = CountedAs { connected, has_full_fleet: connected && fleet_is_complete };
+        let before = std::mem::replace(&mut state.counted, counted);
+        update_count(&self.observations.connected, before.connected, counted.connected);
+        update_count(&self.observations.with_full_fleet, before.has_full_fleet, counted.has_full_fleet);
+        self.observations.set_connection_state(self.number, connected, self.lease.until().into_std());
     }
 
-    fn lose_contact(&self) {
-        let mut knowledge = self.knowledge.borrow_mut();
-        knowledge.in_contact = false;
+    fn mark_disconnected(&self) {
+        let mut state = self.state.borrow_mut();
+        state.connected = false;
         self.lease.end();
-        self.count(&mut knowledge);
+        self.update_counts(&mut state);
     }
 }
 
--- a/experiments/src/hollow/nodes/threads.rs
+++ b/experiments/src/hollow/nodes/threads.rs
@@ -20,12 +20,12 @@
 struct NodeNumbers {
     first: u32,
     /// The number of nodes in all threads.
-    all: u32,
+    node_count: u32,
 }
 
 impl NodeNumbers {
     fn iter(self) -> impl Iterator<Item = u32> {
-        (self.first..self.all).step_by(NODE_THREADS as usize)
+        (self.first..self.node_count).step_by(NODE_THREADS as usize)
     }
 
     /// Returns the index of a node among the nodes of this thread.
@@ -65,7 +65,7 @@
         for first in 0..NODE_THREADS {
             let (restart, restarts) = mpsc::unbounded_channel();
             let (access, observations) = (self.access.clone(), Arc::clone(&self.observations));
-            let numbers = NodeNumbers { first, all: self.nodes };
+            let numbers = NodeNumbers { first, node_count: self.nodes };
             let run = move || run_nodes(&access, &observations, numbers, restarts);
             running.threads.push(std::thread::spawn(run));
             running.restarts.push(restart);
--- a/experiments/src/hollow/observations.rs
+++ b/experiments/src/hollow/observations.rs
@@ -12,13 +12,13 @@
 /// Purges with this number or a higher one are not tracked.
 const MAX_PURGES: usize = 1 << 16;
 /// Bits of an atomic word, one for each node.
-const BITS: usize = u64::BITS as usize;
+const BITS_PER_WORD: usize = u64::BITS as usize;
 
 /// The connection of a node to control, as the node sees it.
 #[derive(Default)]
-struct Contact {
+struct ConnectionState {
     /// Whether it considers its session alive.
-    in_contact: AtomicBool,
+    connected: AtomicBool,
     /// When the lease ends that permits it to serve cached responses, in microseconds since the start of the run.
     lease_until: AtomicU64,
 }
@@ -37,21 +37,21 @@
     /// Nodes with a valid lease, which could serve cached responses.
     pub leased: u32,
     /// Nodes that considered their session alive, with or without a valid lease.
-    pub in_contact: u32,
+    pub connected: u32,
 }
 
 /// Observations of all hollow nodes of a run.
 pub struct Observations {
     began_at: Instant,
     /// Nodes that are connected and have received the configuration and the fleet.
-    pub in_contact: AtomicU32,
+    pub connected: AtomicU32,
     /// Connected nodes that know every server and every edge.
-    pub know_everything: AtomicU32,
+    pub with_full_fleet: AtomicU32,
     /// Sessions that were lost since the start of the run.
     pub lost_sessions: AtomicU32,
     /// Which nodes have applied each purge, by its number: one bit per node.
     purges: Vec<Vec<AtomicU64>>,
-    contacts: Vec<Contact>,
+    connection_states: Vec<ConnectionState>,
     applied: Mutex<Vec<AppliedVersion>>,
     servers: usize,
     edges: usize,
@@ -60,15 +60,15 @@
 impl Observations {
     /// Starts a run. `edges` counts hollow nodes and real edges.
     pub fn new(servers: u32, nodes: u32, edges: u32) -> Arc<Observations> {
-        let words = nodes.div_ceil(u64::BITS);
-        let no_nodes = || (0..words).map(|_| AtomicU64::new(0)).collect();
+        let words_per_purge = nodes.div_ceil(u64::BITS);
+        let empty_bits = || (0..words_per_purge).map(|_| AtomicU64::new(0)).collect();
         Arc::new(Observations {
             began_at: Instant::now(),
-            in_contact: AtomicU32::new(0),
-            know_everything: AtomicU32::new(0),
+            connected: AtomicU32::new(0),
+            with_full_fleet: AtomicU32::new(0),
             lost_sessions: AtomicU32::new(0),
-            purges: (0..MAX_PURGES).map(|_| no_nodes()).collect(),
-            contacts: (0..nodes).map(|_| Contact::default()).collect(),
+            purges: (0..MAX_PURGES).map(|_| empty_bits()).collect(),
+            connection_states: (0..nodes).map(|_| ConnectionState::default()).collect(),
             applied: Mutex::default(),
             servers: servers as usize,
             edges: edges as usize,
@@ -81,7 +81,7 @@
     }
 
     /// Whether these counts include all servers and edges of the run.
-    pub fn is_everything(&self, servers: usize, edges: usize) -> bool {
+    pub fn is_full_fleet(&self, servers: usize, edges: usize) -> bool {
         servers >= self.servers && edges >= self.edges
     }
 
@@ -92,10 +92,10 @@
     }
 
     /// Records whether a node is connected, and when its lease ends.
-    pub fn set_contact(&self, node: usize, in_contact: bool, lease_until: Instant) {
-        let Some(contact) = self.contacts.get(node) else { return };
-        contact.lease_until.store(self.microseconds(lease_until), Ordering::SeqCst);
-        contact.in_contact.store(in_contact, Ordering::SeqCst);
+    pub fn set_connection_state(&self, node: usize, connected: bool, lease_until: Instant) {
+        let Some(state) = self.connection_states.get(node) else { return };
+        state.lease_until.store(self.microseconds(lease_until), Ordering::SeqCst);
+        state.connected.store(connected, Ordering::SeqCst);
     }
 
     // ---- Versions ----
@@ -120,18 +120,18 @@
             let Purge::Label(label) = &purge.purge else { continue };
             let number = label.strip_prefix(PURGE_LABEL_PREFIX).and_then(|number| number.parse().ok());
             if let Some(bits) = number.and_then(|number| self.purge_bits(number, node)) {
-                bits.fetch_or(1 << (node % BITS), Ordering::SeqCst);
+                bits.fetch_or(1 << (node % BITS_PER_WORD), Ordering::SeqCst);
             }
         }
     }
 
     fn purge_bits(&self, number: usize, node: usize) -> Option<&AtomicU64> {
-        self.purges.get(number)?.get(node / BITS)
+        self.purges.get(number)?.get(node / BITS_PER_WORD)
     }
 
     fn has_purged(&self, number: usize, node: usize) -> bool {
         let bits = self.purge_bits(number, node);
-        bits.is_some_and(|bits| bits.load(Ordering::SeqCst) >> (node % BITS) & 1 == 1)
+        bits.is_some_and(|bits| bits.load(Ordering::SeqCst) >> (node % BITS_PER_WORD) & 1 == 1)
     }
 
     /// Counts the nodes that have not applied a purge that has just been acknowledged. The connection of a node is read
@@ -139,11 +139,11 @@
     pub fn early_acknowledgement(&self, number: usize) -> EarlyAcknowledgement {
         let mut early = EarlyAcknowledgement::default();
         let now = self.microseconds(Instant::now());
-        for (node, contact) in self.contacts.iter().enumerate() {
-            let in_contact = contact.in_contact.load(Ordering::SeqCst);
-            let leased = in_contact && now < contact.lease_until.load(Ordering::SeqCst);
-            if in_contact && !self.has_purged(number, node) {
-                early.in_contact += 1;
+        for (node, state) in self.connection_states.iter().enumerate() {
+            let connected = state.connected.load(Ordering::SeqCst);
+            let leased = connected && now < state.lease_until.load(Ordering::SeqCst);
+            if connected && !self.has_purged(number, node) {
+                early.connected += 1;
                 early.leased += u32::from(leased);
             }
         }
--- a/experiments/src/hollow/phases.rs
+++ b/experiments/src/hollow/phases.rs
@@ -27,7 +27,7 @@
 const PHASE_PAUSE: Duration = Duration::from_secs(2);
 /// The machine whose control process is killed: the first seed, which is usually the head of the chain, and where
 /// sessions would concentrate if nodes preferred the first seed.
-pub const LOST_MACHINE: &str = "core-1";
+pub const KILLED_MACHINE: &str = "core-1";
 /// Nodes whose number is a multiple of this are restarted, so that restarts are spread over all nodes.
 const RESTART_STEP: usize = 7;
 
@@ -62,12 +62,12 @@
         let links_before = self.link_bytes().await;
         let began_at = Instant::now();
         threads.start();
-        let in_contact_ms = wait_until(READY_TIMEOUT, || self.all_in_contact()).await;
-        wait_until(READY_TIMEOUT, || self.all_know_everything()).await;
+        let connected_ms = wait_until(READY_TIMEOUT, || self.all_connected()).await;
+        wait_until(READY_TIMEOUT, || self.all_have_full_fleet()).await;
         let measurements = OperatorMeasurements {
-            acknowledged: in_contact_ms.into_iter().collect(),
+            acknowledged: connected_ms.into_iter().collect(),
             applied: vec![milliseconds_since(began_at)],
-            failed: u32::from(!self.all_know_everything()),
+            failed: u32::from(!self.all_have_full_fleet()),
             ..OperatorMeasurements::default()
         };
         self.report("start", &before, links_before, measurements).await
@@ -79,10 +79,10 @@
         OperatorMeasurements::default()
     }
 
-    /// Changes the configuration at a constant rate, starting from version `first_rev`.
-    pub async fn change(&self, first_rev: u64, per_s: f64, duration: Duration) -> OperatorMeasurements {
+    /// Changes the configuration at a constant rate, starting from version `base_rev`.
+    pub async fn change(&self, base_rev: u64, per_s: f64, duration: Duration) -> OperatorMeasurements {
         let changes =
-            change_config(&self.controls, &self.observations, self.nodes, first_rev, per_s, duration);
+            change_config(&self.controls, &self.observations, self.nodes, base_rev, per_s, duration);
         changes.await.unwrap_or_else(|error| {
             eprintln!("{} nodes: a change failed: {error}", self.nodes);
             OperatorMeasurements { failed: 1, ..OperatorMeasurements::default() }
@@ -110,23 +110,23 @@
             threads.restart(number);
             sleep(pause).await;
         }
-        let in_contact_ms = wait_until(READY_TIMEOUT, || self.all_in_contact()).await;
+        let connected_ms = wait_until(READY_TIMEOUT, || self.all_connected()).await;
         OperatorMeasurements {
-            acknowledged: in_contact_ms.into_iter().collect(),
+            acknowledged: connected_ms.into_iter().collect(),
             ..OperatorMeasurements::default()
         }
     }
 
     /// Kills a control process while purges are sent, and waits until its sessions have moved to other control nodes.
-    pub async fn lose_control(
+    pub async fn kill_control_during_purges(
         &self,
         next_purge: &Cell<usize>,
         purges_per_s: f64,
         duration: Duration,
     ) -> OperatorMeasurements {
         let purges = self.purge(next_purge, purges_per_s, duration);
-        let (measurements, moved_ms) = tokio::join!(purges, self.kill_control());
-        OperatorMeasurements { applied: moved_ms.into_iter().collect(), ..measurements }
+        let (measurements, reconnected_ms) = tokio::join!(purges, self.kill_control());
+        OperatorMeasurements { applied: reconnected_ms.into_iter().collect(), ..measurements }
     }
 
     /// Kills a control process, and returns the milliseconds until all nodes are connected; `None` after
@@ -134,26 +134,26 @@
     async fn kill_control(&self) -> Option<f64> {
         let lost_sessions = || self.observations.lost_sessions.load(Ordering::Relaxed);
         let lost_before = lost_sessions();
-        for pid in self.local.pids(LOST_MACHINE, Some("control")) {
+        for pid in self.local.pids(KILLED_MACHINE, Some("control")) {
             // Fails if the process has already exited, which is fine.
             let _ = kill(Pid::from_raw(pid as i32), Signal::SIGKILL);
         }
         let began_at = Instant::now();
         wait_until(HEARTBEAT_INTERVAL, || lost_sessions() > lost_before).await;
-        wait_until(READY_TIMEOUT, || self.all_in_contact()).await?;
+        wait_until(READY_TIMEOUT, || self.all_connected()).await?;
         Some(milliseconds_since(began_at))
     }
 
     // ---- States ----
 
     /// Whether all hollow nodes are connected and ready to serve.
-    pub fn all_in_contact(&self) -> bool {
-        self.observations.in_contact.load(Ordering::Relaxed) == self.nodes
+    pub fn all_connected(&self) -> bool {
+        self.observations.connected.load(Ordering::Relaxed) == self.nodes
     }
 
     /// Whether all hollow nodes know every server and every edge.
-    pub fn all_know_everything(&self) -> bool {
-        self.observations.know_everything.load(Ordering::Relaxed) == self.nodes
+    pub fn all_have_full_fleet(&self) -> bool {
+        self.observations.with_full_fleet.load(Ordering::Relaxed) == self.nodes
     }
 
     async fn status(&self) -> Vec<Value> {
@@ -192,7 +192,7 @@
     ) -> PhaseReport {
         let after = self.sample();
         let links_after = self.link_bytes().await;
-        let usage = before.until(&after);
+        let usage = before.usage_until(&after);
         let links = links_after.since(links_before);
         PhaseReport::new(name, &usage, links, self.nodes, measurements)
     }
--- a/experiments/src/hollow/report/linear_fit.rs
+++ b/experiments/src/hollow/report/linear_fit.rs
@@ -15,11 +15,11 @@
 /// A straight line fitted to points by least squares.
 pub struct LinearFit {
     /// The value of the line at 0 nodes.
-    pub base: f64,
+    pub intercept: f64,
     /// What each node adds to the value.
     pub slope: f64,
     /// The greatest vertical distance of a point from the line, divided by the value of the point.
-    pub max_relative_distance: f64,
+    pub max_relative_error: f64,
 }
 
 impl LinearFit {
@@ -34,10 +34,10 @@
         }
         let covariance: f64 = points.iter().map(|point| (point.x - mean_x) * (point.y - mean_y)).sum();
         let slope = covariance / variance;
-        let base = mean_y - slope * mean_x;
-        let distance =
-            |point: &Point| (point.y - (base + slope * point.x)).abs() / point.y.abs().max(MIN_DIVISOR);
-        let max_relative_distance = points.iter().map(distance).fold(0.0, f64::max);
-        Some(LinearFit { base, slope, max_relative_distance })
+        let intercept = mean_y - slope * mean_x;
+        let relative_error =
+            |point: &Point| (point.y - (intercept + slope * point.x)).abs() / point.y.abs().max(MIN_DIVISOR);
+        let max_relative_error = points.iter().map(relative_error).fold(0.0, f64::max);
+        Some(LinearFit { intercept, slope, max_relative_error })
     }
 }
--- a/experiments/src/hollow/report/mod.rs
+++ b/experiments/src/hollow/report/mod.rs
@@ -13,7 +13,7 @@
 
 /// Count and quantiles of times, which are in milliseconds; 0 if there are none.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Times {
+pub struct TimeQuantiles {
     /// The number of measured times.
     pub count: usize,
     /// The median.
@@ -25,14 +25,14 @@
     pub max: f64,
 }
 
-impl Times {
-    fn of(mut times: Vec<f64>) -> Times {
+impl TimeQuantiles {
+    fn of(mut times: Vec<f64>) -> TimeQuantiles {
         times.sort_by(f64::total_cmp);
         let quantile = |quantile: f64| {
             let rank = (times.len() as f64 * quantile).ceil() as usize;
             times.get(rank.saturating_sub(1)).copied().unwrap_or(0.0)
         };
-        Times { count: times.len(), p50: quantile(0.5), p99: quantile(0.99), max: quantile(1.0) }
+        TimeQuantiles { count: times.len(), p50: quantile(0.5), p99: quantile(0.99), max: quantile(1.0) }
     }
 }
 
@@ -73,11 +73,11 @@
     /// Processor use of this process, which runs the hollow nodes, servers and operators, in cores.
     pub lab_cores: f64,
     /// Time from a call to its acknowledgement; in `start` and `restarts`, time until all nodes were connected.
-    pub acknowledged: Times,
+    pub acknowledged: TimeQuantiles,
     /// Time until a change was applied, for each change and node; in `start`, until all nodes knew the whole fleet; in
     /// `loss`, until all nodes were connected again.
     #[serde(rename = "in_force")]
-    pub applied: Times,
+    pub applied: TimeQuantiles,
     /// Calls that were not acknowledged, or not applied on all nodes in time.
     pub failed: u32,
     /// Nodes with a valid lease, which could serve cached responses, that had not applied a purge when it was
@@ -86,7 +86,7 @@
     /// Connected nodes, with or without a valid lease, that had not applied a purge when it was acknowledged, summed
     /// over all purges.
     #[serde(rename = "early_in_touch")]
-    pub early_in_contact: u32,
+    pub early_connected: u32,
     /// Sessions of hollow nodes that were lost.
     pub lost_sessions: u32,
     /// Heartbeats of servers that no control node accepted.
@@ -124,11 +124,11 @@
             edge_cores: usage.edge_cores,
             edge_peak_mb: usage.edge_peak_mb,
             lab_cores: usage.lab_cores,
-            acknowledged: Times::of(measurements.acknowledged),
-            applied: Times::of(measurements.applied),
+            acknowledged: TimeQuantiles::of(measurements.acknowledged),
+            applied: TimeQuantiles::of(measurements.applied),
             failed: measurements.failed,
             early: measurements.early.leased,
-            early_in_contact: measurements.early.in_contact,
+            early_connected: measurements.early.connected,
             lost_sessions: usage.lost_sessions,
             failed_heartbeats: usage.failed_heartbeats,
         }
@@ -155,7 +155,7 @@
     pub min_sessions: usize,
     /// Whether all hollow nodes were connected at the end of the run.
     #[serde(rename = "all_in_touch")]
-    pub all_in_contact: bool,
+    pub all_connected: bool,
     /// One report per phase, in the order in which they were run.
     pub phases: Vec<PhaseReport>,
 }
@@ -173,11 +173,11 @@
 /// A column of the CSV file and row of the Markdown tables.
 struct Column {
     name: &'static str,
-    figure: fn(&PhaseReport) -> f64,
+    value: fn(&PhaseReport) -> f64,
 }
 
-const fn column(name: &'static str, figure: fn(&PhaseReport) -> f64) -> Column {
-    Column { name, figure }
+const fn column(name: &'static str, value: fn(&PhaseReport) -> f64) -> Column {
+    Column { name, value }
 }
 
 const TABLE_COLUMNS: [Column; 23] = [
@@ -201,30 +201,30 @@
     column("in force most ms", |phase| phase.applied.max),
     column("failed", |phase| f64::from(phase.failed)),
     column("early", |phase| f64::from(phase.early)),
-    column("early in touch", |phase| f64::from(phase.early_in_contact)),
+    column("early in touch", |phase| f64::from(phase.early_connected)),
     column("sessions lost", |phase| f64::from(phase.lost_sessions)),
     column("beats failed", |phase| f64::from(phase.failed_heartbeats)),
 ];
 
 /// A value of a phase to which a line is fitted over the sizes.
-struct FittedFigure {
+struct FittedValue {
     phase: &'static str,
     name: &'static str,
-    figure: fn(&PhaseReport) -> f64,
+    value: fn(&PhaseReport) -> f64,
     /// Whether to multiply the value, which is a mean over the control processes, by their number.
     sums_controls: bool,
 }
 
-const fn fitted(phase: &'static str, name: &'static str, figure: fn(&PhaseReport) -> f64) -> FittedFigure {
-    FittedFigure { phase, name, figure, sums_controls: false }
+const fn fitted(phase: &'static str, name: &'static str, value: fn(&PhaseReport) -> f64) -> FittedValue {
+    FittedValue { phase, name, value, sums_controls: false }
 }
 
-const fn fitted_control_cores(phase: &'static str) -> FittedFigure {
-    let figure = |phase: &PhaseReport| phase.control_cores;
-    FittedFigure { phase, name: "control cores, sum", figure, sums_controls: true }
+const fn fitted_control_cores(phase: &'static str) -> FittedValue {
+    let value = |phase: &PhaseReport| phase.control_cores;
+    FittedValue { phase, name: "control cores, sum", value, sums_controls: true }
 }
 
-const FITTED_FIGURES: [FittedFigure; 10] = [
+const FITTED_VALUES: [FittedValue; 10] = [
     fitted_control_cores("rest"),
     fitted_control_cores("changes"),
     fitted_control_cores("purges"),
@@ -239,15 +239,15 @@
 
 impl HollowReport {
     /// Whether all hollow nodes were connected at the end of the run of each size.
-    pub fn all_in_contact(&self) -> bool {
-        self.sizes.iter().all(|size| size.all_in_contact)
+    pub fn all_connected(&self) -> bool {
+        self.sizes.iter().all(|size| size.all_connected)
     }
 
     /// Returns a value of a phase at each size.
-    fn points(&self, phase: &str, figure: impl Fn(&PhaseReport) -> f64) -> Vec<Point> {
+    fn points(&self, phase: &str, value: impl Fn(&PhaseReport) -> f64) -> Vec<Point> {
         let point = |size: &SizeReport| {
             let phase = size.phases.iter().find(|report| report.name == phase)?;
-            Some(Point { x: f64::from(size.nodes), y: figure(phase) })
+            Some(Point { x: f64::from(size.nodes), y: value(phase) })
         };
         self.sizes.iter().filter_map(point).collect()
     }
@@ -259,7 +259,7 @@
         for size in &self.sizes {
             for phase in &size.phases {
                 let cells: Vec<String> =
-                    TABLE_COLUMNS.iter().map(|column| format!("{:.4}", (column.figure)(phase))).collect();
+                    TABLE_COLUMNS.iter().map(|column| format!("{:.4}", (column.value)(phase))).collect();
                 text += &format!("{},{},{}\n", size.nodes, phase.name, cells.join(","));
             }
         }
@@ -280,14 +280,15 @@
     }
 
     fn fit_table(&self) -> String {
-        let mut text = "\n| phase | figure | base | for 1,000 nodes more | greatest distance |\n".to_owned();
+        let mut text =
+            "\n| phase | value | intercept | for 1,000 nodes more | greatest distance |\n".to_owned();
         text += "| --- | --- | --- | --- | --- |\n";
-        for FittedFigure { phase, name, figure, sums_controls } in FITTED_FIGURES {
+        for FittedValue { phase, name, value, sums_controls } in FITTED_VALUES {
             let factor = if sums_controls { f64::from(self.options.controls) } else { 1.0 };
-            let points = self.points(phase, |report| figure(report) * factor);
-            if let Some(LinearFit { base, slope, max_relative_distance }) = LinearFit::through(&points) {
-                let (per_1000, percent) = (slope * 1000.0, max_relative_distance * 100.0);
-                text += &format!("| {phase} | {name} | {base:.3} | {per_1000:.3} | {percent:.0} % |\n");
+            let points = self.points(phase, |report| value(report) * factor);
+            if let Some(LinearFit { intercept, slope, max_relative_error }) = LinearFit::through(&points) {
+                let (per_1000, percent) = (slope * 1000.0, max_relative_error * 100.0);
+                text += &format!("| {phase} | {name} | {intercept:.3} | {per_1000:.3} | {percent:.0} % |\n");
             }
         }
         text
@@ -302,12 +303,12 @@
         size.min_sessions,
         size.max_sessions,
         size.document_bytes,
-        if size.all_in_contact { "" } else { ", **not all in touch at the end**" },
+        if size.all_connected { "" } else { ", **not all in touch at the end**" },
         names.join(" | "),
         " --- |".repeat(names.len()),
     );
-    for Column { name, figure } in TABLE_COLUMNS {
-        let cells: Vec<String> = size.phases.iter().map(|phase| format!("{:.4}", figure(phase))).collect();
+    for Column { name, value } in TABLE_COLUMNS {
+        let cells: Vec<String> = size.phases.iter().map(|phase| format!("{:.4}", value(phase))).collect();
         text += &format!("| {name} | {} |\n", cells.join(" | "));
     }
     text
--- a/experiments/src/hollow/report/plots.rs
+++ b/experiments/src/hollow/report/plots.rs
@@ -38,14 +38,8 @@
         Line { name, color: RED, points }
     }
 
-    fn line(
-        &self,
-        name: &'static str,
-        color: RGBColor,
-        phase: &str,
-        figure: fn(&PhaseReport) -> f64,
-    ) -> Line {
-        let points = self.points(phase, figure).into_iter().map(|point| (point.x, point.y)).collect();
+    fn line(&self, name: &'static str, color: RGBColor, phase: &str, value: fn(&PhaseReport) -> f64) -> Line {
+        let points = self.points(phase, value).into_iter().map(|point| (point.x, point.y)).collect();
         Line { name, color, points }
     }
 
--- a/experiments/src/hollow/waiting.rs
+++ b/experiments/src/hollow/waiting.rs
@@ -10,10 +10,10 @@
 pub const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Waits until a condition holds, and returns how long that took, in milliseconds; `None` after `timeout`.
-pub async fn wait_until(timeout: Duration, holds: impl Fn() -> bool) -> Option<f64> {
+pub async fn wait_until(timeout: Duration, condition: impl Fn() -> bool) -> Option<f64> {
     let began_at = Instant::now();
     while began_at.elapsed() < timeout {
-        if holds() {
+        if condition() {
             return Some(milliseconds_since(began_at));
         }
         sleep(POLL_INTERVAL).await;
--- a/experiments/src/hollow/workload.rs
+++ b/experiments/src/hollow/workload.rs
@@ -27,7 +27,7 @@
 /// The number of consecutive routes that share a hostname.
 const ROUTES_PER_SITE: u32 = 4;
 /// The `maxAgeS` of routes in the initial configuration, in seconds.
-const FIRST_MAX_AGE_S: f64 = 40.0;
+const INITIAL_MAX_AGE_S: f64 = 40.0;
 /// The number of routes that changes alternate between.
 const CHANGED_ROUTES: u32 = 7;
 /// Connections from a server to control nodes.
@@ -68,7 +68,7 @@
     let service = |number| json!({ "name": service_name(number), "maxConns": 256, "ratePerS": 900.0 });
     json!({
         "rev": 1,
-        "paths": (0..routes).map(|number| route(number, FIRST_MAX_AGE_S)).collect::<Vec<_>>(),
+        "paths": (0..routes).map(|number| route(number, INITIAL_MAX_AGE_S)).collect::<Vec<_>>(),
         "backends": (0..SERVICE_COUNT).map(service).collect::<Vec<_>>(),
     })
 }
@@ -128,7 +128,7 @@
 
 // ---- Operators ----
 
-/// Changes one route after another at a constant rate, starting from version `first_rev`. Waits after each change until
+/// Changes one route after another at a constant rate, starting from version `base_rev`. Waits after each change until
 /// all nodes have applied it, or [`APPLY_TIMEOUT`] has passed.
 ///
 /// # Errors
@@ -138,7 +138,7 @@
     controls: &ControlAddresses,
     observations: &Observations,
     nodes: u32,
-    first_rev: u64,
+    base_rev: u64,
     per_s: f64,
     duration: Duration,
 ) -> Result<OperatorMeasurements, OperatorError> {
@@ -146,7 +146,7 @@
     let began_at = Instant::now();
     let mut ticks = interval(Duration::from_secs_f64(1.0 / per_s));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut rev = first_rev;
+    let mut rev = base_rev;
     while began_at.elapsed() < duration {
         ticks.tick().await;
         let (sent_s, sent_at) = (observations.now(), Instant::now());
@@ -166,7 +166,7 @@
 /// Changes one route in version `rev`, which creates version `rev + 1`.
 async fn change_route(controls: &ControlAddresses, rev: u64) -> Result<(), OperatorError> {
     let next = rev + 1;
-    let changed = route(next as u32 % CHANGED_ROUTES, FIRST_MAX_AGE_S + next as f64);
+    let changed = route(next as u32 % CHANGED_ROUTES, INITIAL_MAX_AGE_S + next as f64);
     let patch = json!({ "rev": next, "upsert": { "paths": [changed] } });
     let body = patch.to_string().into();
     commands::call_control(controls, Method::PATCH, "/api/config", Some(rev), body).await?;
@@ -228,6 +228,6 @@
     fn add_purge(&mut self, result: &PurgeResult) {
         self.acknowledged.push(result.latency_ms);
         self.early.leased += result.early.leased;
-        self.early.in_contact += result.early.in_contact;
+        self.early.connected += result.early.connected;
     }
 }
--- a/experiments/src/load.rs
+++ b/experiments/src/load.rs
@@ -35,7 +35,7 @@
 /// Memory for responses of all clients together, in bytes.
 const RESPONSE_MEMORY: usize = 512 << 20;
 /// The longest step between arrivals, in seconds; a longer one could skip a change of the load.
-const MAX_PAUSE_S: f64 = 1.0;
+const MAX_INTERARRIVAL_S: f64 = 1.0;
 /// The lowest arrival rate of the exponential distribution, in requests per second, as a load factor may be 0.
 const MIN_RATE_PER_S: f64 = 0.01;
 /// The interval between checks whether requests are still in flight.
@@ -45,7 +45,7 @@
 /// Makes the random stream of changes differ from those of the classes.
 const CHANGE_STREAM: u64 = 0xc4a6;
 /// How long a client waits after a response 503 without `Retry-After`, in seconds.
-const MIN_OVERLOAD_WAIT_S: f64 = 0.02;
+const DEFAULT_OVERLOAD_WAIT_S: f64 = 0.02;
 /// The upper bound for `Retry-After`, in seconds.
 const MAX_WAIT_S: f64 = 60.0;
 
@@ -77,7 +77,7 @@
     path: &'a str,
     id: String,
     /// The deadline of the request.
-    until: Instant,
+    deadline: Instant,
 }
 
 impl Attempt<'_> {
@@ -87,7 +87,7 @@
             *request.method_mut() = Method::POST;
         }
         *request.uri_mut() = self.path.parse().unwrap_or_default();
-        let remaining_ms = self.until.saturating_duration_since(Instant::now()).as_millis() as u64;
+        let remaining_ms = self.deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
         let headers = request.headers_mut();
         headers.insert(header::HOST, HeaderValue::from_static(ROUTE_HOST));
         headers.insert(DEADLINE_HEADER, HeaderValue::from(remaining_ms.max(1)));
@@ -149,13 +149,14 @@
         let mut at = began_at;
         loop {
             let rate = class.per_s * self.plan.load_factor((at - began_at).as_secs_f64());
-            let pause_s = Exp::new(rate.max(MIN_RATE_PER_S)).map_or(1.0, |pauses| pauses.sample(&mut rng));
-            at += Duration::from_secs_f64(pause_s.min(MAX_PAUSE_S));
+            let interarrival_s = Exp::new(rate.max(MIN_RATE_PER_S))
+                .map_or(1.0, |interarrival_times| interarrival_times.sample(&mut rng));
+            at += Duration::from_secs_f64(interarrival_s.min(MAX_INTERARRIVAL_S));
             if at >= ends_at {
                 return;
             }
             sleep_until(at).await;
-            if pause_s > MAX_PAUSE_S {
+            if interarrival_s > MAX_INTERARRIVAL_S {
                 continue;
             }
             let object = objects.sample(&mut rng) as u64;
@@ -183,16 +184,16 @@
         let class = &self.plan.classes[arrival.class];
         let path = format!("/{}/{}", class.name, arrival.object);
         let began_at = Instant::now();
-        let until = began_at + Duration::from_millis(class.deadline_ms);
+        let deadline = began_at + Duration::from_millis(class.deadline_ms);
         let mut outcome = RequestOutcome::Failed;
         for retry in 0..=u64::from(class.retries) {
             let edge_index = (arrival.client + retry) % self.edges.len() as u64;
             let edge = self.edges[edge_index as usize];
-            let attempt = Attempt { class, edge, path: &path, id: self.next_id(), until };
+            let attempt = Attempt { class, edge, path: &path, id: self.next_id(), deadline };
             let result = self.attempt(&attempt, began_at).await;
             outcome = result.outcome;
-            let is_in_time = |wait: &Duration| Instant::now() + *wait < until;
-            let Some(wait) = result.retry_after.filter(is_in_time) else { break };
+            let is_before_deadline = |wait: &Duration| Instant::now() + *wait < deadline;
+            let Some(wait) = result.retry_after.filter(is_before_deadline) else { break };
             sleep(wait).await;
         }
         let mut measurements = self.measurements.borrow_mut();
@@ -206,13 +207,13 @@
 
     async fn attempt(&self, attempt: &Attempt<'_>, began_at: Instant) -> AttemptResult {
         let sent_at = Instant::now();
-        let params = ExchangeParams::internal(attempt.edge, attempt.until);
+        let params = ExchangeParams::internal(attempt.edge, attempt.deadline);
         let response = self.pool.exchange(params, || attempt.to_http()).await;
         match response {
             Ok(response) if response.status().is_success() => {
-                self.succeeded(attempt, &response, sent_at, began_at)
+                self.handle_success(attempt, &response, sent_at, began_at)
             }
-            Ok(response) => self.failed(attempt, &response),
+            Ok(response) => self.handle_failure(attempt, &response),
             Err(error) => {
                 let may_retry = error == SendError::NotSent || attempt.class.kind != RouteKind::Mutating;
                 let retry_after = may_retry.then_some(Duration::ZERO);
@@ -221,7 +222,7 @@
         }
     }
 
-    fn succeeded(
+    fn handle_success(
         &self,
         attempt: &Attempt<'_>,
         response: &ServerResponse,
@@ -239,7 +240,7 @@
         AttemptResult { outcome, retry_after: None }
     }
 
-    fn failed(&self, attempt: &Attempt<'_>, response: &ServerResponse) -> AttemptResult {
+    fn handle_failure(&self, attempt: &Attempt<'_>, response: &ServerResponse) -> AttemptResult {
         let status = response.status().as_u16();
         let is_mutating = attempt.class.kind == RouteKind::Mutating;
         let not_executed = matches!(status, 408 | 421 | 429 | 503);
@@ -296,8 +297,8 @@
 /// Returns how long a client should wait before a retry, from the `Retry-After` header of a response.
 fn requested_wait(response: &ServerResponse) -> Duration {
     let value = response.headers().get(header::RETRY_AFTER);
-    let stated_s = value.and_then(|value| value.to_str().ok()?.parse().ok());
+    let retry_after_s = value.and_then(|value| value.to_str().ok()?.parse().ok());
     let is_overload = response.status() == StatusCode::SERVICE_UNAVAILABLE;
-    let min_s = if is_overload { MIN_OVERLOAD_WAIT_S } else { 0.0 };
-    Duration::from_secs_f64(f64::clamp(stated_s.unwrap_or(min_s), 0.0, MAX_WAIT_S))
+    let default_s = if is_overload { DEFAULT_OVERLOAD_WAIT_S } else { 0.0 };
+    Duration::from_secs_f64(f64::clamp(retry_after_s.unwrap_or(default_s), 0.0, MAX_WAIT_S))
 }
--- a/experiments/src/plan/mod.rs
+++ b/experiments/src/plan/mod.rs
@@ -120,7 +120,7 @@
     /// Mean requests per second, outside of phases.
     pub per_s: f64,
     /// The number of objects.
-    #[serde(default = "one")]
+    #[serde(default = "default_object_count")]
     pub objects: u32,
     /// The exponent of the Zipf distribution by which objects are requested.
     #[serde(default)]
@@ -154,7 +154,7 @@
     pub changes_per_s: f64,
 }
 
-fn one() -> u32 {
+fn default_object_count() -> u32 {
     1
 }
 
--- a/experiments/src/report.rs
+++ b/experiments/src/report.rs
@@ -262,7 +262,7 @@
     }
 
     /// Returns a line in total and one for each class, with the changes from an earlier report to this one.
-    pub fn compared(&self, before: &Report) -> String {
+    pub fn comparison_with(&self, before: &Report) -> String {
         let mut text = format!("all: worth {:.3} -> {:.3}\n", before.value_share, self.value_share);
         for class in &self.classes {
             let Some(old) = before.classes.iter().find(|old| old.name == class.name) else { continue };
--- a/experiments/tests/processor.rs
+++ b/experiments/tests/processor.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn each_case_is_measured_for_each_role_and_served_where_its_name_says() {
+fn each_case_is_measured_for_each_role_and_served_by_the_expected_process() {
     let out = std::env::temp_dir().join(format!("glenfall-processor-{}", std::process::id()));
     let has_strace = Command::new("strace").arg("-V").output().is_ok();
     let report = measure(&out, if has_strace { &[] } else { &["--no-trace"] });
--- a/experiments/tests/unit/fleet.rs
+++ b/experiments/tests/unit/fleet.rs
@@ -2,23 +2,23 @@
 
 use glenfall_experiments::fleet::{run, FleetPlan};
 
-const PLAN: &str = include_str!("../../plans/fleet.toml");
+const PLAN_TEXT: &str = include_str!("../../plans/fleet.toml");
 
 fn plan(sizes: Vec<u32>) -> FleetPlan {
-    let plan: FleetPlan = toml::from_str(PLAN).unwrap();
+    let plan: FleetPlan = toml::from_str(PLAN_TEXT).unwrap();
     FleetPlan { sizes, seconds: 8.0, ..plan }
 }
 
 #[test]
-fn the_included_plan_is_valid_and_mistakes_are_named() {
-    let good = plan(vec![10]);
-    assert_eq!(good.check(), Ok(()));
-    let wrong = FleetPlan { sizes: vec![0], ..good.clone() };
-    assert!(wrong.check().unwrap_err().to_string().starts_with("sizes"));
-    let wrong = FleetPlan { cores: 0, ..good.clone() };
-    assert!(wrong.check().unwrap_err().to_string().starts_with("cores"));
-    let wrong = FleetPlan { seconds: f64::NAN, ..good };
-    assert!(wrong.check().unwrap_err().to_string().starts_with("seconds"));
+fn included_plan_is_valid_and_errors_name_the_field() {
+    let valid = plan(vec![10]);
+    assert_eq!(valid.check(), Ok(()));
+    let invalid = FleetPlan { sizes: vec![0], ..valid.clone() };
+    assert!(invalid.check().unwrap_err().to_string().starts_with("sizes"));
+    let invalid = FleetPlan { cores: 0, ..valid.clone() };
+    assert!(invalid.check().unwrap_err().to_string().starts_with("cores"));
+    let invalid = FleetPlan { seconds: f64::NAN, ..valid };
+    assert!(invalid.check().unwrap_err().to_string().starts_with("seconds"));
 }
 
 #[test]
--- a/experiments/tests/unit/plan.rs
+++ b/experiments/tests/unit/plan.rs
@@ -3,7 +3,7 @@
 use glenfall_experiments::plan::Plan;
 
 #[test]
-fn the_included_plans_are_valid_and_mistakes_are_named() {
+fn included_plans_are_valid_and_errors_name_the_field() {
     let text = include_str!("../../plans/overload.toml");
     for text in [text, include_str!("../../plans/losses.toml"), include_str!("../../plans/small.toml")] {
         let plan = Plan::read(text).unwrap();
@@ -12,14 +12,14 @@
     }
     assert_eq!(Plan::read(text).unwrap().load_factor(11.0), 6.0);
     assert_eq!(Plan::read(text).unwrap().load_factor(1.0), 1.0);
-    for (from, to, told) in [
+    for (from, to, expected) in [
         ("seconds = ", "second = ", "line"),
         ("servers = 6", "servers = 0", "servers: 1 to 40 expected, got 0"),
         ("service = \"orders\"", "service = \"none\"", "no service is named \"none\""),
         ("aim_ms = 250", "aim_ms = 2500", "aim_ms: 1 to 1000 expected"),
     ] {
         assert!(text.contains(from), "{from}");
-        let why = Plan::read(&text.replacen(from, to, 1)).expect_err(from).to_string();
-        assert!(why.contains(told) && !why.contains('\n'), "{from}: {why}");
+        let message = Plan::read(&text.replacen(from, to, 1)).expect_err(from).to_string();
+        assert!(message.contains(expected) && !message.contains('\n'), "{from}: {message}");
     }
 }
--- a/experiments/tests/unit/report.rs
+++ b/experiments/tests/unit/report.rs
@@ -12,13 +12,13 @@
     let plan = Plan::read(include_str!("../../plans/small.toml")).unwrap();
     let mut measurements = Measurements::new(&plan).unwrap();
     let ms = Duration::from_millis;
-    for (ended, took) in [
+    for (outcome, latency) in [
         (RequestOutcome::WithinTarget, ms(10)),
         (RequestOutcome::Late, ms(300)),
         (RequestOutcome::Rejected, ms(2)),
         (RequestOutcome::Failed, ms(9)),
     ] {
-        measurements.add(1, 0, ended, took);
+        measurements.add(1, 0, outcome, latency);
     }
     let report =
         Report::new(&plan, &measurements, BTreeMap::new(), BTreeMap::new(), &ViolationCounts::default());
@@ -29,8 +29,8 @@
     assert!(!report.has_violations());
     let text = report.markdown();
     assert!(text.contains("| payout-order | 4 | 1 | 1 | 1 | 1 | 0.275 |"), "{text}");
-    assert!(report.compared(&report).contains("payout-order: worth 0.275 -> 0.275"));
-    let broken = ViolationCounts { stale: 2, ..ViolationCounts::default() };
-    let report = Report::new(&plan, &measurements, BTreeMap::new(), BTreeMap::new(), &broken);
+    assert!(report.comparison_with(&report).contains("payout-order: worth 0.275 -> 0.275"));
+    let violations = ViolationCounts { stale: 2, ..ViolationCounts::default() };
+    let report = Report::new(&plan, &measurements, BTreeMap::new(), BTreeMap::new(), &violations);
     assert!(report.has_violations() && report.markdown().contains("`stale`: 2 times"));
 }
