--- a/experiments/src/fleet/report.rs
+++ b/experiments/src/fleet/report.rs
@@ -94,9 +94,7 @@
         [
             line("messages to each edge", |phase| format!("{:.1}", phase.messages_to_edge)),
             line("bytes to each edge", |phase| format!("{:.0}", phase.bytes_to_edge)),
-            line("bytes to each edge if snapshots were pushed", |phase| {
-                format!("{:.0}", phase.snapshot_bytes_to_edge)
-            }),
+            line("bytes to each edge as snapshots", |phase| format!("{:.0}", phase.snapshot_bytes_to_edge)),
             line("bytes between control nodes", |phase| phase.bytes_between_controls.to_string()),
         ]
         .concat()
@@ -114,7 +112,7 @@
             self.growth("bytes to an edge, edge restarts", GREEN, |size| {
                 size.control_traffic.last().map_or(0.0, |phase| phase.bytes_to_edge)
             }),
-            self.growth("the same if snapshots were pushed", RED, |size| {
+            self.growth("bytes to an edge as snapshots", RED, |size| {
                 size.control_traffic.last().map_or(0.0, |phase| phase.snapshot_bytes_to_edge)
             }),
         ];
