--- a/experiments/src/fleet/report.rs
+++ b/experiments/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! The report of a fleet: tables, and a plot of growth with the number of edges.
+//! The report of a fleet simulation: Markdown tables, and a plot of growth with the number of edges.
 
 use std::path::Path;
 
@@ -10,56 +10,56 @@
 use super::writes::WriteReport;
 use crate::plot::{draw_growth, Line, PlotError};
 
-/// Figures are divided by those of the smallest size, and by this where those are 0.
+/// The least divisor when a value is divided by that of the smallest size, which may be 0.
 const MIN_DIVISOR: f64 = 1e-9;
-/// The least figure in the plot, whose scales are logarithmic.
+/// The least value drawn, as the scales of the plot are logarithmic.
 const MIN_GROWTH: f64 = 1e-3;
 
-/// The figures of one size.
+/// The results at one fleet size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SizeReport {
-    /// Edges.
+    /// The number of edges.
     pub edges: u32,
-    /// Servers of writes.
+    /// The number of servers that receive writes.
     pub servers: u32,
-    /// The traffic of control, by phase.
+    /// Control-plane traffic in each phase, in the order of the phases.
     #[serde(rename = "telling")]
     pub control_traffic: Vec<PhaseTraffic>,
-    /// The writes.
+    /// Results of the simulated writes.
     pub writes: WriteReport,
-    /// The reads.
+    /// Results of the simulated reads.
     pub reads: ReadReport,
 }
 
-/// The figures of all sizes.
+/// The results at all fleet sizes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetReport {
-    /// The sizes, as the plan has them.
+    /// One report per size, in the order of the plan.
     pub sizes: Vec<SizeReport>,
 }
 
-/// A row of the table: its name, and its figure at a size.
+/// A row of the table: a name, and the function that returns its value at a size.
 struct Row {
     name: &'static str,
-    figure: fn(&SizeReport) -> f64,
+    value: fn(&SizeReport) -> f64,
 }
 
-const fn row(name: &'static str, figure: fn(&SizeReport) -> f64) -> Row {
-    Row { name, figure }
+const fn row(name: &'static str, value: fn(&SizeReport) -> f64) -> Row {
+    Row { name, value }
 }
 
 const ROWS: [Row; 11] = [
-    row("connections opened for each write", |size| size.writes.opened_per_write),
-    row("connections at a server at once, most", |size| f64::from(size.writes.max_connections)),
-    row("beyond what a server accepts", |size| size.writes.connections_over_limit as f64),
-    row("writes a server has, busiest over mean", |size| size.writes.busiest_over_mean),
-    row("writes turned away by a server, part", |size| size.writes.rejected_share),
-    row("writes not served, part", |size| size.writes.failed_share),
-    row("subsets, most over mean servers", |size| size.writes.subsets_max_over_mean),
-    row("reads refused under the ceiling, part", |size| size.reads.rejected_share),
-    row("origin requests for each read", |size| size.reads.fetched_share),
-    row("most in a window over what is allowed", |size| size.reads.max_over_limit),
-    row("reads a shield has, busiest over mean", |size| size.reads.busiest_over_mean),
+    row("connections opened per write", |size| size.writes.opened_per_write),
+    row("concurrent connections at a server, max", |size| f64::from(size.writes.max_connections)),
+    row("connections beyond the limit of a server", |size| size.writes.connections_over_limit as f64),
+    row("writes at a server, max over mean", |size| size.writes.busiest_over_mean),
+    row("writes rejected by a server, share", |size| size.writes.rejected_share),
+    row("writes not served, share", |size| size.writes.failed_share),
+    row("subsets with a server, max over mean", |size| size.writes.subsets_max_over_mean),
+    row("reads rejected by the rate limit, share", |size| size.reads.rejected_share),
+    row("origin requests per read", |size| size.reads.fetched_share),
+    row("origin requests in a window, max over limit", |size| size.reads.max_over_limit),
+    row("reads at a shield, max over mean", |size| size.reads.busiest_over_mean),
 ];
 
 fn table_line(name: &str, cells: Vec<String>) -> String {
@@ -67,13 +67,13 @@
 }
 
 impl FleetReport {
-    /// Returns a table with all figures.
+    /// Returns a Markdown table with one column per size.
     pub fn markdown(&self) -> String {
         let mut text = self.line("edges", |size| size.edges.to_string());
         text += &table_line("---", vec!["---".to_owned(); self.sizes.len()]);
         text += &self.line("servers", |size| size.servers.to_string());
-        for Row { name, figure } in ROWS {
-            text += &self.line(name, |size| format!("{:.3}", figure(size)));
+        for Row { name, value } in ROWS {
+            text += &self.line(name, |size| format!("{:.3}", value(size)));
         }
         let phases = self.sizes.first().map_or(0, |size| size.control_traffic.len());
         for index in 0..phases {
@@ -94,25 +94,25 @@
         [
             line("messages to each edge", |phase| format!("{:.1}", phase.messages_to_edge)),
             line("bytes to each edge", |phase| format!("{:.0}", phase.bytes_to_edge)),
-            line("the same, told whole each time", |phase| format!("{:.0}", phase.snapshot_bytes_to_edge)),
+            line("bytes to each edge as snapshots", |phase| format!("{:.0}", phase.snapshot_bytes_to_edge)),
             line("bytes between control nodes", |phase| phase.bytes_between_controls.to_string()),
         ]
         .concat()
     }
 
-    /// Draws how figures grow with the number of edges, each divided by its value at the smallest size.
+    /// Draws how values grow with the number of edges, each divided by its value at the smallest size.
     ///
     /// # Errors
     ///
-    /// Returns an error where the file can't be written.
+    /// Returns an error if the file can't be written.
     pub fn draw(&self, path: &Path) -> Result<(), PlotError> {
         let lines = vec![
-            self.growth("connections for each write", BLACK, |size| size.writes.opened_per_write),
-            self.growth("most connections at a server", BLUE, |size| f64::from(size.writes.max_connections)),
-            self.growth("bytes to an edge at a roll", GREEN, |size| {
+            self.growth("connections per write", BLACK, |size| size.writes.opened_per_write),
+            self.growth("max connections at a server", BLUE, |size| f64::from(size.writes.max_connections)),
+            self.growth("bytes to an edge, edge restarts", GREEN, |size| {
                 size.control_traffic.last().map_or(0.0, |phase| phase.bytes_to_edge)
             }),
-            self.growth("the same, told whole", RED, |size| {
+            self.growth("bytes to an edge as snapshots", RED, |size| {
                 size.control_traffic.last().map_or(0.0, |phase| phase.snapshot_bytes_to_edge)
             }),
         ];
@@ -120,9 +120,9 @@
         draw_growth(path, caption, "edges", lines)
     }
 
-    fn growth(&self, name: &'static str, color: RGBColor, figure: fn(&SizeReport) -> f64) -> Line {
-        let first = self.sizes.first().map_or(1.0, figure).max(MIN_DIVISOR);
-        let point = |size: &SizeReport| (f64::from(size.edges), (figure(size) / first).max(MIN_GROWTH));
+    fn growth(&self, name: &'static str, color: RGBColor, value: fn(&SizeReport) -> f64) -> Line {
+        let first = self.sizes.first().map_or(1.0, value).max(MIN_DIVISOR);
+        let point = |size: &SizeReport| (f64::from(size.edges), (value(size) / first).max(MIN_GROWTH));
         Line { name, color, points: self.sizes.iter().map(point).collect() }
     }
 }
--- a/experiments/src/hollow/nodes/mod.rs
+++ b/experiments/src/hollow/nodes/mod.rs
@@ -1,5 +1,6 @@
-//! Hollow nodes: what an agent and its edge are to control, and nothing else. Each has a real session, applies what it is
-//! pushed, acknowledges it, and connects to another control node when its session is lost. Many share a thread.
+//! Hollow nodes: each looks like an edge and its agent to the control plane, but serves no traffic. It has a real
+//! session, applies and acknowledges pushes, and connects to another control node when its session is lost. Many nodes
+//! share a thread.
 
 mod threads;
 
@@ -23,54 +24,54 @@
 use super::observations::Observations;
 pub use threads::NodeThreads;
 
-/// The first pause before control is called again, as agents have it.
+/// The initial backoff before reconnecting to control, as in agents.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest pause before control is called again, as agents have it.
+/// The longest backoff before reconnecting to control, as in agents.
 const MAX_RECONNECT_BACKOFF: Duration = Duration::from_millis(800);
-/// Counters of an edge and its agent, about this many.
+/// The number of counters in a report, about as many as an edge and its agent have.
 const COUNTERS_PER_NODE: usize = 40;
 /// The value of each counter.
 const COUNTER_VALUE: u64 = 100_000;
-/// Nodes that distribute themselves move to their control node within this time.
+/// The longest delay before a node moves to its preferred control node, where nodes distribute themselves.
 pub const MAX_MOVE_DELAY: Duration = Duration::from_secs(5);
-/// A node that is restarted is away for this time.
+/// The downtime of a node during a restart.
 const RESTART_TIME: Duration = Duration::from_millis(300);
 
-/// Where control is, and how nodes choose a control node.
+/// The addresses of control nodes, and how hollow nodes choose one.
 #[derive(Clone)]
 pub struct ControlAccess {
-    /// The control nodes that settings name.
+    /// The seed nodes: the control nodes known from the settings.
     pub seeds: Vec<Ipv4Addr>,
-    /// The port of sessions.
+    /// The port of control nodes for sessions.
     pub port: u16,
-    /// The zones of the nodes.
+    /// The number of zones of the hollow nodes.
     pub zones: u8,
-    /// Whether nodes distribute themselves over all control nodes that they know: a trial of what agents do not do yet.
+    /// Whether nodes distribute themselves over all known control nodes, which real agents do not do yet.
     pub distributed: bool,
 }
 
-/// What a node knows from its session.
+/// The state that a node has received over its session.
 #[derive(Default)]
-struct Knowledge {
+struct NodeState {
     rev: u64,
     fleet: VersionedFleet,
     fleet_known: bool,
     controls: Vec<Ipv4Addr>,
-    in_contact: bool,
+    connected: bool,
     counted: CountedAs,
 }
 
-impl Knowledge {
+impl NodeState {
     fn is_ready(&self) -> bool {
         self.rev > 0 && self.fleet_known
     }
 }
 
-/// How a node is counted in the observations.
+/// The counts of the observations in which a node is included.
 #[derive(Clone, Copy, Default)]
 struct CountedAs {
-    in_contact: bool,
-    knows_everything: bool,
+    connected: bool,
+    has_full_fleet: bool,
 }
 
 struct HollowNode {
@@ -79,9 +80,9 @@
     zone: String,
     access: ControlAccess,
     observations: Arc<Observations>,
-    knowledge: RefCell<Knowledge>,
+    state: RefCell<NodeState>,
     lease: HeldLease,
-    /// Notified when the node becomes ready, which its session reports.
+    /// Notified when the node becomes ready, so that its session reports it.
     became_ready: Notify,
     restart: Notify,
     has_moved: Cell<bool>,
@@ -95,7 +96,7 @@
             zone: format!("zone-{}", number % u32::from(access.zones.max(1)) + 1),
             access,
             observations,
-            knowledge: RefCell::default(),
+            state: RefCell::default(),
             lease: HeldLease::default(),
             became_ready: Notify::new(),
             restart: Notify::new(),
@@ -108,8 +109,8 @@
             tokio::select! {
                 () = self.follow_control() => {}
                 () = self.restart.notified() => {
-                    self.lose_contact();
-                    self.knowledge.take();
+                    self.mark_disconnected();
+                    self.state.take();
                     self.has_moved.set(false);
                     sleep(RESTART_TIME).await;
                 }
@@ -119,7 +120,7 @@
 
     // ---- Sessions ----
 
-    /// Calls control nodes in the order in which an agent does, and follows the one that answers.
+    /// Connects to control nodes in the same order as an agent until one accepts, and again when the session is lost.
     async fn follow_control(&self) {
         let mut pause = RECONNECT_BACKOFF;
         let mut first = match self.access.distributed {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Connects to a control node, and follows it until the session is lost; false where it can't be connected to.
+    /// Connects to a control node, and applies its pushes until the session is lost. Returns whether it could connect.
     async fn follow(&self, control: SocketAddrV4) -> bool {
         let Ok((read, write)) = link::open(control, &ConnectionOpening::Session).await else { return false };
         let outbox = Outbox::start(write);
@@ -155,36 +156,36 @@
             () = subscriber::send_counters(&outbox, counters) => {}
         }
         self.observations.lost_sessions.fetch_add(1, Ordering::Relaxed);
-        self.lose_contact();
-        // A hollow node serves no stored responses: its lease may be released at once.
+        self.mark_disconnected();
+        // A hollow node serves no cached responses, so it can release its lease at once.
         let _ = outbox.send(SubscriberMessage::LeaseReleased);
         true
     }
 
-    /// Returns the control nodes in the order in which the node calls them.
+    /// Returns the addresses of control nodes in the order in which the node tries them.
     fn controls(&self) -> Vec<SocketAddrV4> {
-        let knowledge = self.knowledge.borrow();
+        let state = self.state.borrow();
         let mut controls: Vec<SocketAddrV4> = Vec::new();
-        for ip in knowledge.controls.iter().chain(&self.access.seeds) {
+        for ip in state.controls.iter().chain(&self.access.seeds) {
             let address = SocketAddrV4::new(*ip, self.access.port);
             if !controls.contains(&address) {
                 controls.push(address);
             }
         }
         if self.access.distributed {
-            // Rendezvous hashing: each node has an order of its own.
+            // Rendezvous hashing: each node has its own order.
             controls.sort_by_key(|address| edge_hash(&format!("{}{}", self.name, address.ip())));
         }
         controls
     }
 
-    /// Waits until the node should move to another control node than `current`, after a delay of its own.
+    /// Waits until the node should move from `current` to its preferred control node, plus a delay that differs by node.
     async fn wait_for_move(&self, current: SocketAddrV4) {
-        // A node moves once: if it returned to a control node that fails repeatedly, its session would never be stable.
+        // A node moves only once: returning to a control node that fails repeatedly would lose its session each time.
         if !self.access.distributed || self.has_moved.get() {
             return std::future::pending().await;
         }
-        while self.knowledge.borrow().controls.is_empty() || self.controls().first() == Some(&current) {
+        while self.state.borrow().controls.is_empty() || self.controls().first() == Some(&current) {
             sleep(MAX_RECONNECT_BACKOFF).await;
         }
         // The highest 53 bits of a hash are a fraction that an f64 holds exactly.
@@ -198,9 +199,9 @@
             node: self.name.clone(),
             zone: self.zone.clone(),
             proxy: ProxyRole::Edge,
-            // No request is sent to it.
+            // Not used, as no requests are sent to hollow nodes.
             http: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1),
-            ready: self.knowledge.borrow().is_ready(),
+            ready: self.state.borrow().is_ready(),
             incarnation: 1,
         };
         SubscriberMessage::Hello { node: self.name.clone(), member: Some(member) }
@@ -208,41 +209,41 @@
 
     // ---- Messages ----
 
-    /// Applies a message of control; false where it can't be applied.
+    /// Applies a message from a control node. Returns false if a fleet update does not apply to the known fleet.
     fn apply(&self, message: PublisherMessage) -> bool {
-        let mut knowledge = self.knowledge.borrow_mut();
-        let was_ready = knowledge.is_ready();
+        let mut state = self.state.borrow_mut();
+        let was_ready = state.is_ready();
         match message {
-            PublisherMessage::ControlNodes(controls) => knowledge.controls = controls,
+            PublisherMessage::ControlNodes(controls) => state.controls = controls,
             PublisherMessage::Push { update, .. } => {
-                if !self.apply_update(&mut knowledge, update) {
+                if !self.apply_update(&mut state, update) {
                     return false;
                 }
             }
             PublisherMessage::LeaseGranted { sent_at, duration } => self.lease.renew(sent_at, duration),
             PublisherMessage::Draining | PublisherMessage::Ping => {}
         }
-        if !was_ready && knowledge.is_ready() {
+        if !was_ready && state.is_ready() {
             self.became_ready.notify_one();
         }
-        self.count(&mut knowledge);
+        self.update_counts(&mut state);
         true
     }
 
-    fn apply_update(&self, knowledge: &mut Knowledge, update: Update) -> bool {
+    fn apply_update(&self, state: &mut NodeState, update: Update) -> bool {
         match update {
-            Update::Config { rev, .. } if rev > knowledge.rev => {
-                knowledge.rev = rev;
+            Update::Config { rev, .. } if rev > state.rev => {
+                state.rev = rev;
                 self.observations.add_applied(rev);
             }
             Update::Fleet(update) => {
-                if knowledge.fleet.apply_update(update).is_err() {
+                if state.fleet.apply_update(update).is_err() {
                     return false;
                 }
-                knowledge.fleet_known = true;
+                state.fleet_known = true;
             }
             Update::Purges(purges) => self.observations.add_purges(&purges, self.number),
-            Update::Connected(connected) => knowledge.in_contact = connected,
+            Update::Connected(connected) => state.connected = connected,
             Update::Config { .. } => {}
         }
         true
@@ -250,23 +251,24 @@
 
     // ---- Observations ----
 
-    fn count(&self, knowledge: &mut Knowledge) {
-        let fleet = knowledge.fleet.fleet();
-        let in_contact = knowledge.in_contact && knowledge.is_ready();
+    /// Updates the observations from the state of the node.
+    fn update_counts(&self, state: &mut NodeState) {
+        let fleet = state.fleet.fleet();
+        let connected = state.connected && state.is_ready();
         let fleet_is_complete =
-            fleet.complete && self.observations.is_everything(fleet.servers.len(), fleet.edges.len());
-        let counted = CountedAs { in_contact, knows_everything: in_contact && fleet_is_complete };
-        let before = std::mem::replace(&mut knowledge.counted, counted);
-        update_count(&self.observations.in_contact, before.in_contact, counted.in_contact);
-        update_count(&self.observations.know_everything, before.knows_everything, counted.knows_everything);
-        self.observations.set_contact(self.number, in_contact, self.lease.expires_at().into_std());
+            fleet.complete && self.observations.is_full_fleet(fleet.servers.len(), fleet.edges.len());
+        let counted = CountedAs { connected, has_full_fleet: connected && fleet_is_complete };
+        let before = std::mem::replace(&mut state.counted, counted);
+        update_count(&self.observations.connected, before.connected, counted.connected);
+        update_count(&self.observations.with_full_fleet, before.has_full_fleet, counted.has_full_fleet);
+        self.observations.set_connection_state(self.number, connected, self.lease.expires_at().into_std());
     }
 
-    fn lose_contact(&self) {
-        let mut knowledge = self.knowledge.borrow_mut();
-        knowledge.in_contact = false;
+    fn mark_disconnected(&self) {
+        let mut state = self.state.borrow_mut();
+        state.connected = false;
         self.lease.end();
-        self.count(&mut knowledge);
+        self.update_counts(&mut state);
     }
 }
 
--- a/experiments/src/hollow/report/mod.rs
+++ b/experiments/src/hollow/report/mod.rs
@@ -1,4 +1,5 @@
-//! The report of hollow runs: tables, lines that are fitted through the sizes, and plots with the bounds of the plan.
+//! The report of hollow runs: tables, straight lines fitted over the sizes, and plots with the bounds of the capacity
+//! plan.
 
 mod linear_fit;
 mod plots;
@@ -10,80 +11,83 @@
 use super::HollowOptions;
 use linear_fit::{LinearFit, Point};
 
-/// Quantiles of times in milliseconds.
+/// Count and quantiles of times, which are in milliseconds; 0 if there are none.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Times {
-    /// How many times there are.
+pub struct TimeQuantiles {
+    /// The number of measured times.
     pub count: usize,
     /// The median.
     pub p50: f64,
     /// The 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// The maximum.
     #[serde(rename = "most")]
     pub max: f64,
 }
 
-impl Times {
-    fn of(mut times: Vec<f64>) -> Times {
+impl TimeQuantiles {
+    fn of(mut times: Vec<f64>) -> TimeQuantiles {
         times.sort_by(f64::total_cmp);
         let quantile = |quantile: f64| {
             let rank = (times.len() as f64 * quantile).ceil() as usize;
             times.get(rank.saturating_sub(1)).copied().unwrap_or(0.0)
         };
-        Times { count: times.len(), p50: quantile(0.5), p99: quantile(0.99), max: quantile(1.0) }
+        TimeQuantiles { count: times.len(), p50: quantile(0.5), p99: quantile(0.99), max: quantile(1.0) }
     }
 }
 
-/// What was measured in a phase; heartbeats go on in all of them.
+/// The measurements of one phase. Servers send heartbeats in all phases.
 #[derive(Clone, Debug, Serialize)]
 pub struct PhaseReport {
-    /// Its name.
+    /// The name of the phase: `start`, `rest`, `changes`, `purges`, `restarts` or `loss`.
     pub name: &'static str,
-    /// How long it took, in seconds.
+    /// The duration of the phase.
     pub seconds: f64,
-    /// Cores of a control process, mean.
+    /// Processor use of a control process in cores, mean.
     pub control_cores: f64,
-    /// Cores of the busiest control process.
+    /// Processor use of the busiest control process, in cores.
     #[serde(rename = "control_cores_most")]
     pub max_control_cores: f64,
     /// The highest peak memory of a control process, in MB.
     pub control_peak_mb: f64,
-    /// Kilobytes a second that a control process sent on its links, mean.
+    /// Kilobytes per second sent by a control process on its links, mean.
     #[serde(rename = "control_said_kb_s")]
     pub control_sent_kb_s: f64,
-    /// Kilobytes a second that a control process received on its links, mean.
+    /// Kilobytes per second received by a control process on its links, mean.
     #[serde(rename = "control_heard_kb_s")]
     pub control_received_kb_s: f64,
-    /// Bytes a second that a hollow node received.
+    /// Bytes per second received by a hollow node, mean.
     pub node_down_b_s: f64,
-    /// Bytes a second that a hollow node sent.
+    /// Bytes per second sent by a hollow node, mean.
     pub node_up_b_s: f64,
-    /// Messages a second of a hollow node, in both directions.
+    /// Messages per second of a hollow node, sent and received, mean.
     pub node_messages_s: f64,
-    /// Cores of the real agent.
+    /// Processor use of the real agent, in cores.
     pub agent_cores: f64,
     /// Peak memory of the real agent, in MB.
     pub agent_peak_mb: f64,
-    /// Cores of the real edge.
+    /// Processor use of the real edge, in cores.
     pub edge_cores: f64,
     /// Peak memory of the real edge, in MB.
     pub edge_peak_mb: f64,
-    /// Cores of this process, with hollow nodes, servers and operators together.
+    /// Processor use of this process, which runs the hollow nodes, servers and operators, in cores.
     pub lab_cores: f64,
-    /// From a call until it was acknowledged, or from the start until all nodes were in contact.
-    pub acknowledged: Times,
-    /// From a call, the start or the loss until all nodes had applied it, knew everything, or were in contact.
+    /// Time from a call to its acknowledgement; in `start` and `restarts`, time until all nodes were connected.
+    pub acknowledged: TimeQuantiles,
+    /// Time until a change was applied, for each change and node; in `start`, until all nodes knew the whole fleet; in
+    /// `loss`, until all nodes were connected again.
     #[serde(rename = "in_force")]
-    pub applied: Times,
-    /// Calls that failed.
+    pub applied: TimeQuantiles,
+    /// Calls that were not acknowledged, or not applied on all nodes in time.
     pub failed: u32,
-    /// Purges that were acknowledged before a node had applied them which could serve stored responses.
+    /// Nodes with a valid lease, which could serve cached responses, that had not applied a purge when it was
+    /// acknowledged, summed over all purges.
     pub early: u32,
-    /// Purges that were acknowledged before a node had applied them which took its session for alive.
+    /// Connected nodes, with or without a valid lease, that had not applied a purge when it was acknowledged, summed
+    /// over all purges.
     #[serde(rename = "early_in_touch")]
-    pub early_in_contact: u32,
-    /// Sessions that were lost.
+    pub early_connected: u32,
+    /// Sessions of hollow nodes that were lost.
     pub lost_sessions: u32,
     /// Heartbeats of servers that no control node accepted.
     #[serde(rename = "failed_beats")]
@@ -91,7 +95,7 @@
 }
 
 impl PhaseReport {
-    /// Creates the report of a phase with this number of hollow nodes.
+    /// Creates the report of a phase in a run with `nodes` hollow nodes.
     pub fn new(
         name: &'static str,
         usage: &PhaseUsage,
@@ -120,60 +124,60 @@
             edge_cores: usage.edge_cores,
             edge_peak_mb: usage.edge_peak_mb,
             lab_cores: usage.lab_cores,
-            acknowledged: Times::of(measurements.acknowledged),
-            applied: Times::of(measurements.applied),
+            acknowledged: TimeQuantiles::of(measurements.acknowledged),
+            applied: TimeQuantiles::of(measurements.applied),
             failed: measurements.failed,
             early: measurements.early.leased,
-            early_in_contact: measurements.early.in_contact,
+            early_connected: measurements.early.connected,
             lost_sessions: usage.lost_sessions,
             failed_heartbeats: usage.failed_heartbeats,
         }
     }
 
-    /// Returns the bytes a second of a hollow node, in both directions.
+    /// Returns the bytes per second of a hollow node, sent and received.
     fn node_bytes_per_s(&self) -> f64 {
         self.node_down_b_s + self.node_up_b_s
     }
 }
 
-/// What was measured at one number of nodes.
+/// The measurements at one number of hollow nodes.
 #[derive(Clone, Debug, Serialize)]
 pub struct SizeReport {
-    /// Hollow nodes.
+    /// The number of hollow nodes.
     pub nodes: u32,
-    /// The length of the configuration.
+    /// The length of the initial configuration as JSON.
     pub document_bytes: usize,
-    /// The most sessions of a control node, once all nodes were in contact.
+    /// The most sessions at a control node once all nodes were connected.
     #[serde(rename = "sessions_most")]
     pub max_sessions: usize,
-    /// The least sessions of a control node, once all nodes were in contact.
+    /// The fewest sessions at a control node once all nodes were connected.
     #[serde(rename = "sessions_least")]
     pub min_sessions: usize,
-    /// Whether all nodes were in contact at the end.
+    /// Whether all hollow nodes were connected at the end of the run.
     #[serde(rename = "all_in_touch")]
-    pub all_in_contact: bool,
-    /// The phases.
+    pub all_connected: bool,
+    /// One report per phase, in the order in which they were run.
     pub phases: Vec<PhaseReport>,
 }
 
-/// What was measured at all numbers of nodes.
+/// The measurements at all numbers of hollow nodes.
 #[derive(Clone, Debug, Serialize)]
 pub struct HollowReport {
     /// The options of the run.
     #[serde(rename = "plan")]
     pub options: HollowOptions,
-    /// The sizes, as the options have them.
+    /// One report per number of nodes, in the order of the options.
     pub sizes: Vec<SizeReport>,
 }
 
-/// A column of the tables.
+/// A column of the CSV file and row of the Markdown tables.
 struct Column {
     name: &'static str,
-    figure: fn(&PhaseReport) -> f64,
+    value: fn(&PhaseReport) -> f64,
 }
 
-const fn column(name: &'static str, figure: fn(&PhaseReport) -> f64) -> Column {
-    Column { name, figure }
+const fn column(name: &'static str, value: fn(&PhaseReport) -> f64) -> Column {
+    Column { name, value }
 }
 
 const TABLE_COLUMNS: [Column; 23] = [
@@ -197,30 +201,30 @@
     column("in force most ms", |phase| phase.applied.max),
     column("failed", |phase| f64::from(phase.failed)),
     column("early", |phase| f64::from(phase.early)),
-    column("early in touch", |phase| f64::from(phase.early_in_contact)),
+    column("early in touch", |phase| f64::from(phase.early_connected)),
     column("sessions lost", |phase| f64::from(phase.lost_sessions)),
     column("beats failed", |phase| f64::from(phase.failed_heartbeats)),
 ];
 
-/// A figure of a phase that a line is fitted through, over the sizes.
-struct FittedFigure {
+/// A value of a phase to which a line is fitted over the sizes.
+struct FittedValue {
     phase: &'static str,
     name: &'static str,
-    figure: fn(&PhaseReport) -> f64,
-    /// Whether the figure is the mean of the control processes, and their sum is fitted.
+    value: fn(&PhaseReport) -> f64,
+    /// Whether to multiply the value, which is a mean over the control processes, by their number.
     sums_controls: bool,
 }
 
-const fn fitted(phase: &'static str, name: &'static str, figure: fn(&PhaseReport) -> f64) -> FittedFigure {
-    FittedFigure { phase, name, figure, sums_controls: false }
+const fn fitted(phase: &'static str, name: &'static str, value: fn(&PhaseReport) -> f64) -> FittedValue {
+    FittedValue { phase, name, value, sums_controls: false }
 }
 
-const fn fitted_control_cores(phase: &'static str) -> FittedFigure {
-    let figure = |phase: &PhaseReport| phase.control_cores;
-    FittedFigure { phase, name: "control cores, sum", figure, sums_controls: true }
+const fn fitted_control_cores(phase: &'static str) -> FittedValue {
+    let value = |phase: &PhaseReport| phase.control_cores;
+    FittedValue { phase, name: "control cores, sum", value, sums_controls: true }
 }
 
-const FITTED_FIGURES: [FittedFigure; 10] = [
+const FITTED_VALUES: [FittedValue; 10] = [
     fitted_control_cores("rest"),
     fitted_control_cores("changes"),
     fitted_control_cores("purges"),
@@ -234,35 +238,35 @@
 ];
 
 impl HollowReport {
-    /// Whether all nodes were in contact at the end of each size.
-    pub fn all_in_contact(&self) -> bool {
-        self.sizes.iter().all(|size| size.all_in_contact)
+    /// Whether all hollow nodes were connected at the end of the run of each size.
+    pub fn all_connected(&self) -> bool {
+        self.sizes.iter().all(|size| size.all_connected)
     }
 
-    /// Returns a figure of a phase over the sizes.
-    fn points(&self, phase: &str, figure: impl Fn(&PhaseReport) -> f64) -> Vec<Point> {
+    /// Returns a value of a phase at each size.
+    fn points(&self, phase: &str, value: impl Fn(&PhaseReport) -> f64) -> Vec<Point> {
         let point = |size: &SizeReport| {
             let phase = size.phases.iter().find(|report| report.name == phase)?;
-            Some(Point { x: f64::from(size.nodes), y: figure(phase) })
+            Some(Point { x: f64::from(size.nodes), y: value(phase) })
         };
         self.sizes.iter().filter_map(point).collect()
     }
 
-    /// Returns all figures as comma-separated values.
+    /// Returns the measurements as CSV, one line per size and phase.
     pub fn csv(&self) -> String {
         let names: Vec<&str> = TABLE_COLUMNS.iter().map(|column| column.name).collect();
         let mut text = format!("nodes,phase,{}\n", names.join(",").replace(", ", " "));
         for size in &self.sizes {
             for phase in &size.phases {
                 let cells: Vec<String> =
-                    TABLE_COLUMNS.iter().map(|column| format!("{:.4}", (column.figure)(phase))).collect();
+                    TABLE_COLUMNS.iter().map(|column| format!("{:.4}", (column.value)(phase))).collect();
                 text += &format!("{},{},{}\n", size.nodes, phase.name, cells.join(","));
             }
         }
         text
     }
 
-    /// Returns a page with all figures, and the lines that are fitted through them.
+    /// Returns the measurements and the fitted lines as Markdown tables.
     pub fn markdown(&self) -> String {
         let HollowOptions { controls, seeds, servers, routes, changes, purges, restarts, .. } = &self.options;
         let mut text = format!(
@@ -276,14 +280,14 @@
     }
 
     fn fit_table(&self) -> String {
-        let mut text = "\n| phase | figure | base | for 1,000 nodes more | greatest distance |\n".to_owned();
+        let mut text = "\n| phase | value | intercept | per 1,000 nodes | max relative error |\n".to_owned();
         text += "| --- | --- | --- | --- | --- |\n";
-        for FittedFigure { phase, name, figure, sums_controls } in FITTED_FIGURES {
+        for FittedValue { phase, name, value, sums_controls } in FITTED_VALUES {
             let factor = if sums_controls { f64::from(self.options.controls) } else { 1.0 };
-            let points = self.points(phase, |report| figure(report) * factor);
-            if let Some(LinearFit { base, slope, max_relative_distance }) = LinearFit::through(&points) {
-                let (per_1000, percent) = (slope * 1000.0, max_relative_distance * 100.0);
-                text += &format!("| {phase} | {name} | {base:.3} | {per_1000:.3} | {percent:.0} % |\n");
+            let points = self.points(phase, |report| value(report) * factor);
+            if let Some(LinearFit { intercept, slope, max_relative_error }) = LinearFit::through(&points) {
+                let (per_1000, percent) = (slope * 1000.0, max_relative_error * 100.0);
+                text += &format!("| {phase} | {name} | {intercept:.3} | {per_1000:.3} | {percent:.0} % |\n");
             }
         }
         text
@@ -298,12 +302,12 @@
         size.min_sessions,
         size.max_sessions,
         size.document_bytes,
-        if size.all_in_contact { "" } else { ", **not all in touch at the end**" },
+        if size.all_connected { "" } else { ", **not all nodes connected at the end**" },
         names.join(" | "),
         " --- |".repeat(names.len()),
     );
-    for Column { name, figure } in TABLE_COLUMNS {
-        let cells: Vec<String> = size.phases.iter().map(|phase| format!("{:.4}", figure(phase))).collect();
+    for Column { name, value } in TABLE_COLUMNS {
+        let cells: Vec<String> = size.phases.iter().map(|phase| format!("{:.4}", value(phase))).collect();
         text += &format!("| {name} | {} |\n", cells.join(" | "));
     }
     text
--- a/experiments/src/load.rs
+++ b/experiments/src/load.rs
@@ -1,5 +1,5 @@
-//! The load generator: requests arrive whether or not those before were answered, and clients retry them as the protocol
-//! permits.
+//! The open-loop load generator: requests arrive independently of earlier responses, and clients retry them as the
+//! protocol permits.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
@@ -26,27 +26,27 @@
 use crate::plan::{ClassPlan, Plan, RouteKind, ROUTE_HOST};
 use crate::report::{Measurements, RequestOutcome};
 
-/// Clients of an experiment; each prefers one edge for its first attempts.
+/// Emulated clients; each sends its first attempts to one edge.
 const CLIENT_COUNT: u64 = 200;
-/// Requests in flight at most: beyond it the generator itself would be the bottleneck, and reports that.
+/// The most requests in flight. Beyond it the generator would be the bottleneck: requests are counted as not sent.
 const MAX_IN_FLIGHT: u32 = 20_000;
-/// Connections that the clients hold together.
+/// The connection limit of all clients together.
 const MAX_CONNECTIONS: usize = 2000;
-/// Bytes of responses that the clients hold at the same time.
+/// Memory for responses of all clients together, in bytes.
 const RESPONSE_MEMORY: usize = 512 << 20;
-/// A pause between arrivals is at most this long, in seconds, as a phase of the load may end within a longer one.
-const MAX_PAUSE_S: f64 = 1.0;
-/// The lowest rate of arrivals that is drawn from, in requests a second.
+/// The longest step between arrivals, in seconds; a longer one could skip a change of the load.
+const MAX_INTERARRIVAL_S: f64 = 1.0;
+/// The lowest arrival rate of the exponential distribution, in requests per second, as a load factor may be 0.
 const MIN_RATE_PER_S: f64 = 0.01;
-/// How often it is looked whether requests are still in flight.
+/// The interval between checks whether requests are still in flight.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Only this many objects of a class change: those that are requested most.
+/// How many objects of a class change: those that are requested most.
 const MAX_CHANGED_OBJECTS: u32 = 20;
-/// Separates the random stream of changes from those of the classes.
+/// Makes the random stream of changes differ from those of the classes.
 const CHANGE_STREAM: u64 = 0xc4a6;
-/// A client waits at least this long, in seconds, after a response 503 that names no time.
-const MIN_OVERLOAD_WAIT_S: f64 = 0.02;
-/// A client waits at most this long, in seconds, whatever a response names.
+/// How long a client waits after a response 503 without `Retry-After`, in seconds.
+const DEFAULT_OVERLOAD_WAIT_S: f64 = 0.02;
+/// The upper bound for `Retry-After`, in seconds.
 const MAX_WAIT_S: f64 = 60.0;
 
 /// Generates the load of a plan.
@@ -60,9 +60,9 @@
     next_id: Cell<u64>,
 }
 
-/// An arrival of a request.
+/// The arrival of a request.
 struct Arrival {
-    /// The index of its class.
+    /// The index of its class in the plan.
     class: usize,
     /// The second of the experiment in which it arrives.
     second: usize,
@@ -77,7 +77,7 @@
     path: &'a str,
     id: String,
     /// The deadline of the request.
-    until: Instant,
+    deadline: Instant,
 }
 
 impl Attempt<'_> {
@@ -87,7 +87,7 @@
             *request.method_mut() = Method::POST;
         }
         *request.uri_mut() = self.path.parse().unwrap_or_default();
-        let remaining_ms = self.until.saturating_duration_since(Instant::now()).as_millis() as u64;
+        let remaining_ms = self.deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
         let headers = request.headers_mut();
         headers.insert(header::HOST, HeaderValue::from_static(ROUTE_HOST));
         headers.insert(DEADLINE_HEADER, HeaderValue::from(remaining_ms.max(1)));
@@ -98,7 +98,7 @@
     }
 }
 
-/// What an attempt has led to.
+/// The result of an attempt.
 struct AttemptResult {
     outcome: RequestOutcome,
     /// How long to wait before the next attempt; `None` where no further attempt is permitted.
@@ -106,7 +106,7 @@
 }
 
 impl LoadGenerator {
-    /// Creates a generator that sends to these edges.
+    /// Creates a generator that sends requests to `edges`.
     pub fn new(
         plan: &Plan,
         edges: Vec<SocketAddrV4>,
@@ -133,7 +133,7 @@
             classes.push(spawn_local(Rc::clone(self).generate_class(class, began_at, ends_at)));
         }
         for class in classes {
-            // One that panicked has printed its message.
+            // A task that panicked has already printed its message.
             let _ = class.await;
         }
         while self.in_flight.get() > 0 {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Generates the requests of a class: their arrivals are a Poisson process, their objects follow a Zipf law.
+    /// Generates the requests of a class: arrivals are a Poisson process, objects follow a Zipf distribution.
     async fn generate_class(self: Rc<Self>, number: usize, began_at: Instant, ends_at: Instant) {
         let class = self.plan.classes[number].clone();
         let mut rng = ChaCha8Rng::seed_from_u64(splitmix64(self.plan.seed ^ splitmix64(number as u64)));
@@ -149,13 +149,14 @@
         let mut at = began_at;
         loop {
             let rate = class.per_s * self.plan.load_factor((at - began_at).as_secs_f64());
-            let pause_s = Exp::new(rate.max(MIN_RATE_PER_S)).map_or(1.0, |pauses| pauses.sample(&mut rng));
-            at += Duration::from_secs_f64(pause_s.min(MAX_PAUSE_S));
+            let interarrival_s =
+                Exp::new(rate.max(MIN_RATE_PER_S)).map_or(1.0, |intervals| intervals.sample(&mut rng));
+            at += Duration::from_secs_f64(interarrival_s.min(MAX_INTERARRIVAL_S));
             if at >= ends_at {
                 return;
             }
             sleep_until(at).await;
-            if pause_s > MAX_PAUSE_S {
+            if interarrival_s > MAX_INTERARRIVAL_S {
                 continue;
             }
             let object = objects.sample(&mut rng) as u64;
@@ -178,21 +179,21 @@
         });
     }
 
-    /// Sends a request of a client, with its retries.
+    /// Sends a request of a client, with its retries, and records the outcome.
     async fn request(&self, arrival: Arrival) {
         let class = &self.plan.classes[arrival.class];
         let path = format!("/{}/{}", class.name, arrival.object);
         let began_at = Instant::now();
-        let until = began_at + Duration::from_millis(class.deadline_ms);
+        let deadline = began_at + Duration::from_millis(class.deadline_ms);
         let mut outcome = RequestOutcome::Failed;
         for retry in 0..=u64::from(class.retries) {
             let edge_index = (arrival.client + retry) % self.edges.len() as u64;
             let edge = self.edges[edge_index as usize];
-            let attempt = Attempt { class, edge, path: &path, id: self.next_id(), until };
+            let attempt = Attempt { class, edge, path: &path, id: self.next_id(), deadline };
             let result = self.attempt(&attempt, began_at).await;
             outcome = result.outcome;
-            let is_in_time = |wait: &Duration| Instant::now() + *wait < until;
-            let Some(wait) = result.retry_after.filter(is_in_time) else { break };
+            let is_before_deadline = |wait: &Duration| Instant::now() + *wait < deadline;
+            let Some(wait) = result.retry_after.filter(is_before_deadline) else { break };
             sleep(wait).await;
         }
         let mut measurements = self.measurements.borrow_mut();
@@ -206,13 +207,13 @@
 
     async fn attempt(&self, attempt: &Attempt<'_>, began_at: Instant) -> AttemptResult {
         let sent_at = Instant::now();
-        let params = ExchangeParams::internal(attempt.edge, attempt.until);
+        let params = ExchangeParams::internal(attempt.edge, attempt.deadline);
         let response = self.pool.exchange(params, || attempt.to_http()).await;
         match response {
             Ok(response) if response.status().is_success() => {
-                self.succeeded(attempt, &response, sent_at, began_at)
+                self.handle_success(attempt, &response, sent_at, began_at)
             }
-            Ok(response) => self.failed(attempt, &response),
+            Ok(response) => self.handle_failure(attempt, &response),
             Err(error) => {
                 let may_retry = error == SendError::NotSent || attempt.class.kind != RouteKind::Mutating;
                 let retry_after = may_retry.then_some(Duration::ZERO);
@@ -221,7 +222,7 @@
         }
     }
 
-    fn succeeded(
+    fn handle_success(
         &self,
         attempt: &Attempt<'_>,
         response: &ServerResponse,
@@ -239,7 +240,7 @@
         AttemptResult { outcome, retry_after: None }
     }
 
-    fn failed(&self, attempt: &Attempt<'_>, response: &ServerResponse) -> AttemptResult {
+    fn handle_failure(&self, attempt: &Attempt<'_>, response: &ServerResponse) -> AttemptResult {
         let status = response.status().as_u16();
         let is_mutating = attempt.class.kind == RouteKind::Mutating;
         let not_executed = matches!(status, 408 | 421 | 429 | 503);
@@ -256,7 +257,7 @@
 
     // ---- Changes of objects ----
 
-    /// Changes objects and purges them, until it is aborted.
+    /// Changes and purges random objects at a constant rate until the task is aborted.
     pub async fn change_objects(self: Rc<Self>, controls: ControlAddresses) {
         let mut rng = ChaCha8Rng::seed_from_u64(splitmix64(self.plan.seed ^ CHANGE_STREAM));
         let rate: f64 = self.plan.classes.iter().map(|class| class.changes_per_s).sum();
@@ -271,7 +272,7 @@
         }
     }
 
-    /// Returns the class at a point of all rates of changes, put one after the other.
+    /// Returns the class whose share of the total change rate includes `point`: picks a class weighted by its rate.
     fn class_at(&self, point: f64) -> Option<&ClassPlan> {
         let mut remaining = point;
         self.plan.classes.iter().find(|class| {
@@ -293,11 +294,11 @@
     }
 }
 
-/// Returns how long a response asks clients to wait.
+/// Returns how long a client should wait before a retry, from the `Retry-After` header of a response.
 fn requested_wait(response: &ServerResponse) -> Duration {
     let value = response.headers().get(header::RETRY_AFTER);
-    let stated_s = value.and_then(|value| value.to_str().ok()?.parse().ok());
+    let retry_after_s = value.and_then(|value| value.to_str().ok()?.parse().ok());
     let is_overload = response.status() == StatusCode::SERVICE_UNAVAILABLE;
-    let min_s = if is_overload { MIN_OVERLOAD_WAIT_S } else { 0.0 };
-    Duration::from_secs_f64(f64::clamp(stated_s.unwrap_or(min_s), 0.0, MAX_WAIT_S))
+    let default_s = if is_overload { DEFAULT_OVERLOAD_WAIT_S } else { 0.0 };
+    Duration::from_secs_f64(f64::clamp(retry_after_s.unwrap_or(default_s), 0.0, MAX_WAIT_S))
 }
