--- a/control-plane/tests/modules.rs
+++ b/control-plane/tests/modules.rs
@@ -109,7 +109,7 @@
     for (crate_folder, module, used) in [
         ("control-plane", "chain", "record"),
         ("control-plane-sim", "world", "network"),
-        ("experiments", "soak", "ledger"),
+        ("experiments", "soak", "execution_log"),
         ("glenfall", "edge", "upstream"),
     ] {
         let dependencies = dependencies(&source_folder(crate_folder), "crate::");
--- a/experiments/src/error.rs
+++ b/experiments/src/error.rs
@@ -34,7 +34,7 @@
     },
     /// The system did not become ready within this time.
     #[error("the system was not ready after {} s", .0.as_secs())]
-    NotUp(Duration),
+    NotReady(Duration),
     /// A histogram can't be created.
     #[error("can't create a histogram: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
--- a/experiments/src/ledger.rs
+++ b/experiments/src/execution_log.rs
@@ -43,7 +43,7 @@
 
 /// The state of all objects, and the executed requests that may run at most once.
 #[derive(Default)]
-pub struct Ledger {
+pub struct ExecutionLog {
     objects: RefCell<HashMap<String, Object>>,
     /// Number of executions of each request that may run at most once, by try id.
     runs: RefCell<HashMap<String, u32>>,
@@ -70,14 +70,14 @@
     first_line.strip_prefix(path)?.strip_prefix(" v")?.parse().ok()
 }
 
-impl Ledger {
+impl ExecutionLog {
     /// Returns the newest version of an object, 0 if it was never changed.
     pub fn version(&self, path: &str) -> u64 {
         self.objects.borrow().get(path).map_or(0, |object| object.version)
     }
 
     /// Changes an object, and returns the version that was replaced.
-    pub fn change(&self, path: &str) -> u64 {
+    pub fn start_new_version(&self, path: &str) -> u64 {
         let mut objects = self.objects.borrow_mut();
         let object = objects.entry(path.to_owned()).or_default();
         object.version += 1;
@@ -85,14 +85,14 @@
     }
 
     /// Records that the purge of a version has just been acknowledged.
-    pub fn purged(&self, path: &str, version: u64) {
+    pub fn record_purge(&self, path: &str, version: u64) {
         if let Some(object) = self.objects.borrow_mut().get_mut(path) {
             object.purged_at.insert(version, Instant::now());
         }
     }
 
     /// Records that a server starts to execute a request that may run at most once.
-    pub fn ran(&self, id: &str) {
+    pub fn record_run(&self, id: &str) {
         let mut runs = self.runs.borrow_mut();
         let times = runs.entry(id.to_owned()).or_default();
         *times += 1;
@@ -107,13 +107,13 @@
     }
 
     /// Records that a request was rejected as not executed, and counts a violation if it was executed.
-    pub fn rejected(&self, id: &str) {
+    pub fn record_rejection(&self, id: &str) {
         if self.has_run(id) {
             self.violations.borrow_mut().rejected_after_run += 1;
         }
     }
 
-    /// Checks a successful response like [`Ledger::check`], and counts any violation.
+    /// Checks a successful response like [`ExecutionLog::check`], and counts any violation.
     pub fn check_and_count(
         &self,
         path: &str,
--- a/experiments/src/experiment/mod.rs
+++ b/experiments/src/experiment/mod.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, Instant};
 
 use crate::error::LabError;
-use crate::ledger::Ledger;
+use crate::execution_log::ExecutionLog;
 use crate::load::LoadGenerator;
 use crate::origin::{Origin, HEARTBEAT_INTERVAL};
 use crate::plan::Plan;
@@ -37,12 +37,12 @@
 pub async fn run(plan: &Plan, program: &Path) -> Result<Report, LabError> {
     let local = LocalSystem::start(layout(plan), program).await?;
     let controls = local.controls();
-    let ledger = Rc::new(Ledger::default());
-    let origins = start_servers(plan, &local, &ledger).await?;
-    put_config(plan.document().to_string(), &controls, HEARTBEAT_INTERVAL).await?;
+    let execution_log = Rc::new(ExecutionLog::default());
+    let origins = start_servers(plan, &local, &execution_log).await?;
+    put_config(plan.configuration().to_string(), &controls, HEARTBEAT_INTERVAL).await?;
     wait_until_ready(plan, &controls, origins.len()).await?;
     let measurements = Rc::new(RefCell::new(Measurements::new(plan)?));
-    let load = LoadGenerator::new(plan, local.edges(), &ledger, &measurements);
+    let load = LoadGenerator::new(plan, local.edges(), &execution_log, &measurements);
     let changes = spawn_local(Rc::clone(&load).change_objects(controls.clone()));
     let local = Rc::new(RefCell::new(local));
     let began_at = Instant::now();
@@ -56,7 +56,7 @@
     check_invariants(&local.borrow())?;
     let services = service_reports(&origins);
     let measurements = measurements.borrow();
-    Ok(Report::new(plan, &measurements, services, counters, &ledger.violations()))
+    Ok(Report::new(plan, &measurements, services, counters, &execution_log.violations()))
 }
 
 fn layout(plan: &Plan) -> SystemLayout {
--- a/experiments/src/experiment/setup.rs
+++ b/experiments/src/experiment/setup.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, Instant};
 
 use crate::error::LabError;
-use crate::ledger::Ledger;
+use crate::execution_log::ExecutionLog;
 use crate::origin::Origin;
 use crate::plan::Plan;
 use crate::status::{control_nodes, count_ready, has_applied_all, sessions};
@@ -33,7 +33,7 @@
 pub async fn start_servers(
     plan: &Plan,
     local: &LocalSystem,
-    ledger: &Rc<Ledger>,
+    execution_log: &Rc<ExecutionLog>,
 ) -> std::io::Result<Vec<Rc<Origin>>> {
     let mut origins = Vec::new();
     for service in &plan.services {
@@ -42,7 +42,7 @@
             let ip = local.machine_address(machine);
             let port = TcpListener::bind((ip, 0)).await?.local_addr()?.port();
             let seed = plan.seed ^ u64::from(machine);
-            let origin = Origin::new(number, service, &plan.classes, ledger, seed);
+            let origin = Origin::new(number, service, &plan.classes, execution_log, seed);
             let address = SocketAddrV4::new(ip, port);
             let zone = local.zone(machine);
             spawn_local(Rc::clone(&origin).run(address, address, zone, local.controls()));
@@ -90,7 +90,7 @@
         }
         sleep(POLL_INTERVAL).await;
     }
-    Err(LabError::NotUp(START_TIMEOUT))
+    Err(LabError::NotReady(START_TIMEOUT))
 }
 
 fn is_ready(nodes: &[Value], plan: &Plan, servers: usize) -> bool {
--- a/experiments/src/hollow/workload.rs
+++ b/experiments/src/hollow/workload.rs
@@ -120,7 +120,7 @@
             "status": "ready", "warmupLeftMs": 0, "callSeq": seq,
         });
         let body = heartbeat.to_string().into();
-        if !origin::call(&pool, &controls, Method::PUT, &uri, body).await {
+        if !origin::call_any_control(&pool, &controls, Method::PUT, &uri, body).await {
             failed.set(failed.get() + 1);
         }
     }
@@ -219,7 +219,8 @@
 ) -> PurgeResult {
     let body = json!({ "label": format!("{PURGE_LABEL_PREFIX}{number}") }).to_string();
     let sent_at = Instant::now();
-    let acknowledged = origin::call(&pool, &controls, Method::POST, "/api/purge", body.into()).await;
+    let acknowledged =
+        origin::call_any_control(&pool, &controls, Method::POST, "/api/purge", body.into()).await;
     let latency_ms = milliseconds_since(sent_at);
     PurgeResult { acknowledged, latency_ms, early: observations.early_acknowledgement(number) }
 }
--- a/experiments/src/lib.rs
+++ b/experiments/src/lib.rs
@@ -3,10 +3,10 @@
 
 mod cli;
 mod error;
+pub mod execution_log;
 mod experiment;
 pub mod fleet;
 mod hollow;
-pub mod ledger;
 mod load;
 mod origin;
 pub mod plan;
--- a/experiments/src/load.rs
+++ b/experiments/src/load.rs
@@ -22,7 +22,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::ledger::Ledger;
+use crate::execution_log::ExecutionLog;
 use crate::plan::{ClassPlan, Plan, RouteKind, ROUTE_HOST};
 use crate::report::{Measurements, RequestOutcome};
 
@@ -54,7 +54,7 @@
     plan: Plan,
     edges: Vec<SocketAddrV4>,
     pool: Rc<Pool>,
-    ledger: Rc<Ledger>,
+    execution_log: Rc<ExecutionLog>,
     measurements: Rc<RefCell<Measurements>>,
     in_flight: Cell<u32>,
     next_id: Cell<u64>,
@@ -110,14 +110,14 @@
     pub fn new(
         plan: &Plan,
         edges: Vec<SocketAddrV4>,
-        ledger: &Rc<Ledger>,
+        execution_log: &Rc<ExecutionLog>,
         measurements: &Rc<RefCell<Measurements>>,
     ) -> Rc<LoadGenerator> {
         Rc::new(LoadGenerator {
             plan: plan.clone(),
             edges,
             pool: Pool::new(MAX_CONNECTIONS, MemoryBudget::new(RESPONSE_MEMORY)),
-            ledger: Rc::clone(ledger),
+            execution_log: Rc::clone(execution_log),
             measurements: Rc::clone(measurements),
             in_flight: Cell::new(0),
             next_id: Cell::new(0),
@@ -231,7 +231,7 @@
     ) -> AttemptResult {
         let sealed = response.headers().contains_key("x-glenfall-seal");
         let length = attempt.class.bytes;
-        self.ledger.check_and_count(attempt.path, sent_at, sealed, response.body(), length);
+        self.execution_log.check_and_count(attempt.path, sent_at, sealed, response.body(), length);
         let target = Duration::from_millis(attempt.class.latency_target_ms);
         let outcome = match began_at.elapsed() <= target {
             true => RequestOutcome::WithinTarget,
@@ -245,7 +245,7 @@
         let is_mutating = attempt.class.kind == RouteKind::Mutating;
         let not_executed = matches!(status, 408 | 421 | 429 | 503);
         if not_executed && is_mutating {
-            self.ledger.rejected(&attempt.id);
+            self.execution_log.record_rejection(&attempt.id);
         }
         let is_final = matches!(status, 400 | 401 | 404 | 413 | 431);
         let may_retry = (not_executed || !is_mutating) && !is_final;
@@ -282,13 +282,13 @@
     }
 
     async fn change_object(&self, path: &str, controls: &ControlAddresses) {
-        let old_version = self.ledger.change(path);
+        let old_version = self.execution_log.start_new_version(path);
         let purge = serde_json::json!({ "hostname": ROUTE_HOST, "urlPath": path }).to_string();
         let result = call_control(controls, Method::POST, "/api/purge", None, purge.into()).await;
         let mut measurements = self.measurements.borrow_mut();
         measurements.purges += 1;
         match result {
-            Ok(_) => self.ledger.purged(path, old_version),
+            Ok(_) => self.execution_log.record_purge(path, old_version),
             Err(_) => measurements.failed_purges += 1,
         }
     }
--- a/experiments/src/origin/control_calls.rs
+++ b/experiments/src/origin/control_calls.rs
@@ -15,7 +15,13 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Calls control nodes in turn until one accepts the call. Returns whether any did.
-pub async fn call(pool: &Pool, controls: &ControlAddresses, method: Method, uri: &str, body: Bytes) -> bool {
+pub async fn call_any_control(
+    pool: &Pool,
+    controls: &ControlAddresses,
+    method: Method,
+    uri: &str,
+    body: Bytes,
+) -> bool {
     call_from(0, pool, controls, method, uri, body).await.is_some()
 }
 
--- a/experiments/src/origin/mod.rs
+++ b/experiments/src/origin/mod.rs
@@ -19,9 +19,9 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::time::Instant;
 
-use crate::ledger::Ledger;
+use crate::execution_log::ExecutionLog;
 use crate::plan::{ClassPlan, ServicePlan};
-pub use control_calls::call;
+pub use control_calls::call_any_control;
 pub use heartbeats::HEARTBEAT_INTERVAL;
 
 /// Maximum number of connections to a server.
@@ -36,7 +36,7 @@
     /// The plan of the service that the server belongs to.
     pub plan: ServicePlan,
     classes: Vec<ClassPlan>,
-    ledger: Rc<Ledger>,
+    execution_log: Rc<ExecutionLog>,
     slots: Semaphore,
     /// Number of requests that wait for a slot.
     queued: Cell<u32>,
@@ -65,14 +65,14 @@
         number: u8,
         plan: &ServicePlan,
         classes: &[ClassPlan],
-        ledger: &Rc<Ledger>,
+        execution_log: &Rc<ExecutionLog>,
         seed: u64,
     ) -> Rc<Origin> {
         Rc::new(Origin {
             id: format!("{}-{number}", plan.name),
             plan: plan.clone(),
             classes: classes.to_vec(),
-            ledger: Rc::clone(ledger),
+            execution_log: Rc::clone(execution_log),
             slots: Semaphore::new(plan.slots as usize),
             queued: Cell::new(0),
             slowdown: Cell::new(1.0),
--- a/experiments/src/origin/requests.rs
+++ b/experiments/src/origin/requests.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 use super::Origin;
-use crate::ledger::body;
+use crate::execution_log::body;
 use crate::plan::{ClassPlan, RouteKind};
 
 /// Delay that rejected clients are told to wait before a retry.
@@ -66,9 +66,9 @@
             Err(rejection) => return rejection,
         };
         if class.kind == RouteKind::Mutating {
-            self.ledger.ran(id);
+            self.execution_log.record_run(id);
         }
-        let version = self.ledger.version(request.head.uri.path());
+        let version = self.execution_log.version(request.head.uri.path());
         let work = self.draw_work();
         sleep(work.duration).await;
         drop(slot);
--- a/experiments/src/plan/mod.rs
+++ b/experiments/src/plan/mod.rs
@@ -247,7 +247,7 @@
     pub fn load(path: &Path) -> Result<Plan, PlanError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| PlanError::File { path: path.to_owned(), source })?;
-        Plan::read(&text)
+        Plan::parse(&text)
             .map_err(|reason| PlanError::Invalid { path: path.to_owned(), reason: reason.into() })
     }
 
@@ -256,7 +256,7 @@
     /// # Errors
     ///
     /// Returns the first error found; its message is a single line.
-    pub fn read(text: &str) -> Result<Plan, InvalidPlan> {
+    pub fn parse(text: &str) -> Result<Plan, InvalidPlan> {
         let plan: Plan = toml::from_str(text).map_err(|error| InvalidPlan::syntax(text, &error))?;
         plan.check()?;
         Ok(plan)
@@ -270,7 +270,7 @@
     }
 
     /// Returns the configuration of the system as JSON, with a route for each class.
-    pub fn document(&self) -> serde_json::Value {
+    pub fn configuration(&self) -> serde_json::Value {
         serde_json::json!({
             "rev": 1,
             "paths": self.classes.iter().map(ClassPlan::route).collect::<Vec<_>>(),
--- a/experiments/src/processor/system.rs
+++ b/experiments/src/processor/system.rs
@@ -23,8 +23,8 @@
 use super::trace::Trace;
 use super::{ProcessorOptions, MEASURED_ROLES};
 use crate::error::LabError;
+use crate::execution_log::ExecutionLog;
 use crate::experiment::{put_config, start_servers, wait_until_ready};
-use crate::ledger::Ledger;
 use crate::origin::HEARTBEAT_INTERVAL;
 use crate::plan::{Plan, ROUTE_HOST};
 
@@ -73,7 +73,7 @@
     ///
     /// Returns an error if the system can't be started or does not become ready.
     pub async fn start(zones: u8, net: u8, program: &Path) -> Result<Self, LabError> {
-        let plan = Plan::read(PROCESSOR_PLAN).map_err(std::io::Error::other)?;
+        let plan = Plan::parse(PROCESSOR_PLAN).map_err(std::io::Error::other)?;
         let layout = SystemLayout {
             zones,
             heartbeat_interval_ms: HEARTBEAT_INTERVAL.as_millis() as u64,
@@ -81,8 +81,8 @@
             ..SystemLayout::new(net, plan.system.cores, plan.system.edges)
         };
         let local = LocalSystem::start(layout, program).await?;
-        let servers = start_servers(&plan, &local, &Rc::new(Ledger::default())).await?;
-        put_config(plan.document().to_string(), &local.controls(), HEARTBEAT_INTERVAL).await?;
+        let servers = start_servers(&plan, &local, &Rc::new(ExecutionLog::default())).await?;
+        put_config(plan.configuration().to_string(), &local.controls(), HEARTBEAT_INTERVAL).await?;
         wait_until_ready(&plan, &local.controls(), servers.len()).await?;
         sleep(WARM_UP_TIME).await;
         let edge = local.edges()[0];
--- a/experiments/src/report.rs
+++ b/experiments/src/report.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::ledger::ViolationCounts;
+use crate::execution_log::ViolationCounts;
 use crate::plan::Plan;
 
 /// The highest recorded latency, in microseconds; deadlines are shorter.
--- a/experiments/src/soak/clients/checks.rs
+++ b/experiments/src/soak/clients/checks.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::{Clients, SentRequest};
-use crate::ledger::{ResponseCheck, PURGE_TIMEOUT};
+use crate::execution_log::{ResponseCheck, PURGE_TIMEOUT};
 use crate::plan::RouteKind;
 use crate::soak::fault_history::FaultKind;
 use crate::soak::oracle::Invariant;
@@ -50,7 +50,7 @@
         let SentRequest { class, edge, path, id, sent_at } = sent;
         self.oracle.count("served");
         let sealed = response.headers().contains_key(SEAL_HEADER);
-        match self.ledger.check(path, *sent_at, sealed, response.body(), class.bytes) {
+        match self.execution_log.check(path, *sent_at, sealed, response.body(), class.bytes) {
             ResponseCheck::Valid => {}
             ResponseCheck::Incomplete => {
                 self.oracle.record_violation(
@@ -130,17 +130,17 @@
     /// had been read, and no write was executed twice.
     pub fn check_after_run(&self, was_read: impl Fn(&UnansweredRequest) -> bool) {
         for request in self.unanswered.borrow().iter() {
-            if was_read(request) || self.ledger.has_run(&request.id) {
+            if was_read(request) || self.execution_log.has_run(&request.id) {
                 let UnansweredRequest { id, edge, after_ms } = request;
                 let details =
                     format!("{id}: connection to edge {edge} ended without a response after {after_ms} ms");
                 self.oracle.record_violation(Invariant::ReadRequestAnswered, details);
             }
         }
-        for id in self.rejected_writes.borrow().iter().filter(|id| self.ledger.has_run(id)) {
+        for id in self.rejected_writes.borrow().iter().filter(|id| self.execution_log.has_run(id)) {
             self.oracle.record_violation(Invariant::RejectedNotExecuted, id.clone());
         }
-        let ran_twice = self.ledger.violations().ran_twice;
+        let ran_twice = self.execution_log.violations().ran_twice;
         if ran_twice > 0 {
             self.oracle.record_violation(
                 Invariant::AtMostOnce,
--- a/experiments/src/soak/clients/mod.rs
+++ b/experiments/src/soak/clients/mod.rs
@@ -27,7 +27,7 @@
 use super::fault_history::FaultHistory;
 use super::operators::Operators;
 use super::oracle::Oracle;
-use crate::ledger::Ledger;
+use crate::execution_log::ExecutionLog;
 use crate::plan::{ClassPlan, Plan, RouteKind};
 use checks::UnansweredRequest;
 pub use edges::Edge;
@@ -84,7 +84,7 @@
     plan: Plan,
     edges: Vec<Edge>,
     pool: Rc<Pool>,
-    ledger: Rc<Ledger>,
+    execution_log: Rc<ExecutionLog>,
     oracle: Rc<Oracle>,
     history: Rc<FaultHistory>,
     operators: Rc<Operators>,
@@ -105,7 +105,7 @@
     pub fn new(
         plan: &Plan,
         edges: Vec<Edge>,
-        ledger: &Rc<Ledger>,
+        execution_log: &Rc<ExecutionLog>,
         oracle: &Rc<Oracle>,
         history: &Rc<FaultHistory>,
         operators: &Rc<Operators>,
@@ -115,7 +115,7 @@
             plan: plan.clone(),
             edges,
             pool: Pool::new(MAX_CONNECTIONS, MemoryBudget::new(RESPONSE_MEMORY)),
-            ledger: Rc::clone(ledger),
+            execution_log: Rc::clone(execution_log),
             oracle: Rc::clone(oracle),
             history: Rc::clone(history),
             operators: Rc::clone(operators),
--- a/experiments/src/soak/operators/changes.rs
+++ b/experiments/src/soak/operators/changes.rs
@@ -48,7 +48,7 @@
     /// Returns the configuration document: that of the plan, plus a route for this version and each of its parents,
     /// and the marker route.
     pub fn document(&self, plan: &Plan) -> Value {
-        let mut document = plan.document();
+        let mut document = plan.configuration();
         document["rev"] = self.rev.into();
         let backend = &plan.classes[0].service;
         let class = &plan.classes[0].name;
--- a/experiments/src/soak/operators/mod.rs
+++ b/experiments/src/soak/operators/mod.rs
@@ -21,7 +21,7 @@
 
 use super::active_faults::{ActiveFault, ActiveFaults};
 use super::oracle::{Invariant, Oracle};
-use crate::ledger::Ledger;
+use crate::execution_log::ExecutionLog;
 use crate::plan::Plan;
 use calls::{Call, ControlClient};
 pub use changes::host_of_version;
@@ -262,16 +262,16 @@
     // ---- Purges ----
 
     /// Modifies and purges random objects. Runs until it is aborted.
-    pub async fn purge_objects(self: Rc<Self>, ledger: Rc<Ledger>) {
+    pub async fn purge_objects(self: Rc<Self>, execution_log: Rc<ExecutionLog>) {
         loop {
             let pause = self.rng.borrow_mut().random_range(PURGE_PAUSE_MS);
             let object = self.rng.borrow_mut().random_range(1..=PURGED_OBJECTS);
             sleep(Duration::from_millis(pause)).await;
             let path = format!("/{}/{object}", self.plan.classes[0].name);
-            let old_version = ledger.change(&path);
+            let old_version = execution_log.start_new_version(&path);
             if self.purge(&path).await {
                 self.oracle.count("purge acknowledged");
-                ledger.purged(&path, old_version);
+                execution_log.record_purge(&path, old_version);
             } else {
                 self.oracle.count("purge not acknowledged");
             }
--- a/experiments/src/soak/run.rs
+++ b/experiments/src/soak/run.rs
@@ -24,7 +24,7 @@
 use super::schedule::Schedule;
 use super::servers::Servers;
 use crate::error::LabError;
-use crate::ledger::Ledger;
+use crate::execution_log::ExecutionLog;
 use crate::origin::HEARTBEAT_INTERVAL;
 use crate::plan::Plan;
 
@@ -71,7 +71,7 @@
 /// Returns an error if the system can't be started. Violated invariants are part of the outcome.
 pub async fn run(schedule: Schedule, net: u8, program: &Path) -> Result<Outcome, LabError> {
     let size = schedule.size;
-    let mut plan = Plan::read(SOAK_PLAN).unwrap_or_else(|error| unreachable!("{error}"));
+    let mut plan = Plan::parse(SOAK_PLAN).unwrap_or_else(|error| unreachable!("{error}"));
     plan.seed = schedule.seed;
     plan.system.cores = size.cores;
     let layout = SystemLayout {
@@ -95,7 +95,7 @@
     controls: ControlAddresses,
     oracle: Rc<Oracle>,
     history: Rc<FaultHistory>,
-    ledger: Rc<Ledger>,
+    execution_log: Rc<ExecutionLog>,
     servers: Rc<Servers>,
     operators: Rc<Operators>,
     clients: Rc<Clients>,
@@ -131,10 +131,11 @@
         let edges = edges.map(|(address, machine)| Edge::new(address, machine)).collect();
         let oracle = Rc::new(Oracle::new());
         let history = FaultHistory::new(schedule.size.cores);
-        let ledger = Rc::new(Ledger::default());
-        let servers = Servers::start(&plan, net, controls.clone(), &ledger).await?;
+        let execution_log = Rc::new(ExecutionLog::default());
+        let servers = Servers::start(&plan, net, controls.clone(), &execution_log).await?;
         let operators = Operators::new(&plan, controls.clone(), &oracle, schedule.seed);
-        let clients = Clients::new(&plan, edges, &ledger, &oracle, &history, &operators, schedule.seed);
+        let clients =
+            Clients::new(&plan, edges, &execution_log, &oracle, &history, &operators, schedule.seed);
         let machines = Machines::new(local, partitions, Rc::clone(&oracle));
         Ok(SoakRun {
             schedule,
@@ -142,7 +143,7 @@
             controls,
             oracle,
             history,
-            ledger,
+            execution_log,
             servers,
             operators,
             clients,
@@ -152,7 +153,7 @@
 
     async fn run(self) -> Result<Outcome, LabError> {
         if !self.operators.put_first_config().await || !self.wait_until_ready(START_TIMEOUT).await {
-            return Err(LabError::NotUp(START_TIMEOUT));
+            return Err(LabError::NotReady(START_TIMEOUT));
         }
         let background = self.start_background_tasks();
         self.inject_faults().await;
@@ -176,7 +177,7 @@
         let operations = vec![
             spawn_local(Rc::clone(&self.operators).change_config()),
             spawn_local(Rc::clone(&self.operators).read_config()),
-            spawn_local(Rc::clone(&self.operators).purge_objects(Rc::clone(&self.ledger))),
+            spawn_local(Rc::clone(&self.operators).purge_objects(Rc::clone(&self.execution_log))),
             spawn_local(Rc::clone(&self.machines).watch_exits()),
             spawn_local(watch_arrivals_after_drain(
                 Rc::clone(&self.servers),
--- a/experiments/src/soak/servers.rs
+++ b/experiments/src/soak/servers.rs
@@ -10,7 +10,7 @@
 use tokio::task::spawn_local;
 
 use super::network::{relay_to_server, ServerNetwork, ServerNetworkFault};
-use crate::ledger::Ledger;
+use crate::execution_log::ExecutionLog;
 use crate::origin::Origin;
 use crate::plan::Plan;
 
@@ -33,7 +33,7 @@
     /// Third byte of the addresses of servers and relays.
     net: u8,
     controls: ControlAddresses,
-    ledger: Rc<Ledger>,
+    execution_log: Rc<ExecutionLog>,
     all: RefCell<Vec<Rc<Server>>>,
     started: Cell<u8>,
 }
@@ -48,13 +48,13 @@
         plan: &Plan,
         net: u8,
         controls: ControlAddresses,
-        ledger: &Rc<Ledger>,
+        execution_log: &Rc<ExecutionLog>,
     ) -> io::Result<Rc<Self>> {
         let servers = Rc::new(Servers {
             plan: plan.clone(),
             net,
             controls,
-            ledger: Rc::clone(ledger),
+            execution_log: Rc::clone(execution_log),
             all: RefCell::default(),
             started: Cell::new(0),
         });
@@ -79,7 +79,7 @@
         let announced = SocketAddrV4::new(relay_ip, listener.local_addr()?.port());
         let target = SocketAddrV4::new(Ipv4Addr::new(127, 2, self.net, number), LISTEN_PORT);
         let seed = self.plan.seed ^ u64::from(number);
-        let origin = Origin::new(number, plan, &self.plan.classes, &self.ledger, seed);
+        let origin = Origin::new(number, plan, &self.plan.classes, &self.execution_log, seed);
         let network = ServerNetwork::new();
         relay_to_server(listener, target, network.clone());
         let zone = format!("zone-{}", number % self.plan.system.zones + 1);
--- a/experiments/tests/unit/main.rs
+++ b/experiments/tests/unit/main.rs
@@ -1,6 +1,6 @@
 //! Tests of plans, reports and simulations, which start no processes.
 
+mod execution_log;
 mod fleet;
-mod ledger;
 mod plan;
 mod report;
--- a/experiments/tests/unit/report.rs
+++ b/experiments/tests/unit/report.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use glenfall_experiments::ledger::ViolationCounts;
+use glenfall_experiments::execution_log::ViolationCounts;
 use glenfall_experiments::plan::Plan;
 use glenfall_experiments::report::{Measurements, Report, RequestOutcome};
 
 #[test]
 fn the_value_share_depends_on_when_requests_were_answered() {
-    let plan = Plan::read(include_str!("../../plans/small.toml")).unwrap();
+    let plan = Plan::parse(include_str!("../../plans/small.toml")).unwrap();
     let mut measurements = Measurements::new(&plan).unwrap();
     let ms = Duration::from_millis;
     for (outcome, latency) in [
