--- a/control-plane-sim/src/network/mod.rs
+++ b/control-plane-sim/src/network/mod.rs
@@ -298,8 +298,8 @@
         let [first, second] = ends;
         for (own, peer) in [(first, second), (second, first)] {
             let channel = self.channel(peer.machine, own.machine);
-            let silent_since = peer.endpoint.paused_since.or(channel.blocked_since(now));
-            let expires = silent_since.is_some_and(|since| now >= since + READ_TIMEOUT.start);
+            let no_messages_since = peer.endpoint.paused_since.or(channel.blocked_since(now));
+            let expires = no_messages_since.is_some_and(|since| now >= since + READ_TIMEOUT.start);
             if expires && channel.rng.random_ratio(1, STEPS_PER_TIMEOUT) {
                 self.close_link(now, own.machine, peer.machine);
                 return;
--- a/control-plane-sim/src/schedule/targeted.rs
+++ b/control-plane-sim/src/schedule/targeted.rs
@@ -42,7 +42,7 @@
         sizes: &[ClusterSize::new(1, 0), ClusterSize::new(1, 0), ClusterSize::new(1, 1)],
     },
     ScenarioKind {
-        scenario: Generator::read_overtakes_view_confirmation,
+        scenario: Generator::read_overtakes_start_of_view,
         sizes: &[ClusterSize::new(1, 0), ClusterSize::new(1, 0), ClusterSize::new(2, 0)],
     },
     ScenarioKind {
@@ -176,7 +176,7 @@
     /// All processes restart, and know of no committed change until a view is active. The message to the tail that the
     /// view is active is delayed, and a read is not. The member before the tail loses a link once it has accepted the
     /// view.
-    fn read_overtakes_view_confirmation(&mut self, at: Millis) -> Millis {
+    fn read_overtakes_start_of_view(&mut self, at: Millis) -> Millis {
         let (tail, all) = (self.size.voters(), self.all_nodes());
         let before_tail = tail - 1;
         let others: Vec<u8> = (1..before_tail).collect();
--- a/control-plane/src/chain/mod.rs
+++ b/control-plane/src/chain/mod.rs
@@ -107,7 +107,7 @@
     /// voters that this node knows.
     accepted_config: Option<JointConfig>,
     /// Time since which a new view has been needed and possible.
-    needed_since: Option<Millis>,
+    view_needed_since: Option<Millis>,
     proposer_backoff: Option<ProposerBackoff>,
     last_heartbeat: Option<Millis>,
     /// At the head: the change that is being replicated.
@@ -143,7 +143,7 @@
             peers: Peers::default(),
             proposal: None,
             accepted_config: None,
-            needed_since: None,
+            view_needed_since: None,
             proposer_backoff: None,
             last_heartbeat: None,
             in_flight: None,
--- a/control-plane/src/chain/view_change.rs
+++ b/control-plane/src/chain/view_change.rs
@@ -54,10 +54,10 @@
         let needed = reconfiguring || self.active_view().is_none_or(|active| active.view.chain != target);
         let possible = self.proposal.is_none() && self.can_gather_quorum(&target);
         if !needed || !possible || self.waits_to_be_included() {
-            self.needed_since = None;
+            self.view_needed_since = None;
             return;
         }
-        let since = *self.needed_since.get_or_insert(self.now);
+        let since = *self.view_needed_since.get_or_insert(self.now);
         let stagger = PROPOSER_STAGGER * self.proposers_before(&target) as Millis;
         if !self.backs_off() && self.now >= since + PROPOSAL_DELAY + stagger {
             self.propose(target, wanted_voters);
@@ -125,7 +125,7 @@
     fn propose(&mut self, target: Vec<NodeId>, wanted_voters: Option<Vec<NodeId>>) {
         let ballot = ballot::next(self.highest_ballot, self.node_id);
         self.highest_ballot = ballot;
-        self.needed_since = None;
+        self.view_needed_since = None;
         self.proposal = Some(Proposal::begin(ballot, self.now, target.clone(), wanted_voters));
         for node in target {
             self.send(node, Message::Prepare { view: ballot });
@@ -250,7 +250,7 @@
         installed.start(self.now);
         // The delay before the next proposal starts again with this view. Otherwise all nodes that waited for this view
         // to start would propose the next one at once, before this one has answered any call.
-        self.needed_since = None;
+        self.view_needed_since = None;
         if !self.hard_state.votes {
             // The promises that this node may have lost have lower ballots than this view, or are known to the quorum
             // that has accepted it.
--- a/control-plane/src/retry_budget.rs
+++ b/control-plane/src/retry_budget.rs
@@ -17,7 +17,7 @@
 const BUCKETS_PER_WINDOW: u64 = 10;
 /// Share of the operator's limit that is used. The remainder allows for requests that are counted later at the receiver
 /// than at the sender, and for machines that learn at different times that a machine was added or removed.
-const BOUND_UTILIZATION: f64 = 0.85;
+const LIMIT_UTILIZATION: f64 = 0.85;
 /// Maximum number of services that are counted. Requests to further services are not retried.
 pub const MAX_SERVICES: usize = 1024;
 
@@ -160,7 +160,7 @@
         let retries: u32 = buckets.iter().map(|bucket| bucket.retries).sum();
         let counted = buckets.iter().filter(|bucket| bucket.is_within_window(current));
         let requests: u32 = counted.map(|bucket| bucket.requests).sum();
-        let budget = (ratio * f64::from(requests) + share) * BOUND_UTILIZATION;
+        let budget = (ratio * f64::from(requests) + share) * LIMIT_UTILIZATION;
         if f64::from(retries + 1) > budget {
             return false;
         }
