--- a/control-plane/tests/unit/rate_limit.rs
+++ b/control-plane/tests/unit/rate_limit.rs
@@ -28,7 +28,7 @@
     let mut known_shields: Vec<(usize, Millis)> = vec![(shields, 0); shields + edges];
     let mut sent: Vec<Millis> = Vec::new();
     for now in (0..DURATION_S * 1000).step_by(STEP_MS) {
-        let present = limiters[..shields].iter().flatten().count();
+        let running_shields = limiters[..shields].iter().flatten().count();
         if faults && rng.random_bool(0.004) {
             let victim = rng.random_range(0..limiters.len());
             limiters[victim] = None;
@@ -43,8 +43,8 @@
                 known_shields[n] = (shields, now);
             }
             let Some(limiter) = &mut limiters[n] else { continue };
-            if known_shields[n].0 != present && now >= known_shields[n].1 {
-                known_shields[n] = (present, now + rng.random_range(0..150));
+            if known_shields[n].0 != running_shields && now >= known_shields[n].1 {
+                known_shields[n] = (running_shields, now + rng.random_range(0..150));
             }
             let known = known_shields[n].0;
             let holder = if n < shields {
@@ -74,8 +74,11 @@
     let allowed = (RATE_PER_S * 5.0 * LIMIT.overshoot_factor) as usize + 5;
     for (shields, edges) in [(3, 10), (5, 90), (5, 900)] {
         for seed in 0..4 {
-            let most = simulate(seed, shields, edges, true).max_in_window;
-            assert!(most <= allowed, "{shields} shields, {edges} edges, seed {seed}: {most} of {allowed}");
+            let max_in_window = simulate(seed, shields, edges, true).max_in_window;
+            assert!(
+                max_in_window <= allowed,
+                "{shields} shields, {edges} edges, seed {seed}: {max_in_window} of {allowed}"
+            );
         }
     }
 }
@@ -93,8 +96,8 @@
 fn a_process_starts_without_tokens_and_reserves_saved_tokens_for_high_priority() {
     let mut limiter = RateLimiter::new(LIMIT, 0.0);
     limiter.set_holder(0, QuotaHolder::Shield { shield_count: 1 });
-    let wait = limiter.try_acquire(0, "s", 100.0, 0.0).expect_err("nothing saved yet");
-    assert!((10..12).contains(&wait), "one in about 10 ms, got {wait}");
+    let wait = limiter.try_acquire(0, "s", 100.0, 0.0).expect_err("no tokens are saved yet");
+    assert!((10..12).contains(&wait), "the first token is due in about 10 ms, got {wait}");
     assert_eq!(limiter.try_acquire(wait, "s", 100.0, 0.0), Ok(()));
     // Requests of the lowest priority cannot use a part of the saved tokens.
     let acquired = |limiter: &mut RateLimiter, rank| {
@@ -110,15 +113,15 @@
     let mut limiter = RateLimiter::new(LIMIT, 0.5);
     limiter.set_holder(0, QuotaHolder::Edge { edge_count: 1000, without_shields: false });
     assert!(limiter.try_acquire(0, "s", 100.0, 1.0).is_err());
-    let (mut sent, mut wait) = (0, 0);
+    let (mut sent, mut rejected) = (0, 0);
     // After a long time without requests, there is at most one token.
     for now in [1_000_000, 1_000_001, 1_000_002] {
         match limiter.try_acquire(now, "s", 100.0, 1.0) {
             Ok(()) => sent += 1,
-            Err(_) => wait += 1,
+            Err(_) => rejected += 1,
         }
     }
-    assert!(sent <= 1 && wait >= 2);
+    assert!(sent <= 1 && rejected >= 2);
 }
 
 #[test]
--- a/control-plane/tests/unit/registry.rs
+++ b/control-plane/tests/unit/registry.rs
@@ -242,10 +242,10 @@
     let observed = |call_seq| entry("s", 1, EntryStatus::Ready, call_seq);
     assert!(registry.is_newer(&observed(1)));
     registry.observe(0, 0, observed(1));
-    assert!(!registry.is_newer(&observed(1)), "the same by another route");
+    assert!(!registry.is_newer(&observed(1)), "the same entry over another path");
     assert!(registry.is_newer(&observed(2)));
     registry.observe(10, 0, observed(3));
-    assert!(!registry.is_newer(&observed(2)), "overtaken");
+    assert!(!registry.is_newer(&observed(2)), "a later entry is known already");
     registry.deregister(20, "s");
     assert!(!registry.is_newer(&observed(3)));
 }
--- a/control-plane/tests/unit/retry_budget.rs
+++ b/control-plane/tests/unit/retry_budget.rs
@@ -18,7 +18,7 @@
     assert!(!budget.try_spend(0, "s"));
     budget.set_machine_count(0, 10);
     assert!(!budget.try_spend(9_999, "s"), "the previous process may have spent its share");
-    assert_eq!(allowed_retries(&mut budget, 10_000, "s"), 5, "a tenth of the slack, used to 85 %");
+    assert_eq!(allowed_retries(&mut budget, 10_000, "s"), 5, "85 % of a tenth of the slack");
     assert!(budget.try_spend(10_000, "other"), "each service has a budget of its own");
     (0..200).for_each(|n| budget.record_request(10_000 + n, "t"));
     assert_eq!(allowed_retries(&mut budget, 10_200, "t"), 39);
@@ -31,7 +31,11 @@
     budget.set_machine_count(0, 3);
     budget.set_machine_count(5_000, 2);
     budget.set_machine_count(12_000, 6);
-    assert_eq!(allowed_retries(&mut budget, 14_999, "a"), 0, "a half was due at 15 s, and so a sixth is");
+    assert_eq!(
+        allowed_retries(&mut budget, 14_999, "a"),
+        0,
+        "a share of 1/2 was pending until 15 s, and so is the share of 1/6 that replaced it"
+    );
     assert_eq!(allowed_retries(&mut budget, 15_000, "a"), 8);
     budget.set_machine_count(30_000, 12);
     assert_eq!(allowed_retries(&mut budget, 30_000, "a"), 4);
--- a/control-plane/tests/unit/settings.rs
+++ b/control-plane/tests/unit/settings.rs
@@ -1,4 +1,4 @@
-//! Time-outs of the chain, which are derived from the tolerated losses and the sync time.
+//! Timeouts of the chain, which are derived from the tolerated losses and the sync time.
 
 use glenfall_control_plane::chain::{Chain, ChainSettings, NodeId, Start, SyncTooShort};
 use glenfall_control_plane::Millis;
@@ -9,7 +9,7 @@
     ChainSettings { tolerated_losses: losses, eligible: true, sync }
 }
 
-/// Time without a message after which a node considers a peer as failed.
+/// Time without a message after which a node considers a peer failed.
 fn detection_time(settings: ChainSettings) -> Millis {
     let (local, peer) = (NodeId::new(10, 0, 0, 1), NodeId::new(10, 0, 0, 2));
     let mut chain = Chain::new(local, settings, Start::Fresh(vec![local, peer]));
