--- a/control-plane/src/chain/ballot.rs
+++ b/control-plane/src/chain/ballot.rs
@@ -17,7 +17,8 @@
 /// Bits of the proposer's address in a ballot.
 const PROPOSER_BITS: u32 = 32;
 /// Upper bound of ballots and log indexes. A ballot increases by about 2^32 with each view and an index by 1, so that no
-/// system reaches the bound. A higher number is malformed, and is rejected, as a proposer needs a still higher ballot.
+/// system reaches the bound. A message with a higher number is rejected as malformed: a proposer needs a ballot above
+/// every ballot that it knows, and would have no valid one left.
 const NUMBER_LIMIT: u64 = 1 << 62;
 
 /// Whether a ballot or log index is in the valid range.
--- a/control-plane/src/chain/message.rs
+++ b/control-plane/src/chain/message.rs
@@ -172,7 +172,7 @@
     }
 }
 
-/// The bound of the deduplication table is checked where it is deserialised.
+/// The bound of the deduplication table is checked where it is deserialized.
 fn is_valid_record(record: &Record) -> bool {
     ballot::is_valid(record.seq) && record.applied_orders.newest_rev() <= record.rev
 }
--- a/control-plane/src/chain/mod.rs
+++ b/control-plane/src/chain/mod.rs
@@ -36,7 +36,7 @@
 //! | `peers` | heartbeats and failure detection |
 //! | `message` | messages and outputs |
 //! | `state` | durable state |
-//! | `settings` | time-outs and bounds |
+//! | `settings` | timeouts and bounds |
 //! | `view` | views and their state at a node |
 
 mod ballot;
@@ -106,7 +106,7 @@
     /// The voters of the newest accepted state among the promises that were last gathered. They may differ from the
     /// voters that this node knows.
     accepted_config: Option<JointConfig>,
-    /// Time since which a new view has been needed and possible.
+    /// Since when a new view has been needed and this node has been able to propose it; `None` otherwise.
     view_needed_since: Option<Millis>,
     proposer_backoff: Option<ProposerBackoff>,
     last_heartbeat: Option<Millis>,
@@ -118,6 +118,7 @@
     /// The calls that this node has received and not answered yet, by their numbers.
     calls: BTreeMap<u64, PendingCall>,
     disk_writes: VecDeque<DiskWrite>,
+    /// Number of the last disk write that was started.
     last_write: u64,
     /// Messages from this node to itself.
     inbox: VecDeque<Message>,
@@ -174,7 +175,8 @@
         }
     }
 
-    /// Whether there are enough voters to tolerate the losses that the settings require ([`ChainSettings::tolerated_losses`]).
+    /// Whether there are enough voters to tolerate the losses that the settings require
+    /// ([`ChainSettings::tolerated_losses`]).
     pub fn tolerates_losses(&self) -> bool {
         self.members().tolerates(self.settings.tolerated_losses)
     }
@@ -191,7 +193,7 @@
 
     // ---- Events ----
 
-    /// Advances the time, and checks time-outs. The caller has to tick at short intervals.
+    /// Advances the time, and checks timeouts. The caller has to tick at short intervals.
     pub fn tick(&mut self, now: Millis) -> Vec<Output> {
         self.now = now;
         self.started_at.get_or_insert(now);
@@ -305,7 +307,7 @@
         self.emit(Output::Send(to, message));
     }
 
-    /// Writes the present state to disk, and emits the follow-up once the write is durable.
+    /// Writes the current state to disk, and emits the follow-up once the write is durable.
     fn persist(&mut self, follow_up: Vec<Output>) {
         self.last_write += 1;
         self.outputs.push(Output::Persist(self.last_write, self.hard_state.clone()));
--- a/control-plane/src/chain/peers.rs
+++ b/control-plane/src/chain/peers.rs
@@ -10,7 +10,7 @@
 use crate::ids::NodeId;
 use crate::Millis;
 
-/// The newest record that was sent to a peer on the present link because its heartbeats reported an older one.
+/// The newest record that was sent to a peer on the current link because its heartbeats reported an older one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SentRecord {
     seq: u64,
@@ -25,7 +25,7 @@
     pub(super) up: bool,
     /// When the last message from the peer was received.
     pub(super) last_received: Millis,
-    /// The peer's last heartbeat on the present link.
+    /// The peer's last heartbeat on the current link.
     pub(super) heartbeat: Heartbeat,
     /// Whether the peer's last heartbeat, on any link, announced that it is draining.
     pub(super) draining: bool,
@@ -37,7 +37,7 @@
 }
 
 impl Peer {
-    /// Excludes a peer that did not answer a proposal, for a duration that doubles with each time-out.
+    /// Excludes a peer that did not answer a proposal, for a duration that doubles with each timeout.
     fn exclude_unresponsive(&mut self, now: Millis) {
         self.last_exclusion = (self.last_exclusion * 2).clamp(MIN_EXCLUSION, MAX_EXCLUSION);
         self.excluded_until = now + self.last_exclusion;
@@ -213,7 +213,7 @@
             || self.disk_writes.front().is_some_and(|write| self.now >= write.started_at + DISK_STALL_TIMEOUT)
     }
 
-    /// Whether the link to a peer is up and the last message was received within the peer time-out.
+    /// Whether the link to a peer is up and the last message was received within the peer timeout.
     pub(super) fn is_reachable(&self, node: NodeId) -> bool {
         let timeout = self.settings.peer_timeout();
         self.peers.matches(node, |peer| peer.up && self.now < peer.last_received + timeout)
--- a/control-plane/src/chain/proposal.rs
+++ b/control-plane/src/chain/proposal.rs
@@ -120,7 +120,7 @@
         }
     }
 
-    /// The target nodes that have not answered in the present phase.
+    /// The target nodes that have not answered in the current phase.
     pub(super) fn unanswered(&self) -> Vec<NodeId> {
         let has_answered = |node: &NodeId| match &self.phase {
             Phase::Gathering(gathering) => gathering.promises.contains_key(node),
--- a/control-plane/src/chain/reconfiguration.rs
+++ b/control-plane/src/chain/reconfiguration.rs
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The voters that the next configuration should have, sorted; `None` if they are the present ones, and during a
+    /// The voters that the next configuration should have, sorted; `None` if they are the current ones, and during a
     /// reconfiguration. Without an operator's request they are enough to tolerate the required losses, with failed
     /// voters replaced by standbys.
     pub(super) fn wanted_voters(&self, reachable: &[NodeId]) -> Option<Vec<NodeId>> {
--- a/control-plane/src/chain/settings.rs
+++ b/control-plane/src/chain/settings.rs
@@ -1,4 +1,4 @@
-//! Time-outs and bounds of the chain, and its settings.
+//! Timeouts and bounds of the chain, and its settings.
 
 use crate::Millis;
 
@@ -21,7 +21,7 @@
 /// not answer are excluded.
 pub(super) const PROPOSAL_TIMEOUT: Millis = 800;
 /// Duration of the first exclusion of a peer that did not answer a proposal. A machine that comes back has to be in a
-/// chain within `syncS`. The duration doubles with each further time-out, as each proposal interrupts changes.
+/// chain within `syncS`. The duration doubles with each further timeout, as each proposal interrupts changes.
 pub(super) const MIN_EXCLUSION: Millis = 750;
 /// Upper bound of the duration that doubles from [`MIN_EXCLUSION`].
 pub(super) const MAX_EXCLUSION: Millis = 3000;
@@ -91,7 +91,7 @@
 }
 
 impl ChainSettings {
-    /// Number of voters that tolerate `losses`: the remaining ones are still a majority.
+    /// Number of voters that are needed so that a majority remains after all tolerated losses.
     pub(super) fn voters_needed(&self) -> usize {
         2 * self.tolerated_losses + 1
     }
@@ -107,8 +107,8 @@
         RECONFIGURATION_TIME + self.further_losses() * FURTHER_VIEW_TIME
     }
 
-    /// Time without a message after which a peer counts as failed. All `losses` may happen one after another, and have
-    /// to be detected within `sync`: more losses, or a shorter `sync`, need a shorter time-out.
+    /// Time without a message after which a peer counts as failed. All tolerated losses may happen one after another,
+    /// and have to be detected within `sync`: more losses, or a shorter `sync`, need a shorter timeout.
     pub(super) fn peer_timeout(&self) -> Millis {
         let detections = (self.tolerated_losses as Millis).max(1);
         let time_left = self.sync.saturating_sub(self.view_changes_time());
@@ -121,7 +121,7 @@
         self.replacement_delay() + self.view_changes_time() + self.further_losses() * self.peer_timeout()
     }
 
-    /// Checks that `losses` that happen one after another can be repaired within `sync`.
+    /// Checks that all tolerated losses can be repaired within `sync`, even if they happen one after another.
     ///
     /// # Errors
     ///
--- a/control-plane/src/config/document.rs
+++ b/control-plane/src/config/document.rs
@@ -18,7 +18,7 @@
     Cacheable,
     /// Requests may be retried; responses are not stored.
     Idempotent,
-    /// Requests are sent at most once. Kinds that this version does not know are read as this one.
+    /// Requests are sent at most once. Kinds that this version does not know are treated as this one.
     #[default]
     #[serde(other)]
     Mutating,
@@ -29,8 +29,8 @@
 pub struct WeightedBackend {
     /// Name of the service.
     pub backend: String,
-    /// The service's share of the requests is its weight divided by the sum of all weights of the split. A weight that
-    /// is not above 0 gives no requests.
+    /// The service's share of the requests is its weight divided by the sum of all weights of the split. A service
+    /// whose weight is not above 0 gets no requests.
     pub weight: f64,
 }
 
--- a/control-plane/src/deduplication.rs
+++ b/control-plane/src/deduplication.rs
@@ -14,8 +14,8 @@
 
 use crate::config::ConfigChange;
 
-/// Maximum number of orders in the table. At hundreds of orders a day, and 3,200 expected in two years' time, the table
-/// covers more than a day. A version takes at most 10 bytes and a key 32, so the table stays below 176 KB, which is less
+/// Maximum number of orders in the table. With hundreds of orders a day now, and 3,200 a day expected in two years, the
+/// table covers more than a day. A version takes at most 10 bytes and a key 32, so the table stays below 176 KB, which is less
 /// than the document of 700 routes that it is sent with.
 pub const MAX_APPLIED_ORDERS: usize = 4096;
 /// Number of orders in a chunk of the table. The oldest orders are evicted a chunk at a time. A full chunk is
@@ -101,7 +101,7 @@
     open_chunk: Vec<AppliedOrder>,
 }
 
-/// The table as it is serialised.
+/// The table as it is serialized.
 #[derive(Clone, Serialize, Deserialize)]
 struct WireTable {
     forgotten_up_to: u64,
--- a/control-plane/src/ids.rs
+++ b/control-plane/src/ids.rs
@@ -8,7 +8,7 @@
 pub type NodeId = Ipv4Addr;
 
 /// Correlation id of a request, unique among all requests that a machine ever sends. The numbers restart with each
-/// process; the incarnation keeps a response to an earlier process from being matched to a request of the present one.
+/// process; the incarnation keeps a response to an earlier process from being matched to a request of the current one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId {
     /// Incarnation of the process that sent the request.
--- a/control-plane/src/invariant.rs
+++ b/control-plane/src/invariant.rs
@@ -39,7 +39,7 @@
     CommittedOrder = "committed_order",
     /// Each version has the same document in all processes.
     OneDocument = "one_document",
-    /// A request that must be executed at most once is not sent to another server after one that may have executed it.
+    /// A request that must be executed at most once is not sent to another server once a server may have executed it.
     SingleRun = "single_run",
     /// A request that must be executed at most once is reported as not executed only if no server has executed it.
     RefusedNotRun = "refused_not_run",
--- a/control-plane/src/known_fleet.rs
+++ b/control-plane/src/known_fleet.rs
@@ -34,8 +34,8 @@
     ///
     /// # Errors
     ///
-    /// [`VersionMismatch`] if the update is a delta whose base version is not the publisher's last known version. Nothing changes
-    /// then.
+    /// [`VersionMismatch`] if the update is a delta whose base version is not the publisher's last known version.
+    /// Nothing changes then.
     pub fn apply_update(&mut self, update: FleetUpdate) -> Result<Option<FleetUpdate>, VersionMismatch> {
         let direct_delta = match &update {
             FleetUpdate::Delta(delta) if self.can_apply_directly(delta) => Some(delta.clone()),
--- a/control-plane/src/lease.rs
+++ b/control-plane/src/lease.rs
@@ -3,10 +3,10 @@
 //! A proxy serves stored responses only while it holds a lease. Before a process acknowledges a purge, each lease
 //! holder must have acknowledged the purge, or its lease must have expired.
 //!
-//! Leases are nested. Each voter grants every control node a lease of [`VOTER_LEASE_DURATION`]. A control node that holds leases
-//! from a quorum of the voters grants its sessions a part of the remaining time, and an agent does the same for its
-//! proxies. So the proxies below a control node, over any number of hops, serve no stored responses once the voters'
-//! grants to that node have expired.
+//! Leases are nested. Each voter grants every control node a lease of [`VOTER_LEASE_DURATION`]. A control node that
+//! holds leases from a quorum of the voters grants its sessions a part of the remaining time, and an agent does the same
+//! for its proxies. So the proxies below a control node, over any number of hops, serve no stored responses once the
+//! voters' grants to that node have expired.
 //!
 //! The clocks of two processes are never compared. The holder measures the lease from the time at which it *sent* the
 //! request, and the granter from the time at which it *received* the request, which is later; the granter adds a margin
--- a/control-plane/src/messages.rs
+++ b/control-plane/src/messages.rs
@@ -83,7 +83,7 @@
     Push {
         /// Number of the update on this session, one higher than that of the update before it.
         number: u64,
-        /// The update.
+        /// What the subscriber applies before it acknowledges the number.
         update: Update,
     },
     /// Grants a lease on stored responses.
@@ -106,7 +106,7 @@
     Config {
         /// Version of the document.
         rev: u64,
-        /// The document.
+        /// JSON text of the document.
         document: Arc<Vec<u8>>,
     },
     /// A snapshot of the fleet, or a change to it.
@@ -118,7 +118,7 @@
     Connected(bool),
 }
 
-/// Selects the stored responses that are removed.
+/// The scope of a purge: which stored responses it removes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Purge {
     /// The stored responses of one URL.
@@ -137,7 +137,7 @@
 /// A purge as proxies receive it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgedPurge {
-    /// What is purged.
+    /// Selects the stored responses to remove.
     pub purge: Purge,
     /// Lower bound of the time since the purge was accepted, in milliseconds. A stored response whose request was sent
     /// after the purge was accepted is not removed.
@@ -155,7 +155,7 @@
     pub number: u64,
     /// Time since the purge was accepted, in milliseconds. It determines when the purge is removed from the history.
     pub age_ms: u64,
-    /// What is purged.
+    /// Selects the stored responses to remove.
     pub purge: Purge,
 }
 
--- a/control-plane/src/rate_limit.rs
+++ b/control-plane/src/rate_limit.rs
@@ -1,8 +1,8 @@
 //! Rate limit of a service, which bounds the requests that all machines together send to its servers.
 //!
 //! The operator's limit applies to the sum over all machines, in any window. Each machine has a *quota*, which is its
-//! share of the rate, and a token bucket that is refilled at that share. The quotas sum to one, so that the limit holds
-//! without coordination.
+//! share of the rate, and a token bucket that is refilled in proportion to the quota. The quotas sum to one, so that the
+//! limit holds without coordination.
 //!
 //! Each machine may send its saved tokens in addition. A bucket holds at most as many tokens as the quota yields in the
 //! burst time, so that the total over all machines does not depend on their number. A quota that yields less than one
@@ -49,7 +49,8 @@
     within_target.min(early_rejection)
 }
 
-/// The operator's limit: in any window, there are at most `over` times as many requests as the rate yields.
+/// The operator's limit: in any window, there are at most `overshoot_factor` times as many requests
+/// as the rate yields.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimitSettings {
     /// Length of the window in milliseconds.
@@ -88,7 +89,7 @@
     Edge {
         /// Number of edges.
         edge_count: usize,
-        /// Whether there are no shields. Edges share the part of the shields then.
+        /// Whether there are no shields, so that edges share the part of the rate that shields have otherwise.
         without_shields: bool,
     },
 }
--- a/control-plane/src/record.rs
+++ b/control-plane/src/record.rs
@@ -1,15 +1,16 @@
 //! The replicated state, and the rules by which an order is applied to it or rejected. An order is an operator's change
 //! of the configuration together with the version that it builds on.
 //!
-//! The decision is deterministic: it depends only on the record and the order, so that every head decides alike.
+//! The decision is deterministic: it depends only on the record and the order, so that every
+//! node that becomes the head of the chain makes the same decision.
 
 use serde::{Deserialize, Serialize};
 
 use crate::config::{ConfigChange, InvalidConfig, NewDocument};
 use crate::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey, LogEntry};
 
-/// The state that the chain replicates: the newest configuration document, and the deduplication table of the orders that
-/// produced it.
+/// The state that the chain replicates: the newest configuration document, and the deduplication table of the orders
+/// that produced it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Log index, which is the number of orders applied so far.
--- a/control-plane/src/registry/mod.rs
+++ b/control-plane/src/registry/mod.rs
@@ -6,8 +6,8 @@
 //! `acceptance`). After a downtime of a heartbeat interval or more, the registry is incomplete until this node has
 //! accepted heartbeats for as long as a server takes to expire.
 //!
-//! Calls of a server may arrive out of order, and a peer that was stopped or partitioned sends old entries. Three rules
-//! prevent such messages from reviving a server:
+//! Calls of a server, which are its heartbeat requests, may arrive out of order, and a peer that was stopped or
+//! partitioned sends old entries. Three rules prevent such messages from reviving a server:
 //!
 //! - A deregistered server remains as a tombstone, which no later entry of the server replaces.
 //! - The sequence number of an expired server's last call is remembered, and only a later call registers it again.
@@ -147,8 +147,8 @@
         HeartbeatOutcome::Changed
     }
 
-    /// Whether an entry of a server that is not in the registry is not newer than the server's last known call, or is
-    /// older than the entry of another server at the same address. A tombstone is never stale.
+    /// Whether the entry of a server that is not in the registry is outdated: it is no newer than the server's last
+    /// known call, or older than the entry of another server at the same address. A tombstone is never stale.
     fn is_stale(&self, observed_at: Millis, entry: &ServerEntry) -> bool {
         if entry.is_deregistered() {
             return false;
