--- a/control-plane-sim/src/action.rs
+++ b/control-plane-sim/src/action.rs
@@ -56,7 +56,7 @@
         /// The node that receives the first attempt.
         #[serde(rename = "at")]
         receiver: u8,
-        /// The new version less the newest known one.
+        /// The difference between the new version and the newest known one.
         #[serde(rename = "raise")]
         version_step: u64,
         /// The kind of document in the request.
@@ -71,7 +71,7 @@
         /// The node that receives the request.
         #[serde(rename = "at")]
         receiver: u8,
-        /// The new version less the newest known one.
+        /// The difference between the new version and the newest known one.
         #[serde(rename = "raise")]
         version_step: u64,
     },
--- a/control-plane-sim/src/coverage.rs
+++ b/control-plane-sim/src/coverage.rs
@@ -11,13 +11,13 @@
     pub reads: u64,
     /// Rejected change requests.
     pub refusals: u64,
-    /// Change requests that were sent again, after a time-out or as duplicates.
+    /// Change requests that were sent again, after a timeout or as duplicates.
     pub repeats: u64,
     /// Sessions that received a configuration.
     pub sessions: u64,
-    /// Views that became active.
+    /// Views that have started.
     pub views: u64,
-    /// Active views whose members differ from those of the view before.
+    /// Started views whose voters differ from those of the started view before.
     pub member_changes: u64,
     /// Voter changes that began at the request of an operator.
     #[serde(rename = "seats")]
--- a/control-plane-sim/src/machine/mod.rs
+++ b/control-plane-sim/src/machine/mod.rs
@@ -42,7 +42,7 @@
     pub(crate) sessions: SessionQueue,
     /// The number of processes that have ended on this machine; identifies the current process.
     pub(crate) incarnation: u64,
-    /// The sequence number of the newest change that this process has published.
+    /// The log index of the newest change that this process has published.
     pub(crate) published: u64,
     /// The random stream of disk write durations, and of the order in which simultaneous inputs are handled.
     pub(crate) rng: ChaCha8Rng,
--- a/control-plane-sim/src/network/mod.rs
+++ b/control-plane-sim/src/network/mod.rs
@@ -13,8 +13,8 @@
 
 use channel::{Channel, MAX_NOTIFICATION_DELAY};
 
-/// An end closes a link after a time without messages that is drawn from this range, less the time that has passed
-/// since the last message.
+/// Time from the beginning of a fault until an end closes the link because it receives nothing. It is shorter than the
+/// read timeout of a connection by the time that has already passed since the last message.
 const READ_TIMEOUT: Range<Millis> = 1000..1500;
 /// A link that can connect does so with a probability of one in this many at each step.
 const STEPS_PER_CONNECT: u32 = 5;
--- a/control-plane-sim/src/operators.rs
+++ b/control-plane-sim/src/operators.rs
@@ -126,7 +126,7 @@
     last_call: u64,
     /// The outcome of each answered call.
     pub(crate) outcomes: BTreeMap<u64, Outcome>,
-    /// The index of the first acknowledged change request that builds on each version.
+    /// By version: the index of the first acknowledged change request that builds on it.
     pub(crate) acknowledged: BTreeMap<u64, u64>,
     pub(crate) newest_acknowledged: u64,
     pub(crate) newest_committed: u64,
--- a/control-plane-sim/src/schedule/targeted.rs
+++ b/control-plane-sim/src/schedule/targeted.rs
@@ -1,5 +1,5 @@
 //! Schedules that target scenarios which random ones rarely reach: a promise that is lost before it is counted, a read
-//! that overtakes the confirmation that its view is active, proposals that interleave, losses and partitions during a
+//! that arrives before the message that its view has started, proposals that interleave, losses and partitions during a
 //! voter change, reads at a partitioned node, and a power failure at an acknowledgement.
 //!
 //! Targeted schedules have a seed space of their own: seed 1 here is unrelated to seed 1 of [`Schedule::generate`].
@@ -17,7 +17,7 @@
 use crate::rng;
 use crate::world::SYNC_TIME;
 
-/// Without faults, the first view is active by this time.
+/// Without faults, the first view has started by this time.
 const FIRST_VIEW_DEADLINE: Millis = 800;
 /// The number of scenarios in one schedule.
 const SCENARIOS_PER_SCHEDULE: usize = 2;
@@ -173,9 +173,8 @@
         promised_at + 1_300 + RECOVERY_TIME
     }
 
-    /// All processes restart, and know of no committed change until a view is active. The message to the tail that the
-    /// view is active is delayed, and a read is not. The member before the tail loses a link once it has accepted the
-    /// view.
+    /// All processes restart, and know of no committed change until a view has started. The `StartView` message to the
+    /// tail is delayed, and a read is not. The member before the tail loses a link once it has accepted the view.
     fn read_overtakes_start_of_view(&mut self, at: Millis) -> Millis {
         let (tail, all) = (self.size.voters(), self.all_nodes());
         let before_tail = tail - 1;
@@ -257,8 +256,8 @@
         }
     }
 
-    /// Requests a voter change at a node, which then proposes the two views of the change. Messages from this node to
-    /// the other voters are delayed.
+    /// Requests a voter change at a node, which then proposes the views of the change. Messages from this node to the
+    /// other voters are delayed.
     ///
     /// Returns the approximate time at which the node sends one of the views at random: the first, which adds the new
     /// voter, or the second, which requires majorities of both voter sets.
@@ -268,8 +267,8 @@
         let pairs = pairs_to_each(proposer, &others);
         self.add(at, Action::Delay { pairs, extra_delay, duration: 1_500 });
         self.add(at, Action::RemoveVoter { receiver: proposer, node: removed });
-        // The first view is sent once a promise has arrived; the second once the first is active and another promise
-        // has arrived.
+        // The first view is sent once a promise has arrived; the second once the first has started and another
+        // promise has arrived.
         let sent_after = match self.rng.random() {
             true => PROPOSAL_DELAY + 30 + extra_delay,
             false => 2 * PROPOSAL_DELAY + 30 + 3 * extra_delay,
--- a/control-plane-sim/src/violation.rs
+++ b/control-plane-sim/src/violation.rs
@@ -2,8 +2,8 @@
 
 use glenfall_control_plane::Millis;
 
-/// A violated invariant, with the values observed. Versions are those of configuration documents; sequence numbers
-/// count the committed changes.
+/// A violated invariant, with the values observed. Versions are those of configuration documents; log indexes count
+/// the committed changes.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// A process published an older change after a newer one.
@@ -11,17 +11,17 @@
     PublishedOutOfOrder {
         /// The machine of the process.
         node: u8,
-        /// The sequence number of the change that was published last.
+        /// The log index of the change that was published last.
         seq: u64,
-        /// The sequence number of the change that was published before it.
+        /// The log index of the change that was published before it.
         published_before: u64,
     },
-    /// Two documents were committed under one sequence number.
+    /// Two documents were committed under one log index.
     #[error(
         "two different documents were committed as change {seq}: version {first}, then version {second}"
     )]
     TwoCommitted {
-        /// The sequence number.
+        /// The log index of both.
         seq: u64,
         /// The version that was committed first.
         first: u64,
@@ -31,7 +31,7 @@
     /// A committed version is not higher than the one before it.
     #[error("change {seq} was committed as version {rev}, which is not higher than the version before it")]
     VersionNotIncreased {
-        /// The sequence number of the change.
+        /// The log index of the change.
         seq: u64,
         /// Its version.
         rev: u64,
--- a/control-plane-sim/src/world/loss_budget.rs
+++ b/control-plane-sim/src/world/loss_budget.rs
@@ -14,9 +14,9 @@
 impl World {
     /// Returns how many more disks may be lost now.
     ///
-    /// That is as many as the voters tolerate, less the voters that have lost their vote and have not been in an active
+    /// That is as many as the voters tolerate, less the voters that have lost their vote and have not been in a started
     /// view since, and less the spare machines that lost their disks within the last `SYNC_TIME`. Until the first view
-    /// is active, the seeds are the voters.
+    /// has started, the seeds are the voters.
     pub fn tolerated_disk_losses(&self) -> usize {
         let newest = self.newest_members();
         let members = [Some(&self.newest_view.members), newest.as_ref()].into_iter().flatten();
--- a/control-plane-sim/src/world/mod.rs
+++ b/control-plane-sim/src/world/mod.rs
@@ -35,7 +35,7 @@
     action: Action,
 }
 
-/// The newest view that any node has known to be active.
+/// The newest view that any node has known to have started.
 struct NewestView {
     number: u64,
     members: JointConfig,
@@ -56,7 +56,7 @@
     pub machines: Vec<Machine>,
     network: Network,
     operators: Operators,
-    /// All changes committed so far, by sequence number.
+    /// All changes committed so far, by log index.
     pub committed: BTreeMap<u64, CommittedChange>,
     /// What the run has exercised so far.
     pub coverage: Coverage,
--- a/control-plane-sim/src/world/oracle.rs
+++ b/control-plane-sim/src/world/oracle.rs
@@ -26,7 +26,7 @@
     serde_json::from_slice::<DocumentRequest>(document).ok().map(|parsed| parsed.order)
 }
 
-/// The committed change with the next lower known sequence number.
+/// The committed change with the next lower known log index.
 #[derive(Clone, Copy)]
 struct PreviousChange {
     seq: u64,
--- a/control-plane-sim/tests/schedules.rs
+++ b/control-plane-sim/tests/schedules.rs
@@ -1,6 +1,6 @@
-//! Runs thousands of schedules of all kinds, and verifies that injected bugs are detected. In
-//! `SCHEDULES=n cargo test -p glenfall-control-plane-sim` the variable sets the number of random schedules;
-//! `AIMED_SCHEDULES` sets that of targeted ones. A failing seed replays with `glenfall-lab schedules`.
+//! Runs thousands of schedules of all kinds, and verifies that injected bugs are detected. The environment variable
+//! `SCHEDULES` sets the number of random schedules, and `AIMED_SCHEDULES` that of targeted ones. A failing seed replays
+//! with `glenfall-lab schedules`.
 
 use glenfall_control_plane_sim::{
     shrink, Action, Coverage, Event, InjectedBug, InvalidSchedule, Schedule, Violation,
