--- a/control-plane-sim/src/network/mod.rs
+++ b/control-plane-sim/src/network/mod.rs
@@ -13,8 +13,8 @@
 
 use channel::{Channel, MAX_NOTIFICATION_DELAY};
 
-/// An end closes a link after a time without messages that is drawn from this range, less the time that has passed
-/// since the last message.
+/// Time from the beginning of a fault until an end closes the link because it receives nothing. It is shorter than the
+/// read timeout of a connection by the time that has already passed since the last message.
 const READ_TIMEOUT: Range<Millis> = 1000..1500;
 /// A link that can connect does so with a probability of one in this many at each step.
 const STEPS_PER_CONNECT: u32 = 5;
@@ -298,8 +298,8 @@
         let [first, second] = ends;
         for (own, peer) in [(first, second), (second, first)] {
             let channel = self.channel(peer.machine, own.machine);
-            let silent_since = peer.endpoint.paused_since.or(channel.blocked_since(now));
-            let expires = silent_since.is_some_and(|since| now >= since + READ_TIMEOUT.start);
+            let no_messages_since = peer.endpoint.paused_since.or(channel.blocked_since(now));
+            let expires = no_messages_since.is_some_and(|since| now >= since + READ_TIMEOUT.start);
             if expires && channel.rng.random_ratio(1, STEPS_PER_TIMEOUT) {
                 self.close_link(now, own.machine, peer.machine);
                 return;
--- a/control-plane/src/retry_budget.rs
+++ b/control-plane/src/retry_budget.rs
@@ -17,7 +17,7 @@
 const BUCKETS_PER_WINDOW: u64 = 10;
 /// Share of the operator's limit that is used. The remainder allows for requests that are counted later at the receiver
 /// than at the sender, and for machines that learn at different times that a machine was added or removed.
-const BOUND_UTILIZATION: f64 = 0.85;
+const LIMIT_UTILIZATION: f64 = 0.85;
 /// Maximum number of services that are counted. Requests to further services are not retried.
 pub const MAX_SERVICES: usize = 1024;
 
@@ -95,7 +95,7 @@
         if self.pending_share.is_some_and(|pending| pending.share == share) {
             return;
         }
-        // A share that is smaller than the pending one is a part of it, so that it takes effect at the same time.
+        // A new share below the pending one is a part of it, so that it can take effect as early as the pending one.
         let larger_pending = self.pending_share.filter(|pending| share < pending.share);
         let effective_at = larger_pending.map_or(now + self.settings.window, |pending| pending.effective_at);
         self.pending_share = Some(PendingShare { share, effective_at });
@@ -160,7 +160,7 @@
         let retries: u32 = buckets.iter().map(|bucket| bucket.retries).sum();
         let counted = buckets.iter().filter(|bucket| bucket.is_within_window(current));
         let requests: u32 = counted.map(|bucket| bucket.requests).sum();
-        let budget = (ratio * f64::from(requests) + share) * BOUND_UTILIZATION;
+        let budget = (ratio * f64::from(requests) + share) * LIMIT_UTILIZATION;
         if f64::from(retries + 1) > budget {
             return false;
         }
