--- a/glenfall/src/control/inbound.rs
+++ b/glenfall/src/control/inbound.rs
@@ -17,8 +17,7 @@
 /// Pause after a failure to accept a connection.
 const ACCEPT_RETRY_PAUSE: Duration = TICK_INTERVAL;
 
-/// Accepts connections for as long as the process runs. `reach` tells whether they come from the same machine or over
-/// the network.
+/// Accepts connections for as long as the process runs. `location` is where the subscribers of this listener are.
 pub async fn accept(control: Rc<Control>, listener: TcpListener, location: SubscriberLocation) {
     loop {
         match listener.accept().await {
--- a/glenfall/src/control/mod.rs
+++ b/glenfall/src/control/mod.rs
@@ -14,7 +14,7 @@
 //! | `quorum_reads` | the callers that wait for a quorum read |
 //! | `voter_leases` | leases that this node holds and has granted, and the sets of voters that they depend on |
 //! | `purge_log_completeness` | which peers have sent their purge history, and whether that of this node is complete |
-//! | `purge_durability` | on which nodes' disks each pending purge is |
+//! | `purge_durability` | which nodes have each pending purge on disk |
 //! | `purge_coordinator` | the purge history and the numbers of purges |
 //! | `server_registry` | the servers that this node knows |
 //! | `fleet_publisher` | the fleet as published to sessions |
--- a/glenfall/src/control/node.rs
+++ b/glenfall/src/control/node.rs
@@ -68,8 +68,8 @@
 }
 
 /// The initial state of the chain, depending on what was found on disk.
-fn chain_start(found: RecoveredState, bootstrap: bool, seeds: &[Ipv4Addr]) -> Start {
-    match found {
+fn chain_start(recovered: RecoveredState, bootstrap: bool, seeds: &[Ipv4Addr]) -> Start {
+    match recovered {
         RecoveredState::Intact(state) => Start::Recovered(state),
         RecoveredState::Missing if bootstrap => Start::Fresh(seeds.to_vec()),
         RecoveredState::Missing => Start::Wiped,
@@ -100,8 +100,8 @@
             .state_dir
             .clone()
             .ok_or("stateDir: not set; a control node needs a directory for its state")?;
-        let (store, found) = Store::open(&folder)?;
-        let start = chain_start(found, settings.bootstrap, seeds);
+        let (store, recovered) = Store::open(&folder)?;
+        let start = chain_start(recovered, settings.bootstrap, seeds);
         let is_first_start = matches!(start, Start::Fresh(_));
         let (purge_log, logged_purges) = PurgeLog::open(&folder)?;
         let local = ProcessId { ip: settings.bind_ip, incarnation: crate::session::incarnation() };
--- a/glenfall/src/control/peers/links.rs
+++ b/glenfall/src/control/peers/links.rs
@@ -111,7 +111,7 @@
     }
 
     /// Queues a message on the outbound connection to a peer, if it is open. If its queue is full, the message is
-    /// not sent, and the task that reads the connection closes it.
+    /// dropped. The connection is closed only once a write to it has failed or timed out.
     pub fn send(&self, peer: Ipv4Addr, message: PeerMessage) {
         if let Some(outbound) = self.links.borrow().get(&peer).and_then(|link| link.outbound.as_ref()) {
             let _ = outbound.send(message);
--- a/glenfall/src/control/peers/requests.rs
+++ b/glenfall/src/control/peers/requests.rs
@@ -35,7 +35,7 @@
 struct PendingRequest {
     unacknowledged: BTreeSet<Ipv4Addr>,
     /// Peers whose acknowledgement covers every process that may use a lease that they granted.
-    complete: Vec<Ipv4Addr>,
+    complete_peers: Vec<Ipv4Addr>,
     /// The first peer that disconnected before it acknowledged.
     disconnected: Option<Ipv4Addr>,
 }
@@ -44,7 +44,7 @@
     fn new(peers: &[Ipv4Addr]) -> Self {
         PendingRequest {
             unacknowledged: peers.iter().copied().collect(),
-            complete: Vec::new(),
+            complete_peers: Vec::new(),
             disconnected: None,
         }
     }
@@ -57,7 +57,7 @@
         let unacknowledged = Vec::from_iter(self.unacknowledged);
         match self.disconnected {
             Some(disconnected) => Err(RequestError::Disconnected { disconnected, unacknowledged }),
-            None if unacknowledged.is_empty() => Ok(self.complete),
+            None if unacknowledged.is_empty() => Ok(self.complete_peers),
             None => Err(RequestError::TimedOut { unacknowledged }),
         }
     }
@@ -100,8 +100,8 @@
         PeerRequests { links, pending: RefCell::default(), next_id: Cell::new(1), progress: Notify::new() }
     }
 
-    /// Sends a request to these peers and waits until each has acknowledged it; returns those whose acknowledgement was
-    /// complete.
+    /// Sends a request to these peers and waits until each has acknowledged it. Returns those whose acknowledgement was
+    /// complete: it covers every process that may use a lease that the peer granted.
     ///
     /// # Errors
     ///
@@ -142,7 +142,7 @@
         }
         if let Some(request) = self.pending.borrow_mut().get_mut(&id.number) {
             if request.unacknowledged.remove(&peer) && complete {
-                request.complete.push(peer);
+                request.complete_peers.push(peer);
             }
         }
         self.progress.notify_waiters();
--- a/glenfall/src/control/purge_coordinator.rs
+++ b/glenfall/src/control/purge_coordinator.rs
@@ -36,8 +36,9 @@
 /// Why a purge was not acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PurgeError {
-    /// Its record is not on one disk more than the number of hosts that may be lost. Shields store responses on disk:
-    /// if all machines lose power, only a record on disk tells that these responses are invalid.
+    /// Its record is on too few disks: one more is required than the number of hosts that may be lost. Shields store
+    /// responses on disk, so that after a power loss of all machines only a record on disk shows that these responses
+    /// are invalid.
     #[error("record of the purge is durable on fewer than {required} disks")]
     NotDurable {
         /// The number of disks that must have the record.
@@ -51,13 +52,9 @@
 
 /// The parts of a control node that a [`PurgeCoordinator`] uses.
 pub struct PurgeDependencies {
-    /// The clock of the process.
     pub clock: Clock,
-    /// The links to peers.
     pub links: Rc<PeerLinks>,
-    /// Requests to peers.
     pub requests: Rc<PeerRequests>,
-    /// The sessions at this node.
     pub sessions: Rc<Sessions>,
     /// The leases that this node has granted.
     pub leases: Rc<VoterLeaseManager>,
@@ -130,7 +127,7 @@
             already_notified: Some(notified.clone()),
         };
         let peers = addresses(&notified);
-        let (acknowledged, applied, other_leases_over, durable) = tokio::join!(
+        let (acknowledged, applied, other_leases_ended, durable) = tokio::join!(
             requests.send_to_all(&peers, request, PURGE_TIMEOUT),
             self.apply_at_sessions(PURGE_TIMEOUT),
             leases.wait_for_other_leases_to_end(&notified, PURGE_TIMEOUT),
@@ -144,8 +141,9 @@
             );
             return Err(PurgeError::NotDurable { required: self.required_disks });
         }
-        let is_quorum = acknowledged.is_ok_and(|complete| leases.is_quorum_for_all_leases(&complete));
-        if !(other_leases_over && applied && is_quorum) {
+        let is_quorum =
+            acknowledged.is_ok_and(|complete_peers| leases.is_quorum_for_all_leases(&complete_peers));
+        if !(other_leases_ended && applied && is_quorum) {
             return Err(PurgeError::NotApplied);
         }
         let unapplied = sessions.lease_holders_not_applied(&leased);
--- a/glenfall/src/control/purge_durability.rs
+++ b/glenfall/src/control/purge_durability.rs
@@ -1,4 +1,4 @@
-//! Tracks on how many control nodes' disks the record of a purge is durable.
+//! Tracks which control nodes have the record of a purge on disk.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
--- a/glenfall/src/control/purge_log.rs
+++ b/glenfall/src/control/purge_log.rs
@@ -79,7 +79,6 @@
     }
 }
 
-/// The database of the log.
 struct LogFile {
     path: PathBuf,
     /// `None` until the file has been opened.
@@ -135,7 +134,6 @@
     Ok(())
 }
 
-/// A row of the log.
 struct Row {
     /// The wall-clock time of the purge, in milliseconds.
     at: i64,
--- a/glenfall/src/control/server_replication.rs
+++ b/glenfall/src/control/server_replication.rs
@@ -55,21 +55,15 @@
 
 /// The parts of a control node that [`ServerReplication`] uses.
 pub struct ReplicationDependencies {
-    /// The clock of the process.
     pub clock: Clock,
     /// The chain, which knows the voters and which nodes each peer is connected to.
     pub chain: Rc<ChainDriver>,
-    /// The links to peers.
     pub links: Rc<PeerLinks>,
-    /// Requests to peers.
     pub requests: Rc<PeerRequests>,
     /// Quorum reads, which prove that this node is in contact with a quorum.
     pub quorum_reads: Rc<QuorumReads>,
-    /// The servers that this node knows.
     pub registry: Rc<ServerRegistry>,
-    /// The fleet that is published to sessions.
     pub fleet: Rc<FleetPublisher>,
-    /// The sessions at this node.
     pub sessions: Rc<Sessions>,
 }
 
@@ -248,7 +242,7 @@
         self.dependencies.requests.send_to_all(peers, request, PEER_REPLICATION_TIMEOUT).await.map(drop)
     }
 
-    /// The peers that are connected to this node but, by the last heartbeat of `node`, not to `node`.
+    /// The peers that are connected to this node but not to `node`, according to the last heartbeat of `node`.
     fn peers_not_reached_by(&self, node: Ipv4Addr) -> Vec<Ipv4Addr> {
         let chain = self.dependencies.chain.state();
         let reached = chain.connected_peers_of(node);
--- a/glenfall/src/control/session_publisher.rs
+++ b/glenfall/src/control/session_publisher.rs
@@ -21,7 +21,7 @@
 }
 
 impl<'a> SessionPublisher<'a> {
-    /// `reach` tells whether the subscriber is on the same machine or connects over the network.
+    /// `location` is that of the subscriber, which decides whether the opening of its session has a time limit.
     pub fn new(control: &'a Control, location: SubscriberLocation) -> Self {
         SessionPublisher { control, location }
     }
--- a/glenfall/src/control/store/idempotency_keys.rs
+++ b/glenfall/src/control/store/idempotency_keys.rs
@@ -73,8 +73,8 @@
     })
 }
 
-/// Reads the table that a state refers to. Fails if a row is missing or damaged, or if the state does not refer
-/// to a row.
+/// Reads the table that a state refers to. Fails if a row is missing or damaged, or if there is a row to which the
+/// state does not refer.
 pub(super) fn read(db: &Connection, stored: &StoredTable) -> Result<DeduplicationTable, StoreError> {
     let rows: i64 = db.query_row("SELECT count(*) FROM taken", [], |row| row.get(0))?;
     if usize::try_from(rows) != Ok(stored.full_chunks.len()) {
--- a/glenfall/src/control/store/mod.rs
+++ b/glenfall/src/control/store/mod.rs
@@ -68,7 +68,7 @@
         if folder.is_database_lost() {
             folder.set_aside()?;
         }
-        let (store, found) = match Store::open_database(&folder) {
+        let (store, recovered) = match Store::open_database(&folder) {
             Ok(OpenedStore { store, state }) => (store, recovered_state(&folder, state)),
             Err(error) if error.is_damage() => {
                 folder.set_aside()?;
@@ -80,7 +80,7 @@
         // The directory entries must be durable before this node acknowledges anything that it writes to the files.
         disk::sync_folder(path)?;
         folder.record_creation()?;
-        Ok((store, found))
+        Ok((store, recovered))
     }
 
     fn open_database(folder: &StateFolder) -> Result<OpenedStore, StoreError> {
--- a/glenfall/src/control/store/state_folder.rs
+++ b/glenfall/src/control/store/state_folder.rs
@@ -19,7 +19,6 @@
 /// Smallest length of a database file in bytes, which is SQLite's smallest page size.
 const MIN_DATABASE_BYTES: u64 = 512;
 
-/// The folder of a store.
 pub(super) struct StateFolder<'a> {
     path: &'a Path,
 }
--- a/glenfall/src/control/voter_leases.rs
+++ b/glenfall/src/control/voter_leases.rs
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Requests leases from the voters once per `VOTER_LEASE_RENEWAL_INTERVAL`. If this node is shutting down and no session holds a
-    /// lease from it, it releases its leases instead.
+    /// Requests leases from the voters once per `VOTER_LEASE_RENEWAL_INTERVAL`. If this node is shutting down and no
+    /// session holds a lease from it, it releases its leases instead.
     pub fn renew(&self, shutting_down: bool) {
         let now = self.clock.now();
         self.voters.borrow_mut().record(now, self.chain.state().members());
@@ -165,7 +165,7 @@
         if self.unknown_grants_end > self.clock.now() + time_limit.as_millis() as Millis {
             return false;
         }
-        let other_leases_over = async {
+        let other_leases_ended = async {
             loop {
                 let now = self.clock.now();
                 let end = self.last_lease_end(now, notified);
@@ -175,7 +175,7 @@
                 sleep(Duration::from_millis(end - now).min(LEASE_POLL_INTERVAL)).await;
             }
         };
-        timeout(time_limit, other_leases_over).await.is_ok()
+        timeout(time_limit, other_leases_ended).await.is_ok()
     }
 
     /// When the last lease ends that this address has granted to a process other than `notified`; 0 if there is none.
