--- a/glenfall/src/session/lease.rs
+++ b/glenfall/src/session/lease.rs
@@ -43,7 +43,7 @@
         self.clock_start + Duration::from_millis(self.lease.get().expires_at())
     }
 
-    /// Whether the lease is valid now.
+    /// Whether there is a lease that has not expired.
     pub fn is_valid(&self) -> bool {
         self.lease.get().is_valid(self.now())
     }
--- a/glenfall/src/session/mod.rs
+++ b/glenfall/src/session/mod.rs
@@ -9,7 +9,7 @@
 use std::hash::{BuildHasher, RandomState};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A random number that tells this process from an earlier or later one at the same address.
+/// A random number that distinguishes this process from earlier and later ones at the same address.
 pub fn incarnation() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let random = RandomState::new().hash_one(since_epoch.as_nanos());
--- a/glenfall/src/session/publisher/acknowledgement.rs
+++ b/glenfall/src/session/publisher/acknowledgement.rs
@@ -22,12 +22,12 @@
 
 impl Sessions {
     /// Waits until every session has applied the updates sent to it before the call, or has ended. Returns false if that
-    /// takes longer than `max_wait`.
-    pub async fn wait_until_applied(&self, max_wait: Duration) -> bool {
+    /// takes longer than `time_limit`.
+    pub async fn wait_until_applied(&self, time_limit: Duration) -> bool {
         let mut pending = self.pending_of_all();
-        let is_complete = timeout(max_wait, self.await_acknowledgements(&mut pending)).await.is_ok();
+        let is_applied = timeout(time_limit, self.await_acknowledgements(&mut pending)).await.is_ok();
         self.record_overdue(&pending);
-        is_complete
+        is_applied
     }
 
     async fn await_acknowledgements(&self, pending: &mut Vec<PendingAcknowledgement>) {
@@ -42,13 +42,14 @@
         }
     }
 
-    /// Waits until no session can serve a response that a purge pushed before the call has removed: each session that was
-    /// granted a lease has applied its updates, or its lease has ended. Returns false if that takes longer than `max_wait`.
+    /// Waits until no session can serve a response that is invalidated by a purge pushed before the call: each session
+    /// that was granted a lease has applied its updates, or its lease has ended. Returns false if that takes longer than
+    /// `time_limit`.
     ///
     /// Sessions that are overdue are granted no lease until they have applied their updates, so that the next caller does
     /// not wait long for them.
-    pub async fn wait_until_purged(&self, max_wait: Duration) -> bool {
-        let deadline = Instant::now() + max_wait;
+    pub async fn wait_until_purged(&self, time_limit: Duration) -> bool {
+        let deadline = Instant::now() + time_limit;
         let mut pending = self.pending_of_lease_holders();
         loop {
             let acknowledged = self.acknowledged.notified();
--- a/glenfall/src/session/publisher/leases.rs
+++ b/glenfall/src/session/publisher/leases.rs
@@ -39,8 +39,8 @@
 
     /// Grants a lease for a request that was received at this reading of the clock. Returns its duration, counted from
     /// the request; `None` if the publisher has no lease itself.
-    pub(super) fn grant(&self, holder: SessionId, received: Millis) -> Option<Millis> {
-        self.grants.borrow_mut().grant_sublease(self.now(), holder, received, self.own_expiry.get())
+    pub(super) fn grant(&self, holder: SessionId, received_at: Millis) -> Option<Millis> {
+        self.grants.borrow_mut().grant_sublease(self.now(), holder, received_at, self.own_expiry.get())
     }
 
     pub(super) fn release(&self, holder: SessionId) {
--- a/glenfall/src/session/publisher/serve.rs
+++ b/glenfall/src/session/publisher/serve.rs
@@ -30,9 +30,9 @@
 
 /// A connection on which a subscriber opens a session.
 pub struct SubscriberConnection {
-    /// Where the subscriber is.
+    /// Where the subscriber is. On the same machine, a closed connection also ends the subscriber's lease.
     pub location: SubscriberLocation,
-    /// The receiving side.
+    /// The receiving side, whose next message is the subscriber's hello.
     pub frames: FrameReader,
     /// The sending side.
     pub outbox: Outbox<PublisherMessage>,
@@ -116,8 +116,8 @@
                 }
                 received = frames.next_or_timeout() => match received {
                     Ok(message) => {
-                        let is_answered = self.handle(message);
-                        if is_answered {
+                        let is_lease_sent = self.handle(message);
+                        if is_lease_sent {
                             keepalive.reset();
                         }
                     }
@@ -129,7 +129,7 @@
                     }
                 }
                 () = outbox.closed() => return SessionEnd::Lost,
-                // No updates are pushed to a removed session. Its subscriber must notice, or it would count as up to date.
+                // No updates are pushed to a removed session, so that its subscriber has to open a new one.
                 _ = &mut removed => return SessionEnd::Lost,
             }
         }
@@ -175,7 +175,7 @@
 
     /// Records a request for a lease; true if one was granted at once.
     fn renew_lease(&self, sent_at: Millis) -> bool {
-        let request = LeaseRequest { sent_at, received: self.sessions.leases.now() };
+        let request = LeaseRequest { sent_at, received_at: self.sessions.leases.now() };
         let renew = |session: &mut Session| {
             let is_first = session.lease_request().is_none();
             session.set_lease_request(Some(request));
--- a/glenfall/src/session/publisher/session.rs
+++ b/glenfall/src/session/publisher/session.rs
@@ -20,10 +20,9 @@
     /// The reading of the subscriber's clock when it sent the request.
     pub(super) sent_at: Millis,
     /// The reading of the publisher's clock when it received the request.
-    pub(super) received: Millis,
+    pub(super) received_at: Millis,
 }
 
-/// The state of a session.
 pub(super) struct Session {
     outbox: Outbox<PublisherMessage>,
     /// Dropped with the session, which ends the task that serves it.
--- a/glenfall/src/session/publisher/sessions.rs
+++ b/glenfall/src/session/publisher/sessions.rs
@@ -52,9 +52,9 @@
     ///
     /// If the process had no lease, sessions that have requested one meanwhile are granted it now. Otherwise a shield would
     /// have none until its next request, and edges that hold one would reject its stored responses.
-    pub fn set_own_lease_end(&self, until: Instant) {
+    pub fn set_own_lease_end(&self, lease_end: Instant) {
         let had_lease = self.leases.has_own_lease();
-        self.leases.set_own_expiry(until);
+        self.leases.set_own_expiry(lease_end);
         if self.grant_trigger == GrantTrigger::OwnRenewal || !had_lease {
             for (id, session) in self.by_id.borrow().iter() {
                 let _ = self.grant(*id, session);
@@ -69,7 +69,7 @@
         if self.overdue.contains(id) {
             return false;
         }
-        let Some(duration) = self.leases.grant(id, request.received) else { return false };
+        let Some(duration) = self.leases.grant(id, request.received_at) else { return false };
         session.send(PublisherMessage::LeaseGranted { sent_at: request.sent_at, duration })
     }
 
@@ -83,7 +83,7 @@
     /// Pushes an update to all sessions. A configuration goes only to those that have been sent the newest one.
     pub fn push(&self, update: &Update) {
         // A session whose queue is full would miss this update, yet acknowledge it with the next one. It is ended, and its
-        // subscriber receives the whole state on a new session.
+        // subscriber receives the complete state on a new session.
         self.by_id
             .borrow_mut()
             .retain(|_, session| !session.receives(update) || session.push(update.clone()));
