--- a/glenfall/src/agent/control_link.rs
+++ b/glenfall/src/agent/control_link.rs
@@ -11,12 +11,11 @@
 use crate::session::subscriber;
 use crate::settings::Settings;
 
-/// Pause before the control nodes are tried again. It doubles each time that none of them can be reached.
-const MIN_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Upper bound of this pause.
-const MAX_RETRY_PAUSE: Duration = Duration::from_millis(800);
+/// Initial pause before the control nodes are tried again. It doubles each time that none of them can be reached.
+const RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
+/// Upper limit of the pause before the control nodes are tried again.
+const MAX_RECONNECT_BACKOFF: Duration = Duration::from_millis(800);
 
-/// A connection to a control node.
 struct ControlConnection {
     addr: SocketAddrV4,
     frames: FrameReader,
@@ -38,16 +37,16 @@
 
     /// Runs sessions with control for as long as the process runs.
     pub(super) async fn run(&mut self) {
-        let mut pause = MIN_RETRY_PAUSE;
+        let mut backoff = RECONNECT_BACKOFF;
         loop {
             match self.connect().await {
                 Some(connection) => {
                     self.run_session(connection).await;
-                    pause = MIN_RETRY_PAUSE;
+                    backoff = RECONNECT_BACKOFF;
                 }
-                None => pause = (pause * 2).min(MAX_RETRY_PAUSE),
+                None => backoff = (backoff * 2).min(MAX_RECONNECT_BACKOFF),
             }
-            sleep(pause).await;
+            sleep(backoff).await;
         }
     }
 
--- a/glenfall/src/agent/relay.rs
+++ b/glenfall/src/agent/relay.rs
@@ -113,7 +113,7 @@
                     }
                 }
             }
-            // Nothing is recorded: the first update of a session has all purges that may have been missed.
+            // Purges are not recorded: the first update of a proxy's session purges everything.
             Update::Purges(purges) => self.purge(purges).await,
             Update::Connected(is_connected) => self.set_connected(is_connected),
         }
--- a/glenfall/src/edge/local_cache.rs
+++ b/glenfall/src/edge/local_cache.rs
@@ -11,8 +11,8 @@
 
 use crate::cache::{Cache, ObjectKey, StoredResponse};
 
-/// How long after a purge no response that it matches is stored. A shield may receive the purge later than this edge, and
-/// a response from before the purge may be in flight.
+/// Time after a purge during which no response that it matches is stored. A shield may receive the purge later than
+/// this edge, and a response from before the purge may be in flight.
 pub const PURGE_BARRIER_TIME: Duration = Duration::from_secs(3);
 /// Maximum number of purges that are kept for [`PURGE_BARRIER_TIME`]. Beyond it, all objects count as purged.
 pub const MAX_RECENT_PURGES: usize = 1024;
--- a/glenfall/src/edge/mod.rs
+++ b/glenfall/src/edge/mod.rs
@@ -48,8 +48,8 @@
 /// Share of the machine's memory for the local cache of objects whose shield is in another zone. The cache saves traffic
 /// between zones; the traffic for less requested objects would not justify the memory of a larger one.
 pub const CACHE_MEMORY_SHARE: f64 = 0.06;
-/// How long before the end of its grace time the requests at a draining edge have their deadline. Those that remain are
-/// aborted at the end of the grace time.
+/// Time between the deadline of requests at a draining edge and the end of its grace time, when the remaining ones are
+/// aborted.
 const DRAIN_MARGIN: Duration = Duration::from_millis(200);
 /// `Retry-After` while the node is not ready yet, or has no memory for another response.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(300);
@@ -62,7 +62,7 @@
     local_cache: LocalCache,
     /// Whether control publishes all changes to this edge.
     is_connected: Cell<bool>,
-    /// Number of edges, which share the rate limits of the services; 1 at least.
+    /// Number of edges, which share the rate limits of the services; at least 1.
     edge_count: Cell<u32>,
     counters: Counters,
     attempt_counts: AttemptCounts,
--- a/glenfall/src/edge/read/pending_attempts.rs
+++ b/glenfall/src/edge/read/pending_attempts.rs
@@ -42,7 +42,6 @@
     future: Pin<Box<dyn Future<Output = AttemptResult> + 'a>>,
 }
 
-/// Attempts in flight.
 #[derive(Default)]
 pub(super) struct PendingAttempts<'a>(Vec<PendingAttempt<'a>>);
 
@@ -52,7 +51,6 @@
         self.0.push(PendingAttempt { number, future: Box::pin(attempt) });
     }
 
-    /// Whether no attempt is in flight.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/glenfall/src/roles/mod.rs
+++ b/glenfall/src/roles/mod.rs
@@ -20,7 +20,7 @@
 /// Minimum number of file descriptors for connections, whatever the limit of the process.
 const MIN_CONNECTION_DESCRIPTORS: usize = 16;
 /// Share of the machine's memory for responses in flight, in addition to the cache. Request bodies, responses and the cache
-/// together leave a quarter at least for connections and everything else.
+/// together leave at least a quarter for connections and everything else.
 const RESPONSE_MEMORY_SHARE: f64 = 0.25;
 
 /// The error that ended a role.
@@ -41,7 +41,7 @@
     pool: Rc<Pool>,
     /// Maximum number of connections from clients, and likewise of connections to servers and shields.
     max_connections: usize,
-    /// True once the process is to stop.
+    /// True once a termination signal was received.
     stopping: watch::Receiver<bool>,
 }
 
--- a/glenfall/src/watch_client.rs
+++ b/glenfall/src/watch_client.rs
@@ -96,7 +96,7 @@
         self.is_connected.get() && self.lease.is_valid()
     }
 
-    /// Whether the process is draining.
+    /// Whether [`WatchClient::start_draining`] was called.
     pub fn is_draining(&self) -> bool {
         self.drain_deadline.get().is_some()
     }
