--- a/glenfall/src/operator/commands/declared.rs
+++ b/glenfall/src/operator/commands/declared.rs
@@ -10,7 +10,9 @@
 use super::config::CONFIG_PATH;
 use super::control_client::{call_control, get, ControlAddresses};
 use super::error::OperatorError;
-use crate::operator::declarative_config::{self, Declared, DeclaredConfigError, Difference, ItemCounts};
+use crate::operator::declarative_config::{
+    self, DeclaredConfig, DeclaredConfigError, Difference, ItemCounts,
+};
 
 #[derive(Subcommand)]
 pub(crate) enum DeclaredCommand {
@@ -56,12 +58,12 @@
 }
 
 fn check(folder: &Path) -> Result<String, OperatorError> {
-    let ItemCounts { routes, services } = Declared::read(folder)?.counts();
+    let ItemCounts { routes, services } = DeclaredConfig::read(folder)?.counts();
     Ok(format!("{routes} routes, {services} services"))
 }
 
 async fn plan(addresses: &ControlAddresses, folder: &Path) -> Result<String, OperatorError> {
-    let declared = Declared::read(folder)?;
+    let declared = DeclaredConfig::read(folder)?;
     let active = ActiveConfig::get(addresses).await?;
     let differences = declared.differences(&active.document)?;
     Ok(match &differences[..] {
@@ -75,7 +77,7 @@
     if_rev: Option<u64>,
     folder: &Path,
 ) -> Result<String, OperatorError> {
-    let declared = Declared::read(folder)?;
+    let declared = DeclaredConfig::read(folder)?;
     let active = ActiveConfig::get(addresses).await?;
     if let Some(expected) = if_rev.filter(|expected| *expected != active.rev) {
         return Err(OperatorError::VersionMismatch { expected, current: active.rev });
--- a/glenfall/src/operator/declarative_config/difference.rs
+++ b/glenfall/src/operator/declarative_config/difference.rs
@@ -16,27 +16,27 @@
     pub new: Value,
 }
 
-/// The difference of one item. Operators see its `Display` text.
+/// A difference in one item. Operators see its `Display` text.
 #[derive(Debug, PartialEq)]
 pub enum Difference {
     /// The item is declared and not active.
     Added {
         /// The section of the configuration: `paths` or `backends`.
-        list: &'static str,
+        section: &'static str,
         /// The name of the route or service.
         name: String,
     },
     /// The item is active and not declared.
     Removed {
         /// The section of the configuration: `paths` or `backends`.
-        list: &'static str,
+        section: &'static str,
         /// The name of the route or service.
         name: String,
     },
     /// Fields of the item differ.
     Changed {
         /// The section of the configuration: `paths`, `backends` or `reqLimits`.
-        list: &'static str,
+        section: &'static str,
         /// The name of the route or service; empty for `reqLimits`.
         name: String,
         /// The fields that differ.
@@ -47,10 +47,10 @@
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Difference::Added { list, name } => write!(f, "+ {list} {name}"),
-            Difference::Removed { list, name } => write!(f, "- {list} {name}"),
-            Difference::Changed { list, name, fields } => {
-                write!(f, "~ {list} {name}")?;
+            Difference::Added { section, name } => write!(f, "+ {section} {name}"),
+            Difference::Removed { section, name } => write!(f, "- {section} {name}"),
+            Difference::Changed { section, name, fields } => {
+                write!(f, "~ {section} {name}")?;
                 for (field, FieldChange { old, new }) in fields {
                     write!(f, "\n    {field}: {old} -> {new}")?;
                 }
@@ -74,22 +74,22 @@
 
 fn in_list(list: &ItemList, active: &Value, declared: &Value) -> Vec<Difference> {
     let (active, declared) = (by_name(active), by_name(declared));
-    let list = list.section;
+    let section = list.section;
     let mut differences = Vec::new();
     for (name, item) in &declared {
         let name = name.clone();
         match active.get(&name) {
-            None => differences.push(Difference::Added { list, name }),
-            Some(active) => differences.extend(changed(list, name, changed_fields(active, item))),
+            None => differences.push(Difference::Added { section, name }),
+            Some(active) => differences.extend(changed(section, name, changed_fields(active, item))),
         }
     }
     let removed = active.into_keys().filter(|name| !declared.contains_key(name));
-    differences.extend(removed.map(|name| Difference::Removed { list, name }));
+    differences.extend(removed.map(|name| Difference::Removed { section, name }));
     differences
 }
 
-fn changed(list: &'static str, name: String, fields: BTreeMap<String, FieldChange>) -> Option<Difference> {
-    (!fields.is_empty()).then_some(Difference::Changed { list, name, fields })
+fn changed(section: &'static str, name: String, fields: BTreeMap<String, FieldChange>) -> Option<Difference> {
+    (!fields.is_empty()).then_some(Difference::Changed { section, name, fields })
 }
 
 /// The items of a list by their names.
--- a/glenfall/src/operator/declarative_config/mod.rs
+++ b/glenfall/src/operator/declarative_config/mod.rs
@@ -66,12 +66,12 @@
 
 /// The configuration that the files of a folder declare, without a version.
 #[derive(Debug)]
-pub struct Declared(Map<String, Value>);
+pub struct DeclaredConfig(Map<String, Value>);
 
-impl Declared {
+impl DeclaredConfig {
     /// Reads `routes/*.toml`, `services/*.toml` and, if it exists, `limits.toml`, and checks that they form a valid
     /// configuration together.
-    pub fn read(folder: &Path) -> Result<Declared, DeclaredConfigError> {
+    pub fn read(folder: &Path) -> Result<DeclaredConfig, DeclaredConfigError> {
         let mut document = Map::new();
         for list in [&ROUTE_LIST, &SERVICE_LIST] {
             let items = read_items(&folder.join(list.folder), list.fields)?;
@@ -82,7 +82,7 @@
             let limits = read_item(&path, LIMITS_FILE.fields)?;
             document.insert(LIMITS_FILE.section.to_owned(), Value::Object(limits));
         }
-        let declared = Declared(document);
+        let declared = DeclaredConfig(document);
         Config::parse(&declared.document(1))?;
         Ok(declared)
     }
--- a/glenfall/tests/unit/declarative_config.rs
+++ b/glenfall/tests/unit/declarative_config.rs
@@ -1,6 +1,6 @@
 //! The declared configuration: its files, and how it differs from the active one.
 
-use glenfall::operator::declarative_config::{write, Declared, DeclaredConfigError, ItemCounts};
+use glenfall::operator::declarative_config::{write, DeclaredConfig, DeclaredConfigError, ItemCounts};
 
 use crate::support::Folder;
 
@@ -26,7 +26,7 @@
     let omitted = write(DOCUMENT.as_bytes(), &folder).unwrap();
     assert_eq!(omitted.len(), 1, "{omitted:?}");
     assert!(write(DOCUMENT.as_bytes(), &folder).is_err(), "existing files are not overwritten");
-    let declared = Declared::read(&folder).unwrap();
+    let declared = DeclaredConfig::read(&folder).unwrap();
     assert_eq!(declared.counts(), ItemCounts { routes: 2, services: 2 });
     let differences = declared.differences(DOCUMENT.as_bytes()).unwrap();
     let texts: Vec<String> = differences.iter().map(ToString::to_string).collect();
@@ -37,7 +37,7 @@
     std::fs::write(folder.join("services/u.toml"), "maxConns = 9").unwrap();
     std::fs::write(folder.join("services/s.toml"), "ratePerS = 850").unwrap();
     std::fs::write(folder.join("limits.toml"), "maxBodyBytes = 2000").unwrap();
-    let declared = Declared::read(&folder).unwrap();
+    let declared = DeclaredConfig::read(&folder).unwrap();
     let differences = declared.differences(DOCUMENT.as_bytes()).unwrap();
     let texts: Vec<String> = differences.iter().map(ToString::to_string).collect();
     assert_eq!(
@@ -59,7 +59,7 @@
     ] {
         let folder = folder("mistakes");
         std::fs::write(folder.join(file), text).unwrap();
-        let error = Declared::read(&folder).expect_err(case).to_string();
+        let error = DeclaredConfig::read(&folder).expect_err(case).to_string();
         assert!(error.contains(expected) && !error.contains('\n'), "{case}: {error}");
     }
     let outside = DOCUMENT.replace("r-a", "../r-a");
