--- a/glenfall/src/settings/error.rs
+++ b/glenfall/src/settings/error.rs
@@ -11,7 +11,7 @@
 /// Why the settings of a process can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The environment names no file.
+    /// The environment variable with the path of the file is not set.
     #[error(
         "environment variable {SETTINGS_VARIABLE} is not set: it has to hold the path of the settings file"
     )]
@@ -64,7 +64,7 @@
         message: String,
     },
     /// The range has too few ports.
-    #[error("portRange: {expected} ports expected at least, got {got}")]
+    #[error("portRange: at least {expected} ports expected, got {got}")]
     PortRange {
         /// Number of ports that are needed.
         expected: u16,
@@ -75,7 +75,7 @@
     #[error("seedNodes: at least one address expected, got none")]
     NoSeedNodes,
     /// More losses are to be tolerated than the largest set of voters can tolerate.
-    #[error("survive.hosts: {MAX_TOLERATED_LOSSES} at most can be tolerated, got {0}")]
+    #[error("survive.hosts: at most {MAX_TOLERATED_LOSSES} losses can be tolerated, got {0}")]
     TooManyLosses(usize),
     /// A value of `timing` is out of its bounds.
     #[error("timing.{name}: a number from 0 to {MAX_TIMING_VALUE} expected, got {value}")]
--- a/glenfall/tests/unit/settings.rs
+++ b/glenfall/tests/unit/settings.rs
@@ -23,21 +23,21 @@
 #[test]
 fn losses_that_can_not_be_repaired_in_time_are_rejected_by_control_and_by_check() {
     let file = std::env::temp_dir().join(format!("glenfall-settings-{}.toml", std::process::id()));
-    let promised_losses = |hosts: usize, sync_s: f64| {
-        let promise_text = format!("[survive]\nhosts = {hosts}\n[timing]\nsyncS = {sync_s}\n[listeners]");
-        let text = SETTINGS_TEXT.replace("[listeners]", &promise_text);
+    let tolerated_losses = |hosts: usize, sync_s: f64| {
+        let survive_text = format!("[survive]\nhosts = {hosts}\n[timing]\nsyncS = {sync_s}\n[listeners]");
+        let text = SETTINGS_TEXT.replace("[listeners]", &survive_text);
         std::fs::write(&file, &text).unwrap();
         let checked = glenfall::operator::commands::check(&file).map_err(|e| e.to_string());
         let core = Settings::parse(&text).unwrap().chain_settings();
         assert_eq!(core.is_ok(), checked.is_ok(), "{checked:?}");
         checked.map(|_| core.unwrap().tolerated_losses)
     };
-    // With `hosts` = h the chain has 2h + 1 voters; 0 promises nothing.
+    // With `hosts` = h the chain has 2h + 1 voters; with 0, no loss has to be tolerated.
     for (hosts, sync_s) in [(1, 4.0), (2, 4.0), (2, 6.0), (3, 4.0), (0, 0.0)] {
-        assert_eq!(promised_losses(hosts, sync_s), Ok(hosts));
+        assert_eq!(tolerated_losses(hosts, sync_s), Ok(hosts));
     }
     for (hosts, sync_s, needed) in [(3, 3.5, "3900 ms"), (4, 4.0, "4900 ms"), (7, 4.0, "7900 ms")] {
-        let error = promised_losses(hosts, sync_s).expect_err("rejected");
+        let error = tolerated_losses(hosts, sync_s).expect_err("rejected");
         let expected = format!("survive.hosts {hosts} with timing.syncS {sync_s}: ");
         assert!(error.contains(&expected) && error.contains(needed) && !error.contains('\n'), "{error}");
     }
@@ -47,11 +47,11 @@
 #[test]
 fn errors_are_reported_in_one_line_with_their_position() {
     for (from, to, expected) in [
-        ("[7720, 7735]", "[7720, 7721]", "portRange: 3 ports expected"),
+        ("[7720, 7735]", "[7720, 7721]", "portRange: at least 3 ports expected"),
         ("\"127.0.0.2\"", "\"here\"", "line 4, column 10"),
         ("node = \"edge-1\"", "", "missing field `node`"),
         ("[\"127.0.0.3:80\"]", "[]", "seedNodes"),
-        ("[listeners]", "[survive]\nhosts = 8\n[listeners]", "survive.hosts: 7 at most"),
+        ("[listeners]", "[survive]\nhosts = 8\n[listeners]", "survive.hosts: at most 7 losses"),
         ("[listeners]", "[timing]\nretrySlack = -1\n[listeners]", "timing.retrySlack: a number"),
         ("zone = \"z\"", "zone = \"z", "line 3"),
     ] {
