--- a/glenfall/src/cache/memory_cache.rs
+++ b/glenfall/src/cache/memory_cache.rs
@@ -90,7 +90,7 @@
     /// keys.
     pub fn purge(&mut self, aged_purge: &AgedPurge) -> Vec<ObjectKey> {
         let purge_age = Duration::from_millis(aged_purge.age_ms);
-        let mut keys = self.keys_named_by(&aged_purge.purge);
+        let mut keys = self.keys_covered_by(&aged_purge.purge);
         keys.retain(|key| {
             let response = self.entries.peek(key);
             response.is_none_or(|response| response.age() + PURGE_ORDER_TOLERANCE >= purge_age)
@@ -101,7 +101,7 @@
         keys
     }
 
-    fn keys_named_by(&self, purge: &Purge) -> Vec<ObjectKey> {
+    fn keys_covered_by(&self, purge: &Purge) -> Vec<ObjectKey> {
         let all_keys = self.entries.iter().map(|(key, _)| key);
         match purge {
             Purge::Everything => all_keys.cloned().collect(),
--- a/glenfall/src/http_server/connection.rs
+++ b/glenfall/src/http_server/connection.rs
@@ -30,7 +30,7 @@
 /// The smallest read buffer that hyper accepts.
 const MIN_HEAD_BUFFER_BYTES: usize = 8 << 10;
 /// The longest time, in milliseconds, that a new connection has for its first request while the process stops.
-const MAX_FIRST_REQUEST_MS: u64 = 1000;
+const MAX_FIRST_REQUEST_TIMEOUT_MS: u64 = 1000;
 /// The response to a client that took too long to send a request head; hyper can't send one.
 const HEAD_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
@@ -65,7 +65,8 @@
             .header_read_timeout(None)
             .max_buf_size(limits.max_header_bytes.max(MIN_HEAD_BUFFER_BYTES))
             .serve_connection(TokioIo::new(TimedStream::new(stream, &self.deadlines)), service);
-        let first_request_timeout = at_least_one_ms(limits.header_timeout_ms.min(MAX_FIRST_REQUEST_MS));
+        let first_request_timeout =
+            at_least_one_ms(limits.header_timeout_ms.min(MAX_FIRST_REQUEST_TIMEOUT_MS));
         let end = self.run(&mut connection, stopping, first_request_timeout).await;
         if end == ConnectionEnd::HeadTimeout {
             self.handler.on_slow_head();
--- a/glenfall/tests/unit/origins.rs
+++ b/glenfall/tests/unit/origins.rs
@@ -159,12 +159,12 @@
     for n in 0..2000 {
         let chosen = origins.choose(Instant::now(), "s", &[], |_| true).expect("one of them");
         let request = origins.track(&chosen.id);
-        let other = chosen.id == "i-2";
-        let latency_ms = if other { std::mem::replace(&mut next_latency_ms, 1) } else { 1 };
+        let is_second_server = chosen.id == "i-2";
+        let latency_ms = if is_second_server { std::mem::replace(&mut next_latency_ms, 1) } else { 1 };
         tokio::time::advance(Duration::from_millis(latency_ms)).await;
         request.finish(SendOutcome::Success);
         tokio::time::advance(Duration::from_millis(30 - latency_ms.min(30))).await;
-        counts[n * 3 / 2000] += u32::from(other);
+        counts[n * 3 / 2000] += u32::from(is_second_server);
     }
     assert!(counts[0] < 100, "the only known response of i-2 was slow: {counts:?}");
     assert!(counts[2] > 200, "half of 666: {counts:?}");
