--- a/glenfall/tests/unit/backup.rs
+++ b/glenfall/tests/unit/backup.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// A backup as version 0.3.0 wrote it: orders were recognised by hashes of 64 bits.
+/// A backup as version 0.3.0 wrote it: orders were recognized by hashes of 64 bits.
 const WEAK_KEYS_BACKUP: &str = r#"{"format": "glenfall-state-1", "voters": ["10.0.0.1", "10.0.0.2"], "view": 48, "seq": 4,
     "rev": 9, "document": "{\"rev\": 9, \"paths\": [], \"backends\": []}", "taken": [[7, 1], [9, 2]], "crc": CRC}"#;
 
--- a/glenfall/tests/unit/deadline_propagation.rs
+++ b/glenfall/tests/unit/deadline_propagation.rs
@@ -19,7 +19,7 @@
 };
 use crate::support::{run_local, server, start_fake_server};
 
-/// The most that the deadline of a server may be later than that of the client.
+/// Required bound: a server's deadline may be this much later than that of the client.
 const MAX_OVERRUN: Duration = Duration::from_millis(500);
 /// The deadline of a client that retries with little time left.
 const SHORT_DEADLINE: Duration = Duration::from_millis(200);
--- a/glenfall/tests/unit/deadlines.rs
+++ b/glenfall/tests/unit/deadlines.rs
@@ -19,7 +19,7 @@
     BODY_BYTES, ROUTE_DEADLINE, SERVER_BEHAVIORS, SHIELD_BEHAVIORS,
 };
 
-/// The most that a request may take beyond the `deadlineMs` of its route.
+/// Required bound: a request may take this much longer than the `deadlineMs` of its route.
 const MAX_OVERRUN: Duration = Duration::from_millis(250);
 
 /// A kind of request, by the limit that it reaches at its edge.
--- a/glenfall/tests/unit/disk_cache.rs
+++ b/glenfall/tests/unit/disk_cache.rs
@@ -80,8 +80,8 @@
     assert_eq!(stored(&folder), [("/big".into(), MAX_QUEUED_BODY_BYTES, "t".into())]);
 }
 
-/// A removal that was queued after the last written change is missing from the file. A start can only know this where
-/// the file is dated by that change.
+/// A removal that was queued after the last written change is missing from the file. The file has to be dated by that
+/// change, so that a start knows from when on removals may be missing.
 #[test]
 fn the_file_is_dated_by_the_last_change_in_it_not_by_the_time_of_the_write() {
     let folder = Folder::new("disk-cache-date");
--- a/glenfall/tests/unit/edge_cache.rs
+++ b/glenfall/tests/unit/edge_cache.rs
@@ -100,7 +100,7 @@
     // A process that was suspended resumes: the expiry of its lease is known from the clock alone, without a message.
     tokio::time::advance(Duration::from_millis(1200)).await;
     assert!(!watch_client.may_serve_stored_responses());
-    // The duration of a grant counts from its request, also where the grant arrives late.
+    // The duration of a grant counts from its request, even if the grant arrives late.
     assert!(
         watch_client.handle_message(PublisherMessage::LeaseGranted { sent_at: 100, duration: 1100 }, &*edge)
     );
--- a/glenfall/tests/unit/http_server.rs
+++ b/glenfall/tests/unit/http_server.rs
@@ -156,7 +156,7 @@
     });
 }
 
-/// Sends a request with a body of four bytes on a connection that stays open; `None` where the connection has closed.
+/// Sends a request with a body of four bytes on a connection that stays open; `None` if the connection has closed.
 async fn post_four_bytes(stream: &mut TcpStream) -> Option<String> {
     stream.write_all(b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody").await.ok()?;
     let mut received = Vec::new();
@@ -209,7 +209,7 @@
     });
 }
 
-/// Sends a `GET` on an open connection, and returns the status line of the response; `None` where it has closed.
+/// Sends a `GET` on an open connection, and returns the status line of the response; `None` if it has closed.
 async fn get_status(stream: &mut TcpStream) -> Option<String> {
     stream.write_all(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n").await.ok()?;
     let mut response = Vec::new();
--- a/glenfall/tests/unit/send_limit.rs
+++ b/glenfall/tests/unit/send_limit.rs
@@ -37,8 +37,8 @@
 }
 
 impl Case {
-    /// Whether a healthy path is left within the sends allowed: each shield that times out or resets the connection may
-    /// have used all sends that it was lent, which are all but one while there is more than one.
+    /// Whether a healthy path is left within the sends allowed. Each shield that times out or resets the connection may
+    /// have used all sends that were reserved for it: the only one left, or all but one if more are left.
     fn has_healthy_path(&self) -> bool {
         let mut sends_left = self.max_sends;
         for shield in self.shields {
--- a/glenfall/tests/unit/store.rs
+++ b/glenfall/tests/unit/store.rs
@@ -15,11 +15,11 @@
 
 use crate::support::{copy_files, Folder};
 
-/// The layout of the file that is written, as its `user_version` has it.
+/// The `user_version` of the layout that is written now.
 const CURRENT_LAYOUT: i64 = 3;
-/// The layout in which orders were recognised by hashes of 64 bits.
+/// The layout in which orders were recognized by hashes of 64 bits.
 const WEAK_KEYS_LAYOUT: i64 = 2;
-/// The first layout, in which the voters could not be changed either.
+/// The first layout, with the same hashes, in which the voters could not be changed.
 const FIXED_VOTERS_LAYOUT: i64 = 1;
 
 fn order(rev: u64) -> AppliedOrder {
@@ -163,7 +163,7 @@
     }
 }
 
-/// Opens a folder whose file holds these bytes, and returns whether the file was recognised as damaged. A file that was
+/// Opens a folder whose file holds these bytes, and returns whether the file was recognized as damaged. A file that was
 /// not has to hold the saved state, or to be empty. The damage has to be known after a restart, and the file can then
 /// be written again.
 fn open_damaged(folder: &Path, bytes: &[u8], saved: &HardState, case: &str) -> bool {
--- a/glenfall/tests/unit/support.rs
+++ b/glenfall/tests/unit/support.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, LocalSet};
 
-/// Runs a test that spawns local tasks, in real time, and checks that no invariant is broken.
+/// Runs a test that spawns local tasks, in real time, and checks that no invariant is violated.
 pub fn run_local<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let result = LocalSet::new().block_on(&runtime, test);
