--- a/glenfall/src/cache/backlog.rs
+++ b/glenfall/src/cache/backlog.rs
@@ -11,7 +11,7 @@
     fn load(&self) -> usize;
     /// Replaces the count if it is still `current`; otherwise returns the actual count.
     fn compare_exchange(&self, current: usize, new: usize) -> Result<(), usize>;
-    /// Subtracts units.
+    /// Subtracts units that were added to the count before.
     fn subtract(&self, units: usize);
 }
 
--- a/glenfall/src/cache/disk/row.rs
+++ b/glenfall/src/cache/disk/row.rs
@@ -40,7 +40,7 @@
 }
 
 impl RowHead {
-    /// Encodes key, headers and labels.
+    /// Encodes the parts of a row other than its body, for [`decode`](Self::decode).
     pub fn encode(key: &ObjectKey, headers: &HeaderMap, labels: &[Box<str>]) -> postcard::Result<Vec<u8>> {
         let field = |(name, value): (&HeaderName, &HeaderValue)| HeaderField {
             name: name.to_string(),
--- a/glenfall/src/cache/stored_response.rs
+++ b/glenfall/src/cache/stored_response.rs
@@ -33,7 +33,7 @@
 }
 
 impl StoredResponse {
-    /// Makes a stored response of a server's response to a request that was sent at `requested_at`; `None` if it must
+    /// Makes a stored response from a server's response to a request that was sent at `requested_at`; `None` if it must
     /// not be stored.
     pub fn from_response(response: &ServerResponse, requested_at: Instant) -> Option<StoredResponse> {
         if !is_storable(response) {
@@ -57,8 +57,8 @@
         response.set_cache_details(self.age(), &self.labels.join(" "));
     }
 
-    /// When the shield's request to the server was sent, for a response of a shield to a request that was sent at
-    /// `requested_at`. `None` if the shield did not state its age.
+    /// When a shield sent its request to the server, computed from the age that the shield's response states. The
+    /// request to the shield was sent at `requested_at`. `None` if the response states no valid age.
     pub fn fetched_at(response: &ServerResponse, requested_at: Instant) -> Option<Instant> {
         let age_ms = response.headers().get(AGE_HEADER)?.to_str().ok()?.parse().ok()?;
         requested_at.checked_sub(Duration::from_millis(age_ms))
@@ -74,7 +74,7 @@
         self.requested_at.get().elapsed()
     }
 
-    /// Whether it has a label.
+    /// Whether a purge of this label covers it.
     pub fn has_label(&self, label: &str) -> bool {
         self.labels.iter().any(|stored_label| **stored_label == *label)
     }
--- a/glenfall/src/disk.rs
+++ b/glenfall/src/disk.rs
@@ -1,6 +1,6 @@
 //! Durable changes of folders, and databases whose loss does no harm.
 //!
-//! The creation, renaming or removal of a file survives a loss of power only once its folder has been synced. The
+//! The creation, renaming or removal of a file survives a power failure only once its folder has been synced. The
 //! databases are SQLite files that no other process opens, with a write-ahead log and a sync for each commit; one that
 //! can't be read is removed and created again.
 
@@ -26,8 +26,8 @@
 pub fn create_folder(folder: &Path) -> std::io::Result<()> {
     let Some(parent) = parent(folder) else { return Ok(()) };
     if folder.is_dir() {
-        // The process that created it may have ended before it synced the parent. That the parent can't be opened is no
-        // error, as it may belong to another user.
+        // The process that created it may have ended before it synced the parent. A parent that can't be opened is
+        // ignored, as it may belong to another user.
         let _ = sync_folder(parent);
         return Ok(());
     }
@@ -66,6 +66,6 @@
         let _ = std::fs::remove_file(file);
     }
     if let Some(Err(error)) = path.parent().map(sync_folder) {
-        tracing::warn!(%error, "folder sync failed: a removed file may reappear after a loss of power");
+        tracing::warn!(%error, "folder sync failed: a removed file may reappear after a power failure");
     }
 }
--- a/glenfall/src/http/headers.rs
+++ b/glenfall/src/http/headers.rs
@@ -37,7 +37,7 @@
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
 ];
-/// Hop-by-hop headers that are not standardised.
+/// Hop-by-hop headers that are not standardized.
 const LEGACY_HOP_BY_HOP_HEADERS: [&str; 2] = ["keep-alive", "proxy-connection"];
 
 /// The headers that a proxy forwards: all except hop-by-hop headers and those of the system.
--- a/glenfall/src/http/send_budget.rs
+++ b/glenfall/src/http/send_budget.rs
@@ -80,7 +80,7 @@
     headers.get(SENDS_HEADER)?.to_str().ok()
 }
 
-/// The rest of the first member with this prefix in a comma-separated list.
+/// The text after a prefix, in the first member of a comma-separated list that begins with the prefix.
 fn member<'a>(list: &'a str, prefix: &str) -> Option<&'a str> {
     list.split(',').find_map(|member| member.trim().strip_prefix(prefix))
 }
--- a/glenfall/src/http_server/deadlines.rs
+++ b/glenfall/src/http_server/deadlines.rs
@@ -17,20 +17,20 @@
 /// What a connection waits for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// For the next request, or for the client to read the previous response.
+    /// Waits for the next request, or for the client to read the previous response.
     Idle,
-    /// For the remaining bytes of a request head.
+    /// Waits for the remaining bytes of a request head.
     ReadingHead,
-    /// For the handler.
+    /// Waits for the handler to respond.
     Responding,
 }
 
 /// The time limits for a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientTimeouts {
-    /// From the first byte of a head until the head is complete.
+    /// Time from the first byte of a request head until the head is complete.
     pub head: Duration,
-    /// Between a response and the next request.
+    /// Time between a response and the next request, and between two reads of a response.
     pub idle: Duration,
 }
 
@@ -129,7 +129,7 @@
 
     /// Drives a connection until it ends, or until its client misses a deadline.
     pub async fn drive<C: Future + Unpin>(&self, connection: &mut C) -> ConnectionEnd {
-        // The timer is reset before it fires only for an earlier deadline, so that most requests need no reset.
+        // Before it fires, the timer is reset only to an earlier deadline, so that most requests need no reset.
         let mut timer = pin!(sleep_until(self.last_activity.get() + self.timeouts.get().idle));
         poll_fn(|cx| {
             if Pin::new(&mut *connection).poll(cx).is_ready() {
--- a/glenfall/src/http_server/listener.rs
+++ b/glenfall/src/http_server/listener.rs
@@ -23,9 +23,9 @@
 pub struct ServerConfig {
     /// The address to listen on.
     pub listen: SocketAddrV4,
-    /// The most open connections. At the limit, a new connection evicts the one that has been idle longest.
+    /// Maximum number of open connections. At the limit, a new connection evicts the one that has been idle longest.
     pub max_connections: usize,
-    /// The most bytes of request bodies in memory, over all connections.
+    /// Maximum bytes of request bodies in memory, over all connections.
     pub max_body_bytes: usize,
     /// How long after the stop signal connections are still accepted, as load balancers and edges are notified of the
     /// shutdown with a delay.
--- a/glenfall/src/http_server/timed_stream.rs
+++ b/glenfall/src/http_server/timed_stream.rs
@@ -14,7 +14,7 @@
 pub struct TimedStream {
     stream: TcpStream,
     deadlines: Rc<Deadlines>,
-    /// The client has closed its side.
+    /// Whether the client has closed its side.
     read_closed: bool,
 }
 
--- a/glenfall/src/memory_budget.rs
+++ b/glenfall/src/memory_budget.rs
@@ -63,8 +63,8 @@
         (self.total_units - free_units) * UNIT_BYTES
     }
 
-    /// Waits until this many bytes are free, and reserves them. Calls are served in their order. `None` if the budget is
-    /// smaller than that.
+    /// Waits until this many bytes are free, and reserves them. Calls are served in the order in which they were made.
+    /// `None` if the whole budget has fewer bytes.
     pub async fn reserve(&self, bytes: usize) -> Option<Reservation> {
         let units = units(bytes);
         if units as usize > self.total_units {
--- a/glenfall/src/operator/commands/control_client.rs
+++ b/glenfall/src/operator/commands/control_client.rs
@@ -18,13 +18,13 @@
 
 /// Timeout of one call to a control node. A node that can respond does so within a second.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How often each node is called before the command fails.
+/// How many times each node is called before the command fails.
 const ATTEMPTS_PER_NODE: usize = 3;
 /// The pause after a call without a definite response.
 const RETRY_BACKOFF: Duration = Duration::from_millis(100);
-/// The most connections that a command opens.
+/// Maximum number of connections that a command opens.
 const MAX_CONNECTIONS: usize = 8;
-/// The most bytes of control's responses in memory; above the size of the largest response, an exported state.
+/// Maximum bytes of control's responses in memory. The largest response, an exported state, is smaller.
 pub const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// The field by which control rejects a change that builds on a version so old that control no longer knows whether the
 /// change was applied.
@@ -38,7 +38,6 @@
     pub controls: Vec<SocketAddrV4>,
 }
 
-/// A request to control.
 pub(super) struct ControlRequest {
     pub method: Method,
     pub path: &'static str,
--- a/glenfall/src/operator/demo/client.rs
+++ b/glenfall/src/operator/demo/client.rs
@@ -17,9 +17,8 @@
 use crate::operator::commands::MAX_RESPONSE_BYTES;
 use crate::upstream::pool::{ExchangeParams, Pool};
 
-/// Timeout of one request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// The most connections that one request may use.
+/// Maximum number of connections that one request may use.
 const MAX_CONNECTIONS: usize = 8;
 
 /// Sends a request to an edge. `None` unless the response is a server's 200, as its seal shows.
--- a/glenfall/src/operator/demo/stub_server.rs
+++ b/glenfall/src/operator/demo/stub_server.rs
@@ -27,11 +27,11 @@
 
 /// The number of the first server's machine.
 const FIRST_MACHINE: u8 = 100;
-/// The most open connections from proxies.
+/// Maximum number of open connections from proxies.
 const MAX_CONNECTIONS: usize = 64;
-/// The most bytes of request bodies in memory.
+/// Maximum bytes of request bodies in memory.
 const MAX_BODY_BYTES: usize = 1 << 20;
-/// The most open connections to control.
+/// Maximum number of open connections to control.
 const MAX_CONTROL_CONNECTIONS: usize = 8;
 /// Timeout of one heartbeat to one control node.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
--- a/glenfall/src/operator/local_system.rs
+++ b/glenfall/src/operator/local_system.rs
@@ -22,7 +22,7 @@
 const HTTP_PORT: u16 = 4;
 const READY_PORT: u16 = 5;
 
-/// The most open file descriptors of a process (`maxFds`).
+/// Maximum number of open file descriptors of a process (`maxFds`).
 const MAX_DESCRIPTORS: usize = 4096;
 
 /// The machines of a local system, and their settings.
--- a/glenfall/src/shield/warm_start.rs
+++ b/glenfall/src/shield/warm_start.rs
@@ -74,7 +74,7 @@
     }
 
     /// Takes the responses out, once they are loaded and control has published all purges; `None` before that, and once
-    /// they were taken.
+    /// they have been taken.
     pub fn take_ready(&self) -> Option<Cache> {
         if !(self.is_loaded.get() && self.is_caught_up.get()) {
             return None;
--- a/glenfall/src/upstream/forward/attempts.rs
+++ b/glenfall/src/upstream/forward/attempts.rs
@@ -175,7 +175,7 @@
     }
 }
 
-/// The servers that a request was sent to, as logs and failures describe them.
+/// The servers that were selected for a request, and how its attempts ended, for logs and failures.
 #[derive(Default)]
 struct Trace {
     /// The servers that were selected; the last one may not have been sent the request.
--- a/glenfall/src/upstream/origins/origin.rs
+++ b/glenfall/src/upstream/origins/origin.rs
@@ -62,7 +62,7 @@
         self.in_flight
     }
 
-    /// When its slow start ends, or has ended.
+    /// When its slow start ends; a time in the past once it has ended.
     pub fn slow_start_ends_at(&self) -> Instant {
         self.slow_start_ends_at
     }
--- a/glenfall/src/upstream/pool/exchange.rs
+++ b/glenfall/src/upstream/pool/exchange.rs
@@ -30,8 +30,8 @@
     pub kind: UpstreamKind,
     /// The exchange fails if there is no complete response by this time.
     pub deadline: Instant,
-    /// The time from the first byte of the response within which it has to be complete; `None` where the request can't
-    /// be sent to another server, and the response is waited for until the deadline.
+    /// The time from the first byte of the response within which it has to be complete; `None` if the request can't be
+    /// sent to another server, so that the response is waited for until the deadline.
     pub completion_timeout: Option<Duration>,
     /// Called once a connection is available: returns whether the request may still be sent, as the server may have
     /// begun to drain meanwhile.
--- a/glenfall/src/upstream/pool/keep_alive.rs
+++ b/glenfall/src/upstream/pool/keep_alive.rs
@@ -6,9 +6,9 @@
 
 /// The header in which a server states its limits for a persistent connection.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// Idle time-out where the server states none.
+/// Idle timeout if the server states none.
 pub const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Upper bound of the idle time-out that a server states, in seconds.
+/// Upper bound of the idle timeout that a server states, in seconds.
 const MAX_STATED_TIMEOUT_S: u64 = 3600;
 /// Idle connections are closed this long before the server closes them, as a request sent while the server closes the
 /// connection is answered with a reset.
--- a/glenfall/src/upstream/pool/response_reader.rs
+++ b/glenfall/src/upstream/pool/response_reader.rs
@@ -19,9 +19,9 @@
 
 /// A complete response, and how long its connection may stay idle.
 pub struct CompleteResponse {
-    /// The response.
+    /// The response, with its body read to the end.
     pub response: ServerResponse,
-    /// The idle time-out of its connection; `None` if the connection has to be closed.
+    /// The idle timeout of its connection; `None` if the connection has to be closed.
     pub idle_timeout: Option<Duration>,
 }
 
@@ -45,7 +45,7 @@
     Incomplete,
 }
 
-/// Reads one response.
+/// Reads one response, and reserves the memory for its body.
 pub struct ResponseReader<'a> {
     memory: &'a MemoryBudget,
     /// Set while the reader waits for memory. Such waits do not count as stalls of the server.
@@ -76,8 +76,8 @@
         Ok(CompleteResponse { response: ServerResponse::new(head, body), idle_timeout })
     }
 
-    /// Returns once a response that has begun is not complete within the time-out, and the reader is not waiting for
-    /// memory. Never returns if there is no time-out.
+    /// Returns once a response that has begun is not complete within the timeout, unless the reader is waiting for
+    /// memory. Never returns if there is no timeout.
     pub async fn stalled(&self, progress: &Progress, completion_timeout: Option<Duration>) {
         let Some(completion_timeout) = completion_timeout else { return std::future::pending().await };
         loop {
