--- a/glenfall/src/settings/error.rs
+++ b/glenfall/src/settings/error.rs
@@ -11,7 +11,7 @@
 /// Why the settings of a process can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The environment variable with the path of the file is not set.
+    /// [`SETTINGS_VARIABLE`] is unset, or is not valid Unicode.
     #[error(
         "environment variable {SETTINGS_VARIABLE} is not set: it has to hold the path of the settings file"
     )]
