--- a/balancer-adapter/tests/wire.rs
+++ b/balancer-adapter/tests/wire.rs
@@ -179,10 +179,10 @@
     for (from, to, expected) in [
         ("\"balancers\":2", "\"balancers\":0", "balancers"),
         ("\"ramp-time-s\":8", "\"ramp-time-s\":-8", "ramp"),
-        ("\"fall-s\":1", &with_rules(r#""budget-span-s":-5,"extra-free":3"#), "budget span"),
-        ("\"fall-s\":1", &with_rules(r#""budget-span-s":5,"resend-ratio":-0.1"#), "budget ratio"),
+        ("\"fall-s\":1", &with_rules(r#""budget-span-s":-5,"extra-free":3"#), "budget-span-s: expected"),
+        ("\"fall-s\":1", &with_rules(r#""budget-span-s":5,"resend-ratio":-0.1"#), "resend-ratio: expected"),
         ("\"fall-s\":1", &with_rules(r#""resend-ratio":0.1"#), "guarantees.budget-span-s: missing"),
-        ("\"fall-s\":1", &with_rules(r#""close-on-drain-within-s":-1"#), "close on drain"),
+        ("\"fall-s\":1", &with_rules(r#""close-on-drain-within-s":-1"#), "close-on-drain-within-s: expected"),
         ("\"fall-s\":1", "\"fall-t\":1", "guarantees.fall-s: missing"),
     ] {
         let invalid = SETTINGS_JSON.replace(from, to);
--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -7,18 +7,18 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Repeats are harmless.
+    /// Running it again is harmless.
     Safe,
-    /// Servers within the [`DeduplicationScope`] drop repeats for the class's `deduplication_window`.
+    /// Servers within the [`DeduplicationScope`] drop duplicates for the class's `deduplication_window`.
     Keyed,
     /// The request must never run twice. Unknown effects are handled as this one.
     Unsafe,
 }
 
-/// Which servers drop the repeats of a keyed request.
+/// Which servers drop the duplicates of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All servers drop repeats of each other's requests.
+    /// All servers drop duplicates of each other's requests.
     All,
     /// Servers in the zone of the server that ran the request.
     Zone,
@@ -41,9 +41,9 @@
     pub late_value: f64,
     /// Whether requests of this class may run more than once.
     pub effect: Effect,
-    /// Which servers drop repeats; for [`Effect::Keyed`].
+    /// Which servers drop duplicates; for [`Effect::Keyed`].
     pub deduplication_scope: DeduplicationScope,
-    /// How long repeats are dropped, counted from the first send that may have run; for [`Effect::Keyed`].
+    /// How long duplicates are dropped, counted from the first send that may have run; for [`Effect::Keyed`].
     pub deduplication_window: Seconds,
     /// Whether answers are streamed.
     pub streamed: bool,
@@ -193,17 +193,17 @@
     pub event_interval: Seconds,
 }
 
-/// An invalid setting. The messages use the names of the settings file.
+/// An invalid setting. The messages name it as the settings file does.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// The number of nodes is 0; it includes this node.
     #[error("balancers: expected at least 1, got 0")]
     NoNodes,
     /// The list of request classes is empty.
-    #[error("classes: expected at least one, got none")]
+    #[error("grades: expected one or more classes, got none")]
     NoClasses,
     /// The window of the retry budget is not a positive time.
-    #[error("budget span: expected a time above 0, got {0}")]
+    #[error("budget-span-s: expected a time above 0, got {0}")]
     RetryWindow(Seconds),
     /// A number is negative or not finite.
     #[error("{name}: expected a number of 0 or more, got {value}")]
@@ -214,7 +214,7 @@
         value: f64,
     },
     /// A class has a latency target or a deadline of 0.
-    #[error("class {0}: expected an aim and a deadline above 0")]
+    #[error("class {0}: expected target-s and hard-limit-s above 0")]
     ClassTimes(String),
     /// A time is negative or not finite.
     #[error("{name}: expected a time of 0 or more, got {value}")]
@@ -225,7 +225,7 @@
         value: Seconds,
     },
     /// The initial capacity share of a started server is not above 0 and at most 1.
-    #[error("cold from: expected a share above 0 and up to 1, got {0}")]
+    #[error("cold-from: expected a share above 0 and up to 1, got {0}")]
     InitialCapacityShare(f64),
 }
 
@@ -258,17 +258,17 @@
 
     fn validate_times(&self) -> Result<(), SettingsError> {
         let (guarantees, limits) = (&self.guarantees, &self.limits);
-        validate_time("answer grace", guarantees.answer_grace)?;
-        validate_time("ask every", guarantees.max_subscription_gap)?;
-        validate_time("ramp", guarantees.slow_start_duration)?;
-        validate_time("drain grace", guarantees.drain_grace)?;
-        validate_time("fall time", guarantees.overload_duration)?;
-        validate_time("round", self.event_interval)?;
-        validate_time("max retry after", limits.max_retry_after)?;
-        validate_time("connect timeout", limits.connect_timeout)?;
-        validate_time("idle close", limits.idle_timeout)?;
+        validate_time("grace-to-answer-s", guarantees.answer_grace)?;
+        validate_time("ask-every-s", guarantees.max_subscription_gap)?;
+        validate_time("ramp-time-s", guarantees.slow_start_duration)?;
+        validate_time("drain-grace-s", guarantees.drain_grace)?;
+        validate_time("fall-s", guarantees.overload_duration)?;
+        validate_time("round-s", self.event_interval)?;
+        validate_time("max-retry-after-s", limits.max_retry_after)?;
+        validate_time("dial-timeout-s", limits.connect_timeout)?;
+        validate_time("idle-close-s", limits.idle_timeout)?;
         if let Some(within) = guarantees.close_on_drain {
-            validate_time("close on drain", within)?;
+            validate_time("close-on-drain-within-s", within)?;
         }
         self.classes.iter().try_for_each(Class::validate_times)
     }
@@ -280,9 +280,9 @@
     }
 
     fn validate_times(&self) -> Result<(), SettingsError> {
-        validate_time("class deadline", self.deadline)?;
-        validate_time("class aim", self.latency_target)?;
-        validate_time("window", self.deduplication_window)
+        validate_time("hard-limit-s", self.deadline)?;
+        validate_time("target-s", self.latency_target)?;
+        validate_time("key-ttl-s", self.deduplication_window)
     }
 }
 
@@ -291,8 +291,8 @@
         if !(self.window.is_finite() && self.window > 0.0) {
             return Err(SettingsError::RetryWindow(self.window));
         }
-        validate_number("budget, free attempts", self.min_retries)?;
-        validate_number("budget ratio", self.retry_ratio)
+        validate_number("extra-free", self.min_retries)?;
+        validate_number("resend-ratio", self.retry_ratio)
     }
 }
 
