--- a/balancer/src/balancer/admission.rs
+++ b/balancer/src/balancer/admission.rs
@@ -65,7 +65,7 @@
     /// Sends a request that has no attempt in flight to a server, queues it, or ends it.
     pub(super) fn dispatch(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id).filter(|request| request.needs_attempt()) else { return };
-        let costs_budget = request.next_attempt_costs_budget(self.config.has_own_retry_budget());
+        let costs_budget = request.next_attempt_costs_budget(self.config.uses_default_retry_budget());
         if costs_budget && !self.retry_budget.allows_retry(self.now) {
             return self.end(id);
         }
@@ -115,9 +115,9 @@
     /// Sends the next attempt of a request.
     pub(super) fn send(&mut self, id: RequestId, server: &ServerId, to_origin: bool) {
         let now = self.now;
-        let own_budget = self.config.has_own_retry_budget();
+        let is_default_budget = self.config.uses_default_retry_budget();
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if request.next_attempt_costs_budget(own_budget) {
+        if request.next_attempt_costs_budget(is_default_budget) {
             self.retry_budget.record_retry(now);
         }
         let idle_time = self.servers.get(server).map_or(0.0, |server| server.idle_time(now));
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Ends a request without a server's answer: refuses it if a repeat is harmless, otherwise fails it.
+    /// Ends a request without a server's answer: refuses it if a retry is harmless, otherwise fails it.
     pub(super) fn end(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.ended || request.streaming {
--- a/balancer/src/balancer/mod.rs
+++ b/balancer/src/balancer/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! Placement follows RJ-CH (Chen, Coleman, Shrivastava, "Revisiting Consistent Hashing with Bounded Loads"):
 //! a key goes to the owner of slot h(key, 0) of a fixed array; if that server is at its cap, to the owner of
-//! h(key, 1), then h(key, 2) and so on. Each exception to this states when it applies.
+//! h(key, 1), then h(key, 2) and so on. Comments state when an exception to this applies.
 
 mod admission;
 mod hedging;
@@ -176,7 +176,7 @@
         self.servers.refill_slow_start(request_rate, self.min_rate(), multiple, HOUSEKEEPING_INTERVAL);
     }
 
-    /// Lower bound on the requests a second that a fully warmed-up server of capacity 1 can answer for this
+    /// Lower bound on the requests per second that a fully warmed-up server of capacity 1 can answer for this
     /// node. Derived from the tenants' quotas, which are shares of the capacity of the complete fleet: the
     /// current request rate is a poor estimate while many servers, or the node itself, have just started.
     fn min_rate(&self) -> f64 {
--- a/balancer/src/balancer/observation.rs
+++ b/balancer/src/balancer/observation.rs
@@ -113,13 +113,13 @@
         let server = self.servers.get(&attempt.location.server)?;
         let has_answered_since = server.health.has_answered_since(attempt.sent);
         // Timed out while the server answered other attempts, and not because of the request's own work.
-        let is_unanswered_there = attempt.timed_out() && attempt.was_slow() && has_answered_since;
-        let was_dropped = is_unanswered_there || attempt.status == Status::Broken;
-        let clearly_later = attempt.sent + OVERLOAD_QUEUE_DELAY * self.config.min_latency_target();
+        let was_silently_dropped = attempt.timed_out() && attempt.was_slow() && has_answered_since;
+        let was_dropped = was_silently_dropped || attempt.status == Status::Broken;
+        let overtaken_after = attempt.sent + OVERLOAD_QUEUE_DELAY * self.config.min_latency_target();
         Some(ServerEvidence {
             in_flight: server.in_flight(),
             used_stale_connection: attempt.idle_time >= MIN_SUSPECT_IDLE_TIME && was_dropped,
-            was_overtaken: server.health.has_answered_attempt_sent_after(clearly_later),
+            was_overtaken: server.health.has_answered_attempt_sent_after(overtaken_after),
             has_answered_since,
             is_origin: server.is_origin(&self.config.settings().cache),
         })
--- a/balancer/src/interface.rs
+++ b/balancer/src/interface.rs
@@ -228,11 +228,11 @@
         /// The attempt to cancel.
         attempt: AttemptId,
     },
-    /// Final answer: the request was not served, and repeating it is harmless.
+    /// Final answer: the request was not served, and a retry is harmless.
     Refuse {
         /// The request to answer.
         request: RequestId,
-        /// How long the client should wait before repeating the request; `None` for no advice.
+        /// How long the client should wait before a retry; `None` for no advice.
         retry_after: Option<Seconds>,
     },
     /// Final answer: the request failed; it may or may not have run.
--- a/balancer/src/node_config.rs
+++ b/balancer/src/node_config.rs
@@ -82,8 +82,8 @@
         self.settings.guarantees.slow_start_duration.max(HOUSEKEEPING_INTERVAL)
     }
 
-    /// Whether the settings state no retry budget, so that the node uses its default one.
-    pub fn has_own_retry_budget(&self) -> bool {
+    /// Whether the default retry budget applies, because the settings state none.
+    pub fn uses_default_retry_budget(&self) -> bool {
         self.settings.guarantees.retry_budget.is_none()
     }
 
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -30,15 +30,15 @@
         self.status == Some(Status::Broken) && self.idle_time >= MIN_SUSPECT_IDLE_TIME
     }
 
-    /// Whether it went to `server` and its status allows one repeat there. A repeat at the same server is
+    /// Whether it went to `server` and its status allows one retry there. A retry at the same server is
     /// preferred because other servers do not have the key. After a reset, the server must not be down.
-    fn may_be_repeated_at(&self, server: &ServerId, server_is_down: bool) -> bool {
-        let is_repeatable = match self.status {
+    fn may_be_retried_at(&self, server: &ServerId, server_is_down: bool) -> bool {
+        let is_retryable = match self.status {
             Some(Status::Malformed) => true,
             Some(Status::Broken | Status::Unreachable) => !server_is_down,
             _ => false,
         };
-        is_repeatable && self.server == *server
+        is_retryable && self.server == *server
     }
 }
 
@@ -49,7 +49,7 @@
     pub class: usize,
     /// The key that it is placed by; derived from the id if the request has none.
     pub key: Key,
-    /// Whether it is a write.
+    /// Whether it must reach the origin, because it is a write.
     pub write: bool,
     /// Time of arrival.
     pub arrived: Seconds,
@@ -93,11 +93,12 @@
     }
 
     /// Whether the next attempt counts against the retry budget. The first attempt does not, nor does one
-    /// after `NotCached`. With the node's default budget (`own_budget`), which limits additional work,
+    /// after `NotCached`. With the default budget (`is_default_budget`), which limits additional work,
     /// neither does one after `Unreachable`, as that attempt caused no work; a node with an outdated server
     /// list gets several of these in a row.
-    pub fn next_attempt_costs_budget(&self, own_budget: bool) -> bool {
-        let is_free = |status| status == Status::NotCached || (own_budget && status == Status::Unreachable);
+    pub fn next_attempt_costs_budget(&self, is_default_budget: bool) -> bool {
+        let is_free =
+            |status| status == Status::NotCached || (is_default_budget && status == Status::Unreachable);
         self.attempts.last().is_some_and(|attempt| !attempt.status.is_some_and(is_free))
     }
 
@@ -105,12 +106,12 @@
     /// after a single malformed answer or reset, after an attempt on a dead connection, and after
     /// `NotCached`.
     pub fn has_failed_at(&self, server: &ServerId, server_is_down: bool) -> bool {
-        let repeatable = |attempt: &&Attempt| attempt.may_be_repeated_at(server, server_is_down);
-        let may_repeat = self.attempts.iter().filter(repeatable).count() == 1;
+        let retryable = |attempt: &&Attempt| attempt.may_be_retried_at(server, server_is_down);
+        let may_retry = self.attempts.iter().filter(retryable).count() == 1;
         let is_excused = |attempt: &Attempt| {
             attempt.status == Some(Status::NotCached)
                 || attempt.broke_on_stale_connection()
-                || (may_repeat && attempt.may_be_repeated_at(server, server_is_down))
+                || (may_retry && attempt.may_be_retried_at(server, server_is_down))
         };
         self.attempts.iter().any(|attempt| attempt.server == *server && !is_excused(attempt))
     }
--- a/balancer/src/roster_subscription.rs
+++ b/balancer/src/roster_subscription.rs
@@ -3,7 +3,7 @@
 use crate::interface::Seconds;
 use crate::node_config::NodeConfig;
 
-/// Mean delay before a failed subscribe call is first repeated; doubles with each failure, at most
+/// Mean delay before a failed subscribe call is first retried; doubles with each failure, at most
 /// [`MAX_BACKOFF_DOUBLINGS`] times.
 const RETRY_BACKOFF: Seconds = 0.2;
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
@@ -48,7 +48,7 @@
     }
 
     /// Records that a call failed or the subscription broke. `random` is a random number from 0 to 1 for the
-    /// jitter: calls that failed at the same time must not be repeated at the same time.
+    /// jitter: calls that failed at the same time must not be retried at the same time.
     pub fn record_failure(&mut self, now: Seconds, random: f64, config: &NodeConfig) {
         let doublings = self.failures.min(MAX_BACKOFF_DOUBLINGS);
         let backoff = (RETRY_BACKOFF * f64::from(1u32 << doublings)).max(subscribe_spread_time(config));
--- a/balancer/src/send_rules.rs
+++ b/balancer/src/send_rules.rs
@@ -1,4 +1,4 @@
-//! Rules on repeats: where a request may be sent again, and whether it may be refused as safe to repeat.
+//! Rules on retries: where a request may be sent again, and whether it may be refused as safe to retry.
 
 use crate::interface::{Seconds, ServerId};
 use crate::node_config::NodeConfig;
@@ -36,19 +36,19 @@
             && request.attempts_in_flight() == 0
     }
 
-    /// Whether a repeat at this server is harmless even if earlier attempts have run.
+    /// Whether a retry at this server is harmless even if earlier attempts have run.
     fn may_run_again(&self, request: &Request, id: &ServerId, server: &Server) -> bool {
         let class = self.config.class(request.class);
         let mut may_have_run = request.attempts.iter().filter(|attempt| attempt.may_have_run());
         match class.effect {
             Effect::Safe => true,
             Effect::Unsafe => may_have_run.next().is_none(),
-            Effect::Keyed => may_have_run.all(|attempt| self.drops_repeat(attempt, class, id, server)),
+            Effect::Keyed => may_have_run.all(|attempt| self.drops_duplicate(attempt, class, id, server)),
         }
     }
 
-    /// Whether this server would still recognise and drop a repeat of `attempt`.
-    fn drops_repeat(&self, attempt: &Attempt, class: &Class, id: &ServerId, server: &Server) -> bool {
+    /// Whether this server would still recognise and drop a duplicate of `attempt`.
+    fn drops_duplicate(&self, attempt: &Attempt, class: &Class, id: &ServerId, server: &Server) -> bool {
         let is_in_scope = match (class.deduplication_scope, self.servers.get(&attempt.server)) {
             (DeduplicationScope::All, _) => true,
             (_, None) => attempt.server == *id,
@@ -60,7 +60,7 @@
     }
 
     /// Whether `request` may be answered by [`Action::Refuse`](crate::Action::Refuse), which states that a
-    /// repeat is harmless.
+    /// retry is harmless.
     pub fn may_refuse(&self, request: &Request) -> bool {
         let class = self.config.class(request.class);
         class.effect == Effect::Safe
--- a/balancer/src/server_pool.rs
+++ b/balancer/src/server_pool.rs
@@ -169,7 +169,7 @@
     }
 
     /// Refills the allowances of servers that are warming up, for the time `elapsed`. The rate of a server is
-    /// `multiple` times its usable capacity times the requests a second per unit of capacity: the mean over
+    /// `multiple` times its usable capacity times the requests per second and unit of capacity: the mean over
     /// the fleet for a total of `request_rate`, but at least `min_rate`.
     pub fn refill_slow_start(&mut self, request_rate: f64, min_rate: f64, multiple: f64, elapsed: Seconds) {
         let placeable_capacity = self.placeable.capacity;
--- a/balancer/src/tenant_quota.rs
+++ b/balancer/src/tenant_quota.rs
@@ -11,7 +11,7 @@
 struct TokenBucket {
     tokens: f64,
     refilled: Seconds,
-    /// Requests a second, smoothed over the duration of slow start.
+    /// Requests per second, smoothed over the duration of slow start.
     rate: f64,
 }
 
--- a/balancer/tests/balancer.rs
+++ b/balancer/tests/balancer.rs
@@ -22,11 +22,11 @@
     (1..=n).map(entry).collect()
 }
 
-/// The keys of server 1 among the first `keys`. Runs housekeeping after every 20 requests, so that slow-start
+/// The keys of server 1 among the first `key_count` keys. Runs housekeeping after every 20 requests, so that slow-start
 /// allowances are refilled.
-fn paced_keys_of_server_one(node: &mut Node, from: u64, keys: u64) -> Vec<u64> {
+fn paced_keys_of_server_one(node: &mut Node, from: u64, key_count: u64) -> Vec<u64> {
     let mut owned = Vec::new();
-    for n in 0..keys {
+    for n in 0..key_count {
         if n.is_multiple_of(20) {
             node.event(Event::Timer(TimerToken(0)));
         }
@@ -53,9 +53,9 @@
     Node::with(Settings { nodes: 100, cache, limits, ..settings() }, 1, entries)
 }
 
-/// At most `most` keys of server 1 among the first `among` keys.
-fn keys_of_server_one(node: &mut Node, among: u64, most: usize) -> Vec<u64> {
-    (0..among).filter(|&n| node.home(n, n) == id(1)).take(most).collect()
+/// At most `max_keys` keys of server 1 among the first `key_count` keys.
+fn keys_of_server_one(node: &mut Node, key_count: u64, max_keys: usize) -> Vec<u64> {
+    (0..key_count).filter(|&n| node.home(n, n) == id(1)).take(max_keys).collect()
 }
 
 /// How many of 60 reads of uncached keys are sent immediately.
--- a/balancer/tests/balancer/connections.rs
+++ b/balancer/tests/balancer/connections.rs
@@ -49,7 +49,7 @@
     assert!(close.is_some() && close < send, "{actions:?}");
     node.serve(1002);
     node.advance(60.0);
-    assert!(!closes(&node.request(read(1003, key))), "the suspicion has faded");
+    assert!(!closes(&node.request(read(1003, key))), "the suspicion no longer applies");
 }
 
 /// A dead idle connection may also show as a time-out without a reset, while later attempts are answered.
@@ -80,10 +80,10 @@
         sent(&node.advance(0.05))
     };
     node.request(read(1, 1));
-    node.request(NewRequest { class: Some(UNSAFE), ..read(2, 2) });
-    assert_eq!(serve_later_request(&mut node, 3), [], "not by half a latency target yet");
+    node.request(NewRequest { class: Some(UNSAFE_CLASS), ..read(2, 2) });
+    assert_eq!(serve_later_request(&mut node, 3), [], "overtaken by less than half a latency target");
     assert_eq!(serve_later_request(&mut node, 4), [id(1)]);
-    assert_eq!(serve_later_request(&mut node, 5), [], "one copy is enough");
+    assert_eq!(serve_later_request(&mut node, 5), [], "a hedged read is not hedged again");
     // The key that the hedged attempt did not find is missing for the first attempt too: that one is cancelled,
     // and then the request goes to the origin.
     let actions = node.outcome(1, Status::NotCached, Some(CacheStatus::Miss));
@@ -142,7 +142,10 @@
         node.serve(n);
     }
     assert!(closed(&mut node, 2));
-    assert!(!(200..260).all(|n| closed(&mut node, n)), "and retained again when there is capacity");
+    assert!(
+        !(200..260).all(|n| closed(&mut node, n)),
+        "they stay open once connections are no longer scarce"
+    );
 }
 
 /// With many nodes open connections cost more than new ones and are closed; with few nodes they stay open.
--- a/balancer/tests/balancer/origin_fetches.rs
+++ b/balancer/tests/balancer/origin_fetches.rs
@@ -124,7 +124,7 @@
         }
         node.now += 0.02;
     }
-    let write = |n| NewRequest { class: Some(UNSAFE), write: true, ..read(n, n) };
+    let write = |n| NewRequest { class: Some(UNSAFE_CLASS), write: true, ..read(n, n) };
     let writes = (2000..2060).filter(|&n| !sent(&node.request(write(n))).is_empty()).count();
     assert!((1..10).contains(&writes), "{writes} sent");
 }
--- a/balancer/tests/balancer/roster.rs
+++ b/balancer/tests/balancer/roster.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn an_on_request_node_subscribes_at_once_and_repeats_failed_calls() {
+fn an_on_request_node_subscribes_at_once_and_retries_failed_calls() {
     let mut node = Node::new(on_request(), 1);
     assert_eq!(count_roster_calls(&node.event(Event::Roster(RosterUpdate::Cached(fleet(4))))), 1);
     for _ in 0..5 {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_call_that_is_never_answered_is_repeated_within_the_subscription_gap() {
+fn a_call_that_is_never_answered_is_retried_within_the_subscription_gap() {
     let mut node = Node::new(on_request(), 1);
     node.event(Event::Roster(RosterUpdate::Cached(fleet(4))));
     assert!(count_roster_calls(&node.advance(9.0)) >= 1);
@@ -69,7 +69,9 @@
             while count_roster_calls(&node.advance(0.05)) == 0 {
                 assert!(node.now - failed <= 8.0, "called again too late");
             }
-            (balancers <= 10 || node.now - failed >= 2.0).then_some(first_call).expect("not at once again")
+            (balancers <= 10 || node.now - failed >= 2.0)
+                .then_some(first_call)
+                .expect("the call after a failure is delayed")
         };
         (0..100).map(first).collect()
     };
--- a/balancer/tests/balancer/rules.rs
+++ b/balancer/tests/balancer/rules.rs
@@ -1,4 +1,4 @@
-//! Rules on answers, repeats, the retry budget, draining servers and refusals.
+//! Rules on answers, retries, the retry budget, draining servers and refusals.
 
 use crate::*;
 
@@ -16,7 +16,7 @@
 
 #[test]
 fn every_request_is_answered_before_its_deadline_even_if_nothing_answers() {
-    for class in [READ, KEYED, UNSAFE] {
+    for class in [READ_CLASS, KEYED_CLASS, UNSAFE_CLASS] {
         let mut node = Node::with(settings(), 1, fleet(4));
         node.request(NewRequest { class: Some(class), ..read(1, 1) });
         node.now += 1.0 - 0.01;
@@ -69,7 +69,7 @@
 #[test]
 fn every_effect_crossed_with_every_status() {
     for status in ALL_STATUSES {
-        for class in [READ, KEYED, UNSAFE] {
+        for class in [READ_CLASS, KEYED_CLASS, UNSAFE_CLASS] {
             let mut node = Node::with(settings(), 1, fleet(6));
             let first = sent(&node.request(NewRequest { class: Some(class), ..read(1, 5) }))[0].clone();
             node.now += 0.01;
@@ -77,10 +77,10 @@
             let again = sent(&actions);
             if status == Status::Success {
                 assert!(again.is_empty() && !refused(&actions) && !failed(&actions));
-            } else if status.may_have_run() && class == UNSAFE {
+            } else if status.may_have_run() && class == UNSAFE_CLASS {
                 assert!(again.is_empty() && !refused(&actions), "{status:?} {actions:?}");
-            } else if status.may_have_run() && class == KEYED {
-                // Zones alternate by server number; keyed requests may be repeated in the same zone only.
+            } else if status.may_have_run() && class == KEYED_CLASS {
+                // Zones alternate by server number; keyed requests may be retried in the same zone only.
                 let zone = |s: &ServerId| s.0.trim_end_matches(":80").ends_with(['0', '2', '4', '6', '8']);
                 assert!(again.iter().all(|s| zone(s) == zone(&first)), "{status:?} {again:?}");
                 assert!(!refused(&actions), "{status:?}");
@@ -91,9 +91,9 @@
 }
 
 #[test]
-fn a_keyed_request_is_not_repeated_after_its_window() {
+fn a_keyed_request_is_not_retried_after_its_window() {
     let mut node = Node::with(settings(), 1, fleet(6));
-    node.request(NewRequest { class: Some(KEYED), time_left: 2.0, ..read(1, 5) });
+    node.request(NewRequest { class: Some(KEYED_CLASS), time_left: 2.0, ..read(1, 5) });
     node.now += 1.2;
     let actions = node.outcome(1, Status::Broken, None);
     assert!(sent(&actions).is_empty());
@@ -183,25 +183,28 @@
     // With ordered answers a connection may become idle unnoticed, so closing is repeated while it is listed.
     assert!(closes(&node.advance(0.4), 1));
     assert!(closes(&node.event(Event::Roster(RosterUpdate::Delta(vec![drain]))), 1), "a repeated notice");
-    assert!(closes(&node.event(Event::Roster(RosterUpdate::Complete(fleet(4)[1..].to_vec()))), 1), "it left");
+    assert!(
+        closes(&node.event(Event::Roster(RosterUpdate::Complete(fleet(4)[1..].to_vec()))), 1),
+        "a list without it"
+    );
     node.advance(1.0);
     assert!(closes(&node.serve(900), 1), "an outcome after it left the list");
-    assert!(!closes(&node.advance(2.0), 2), "those of servers that stay are left open");
+    assert!(!closes(&node.advance(2.0), 2), "connections to a server that is not draining stay open");
 }
 
 #[test]
 fn retries_are_budgeted() {
     let mut node = Node::with(settings(), 1, fleet(8));
-    let mut repeats = 0;
+    let mut retries = 0;
     for n in 0..1000 {
         let mut actions = node.request(read(n, n));
         while !sent(&actions).is_empty() {
             node.now += 0.01;
             actions = node.outcome(n, Status::Overloaded, None);
-            repeats += sent(&actions).len();
+            retries += sent(&actions).len();
         }
     }
-    assert!((20..=125).contains(&repeats), "{repeats} repeats of 1000 requests");
+    assert!((20..=125).contains(&retries), "{retries} retries of 1000 requests");
 }
 
 #[test]
@@ -214,12 +217,12 @@
     assert!(error_of(&|s| s.nodes = 0).contains("balancers"));
     assert!(error_of(&|s| s.classes.clear()).contains("classes"));
     assert!(error_of(&|s| s.guarantees.slow_start_duration = -1.0).contains("ramp"));
-    assert!(error_of(&|s| s.guarantees.initial_capacity_share = f64::NAN).contains("cold from"));
+    assert!(error_of(&|s| s.guarantees.initial_capacity_share = f64::NAN).contains("cold-from"));
     assert!(error_of(&|s| s.classes[0].deadline = 0.0).contains("read"));
 }
 
 #[test]
-fn a_refusal_advises_a_retry_time_within_what_clients_heed() {
+fn a_refusal_advises_a_retry_time_that_clients_follow() {
     let advice = |limits: Limits| {
         let mut node = Node::with(Settings { limits, ..settings() }, 1, vec![]);
         node.request(read(1, 1));
--- a/balancer/tests/balancer/server_health.rs
+++ b/balancer/tests/balancer/server_health.rs
@@ -49,10 +49,7 @@
     node.request(read(2000, key));
     node.outcome(2000, Status::Malformed, None);
     let third = sent(&node.outcome(2000, Status::Malformed, None));
-    assert!(
-        third.len() == 1 && third != [id(1)],
-        "a server that does nothing else is passed over: {third:?}"
-    );
+    assert!(third.len() == 1 && third != [id(1)], "the third attempt goes to another server: {third:?}");
 }
 
 /// Guards against time-outs of requests that were sent only milliseconds before their deadline, after waiting for
@@ -102,7 +99,7 @@
     let notification = Action::NotifyPeers(failing_message(&id(1)));
     assert!(node.outcome(1000, Status::TimedOut, None).contains(&notification));
     node.advance(0.5);
-    assert_eq!(node.home(2000, keys[1]), id(1), "once may be chance");
+    assert_eq!(node.home(2000, keys[1]), id(1), "one time-out does not eject the server");
     // Another node reports a time-out too; messages that name no server are ignored.
     for bytes in [failing_message(&id(1)), b"\xff\xfe".to_vec(), b"nobody".to_vec()] {
         node.event(Event::Message { from: 3, bytes });
@@ -110,7 +107,7 @@
     node.advance(1.0);
     assert!(sent(&node.request(read(3000, keys[1]))).iter().all(|s| *s != id(1)));
     node.advance(6.0);
-    assert_eq!(node.home(4000, keys[2]), id(1), "and back after its ejection");
+    assert_eq!(node.home(4000, keys[2]), id(1), "used again after its ejection");
 }
 
 /// If peer messages are not allowed, each node uses its own observations only.
@@ -150,7 +147,7 @@
         count
     };
     let burst = (1..20).map(|n| sends(&mut node, n)).sum::<usize>();
-    assert!((1..=6).contains(&burst), "{burst} of 20, with what was saved up");
+    assert!((1..=6).contains(&burst), "{burst} of 20 requests sent in the burst");
     node.advance(3.0);
     assert_eq!(sends(&mut node, 30), 1);
 }
@@ -188,7 +185,7 @@
     assert!(node.outcome(5000, Status::Unreachable, None).contains(&notification));
     node.serve(5000);
     node.advance(0.5);
-    assert_eq!(node.home(5001, keys[1]), id(1), "one may be chance");
+    assert_eq!(node.home(5001, keys[1]), id(1), "one refused connection does not eject the server");
     node.event(Event::Message { from: 9, bytes: failing_message(&id(1)) });
     assert_ne!(node.home(5002, keys[1]), id(1));
     node.advance(6.0);
--- a/balancer/tests/balancer/slow_start.rs
+++ b/balancer/tests/balancer/slow_start.rs
@@ -45,7 +45,10 @@
         }
         node.serve(n);
     }
-    assert!((0..60).filter(|&n| node.home(2000 + n, n) == id(1)).count() <= 2, "all but shut");
+    assert!(
+        (0..60).filter(|&n| node.home(2000 + n, n) == id(1)).count() <= 2,
+        "an ejected server gets almost no requests"
+    );
     let started = RosterEntry { started: Some(node.now), ..entry(1) };
     node.event(Event::Roster(RosterUpdate::Delta(vec![started])));
     assert!(!paced_keys_of_server_one(&mut node, 3000, 400).is_empty());
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -5,9 +5,9 @@
 
 use glenfall_balancer::*;
 
-pub const READ: ClassId = ClassId(0);
-pub const KEYED: ClassId = ClassId(1);
-pub const UNSAFE: ClassId = ClassId(2);
+pub const READ_CLASS: ClassId = ClassId(0);
+pub const KEYED_CLASS: ClassId = ClassId(1);
+pub const UNSAFE_CLASS: ClassId = ClassId(2);
 
 pub fn class(name: &str, effect: Effect, scope: DeduplicationScope) -> Class {
     Class {
@@ -84,7 +84,7 @@
     NewRequest {
         id: RequestId(n),
         time_left: 1.0,
-        class: Some(READ),
+        class: Some(READ_CLASS),
         tenant: None,
         key: Some(Key(key)),
         write: false,
--- a/balancer/tests/random.rs
+++ b/balancer/tests/random.rs
@@ -66,13 +66,15 @@
                     open_request.sent.iter().filter(|s| s.status.is_none_or(Status::may_have_run)).collect();
                 let zone = |s: &ServerId| s.0.trim_end_matches(":80").bytes().last().unwrap() % 2;
                 match open_request.class {
-                    UNSAFE if !ran.is_empty() => return Err("an unsafe request sent twice".into()),
-                    KEYED => {
+                    UNSAFE_CLASS if !ran.is_empty() => return Err("an unsafe request sent twice".into()),
+                    KEYED_CLASS => {
                         for s in ran {
                             if now >= s.at + settings.classes[1].deduplication_window
                                 || zone(&s.server) != zone(server)
                             {
-                                return Err("a keyed request sent outside its group or window".into());
+                                return Err(
+                                    "a keyed request sent outside its deduplication scope or window".into()
+                                );
                             }
                         }
                     }
@@ -100,7 +102,7 @@
                     return Err("two final answers".into());
                 }
                 let ran = open_request.sent.iter().any(|s| s.status.is_none_or(Status::may_have_run));
-                if matches!(action, Action::Refuse { .. }) && open_request.class != READ && ran {
+                if matches!(action, Action::Refuse { .. }) && open_request.class != READ_CLASS && ran {
                     return Err("a refusal that may not be given".into());
                 }
             }
@@ -218,14 +220,14 @@
         }
         match rng.below(10) {
             0..=5 => {
-                let class = [READ, READ, KEYED, UNSAFE][rng.below(4) as usize];
+                let class = [READ_CLASS, READ_CLASS, KEYED_CLASS, UNSAFE_CLASS][rng.below(4) as usize];
                 let remaining = 0.05 + rng.below(100) as f64 * 0.01;
                 next_id += 1;
                 let sent = Vec::new();
                 let open_request = OpenRequest { class, deadline: now + remaining, sent, answered: false };
                 checker.requests.insert(RequestId(next_id), open_request);
                 checker.accepted.push(now);
-                let write = class != READ;
+                let write = class != READ_CLASS;
                 let key = rng.below(50);
                 events.push(Event::Request(NewRequest {
                     class: Some(class),
--- a/balancer/tests/shields.rs
+++ b/balancer/tests/shields.rs
@@ -43,7 +43,7 @@
     while shields.choose(0.0, key(1), &[]) == Some(&home) {
         shields.begin_request(&home);
         in_flight += 1;
-        assert!(in_flight < 100, "a cap");
+        assert!(in_flight < 100, "no cap is reached");
     }
     // The minimum cap, because (1+ε)n/k is less here.
     assert_eq!(in_flight, 16);
@@ -90,9 +90,9 @@
         shields.end_request(&id(n));
         shields.record_outcome(4.0, &id(n), 3.5, true);
     }
-    assert_eq!(shields.choose(4.1, key(1), &[]), Some(&home), "to see whether it answers");
+    assert_eq!(shields.choose(4.1, key(1), &[]), Some(&home), "one trial request is sent");
     assert_eq!(shields.choose(4.2, key(1), &[]), None);
-    assert_eq!(shields.choose(4.7, key(1), &[id(9)]), None, "one that has waited does not wait again");
+    assert_eq!(shields.choose(4.7, key(1), &[id(9)]), None, "a retried request is no trial");
     assert_eq!(shields.choose(4.7, key(1), &[]), Some(&home));
     shields.begin_request(&home);
     shields.end_request(&home);
