--- a/balancer-adapter/src/error.rs
+++ b/balancer-adapter/src/error.rs
@@ -6,7 +6,7 @@
 /// An invalid input line, or a reply that cannot be written.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
-    /// A value is missing. Names what is expected.
+    /// A line or value is missing, or is none of those expected; the text describes what is expected.
     #[error("expected {0}")]
     Missing(&'static str),
     /// A value cannot be parsed.
--- a/balancer-adapter/src/messages.rs
+++ b/balancer-adapter/src/messages.rs
@@ -23,7 +23,6 @@
         node: u64,
         /// The seed of the node's random numbers.
         seed: u64,
-        /// The node's settings.
         settings: Settings,
     },
     /// Removes a node.
@@ -35,7 +34,6 @@
     Event {
         /// The node's number.
         node: u64,
-        /// The event.
         event: Event,
     },
 }
--- a/balancer-node/src/client_connections.rs
+++ b/balancer-node/src/client_connections.rs
@@ -53,7 +53,7 @@
 }
 
 impl ClientConnections {
-    /// No connection is open yet. `max_open` limits their number.
+    /// Starts without connections. `max_open` limits their number.
     pub fn new(max_open: usize) -> Self {
         ClientConnections {
             max_open,
--- a/balancer-node/src/discovery.rs
+++ b/balancer-node/src/discovery.rs
@@ -82,8 +82,8 @@
 }
 
 impl Discovery {
-    /// Makes no call yet. `known` is the list that the node starts with; the first watch asks for changes to
-    /// it.
+    /// Creates the client without making a call. `known` is the list that the node starts with; the first watch
+    /// requests changes to it.
     pub fn new(addr: SocketAddr, known: Option<&ServerList>) -> Self {
         let source = Source { addr, version: Cell::new(known.map(|list| list.version)) };
         Discovery { source: RefCell::new(Rc::new(source)), watches: RefCell::default() }
--- a/balancer-node/src/lib.rs
+++ b/balancer-node/src/lib.rs
@@ -80,7 +80,7 @@
 }
 
 async fn run(config: Config) -> Result<(), StartError> {
-    // First of all, since a signal without a handler ends the process.
+    // Installed before anything else, because a signal without a handler ends the process.
     let Signals { mut terminate, mut interrupt, mut hangup } = Signals::install()?;
     let listener = TcpListener::bind(config.listen)
         .await
--- a/balancer-node/src/open_requests.rs
+++ b/balancer-node/src/open_requests.rs
@@ -14,7 +14,7 @@
 
 /// The final answer to a request.
 pub enum Answer {
-    /// The response of a server.
+    /// Served by a server, whose response is forwarded.
     Served(ServerResponse),
     /// Not served, and the request has not run: a retry is safe, preferably after the stated time in seconds.
     Refused(Option<Seconds>),
--- a/balancer-node/src/server.rs
+++ b/balancer-node/src/server.rs
@@ -24,8 +24,8 @@
 use crate::protocol::MAX_HEAD_SIZE;
 use crate::request::{Rejected, RequestReader};
 
-/// Time limit for idle client connections. Long, as a close may cross with a new request; idle connections are
-/// closed sooner when capacity is needed or too many are idle.
+/// Time limit for idle client connections. Long, because the node may close a connection while a new request is
+/// in transit on it; idle connections are closed sooner when capacity is needed or too many are idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long the node accepts connections after the signal to stop. New ones continue to arrive for up to 0.4 s.
 const ACCEPT_TIME_AFTER_STOP: Duration = Duration::from_millis(600);
--- a/balancer-node/src/server_list.rs
+++ b/balancer-node/src/server_list.rs
@@ -16,7 +16,7 @@
     pub servers: Vec<ListedServer>,
 }
 
-/// One server of a list.
+/// A server with what discovery states about it.
 #[derive(Clone, Debug)]
 pub struct ListedServer {
     /// The entry for the balancer.
--- a/balancer-node/src/upstream/mod.rs
+++ b/balancer-node/src/upstream/mod.rs
@@ -23,8 +23,8 @@
 pub use connection_slots::ConnectionSlot;
 use connection_slots::ConnectionSlots;
 
-/// Idle connections are closed after this share of the time at which servers close them: a request that crosses
-/// with the server's close ends in a reset.
+/// Idle connections are closed after this share of the time at which servers close them: a request that is
+/// sent while the server closes the connection ends in a reset.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
 /// The idle time-out if the settings state none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -79,8 +79,8 @@
 }
 
 impl Upstreams {
-    /// Opens no connection yet. `nodes` is the number of nodes that share the servers, and `max_open` limits
-    /// this node's connections.
+    /// Creates the pool without opening a connection. `nodes` is the number of nodes that share the servers, and
+    /// `max_open` limits this node's connections.
     pub fn start(limits: &Limits, nodes: u32, max_open: usize) -> Rc<Self> {
         let positive_duration =
             |seconds: f64| Duration::try_from_secs_f64(seconds).ok().filter(|time| !time.is_zero());
