--- a/control-plane/tests/deduplication.rs
+++ b/control-plane/tests/deduplication.rs
@@ -1,6 +1,6 @@
 //! Deduplication of orders that are retried concurrently, at any node, and across view changes and reconfigurations, and
-//! orders that compete for the same version. The first tests use one record alone, the others a chain on a network without
-//! delay, whose messages are encoded and decoded.
+//! orders that compete for the same version. The first tests use one record alone. The others use a chain on a network
+//! without delay, on which each message is encoded and decoded.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
@@ -47,8 +47,8 @@
 }
 
 /// Applies PUT and PATCH orders in turn. Each builds on the current version and raises it by 2.
-fn apply_orders(record: &mut Record, changes: usize) {
-    for n in 0..changes {
+fn apply_orders(record: &mut Record, order_count: usize) {
+    for n in 0..order_count {
         let (rev, make) = (record.rev, if n % 2 == 0 { put } else { patch });
         apply(record, &make(rev, rev + 2, 0));
     }
@@ -62,10 +62,10 @@
         let order = make(record.rev, record.rev + 3, 7);
         apply(&mut record, &order);
         let rev = record.rev;
-        let mut changes_made = 0;
+        let mut applied_count = 0;
         for later_orders in [0, 1, 64, 65, 1000, MIN_RETAINED] {
-            apply_orders(&mut record, later_orders - changes_made);
-            changes_made = later_orders;
+            apply_orders(&mut record, later_orders - applied_count);
+            applied_count = later_orders;
             assert_eq!(
                 decide(&record, &order),
                 Decision::AlreadyApplied { rev },
@@ -84,8 +84,8 @@
             }
         }
         for later_orders in [MAX_APPLIED_ORDERS, 5000, 9000] {
-            apply_orders(&mut record, later_orders - changes_made);
-            changes_made = later_orders;
+            apply_orders(&mut record, later_orders - applied_count);
+            applied_count = later_orders;
             let up_to = record.applied_orders.horizon();
             assert!(up_to >= rev && record.applied_orders.len() <= MAX_APPLIED_ORDERS);
             assert_eq!(
@@ -162,8 +162,8 @@
         longest = longest.max(record.applied_orders.len());
     }
     assert_eq!(longest, MAX_APPLIED_ORDERS);
-    for changes in [0, 1, CHUNK_ORDERS - 1, CHUNK_ORDERS, 1000] {
-        apply_orders(&mut record, changes);
+    for order_count in [0, 1, CHUNK_ORDERS - 1, CHUNK_ORDERS, 1000] {
+        apply_orders(&mut record, order_count);
         let bytes = postcard::to_stdvec(&record.applied_orders).unwrap();
         assert!(bytes.len() <= 176_000, "{} bytes", bytes.len());
         assert_eq!(postcard::from_bytes::<DeduplicationTable>(&bytes).unwrap(), record.applied_orders);
--- a/control-plane/tests/linearizability.rs
+++ b/control-plane/tests/linearizability.rs
@@ -3,8 +3,8 @@
 //! nodes that restart within a partition. Each answer that depends on the newest version, also a rejection, has to be true
 //! at a moment after the call began.
 //!
-//! The seeds are fixed. `CONTACT_SEED=n cargo test -p glenfall-control-plane --test contact` replays one schedule, and
-//! `CONTACT_RUNS=n` sets the number of schedules.
+//! The seeds are fixed. `CONTACT_SEED=n cargo test -p glenfall-control-plane --test linearizability` replays one
+//! schedule, and `CONTACT_RUNS=n` sets the number of schedules.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
--- a/control-plane/tests/wire_format.rs
+++ b/control-plane/tests/wire_format.rs
@@ -22,7 +22,7 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-const FIXTURE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt");
+const FIXTURE_PATH: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt");
 
 /// Compares samples with the fixture, or writes it.
 struct Samples {
@@ -303,7 +303,7 @@
 
 #[test]
 fn each_message_encodes_to_the_bytes_of_the_fixture_and_decodes_from_them() {
-    let expected = std::fs::read_to_string(Path::new(FIXTURE)).unwrap_or_default();
+    let expected = std::fs::read_to_string(Path::new(FIXTURE_PATH)).unwrap_or_default();
     let mut samples = Samples { expected, actual: String::new() };
     check_connection_openings(&mut samples);
     check_session_messages(&mut samples);
@@ -312,7 +312,7 @@
     check_invalid_documents(&mut samples);
     check_hard_state(&mut samples);
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
-        std::fs::write(FIXTURE, &samples.actual).expect("the fixture is written");
+        std::fs::write(FIXTURE_PATH, &samples.actual).expect("the fixture is written");
         return;
     }
     assert!(samples.actual.lines().count() > 70);
--- a/http-client/tests/retry_safety.rs
+++ b/http-client/tests/retry_safety.rs
@@ -6,7 +6,7 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 
 /// The execution status of a non-idempotent request for each event, by stage: unconnected, connected, partly sent, sent,
-/// informed, answering.
+/// interim received, response started.
 const EXPECTED_STATUS: [(SendEvent, [&str; 6]); 11] = [
     (SendEvent::NoConnection, ["not run", "not run", "not run", "unknown", "unknown", "unknown"]),
     (SendEvent::Broken, ["not run", "not run", "not run", "unknown", "unknown", "unknown"]),
