--- a/balancer-node/src/request.rs
+++ b/balancer-node/src/request.rs
@@ -21,9 +21,9 @@
 /// and in this node's queue since the client's clock started, and that its response takes to return.
 const TRANSIT_TIME: Duration = Duration::from_millis(10);
 /// Longest time limit that a request gets, whatever its client states, as each request holds a timer.
-const MAX_WAIT: Duration = Duration::from_secs(100);
+const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(100);
 /// Largest time limit that a client may state, in milliseconds; a request with a larger one is rejected.
-const MAX_STATED_WAIT_MS: u64 = 3_600_000;
+const MAX_STATED_TIMEOUT_MS: u64 = 3_600_000;
 /// Longest path with its query, in bytes.
 const MAX_PATH_LENGTH: usize = 2 << 10;
 /// Longest id of a request, in bytes.
@@ -113,8 +113,8 @@
     /// The client's time limit: the one that it states, or else that of its class.
     fn client_timeout(&self, headers: &HeaderMap, class: ClassId) -> Result<Duration, Rejected> {
         match number(headers, &DEADLINE_MS_HEADER)? {
-            Some(ms) if ms > MAX_STATED_WAIT_MS => Err(BAD_REQUEST),
-            Some(ms) => Ok(Duration::from_millis(ms).min(MAX_WAIT)),
+            Some(ms) if ms > MAX_STATED_TIMEOUT_MS => Err(BAD_REQUEST),
+            Some(ms) => Ok(Duration::from_millis(ms).min(MAX_CLIENT_TIMEOUT)),
             None => Ok(Duration::from_secs_f64(self.settings.classes[class.0].deadline)),
         }
     }
--- a/balancer/src/balancer/admission.rs
+++ b/balancer/src/balancer/admission.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Sends a request that has no attempt in flight to a server, queues it, or ends it.
+    /// Sends a request to a server, queues it, or ends it. Does nothing while an attempt is in flight.
     pub(super) fn dispatch(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id).filter(|request| request.needs_attempt()) else { return };
         let costs_budget = request.next_attempt_costs_budget(self.config.uses_default_retry_budget());
