--- a/balancer-node/tests/node.rs
+++ b/balancer-node/tests/node.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_miss_goes_to_the_origin_and_a_write_straight_there() {
+fn a_read_goes_to_the_origin_after_a_miss_and_a_write_directly() {
     let (cache, origin) = (Server::start(|_| miss()), Server::start(|_| hit("from origin")));
     let (node, _discovery) =
         start(&[entry("s-1", cache.addr, "active"), entry("origin", origin.addr, "active")]);
--- a/balancer/tests/balancer/connections.rs
+++ b/balancer/tests/balancer/connections.rs
@@ -29,7 +29,7 @@
 /// every request on a dead connection. The resets ejected healthy servers and moved their keys to servers that
 /// do not have them.
 #[test]
-fn a_connection_that_lay_idle_as_long_as_a_dead_one_is_closed_before_the_next_send() {
+fn a_connection_that_was_idle_as_long_as_a_dead_one_is_closed_before_the_next_send() {
     let mut node = Node::with(settings(), 1, fleet(6));
     let key = keys_of_server_one(&mut node, 400, 1)[0];
     let closes = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::CloseIdle(_)));
--- a/balancer/tests/balancer/overload.rs
+++ b/balancer/tests/balancer/overload.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_overload_that_all_nodes_observe_at_once_counts_once_and_is_not_announced_again() {
+fn an_overload_that_all_nodes_observe_at_once_counts_once_and_peers_are_not_notified_again() {
     let mut node = node_in_large_deployment(fleet(10));
     let keys = keys_of_server_one(&mut node, 1000, usize::MAX);
     for from in 0..50 {
--- a/balancer/tests/balancer/server_health.rs
+++ b/balancer/tests/balancer/server_health.rs
@@ -69,7 +69,7 @@
 
 /// Work is heavy-tailed: an answer that took as long as its work hint does not indicate overload.
 #[test]
-fn heavy_requests_do_not_count_as_overload() {
+fn expensive_requests_do_not_count_as_overload() {
     let sent_in_parallel = |work| {
         let mut node = Node::with(settings(), 1, fleet(1));
         for n in 0..40 {
@@ -206,7 +206,10 @@
         if to == [id(1)] {
             requests += 1;
             let actions = node.outcome(n, Status::TimedOut, None);
-            assert!(!actions.contains(&Action::NotifyPeers(failing_message(&id(1)))), "announced as failing");
+            assert!(
+                !actions.contains(&Action::NotifyPeers(failing_message(&id(1)))),
+                "peers are notified of a failure"
+            );
         }
         node.advance(0.1);
     }
--- a/balancer/tests/size.rs
+++ b/balancer/tests/size.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn policy_names_every_decision_file() {
+fn the_policy_list_names_every_decision_file() {
     let crate_root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let is_decision_file = |path: &PathBuf| !FILES_WITHOUT_DECISIONS.iter().any(|name| path.ends_with(name));
     let canonical = |path: PathBuf| path.canonicalize().unwrap_or_else(|e| panic!("{}: {e}", path.display()));
