--- a/experiments/src/execution_log.rs
+++ b/experiments/src/execution_log.rs
@@ -8,18 +8,18 @@
 use tokio::time::Instant;
 
 /// Maximum time until an acknowledged purge takes effect on all edges.
-pub const PURGE_TIMEOUT: Duration = Duration::from_secs(2);
+pub const PURGE_PROPAGATION_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Number of violations of each guarantee.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ViolationCounts {
     /// Requests that may run at most once and ran more than once.
-    pub ran_twice: u64,
+    pub executed_twice: u64,
     /// Requests rejected as not executed that had been executed.
-    pub rejected_after_run: u64,
+    pub rejected_after_execution: u64,
     /// Successful responses that were not the complete response of the server.
     pub incomplete: u64,
-    /// Responses with a purged version, to requests sent more than `PURGE_TIMEOUT` after the purge.
+    /// Responses with a purged version, to requests sent more than `PURGE_PROPAGATION_TIMEOUT` after the purge.
     pub stale: u64,
 }
 
@@ -30,7 +30,7 @@
     Valid,
     /// The response is not the complete response of the server.
     Incomplete,
-    /// The response is a version whose purge was acknowledged more than `PURGE_TIMEOUT` before the request.
+    /// The response is a version whose purge was acknowledged more than `PURGE_PROPAGATION_TIMEOUT` before the request.
     Stale,
 }
 
@@ -46,7 +46,7 @@
 pub struct ExecutionLog {
     objects: RefCell<HashMap<String, Object>>,
     /// Number of executions of each request that may run at most once, by try id.
-    runs: RefCell<HashMap<String, u32>>,
+    executions: RefCell<HashMap<String, u32>>,
     violations: RefCell<ViolationCounts>,
 }
 
@@ -92,24 +92,24 @@
     }
 
     /// Records that a server starts to execute a request that may run at most once.
-    pub fn record_run(&self, id: &str) {
-        let mut runs = self.runs.borrow_mut();
-        let times = runs.entry(id.to_owned()).or_default();
+    pub fn record_execution(&self, id: &str) {
+        let mut executions = self.executions.borrow_mut();
+        let times = executions.entry(id.to_owned()).or_default();
         *times += 1;
         if *times == 2 {
-            self.violations.borrow_mut().ran_twice += 1;
+            self.violations.borrow_mut().executed_twice += 1;
         }
     }
 
     /// Whether a server has started to execute a request that may run at most once.
-    pub fn has_run(&self, id: &str) -> bool {
-        self.runs.borrow().contains_key(id)
+    pub fn was_executed(&self, id: &str) -> bool {
+        self.executions.borrow().contains_key(id)
     }
 
     /// Records that a request was rejected as not executed, and counts a violation if it was executed.
     pub fn record_rejection(&self, id: &str) {
-        if self.has_run(id) {
-            self.violations.borrow_mut().rejected_after_run += 1;
+        if self.was_executed(id) {
+            self.violations.borrow_mut().rejected_after_execution += 1;
         }
     }
 
@@ -146,7 +146,7 @@
         let objects = self.objects.borrow();
         let purged_at = objects.get(path).and_then(|object| object.purged_at.get(&version));
         match purged_at {
-            Some(purged_at) if sent_at >= *purged_at + PURGE_TIMEOUT => ResponseCheck::Stale,
+            Some(purged_at) if sent_at >= *purged_at + PURGE_PROPAGATION_TIMEOUT => ResponseCheck::Stale,
             _ => ResponseCheck::Valid,
         }
     }
--- a/experiments/src/fleet/report.rs
+++ b/experiments/src/fleet/report.rs
@@ -48,7 +48,7 @@
     Row { name, value }
 }
 
-const ROWS: [Row; 11] = [
+const TABLE_ROWS: [Row; 11] = [
     row("connections opened per write", |size| size.writes.opened_per_write),
     row("concurrent connections at a server, max", |size| f64::from(size.writes.max_connections)),
     row("connections beyond the limit of a server", |size| size.writes.connections_over_limit as f64),
@@ -72,7 +72,7 @@
         let mut text = self.line("edges", |size| size.edges.to_string());
         text += &table_line("---", vec!["---".to_owned(); self.sizes.len()]);
         text += &self.line("servers", |size| size.servers.to_string());
-        for Row { name, value } in ROWS {
+        for Row { name, value } in TABLE_ROWS {
             text += &self.line(name, |size| format!("{:.3}", value(size)));
         }
         let phases = self.sizes.first().map_or(0, |size| size.control_traffic.len());
--- a/experiments/src/load.rs
+++ b/experiments/src/load.rs
@@ -142,9 +142,9 @@
     }
 
     /// Generates the requests of a class: arrivals are a Poisson process, objects follow a Zipf distribution.
-    async fn generate_class(self: Rc<Self>, number: usize, began_at: Instant, ends_at: Instant) {
-        let class = self.plan.classes[number].clone();
-        let mut rng = ChaCha8Rng::seed_from_u64(splitmix64(self.plan.seed ^ splitmix64(number as u64)));
+    async fn generate_class(self: Rc<Self>, class_index: usize, began_at: Instant, ends_at: Instant) {
+        let class = self.plan.classes[class_index].clone();
+        let mut rng = ChaCha8Rng::seed_from_u64(splitmix64(self.plan.seed ^ splitmix64(class_index as u64)));
         let Ok(objects) = Zipf::new(f64::from(class.objects), class.skew) else { return };
         let mut at = began_at;
         loop {
@@ -162,7 +162,7 @@
             let object = objects.sample(&mut rng) as u64;
             let client = rng.random_range(0..CLIENT_COUNT);
             let second = (at - began_at).as_secs() as usize;
-            self.start_request(Arrival { class: number, second, object, client });
+            self.start_request(Arrival { class: class_index, second, object, client });
         }
     }
 
--- a/experiments/src/origin/requests.rs
+++ b/experiments/src/origin/requests.rs
@@ -66,7 +66,7 @@
             Err(rejection) => return rejection,
         };
         if class.kind == RouteKind::Mutating {
-            self.execution_log.record_run(id);
+            self.execution_log.record_execution(id);
         }
         let version = self.execution_log.version(request.head.uri.path());
         let work = self.draw_work();
--- a/experiments/src/plot.rs
+++ b/experiments/src/plot.rs
@@ -12,7 +12,7 @@
 /// Width and height of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (960, 420);
 /// The least value on logarithmic scales; smaller values are drawn at it.
-const MIN_LOGARITHMIC: f64 = 1e-3;
+const MIN_LOGARITHMIC_VALUE: f64 = 1e-3;
 
 /// Why a plot can't be drawn.
 #[derive(Debug, thiserror::Error)]
@@ -110,7 +110,7 @@
     mut lines: Vec<Line>,
 ) -> Result<(), PlotError> {
     for point in lines.iter_mut().flat_map(|line| &mut line.points) {
-        point.1 = point.1.max(MIN_LOGARITHMIC);
+        point.1 = point.1.max(MIN_LOGARITHMIC_VALUE);
     }
     let horizontal = coordinate_range(&lines, |point| point.0);
     let vertical = coordinate_range(&lines, |point| point.1);
@@ -133,5 +133,5 @@
 /// Returns the range of one coordinate over all points.
 fn coordinate_range(lines: &[Line], coordinate: fn(&(f64, f64)) -> f64) -> Range<f64> {
     let coordinates = || lines.iter().flat_map(|line| &line.points).map(coordinate);
-    coordinates().fold(f64::MAX, f64::min)..coordinates().fold(MIN_LOGARITHMIC, f64::max)
+    coordinates().fold(f64::MAX, f64::min)..coordinates().fold(MIN_LOGARITHMIC_VALUE, f64::max)
 }
--- a/experiments/src/report.rs
+++ b/experiments/src/report.rs
@@ -295,8 +295,8 @@
 /// Returns the violation counts by their names in reports.
 fn violations_by_name(violations: &ViolationCounts) -> BTreeMap<String, u64> {
     let named = [
-        ("twice", violations.ran_twice),
-        ("refused", violations.rejected_after_run),
+        ("twice", violations.executed_twice),
+        ("refused", violations.rejected_after_execution),
         ("mixed", violations.incomplete),
         ("stale", violations.stale),
     ];
--- a/experiments/src/soak/clients/checks.rs
+++ b/experiments/src/soak/clients/checks.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::{Clients, SentRequest};
-use crate::execution_log::{ResponseCheck, PURGE_TIMEOUT};
+use crate::execution_log::{ResponseCheck, PURGE_PROPAGATION_TIMEOUT};
 use crate::plan::RouteKind;
 use crate::soak::fault_history::FaultKind;
 use crate::soak::oracle::Invariant;
@@ -58,7 +58,7 @@
                     format!("{id}: incomplete response for {path}"),
                 );
             }
-            ResponseCheck::Stale if self.in_contact_since(*edge, *sent_at - PURGE_TIMEOUT) => {
+            ResponseCheck::Stale if self.in_contact_since(*edge, *sent_at - PURGE_PROPAGATION_TIMEOUT) => {
                 self.oracle.record_violation(
                     Invariant::NoStaleAfterPurge,
                     format!("{id}: purged version of {path}"),
@@ -130,21 +130,21 @@
     /// had been read, and no write was executed twice.
     pub fn check_after_run(&self, was_read: impl Fn(&UnansweredRequest) -> bool) {
         for request in self.unanswered.borrow().iter() {
-            if was_read(request) || self.execution_log.has_run(&request.id) {
+            if was_read(request) || self.execution_log.was_executed(&request.id) {
                 let UnansweredRequest { id, edge, after_ms } = request;
                 let details =
                     format!("{id}: connection to edge {edge} ended without a response after {after_ms} ms");
                 self.oracle.record_violation(Invariant::ReadRequestAnswered, details);
             }
         }
-        for id in self.rejected_writes.borrow().iter().filter(|id| self.execution_log.has_run(id)) {
+        for id in self.rejected_writes.borrow().iter().filter(|id| self.execution_log.was_executed(id)) {
             self.oracle.record_violation(Invariant::RejectedNotExecuted, id.clone());
         }
-        let ran_twice = self.execution_log.violations().ran_twice;
-        if ran_twice > 0 {
+        let executed_twice = self.execution_log.violations().executed_twice;
+        if executed_twice > 0 {
             self.oracle.record_violation(
                 Invariant::AtMostOnce,
-                format!("{ran_twice} requests were executed more than once"),
+                format!("{executed_twice} requests were executed more than once"),
             );
         }
     }
--- a/experiments/src/soak/clients/edges.rs
+++ b/experiments/src/soak/clients/edges.rs
@@ -13,20 +13,20 @@
     /// Number of times that the process was stopped or started.
     restarts: Cell<u64>,
     /// Configuration versions that probes have found applied since the last restart.
-    known_versions: RefCell<BTreeSet<u64>>,
+    applied_versions: RefCell<BTreeSet<u64>>,
 }
 
 impl Edge {
     /// Creates an edge without known versions.
     pub fn new(address: SocketAddrV4, machine: u8) -> Self {
-        Edge { address, machine, restarts: Cell::new(0), known_versions: RefCell::default() }
+        Edge { address, machine, restarts: Cell::new(0), applied_versions: RefCell::default() }
     }
 
     /// Records that the process is stopped or started. It may revert to an older version by that, so the known
     /// versions are cleared.
     pub fn record_restart(&self) {
         self.restarts.set(self.restarts.get() + 1);
-        self.known_versions.borrow_mut().clear();
+        self.applied_versions.borrow_mut().clear();
     }
 
     /// Returns how often the process was stopped or started.
@@ -35,12 +35,12 @@
     }
 
     /// Records that a probe has found a version applied.
-    pub fn record_known_version(&self, rev: u64) {
-        self.known_versions.borrow_mut().insert(rev);
+    pub fn record_applied_version(&self, rev: u64) {
+        self.applied_versions.borrow_mut().insert(rev);
     }
 
     /// Whether a probe has found a version applied since the last restart.
-    pub fn has_known(&self, rev: u64) -> bool {
-        self.known_versions.borrow().contains(&rev)
+    pub fn has_applied(&self, rev: u64) -> bool {
+        self.applied_versions.borrow().contains(&rev)
     }
 }
--- a/experiments/src/soak/clients/version_probes.rs
+++ b/experiments/src/soak/clients/version_probes.rs
@@ -38,10 +38,10 @@
             return;
         }
         if status == StatusCode::NOT_FOUND {
-            self.check_unknown_version(edge, version, sent_at);
+            self.check_unapplied_version(edge, version, sent_at);
         } else if status.is_success() {
             // Other statuses prove nothing: an edge without any configuration returns 503.
-            probed.record_known_version(version.rev);
+            probed.record_applied_version(version.rev);
         }
     }
 
@@ -58,11 +58,11 @@
         Some(response.status())
     }
 
-    fn check_unknown_version(&self, edge: usize, version: CommittedVersion, sent_at: Instant) {
+    fn check_unapplied_version(&self, edge: usize, version: CommittedVersion, sent_at: Instant) {
         let CommittedVersion { rev, known_at } = version;
         self.oracle.count("probe: version not applied yet");
         let is_newest = self.operators.newest().is_some_and(|newest| newest.rev == rev);
-        if self.edges[edge].has_known(rev) && is_newest {
+        if self.edges[edge].has_applied(rev) && is_newest {
             self.oracle.record_violation(
                 Invariant::NoVersionRollback,
                 format!("edge {edge} no longer has version {rev}"),
--- a/experiments/src/soak/machines.rs
+++ b/experiments/src/soak/machines.rs
@@ -125,7 +125,8 @@
         let exited = self.local.borrow_mut().exited_processes().unwrap_or_default();
         let expected = self.expected_exits.borrow();
         let has_exited = |role: &&'static str| {
-            let is_exited = exited.iter().any(|(of, exited_role, _)| of == node && exited_role == role);
+            let is_exited =
+                exited.iter().any(|(exited_node, exited_role, _)| exited_node == node && exited_role == role);
             is_exited || !expected.contains(&ProcessRole { machine: node.to_owned(), role })
         };
         self.roles(machine, processes).iter().all(has_exited)
@@ -144,7 +145,9 @@
     /// exit.
     fn restart_node(&self, node: &str) -> std::io::Result<()> {
         let mut local = self.local.borrow_mut();
-        for (machine, role, _) in local.exited_processes()?.into_iter().filter(|(of, ..)| of == node) {
+        for (machine, role, _) in
+            local.exited_processes()?.into_iter().filter(|(exited_node, ..)| exited_node == node)
+        {
             self.expected_exits.borrow_mut().remove(&ProcessRole { machine, role });
         }
         local.restart_node(node)?;
--- a/experiments/src/soak/operators/mod.rs
+++ b/experiments/src/soak/operators/mod.rs
@@ -30,7 +30,7 @@
 /// How long a change without a definite response is retried.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(6);
 /// How long a purge that was not acknowledged is retried.
-const PURGE_TIMEOUT: Duration = Duration::from_secs(4);
+const PURGE_RETRY_TIMEOUT: Duration = Duration::from_secs(4);
 /// Pause before a call is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 /// Maximum number of attempts to put the first configuration, each with its own retries.
@@ -76,7 +76,7 @@
     /// All changes sent so far, by their numbers.
     sent: RefCell<BTreeMap<u64, SentChange>>,
     /// The number of the acknowledged change, by the version that it is based on.
-    winners: RefCell<BTreeMap<u64, u64>>,
+    acknowledged_changes: RefCell<BTreeMap<u64, u64>>,
     newest: Cell<Option<CommittedVersion>>,
     /// The change that the operators assume to be the newest, on which the next change is based.
     current: RefCell<ConfigChange>,
@@ -95,7 +95,7 @@
             oracle: Rc::clone(oracle),
             rng,
             sent: RefCell::default(),
-            winners: RefCell::default(),
+            acknowledged_changes: RefCell::default(),
             newest: Cell::new(None),
             current: RefCell::new(ConfigChange::initial()),
             next_number: Cell::new(1),
@@ -147,7 +147,7 @@
         if !self.send_until_answered(&change).await {
             self.refresh_current().await;
         } else if resend {
-            self.send_again(&change).await;
+            self.resend(&change).await;
         }
     }
 
@@ -196,7 +196,7 @@
     fn record_acknowledged(&self, change: &ConfigChange) {
         self.oracle.count("change acknowledged");
         self.set_state(change, ChangeState::Acknowledged);
-        let before = self.winners.borrow_mut().insert(change.builds_on, change.number);
+        let before = self.acknowledged_changes.borrow_mut().insert(change.builds_on, change.number);
         if let Some(before) = before.filter(|before| *before != change.number) {
             let details = format!(
                 "changes {before} and {} to version {} were both acknowledged",
@@ -238,7 +238,7 @@
     }
 
     /// Sends an acknowledged change again before any other change is sent.
-    async fn send_again(&self, change: &ConfigChange) {
+    async fn resend(&self, change: &ConfigChange) {
         let response = self.control.call_any(&self.put_call(change)).await;
         let status = response.map(|response| response.status());
         if let Some(status) = status.filter(hyper::StatusCode::is_client_error) {
@@ -278,12 +278,12 @@
         }
     }
 
-    /// Sends a purge until it is acknowledged. Returns false if that takes longer than `PURGE_TIMEOUT`.
+    /// Sends a purge until it is acknowledged. Returns false if that takes longer than `PURGE_RETRY_TIMEOUT`.
     async fn purge(&self, path: &str) -> bool {
         let body = json!({ "hostname": crate::plan::ROUTE_HOST, "urlPath": path }).to_string();
         let call = Call { method: Method::POST, path: "/api/purge", builds_on: None, body: body.into() };
         let began_at = Instant::now();
-        while began_at.elapsed() < PURGE_TIMEOUT {
+        while began_at.elapsed() < PURGE_RETRY_TIMEOUT {
             let response = self.control.call_any(&call).await;
             if response.is_some_and(|response| response.status().is_success()) {
                 return true;
--- a/experiments/tests/processor.rs
+++ b/experiments/tests/processor.rs
@@ -45,16 +45,16 @@
         }
     }
     if has_strace {
-        let reads = |name: &str, role: &str| {
+        let kilobytes = |name: &str, role: &str| {
             let case = cases.iter().find(|case| case["name"] == name).unwrap();
             case["costs"][role]["kilobytes"].as_f64().unwrap()
         };
         // A response has 6 kB. A shield transfers it once on a cache hit, twice if it fetches it from the origin, and
         // not at all if the edge has it cached.
-        assert!((5.0..9.0).contains(&reads("shield's copy", "shield")));
-        assert!(reads("miss", "shield") > 11.0);
-        assert!(reads("edge's copy", "shield") < 3.0);
-        assert!(reads("edge's copy", "edge") > 5.0);
+        assert!((5.0..9.0).contains(&kilobytes("shield's copy", "shield")));
+        assert!(kilobytes("miss", "shield") > 11.0);
+        assert!(kilobytes("edge's copy", "shield") < 3.0);
+        assert!(kilobytes("edge's copy", "edge") > 5.0);
         // Accepted connections inherit their options from the listener, and one that the client has closed needs no
         // shutdown.
         for name in ["setsockopt", "shutdown"] {
