--- a/experiments/src/origin/mod.rs
+++ b/experiments/src/origin/mod.rs
@@ -49,7 +49,7 @@
     linger_time: Cell<Duration>,
     /// When control acknowledged the draining or deregistration; `None` before.
     drain_acknowledged_at: Cell<Option<Instant>>,
-    /// Number of requests that arrived after the drain time, since it was last taken.
+    /// Number of requests that arrived after the drain time; reset by `take_arrivals_after_drain`.
     arrivals_after_drain: Cell<u64>,
     /// Index of the control node that accepted the last call.
     last_control: Cell<usize>,
@@ -111,7 +111,7 @@
         tokio::select! {
             served = serving => {
                 if let Err(error) = served {
-                    eprintln!("{}: {error}", self.id);
+                    eprintln!("origin server {} stopped: {error}", self.id);
                 }
             }
             () = self.send_heartbeats(announced, zone, &controls) => {}
--- a/experiments/src/soak/operators/mod.rs
+++ b/experiments/src/soak/operators/mod.rs
@@ -126,7 +126,7 @@
 
     // ---- Changes ----
 
-    /// Changes the configuration at random intervals: with single, concurrent, repeated and invalid changes. Runs
+    /// Changes the configuration at random intervals: with single, concurrent, resent and invalid changes. Runs
     /// until it is aborted.
     pub async fn change_config(self: Rc<Self>) {
         loop {
@@ -199,7 +199,7 @@
         let before = self.acknowledged_changes.borrow_mut().insert(change.builds_on, change.number);
         if let Some(before) = before.filter(|before| *before != change.number) {
             let details = format!(
-                "changes {before} and {} to version {} were both acknowledged",
+                "changes {before} and {}, both based on version {}, were acknowledged",
                 change.number, change.builds_on
             );
             self.oracle.record_violation(Invariant::OneChangePerVersion, details);
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Sends two concurrent changes to the same version.
+    /// Sends two concurrent changes based on the same version.
     async fn race(&self) {
         let (first, mut second) = (self.next_change(), self.next_change());
         if self.rng.borrow_mut().random_bool(0.5) {
@@ -231,18 +231,18 @@
         let (first_acknowledged, second_acknowledged) =
             tokio::join!(self.send_until_answered(&first), self.send_until_answered(&second));
         if first_acknowledged && second_acknowledged {
-            let details = "two concurrent changes to the same version were acknowledged".to_owned();
+            let details = "two concurrent changes based on the same version were acknowledged".to_owned();
             self.oracle.record_violation(Invariant::OneChangePerVersion, details);
         }
         self.refresh_current().await;
     }
 
-    /// Sends an acknowledged change again before any other change is sent.
+    /// Resends an acknowledged change before any other change is sent.
     async fn resend(&self, change: &ConfigChange) {
         let response = self.control.call_any(&self.put_call(change)).await;
         let status = response.map(|response| response.status());
         if let Some(status) = status.filter(hyper::StatusCode::is_client_error) {
-            let details = format!("change {} was rejected when sent again: {status}", change.number);
+            let details = format!("change {} was rejected when resent: {status}", change.number);
             self.oracle.record_violation(Invariant::RetryAcknowledged, details);
         }
     }
--- a/experiments/src/soak/oracle.rs
+++ b/experiments/src/soak/oracle.rs
@@ -32,9 +32,9 @@
     LinearizableRead,
     /// A configuration document that is read is identical to one that was sent and not rejected.
     ReadDocumentWasSent,
-    /// At most one change to each version is acknowledged.
+    /// Of the changes based on the same version, at most one is acknowledged.
     OneChangePerVersion,
-    /// An acknowledged change is not rejected when it is sent again.
+    /// An acknowledged change is not rejected when it is resent.
     RetryAcknowledged,
     /// An invalid configuration is rejected.
     InvalidConfigRejected,
