--- a/experiments/src/cli.rs
+++ b/experiments/src/cli.rs
@@ -78,7 +78,8 @@
     Compare { before: PathBuf, after: PathBuf },
 }
 
-/// Parses the arguments of the process and runs the command. Fails on an error or a violated guarantee.
+/// Parses the arguments of the process and runs the command. Fails on an error, or if the command found a fault of the
+/// system.
 pub fn main() -> ExitCode {
     match run(Arguments::parse().command) {
         Ok(true) => ExitCode::SUCCESS,
@@ -90,7 +91,7 @@
     }
 }
 
-/// Runs a command. Returns false if the system violated a guarantee.
+/// Runs a command. Returns false if it found a fault of the system, such as a violated guarantee.
 fn run(command: Command) -> Result<bool, LabError> {
     match command {
         Command::Run { plan, out, program } => run_experiment(&plan, &out, program),
--- a/experiments/src/execution_log.rs
+++ b/experiments/src/execution_log.rs
@@ -13,13 +13,14 @@
 /// Number of violations of each guarantee.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ViolationCounts {
-    /// Requests that may run at most once and ran more than once.
+    /// Requests that may be executed at most once and were executed more than once.
     pub executed_twice: u64,
     /// Requests rejected as not executed that had been executed.
     pub rejected_after_execution: u64,
     /// Successful responses that were not the complete response of the server.
     pub incomplete: u64,
-    /// Responses with a purged version, to requests sent more than `PURGE_PROPAGATION_TIMEOUT` after the purge.
+    /// Responses with a version whose purge was acknowledged `PURGE_PROPAGATION_TIMEOUT` or longer before the request
+    /// was sent.
     pub stale: u64,
 }
 
@@ -30,7 +31,8 @@
     Valid,
     /// The response is not the complete response of the server.
     Incomplete,
-    /// The response is a version whose purge was acknowledged more than `PURGE_PROPAGATION_TIMEOUT` before the request.
+    /// The response is a version whose purge was acknowledged `PURGE_PROPAGATION_TIMEOUT` or longer before the request
+    /// was sent.
     Stale,
 }
 
@@ -41,11 +43,11 @@
     purged_at: HashMap<u64, Instant>,
 }
 
-/// The state of all objects, and the executed requests that may run at most once.
+/// The versions of all objects, and the executions of requests that may be executed at most once.
 #[derive(Default)]
 pub struct ExecutionLog {
     objects: RefCell<HashMap<String, Object>>,
-    /// Number of executions of each request that may run at most once, by try id.
+    /// Number of executions of each request that may be executed at most once, by try id.
     executions: RefCell<HashMap<String, u32>>,
     violations: RefCell<ViolationCounts>,
 }
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Records that a server starts to execute a request that may run at most once.
+    /// Records that a server starts to execute a request that may be executed at most once.
     pub fn record_execution(&self, id: &str) {
         let mut executions = self.executions.borrow_mut();
         let times = executions.entry(id.to_owned()).or_default();
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Whether a server has started to execute a request that may run at most once.
+    /// Whether a server has started to execute a request that may be executed at most once.
     pub fn was_executed(&self, id: &str) -> bool {
         self.executions.borrow().contains_key(id)
     }
--- a/experiments/src/experiment/faults.rs
+++ b/experiments/src/experiment/faults.rs
@@ -12,7 +12,7 @@
 use crate::origin::Origin;
 use crate::plan::{FaultKind, PlannedFault};
 
-/// The time in which a process exits after SIGTERM.
+/// Maximum time until a process exits after SIGTERM; it is restarted no earlier.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Injects a fault at its time, relative to `began_at`, and reverts it after its duration.
--- a/experiments/src/experiment/setup.rs
+++ b/experiments/src/experiment/setup.rs
@@ -52,11 +52,11 @@
     Ok(origins)
 }
 
-/// Puts the initial configuration, and retries every `retry_pause` until a control node answers.
+/// Puts the initial configuration, and retries every `retry_pause` until a control node responds.
 ///
 /// # Errors
 ///
-/// Returns an error if control rejects it, or does not answer within [`START_TIMEOUT`].
+/// Returns an error if control rejects it, or does not respond within [`START_TIMEOUT`].
 pub async fn put_config(
     document: String,
     controls: &ControlAddresses,
--- a/experiments/src/fleet/control_traffic.rs
+++ b/experiments/src/fleet/control_traffic.rs
@@ -1,6 +1,6 @@
 //! Simulates control-plane traffic: to edges over their sessions, and between control nodes, while the fleet starts, is
-//! idle, has its servers replaced, and has its edges restarted. Sizes are those of the frames that the real processes
-//! write.
+//! idle, has its servers replaced, and has its edges restarted. Byte counts are those of the frames that the real
+//! processes would write.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::ops::Range;
@@ -27,7 +27,7 @@
 const ROLLOUT_DURATION: Millis = 10_000;
 /// A restarting edge is down for [`ROLLOUT_DURATION`] divided by this.
 const RESTART_DOWNTIME_DIVISOR: Millis = 20;
-/// An old server deregisters after as many further replacements as the number of servers divided by this.
+/// An old server deregisters once as many servers as the total divided by this have been replaced after it.
 const DRAINING_TIME_DIVISOR: u32 = 10;
 /// The push number in the frames of an established session; it affects their encoded length.
 const TYPICAL_PUSH_NUMBER: u64 = 1000;
@@ -41,7 +41,7 @@
 /// Control-plane traffic in one phase of the simulation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PhaseTraffic {
-    /// The name of the phase: `start`, `rest`, `release` or `roll`.
+    /// The name of the phase: `start`, `rest` (idle), `release` (servers are replaced) or `roll` (edges are restarted).
     pub name: String,
     /// Messages sent to each edge, mean.
     #[serde(rename = "to_edge")]
--- a/experiments/src/fleet/reads.rs
+++ b/experiments/src/fleet/reads.rs
@@ -41,8 +41,8 @@
 
 struct Shield {
     limiter: RateLimiter,
-    /// When the cached response of each object becomes stale, in milliseconds. It is set when the fetch starts, as reads
-    /// during a fetch join it.
+    /// When the stored response of each object becomes stale, in milliseconds. It is set when the fetch starts, as
+    /// reads during a fetch join it.
     fresh_until: HashMap<u32, u64>,
     reads: u64,
 }
--- a/experiments/src/fleet/writes.rs
+++ b/experiments/src/fleet/writes.rs
@@ -65,7 +65,7 @@
 enum Event {
     /// A write arrives at an edge.
     Arrival { edge: usize },
-    /// A server completes a write.
+    /// A server completes a write, and starts the next one in its queue.
     Completion { server: usize, write: usize },
     /// An idle connection times out, unless it has been used since `idle_since`.
     IdleTimeout { edge: usize, server: usize, idle_since: Micros },
--- a/experiments/src/hollow/nodes/mod.rs
+++ b/experiments/src/hollow/nodes/mod.rs
@@ -157,7 +157,7 @@
         }
         self.observations.lost_sessions.fetch_add(1, Ordering::Relaxed);
         self.mark_disconnected();
-        // A hollow node serves no cached responses, so it can release its lease at once.
+        // A hollow node serves no stored responses, so it can release its lease at once.
         let _ = outbox.send(SubscriberMessage::LeaseReleased);
         true
     }
--- a/experiments/src/hollow/observations.rs
+++ b/experiments/src/hollow/observations.rs
@@ -19,7 +19,7 @@
 struct ConnectionState {
     /// Whether it considers its session alive.
     connected: AtomicBool,
-    /// When the lease ends that permits it to serve cached responses, in microseconds since the start of the run.
+    /// When the lease ends that permits it to serve stored responses, in microseconds since the start of the run.
     lease_until: AtomicU64,
 }
 
@@ -34,7 +34,7 @@
 /// Counts of nodes that had not applied a purge when it was acknowledged.
 #[derive(Clone, Copy, Default)]
 pub struct EarlyAcknowledgement {
-    /// Nodes with a valid lease, which could serve cached responses.
+    /// Nodes with a valid lease, which could serve stored responses.
     pub leased: u32,
     /// Nodes that considered their session alive, with or without a valid lease.
     pub connected: u32,
--- a/experiments/src/hollow/report/mod.rs
+++ b/experiments/src/hollow/report/mod.rs
@@ -39,7 +39,7 @@
 /// The measurements of one phase. Servers send heartbeats in all phases.
 #[derive(Clone, Debug, Serialize)]
 pub struct PhaseReport {
-    /// The name of the phase: `start`, `rest`, `changes`, `purges`, `restarts` or `loss`.
+    /// The name of the phase: `start`, `rest` (idle), `changes`, `purges`, `restarts` or `loss` (of a control process).
     pub name: &'static str,
     /// The duration of the phase.
     pub seconds: f64,
@@ -80,7 +80,7 @@
     pub applied: TimeQuantiles,
     /// Calls that were not acknowledged, or not applied on all nodes in time.
     pub failed: u32,
-    /// Nodes with a valid lease, which could serve cached responses, that had not applied a purge when it was
+    /// Nodes with a valid lease, which could serve stored responses, that had not applied a purge when it was
     /// acknowledged, summed over all purges.
     pub early: u32,
     /// Connected nodes, with or without a valid lease, that had not applied a purge when it was acknowledged, summed
--- a/experiments/src/hollow/workload.rs
+++ b/experiments/src/hollow/workload.rs
@@ -34,7 +34,7 @@
 const SERVER_CONNECTIONS: usize = 4;
 /// Connections from operators to each control node.
 const OPERATOR_CONNECTIONS: usize = 64;
-/// Memory for responses from control nodes, in bytes, of each client.
+/// Memory of each client for responses from control nodes, in bytes.
 const RESPONSE_MEMORY: usize = 1 << 20;
 
 /// Latencies and failures measured by operators. Times are in milliseconds.
--- a/experiments/src/load.rs
+++ b/experiments/src/load.rs
@@ -76,7 +76,7 @@
     edge: SocketAddrV4,
     path: &'a str,
     id: String,
-    /// The deadline of the request.
+    /// The deadline of the request, shared by all its attempts.
     deadline: Instant,
 }
 
@@ -98,7 +98,6 @@
     }
 }
 
-/// The result of an attempt.
 struct AttemptResult {
     outcome: RequestOutcome,
     /// How long to wait before the next attempt; `None` where no further attempt is permitted.
--- a/experiments/src/plan/mod.rs
+++ b/experiments/src/plan/mod.rs
@@ -101,9 +101,9 @@
 pub enum RouteKind {
     /// Responses may be cached.
     Cacheable,
-    /// Requests may run more than once.
+    /// Requests may be executed more than once.
     Idempotent,
-    /// Requests may run at most once.
+    /// Requests may be executed at most once.
     Mutating,
 }
 
--- a/experiments/src/processor/cases.rs
+++ b/experiments/src/processor/cases.rs
@@ -1,4 +1,4 @@
-//! The cases, which are the kinds of requests whose cost is measured.
+//! The cases: the kinds of requests whose cost is measured.
 
 /// A kind of request.
 #[derive(Clone, Copy)]
--- a/experiments/src/processor/mod.rs
+++ b/experiments/src/processor/mod.rs
@@ -21,7 +21,7 @@
 
 /// The process roles that are measured.
 const MEASURED_ROLES: [&str; 4] = ["edge", "agent", "shield", "control"];
-/// Third byte of the machine addresses of the first system; the second system uses the next value.
+/// Third octet of the IP addresses of the machines of the first system; the second system uses the next value.
 const FIRST_NET: u8 = 12;
 /// Number of zones with which edges store no responses: they store only those whose shield is in another zone.
 const ONE_ZONE: u8 = 1;
--- a/experiments/src/report.rs
+++ b/experiments/src/report.rs
@@ -31,7 +31,7 @@
 /// Counts of requests by outcome, in one second or in total.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counts {
-    /// All requests.
+    /// Requests that were sent, whatever their outcome.
     #[serde(rename = "asked")]
     pub requests: u64,
     /// Those that succeeded within their latency target.
@@ -112,7 +112,8 @@
     pub name: String,
     /// Counts over the whole experiment.
     pub counts: Counts,
-    /// The value earned by served requests, divided by the value if all met the latency target.
+    /// The value earned by served requests, divided by the value possible if all requests had met the latency target; 1
+    /// without requests.
     #[serde(rename = "worth")]
     pub value_share: f64,
     /// The median latency of successful requests, in milliseconds.
@@ -136,7 +137,8 @@
 /// The results of an experiment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
-    /// The value earned by served requests of all classes, divided by the value if all met the latency target.
+    /// The value earned by served requests of all classes, divided by the value possible if all requests had met the
+    /// latency target; 1 without requests.
     #[serde(rename = "worth")]
     pub value_share: f64,
     /// The classes, in the order of the plan.
@@ -269,7 +271,8 @@
         text
     }
 
-    /// Returns a line in total and one for each class, with the changes from an earlier report to this one.
+    /// Returns the changes from an earlier report to this one: a line for all classes together, and one for each class
+    /// that both reports have.
     pub fn comparison_with(&self, before: &Report) -> String {
         let mut text = format!("all: value share {:.3} -> {:.3}\n", before.value_share, self.value_share);
         for class in &self.classes {
--- a/experiments/src/soak/clients/edges.rs
+++ b/experiments/src/soak/clients/edges.rs
@@ -12,17 +12,17 @@
     pub machine: u8,
     /// Number of times that the process was stopped or started.
     restarts: Cell<u64>,
-    /// Configuration versions that probes have found applied since the last restart.
+    /// Configuration versions that probes have found applied since `restarts` last changed.
     applied_versions: RefCell<BTreeSet<u64>>,
 }
 
 impl Edge {
-    /// Creates an edge without known versions.
+    /// Creates an edge for which no version has been found applied yet.
     pub fn new(address: SocketAddrV4, machine: u8) -> Self {
         Edge { address, machine, restarts: Cell::new(0), applied_versions: RefCell::default() }
     }
 
-    /// Records that the process is stopped or started. It may revert to an older version by that, so the known
+    /// Records that the process is stopped or started. A restarted edge may have an older version, so the applied
     /// versions are cleared.
     pub fn record_restart(&self) {
         self.restarts.set(self.restarts.get() + 1);
@@ -39,7 +39,7 @@
         self.applied_versions.borrow_mut().insert(rev);
     }
 
-    /// Whether a probe has found a version applied since the last restart.
+    /// Whether a probe has found a version applied since the last call of [`Edge::record_restart`].
     pub fn has_applied(&self, rev: u64) -> bool {
         self.applied_versions.borrow().contains(&rev)
     }
--- a/experiments/src/soak/clients/mod.rs
+++ b/experiments/src/soak/clients/mod.rs
@@ -1,5 +1,5 @@
-//! The clients of a run. They send reads, and writes that may run at most once, and check the responses against the
-//! requests that servers executed and the objects that were purged.
+//! The clients of a run. They send reads, and writes that may be executed at most once, and check the responses against
+//! the requests that servers executed and the objects that were purged.
 
 mod checks;
 mod edges;
@@ -38,9 +38,9 @@
 const RESPONSE_MEMORY: usize = 64 << 20;
 /// How long after its deadline a client abandons a request.
 const ABANDON_DELAY: Duration = Duration::from_millis(2500);
-/// Share of requests whose client disconnects while that fault is active.
+/// Share of requests whose client disconnects while the fault `ClientsDisconnect` is active.
 const DISCONNECT_SHARE: f64 = 0.4;
-/// Range of times after which such a client disconnects, in milliseconds.
+/// Range of times from sending a request until its client disconnects, in milliseconds.
 const DISCONNECT_WITHIN_MS: Range<u64> = 1..250;
 /// Interval between checks whether requests are still in flight.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(10);
--- a/experiments/src/soak/fault_history.rs
+++ b/experiments/src/soak/fault_history.rs
@@ -48,7 +48,7 @@
         Rc::new(FaultHistory { began_at: Instant::now(), cores, faults: RefCell::default() })
     }
 
-    /// Records the begin of a fault, which ends when the returned guard is dropped.
+    /// Records that a fault begins, which ends when the returned guard is dropped.
     pub fn begin(self: &Rc<Self>, machine: u8, kind: FaultKind) -> FaultGuard {
         self.faults.borrow_mut().entry((machine, kind)).or_default().active += 1;
         FaultGuard { history: Rc::clone(self), machine, kind }
@@ -72,8 +72,9 @@
             && self.is_free_of(FaultKind::Unplanned, machine, since)
     }
 
-    /// Whether a machine has been in contact with control since `since`: neither the machine nor any core machine has
-    /// had a fault later than `CONTACT_TIME` before `since`.
+    /// Whether a machine has been in contact with control since `since`: from `CONTACT_TIME` before `since` until now,
+    /// neither the machine nor any core machine has had an active fault. False if the run began less than
+    /// `CONTACT_TIME` before `since`.
     pub fn in_contact_since(&self, machine: u8, since: Instant) -> bool {
         let before = since.checked_sub(CONTACT_TIME).unwrap_or(since);
         let is_free = |machine| self.is_free_since(machine, before);
--- a/experiments/src/soak/mod.rs
+++ b/experiments/src/soak/mod.rs
@@ -29,7 +29,8 @@
 use run::Outcome;
 use schedule::Schedule;
 
-/// Third byte of the addresses of the machines that the first thread starts; each further thread uses the next value.
+/// Third octet of the IP addresses of the machines that the first thread starts; each further thread uses the next
+/// value.
 const FIRST_NET: u8 = 40;
 /// Maximum number of concurrent runs.
 const MAX_THREADS: usize = 16;
--- a/experiments/src/soak/network/partitions.rs
+++ b/experiments/src/soak/network/partitions.rs
@@ -10,7 +10,7 @@
 
 use super::socket_owner::MachineProcess;
 
-/// Data that a partition delays for longer than this is lost, and its connection is closed: by this time the
+/// Data that a partition delays for longer than this is lost, and its connection is reset: by this time the
 /// processes close unresponsive connections, as the sender's kernel would with a real partition.
 const LOSS_DELAY: Duration = Duration::from_millis(1500);
 
--- a/experiments/src/soak/network/relay.rs
+++ b/experiments/src/soak/network/relay.rs
@@ -108,7 +108,7 @@
 }
 
 async fn relay_connection(stream: TcpStream, target: SocketAddrV4, path: NetworkPath) {
-    // Makes a dropped connection be reset: an orderly close would signal that all data was sent.
+    // Resets the connection when it is dropped: an orderly close would signal that all data was sent.
     let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     if !path.delivered_to_callee().await {
         return;
--- a/experiments/src/soak/operators/calls.rs
+++ b/experiments/src/soak/operators/calls.rs
@@ -23,7 +23,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Range of times after which a call is dropped to lose its response, in milliseconds.
 const LOST_WITHIN_MS: Range<u64> = 1..40;
-/// Share of responses that are lost while such a fault is active.
+/// Share of responses that are lost while the fault `OperatorResponsesLost` is active.
 const LOST_SHARE_DURING_FAULT: f64 = 0.6;
 /// Share of responses that are lost at all other times.
 const LOST_SHARE: f64 = 0.05;
--- a/experiments/src/soak/run.rs
+++ b/experiments/src/soak/run.rs
@@ -42,7 +42,7 @@
 /// Number of core machines that are listed as seeds in the settings. These are the voters.
 const SEED_COUNT: u8 = 3;
 
-/// Plan with two services: cacheable reads, and writes that may run at most once.
+/// Plan with two services: cacheable reads, and writes that may be executed at most once.
 const SOAK_PLAN: &str = include_str!("../../plans/soak.toml");
 /// Number of machines with an edge.
 pub const EDGE_COUNT: u8 = 3;
@@ -263,7 +263,7 @@
     }
 }
 
-/// Reports requests that reach servers after their deregistration while all machines are in contact with control.
+/// Reports requests that reach servers after their drain time while all machines are in contact with control.
 async fn watch_arrivals_after_drain(
     servers: Rc<Servers>,
     oracle: Rc<Oracle>,
--- a/experiments/src/soak/schedule.rs
+++ b/experiments/src/soak/schedule.rs
@@ -112,7 +112,8 @@
         /// Index of the server's service.
         service: usize,
     },
-    /// Deregisters a server that has not drained and continues to serve for a while, and starts a replacement.
+    /// Deregisters a server without draining it first, and starts a replacement. The deregistered server continues to
+    /// serve for a while.
     #[serde(rename = "Goodbye")]
     Deregister {
         /// Index of the server's service.
--- a/experiments/src/soak/servers.rs
+++ b/experiments/src/soak/servers.rs
@@ -16,7 +16,7 @@
 
 /// Port of all servers; each listens on its own IP address behind its relay.
 const LISTEN_PORT: u16 = 8000;
-/// Last byte of the IP address of all relays in front of servers.
+/// Last octet of the IP address of all relays in front of servers.
 const RELAY_HOST: u8 = 100;
 
 /// An origin server and the network in front of it.
@@ -30,7 +30,7 @@
 /// All servers of a run.
 pub struct Servers {
     plan: Plan,
-    /// Third byte of the addresses of servers and relays.
+    /// Third octet of the IP addresses of servers and relays.
     net: u8,
     controls: ControlAddresses,
     execution_log: Rc<ExecutionLog>,
@@ -98,7 +98,7 @@
         all.iter().filter(|server| server.origin.plan.name == *name).find(is_healthy).cloned()
     }
 
-    /// Describes the requests that arrived at drained or deregistered servers since the last call, one text per server.
+    /// Describes the requests that arrived at servers after their drain time since the last call, one text per server.
     pub fn take_arrivals_after_drain(&self) -> Vec<String> {
         let all = self.all.borrow();
         let describe = |server: &Rc<Server>| match server.origin.take_arrivals_after_drain() {
--- a/experiments/tests/processor.rs
+++ b/experiments/tests/processor.rs
@@ -50,7 +50,7 @@
             case["costs"][role]["kilobytes"].as_f64().unwrap()
         };
         // A response has 6 kB. A shield transfers it once on a cache hit, twice if it fetches it from the origin, and
-        // not at all if the edge has it cached.
+        // not at all if the edge has stored it.
         assert!((5.0..9.0).contains(&kilobytes("shield's copy", "shield")));
         assert!(kilobytes("miss", "shield") > 11.0);
         assert!(kilobytes("edge's copy", "shield") < 3.0);
--- a/experiments/tests/unit/fleet.rs
+++ b/experiments/tests/unit/fleet.rs
@@ -29,8 +29,8 @@
     assert_eq!((small.writes.connections_over_limit, large.writes.connections_over_limit), (0, 0));
     assert!(large.reads.max_over_limit <= 1.0 && small.reads.max_over_limit <= 1.0, "{report:?}");
     for (small, large) in small.control_traffic.iter().zip(&large.control_traffic) {
-        // Eight times as many edges and servers cause at most eight times as many changes, and longer names add some
-        // bytes.
+        // Only changes are pushed: eight times as many edges and servers cause at most eight times as many, and longer
+        // names add some bytes.
         assert!(large.bytes_to_edge <= small.bytes_to_edge.max(1.0) * 12.0, "{small:?} {large:?}");
         assert!(large.bytes_to_edge <= large.snapshot_bytes_to_edge, "{large:?}");
     }
