--- a/control-plane/src/deduplication.rs
+++ b/control-plane/src/deduplication.rs
@@ -20,7 +20,7 @@
 pub const MAX_APPLIED_ORDERS: usize = 4096;
 /// Number of orders in a chunk of the table. The oldest orders are evicted a chunk at a time. A full chunk is
 /// immutable, so that successive records share it, and it is written to disk only once.
-pub const CHUNK_ORDERS: usize = 64;
+pub const ORDERS_PER_CHUNK: usize = 64;
 
 /// SHA-256 hash of a complete order, which identifies the order. Two orders with the same key count as the same order:
 /// to construct two different orders with the same key takes about 2^128 attempts.
@@ -95,9 +95,9 @@
 pub struct DeduplicationTable {
     /// Highest version of an order that may have been applied and evicted.
     horizon: u64,
-    /// Chunks of [`CHUNK_ORDERS`] orders, the oldest first. Successive records share them.
+    /// Chunks of [`ORDERS_PER_CHUNK`] orders, the oldest first. Successive records share them.
     full_chunks: Vec<Arc<[AppliedOrder]>>,
-    /// The newest orders, fewer than [`CHUNK_ORDERS`].
+    /// The newest orders, fewer than [`ORDERS_PER_CHUNK`].
     open_chunk: Vec<AppliedOrder>,
 }
 
@@ -116,7 +116,7 @@
     TooMany(usize),
     /// The versions do not increase from one order to the next.
     #[error("taken orders: versions that rise expected, got {next} after {previous}")]
-    NotRising {
+    VersionsNotIncreasing {
         /// Version of an order.
         previous: u64,
         /// Version of the order after it.
@@ -144,9 +144,9 @@
         }
         let not_rising = orders.array_windows().find(|[previous, next]| previous.rev >= next.rev);
         if let Some([previous, next]) = not_rising {
-            return Err(InvalidTable::NotRising { previous: previous.rev, next: next.rev });
+            return Err(InvalidTable::VersionsNotIncreasing { previous: previous.rev, next: next.rev });
         }
-        let chunks = orders.chunks_exact(CHUNK_ORDERS);
+        let chunks = orders.chunks_exact(ORDERS_PER_CHUNK);
         let open_chunk = chunks.remainder().to_vec();
         Ok(DeduplicationTable { horizon, full_chunks: chunks.map(Arc::from).collect(), open_chunk })
     }
@@ -158,7 +158,7 @@
 
     /// The number of orders.
     pub fn len(&self) -> usize {
-        self.full_chunks.len() * CHUNK_ORDERS + self.open_chunk.len()
+        self.full_chunks.len() * ORDERS_PER_CHUNK + self.open_chunk.len()
     }
 
     /// Whether there is no order in the table.
@@ -200,7 +200,7 @@
             let oldest = self.full_chunks.remove(0);
             self.raise_horizon(oldest.last().map_or(0, |order| order.rev));
         }
-        if self.open_chunk.len() == CHUNK_ORDERS {
+        if self.open_chunk.len() == ORDERS_PER_CHUNK {
             self.full_chunks.push(std::mem::take(&mut self.open_chunk).into());
         }
     }
--- a/control-plane/tests/deduplication.rs
+++ b/control-plane/tests/deduplication.rs
@@ -12,8 +12,8 @@
 };
 use glenfall_control_plane::config::{ConfigChange, InvalidConfig, MAX_DOCUMENT_BYTES};
 use glenfall_control_plane::deduplication::{
-    AppliedOrder, DeduplicationTable, IdempotencyKey, InvalidTable, LogEntry, CHUNK_ORDERS,
-    MAX_APPLIED_ORDERS,
+    AppliedOrder, DeduplicationTable, IdempotencyKey, InvalidTable, LogEntry, MAX_APPLIED_ORDERS,
+    ORDERS_PER_CHUNK,
 };
 use glenfall_control_plane::messages::MAX_FRAME_BYTES;
 use glenfall_control_plane::record::Decision;
@@ -23,7 +23,7 @@
 use rand_chacha::ChaCha8Rng;
 
 /// The table retains the key of an order at least until so many later orders are applied.
-const MIN_RETAINED: usize = MAX_APPLIED_ORDERS - CHUNK_ORDERS;
+const MIN_RETAINED: usize = MAX_APPLIED_ORDERS - ORDERS_PER_CHUNK;
 
 type Order = (u64, ConfigChange);
 
@@ -157,12 +157,12 @@
 fn the_table_is_bounded_and_invalid_tables_are_rejected() {
     let mut record = Record { rev: u64::MAX - (1 << 20), ..Record::default() };
     let mut longest = 0;
-    for _ in 0..=(MAX_APPLIED_ORDERS + CHUNK_ORDERS) {
+    for _ in 0..=(MAX_APPLIED_ORDERS + ORDERS_PER_CHUNK) {
         apply_orders(&mut record, 1);
         longest = longest.max(record.applied_orders.len());
     }
     assert_eq!(longest, MAX_APPLIED_ORDERS);
-    for order_count in [0, 1, CHUNK_ORDERS - 1, CHUNK_ORDERS, 1000] {
+    for order_count in [0, 1, ORDERS_PER_CHUNK - 1, ORDERS_PER_CHUNK, 1000] {
         apply_orders(&mut record, order_count);
         let bytes = postcard::to_stdvec(&record.applied_orders).unwrap();
         assert!(bytes.len() <= 176_000, "{} bytes", bytes.len());
@@ -175,7 +175,7 @@
     assert!(record.applied_orders.full_chunks().iter().zip(next.applied_orders.full_chunks()).all(shared));
     let order = |rev| AppliedOrder { rev, key: IdempotencyKey([0; 32]) };
     let not_rising = DeduplicationTable::from_orders(0, &[order(4), order(6), order(6)]);
-    assert_eq!(not_rising, Err(InvalidTable::NotRising { previous: 6, next: 6 }));
+    assert_eq!(not_rising, Err(InvalidTable::VersionsNotIncreasing { previous: 6, next: 6 }));
     let too_many: Vec<AppliedOrder> = (0..=MAX_APPLIED_ORDERS as u64).map(order).collect();
     assert_eq!(
         DeduplicationTable::from_orders(0, &too_many),
--- a/experiments/src/experiment/setup.rs
+++ b/experiments/src/experiment/setup.rs
@@ -67,7 +67,9 @@
         let body = document.clone().into();
         match commands::call_control(controls, Method::PUT, "/api/config", Some(0), body).await {
             Ok(_) => return Ok(()),
-            Err(OperatorError::NoAnswer) if began_at.elapsed() < START_TIMEOUT => sleep(retry_pause).await,
+            Err(OperatorError::NoDefiniteResponse) if began_at.elapsed() < START_TIMEOUT => {
+                sleep(retry_pause).await
+            }
             Err(error) => return Err(error.into()),
         }
     }
--- a/experiments/src/soak/run.rs
+++ b/experiments/src/soak/run.rs
@@ -75,7 +75,7 @@
     plan.seed = schedule.seed;
     plan.system.cores = size.cores;
     let layout = SystemLayout {
-        net,
+        network_number: net,
         cores: size.cores,
         seeds: SEED_COUNT,
         edges: size.edges,
--- a/glenfall/src/edge/handler.rs
+++ b/glenfall/src/edge/handler.rs
@@ -90,7 +90,7 @@
             return;
         }
         let status = StatusCode::from_u16(CLIENT_CLOSED_REQUEST).unwrap_or_default();
-        self.edge.log_failure(&Cause::ClientGone.into(), self.head, status, self.received);
+        self.edge.log_failure(&Cause::ClientDisconnected.into(), self.head, status, self.received);
     }
 }
 
--- a/glenfall/src/edge/read/attempts.rs
+++ b/glenfall/src/edge/read/attempts.rs
@@ -88,7 +88,7 @@
         if response.failure().is_none() {
             return response;
         }
-        response.preceded_by(&self.attempt_log.describe())
+        response.with_earlier_attempts(&self.attempt_log.describe())
     }
 
     /// Carries out the next step of the plan. Returns the client's response if the read has ended.
@@ -107,7 +107,7 @@
 
     fn deadline_exceeded(&mut self) -> ProxyResponse {
         self.edge.counters.timed_out.increment();
-        self.fallback.take().unwrap_or_else(|| LocalResponse::gateway_timeout(Cause::NoAnswer).into())
+        self.fallback.take().unwrap_or_else(|| LocalResponse::gateway_timeout(Cause::NoResponse).into())
     }
 
     fn no_shield(&mut self) -> ProxyResponse {
--- a/glenfall/src/http/failure/cause.rs
+++ b/glenfall/src/http/failure/cause.rs
@@ -47,20 +47,20 @@
     /// None of the servers that were tried could be connected to.
     NoConnection = "no-connection",
     /// The servers that were tried rejected the request because they are overloaded.
-    ServersFull = "servers-full",
+    ServersOverloaded = "servers-full",
     /// The service reports that its rate limit is used up.
     ServerRateLimit = "server-rate-limit",
     /// The request was sent, but the connection was lost before the response was complete, or the bytes that were
     /// received are not a valid response to it.
-    AnswerLost = "answer-lost",
+    ResponseLost = "answer-lost",
     /// The status of the server's response suggests that the request has not run, but the response does not confirm it.
-    UnprovenRefusal = "unproven-refusal",
+    UnconfirmedRejection = "unproven-refusal",
     /// The request was sent, but no response was received before the deadline.
-    NoAnswer = "no-answer",
+    NoResponse = "no-answer",
     /// A server responded with an error.
     ServerError = "server-error",
     /// The shield has not yet received the configuration with which the edge routed the request.
-    ShieldBehind = "shield-behind",
+    ShieldConfigOutdated = "shield-behind",
     /// The shield has reached its limit of fetches in flight.
     TooManyFetches = "too-many-fetches",
     /// The request reached the shield with an allowance of no sends, and there is no stored response.
@@ -68,7 +68,7 @@
     /// No shield responded, and the edge could not send the request to a server itself.
     NoShield = "no-shield",
     /// The shield reported no cause, or one that this release does not know.
-    Unstated = "unstated",
+    Unspecified = "unstated",
     /// The request is invalid.
     BadRequest = "bad-request",
     /// The body is longer than the limit.
@@ -76,7 +76,7 @@
     /// The body was not complete in time.
     BodyTooSlow = "body-too-slow",
     /// The client's connection was closed before the response was ready.
-    ClientGone = "client-gone",
+    ClientDisconnected = "client-gone",
     /// The head was not complete in time.
     HeadTooSlow = "head-too-slow",
 }
--- a/glenfall/src/http/failure/description.rs
+++ b/glenfall/src/http/failure/description.rs
@@ -34,7 +34,7 @@
     }
 
     /// Adds attempts that were made earlier, before those in the description.
-    pub fn preceded_by(mut self, attempts: &str) -> Self {
+    pub fn with_earlier_attempts(mut self, attempts: &str) -> Self {
         if !attempts.is_empty() {
             let separator = if self.attempts.is_empty() { "" } else { ", " };
             self.attempts = Cow::Owned(format!("{attempts}{separator}{}", self.attempts));
@@ -54,11 +54,13 @@
     }
 
     /// Reads the header of a shield's response. A missing header, and a cause that this release does not know, become
-    /// [`Cause::Unstated`].
+    /// [`Cause::Unspecified`].
     pub fn decode(value: Option<&HeaderValue>) -> Self {
-        let Some(text) = value.and_then(|value| value.to_str().ok()) else { return Cause::Unstated.into() };
+        let Some(text) = value.and_then(|value| value.to_str().ok()) else {
+            return Cause::Unspecified.into();
+        };
         let (cause, attempts) = text.split_once(' ').unwrap_or((text, ""));
-        Failure::with_attempts(Cause::parse(cause).unwrap_or(Cause::Unstated), attempts.to_owned())
+        Failure::with_attempts(Cause::parse(cause).unwrap_or(Cause::Unspecified), attempts.to_owned())
     }
 }
 
--- a/glenfall/src/http/response/mod.rs
+++ b/glenfall/src/http/response/mod.rs
@@ -23,7 +23,7 @@
 //! # use glenfall::http::failure::Cause;
 //! # use glenfall::http::response::{LocalResponse, ServerResponse};
 //! fn local_with_headers(response: ServerResponse) -> LocalResponse {
-//!     LocalResponse::bad_gateway(Cause::AnswerLost).with_headers(response.headers().clone()) // no such method
+//!     LocalResponse::bad_gateway(Cause::ResponseLost).with_headers(response.headers().clone()) // no such method
 //! }
 //! ```
 //!
--- a/glenfall/src/http/response/proxy.rs
+++ b/glenfall/src/http/response/proxy.rs
@@ -44,8 +44,8 @@
     }
 
     /// Adds attempts that were made earlier to the failure, if there is one.
-    pub fn preceded_by(mut self, attempts: &str) -> Self {
-        self.failure = self.failure.map(|failure| failure.preceded_by(attempts));
+    pub fn with_earlier_attempts(mut self, attempts: &str) -> Self {
+        self.failure = self.failure.map(|failure| failure.with_earlier_attempts(attempts));
         self
     }
 
--- a/glenfall/src/operator/commands/control_client.rs
+++ b/glenfall/src/operator/commands/control_client.rs
@@ -84,7 +84,7 @@
                 Ok(_) | Err(_) => sleep(RETRY_BACKOFF).await,
             }
         }
-        Err(OperatorError::NoAnswer)
+        Err(OperatorError::NoDefiniteResponse)
     }
 
     fn to_http(&self, address: SocketAddrV4) -> Request<Full<Bytes>> {
--- a/glenfall/src/operator/commands/error.rs
+++ b/glenfall/src/operator/commands/error.rs
@@ -46,7 +46,7 @@
     },
     /// No control node has given a definite response, after all retries.
     #[error("no control node gave a definite response; the command can be repeated safely")]
-    NoAnswer,
+    NoDefiniteResponse,
 }
 
 /// Why a settings file or a configuration is invalid.
--- a/glenfall/src/operator/demo/set_up.rs
+++ b/glenfall/src/operator/demo/set_up.rs
@@ -15,7 +15,7 @@
     loop {
         match call_control(controls, Method::PUT, "/api/config", Some(0), document.clone()).await {
             Ok(_) => return Ok(()),
-            Err(OperatorError::NoAnswer) if started.elapsed() < STEP_TIMEOUT => {}
+            Err(OperatorError::NoDefiniteResponse) if started.elapsed() < STEP_TIMEOUT => {}
             Err(error) => return Err(error.into()),
         }
     }
--- a/glenfall/src/operator/local_system.rs
+++ b/glenfall/src/operator/local_system.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SystemLayout {
     /// Third byte N of the machines' addresses 127.0.N.x. Systems that run at the same time need different ones.
-    pub net: u8,
+    pub network_number: u8,
     /// Number of core machines, with a control node and a shield each.
     pub cores: u8,
     /// Number of core machines that `seedNodes` lists. They are the voters of the first start.
@@ -53,9 +53,9 @@
 impl SystemLayout {
     /// A layout in three zones whose core machines all vote, without relays, with 256 MiB of memory for each process and
     /// heartbeats every 500 ms.
-    pub fn new(net: u8, cores: u8, edges: u8) -> Self {
+    pub fn new(network_number: u8, cores: u8, edges: u8) -> Self {
         SystemLayout {
-            net,
+            network_number,
             cores,
             seeds: cores,
             edges,
@@ -180,13 +180,13 @@
 
     /// The address of a machine. Numbers above that of the last machine can be used for servers.
     pub fn machine_address(&self, number: u8) -> Ipv4Addr {
-        Ipv4Addr::new(127, 0, self.layout.net, number)
+        Ipv4Addr::new(127, 0, self.layout.network_number, number)
     }
 
     /// The address on which the processes of a machine listen.
     fn listen_ip(&self, number: u8) -> Ipv4Addr {
         match self.layout.relayed && self.layout.is_core(number) {
-            true => Ipv4Addr::new(127, 1, self.layout.net, number),
+            true => Ipv4Addr::new(127, 1, self.layout.network_number, number),
             false => self.machine_address(number),
         }
     }
--- a/glenfall/src/shield/read.rs
+++ b/glenfall/src/shield/read.rs
@@ -125,7 +125,7 @@
         if timeout_at(wait_until, self.watch_client.wait_for_version(version)).await.is_err() {
             return Err(ReadResult {
                 source: ShieldSource::ConfigOutdated,
-                ..not_ready(Cause::ShieldBehind)
+                ..not_ready(Cause::ShieldConfigOutdated)
             });
         }
         self.watch_client.config().ok_or_else(|| not_ready(Cause::NoConfiguration))
@@ -225,10 +225,10 @@
     mut receiver: FetchReceiver,
     deadline: Instant,
 ) -> Result<FetchResult, FetchOutcome> {
-    let response_lost = || FetchOutcome::Unknown(Cause::AnswerLost.into());
+    let response_lost = || FetchOutcome::Unknown(Cause::ResponseLost.into());
     match timeout_at(deadline, receiver.wait_for(Option::is_some)).await {
         Ok(Ok(result)) => result.clone().ok_or_else(response_lost),
         Ok(Err(_)) => Err(response_lost()),
-        Err(_) => Err(FetchOutcome::TimedOut(Cause::NoAnswer.into())),
+        Err(_) => Err(FetchOutcome::TimedOut(Cause::NoResponse.into())),
     }
 }
--- a/glenfall/src/upstream/forward/attempts.rs
+++ b/glenfall/src/upstream/forward/attempts.rs
@@ -122,10 +122,10 @@
             (ExecutionStatus::NotRun, Ok(response)) => self.rejected_by_server(response.status()),
             (ExecutionStatus::Answered, Ok(response)) => self.outcome_so_far = Outcome::Answered(response),
             _ if end.event == SendEvent::TimedOut => {
-                self.outcome_so_far = Outcome::TimedOut(Cause::NoAnswer.into());
+                self.outcome_so_far = Outcome::TimedOut(Cause::NoResponse.into());
             }
-            (_, Ok(_)) => self.outcome_so_far = Outcome::Unknown(Cause::UnprovenRefusal.into()),
-            (_, Err(_)) => self.outcome_so_far = Outcome::Unknown(Cause::AnswerLost.into()),
+            (_, Ok(_)) => self.outcome_so_far = Outcome::Unknown(Cause::UnconfirmedRejection.into()),
+            (_, Err(_)) => self.outcome_so_far = Outcome::Unknown(Cause::ResponseLost.into()),
         }
     }
 
@@ -142,7 +142,7 @@
         }
         self.outcome_so_far = Outcome::NotRun(match is_rate_limit {
             true => Rejection::new(Cause::ServerRateLimit, UNAVAILABLE_RETRY_AFTER),
-            false => Rejection::new(Cause::ServersFull, AT_CAPACITY_RETRY_AFTER),
+            false => Rejection::new(Cause::ServersOverloaded, AT_CAPACITY_RETRY_AFTER),
         });
     }
 
--- a/glenfall/src/upstream/forward/forwarder.rs
+++ b/glenfall/src/upstream/forward/forwarder.rs
@@ -191,7 +191,7 @@
         let (outcome, report) = self.send_admitted(request, allowance).await;
         match &outcome {
             Outcome::Answered(_) => permit.record_response(),
-            Outcome::NotRun(rejection) if rejection.failure.cause == Cause::ServersFull => {
+            Outcome::NotRun(rejection) if rejection.failure.cause == Cause::ServersOverloaded => {
                 permit.record_overload();
             }
             Outcome::TimedOut(_) => permit.record_overload(),
--- a/glenfall/tests/unit/failure.rs
+++ b/glenfall/tests/unit/failure.rs
@@ -15,14 +15,17 @@
             assert_eq!(Failure::decode(Some(&failure.encode())), failure);
         }
     }
-    assert_eq!(Failure::decode(None).cause, Cause::Unstated);
-    assert_eq!(Failure::decode(Some(&HeaderValue::from_static("another-release x"))).cause, Cause::Unstated);
+    assert_eq!(Failure::decode(None).cause, Cause::Unspecified);
+    assert_eq!(
+        Failure::decode(Some(&HeaderValue::from_static("another-release x"))).cause,
+        Cause::Unspecified
+    );
     // A server name that is invalid in a header, and attempts longer than the limit.
     assert_eq!(Failure::with_attempts(Cause::NoServer, "a\nb".into()).encode(), "no-server");
     assert!(Failure::with_attempts(Cause::NoServer, "ä".repeat(1000)).encode().len() < 500);
-    let failure = Failure::from(Cause::NoAnswer).preceded_by("shield a silent");
+    let failure = Failure::from(Cause::NoResponse).with_earlier_attempts("shield a silent");
     assert_eq!(failure.attempts, "shield a silent");
-    assert_eq!(failure.preceded_by("").preceded_by("b").attempts, "b, shield a silent");
+    assert_eq!(failure.with_earlier_attempts("").with_earlier_attempts("b").attempts, "b, shield a silent");
 }
 
 #[tokio::test(start_paused = true)]
--- a/glenfall/tests/unit/store.rs
+++ b/glenfall/tests/unit/store.rs
@@ -8,7 +8,7 @@
 use glenfall::control::store::{database_path, verify, RecoveredState, Store};
 use glenfall_control_plane::chain::{HardState, JointConfig, Record};
 use glenfall_control_plane::deduplication::{
-    AppliedOrder, DeduplicationTable, IdempotencyKey, CHUNK_ORDERS, MAX_APPLIED_ORDERS,
+    AppliedOrder, DeduplicationTable, IdempotencyKey, MAX_APPLIED_ORDERS, ORDERS_PER_CHUNK,
 };
 use rusqlite::Connection;
 use serde::Serialize;
@@ -29,7 +29,7 @@
 fn state(promised: u64, size: usize) -> HardState {
     let document = (0..size).map(|n| (n * 7 % 251) as u8).collect();
     // One full chunk, and three more orders.
-    let orders: Vec<AppliedOrder> = (1..=CHUNK_ORDERS as u64 + 3).map(order).collect();
+    let orders: Vec<AppliedOrder> = (1..=ORDERS_PER_CHUNK as u64 + 3).map(order).collect();
     let table = DeduplicationTable::from_orders(0, &orders).unwrap();
     let record = Record { seq: 67, rev: 67, document, applied_orders: table };
     let members = JointConfig::of(vec![[10, 0, 0, 1].into()]);
@@ -123,7 +123,7 @@
 fn applied_orders_are_written_once_and_evicted_ones_are_deleted() {
     let folder = Folder::new("store-orders");
     let (store, _) = Store::open(&folder).unwrap();
-    let (max_orders, chunk) = (MAX_APPLIED_ORDERS as u64, CHUNK_ORDERS as u64);
+    let (max_orders, chunk) = (MAX_APPLIED_ORDERS as u64, ORDERS_PER_CHUNK as u64);
     // Orders in the table, and the number of rows that are written or deleted, that of the state included. The table
     // grows, fills up, evicts its oldest chunk, and is replaced as after a restore.
     let cases = [
--- a/glenfall/tests/unit/stored_data.rs
+++ b/glenfall/tests/unit/stored_data.rs
@@ -14,7 +14,9 @@
 use glenfall::control::purge_log::{PurgeLog, MAX_CLOCK_ERROR_MS};
 use glenfall::control::store::{self, RecoveredState, Store};
 use glenfall_control_plane::chain::{HardState, JointConfig, Record};
-use glenfall_control_plane::deduplication::{AppliedOrder, DeduplicationTable, IdempotencyKey, CHUNK_ORDERS};
+use glenfall_control_plane::deduplication::{
+    AppliedOrder, DeduplicationTable, IdempotencyKey, ORDERS_PER_CHUNK,
+};
 use glenfall_control_plane::messages::{Purge, PurgeRecord};
 use hyper::header::{HeaderMap, HeaderValue};
 use rusqlite::Connection;
@@ -27,7 +29,7 @@
 const DOCUMENT: &[u8] =
     br#"{"rev": 90, "paths": [], "backends": [{"name": "s"}], "unknown": {"kept": true}}"#;
 /// One full chunk of orders, and some that do not fill a second one.
-const ORDER_COUNT: u64 = CHUNK_ORDERS as u64 + 6;
+const ORDER_COUNT: u64 = ORDERS_PER_CHUNK as u64 + 6;
 const FIRST_ORDER: u64 = 20;
 
 fn fixture(name: &str) -> PathBuf {
