--- a/glenfall/tests/bounds.rs
+++ b/glenfall/tests/bounds.rs
@@ -72,10 +72,13 @@
 #[test]
 fn the_disk_cache_stays_within_its_share_of_the_disk_through_writes_and_removals() {
     const DISK_MB: u64 = 128;
-    let folder = folder("copies");
+    let folder = folder("disk-cache");
     let (cache, _stored) = DiskCache::open(&folder, DISK_MB).unwrap();
-    let key =
-        |n: u64| ObjectKey { service: "s".into(), host: "h".into(), path: format!("/{n}").as_str().into() };
+    let key = |number: u64| ObjectKey {
+        service: "s".into(),
+        host: "h".into(),
+        path: format!("/{number}").as_str().into(),
+    };
     let body = Bytes::from(vec![7; 6000]);
     let (mut max_bytes, mut wal_bytes) = (0, 0);
     let mut measure = || {
@@ -85,18 +88,18 @@
         std::thread::sleep(Duration::from_millis(10));
     };
     // 48 MB of responses, all of which are revalidated five times and then removed.
-    for n in 0..8000 {
+    for number in 0..8000 {
         // A full queue drops responses, and the writing thread may be far behind on a busy machine.
         while cache.queued_bytes() + body.len() > MAX_QUEUED_BODY_BYTES {
             measure();
         }
-        cache.put(&key(n), &HeaderMap::new(), &[], &body, Duration::ZERO);
-        if n % 200 == 0 {
+        cache.put(&key(number), &HeaderMap::new(), &[], &body, Duration::ZERO);
+        if number % 200 == 0 {
             measure();
         }
     }
     for _ in 0..5 {
-        (0..8000).for_each(|n| cache.set_revalidated(&key(n), Duration::ZERO));
+        (0..8000).for_each(|number| cache.set_revalidated(&key(number), Duration::ZERO));
         (0..50).for_each(|_| measure());
     }
     cache.remove(&(0..8000).map(key).collect::<Vec<_>>());
--- a/glenfall/tests/failure_log.rs
+++ b/glenfall/tests/failure_log.rs
@@ -64,9 +64,11 @@
             "type": kind, "deadlineMs": 5000, "targetMs": 2000, "backend": service, "tries": 2, "maxAgeS": 60,
         })
     };
-    let routes = services.iter().flat_map(|s| [route(s, "cacheable", "r"), route(s, "mutating", "w")]);
+    let routes = services
+        .iter()
+        .flat_map(|service| [route(service, "cacheable", "r"), route(service, "mutating", "w")]);
     let backend = |name: &&str| match *name {
-        "scarce" => serde_json::json!({ "name": name, "ratePerS": 0.01 }),
+        "rate-limited" => serde_json::json!({ "name": name, "ratePerS": 0.01 }),
         _ => serde_json::json!({ "name": name }),
     };
     serde_json::json!({
@@ -81,14 +83,14 @@
     let system = System::start(&["control", "shield"], &["agent", "edge"]);
     system.wait_for_chain(&[1, 2, 3], 3);
     let servers = [
-        ("well", Some(start_server(SUCCESS))),
+        ("healthy", Some(start_server(SUCCESS))),
         ("full", Some(start_server(SERVER_FULL))),
         ("unproven", Some(start_server(REFUSAL_WITHOUT_NOT_RUN))),
         ("failing", Some(start_server(SERVER_ERROR))),
         ("closing", Some(start_server(Behavior::CloseConnection))),
-        ("silent", Some(start_server(Behavior::NeverRespond))),
+        ("unresponsive", Some(start_server(Behavior::NeverRespond))),
         ("unreachable", Some(closed_port())),
-        ("scarce", Some(start_server(SUCCESS))),
+        ("rate-limited", Some(start_server(SUCCESS))),
         ("none", None),
     ];
     for (service, addr) in &servers {
@@ -114,15 +116,23 @@
     };
     let (host, short_deadline) = ("Host: h\r\n", "Host: h\r\nX-Glenfall-Deadline: 400\r\n");
     wait_until("reads and writes are served", || {
-        send_request("first", "GET /r/well/x", host, "") == 200
-            && send_request("first", "POST /w/well/x", host, "") == 200
+        send_request("first", "GET /r/healthy/x", host, "") == 200
+            && send_request("first", "POST /w/healthy/x", host, "") == 200
     });
     let long_body = "b".repeat(2000);
     // The request, its status and cause, and the text about its attempts that is expected in the log.
     let cases = [
-        ("unknown-host", "GET /r/well/x", "Host: other\r\n", "", 404, "no-route", ""),
-        ("two-hosts", "GET /r/well/x", "Host: h\r\nHost: h\r\n", "", 400, "bad-request", "one Host expected"),
-        ("long", "POST /w/well/x", host, &long_body, 413, "body-too-large", ""),
+        ("unknown-host", "GET /r/healthy/x", "Host: other\r\n", "", 404, "no-route", ""),
+        (
+            "two-hosts",
+            "GET /r/healthy/x",
+            "Host: h\r\nHost: h\r\n",
+            "",
+            400,
+            "bad-request",
+            "one Host expected",
+        ),
+        ("long", "POST /w/healthy/x", host, &long_body, 413, "body-too-large", ""),
         ("no-server", "POST /w/none/x", host, "", 503, "no-server", ""),
         ("full", "POST /w/full/x", host, "", 503, "servers-full", "server-full: not run (503)"),
         (
@@ -137,13 +147,13 @@
         ("failing", "POST /w/failing/x", host, "", 500, "server-error", "server-failing: answered 500"),
         ("closing", "POST /w/closing/x", host, "", 502, "answer-lost", "server-closing: answer lost"),
         (
-            "silent",
-            "POST /w/silent/x",
+            "unresponsive",
+            "POST /w/unresponsive/x",
             short_deadline,
             "",
             504,
             "no-answer",
-            "server-silent: no answer in time",
+            "server-unresponsive: no answer in time",
         ),
         (
             "unreachable",
@@ -156,18 +166,18 @@
         ),
         ("read-closing", "GET /r/closing/x", host, "", 502, "answer-lost", "server-closing: answer lost"),
         ("read-none", "GET /r/none/x", host, "", 503, "no-server", "shield"),
-        ("read-scarce", "GET /r/scarce/x", host, "", 503, "rate-limit", "shield"),
+        ("read-rate-limited", "GET /r/rate-limited/x", host, "", 503, "rate-limit", "shield"),
     ];
     for (id, line, headers, body, status, ..) in cases {
         assert_eq!(send_request(id, line, headers, body), status, "{id}");
     }
     // An incomplete head: its log line has no try id.
     let mut stream = TcpStream::connect(edge).unwrap();
-    stream.write_all(b"GET /r/well/x HTTP/1.1\r\nHost").unwrap();
+    stream.write_all(b"GET /r/healthy/x HTTP/1.1\r\nHost").unwrap();
     let rejected = request(system.control_addr(1), "PUT /api/config", "Host: c\r\nIf-Match: 1\r\n", "{");
     assert_eq!(rejected.map(|response| response.0), Some(400));
 
-    let log = |n: u8| std::fs::read_to_string(system.log_path(n)).unwrap();
+    let log = |machine: u8| std::fs::read_to_string(system.log_path(machine)).unwrap();
     wait_until("the slow head is logged", || log(EDGE_MACHINE).contains("head-too-slow"));
     for (id, _, _, _, status, cause, attempts) in cases {
         let log = log(EDGE_MACHINE);
@@ -186,8 +196,8 @@
         "the rejected configuration is logged"
     );
     let no_route_failures = || {
-        let status = (1..=3).filter_map(|n| system.status(n));
-        let sessions = status.flat_map(|s| s["sessions"].as_array().cloned().unwrap_or_default());
+        let status = (1..=3).filter_map(|node| system.status(node));
+        let sessions = status.flat_map(|status| status["sessions"].as_array().cloned().unwrap_or_default());
         sessions.filter_map(|session| session["counters"]["failed_no_route"].as_u64()).sum::<u64>()
     };
     wait_until("the status counts failures by cause", || no_route_failures() == 1);
--- a/glenfall/tests/planned_operations.rs
+++ b/glenfall/tests/planned_operations.rs
@@ -26,10 +26,10 @@
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(received) = receive_request(&mut reader) {
             let number = self.started_count.fetch_add(1, Ordering::Relaxed);
-            // Some requests take longer than a process that shuts down accepts connections.
+            // Some requests take longer than a process accepts connections while it shuts down.
             let slow = received.request_line.starts_with("POST") && number % 8 == 7;
-            let work = if slow { 4500 } else { 20 + 90 * (number % 8) as u64 };
-            std::thread::sleep(Duration::from_millis(work));
+            let work_ms = if slow { 4500 } else { 20 + 90 * (number % 8) as u64 };
+            std::thread::sleep(Duration::from_millis(work_ms));
             let id = received.try_id();
             let text = format!(
                 "HTTP/1.1 200 OK\r\nX-Glenfall-Try-Id: {id}\r\nX-Glenfall-Seal: s\r\nContent-Length: 6\r\n\r\nanswer"
@@ -126,13 +126,15 @@
     fn run(&self, edge: SocketAddrV4, request_lines: &[&str]) {
         let mut connection = None;
         while !self.stop.load(Ordering::Relaxed) {
-            let Some(mut open) = connection.take().or_else(|| Connection::open(edge)) else { return };
+            let Some(mut open_connection) = connection.take().or_else(|| Connection::open(edge)) else {
+                return;
+            };
             let number = self.next_id.fetch_add(1, Ordering::Relaxed);
             let id = format!("{number:x}");
             let line = request_lines[number % request_lines.len()].replace('#', &id);
-            let outcome = open.send(&line, &id);
-            if matches!(outcome, Outcome::Responded(_)) && !open.will_close {
-                connection = Some(open);
+            let outcome = open_connection.send(&line, &id);
+            if matches!(outcome, Outcome::Responded(_)) && !open_connection.will_close {
+                connection = Some(open_connection);
             }
             self.outcomes.lock().unwrap().insert(id, outcome);
         }
@@ -151,8 +153,8 @@
     )
 }
 
-/// A first configuration and the changes made to it: the subcommand and the document of each. Each
-/// differs in kind from the one before, and the last restores the first.
+/// A first configuration and the changes made to it, as subcommand and document. Each change differs in kind from the one
+/// before, and the last restores the first configuration.
 fn config_changes() -> Vec<(&'static str, String)> {
     let put = |rev: u64, limits: &str, routes: &[String]| {
         let routes = routes.join(",");
@@ -161,35 +163,37 @@
         );
         ("put", document)
     };
-    let all = || ["reads", "writes", "again", "gone"].map(|name| route(name, kind(name), 9000, "s")).to_vec();
+    let all_routes = || {
+        ["reads", "writes", "updates", "removable"].map(|name| route(name, kind(name), 9000, "s")).to_vec()
+    };
     let patch = |rev: u64, upsert: &str, remove: &str| {
         let document =
             format!(r#"{{"rev":{rev},"upsert":{{"paths":[{upsert}]}},"remove":{{"paths":[{remove}]}}}}"#);
         ("patch", document)
     };
     vec![
-        put(1, "{}", &all()),
-        // Lowers limits and idle time-outs far, and restores them.
+        put(1, "{}", &all_routes()),
+        // Lowers the limits and the idle time-out considerably, and restores them.
         put(
             2,
             r#"{"maxHeaderBytes":9000,"maxBodyBytes":3000,"headerTimeoutMs":400,"idleTimeoutMs":150}"#,
-            &all(),
+            &all_routes(),
         ),
-        put(3, r#"{"idleTimeoutMs":60000}"#, &all()),
+        put(3, r#"{"idleTimeoutMs":60000}"#, &all_routes()),
         // Removes a route while its requests are in flight and adds it again; moves routes to another service, with other
         // deadlines.
-        patch(4, "", r#""gone""#),
+        patch(4, "", r#""removable""#),
         patch(5, &route("writes", "mutating", 8000, "t"), ""),
-        patch(6, &route("gone", "mutating", 7000, "t"), ""),
-        patch(7, &route("reads", "cacheable", 8000, "t"), r#""gone""#),
-        put(8, "{}", &all()),
+        patch(6, &route("removable", "mutating", 7000, "t"), ""),
+        patch(7, &route("reads", "cacheable", 8000, "t"), r#""removable""#),
+        put(8, "{}", &all_routes()),
     ]
 }
 
 fn kind(name: &str) -> &'static str {
     match name {
         "reads" => "cacheable",
-        "again" => "idempotent",
+        "updates" => "idempotent",
         _ => "mutating",
     }
 }
@@ -213,10 +217,10 @@
     (system, servers)
 }
 
-const REQUEST_LINES: [&str; 4] = ["POST /writes/#", "GET /reads/#", "PUT /again/#", "POST /gone/#"];
+const REQUEST_LINES: [&str; 4] = ["POST /writes/#", "GET /reads/#", "PUT /updates/#", "POST /removable/#"];
 
-/// Checks that each request to which a server has responded completely ended with that response, and neither with an error
-/// nor without a response.
+/// Checks that each request to which a server has responded completely ended for its client with that response, not with
+/// an error or a disconnection.
 fn check_responses(clients: &Clients, servers: &Servers) {
     wait_until("the servers have finished all requests", || {
         servers.finished_count.load(Ordering::Relaxed) == servers.started_count.load(Ordering::Relaxed)
@@ -238,8 +242,8 @@
     std::thread::scope(|scope| {
         (0..12).for_each(|_| drop(scope.spawn(|| clients.run(edge, &REQUEST_LINES))));
         let (mut rev, later_changes) = (1, config_changes().split_off(1));
-        for (n, (subcommand, document)) in later_changes.iter().enumerate() {
-            let machine = n as u8 % (EDGE_MACHINE - 1) + 1;
+        for (index, (subcommand, document)) in later_changes.iter().enumerate() {
+            let machine = index as u8 % (EDGE_MACHINE - 1) + 1;
             system.signal(EDGE_MACHINE, "edge", "-HUP");
             system.signal(EDGE_MACHINE, "agent", "-HUP");
             system.signal(machine, "shield", "-TERM");
--- a/glenfall/tests/purge_durability.rs
+++ b/glenfall/tests/purge_durability.rs
@@ -5,21 +5,21 @@
 
 use common::{request, wait_until, System};
 
-/// Makes the purge log of a machine unusable, by a folder in the place of its file.
-fn break_purge_log(system: &System, n: u8) {
-    std::fs::create_dir_all(system.state_dir(n).join("purges.sqlite").join("in-the-way")).unwrap();
+/// Makes the purge log of a control node unusable: creates a non-empty folder at the path of its file.
+fn break_purge_log(system: &System, node: u8) {
+    std::fs::create_dir_all(system.state_dir(node).join("purges.sqlite").join("subfolder")).unwrap();
 }
 
-/// Status of a purge sent to the first of three control nodes, while the purge logs of the given nodes are unusable.
+/// HTTP status of a purge sent to the first of three control nodes while the purge logs of the given nodes are unusable.
 fn purge_status(broken_nodes: &[u8]) -> u16 {
     let mut system = System::start_with_settings(&["control"], &["agent"], "[survive]\nhosts = 1\n");
     system.wait_for_chain(&[1, 2, 3], 3);
-    for n in broken_nodes {
-        system.kill(*n, "control");
-        std::fs::remove_dir_all(system.state_dir(*n)).unwrap();
-        system.edit_settings(*n, &[("bootstrap = true", "bootstrap = false")]);
-        break_purge_log(&system, *n);
-        system.respawn(*n, "control");
+    for node in broken_nodes {
+        system.kill(*node, "control");
+        std::fs::remove_dir_all(system.state_dir(*node)).unwrap();
+        system.edit_settings(*node, &[("bootstrap = true", "bootstrap = false")]);
+        break_purge_log(&system, *node);
+        system.respawn(*node, "control");
         system.wait_for_chain(&[1, 2, 3], 3);
     }
     // Long enough for earlier leases to expire, and for each node to have its session and links again.
--- a/glenfall/tests/response_seals.rs
+++ b/glenfall/tests/response_seals.rs
@@ -146,17 +146,17 @@
             )
         };
         let routes = [
-            route("kept", "cacheable", r#","maxAgeS":600"#),
-            route("fresh", "cacheable", r#","maxAgeS":0"#),
-            route("twice", "idempotent", ""),
-            route("once", "mutating", ""),
+            route("cached", "cacheable", r#","maxAgeS":600"#),
+            route("revalidated", "cacheable", r#","maxAgeS":0"#),
+            route("idempotent", "idempotent", ""),
+            route("mutating", "mutating", ""),
         ];
         let document = format!(r#"{{"rev":1,"paths":[{}],"backends":[{{"name":"s"}}]}}"#, routes.join(","));
         system.configure("put", 0, &document);
         system.wait_until_ready();
         let setup = Setup { system, script, next_try_id: AtomicUsize::new(0) };
-        wait_until("writes are served", || setup.send_request("POST /once/warm", "").0 == 200);
-        wait_until("reads are cached", || setup.send_request("GET /kept/warm", "").1.contains("\r\nage: "));
+        wait_until("writes are served", || setup.send_request("POST /mutating/warm", "").0 == 200);
+        wait_until("reads are cached", || setup.send_request("GET /cached/warm", "").1.contains("\r\nage: "));
         setup
     }
 
@@ -168,7 +168,7 @@
         response
     }
 
-    /// Checks that a seal comes with the status and the body for which it was issued, a 206 with a part of that body.
+    /// Checks that a seal comes with the status and the body for which it was issued; a 206 has a part of that body.
     /// The seal of a failure must belong to the request itself.
     fn check_seal(&self, line: &str, try_id: &str, (status, head, body): &Response) {
         let Some(seal) = seal(head) else {
@@ -200,45 +200,87 @@
     let range = "Range: bytes=2-5\r\n";
     let range_beyond_end = "Range: bytes=999-\r\n";
     for (case, line, reactions, headers, status, has_seal) in [
-        ("a server's success", "POST /once/1", vec![Status(200)], no_headers, 200, true),
-        ("a server's failure", "POST /once/2", vec![Status(500)], no_headers, 500, true),
-        ("a server's 404", "POST /once/3", vec![Status(404)], no_headers, 404, true),
-        ("not run (503)", "POST /once/4", vec![NotRun(503)], no_headers, 503, false),
-        ("not run, over the server's limit (429)", "POST /once/5", vec![NotRun(429)], no_headers, 503, false),
+        ("a server's success", "POST /mutating/1", vec![Status(200)], no_headers, 200, true),
+        ("a server's failure", "POST /mutating/2", vec![Status(500)], no_headers, 500, true),
+        ("a server's 404", "POST /mutating/3", vec![Status(404)], no_headers, 404, true),
+        ("not run (503)", "POST /mutating/4", vec![NotRun(503)], no_headers, 503, false),
+        (
+            "not run, over the server's limit (429)",
+            "POST /mutating/5",
+            vec![NotRun(429)],
+            no_headers,
+            503,
+            false,
+        ),
         (
             "not run, meant for another server (421)",
-            "POST /once/6",
+            "POST /mutating/6",
             vec![NotRun(421)],
             no_headers,
             503,
             false,
         ),
-        ("503 without the not-run header", "POST /once/7", vec![Status(503)], no_headers, 502, false),
-        ("429 without the not-run header", "POST /once/8", vec![Status(429)], no_headers, 502, false),
-        ("truncated body", "POST /once/9", vec![TruncatedBody], no_headers, 502, false),
-        ("connection closed", "POST /once/10", vec![CloseConnection], no_headers, 502, false),
-        ("no response", "POST /once/11", vec![NoResponse], short_deadline, 504, false),
-        ("failed, then not run", "PUT /twice/1", vec![Status(500), NotRun(503)], no_headers, 500, true),
-        ("failed, then truncated", "PUT /twice/2", vec![Status(500), TruncatedBody], no_headers, 502, false),
-        ("not run, then failed", "PUT /twice/3", vec![NotRun(503), Status(500)], no_headers, 500, true),
-        ("failed, then succeeded", "PUT /twice/4", vec![Status(500), Status(200)], no_headers, 200, true),
-        ("failed twice", "PUT /twice/5", vec![Status(500), Status(501)], no_headers, 501, true),
-        ("503s without the not-run header", "PUT /twice/6", vec![Status(503)], no_headers, 503, true),
-        ("a cached response", "GET /kept/1", vec![Status(200)], no_headers, 200, true),
-        ("a range of a cached response", "GET /kept/1", vec![], range, 206, true),
-        ("a range beyond its end", "GET /kept/1", vec![], range_beyond_end, 416, false),
-        ("the client's cached response is current", "GET /kept/1", vec![], if_none_match, 304, false),
-        ("cache miss, range beyond the end", "GET /kept/2", vec![Status(200)], range_beyond_end, 416, false),
-        ("a first fetch, to be revalidated", "GET /fresh/1", vec![Conditional], no_headers, 200, true),
-        ("revalidated", "GET /fresh/1", vec![Conditional], no_headers, 200, true),
-        ("revalidated, with a range", "GET /fresh/1", vec![Conditional], range, 206, true),
-        ("revalidated, range beyond end", "GET /fresh/1", vec![Conditional], range_beyond_end, 416, false),
-        ("revalidated, client's is current", "GET /fresh/1", vec![Conditional], if_none_match, 304, false),
-        ("revalidation fails", "GET /fresh/1", vec![Status(500)], no_headers, 500, true),
-        ("through a shield: a 404", "GET /kept/4", vec![Status(404)], no_headers, 404, true),
-        ("through a shield: not run", "GET /kept/5", vec![NotRun(503)], no_headers, 503, false),
-        ("through a shield: truncated body", "GET /kept/6", vec![TruncatedBody], no_headers, 502, false),
-        ("through a shield: no response", "GET /kept/7", vec![NoResponse], short_deadline, 504, false),
+        ("503 without the not-run header", "POST /mutating/7", vec![Status(503)], no_headers, 502, false),
+        ("429 without the not-run header", "POST /mutating/8", vec![Status(429)], no_headers, 502, false),
+        ("truncated body", "POST /mutating/9", vec![TruncatedBody], no_headers, 502, false),
+        ("connection closed", "POST /mutating/10", vec![CloseConnection], no_headers, 502, false),
+        ("no response", "POST /mutating/11", vec![NoResponse], short_deadline, 504, false),
+        ("failed, then not run", "PUT /idempotent/1", vec![Status(500), NotRun(503)], no_headers, 500, true),
+        (
+            "failed, then truncated",
+            "PUT /idempotent/2",
+            vec![Status(500), TruncatedBody],
+            no_headers,
+            502,
+            false,
+        ),
+        ("not run, then failed", "PUT /idempotent/3", vec![NotRun(503), Status(500)], no_headers, 500, true),
+        (
+            "failed, then succeeded",
+            "PUT /idempotent/4",
+            vec![Status(500), Status(200)],
+            no_headers,
+            200,
+            true,
+        ),
+        ("failed twice", "PUT /idempotent/5", vec![Status(500), Status(501)], no_headers, 501, true),
+        ("503s without the not-run header", "PUT /idempotent/6", vec![Status(503)], no_headers, 503, true),
+        ("a cached response", "GET /cached/1", vec![Status(200)], no_headers, 200, true),
+        ("a range of a cached response", "GET /cached/1", vec![], range, 206, true),
+        ("a range beyond its end", "GET /cached/1", vec![], range_beyond_end, 416, false),
+        ("the client's cached response is current", "GET /cached/1", vec![], if_none_match, 304, false),
+        (
+            "cache miss, range beyond the end",
+            "GET /cached/2",
+            vec![Status(200)],
+            range_beyond_end,
+            416,
+            false,
+        ),
+        ("a first fetch, to be revalidated", "GET /revalidated/1", vec![Conditional], no_headers, 200, true),
+        ("revalidated", "GET /revalidated/1", vec![Conditional], no_headers, 200, true),
+        ("revalidated, with a range", "GET /revalidated/1", vec![Conditional], range, 206, true),
+        (
+            "revalidated, range beyond end",
+            "GET /revalidated/1",
+            vec![Conditional],
+            range_beyond_end,
+            416,
+            false,
+        ),
+        (
+            "revalidated, client's is current",
+            "GET /revalidated/1",
+            vec![Conditional],
+            if_none_match,
+            304,
+            false,
+        ),
+        ("revalidation fails", "GET /revalidated/1", vec![Status(500)], no_headers, 500, true),
+        ("through a shield: a 404", "GET /cached/4", vec![Status(404)], no_headers, 404, true),
+        ("through a shield: not run", "GET /cached/5", vec![NotRun(503)], no_headers, 503, false),
+        ("through a shield: truncated body", "GET /cached/6", vec![TruncatedBody], no_headers, 502, false),
+        ("through a shield: no response", "GET /cached/7", vec![NoResponse], short_deadline, 504, false),
         ("no route", "GET /none/1", vec![], no_headers, 404, false),
     ] {
         let path = line.split(' ').nth(1).unwrap();
@@ -254,15 +296,18 @@
 fn coalesced_requests_get_only_the_status_of_a_failed_fetch() {
     let setup = Setup::start();
     let reactions = vec![Reaction::Delayed(500)];
-    setup.script.reactions.lock().unwrap().insert("/kept/joined".to_owned(), reactions);
+    setup.script.reactions.lock().unwrap().insert("/cached/coalesced".to_owned(), reactions);
     let count_before = setup.script.request_count.load(Ordering::Relaxed);
     let responses: Vec<Response> = std::thread::scope(|scope| {
         let handles: Vec<_> =
-            (0..6).map(|_| scope.spawn(|| setup.send_request("GET /kept/joined", ""))).collect();
+            (0..6).map(|_| scope.spawn(|| setup.send_request("GET /cached/coalesced", ""))).collect();
         handles.into_iter().map(|handle| handle.join().unwrap()).collect()
     });
     let seal_count = responses.iter().filter(|(_, head, _)| seal(head).is_some()).count();
-    let fetches = setup.script.request_count.load(Ordering::Relaxed) - count_before;
+    let fetch_count = setup.script.request_count.load(Ordering::Relaxed) - count_before;
     assert!(responses.iter().all(|(status, ..)| *status == 500), "{responses:?}");
-    assert!(fetches < 12 && seal_count < 6 && seal_count > 0, "{seal_count} seals, {fetches} fetches");
+    assert!(
+        fetch_count < 12 && seal_count < 6 && seal_count > 0,
+        "{seal_count} seals, {fetch_count} fetches"
+    );
 }
--- a/glenfall/tests/sessions.rs
+++ b/glenfall/tests/sessions.rs
@@ -32,7 +32,7 @@
     fn members_changed(&self) {}
 }
 
-/// Opens a session of a subscriber that reads and acknowledges updates only as the test does so.
+/// Opens a session for a subscriber that the test drives: it reads and acknowledges nothing by itself.
 async fn open_session(sessions: &Rc<Sessions>, node: &str) -> (FrameReader, Outbox<SubscriberMessage>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let std::net::SocketAddr::V4(addr) = listener.local_addr().unwrap() else { unreachable!() };
@@ -76,8 +76,8 @@
 fn only_sessions_that_have_not_applied_an_awaited_update_are_ended() {
     run_local(async {
         let sessions = Rc::new(Sessions::default());
-        let (_behind_frames, _behind_outbox) = open_session(&sessions, "behind").await;
-        let (_frames, outbox) = open_session(&sessions, "well").await;
+        let (_overdue_frames, _overdue_outbox) = open_session(&sessions, "overdue").await;
+        let (_frames, outbox) = open_session(&sessions, "current").await;
         sessions.push(&Update::Connected(true));
         assert!(outbox.send(SubscriberMessage::Applied(1)));
         wait_until(|| sessions.statuses().iter().any(|status| status.applied == 1)).await;
@@ -85,11 +85,11 @@
         // This update is in flight to both sessions when the overdue one is ended.
         sessions.push(&Update::Connected(true));
         sessions.end_overdue(Duration::ZERO);
-        assert_eq!(session_nodes(&sessions), ["well"]);
+        assert_eq!(session_nodes(&sessions), ["current"]);
         assert!(outbox.send(SubscriberMessage::Applied(2)));
         assert!(sessions.wait_until_applied(WAIT_TIMEOUT).await);
         sessions.end_overdue(Duration::ZERO);
-        assert_eq!(session_nodes(&sessions), ["well"]);
+        assert_eq!(session_nodes(&sessions), ["current"]);
     });
 }
 
@@ -160,6 +160,6 @@
                 other => assert_eq!(other, PublisherMessage::Ping),
             }
         }
-        panic!("no lease is granted without a second request");
+        panic!("the lease request was not granted");
     });
 }
--- a/glenfall/tests/system.rs
+++ b/glenfall/tests/system.rs
@@ -76,17 +76,17 @@
     }
 }
 
-struct TestSystem {
+struct Setup {
     system: System,
     next_try_id: AtomicUsize,
 }
 
-impl TestSystem {
+impl Setup {
     /// Service `s` with two servers and service `t` with one; a route for reads and one for writes, both to `s`.
-    fn start() -> (TestSystem, [Arc<Server>; 3]) {
+    fn start() -> (Setup, [Arc<Server>; 3]) {
         let system = System::start(&["control", "shield"], &["agent", "edge"]);
         system.wait_for_chain(&[1, 2, 3], 3);
-        let setup = TestSystem { system, next_try_id: AtomicUsize::new(0) };
+        let setup = Setup { system, next_try_id: AtomicUsize::new(0) };
         let servers = [("a", "s"), ("b", "s"), ("c", "t")].map(|(id, service)| {
             let (server, addr) = Server::start();
             setup.send_heartbeat(id, service, addr, "ready", 1);
@@ -107,7 +107,7 @@
         });
         // The edge learns with a delay that a shield is ready, and a shield serves cached responses only once it holds a
         // lease. This many objects are enough for each shield to be responsible for some.
-        let lines: Vec<String> = (0..24).map(|n| format!("GET /r/everywhere-{n}")).collect();
+        let lines: Vec<String> = (0..24).map(|index| format!("GET /r/everywhere-{index}")).collect();
         setup.wait_until_cached(&lines);
         (setup, servers.map(|(server, _)| server))
     }
@@ -147,37 +147,37 @@
 
 #[test]
 fn responses_are_cached_coalesced_and_purged_even_during_a_fetch() {
-    let (setup, servers) = TestSystem::start();
+    let (setup, servers) = Setup::start();
     let before = total_requests(&servers);
-    let first_body = setup.expect_body("GET /r/kept");
+    let first_body = setup.expect_body("GET /r/cached");
     assert_eq!(
-        [setup.expect_body("GET /r/kept"), setup.expect_body("GET /r/kept")],
+        [setup.expect_body("GET /r/cached"), setup.expect_body("GET /r/cached")],
         [first_body.clone(), first_body.clone()]
     );
     assert_eq!(total_requests(&servers) - before, 1, "requests for one cached response");
-    setup.purge(&["--host", "h", "--path", "/r/kept"]);
-    let second_body = setup.expect_body("GET /r/kept");
+    setup.purge(&["--host", "h", "--path", "/r/cached"]);
+    let second_body = setup.expect_body("GET /r/cached");
     assert_ne!(second_body, first_body, "not purged by path");
     setup.purge(&["--label", "label"]);
-    assert_ne!(setup.expect_body("GET /r/kept"), second_body, "not purged by label");
+    assert_ne!(setup.expect_body("GET /r/cached"), second_body, "not purged by label");
 
     // Several requests wait for one fetch, and a purge arrives meanwhile.
     servers.iter().for_each(|server| server.block_responses(true));
     let before = total_requests(&servers);
     std::thread::scope(|scope| {
-        let handles: Vec<_> = (0..5).map(|_| scope.spawn(|| setup.expect_body("GET /r/joined"))).collect();
+        let handles: Vec<_> = (0..5).map(|_| scope.spawn(|| setup.expect_body("GET /r/coalesced"))).collect();
         wait_until("a server has received the request", || total_requests(&servers) > before);
         // By the end of this purge the other requests have arrived as well.
         setup.purge(&["--host", "h", "--path", "/r/other"]);
-        setup.purge(&["--host", "h", "--path", "/r/joined"]);
+        setup.purge(&["--host", "h", "--path", "/r/coalesced"]);
         servers.iter().for_each(|server| server.block_responses(false));
         let bodies: Vec<String> = handles.into_iter().map(|handle| handle.join().unwrap()).collect();
-        let fetches = total_requests(&servers) - before;
+        let fetch_count = total_requests(&servers) - before;
         assert!(
-            fetches <= 2,
+            fetch_count <= 2,
             "five concurrent requests take one fetch, or two if one arrived after the purge"
         );
-        let body_after_purge = setup.expect_body("GET /r/joined");
+        let body_after_purge = setup.expect_body("GET /r/coalesced");
         assert!(
             bodies.iter().filter(|body| **body == body_after_purge).count() < 5,
             "a response fetched before the purge is still cached"
@@ -187,7 +187,7 @@
 
 #[test]
 fn cached_responses_survive_shield_and_control_restarts_but_not_a_purge() {
-    let (mut setup, _servers) = TestSystem::start();
+    let (mut setup, _servers) = Setup::start();
     let addrs: Vec<SocketAddrV4> = ["a", "b"]
         .iter()
         .map(|id| {
@@ -198,13 +198,13 @@
         })
         .collect();
     // A cached response has an `Age` header.
-    let cached_body = |setup: &TestSystem, line: &str| {
+    let cached_body = |setup: &Setup, line: &str| {
         let (status, head, body) = setup.send_request(line)?;
         (status == 200 && head.contains("\r\nage: ")).then_some(body)
     };
     for (round, restart_control) in [(2, false), (3, true)] {
         let line = format!("GET /r/{round}");
-        let restart_processes = |setup: &mut TestSystem| {
+        let restart_processes = |setup: &mut Setup| {
             setup.system.restart_role("shield", |_| ());
             if restart_control {
                 setup.system.restart_role("control", |_| ());
@@ -257,7 +257,7 @@
 
 #[test]
 fn a_draining_server_gets_no_requests_and_a_route_change_is_never_reverted() {
-    let (setup, servers) = TestSystem::start();
+    let (setup, servers) = Setup::start();
     wait_until("both servers get requests", || {
         setup.expect_body("POST /w/x");
         servers[..2].iter().all(|server| server.request_count() > 4)
@@ -295,24 +295,24 @@
 }
 
 #[test]
-fn a_draining_edge_completes_requests_in_flight_and_accepts_late_ones() {
-    let (mut setup, servers) = TestSystem::start();
+fn a_draining_edge_completes_requests_in_flight_and_accepts_new_ones() {
+    let (mut setup, servers) = Setup::start();
     servers.iter().for_each(|server| server.block_responses(true));
     let in_flight = || servers.iter().map(|server| server.in_flight.load(Ordering::Relaxed)).sum::<usize>();
     let [edge, ready] = setup.system.edge_addrs();
     std::thread::scope(|scope| {
-        let early_request =
-            scope.spawn(|| request(edge, "POST /w/held", "Host: h\r\nX-Glenfall-Try-Id: ab\r\n", ""));
+        let first_request =
+            scope.spawn(|| request(edge, "POST /w/first", "Host: h\r\nX-Glenfall-Try-Id: ab\r\n", ""));
         wait_until("a server has received the request", || in_flight() == 1);
         setup.system.signal(EDGE_MACHINE, "edge", "-TERM");
         wait_until("the edge reports that it is not ready", || {
             request(ready, "GET /api/ready", "Host: e\r\n", "").is_some_and(|response| response.0 == 503)
         });
-        let late_request =
-            scope.spawn(|| request(edge, "POST /w/late", "Host: h\r\nX-Glenfall-Try-Id: ac\r\n", ""));
-        wait_until("a server has received the late request too", || in_flight() == 2);
+        let new_request =
+            scope.spawn(|| request(edge, "POST /w/new", "Host: h\r\nX-Glenfall-Try-Id: ac\r\n", ""));
+        wait_until("a server has received the new request too", || in_flight() == 2);
         servers.iter().for_each(|server| server.block_responses(false));
-        for handle in [early_request, late_request] {
+        for handle in [first_request, new_request] {
             let (status, head, body) = handle.join().unwrap().expect("a complete response");
             assert_eq!(status, 200, "{head}");
             assert!(head.contains("connection: close") && body.starts_with("run "), "{head} {body}");
@@ -324,10 +324,10 @@
 
 #[test]
 fn draining_shields_complete_fetches_in_flight() {
-    let (mut setup, servers) = TestSystem::start();
+    let (mut setup, servers) = Setup::start();
     wait_until("reads are served from the cache", || {
         setup
-            .send_request("GET /r/copy")
+            .send_request("GET /r/cached")
             .is_some_and(|response| response.0 == 200 && response.1.contains("\r\nage: "))
     });
     servers.iter().for_each(|server| server.block_responses(true));
@@ -336,10 +336,10 @@
     let edge = setup.system.edge_addrs()[0];
     std::thread::scope(|scope| {
         let headers = "Host: h\r\nX-Glenfall-Try-Id: ad\r\nX-Glenfall-Deadline: 9000\r\n";
-        let pending = scope.spawn(move || request(edge, "GET /r/held", headers, ""));
+        let pending = scope.spawn(move || request(edge, "GET /r/in-flight", headers, ""));
         wait_until("a server has received the request", || in_flight() == 1);
-        for n in 1..EDGE_MACHINE {
-            setup.system.signal(n, "shield", "-TERM");
+        for node in 1..EDGE_MACHINE {
+            setup.system.signal(node, "shield", "-TERM");
         }
         // Long enough for a shield that does not wait to exit, and for the edge to retry at another one.
         std::thread::sleep(Duration::from_millis(500));
@@ -348,29 +348,29 @@
         assert!(status == 200 && body.starts_with("run "), "{status} {head} {body}");
     });
     assert_eq!(total_requests(&servers) - before, 1, "the fetch was aborted and repeated");
-    wait_until("shields exit", || {
-        (1..EDGE_MACHINE).all(|n| setup.system.exit_success(n, "shield").is_some())
+    wait_until("all shields exit", || {
+        (1..EDGE_MACHINE).all(|node| setup.system.exit_success(node, "shield").is_some())
     });
     assert!(
-        (1..EDGE_MACHINE).all(|n| setup.system.exit_success(n, "shield") == Some(true)),
-        "shields exit successfully"
+        (1..EDGE_MACHINE).all(|node| setup.system.exit_success(node, "shield") == Some(true)),
+        "all shields exit successfully"
     );
 }
 
 #[test]
 fn a_shield_behind_on_configuration_makes_edges_use_another() {
-    let (mut setup, _servers) = TestSystem::start();
+    let (mut setup, _servers) = Setup::start();
     wait_until("reads are served from the cache", || {
         setup
-            .send_request("GET /r/copy")
+            .send_request("GET /r/cached")
             .is_some_and(|response| response.0 == 200 && response.1.contains("\r\nage: "))
     });
-    // Freezes a control node that has only the session of its shield: the edge's agent is connected to another one.
-    let frozen = [1, 3]
+    // Suspends a control node that has only the session of its shield: the edge's agent is connected to another one.
+    let suspended = [1, 3]
         .into_iter()
-        .find(|n| setup.system.session_count(*n) == Some(1))
+        .find(|node| setup.system.session_count(*node) == Some(1))
         .expect("a control node without the session of the agent");
-    setup.system.signal(frozen, "control", "-STOP");
+    setup.system.signal(suspended, "control", "-STOP");
     wait_until("the other control nodes have a chain without it", || {
         setup
             .system
@@ -384,16 +384,16 @@
             .contains("configuration applied rev=2")
     };
     wait_until("the edge has applied the new version", edge_applied);
-    for n in 0..12 {
-        let (status, head, _) = setup.send_request(&format!("GET /r/{n}")).expect("a response");
+    for index in 0..12 {
+        let (status, head, _) = setup.send_request(&format!("GET /r/{index}")).expect("a response");
         assert_eq!(status, 200, "{head}");
     }
-    setup.system.signal(frozen, "control", "-CONT");
+    setup.system.signal(suspended, "control", "-CONT");
 }
 
 #[test]
 fn a_paused_response_is_awaited_when_a_retry_is_not_allowed() {
-    let (setup, _servers) = TestSystem::start();
+    let (setup, _servers) = Setup::start();
     // Longer than the time after which a request that may be retried is sent to another server.
     let pause = Duration::from_millis(1500);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -425,7 +425,7 @@
 
 #[test]
 fn a_draining_edge_does_not_retry_a_request_that_may_have_run() {
-    let (mut setup, servers) = TestSystem::start();
+    let (mut setup, servers) = Setup::start();
     servers.iter().for_each(|server| server.block_responses(true));
     let before = total_requests(&servers);
     let [edge, ready] = setup.system.edge_addrs();
@@ -451,7 +451,7 @@
     assert_eq!(total_requests(&servers), before + 1, "requests that reached a server");
 }
 
-impl TestSystem {
+impl Setup {
     /// Reads these until each is served from a cache, and returns the bodies.
     fn wait_until_cached(&self, lines: &[String]) -> Vec<String> {
         let mut bodies = Vec::new();
@@ -465,7 +465,7 @@
 
     /// The edge's counter of responses from its own cache.
     fn edge_cache_hits(&self) -> u64 {
-        let counts = (1..=3).filter_map(|n| self.system.status(n)).flat_map(|status| {
+        let counts = (1..=3).filter_map(|node| self.system.status(node)).flat_map(|status| {
             let sessions = status["sessions"].as_array().cloned().unwrap_or_default();
             sessions.into_iter().filter_map(|session| session["counters"]["own_copies"].as_u64())
         });
@@ -473,39 +473,45 @@
     }
 
     /// Purges all cached responses, reads again once that is acknowledged, and counts the bodies that have not changed.
-    fn count_stale_after_purge(&self, lines: &[String], before: &[String]) -> usize {
+    fn count_stale_after_purge(&self, lines: &[String], bodies_before: &[String]) -> usize {
         let purge =
             || request(self.system.control_addr(3), "POST /api/purge", "Host: c\r\n", r#"{"label":"label"}"#);
         wait_until("the purge is acknowledged", || purge().is_some_and(|response| response.0 == 200));
-        lines.iter().zip(before).filter(|(line, before)| self.expect_body(line) == **before).count()
+        lines
+            .iter()
+            .zip(bodies_before)
+            .filter(|(line, body_before)| self.expect_body(line) == **body_before)
+            .count()
     }
 }
 
 #[test]
-fn a_shield_whose_control_node_is_frozen_serves_no_purged_response() {
-    let (mut setup, _servers) = TestSystem::start();
-    let lines: Vec<String> = (0..24).map(|n| format!("GET /r/frozen-{n}")).collect();
+fn a_shield_whose_control_node_is_suspended_serves_no_purged_response() {
+    let (mut setup, _servers) = Setup::start();
+    let lines: Vec<String> = (0..24).map(|index| format!("GET /r/suspended-{index}")).collect();
     let before = setup.wait_until_cached(&lines);
     // Not the control node of the edge's agent: an edge without a lease accepts responses of a shield without one.
-    let has_agent_session = |n: u8| {
-        let status = setup.system.status(n).expect("the control node responds");
-        status["sessions"].as_array().is_some_and(|all| all.iter().any(|session| session["node"] == "node-4"))
+    let has_agent_session = |node: u8| {
+        let status = setup.system.status(node).expect("the control node responds");
+        status["sessions"]
+            .as_array()
+            .is_some_and(|sessions| sessions.iter().any(|session| session["node"] == "node-4"))
     };
-    let frozen = if has_agent_session(1) { 2 } else { 1 };
-    setup.system.signal(frozen, "control", "-STOP");
+    let suspended = if has_agent_session(1) { 2 } else { 1 };
+    setup.system.signal(suspended, "control", "-STOP");
     assert_eq!(setup.count_stale_after_purge(&lines, &before), 0);
 }
 
 #[test]
-fn an_edge_whose_agent_is_frozen_serves_no_purged_response() {
-    let (mut setup, _servers) = TestSystem::start();
+fn an_edge_whose_agent_is_suspended_serves_no_purged_response() {
+    let (mut setup, _servers) = Setup::start();
     setup.system.edit_settings(EDGE_MACHINE, &[("zone = \"z\"", "zone = \"y\"")]);
     for role in ["agent", "edge"] {
         setup.system.kill(EDGE_MACHINE, role);
         setup.system.respawn(EDGE_MACHINE, role);
     }
     setup.system.wait_until_ready();
-    let lines: Vec<String> = (0..8).map(|n| format!("GET /r/agent-{n}")).collect();
+    let lines: Vec<String> = (0..8).map(|index| format!("GET /r/agent-{index}")).collect();
     wait_until("reads are served", || {
         setup.send_request(&lines[0]).is_some_and(|response| response.0 == 200)
     });
