--- a/glenfall/tests/added_routes.rs
+++ b/glenfall/tests/added_routes.rs
@@ -71,11 +71,13 @@
 
 /// Waits until all control nodes know a server: edges get it before any configuration that is pushed later.
 fn wait_for_server(system: &System, id: &str) {
-    let knows = |n| {
-        let status = system.status(n)?;
+    let knows_server = |node| {
+        let status = system.status(node)?;
         Some(status["servers"].as_array()?.iter().any(|server| server["id"] == id))
     };
-    wait_until("all control nodes know the server", || (1..EDGE_MACHINE).all(|n| knows(n) == Some(true)));
+    wait_until("all control nodes know the server", || {
+        (1..EDGE_MACHINE).all(|node| knows_server(node) == Some(true))
+    });
 }
 
 fn start_system(capacity: usize, work: Duration, routes: &[String]) -> (System, SocketAddrV4) {
@@ -96,38 +98,42 @@
     let first = [route("r-first", "cacheable", 0, "s"), route("w-first", "mutating", 0, "s")];
     let (system, _) = start_system(64, Duration::from_millis(2), &first);
     let mut failed = Vec::new();
-    for n in 1..=CHANGE_COUNT {
-        let adds_service = n % NEW_SERVICE_INTERVAL == 0;
+    for change in 1..=CHANGE_COUNT {
+        let adds_service = change % NEW_SERVICE_INTERVAL == 0;
         let (mut backends, mut service) = (String::new(), "s".to_owned());
         if adds_service {
-            service = format!("service-{n}");
+            service = format!("service-{change}");
             system.send_heartbeat(&service, &service, start_server(64, Duration::from_millis(2)), "ready", 1);
             wait_for_server(&system, &service);
             // Every other service has a rate limit; its reads must get a share of it at once.
-            let rate_limit = if n % (2 * NEW_SERVICE_INTERVAL) == 0 { r#","ratePerS":100.0"# } else { "" };
+            let rate_limit =
+                if change % (2 * NEW_SERVICE_INTERVAL) == 0 { r#","ratePerS":100.0"# } else { "" };
             backends = format!(r#"{{"name":"{service}"{rate_limit}}}"#);
         }
-        let prio = n as u32 % 3;
-        let names = [format!("r-{n}"), format!("w-{n}")];
-        let for_writes = if backends.contains("ratePerS") { "s" } else { &service };
-        let routes =
-            [route(&names[0], "cacheable", prio, &service), route(&names[1], "mutating", prio, for_writes)];
+        let prio = change as u32 % 3;
+        let names = [format!("r-{change}"), format!("w-{change}")];
+        let write_service = if backends.contains("ratePerS") { "s" } else { &service };
+        let routes = [
+            route(&names[0], "cacheable", prio, &service),
+            route(&names[1], "mutating", prio, write_service),
+        ];
         let document = format!(
             r#"{{"rev":{},"upsert":{{"paths":[{}],"backends":[{backends}]}}}}"#,
-            n + 1,
+            change + 1,
             routes.join(",")
         );
-        system.configure("patch", n, &document);
-        let in_force = format!("configuration applied rev={}", n + 1);
+        system.configure("patch", change, &document);
+        let applied_line = format!("configuration applied rev={}", change + 1);
         wait_until("the edge has applied the change", || {
-            std::fs::read_to_string(system.log_path(EDGE_MACHINE)).unwrap().contains(&in_force)
+            std::fs::read_to_string(system.log_path(EDGE_MACHINE)).unwrap().contains(&applied_line)
         });
         for name in names.iter().map(String::as_str).chain(["r-first", "w-first"]) {
-            let base = REQUESTS_PER_ROUTE * n as usize;
-            let failures =
-                (0..REQUESTS_PER_ROUTE).filter(|number| !is_served(&system, name, base + number)).count();
+            let first_number = REQUESTS_PER_ROUTE * change as usize;
+            let failures = (0..REQUESTS_PER_ROUTE)
+                .filter(|number| !is_served(&system, name, first_number + number))
+                .count();
             if failures > 0 {
-                failed.push((n, name.to_owned(), failures));
+                failed.push((change, name.to_owned(), failures));
             }
         }
     }
@@ -166,7 +172,7 @@
         .iter()
         .map(|[failures, success]| [failures, success].map(|count| count.load(Ordering::Relaxed)))
         .collect();
-    let overall_rate = success_rate([0, 1].map(|which| counts.iter().map(|count| count[which]).sum()));
+    let overall_rate = success_rate([0, 1].map(|index| counts.iter().map(|count| count[index]).sum()));
     assert!(
         counts.iter().all(|count| success_rate(*count) >= overall_rate / 4.0),
         "{overall_rate:.2} of all requests succeeded; failures and successes by kind: {counts:?}"
--- a/glenfall/tests/common/mod.rs
+++ b/glenfall/tests/common/mod.rs
@@ -35,10 +35,14 @@
             let _ = child.kill();
             let _ = child.wait();
         }
-        let logs = (1..=EDGE_MACHINE).filter_map(|n| std::fs::read_to_string(self.log_path(n)).ok());
+        let logs =
+            (1..=EDGE_MACHINE).filter_map(|machine| std::fs::read_to_string(self.log_path(machine)).ok());
         let violations: Vec<String> = logs
             .flat_map(|log| {
-                log.lines().filter(|l| l.contains(VIOLATION_MESSAGE)).map(str::to_owned).collect::<Vec<_>>()
+                log.lines()
+                    .filter(|line| line.contains(VIOLATION_MESSAGE))
+                    .map(str::to_owned)
+                    .collect::<Vec<_>>()
             })
             .collect();
         if std::thread::panicking() {
@@ -51,8 +55,8 @@
     }
 }
 
-fn machine_ip(n: u8) -> Ipv4Addr {
-    Ipv4Addr::new(127, 0, 8, n)
+fn machine_ip(machine: u8) -> Ipv4Addr {
+    Ipv4Addr::new(127, 0, 8, machine)
 }
 
 fn free_port_range() -> u16 {
@@ -165,54 +169,57 @@
         std::fs::create_dir_all(&folder).unwrap();
         let mut system = System { _system_lock: system_lock, children: Vec::new(), folder, base_port };
         let seeds: Vec<String> =
-            (1..EDGE_MACHINE).map(|n| format!("\"{}\"", system.control_addr_text(n))).collect();
-        for n in 1..=EDGE_MACHINE {
-            let ip = machine_ip(n);
+            (1..EDGE_MACHINE).map(|machine| format!("\"{}\"", system.control_addr_text(machine))).collect();
+        for machine in 1..=EDGE_MACHINE {
+            let ip = machine_ip(machine);
             let ports = [2, 3, 4, 5].map(|offset| base_port + offset);
             let text = format!(
-                "node = \"node-{n}\"\nzone = \"z\"\nbindIp = \"{ip}\"\nfeedIp = \"{ip}\"\nbeatMs = {heartbeat_ms}\nvoter = true\n\
+                "node = \"node-{machine}\"\nzone = \"z\"\nbindIp = \"{ip}\"\nfeedIp = \"{ip}\"\nbeatMs = {heartbeat_ms}\nvoter = true\n\
                  portRange = [{base_port}, {}]\nseedNodes = [{}]\nbootstrap = true\nstateDir = \"{}\"\n\
                  [listeners]\ncontrolAddr = \"{ip}:{}\"\nhttp = \"{ip}:{}\"\nreadyAddr = \"{ip}:{}\"\n{settings}",
                 ports[0],
                 seeds.join(", "),
-                system.state_dir(n).display(),
+                system.state_dir(machine).display(),
                 ports[1],
                 ports[2],
                 ports[3],
             );
-            std::fs::write(system.folder.join(format!("{n}.toml")), text).unwrap();
-            for role in if n < EDGE_MACHINE { core } else { edge } {
-                let child = system.spawn(n, role);
-                system.children.push((n, *role, child));
+            std::fs::write(system.folder.join(format!("{machine}.toml")), text).unwrap();
+            for role in if machine < EDGE_MACHINE { core } else { edge } {
+                let child = system.spawn(machine, role);
+                system.children.push((machine, *role, child));
             }
         }
         system
     }
 
     /// Starts one more process on a machine.
-    pub fn start_process(&mut self, n: u8, role: &'static str) {
-        let child = self.spawn(n, role);
-        self.children.push((n, role, child));
+    pub fn start_process(&mut self, machine: u8, role: &'static str) {
+        let child = self.spawn(machine, role);
+        self.children.push((machine, role, child));
     }
 
     /// Replaces texts in a machine's settings file; the file changes atomically.
-    pub fn edit_settings(&self, n: u8, replacements: &[(&str, &str)]) {
-        let file = self.folder.join(format!("{n}.toml"));
+    pub fn edit_settings(&self, machine: u8, replacements: &[(&str, &str)]) {
+        let file = self.folder.join(format!("{machine}.toml"));
         let text = std::fs::read_to_string(&file).unwrap();
         let text = replacements.iter().fold(text, |text, (from, to)| text.replace(from, to));
         std::fs::write(file.with_extension("new"), text).unwrap();
         std::fs::rename(file.with_extension("new"), file).unwrap();
     }
 
-    fn spawn(&self, n: u8, role: &str) -> Child {
-        let log = std::fs::File::options().create(true).append(true).open(self.log_path(n)).unwrap();
+    fn spawn(&self, machine: u8, role: &str) -> Child {
+        let log = std::fs::File::options().create(true).append(true).open(self.log_path(machine)).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_glenfall"));
-        let settings = self.folder.join(format!("{n}.toml"));
+        let settings = self.folder.join(format!("{machine}.toml"));
         command.arg(role).env("GLENFALL_CONFIG", settings).stderr(log).spawn().unwrap()
     }
 
-    fn child(&mut self, n: u8, role: &str) -> &mut Child {
-        let found = self.children.iter_mut().find(|(machine, known, _)| *machine == n && *known == role);
+    fn child(&mut self, machine: u8, role: &str) -> &mut Child {
+        let found = self
+            .children
+            .iter_mut()
+            .find(|(known_machine, known_role, _)| *known_machine == machine && *known_role == role);
         &mut found.expect("a process of this machine and role").2
     }
 
@@ -223,53 +230,53 @@
 
     /// Kills all core processes of a role, calls `meanwhile`, and starts them again.
     pub fn restart_role(&mut self, role: &'static str, meanwhile: impl FnOnce(&System)) {
-        for n in 1..EDGE_MACHINE {
-            self.kill(n, role);
+        for machine in 1..EDGE_MACHINE {
+            self.kill(machine, role);
         }
         meanwhile(self);
-        for n in 1..EDGE_MACHINE {
-            self.respawn(n, role);
+        for machine in 1..EDGE_MACHINE {
+            self.respawn(machine, role);
         }
     }
 
     /// Kills a process and waits until it has exited.
-    pub fn kill(&mut self, n: u8, role: &str) {
-        let child = self.child(n, role);
+    pub fn kill(&mut self, machine: u8, role: &str) {
+        let child = self.child(machine, role);
         child.kill().unwrap();
         child.wait().unwrap();
     }
 
     /// Kills the core processes of a role except one that has exited already, and starts all of them again.
     pub fn kill_others_and_respawn_all(&mut self, except: u8, role: &'static str) {
-        for n in (1..EDGE_MACHINE).filter(|n| *n != except) {
-            self.kill(n, role);
+        for machine in (1..EDGE_MACHINE).filter(|machine| *machine != except) {
+            self.kill(machine, role);
         }
-        for n in 1..EDGE_MACHINE {
-            self.respawn(n, role);
+        for machine in 1..EDGE_MACHINE {
+            self.respawn(machine, role);
         }
     }
 
     /// Starts a process again that has exited.
-    pub fn respawn(&mut self, n: u8, role: &str) {
-        *self.child(n, role) = self.spawn(n, role);
+    pub fn respawn(&mut self, machine: u8, role: &str) {
+        *self.child(machine, role) = self.spawn(machine, role);
     }
 
-    pub fn pid(&mut self, n: u8, role: &str) -> u32 {
-        self.child(n, role).id()
+    pub fn pid(&mut self, machine: u8, role: &str) -> u32 {
+        self.child(machine, role).id()
     }
 
-    pub fn signal(&mut self, n: u8, role: &str, name: &str) {
-        let pid = self.child(n, role).id().to_string();
+    pub fn signal(&mut self, machine: u8, role: &str, name: &str) {
+        let pid = self.child(machine, role).id().to_string();
         assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
     }
 
     /// Whether a process exited successfully; `None` while it runs.
-    pub fn exit_success(&mut self, n: u8, role: &str) -> Option<bool> {
-        self.child(n, role).try_wait().unwrap().map(|status| status.success())
+    pub fn exit_success(&mut self, machine: u8, role: &str) -> Option<bool> {
+        self.child(machine, role).try_wait().unwrap().map(|status| status.success())
     }
 
-    pub fn state_dir(&self, n: u8) -> PathBuf {
-        self.folder.join(format!("state-{n}"))
+    pub fn state_dir(&self, machine: u8) -> PathBuf {
+        self.folder.join(format!("state-{machine}"))
     }
 
     /// Runs an operator command: whether it succeeded, and its standard output, or its standard error on failure.
@@ -280,17 +287,17 @@
         (output.status.success(), String::from_utf8(text).unwrap())
     }
 
-    pub fn control_addr(&self, n: u8) -> SocketAddrV4 {
-        SocketAddrV4::new(machine_ip(n), self.base_port + 3)
+    pub fn control_addr(&self, machine: u8) -> SocketAddrV4 {
+        SocketAddrV4::new(machine_ip(machine), self.base_port + 3)
     }
 
-    /// Where a control node accepts sessions: from agents, and from the shield on the same machine.
-    pub fn session_addrs(&self, n: u8) -> [SocketAddrV4; 2] {
-        [0, 2].map(|offset| SocketAddrV4::new(machine_ip(n), self.base_port + offset))
+    /// Where a control node accepts connections: from agents and other control nodes, and from the shield on its machine.
+    pub fn session_addrs(&self, machine: u8) -> [SocketAddrV4; 2] {
+        [0, 2].map(|offset| SocketAddrV4::new(machine_ip(machine), self.base_port + offset))
     }
 
-    pub fn control_addr_text(&self, n: u8) -> String {
-        self.control_addr(n).to_string()
+    pub fn control_addr_text(&self, machine: u8) -> String {
+        self.control_addr(machine).to_string()
     }
 
     /// The edge's address for client requests, and the one for readiness checks.
@@ -333,40 +340,44 @@
         });
         // The shields in a status have been pushed to the sessions. An edge that has not applied them yet chooses among
         // fewer shields, and its objects move to other shields once it does.
-        let settled = |n| {
-            let status = self.status(n)?;
+        let has_applied_shields = |machine| {
+            let status = self.status(machine)?;
             let ready = status["shields"].as_array()?.iter().filter(|shield| shield["ready"] == true).count();
             let mut sessions = status["sessions"].as_array()?.iter();
             Some(ready == 3 && sessions.all(|session| session["applied"] == session["pushed"]))
         };
-        wait_until("three ready shields are known and applied everywhere", || {
-            (1..EDGE_MACHINE).all(|n| settled(n) == Some(true))
+        wait_until("each control node knows three ready shields and its sessions have applied them", || {
+            (1..EDGE_MACHINE).all(|machine| has_applied_shields(machine) == Some(true))
         });
     }
 
     /// Waits until each session holds a lease: until then a shield's cached responses are not used, and reads of its
     /// objects go to another shield.
     pub fn wait_for_leases(&self) {
-        let holds_leases = |n| {
-            let status = self.status(n)?;
+        let holds_leases = |machine| {
+            let status = self.status(machine)?;
             Some(status["sessions"].as_array()?.iter().all(|session| session["leased"] == true))
         };
-        wait_until("each session holds a lease", || (1..EDGE_MACHINE).all(|n| holds_leases(n) == Some(true)));
+        wait_until("each session holds a lease", || {
+            (1..EDGE_MACHINE).all(|machine| holds_leases(machine) == Some(true))
+        });
     }
 
-    pub fn log_path(&self, n: u8) -> PathBuf {
-        self.folder.join(format!("{n}.log"))
+    pub fn log_path(&self, machine: u8) -> PathBuf {
+        self.folder.join(format!("{machine}.log"))
     }
 
-    pub fn status(&self, n: u8) -> Option<serde_json::Value> {
-        let (_, _, body) = request(self.control_addr(n), "GET /api/status", "Host: c\r\n", "")?;
+    pub fn status(&self, machine: u8) -> Option<serde_json::Value> {
+        let (_, _, body) = request(self.control_addr(machine), "GET /api/status", "Host: c\r\n", "")?;
         serde_json::from_str(&body).ok()
     }
 
     /// Waits until each given node knows a view whose chain has this many members.
     pub fn wait_for_chain(&self, nodes: &[u8], members: usize) {
-        let has_chain = |n: &u8| {
-            self.status(*n).is_some_and(|s| s["view"]["chain"].as_array().is_some_and(|c| c.len() == members))
+        let has_chain = |machine: &u8| {
+            self.status(*machine).is_some_and(|status| {
+                status["view"]["chain"].as_array().is_some_and(|chain| chain.len() == members)
+            })
         };
         wait_until(&format!("nodes {nodes:?} know a chain of {members} members"), || {
             nodes.iter().all(has_chain)
@@ -374,14 +385,15 @@
     }
 
     /// Number of open sessions at a control node, of agents and of its shield; `None` when it does not respond.
-    pub fn session_count(&self, n: u8) -> Option<usize> {
-        Some(self.status(n)?["sessions"].as_array()?.len())
+    pub fn session_count(&self, machine: u8) -> Option<usize> {
+        Some(self.status(machine)?["sessions"].as_array()?.len())
     }
 
     /// How often the control nodes have logged the loss of a link to a peer.
     pub fn disconnect_count(&self) -> usize {
-        let count =
-            |n| std::fs::read_to_string(self.log_path(n)).unwrap().matches("peer disconnected").count();
+        let count = |machine| {
+            std::fs::read_to_string(self.log_path(machine)).unwrap().matches("peer disconnected").count()
+        };
         (1..EDGE_MACHINE).map(count).sum()
     }
 }
--- a/glenfall/tests/core.rs
+++ b/glenfall/tests/core.rs
@@ -36,12 +36,12 @@
             began.elapsed() < WAIT_TIMEOUT,
             "timed out waiting for: the agent has a session at a control node"
         );
-        if let Some(n) = (1..=3).find(|n| core.session_count(*n) == Some(1)) {
-            break n;
+        if let Some(node) = (1..=3).find(|node| core.session_count(*node) == Some(1)) {
+            break node;
         }
         std::thread::sleep(Duration::from_millis(50));
     };
-    for other in (1..=3).filter(|n| *n != connected_node) {
+    for other in (1..=3).filter(|node| *node != connected_node) {
         core.signal(other, "control", "-STOP");
     }
     let began = std::time::Instant::now();
@@ -53,19 +53,19 @@
         std::thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(core.status(connected_node).unwrap()["inMajority"], false);
-    for other in (1..=3).filter(|n| *n != connected_node) {
+    for other in (1..=3).filter(|node| *node != connected_node) {
         core.signal(other, "control", "-CONT");
     }
     let began = std::time::Instant::now();
-    while (1..=3).filter_map(|n| core.session_count(n)).sum::<usize>() != 1 {
+    while (1..=3).filter_map(|node| core.session_count(node)).sum::<usize>() != 1 {
         assert!(began.elapsed() < WAIT_TIMEOUT, "timed out waiting for: the agent has one session again");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
 /// Whether a server is ready according to a control node; `None` when the node does not know the server.
-fn is_server_ready(core: &System, n: u8, id: &str) -> Option<bool> {
-    let status = core.status(n)?;
+fn is_server_ready(core: &System, node: u8, id: &str) -> Option<bool> {
+    let status = core.status(node)?;
     let server = status["servers"].as_array()?.iter().find(|server| server["id"] == id)?;
     server["ready"].as_bool()
 }
@@ -83,7 +83,7 @@
     };
     wait_until("a heartbeat is accepted", || send_heartbeat(&core, "ready", 1) == 200);
     wait_until("the other control nodes know the server", || {
-        (2..=3).all(|n| is_server_ready(&core, n, "i-1") == Some(true))
+        (2..=3).all(|node| is_server_ready(&core, node, "i-1") == Some(true))
     });
     core.signal(2, "control", "-STOP");
     let first_status = send_heartbeat(&core, "draining", 2);
@@ -108,7 +108,7 @@
     wait_until("a deregistration is accepted", || deregister() == Some(200));
     assert_eq!(deregister(), Some(200));
     wait_until("no control node knows the server", || {
-        (1..=3).all(|n| is_server_ready(&core, n, "i-1").is_none())
+        (1..=3).all(|node| is_server_ready(&core, node, "i-1").is_none())
     });
 }
 
@@ -146,13 +146,13 @@
     assert_eq!(current, (true, format!("{document}\n")));
 
     core.restart_control_nodes(|core| {
-        for n in 1..=3 {
-            std::fs::remove_dir_all(core.state_dir(n)).unwrap();
-            let into = format!("state-{n}");
-            let imported = core.run_command(&["state", "import", "backup.json", "--into", &into]);
+        for node in 1..=3 {
+            std::fs::remove_dir_all(core.state_dir(node)).unwrap();
+            let state_folder = format!("state-{node}");
+            let imported = core.run_command(&["state", "import", "backup.json", "--into", &state_folder]);
             assert_eq!(imported, (true, "configuration 5, change 1, imported\n".into()));
             let (imported_again, error) =
-                core.run_command(&["state", "import", "backup.json", "--into", &into]);
+                core.run_command(&["state", "import", "backup.json", "--into", &state_folder]);
             assert!(!imported_again && error.contains("is in the way"), "{error}");
         }
     });
@@ -178,12 +178,13 @@
         |rev: u64, name: &str| format!(r#"{{"rev":{rev},"upsert":{{"backends":[{{"name":"{name}"}}]}}}}"#);
     // Repeats the same change until its outcome is known. For a change that may have been accepted before the retained
     // history begins, it is never known.
-    let send_change = |core: &System, n: u8, method: &str, builds_on: u64, body: &str| {
+    let send_change = |core: &System, node: u8, method: &str, builds_on: u64, body: &str| {
         let headers = format!("Host: c\r\nIf-Match: {builds_on}\r\n");
         let mut response = (0, String::new());
         wait_until("the response to the change is final", || {
             let line = format!("{method} /api/config");
-            if let Some((status, _, response_body)) = request(core.control_addr(n), &line, &headers, body) {
+            if let Some((status, _, response_body)) = request(core.control_addr(node), &line, &headers, body)
+            {
                 response = (status, response_body);
             }
             !matches!(response.0, 0 | 503) || response.1.contains("too long ago")
@@ -202,18 +203,18 @@
     assert!(exported.0, "{}", exported.1);
     assert_eq!(send_change(&core, 3, "PUT", 7, &document(9, "lost")).0, 200);
     core.restart_control_nodes(|core| {
-        for n in 1..=3 {
-            std::fs::remove_dir_all(core.state_dir(n)).unwrap();
-            let into = format!("state-{n}");
-            let line = ["state", "import", "backup.json", "--into", &into, "--acknowledged", "9"];
-            assert_eq!(core.run_command(&line), (true, "configuration 7, change 2, imported\n".into()));
+        for node in 1..=3 {
+            std::fs::remove_dir_all(core.state_dir(node)).unwrap();
+            let state_folder = format!("state-{node}");
+            let args = ["state", "import", "backup.json", "--into", &state_folder, "--acknowledged", "9"];
+            assert_eq!(core.run_command(&args), (true, "configuration 7, change 2, imported\n".into()));
         }
     });
     core.wait_for_chain(&[1, 2, 3], 3);
     for restarted in [false, true] {
-        for n in 1..=3 {
-            assert_eq!(send_change(&core, n, "PUT", 0, &document(5, "one")), (200, r#"{"rev":5}"#.into()));
-            assert_eq!(send_change(&core, n, "PATCH", 5, &patch(7, "s")).0, 200);
+        for node in 1..=3 {
+            assert_eq!(send_change(&core, node, "PUT", 0, &document(5, "one")), (200, r#"{"rev":5}"#.into()));
+            assert_eq!(send_change(&core, node, "PATCH", 5, &patch(7, "s")).0, 200);
             // The lost change, and other changes with a number that may have been acknowledged.
             let (lost, other) = (document(9, "lost"), document(9, "another"));
             for (method, builds_on, body) in [
@@ -222,7 +223,7 @@
                 ("PATCH", 5, &patch(7, "t")),
                 ("PUT", 5, &patch(7, "s")),
             ] {
-                let (status, error) = send_change(&core, n, method, builds_on, body);
+                let (status, error) = send_change(&core, node, method, builds_on, body);
                 assert!(status == 503 && error.contains("versions up to 9"), "{status}: {error}");
                 // The response tells the caller which version is in force and where to read it.
                 let error_body: serde_json::Value = serde_json::from_str(&error).unwrap();
@@ -297,13 +298,13 @@
 
 /// The voters, by the last number of their addresses; `None` unless all control nodes report the same ones.
 fn agreed_voters(core: &System) -> Option<Vec<u64>> {
-    let voters_at = |n: u8| -> Option<Vec<u64>> {
-        let status = core.status(n)?;
+    let voters_at = |node: u8| -> Option<Vec<u64>> {
+        let status = core.status(node)?;
         let voters = status["voters"].as_array()?.iter();
         voters.map(|voter| voter.as_str()?.rsplit('.').next()?.parse().ok()).collect()
     };
     let first = voters_at(1)?;
-    (2..=3).all(|n| voters_at(n).as_ref() == Some(&first)).then_some(first)
+    (2..=3).all(|node| voters_at(node).as_ref() == Some(&first)).then_some(first)
 }
 
 #[test]
@@ -311,8 +312,14 @@
     let mut core = System::start(&["control"], &["agent"]);
     core.wait_for_chain(&[1, 2, 3], 3);
     let control = core.control_addr_text(1);
-    let change_voter = |core: &System, subcommand: &str, n: u8| {
-        core.run_command(&["core", subcommand, "--control", &control, &core.control_addr(n).ip().to_string()])
+    let change_voter = |core: &System, subcommand: &str, node: u8| {
+        core.run_command(&[
+            "core",
+            subcommand,
+            "--control",
+            &control,
+            &core.control_addr(node).ip().to_string(),
+        ])
     };
     let (listed, text) = core.run_command(&["core", "list", "--control", &control]);
     let statuses: serde_json::Value = serde_json::from_str(&text).unwrap();
@@ -344,10 +351,10 @@
 fn processes_started_one_after_the_other_in_any_order_connect_to_each_other() {
     // The seed nodes start last, and no two of them at once.
     let mut system = System::start(&[], &[]);
-    for (n, role) in
+    for (machine, role) in
         [(EDGE_MACHINE, "edge"), (EDGE_MACHINE, "agent"), (3, "control"), (1, "control"), (2, "control")]
     {
-        system.start_process(n, role);
+        system.start_process(machine, role);
         std::thread::sleep(Duration::from_millis(100));
     }
     system.wait_for_chain(&[1, 2, 3], 3);
--- a/glenfall/tests/crash_simulation/mod.rs
+++ b/glenfall/tests/crash_simulation/mod.rs
@@ -1,7 +1,6 @@
 //! Records the system calls by which a process changes the files of a folder, and derives the states in which a power
-//! loss may leave the folder. Of a file, everything up to its last sync is present, and each later write is present,
-//! missing or torn. Of the names, everything up to the folder's last sync is present, and each later change is present
-//! or missing.
+//! loss may leave the folder. A file keeps everything that was written before its last sync; each later write is present,
+//! missing or torn. The folder keeps all name changes before its last sync; each later one is present or missing.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, BufReader, Write};
@@ -48,7 +47,7 @@
 }
 
 /// Start of the lines on standard output that report progress to the recorder.
-const PROGRESS_PREFIX: &str = "mark ";
+const PROGRESS_PREFIX: &str = "progress ";
 
 /// In the recorded process: adds a progress event to the recording.
 pub fn report_progress(message: &str) {
@@ -122,12 +121,12 @@
     }
 
     /// What a system call is going to do to the folder, by its number and arguments.
-    fn syscall_entry(&self, call: u64, args: [u64; 4]) -> PendingCall {
+    fn syscall_entry(&self, call_number: u64, args: [u64; 4]) -> PendingCall {
         let file = |fd: u64| self.open_files.get(&fd).copied().flatten();
-        let event = match call {
+        let event = match call_number {
             // open, openat
             2 | 257 => {
-                let (path, flags) = if call == 2 { (args[0], args[1]) } else { (args[1], args[2]) };
+                let (path, flags) = if call_number == 2 { (args[0], args[1]) } else { (args[1], args[2]) };
                 match self.name_in_folder(path) {
                     Some(name) => return PendingCall::Open { name, flags },
                     None => None,
@@ -153,7 +152,7 @@
             }),
             // writev, sendfile, fallocate, preadv, pwritev, pwritev2
             20 | 40 | 285 | 295 | 296 | 328 => {
-                assert!(file(args[0]).is_none(), "system call {call} is not modelled");
+                assert!(file(args[0]).is_none(), "system call {call_number} is not modelled");
                 None
             }
             // ftruncate
@@ -165,7 +164,7 @@
                 .map(|file| file.map_or(Event::SyncFolder, |file| Event::Sync { file })),
             // rename, renameat, renameat2
             82 | 264 | 316 => {
-                let (from, to) = if call == 82 { (args[0], args[1]) } else { (args[1], args[3]) };
+                let (from, to) = if call_number == 82 { (args[0], args[1]) } else { (args[1], args[3]) };
                 self.name_in_folder(from).zip(self.name_in_folder(to)).and_then(|(from, to)| {
                     let file = *self.file_by_name.get(&from)?;
                     Some(Event::Rename { from, to, file })
@@ -173,7 +172,7 @@
             }
             // unlink, unlinkat
             87 | 263 => {
-                let name = self.name_in_folder(if call == 87 { args[0] } else { args[1] });
+                let name = self.name_in_folder(if call_number == 87 { args[0] } else { args[1] });
                 name.and_then(|name| Some(Event::Remove { file: *self.file_by_name.get(&name)?, name }))
             }
             _ => None,
@@ -182,7 +181,7 @@
     }
 
     /// Adds the event of a system call that has returned, unless it failed.
-    fn syscall_exit(&mut self, pending: PendingCall, call: u64, first_arg: u64, result: u64) {
+    fn syscall_exit(&mut self, pending: PendingCall, call_number: u64, first_arg: u64, result: u64) {
         if result as i64 >= 0 || matches!(pending, PendingCall::Other(Some(Event::Progress(_)))) {
             match pending {
                 PendingCall::Open { name, .. } if name.is_empty() => {
@@ -220,7 +219,7 @@
             }
         }
         // close
-        if call == 3 {
+        if call_number == 3 {
             self.open_files.remove(&first_arg);
         }
     }
@@ -261,7 +260,7 @@
         events: Vec::new(),
     };
     let mut pending_call = None;
-    let mut start_input = child.stdin.take();
+    let mut stdin = child.stdin.take();
     loop {
         let mut signal = None;
         match waitpid(thread, Some(WaitPidFlag::__WALL)).unwrap() {
@@ -272,15 +271,15 @@
                     let args = [regs.rdi, regs.rsi, regs.rdx, regs.r10];
                     pending_call =
                         Some((recorder.syscall_entry(regs.orig_rax, args), regs.orig_rax, regs.rdi));
-                } else if let Some((pending, call, first_arg)) = pending_call.take() {
-                    recorder.syscall_exit(pending, call, first_arg, regs.rax);
+                } else if let Some((pending, call_number, first_arg)) = pending_call.take() {
+                    recorder.syscall_exit(pending, call_number, first_arg, regs.rax);
                 }
                 if matches!(recorder.events.last(), Some(Event::Progress(message)) if message == "end") {
                     break;
                 }
             }
             WaitStatus::PtraceEvent(..) => {
-                if let Some(mut input) = start_input.take() {
+                if let Some(mut input) = stdin.take() {
                     input.write_all(b"go\n").unwrap();
                 }
             }
@@ -296,7 +295,7 @@
     recorder.events
 }
 
-/// What a power loss leaves of a write that no sync covered.
+/// What is on disk of an unsynced write after a power loss.
 #[derive(Clone, Copy, PartialEq)]
 enum WriteOutcome {
     /// The whole write is on disk.
@@ -304,7 +303,7 @@
     Missing,
     /// Only its first half is on disk.
     Torn,
-    /// Only its first sixteenth is on disk: of a page, less than the smallest sector.
+    /// Only its first sixteenth is on disk: for a page, this is less than the smallest sector.
     TornEarly,
 }
 
@@ -365,7 +364,7 @@
         }
     }
     let writes: usize = files.iter().map(|file| file.dirty.len()).sum();
-    let mut choices: Vec<Vec<WriteOutcome>> =
+    let mut outcome_lists: Vec<Vec<WriteOutcome>> =
         vec![vec![WriteOutcome::Present; writes], vec![WriteOutcome::Missing; writes]];
     for index in 0..writes {
         for (others, this) in [
@@ -377,7 +376,7 @@
         ] {
             let mut outcomes = vec![others; writes];
             outcomes[index] = this;
-            choices.push(outcomes);
+            outcome_lists.push(outcomes);
         }
     }
     let mut random_state = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
@@ -390,26 +389,26 @@
             [WriteOutcome::Present, WriteOutcome::Missing, WriteOutcome::Torn, WriteOutcome::TornEarly]
                 [(random_state >> 32) as usize % 4]
         };
-        choices.push((0..writes).map(outcome).collect());
+        outcome_lists.push((0..writes).map(outcome).collect());
     }
     assert!(
         unsynced_names.len() < 8,
         "too many name changes without a sync of the folder: {unsynced_names:?}"
     );
     let mut states = Vec::new();
-    for kept in 0..1u32 << unsynced_names.len() {
+    for present_changes in 0..1u32 << unsynced_names.len() {
         let mut names = names.clone();
         for (number, event) in unsynced_names.iter().enumerate() {
-            if kept >> number & 1 == 1 {
+            if present_changes >> number & 1 == 1 {
                 update_names(&mut names, event);
             }
         }
-        for outcomes in &choices {
-            let mut first = 0;
+        for outcomes in &outcome_lists {
+            let mut first_outcome = 0;
             let mut contents = Vec::new();
             for file in &files {
-                contents.push(file.contents_after(|number| outcomes[first + number]));
-                first += file.dirty.len();
+                contents.push(file.contents_after(|number| outcomes[first_outcome + number]));
+                first_outcome += file.dirty.len();
             }
             states.push(names.iter().map(|(name, file)| (name.clone(), contents[*file].clone())).collect());
         }
--- a/glenfall/tests/deploy.rs
+++ b/glenfall/tests/deploy.rs
@@ -10,7 +10,7 @@
 /// Packages needed to link any Rust program.
 const LINKER_PACKAGES: [&str; 3] = ["gcc", "binutils", "libc6-dev"];
 /// Crates whose build scripts need a system program or library, and the package that provides it.
-const NEEDED_BY_CRATE: [(&str, &str); 6] = [
+const PACKAGE_BY_CRATE: [(&str, &str); 6] = [
     ("cc", "gcc"),
     ("pkg-config", "pkg-config"),
     ("cmake", "cmake"),
@@ -36,14 +36,14 @@
 
 #[test]
 fn both_deploy_files_list_the_packages_of_a_clean_build() {
-    let system = packages(SYSTEM_DEPLOY_FILE);
-    assert_eq!(system, packages(BALANCER_DEPLOY_FILE), "both deploy files list the same packages");
-    let unique: BTreeSet<&str> = system.iter().map(String::as_str).collect();
-    assert_eq!(unique.len(), system.len(), "each package is listed once");
-    for needed in LINKER_PACKAGES.iter().chain(&["ca-certificates"]) {
-        assert!(unique.contains(needed), "{needed} is missing");
+    let listed = packages(SYSTEM_DEPLOY_FILE);
+    assert_eq!(listed, packages(BALANCER_DEPLOY_FILE), "both deploy files list the same packages");
+    let unique: BTreeSet<&str> = listed.iter().map(String::as_str).collect();
+    assert_eq!(unique.len(), listed.len(), "each package is listed once");
+    for package in LINKER_PACKAGES.iter().chain(&["ca-certificates"]) {
+        assert!(unique.contains(package), "{package} is missing");
     }
-    for (crate_name, package) in NEEDED_BY_CRATE {
+    for (crate_name, package) in PACKAGE_BY_CRATE {
         assert!(!is_used_by_build(crate_name) || unique.contains(package), "{crate_name} needs {package}");
     }
 }
--- a/glenfall/tests/http_forms.rs
+++ b/glenfall/tests/http_forms.rs
@@ -188,10 +188,10 @@
                 return;
             }
         }
-        let header = |wanted: &str| {
+        let header = |wanted_name: &str| {
             let lines = head.lines().filter_map(|line| line.split_once(": "));
             lines
-                .filter(|(name, _)| name.eq_ignore_ascii_case(wanted))
+                .filter(|(name, _)| name.eq_ignore_ascii_case(wanted_name))
                 .map(|(_, value)| value.to_owned())
                 .next()
         };
@@ -318,12 +318,12 @@
 ) {
     let control = system.control_addr_text(1);
     let args = [command, &["--control", &control]].concat();
-    let mut printed = String::new();
+    let mut output = String::new();
     wait_until(title, || {
-        printed = system.run_command(&args).1;
-        serde_json::from_str::<Value>(&printed).is_ok_and(|nodes| is_complete(&nodes[0]))
+        output = system.run_command(&args).1;
+        serde_json::from_str::<Value>(&output).is_ok_and(|nodes| is_complete(&nodes[0]))
     });
-    transcript.record(title, &normalize_body(&printed));
+    transcript.record(title, &normalize_body(&output));
 }
 
 fn record_client_requests(
@@ -358,7 +358,7 @@
     let recording_server = RecordingServer::start();
     let mut transcript = Transcript::default();
     let control = system.control_addr(1);
-    wait_until("control reaches a majority", || {
+    wait_until("the control node reaches a majority", || {
         request(control, "GET /api/ready", "Host: h\r\n", "").is_some_and(|response| response.0 == 200)
     });
     let [edge, ready] = system.edge_addrs();
--- a/glenfall/tests/majority_loss.rs
+++ b/glenfall/tests/majority_loss.rs
@@ -1,5 +1,5 @@
-//! A control node that has lost the majority without having noticed yet, which takes up to a second: it must not confirm
-//! or disclose anything to API callers or to new sessions. Also purges and draining when a session or a peer does not
+//! A control node notices up to a second late that it has lost the majority. Until then it must not confirm or disclose
+//! anything to API callers or to new sessions. Also covers purges and draining when a session or a peer does not
 //! acknowledge.
 
 mod common;
@@ -21,16 +21,16 @@
 }
 
 /// A connection with a control node, and the received bytes that are not parsed yet.
-struct LinkEnd {
+struct Link {
     stream: TcpStream,
     buffer: Vec<u8>,
     closed: bool,
 }
 
-impl LinkEnd {
-    fn new(stream: TcpStream) -> LinkEnd {
+impl Link {
+    fn new(stream: TcpStream) -> Link {
         stream.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
-        LinkEnd { stream, buffer: Vec::new(), closed: false }
+        Link { stream, buffer: Vec::new(), closed: false }
     }
 
     fn read_available(&mut self) {
@@ -60,9 +60,9 @@
 
 /// An agent that keeps its session alive and requests leases, but acknowledges no update.
 struct Agent {
-    end: LinkEnd,
+    link: Link,
     updates: Vec<Update>,
-    /// The number of leases granted, each for the longest duration.
+    /// Number of leases granted, each for the maximum duration.
     granted_leases: usize,
 }
 
@@ -71,11 +71,11 @@
         let mut stream = TcpStream::connect(addr).unwrap();
         stream.write_all(&frame(&ConnectionOpening::Session)).unwrap();
         stream.write_all(&frame(&SubscriberMessage::Hello { node: "a".into(), member: None })).unwrap();
-        Agent { end: LinkEnd::new(stream), updates: Vec::new(), granted_leases: 0 }
+        Agent { link: Link::new(stream), updates: Vec::new(), granted_leases: 0 }
     }
 
     fn exchange(&mut self) {
-        for message in self.end.exchange(&SubscriberMessage::RenewLease { sent_at: 0 }) {
+        for message in self.link.exchange(&SubscriberMessage::RenewLease { sent_at: 0 }) {
             match message {
                 PublisherMessage::Push { update: pushed, .. } => self.updates.push(pushed),
                 PublisherMessage::LeaseGranted { .. } => self.granted_leases += 1,
@@ -94,7 +94,7 @@
     let core = System::start(&["control"], &[]);
     core.wait_for_chain(&[1, 2, 3], 3);
     std::fs::write(core.folder.join("five.json"), r#"{"rev": 5, "backends": [{"name": "s"}]}"#).unwrap();
-    let put = core.run_command(&[
+    let stored = core.run_command(&[
         "config",
         "put",
         "--control",
@@ -103,16 +103,16 @@
         "0",
         "five.json",
     ]);
-    assert!(put.0, "{}", put.1);
+    assert!(stored.0, "{}", stored.1);
     wait_until("all control nodes have version 5", || {
-        (1..=3).all(|n| core.status(n).is_some_and(|status| status["rev"] == 5))
+        (1..=3).all(|node| core.status(node).is_some_and(|status| status["rev"] == 5))
     });
     core
 }
 
 fn signal_other_nodes(core: &mut System, signal: &str) {
-    for n in 2..=3 {
-        core.signal(n, "control", signal);
+    for node in 2..=3 {
+        core.signal(node, "control", signal);
     }
 }
 
@@ -129,14 +129,14 @@
     // The node does not know yet that it has lost the majority.
     let (mut agent, mut shield) = (Agent::open(agent_addr), Agent::open(shield_addr));
     let began = Instant::now();
-    while !agent.end.closed {
+    while !agent.link.closed {
         assert!(began.elapsed() < WAIT_TIMEOUT, "timed out waiting for: the agent's session ends");
         agent.exchange();
         shield.exchange();
     }
     assert!(!agent.has_config() && !shield.has_config(), "{:?}, {:?}", agent.updates, shield.updates);
     assert!(
-        !shield.end.closed,
+        !shield.link.closed,
         "the session of the shield on the same machine stays, as this is its only control node"
     );
     signal_other_nodes(&mut core, "-CONT");
@@ -152,12 +152,12 @@
     let addr = core.control_addr(1);
     let stale = r#"{"rev": 4, "backends": [{"name": "s"}]}"#;
     let same = r#"{"rev": 5, "backends": [{"name": "s"}]}"#;
-    let body = |status: &str| {
+    let heartbeat_body = |status: &str| {
         format!(
             r#"{{"backend":"s","addr":"127.0.0.1:9","zone":"z","capacity":1,"status":"{status}","callSeq":2}}"#
         )
     };
-    let (draining, add_voter) = (body("draining"), r#"{"add": "127.0.8.2"}"#);
+    let (draining, add_voter) = (heartbeat_body("draining"), r#"{"add": "127.0.8.2"}"#);
     let calls: [(&str, &str, &str); 8] = [
         ("PUT /api/config", "If-Match: 4\r\n", stale),
         ("PUT /api/config", "If-Match: 5\r\n", stale),
@@ -215,12 +215,12 @@
     });
     wait_until("the session ends", || {
         purge_during_lease_requests(&core, &mut agent);
-        agent.end.closed
+        agent.link.closed
     });
     wait_until("the node has no sessions", || core.session_count(1) == Some(0));
 }
 
-/// What a control node does when it receives the state of a draining server.
+/// What the simulated peer does when it receives the state of a draining server.
 #[derive(Clone, Copy, PartialEq)]
 enum PeerBehavior {
     Acknowledges,
@@ -231,11 +231,11 @@
 /// Acts as the second control node until it is stopped, with links only to the nodes in `reachable`. Returns how many
 /// server states it has received.
 fn run_peer(core: &System, reachable: &[u8], behavior: PeerBehavior, stopped: &AtomicBool) -> usize {
-    let ip = |n: u8| *core.control_addr(n).ip();
+    let ip = |node: u8| *core.control_addr(node).ip();
     let listener = TcpListener::bind(core.session_addrs(2)[0]).unwrap();
     listener.set_nonblocking(true).unwrap();
-    let connect_to = |n: &u8| {
-        let mut stream = TcpStream::connect(core.session_addrs(*n)[0]).unwrap();
+    let connect_to = |node: &u8| {
+        let mut stream = TcpStream::connect(core.session_addrs(*node)[0]).unwrap();
         stream
             .write_all(&frame(&ConnectionOpening::Peer {
                 ip: ip(2),
@@ -243,32 +243,32 @@
                 known_peers: Vec::new(),
             }))
             .unwrap();
-        (ip(*n), LinkEnd::new(stream))
+        (ip(*node), Link::new(stream))
     };
-    let mut outgoing: BTreeMap<Ipv4Addr, LinkEnd> = reachable.iter().map(connect_to).collect();
-    let mut incoming: Vec<(Option<Ipv4Addr>, LinkEnd)> = Vec::new();
+    let mut outgoing: BTreeMap<Ipv4Addr, Link> = reachable.iter().map(connect_to).collect();
+    let mut incoming: Vec<(Option<Ipv4Addr>, Link)> = Vec::new();
     let mut update_count = 0;
     while !stopped.load(Ordering::SeqCst) {
         if let Ok((stream, _)) = listener.accept() {
             stream.set_nonblocking(false).unwrap();
-            incoming.push((None, LinkEnd::new(stream)));
+            incoming.push((None, Link::new(stream)));
         }
-        for end in outgoing.values_mut() {
-            let _: Vec<PeerMessage> = end.exchange(&PeerMessage::KeepAlive);
+        for link in outgoing.values_mut() {
+            let _: Vec<PeerMessage> = link.exchange(&PeerMessage::KeepAlive);
         }
-        for (from, end) in &mut incoming {
+        for (from, link) in &mut incoming {
             let Some(from) = from else {
-                end.read_available();
-                if let Some(ConnectionOpening::Peer { ip, .. }) = end.next_message() {
+                link.read_available();
+                if let Some(ConnectionOpening::Peer { ip, .. }) = link.next_message() {
                     *from = Some(ip);
                 }
                 continue;
             };
             let Some(reply_link) = outgoing.get_mut(from) else {
-                end.closed = true;
+                link.closed = true;
                 continue;
             };
-            for message in end.exchange(&PeerMessage::KeepAlive) {
+            for message in link.exchange(&PeerMessage::KeepAlive) {
                 let PeerMessage::ReplicateServer { id, .. } = message else { continue };
                 update_count += 1;
                 if behavior == PeerBehavior::Acknowledges {
@@ -279,7 +279,7 @@
                 }
             }
         }
-        incoming.retain(|(_, end)| !end.closed);
+        incoming.retain(|(_, link)| !link.closed);
         if behavior == PeerBehavior::Disconnects && update_count > 0 {
             (outgoing, incoming) = (BTreeMap::new(), Vec::new());
         }
@@ -294,12 +294,12 @@
     std::thread::scope(|scope| {
         let peer = scope.spawn(|| run_peer(core, reachable, behavior, &stopped));
         wait_until("only the reachable nodes are connected to the simulated peer", || {
-            let knows_peer = |n: &u8| {
-                core.status(*n).is_some_and(|status| {
+            let knows_peer = |node: &u8| {
+                core.status(*node).is_some_and(|status| {
                     status["peers"].as_array().is_some_and(|peers| peers.iter().any(|p| p == "127.0.8.2"))
                 })
             };
-            (1..=3).filter(|n| *n != 2).all(|n| knows_peer(&n) == reachable.contains(&n))
+            (1..=3).filter(|node| *node != 2).all(|node| knows_peer(&node) == reachable.contains(&node))
         });
         let body =
             r#"{"backend":"s","addr":"127.0.0.1:9","zone":"z","capacity":1,"status":"draining","callSeq":1}"#;
@@ -314,7 +314,8 @@
     let mut core = start_core();
     core.kill(2, "control");
     core.wait_for_chain(&[1, 3], 2);
-    // The second node has no link to the first but has one to the third, so its sessions are still open and must be told.
+    // The second node has no link to the first but has one to the third, so its sessions stay open and must learn of the
+    // draining.
     assert_eq!(report_draining(&core, &[3], PeerBehavior::Ignores).0, Some(503));
     let (status, update_count) = report_draining(&core, &[3], PeerBehavior::Acknowledges);
     assert!(status == Some(200) && update_count > 0, "{status:?}, {update_count} server states received");
--- a/glenfall/tests/misbehaving_servers.rs
+++ b/glenfall/tests/misbehaving_servers.rs
@@ -28,7 +28,7 @@
 
 /// A request without an outcome by then never gets one: each deadline is below a second.
 const OUTCOME_TIMEOUT: Duration = Duration::from_mins(2);
-/// Time until the deadline of each request; some servers stay silent for longer.
+/// Time until the deadline of each request; some servers do not respond within it.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 const SERVER_COUNT: usize = 4;
 const REQUESTS_PER_SEED: usize = 400;
@@ -122,8 +122,8 @@
 /// The request's id, once its header line has been received.
 fn parse_try_id(received: &[u8]) -> Option<String> {
     let text = String::from_utf8_lossy(received).to_ascii_lowercase();
-    let (_, rest) = text.split_once("x-glenfall-try-id: ")?;
-    Some(rest.split_once("\r\n")?.0.to_owned())
+    let (_, remaining) = text.split_once("x-glenfall-try-id: ")?;
+    Some(remaining.split_once("\r\n")?.0.to_owned())
 }
 
 struct MisbehavingServer {
@@ -148,13 +148,13 @@
     }
 
     /// The id of a request that has run, other than `own`.
-    fn another_request_id(&self, own: &str) -> String {
+    fn another_request_id(&self, own_id: &str) -> String {
         let observations = self.observations.borrow();
-        let others: Vec<&String> = observations.run_counts.keys().filter(|id| *id != own).collect();
+        let others: Vec<&String> = observations.run_counts.keys().filter(|id| *id != own_id).collect();
         others.choose(&mut *self.rng.borrow_mut()).map_or("none".to_owned(), |id| (*id).clone())
     }
 
-    /// A complete response that carries the id of its request.
+    /// A complete response with this try id.
     fn response(&self, status: u16, id: &str, extra_headers: &str) -> String {
         let body = format!("for {id} end");
         format!(
@@ -217,17 +217,17 @@
                     return None;
                 }
             };
-            let rest = received.split_off(request.length);
+            let remaining = received.split_off(request.length);
             let body = &received[received.windows(4).position(|window| window == b"\r\n\r\n")? + 4..];
-            // A client sends one request at a time, unless an early response crossed the end of its request.
-            if body != request_body(&request.id, body.len()) || !(rest.is_empty() || acted_early) {
+            // Only a client that got a response early may have sent its next request already.
+            if body != request_body(&request.id, body.len()) || !(remaining.is_empty() || acted_early) {
                 self.observations
                     .borrow_mut()
                     .unexpected_requests
                     .push(format!("{}, body or framing differs from what was sent", request.id));
                 return None;
             }
-            received = rest;
+            received = remaining;
             // A request that was declared not run must not run.
             if !declared_not_run {
                 self.handle_complete_request(&mut stream, &request.id, &mut previous_response).await?;
@@ -239,10 +239,10 @@
     /// connection is to end.
     async fn handle_partial_request(&self, stream: &mut TcpStream, id: &str) -> Option<bool> {
         let action = self.choose_action("partial request", &PARTIAL_REQUEST_ACTIONS);
-        let other = self.another_request_id(id);
+        let other_id = self.another_request_id(id);
         let text = match action {
             "not run" => self.not_run_response(id),
-            "response to another request" => self.response(200, &other, ""),
+            "response to another request" => self.response(200, &other_id, ""),
             "response without id" => {
                 self.response(503, id, "X-Glenfall-Not-Run: 1\r\n").replace("X-Glenfall-Try", "X-Try")
             }
@@ -280,31 +280,36 @@
             return Some(());
         }
         *self.observations.borrow_mut().run_counts.entry(id.to_owned()).or_default() += 1;
-        let own = self.response(200, id, "");
+        let own_response = self.response(200, id, "");
         let send_unsolicited =
             |stream: &mut TcpStream, text: &str| stream.try_write(text.as_bytes()).is_ok().then_some(());
         let (text, after_response) = match action {
-            "respond twice" => (own.clone() + &own, AfterResponse::KeepsConnection),
-            "repeat response later" => (own.clone(), AfterResponse::SendsUnsolicited(own.clone())),
-            "garbage later" => (own.clone(), AfterResponse::SendsUnsolicited("noise".to_owned())),
-            "interim response later" => {
-                (own.clone(), AfterResponse::SendsUnsolicited("HTTP/1.1 100 Continue\r\n\r\n".to_owned()))
+            "respond twice" => (own_response.clone() + &own_response, AfterResponse::KeepsConnection),
+            "repeat response later" => {
+                (own_response.clone(), AfterResponse::SendsUnsolicited(own_response.clone()))
             }
+            "garbage later" => (own_response.clone(), AfterResponse::SendsUnsolicited("noise".to_owned())),
+            "interim response later" => (
+                own_response.clone(),
+                AfterResponse::SendsUnsolicited("HTTP/1.1 100 Continue\r\n\r\n".to_owned()),
+            ),
             "previous response first" => {
-                (std::mem::take(previous_response) + &own, AfterResponse::KeepsConnection)
+                (std::mem::take(previous_response) + &own_response, AfterResponse::KeepsConnection)
             }
             "response to another request" => {
                 (self.response(200, &self.another_request_id(id), ""), AfterResponse::KeepsConnection)
             }
-            "response without id" => (own.replace("X-Glenfall-Try", "X-Try"), AfterResponse::KeepsConnection),
+            "response without id" => {
+                (own_response.replace("X-Glenfall-Try", "X-Try"), AfterResponse::KeepsConnection)
+            }
             "garbage" => ("no answer at all\r\n\r\n".to_owned(), AfterResponse::Closes),
             "interim response" => {
-                ("HTTP/1.1 102 Processing\r\n\r\n".to_owned() + &own, AfterResponse::KeepsConnection)
+                ("HTTP/1.1 102 Processing\r\n\r\n".to_owned() + &own_response, AfterResponse::KeepsConnection)
             }
             "503 without not-run header" => (self.response(503, id, ""), AfterResponse::KeepsConnection),
             "truncated response" => {
-                let at = self.rng.borrow_mut().random_range(0..own.len());
-                stream.write_all(&own.as_bytes()[..at]).await.ok()?;
+                let length = self.rng.borrow_mut().random_range(0..own_response.len());
+                stream.write_all(&own_response.as_bytes()[..length]).await.ok()?;
                 return None;
             }
             "reset" => {
@@ -329,7 +334,7 @@
             }
             _ => self.response_with_framing(id),
         };
-        *previous_response = own;
+        *previous_response = own_response;
         self.pause(3).await;
         stream.write_all(text.as_bytes()).await.ok()?;
         match after_response {
@@ -352,7 +357,7 @@
 
 async fn start_server(number: usize, seed: u64, observations: &Rc<RefCell<Observations>>) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let port = listener.local_addr().expect("its address").port();
+    let port = listener.local_addr().expect("a local address").port();
     let rng = ChaCha8Rng::seed_from_u64(seed * SERVER_COUNT as u64 + number as u64);
     let server = Rc::new(MisbehavingServer { observations: Rc::clone(observations), rng: RefCell::new(rng) });
     spawn_local(async move {
@@ -389,8 +394,8 @@
 /// Number of requests by outcome.
 type OutcomeCounts = BTreeMap<&'static str, u32>;
 
-/// Sends one request and checks its response. Returns the outcome, and whether the request was idempotent. That a
-/// request reported as not run has not run is checked at the end of the run.
+/// Sends one request and checks its response. Returns the outcome, and whether the request was idempotent.
+/// `run_seed` checks that requests reported as not run have not run.
 async fn send_request(forwarder: &Forwarder, id: &str, mut rng: ChaCha8Rng) -> (&'static str, bool) {
     let is_idempotent = rng.random_bool(0.3);
     // Some bodies are too large for a single write.
@@ -427,7 +432,7 @@
             let claims_not_run = matches!(reply.status().as_u16(), 408 | 421 | 429 | 503);
             assert!(
                 is_idempotent || !claims_not_run,
-                "{id}: the response status claims not run, but the server did not"
+                "{id}: the response status says that the request was not run, but the server did not"
             );
             "answered"
         }
@@ -457,7 +462,7 @@
                 let request_rng = ChaCha8Rng::seed_from_u64(rng.random());
                 outcomes.push((id.clone(), send_request(&forwarder, &id, request_rng).await));
                 if rng.random_bool(0.2) {
-                    // Leaves some connections idle for longer than the pool trusts them.
+                    // Leaves some connections idle for longer than the pool reuses them.
                     sleep(Duration::from_millis(rng.random_range(1..150))).await;
                 }
             }
@@ -465,7 +470,7 @@
         });
     }
     let outcomes: Vec<_> = clients.join_all().await.into_iter().flatten().collect();
-    // Requests still in flight reach their servers meanwhile.
+    // Lets requests that are still in flight reach their servers.
     sleep(2 * REQUEST_TIMEOUT).await;
     let observations = observations.borrow();
     assert!(
--- a/glenfall/tests/missed_heartbeats.rs
+++ b/glenfall/tests/missed_heartbeats.rs
@@ -12,7 +12,7 @@
 use common::{receive_try_id, request, wait_until, System, EDGE_MACHINE};
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
-/// Longer than a server is kept without heartbeats.
+/// Longer than a server stays registered without heartbeats.
 const OUTAGE_DURATION: Duration = Duration::from_millis(2500);
 
 /// A server that responds immediately, and counts its requests.
@@ -92,17 +92,17 @@
     // The first read went through one of three shields. A control node that is stopped before it has pushed the servers to
     // its own shield would leave that shield without any.
     wait_until("each proxy has applied the list of two servers", || {
-        (1..EDGE_MACHINE).all(|n| has_pushed_servers(&system, n))
+        (1..EDGE_MACHINE).all(|node| has_pushed_servers(&system, node))
     });
     (system, servers)
 }
 
 /// Whether a control node knows both servers, and all its sessions have applied what it pushed.
-fn has_pushed_servers(system: &System, n: u8) -> bool {
-    let Some(status) = system.status(n) else { return false };
-    let settled = |session: &serde_json::Value| session["applied"] == session["pushed"];
+fn has_pushed_servers(system: &System, node: u8) -> bool {
+    let Some(status) = system.status(node) else { return false };
+    let has_applied_all = |session: &serde_json::Value| session["applied"] == session["pushed"];
     let servers = status["servers"].as_array().map_or(0, Vec::len);
-    servers == 2 && status["sessions"].as_array().is_some_and(|sessions| sessions.iter().all(settled))
+    servers == 2 && status["sessions"].as_array().is_some_and(|sessions| sessions.iter().all(has_applied_all))
 }
 
 #[test]
@@ -143,7 +143,7 @@
         send_requests_for(&system, OUTAGE_DURATION);
         finished.store(true, Ordering::Relaxed);
         let failed = statuses.iter().filter(|status| **status != 200).count();
-        assert_eq!(failed, 0, "failed of {} requests; the servers were up all the time", statuses.len());
+        assert_eq!(failed, 0, "failed requests of {}, while the servers were up", statuses.len());
     });
 }
 
@@ -158,18 +158,18 @@
     system.restart_control_nodes(|_| ());
     system.wait_for_chain(&[1, 2, 3], 3);
     wait_until("all shields and the agent have their sessions again", || {
-        (1..=3).filter_map(|n| system.session_count(n)).sum::<usize>() == 4
+        (1..=3).filter_map(|node| system.session_count(node)).sum::<usize>() == 4
     });
     let deregister = || {
         request(system.control_addr(2), "DELETE /api/servers/a", "Host: c\r\n", "").map(|response| response.0)
     };
     wait_until("the deregistration is acknowledged", || deregister() == Some(200));
-    let before = servers[0].request_count.load(Ordering::Relaxed);
+    let count_before = servers[0].request_count.load(Ordering::Relaxed);
     for number in 0..60 {
         assert_eq!(send_request(&system, &format!("POST /w/{number}")), 200);
     }
     assert_eq!(
-        servers[0].request_count.load(Ordering::Relaxed) - before,
+        servers[0].request_count.load(Ordering::Relaxed) - count_before,
         0,
         "requests after the deregistration was acknowledged"
     );
@@ -183,7 +183,7 @@
     system.restart_control_nodes(|_| ());
     system.wait_for_chain(&[1, 2, 3], 3);
     wait_until("all shields and the agent have their sessions again", || {
-        (1..=3).filter_map(|n| system.session_count(n)).sum::<usize>() == 4
+        (1..=3).filter_map(|node| system.session_count(node)).sum::<usize>() == 4
     });
     let failed =
         (0..60).filter(|number| send_request(&system, &format!("GET /r/again-{number}")) != 200).count();
--- a/glenfall/tests/send_budget.rs
+++ b/glenfall/tests/send_budget.rs
@@ -76,15 +76,15 @@
 /// A process that sends to servers in turn. Each sender starts at a different server, so that together they
 /// reach as many servers as they can.
 struct Sender {
-    next: usize,
+    next_server: usize,
 }
 
 struct Simulation<'a> {
     shields: &'a [ShieldBehavior],
     servers: &'a [ServerBehavior; SERVER_COUNT],
     senders: Vec<Sender>,
-    reached: BTreeSet<usize>,
-    /// How often the request was sent to any server; more than `reached` when two senders choose the same one.
+    reached_servers: BTreeSet<usize>,
+    /// How often the request was sent to any server; more than `reached_servers` when two senders choose the same one.
     send_count: u32,
     /// Whether a successful response was on its way to the edge and due by the deadline.
     success_in_flight: bool,
@@ -94,21 +94,21 @@
 
 /// The end of an attempt as the edge sees it.
 struct AttemptOutcome {
-    /// `None` when the attempt never ends.
-    at: Option<Ms>,
+    /// `None` when the attempt does not end by itself.
+    ended_at: Option<Ms>,
     end: AttemptEnd,
     success: bool,
 }
 
 impl<'a> Simulation<'a> {
     fn new(shields: &'a [ShieldBehavior], servers: &'a [ServerBehavior; SERVER_COUNT]) -> Self {
-        let senders = (0..=MAX_SHIELD_ATTEMPTS).map(|next| Sender { next }).collect();
-        let reached = BTreeSet::new();
+        let senders = (0..=MAX_SHIELD_ATTEMPTS).map(|next_server| Sender { next_server }).collect();
+        let reached_servers = BTreeSet::new();
         Simulation {
             shields,
             servers,
             senders,
-            reached,
+            reached_servers,
             send_count: 0,
             success_in_flight: false,
             unreported_sends: 0,
@@ -121,21 +121,22 @@
         let mut sends = SendSequence::new(allowance.sends, true);
         let (mut now, mut success) = (began, false);
         while sends.may_send() && now < DEADLINE_MS {
-            let server = self.senders[sender].next % SERVER_COUNT;
-            self.senders[sender].next += 1;
-            self.reached.insert(server);
+            let server = self.senders[sender].next_server % SERVER_COUNT;
+            self.senders[sender].next_server += 1;
+            self.reached_servers.insert(server);
             self.send_count += 1;
-            let another = sends.another_may_follow() || allowance.reserved_sends > 0;
-            let timeout_at = if another { now + (DEADLINE_MS - now) / 2 } else { DEADLINE_MS };
-            let (at, event) = match self.servers[server] {
+            let more_may_follow = sends.another_may_follow() || allowance.reserved_sends > 0;
+            let timeout_at = if more_may_follow { now + (DEADLINE_MS - now) / 2 } else { DEADLINE_MS };
+            let (ended_at, event) = match self.servers[server] {
                 ServerBehavior::Responds => (now + FAST_RESPONSE_MS, SendEvent::Success),
                 ServerBehavior::RespondsLate => (now + SLOW_RESPONSE_MS, SendEvent::Success),
                 ServerBehavior::Fails => (now + FAST_RESPONSE_MS, SendEvent::Failure),
                 ServerBehavior::Resets => (now + FAST_RESPONSE_MS, SendEvent::Broken),
                 ServerBehavior::Hangs => (Ms::MAX, SendEvent::TimedOut),
             };
-            let (at, event) = if at > timeout_at { (timeout_at, SendEvent::TimedOut) } else { (at, event) };
-            now = at;
+            let (ended_at, event) =
+                if ended_at > timeout_at { (timeout_at, SendEvent::TimedOut) } else { (ended_at, event) };
+            now = ended_at;
             success = event == SendEvent::Success;
             sends.record_end(SendStage::ResponseStarted, event, event == SendEvent::Failure);
         }
@@ -143,44 +144,47 @@
     }
 
     fn attempt_shield(&mut self, shield: usize, now: Ms, allowance: Allowance) -> AttemptOutcome {
-        let nothing_sent = |at, success, is_exhausted| AttemptOutcome {
-            at: Some(at),
+        let nothing_sent = |ended_at, success, is_exhausted| AttemptOutcome {
+            ended_at: Some(ended_at),
             end: AttemptEnd::Answered(SendReport { used: 0, exhausted: is_exhausted }),
             success,
         };
         let behavior = self.shields[shield];
         match behavior {
             ShieldBehavior::Unreachable => AttemptOutcome {
-                at: Some(now + CONNECT_FAILURE_MS),
+                ended_at: Some(now + CONNECT_FAILURE_MS),
+                end: AttemptEnd::NotSent,
+                success: false,
+            },
+            ShieldBehavior::OutdatedConfig => AttemptOutcome {
+                ended_at: Some(now + FAST_RESPONSE_MS),
                 end: AttemptEnd::NotSent,
                 success: false,
             },
-            ShieldBehavior::OutdatedConfig => {
-                AttemptOutcome { at: Some(now + FAST_RESPONSE_MS), end: AttemptEnd::NotSent, success: false }
-            }
             ShieldBehavior::Frozen => {
-                AttemptOutcome { at: None, end: AttemptEnd::ResponseLost, success: false }
+                AttemptOutcome { ended_at: None, end: AttemptEnd::ResponseLost, success: false }
             }
             ShieldBehavior::HasStoredResponse => nothing_sent(now + FAST_RESPONSE_MS, true, false),
             ShieldBehavior::JoinsSuccessfulFetch => nothing_sent(now + FAST_RESPONSE_MS, true, false),
             ShieldBehavior::JoinsExhaustedFetch => nothing_sent(now + FAST_RESPONSE_MS, false, true),
             _ if allowance.sends == 0 => nothing_sent(now + FAST_RESPONSE_MS, false, true),
             ShieldBehavior::Normal | ShieldBehavior::RespondsLate => {
-                let (at, success, report) = self.fetch(shield, now, allowance);
-                let at = if behavior == ShieldBehavior::Normal { at } else { at + SLOW_RESPONSE_MS };
-                AttemptOutcome { at: Some(at), end: AttemptEnd::Answered(report), success }
+                let (ended_at, success, report) = self.fetch(shield, now, allowance);
+                let ended_at =
+                    if behavior == ShieldBehavior::Normal { ended_at } else { ended_at + SLOW_RESPONSE_MS };
+                AttemptOutcome { ended_at: Some(ended_at), end: AttemptEnd::Answered(report), success }
             }
             ShieldBehavior::LosesResponse | ShieldBehavior::Resets => {
                 self.fetch(shield, now, allowance);
-                let at = (behavior == ShieldBehavior::Resets).then_some(now + FAST_RESPONSE_MS);
-                AttemptOutcome { at, end: AttemptEnd::ResponseLost, success: false }
+                let ended_at = (behavior == ShieldBehavior::Resets).then_some(now + FAST_RESPONSE_MS);
+                AttemptOutcome { ended_at, end: AttemptEnd::ResponseLost, success: false }
             }
         }
     }
 
     fn attempt_servers(&mut self, now: Ms, allowance: Allowance) -> AttemptOutcome {
-        let (at, success, report) = self.fetch(MAX_SHIELD_ATTEMPTS, now, allowance);
-        AttemptOutcome { at: Some(at), end: AttemptEnd::Answered(report), success }
+        let (ended_at, success, report) = self.fetch(MAX_SHIELD_ATTEMPTS, now, allowance);
+        AttemptOutcome { ended_at: Some(ended_at), end: AttemptEnd::Answered(report), success }
     }
 
     /// Simulates one read by an edge. Returns whether it got a successful response by the deadline.
@@ -192,36 +196,37 @@
         loop {
             let shields_left = self.shields.len() - unresponsive.len();
             match plan.next(shields_left) {
-                next @ NextStep::TryShield { allowance } => {
+                step @ NextStep::TryShield { allowance } => {
                     let shield = (0..self.shields.len()).find(|shield| !unresponsive.contains(shield));
                     let shield = shield.expect("a shield that is not unresponsive");
-                    let number = plan.begin_attempt(next);
+                    let number = plan.begin_attempt(step);
                     let may_hedge = plan.can_hedge(shields_left - 1);
                     hedge_at = may_hedge.then(|| (shield, now + ((DEADLINE_MS - now) / 4).max(200)));
                     let outcome = self.attempt_shield(shield, now, allowance);
                     self.record_attempt(&outcome, allowance);
                     attempts.push((number, Some(shield), outcome));
                 }
-                next @ NextStep::TryServers { allowance } => {
-                    let number = plan.begin_attempt(next);
+                step @ NextStep::TryServers { allowance } => {
+                    let number = plan.begin_attempt(step);
                     let outcome = self.attempt_servers(now, allowance);
                     self.record_attempt(&outcome, allowance);
                     attempts.push((number, None, outcome));
                 }
                 NextStep::GiveUp => return false,
                 NextStep::Wait => {
-                    let first = (0..attempts.len())
-                        .filter(|at| attempts[*at].2.at.is_some())
-                        .min_by_key(|at| attempts[*at].2.at);
-                    let next_end = first.and_then(|first| attempts[first].2.at).unwrap_or(Ms::MAX);
-                    let hedge_time = hedge_at.map_or(Ms::MAX, |(_, at)| at);
+                    let first_to_end = (0..attempts.len())
+                        .filter(|index| attempts[*index].2.ended_at.is_some())
+                        .min_by_key(|index| attempts[*index].2.ended_at);
+                    let next_end =
+                        first_to_end.and_then(|index| attempts[index].2.ended_at).unwrap_or(Ms::MAX);
+                    let hedge_time = hedge_at.map_or(Ms::MAX, |(_, hedge_time)| hedge_time);
                     now = next_end.min(hedge_time);
                     if now > DEADLINE_MS {
                         return false;
                     }
                     if next_end <= hedge_time {
                         let (number, shield, outcome) =
-                            attempts.remove(first.expect("an attempt with an end"));
+                            attempts.remove(first_to_end.expect("an attempt with an end"));
                         if hedge_at.is_some_and(|(hedged, _)| Some(hedged) == shield) {
                             hedge_at = None;
                         }
@@ -241,7 +246,8 @@
     }
 
     fn record_attempt(&mut self, outcome: &AttemptOutcome, allowance: Allowance) {
-        self.success_in_flight |= outcome.success && outcome.at.is_some_and(|at| at <= DEADLINE_MS);
+        self.success_in_flight |=
+            outcome.success && outcome.ended_at.is_some_and(|ended_at| ended_at <= DEADLINE_MS);
         if outcome.end == AttemptEnd::ResponseLost {
             self.unreported_sends += allowance.sends;
         }
@@ -275,8 +281,8 @@
     let mut simulation = Simulation::new(shields, servers);
     let success = simulation.simulate_read(tries);
     let case = || format!("{tries} tries, {shields:?}, {servers:?}");
-    let reached = simulation.reached.len() as u32;
-    assert!(reached <= tries, "{}: {reached} servers reached", case());
+    let reached_count = simulation.reached_servers.len() as u32;
+    assert!(reached_count <= tries, "{}: {reached_count} servers reached", case());
     assert!(simulation.send_count <= tries, "{}: sent {} times", case(), simulation.send_count);
     assert!(
         success || !simulation.success_in_flight,
@@ -329,7 +335,7 @@
 #[test]
 fn a_budget_regains_only_sends_that_were_certainly_not_used() {
     let report = |used| Usage::Reported(SendReport { used, exhausted: true });
-    for (usage, left) in [
+    for (usage, expected_left) in [
         (Usage::Unused, 3),
         (Usage::Unknown, 1),
         (report(0), 3),
@@ -342,7 +348,7 @@
         let reservation = budget.reserve(2);
         assert_eq!(budget.left(), 1);
         budget.settle_reservation(reservation, usage);
-        assert_eq!(budget.left(), left, "{usage:?}");
+        assert_eq!(budget.left(), expected_left, "{usage:?}");
     }
     let mut budget = SendBudget::new(1);
     let _unsettled = budget.reserve(5);
@@ -362,11 +368,15 @@
             assert_eq!(SendReport::from_response(&headers(report.encode())), Some(report));
         }
     }
-    let all = Allowance::all(2);
-    assert_eq!(Allowance::from_request(&HeaderMap::new(), 2), all, "an edge of an earlier release");
+    let full_allowance = Allowance::all(2);
+    assert_eq!(
+        Allowance::from_request(&HeaderMap::new(), 2),
+        full_allowance,
+        "edges of earlier releases send no allowance"
+    );
     for value in ["allowed=7", "allowed=-1", "allowed=", "", "noise", "allowed=99999999999999"] {
-        let read = Allowance::from_request(&headers(HeaderValue::from_static(value)), 2);
-        assert_eq!(read, all, "never more than the route allows: {value}");
+        let decoded = Allowance::from_request(&headers(HeaderValue::from_static(value)), 2);
+        assert_eq!(decoded, full_allowance, "never more than the route allows: {value}");
     }
     for value in ["used=", "used=-1", "short", ""] {
         assert_eq!(SendReport::from_response(&headers(HeaderValue::from_static(value))), None, "{value}");
--- a/glenfall/tests/store.rs
+++ b/glenfall/tests/store.rs
@@ -22,8 +22,8 @@
 
 fn folder(name: &str) -> PathBuf {
     // Power losses are simulated: the files need no real disk.
-    let memory = Path::new("/dev/shm");
-    let base = if memory.is_dir() { memory.to_owned() } else { std::env::temp_dir() };
+    let ram_disk = Path::new("/dev/shm");
+    let base = if ram_disk.is_dir() { ram_disk.to_owned() } else { std::env::temp_dir() };
     static NEXT_FOLDER_NUMBER: AtomicU64 = AtomicU64::new(0);
     let folder_number = NEXT_FOLDER_NUMBER.fetch_add(1, Ordering::Relaxed);
     let folder = base.join(format!("glenfall-store-{name}-{}-{folder_number}", std::process::id()));
@@ -36,16 +36,16 @@
 const RESTORE_SCENARIO: &str = "import";
 
 /// The state with number `n`: its document takes several pages if `n` is even.
-fn state(n: u64) -> HardState {
-    let size = if n.is_multiple_of(2) { 14_000 } else { 90 };
-    let document = (0..size).map(|at| (at * (n + 6) % 251) as u8).collect();
+fn state(number: u64) -> HardState {
+    let size = if number.is_multiple_of(2) { 14_000 } else { 90 };
+    let document = (0..size).map(|index| (index * (number + 6) % 251) as u8).collect();
     // Enough applied orders for several chunks of the deduplication table.
     let order = |rev: u64| AppliedOrder { rev, key: IdempotencyKey([rev as u8; 32]) };
     let deduplication_table =
-        DeduplicationTable::from_orders(0, &(1..=n * 90).map(order).collect::<Vec<_>>()).unwrap();
-    let record = Record { seq: n, rev: n, document, applied_orders: deduplication_table };
+        DeduplicationTable::from_orders(0, &(1..=number * 90).map(order).collect::<Vec<_>>()).unwrap();
+    let record = Record { seq: number, rev: number, document, applied_orders: deduplication_table };
     let members = JointConfig::of(vec![[10, 0, 0, 1].into()]);
-    HardState { members, votes: true, promised: n, accepted: n, record: Arc::new(record) }
+    HardState { members, votes: true, promised: number, accepted: number, record: Arc::new(record) }
 }
 
 #[test]
@@ -60,10 +60,10 @@
         return report_progress("end");
     }
     let (store, _) = Store::open(&folder).unwrap();
-    for n in scenario.split_whitespace().map(|n| n.parse().unwrap()) {
-        report_progress(&format!("begin {n}"));
-        store.save(&state(n)).unwrap();
-        report_progress(&format!("done {n}"));
+    for number in scenario.split_whitespace().map(|number| number.parse().unwrap()) {
+        report_progress(&format!("begin {number}"));
+        store.save(&state(number)).unwrap();
+        report_progress(&format!("done {number}"));
     }
     report_progress("end");
 }
@@ -75,32 +75,33 @@
         RecoveredState::Missing => "nothing".into(),
         RecoveredState::Damaged(_) => "damaged".into(),
         RecoveredState::Intact(intact) => {
-            let n = intact.record.seq;
-            assert_eq!(intact, state(n), "{case}: parts of different states");
-            n.to_string()
+            let number = intact.record.seq;
+            assert_eq!(intact, state(number), "{case}: parts of different states");
+            number.to_string()
         }
     }
 }
 
 /// Records a process that writes these states to a folder, and simulates the possible outcomes of a power loss after
-/// each recorded event. The store must recover the last acknowledged state, initially `first`, or the one being written.
-fn check_power_losses(name: &str, before: &Files, first: &str, scenario: &str) -> Vec<Files> {
+/// each recorded event. The store must recover the last acknowledged state or the one being written. `initial` is what it
+/// recovers from `before`: a state number, "nothing" or "damaged".
+fn check_power_losses(name: &str, before: &Files, initial: &str, scenario: &str) -> Vec<Files> {
     let folder = folder(name);
     write_folder(&folder, before);
     let events = record_events(RECORDED_TEST, scenario, &folder);
-    let (mut acknowledged, mut in_progress) = (first.to_owned(), None);
+    let (mut acknowledged, mut in_progress) = (initial.to_owned(), None);
     let (mut checked, mut crashes, mut syncs) = (HashSet::new(), Vec::new(), 0);
-    for after in 0..events.len() {
-        match &events[after] {
+    for last_event in 0..events.len() {
+        match &events[last_event] {
             Event::Progress(message) => match message.split_once(' ') {
-                Some(("begin", n)) => in_progress = Some(n.to_owned()),
-                Some((_, n)) => (acknowledged, in_progress) = (n.to_owned(), None),
+                Some(("begin", number)) => in_progress = Some(number.to_owned()),
+                Some((_, number)) => (acknowledged, in_progress) = (number.to_owned(), None),
                 None => {}
             },
             Event::Sync { .. } | Event::SyncFolder => syncs += 1,
             _ => {}
         }
-        for files in crash_states(before, &events[..=after], after as u64) {
+        for files in crash_states(before, &events[..=last_event], last_event as u64) {
             let mut hash = DefaultHasher::new();
             (&files, &acknowledged, &in_progress).hash(&mut hash);
             if !checked.insert(hash.finish()) {
@@ -109,8 +110,8 @@
             write_folder(&folder, &files);
             let sizes: Vec<_> = files.iter().map(|(name, bytes)| format!("{name} {}", bytes.len())).collect();
             let case = format!(
-                "{name}, after event {after}, {:.90}, files {sizes:?}",
-                format!("{:?}", events[after])
+                "{name}, after event {last_event}, {:.90}, files {sizes:?}",
+                format!("{:?}", events[last_event])
             );
             let first_recovery = recover(&folder, &case);
             assert!(
@@ -182,7 +183,7 @@
 fn a_missing_store_is_never_mistaken_for_a_first_start() {
     let mut files = files_with_state_1();
     files.retain(|name, _| !name.starts_with("state.sqlite"));
-    check_power_losses("gone", &files, "damaged", "2 3");
+    check_power_losses("missing", &files, "damaged", "2 3");
     files.insert("state.sqlite".into(), Vec::new());
     check_power_losses("emptied", &files, "damaged", "2 3");
 }
@@ -191,24 +192,24 @@
 fn an_interrupted_restore_is_recovered_as_damaged_and_not_as_empty() {
     let folder = folder("import");
     let events = record_events(RECORDED_TEST, RESTORE_SCENARIO, &folder);
-    let (mut done, mut damaged_count) = (false, 0);
-    for after in 0..events.len() {
-        done |= matches!(&events[after], Event::Progress(message) if message == "done 1");
-        for files in crash_states(&Files::new(), &events[..=after], after as u64) {
+    let (mut restore_completed, mut damaged_count) = (false, 0);
+    for last_event in 0..events.len() {
+        restore_completed |= matches!(&events[last_event], Event::Progress(message) if message == "done 1");
+        for files in crash_states(&Files::new(), &events[..=last_event], last_event as u64) {
             write_folder(&folder, &files);
             let database_exists = database_path(&folder).exists();
-            let case = format!("after event {after}, files {:?}", files.keys());
+            let case = format!("after event {last_event}, files {:?}", files.keys());
             match recover(&folder, &case).as_str() {
                 "1" => {}
-                "damaged" if !done => damaged_count += 1,
-                "nothing" if !done && !database_exists => {}
+                "damaged" if !restore_completed => damaged_count += 1,
+                "nothing" if !restore_completed && !database_exists => {}
                 other => panic!("{case}: recovered {other}"),
             }
         }
     }
     assert!(
-        done && damaged_count > 20,
-        "the restore completed: {done}, {damaged_count} power losses left a damaged store"
+        restore_completed && damaged_count > 20,
+        "the restore completed: {restore_completed}, {damaged_count} power losses left a damaged store"
     );
     std::fs::remove_dir_all(&folder).unwrap();
 }
