--- a/glenfall/tests/misbehaving_servers.rs
+++ b/glenfall/tests/misbehaving_servers.rs
@@ -432,7 +432,7 @@
             let claims_not_run = matches!(reply.status().as_u16(), 408 | 421 | 429 | 503);
             assert!(
                 is_idempotent || !claims_not_run,
-                "{id}: the response status says that the request was not run, but the server did not"
+                "{id}: the response status says that the request was not run, but its server did not say so"
             );
             "answered"
         }
