--- a/control-plane-sim/src/cluster.rs
+++ b/control-plane-sim/src/cluster.rs
@@ -5,7 +5,7 @@
 use glenfall_control_plane::chain::{ChainSettings, NodeId};
 
 /// The number of seeds, which are the voters until the first view.
-const SEED_COUNT: u8 = 3;
+const SEED_NODE_COUNT: u8 = 3;
 
 /// Returns the address of a machine by its number. Numbers start at 1.
 pub fn node(number: u8) -> NodeId {
@@ -19,7 +19,7 @@
 
 /// Returns the nodes that every node is given as the initial voters.
 pub fn seeds() -> Vec<NodeId> {
-    (1..=SEED_COUNT).map(node).collect()
+    (1..=SEED_NODE_COUNT).map(node).collect()
 }
 
 /// How many machine losses the replicated chain has to tolerate, and how many spare machines there are.
--- a/control-plane-sim/src/schedule/generator.rs
+++ b/control-plane-sim/src/schedule/generator.rs
@@ -21,7 +21,7 @@
 /// Of this many seeds, one is a long schedule, and one is a loss after a repair if its cluster has a spare machine.
 const SEEDS_PER_KIND: u64 = 16;
 /// The remainder modulo [`SEEDS_PER_KIND`] of the seeds of losses after repairs.
-const REPAIR_REMAINDER: u64 = 4;
+const LOSS_AFTER_REPAIR_REMAINDER: u64 = 4;
 /// A machine is powered on again with a probability of one in this many at each step: after half a second on average.
 const STEPS_PER_POWER_ON: u32 = 50;
 /// The number of changes in a burst, which operators send within 100 ms.
@@ -49,7 +49,7 @@
 const USUAL_PAUSE_DURATION: Millis = 1800;
 const USUAL_STALL_DURATION: Millis = 1500;
 /// The time between the loss that follows a repair and the end of all faults.
-const FAULTS_AFTER_REPAIR: Millis = 1500;
+const TIME_AFTER_SECOND_LOSS: Millis = 1500;
 
 /// Builds the events of a schedule.
 pub(super) struct Generator {
@@ -316,7 +316,7 @@
         if self.rng.random_ratio(3, 10) {
             self.crash(second_loss_at, self.all_nodes());
         }
-        second_loss_at + FAULTS_AFTER_REPAIR
+        second_loss_at + TIME_AFTER_SECOND_LOSS
     }
 }
 
@@ -352,7 +352,7 @@
         generator.start_spares();
         let faults_begin_at = generator.rng.random_range(300..1200);
         let random_end = generator.rng.random_range(SHORT_FAULTS_END);
-        let is_repair = seed % SEEDS_PER_KIND == REPAIR_REMAINDER && size.spare > 0;
+        let is_repair = seed % SEEDS_PER_KIND == LOSS_AFTER_REPAIR_REMAINDER && size.spare > 0;
         let faults_end_at =
             if is_repair { generator.loss_after_repair(faults_begin_at + 1000) } else { random_end };
         let mut at = 200;
--- a/control-plane-sim/src/world/oracle.rs
+++ b/control-plane-sim/src/world/oracle.rs
@@ -8,13 +8,13 @@
 use crate::violation::Violation;
 
 /// Base of the exponential backoff after a failed attempt, doubled for each attempt up to [`MAX_BACKOFF_DOUBLINGS`].
-const RETRY_BACKOFF: Millis = 100;
+const RETRY_BACKOFF_BASE: Millis = 100;
 /// The backoff is doubled at most this many times.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 /// Returns how long an operator waits after its last attempt failed; `attempts` includes that one.
 pub(super) fn backoff(attempts: u32) -> Millis {
-    RETRY_BACKOFF << attempts.min(MAX_BACKOFF_DOUBLINGS)
+    RETRY_BACKOFF_BASE << attempts.min(MAX_BACKOFF_DOUBLINGS)
 }
 
 /// Returns the index of the change request that a document belongs to, or `None` if the document contains none.
--- a/control-plane/src/chain/ballot.rs
+++ b/control-plane/src/chain/ballot.rs
@@ -19,11 +19,11 @@
 /// Upper bound of ballots and log indexes. A ballot increases by about 2^32 with each view and an index by 1, so that no
 /// system reaches the bound. A message with a higher number is rejected as malformed: a proposer needs a ballot above
 /// every ballot that it knows, and would have no valid one left.
-const NUMBER_LIMIT: u64 = 1 << 62;
+const BALLOT_AND_INDEX_LIMIT: u64 = 1 << 62;
 
 /// Whether a ballot or log index is in the valid range.
 pub(super) fn is_valid(number: u64) -> bool {
-    number < NUMBER_LIMIT
+    number < BALLOT_AND_INDEX_LIMIT
 }
 
 /// The lowest ballot of a proposer whose round is above that of the highest ballot that it knows.
--- a/control-plane/src/chain/mod.rs
+++ b/control-plane/src/chain/mod.rs
@@ -109,7 +109,7 @@
     /// Since when a new view has been needed and this node has been able to propose it; `None` otherwise.
     view_needed_since: Option<Millis>,
     proposer_backoff: Option<ProposerBackoff>,
-    last_heartbeat: Option<Millis>,
+    last_heartbeat_at: Option<Millis>,
     /// At the head: the change that is being replicated.
     in_flight: Option<InFlight>,
     requested_voters: Option<RequestedVoters>,
@@ -146,7 +146,7 @@
             accepted_config: None,
             view_needed_since: None,
             proposer_backoff: None,
-            last_heartbeat: None,
+            last_heartbeat_at: None,
             in_flight: None,
             requested_voters: None,
             head_queue: VecDeque::new(),
@@ -197,7 +197,7 @@
     pub fn tick(&mut self, now: Millis) -> Vec<Output> {
         self.now = now;
         self.started_at.get_or_insert(now);
-        if self.last_heartbeat.is_none_or(|last| now >= last + HEARTBEAT_INTERVAL) {
+        if self.last_heartbeat_at.is_none_or(|last| now >= last + HEARTBEAT_INTERVAL) {
             self.send_heartbeats();
         }
         self.expire_calls();
--- a/control-plane/src/chain/peers.rs
+++ b/control-plane/src/chain/peers.rs
@@ -160,7 +160,7 @@
 
     /// Sends a heartbeat to all connected peers.
     pub(super) fn send_heartbeats(&mut self) {
-        self.last_heartbeat = Some(self.now);
+        self.last_heartbeat_at = Some(self.now);
         let heartbeat = self.heartbeat();
         for peer in self.peers.matching(|peer| peer.up) {
             self.outputs.push(Output::Send(peer, Message::Heartbeat(heartbeat.clone())));
--- a/control-plane/src/deduplication.rs
+++ b/control-plane/src/deduplication.rs
@@ -142,8 +142,8 @@
         if orders.len() > MAX_APPLIED_ORDERS {
             return Err(InvalidTable::TooMany(orders.len()));
         }
-        let not_rising = orders.array_windows().find(|[previous, next]| previous.rev >= next.rev);
-        if let Some([previous, next]) = not_rising {
+        let not_increasing = orders.array_windows().find(|[previous, next]| previous.rev >= next.rev);
+        if let Some([previous, next]) = not_increasing {
             return Err(InvalidTable::VersionsNotIncreasing { previous: previous.rev, next: next.rev });
         }
         let chunks = orders.chunks_exact(ORDERS_PER_CHUNK);
--- a/control-plane/src/invariant.rs
+++ b/control-plane/src/invariant.rs
@@ -28,7 +28,8 @@
             }
         }
 
-        static VIOLATIONS: [AtomicU64; Invariant::ALL.len()] = [const { AtomicU64::new(0) }; Invariant::ALL.len()];
+        static VIOLATION_COUNTS: [AtomicU64; Invariant::ALL.len()] =
+            [const { AtomicU64::new(0) }; Invariant::ALL.len()];
     };
 }
 
@@ -67,14 +68,14 @@
     /// Counts and logs a violation if the invariant does not hold. `details` is called only then.
     pub fn check(self, holds: bool, details: impl FnOnce() -> String) {
         if !holds {
-            VIOLATIONS[self as usize].fetch_add(1, Ordering::Relaxed);
+            VIOLATION_COUNTS[self as usize].fetch_add(1, Ordering::Relaxed);
             tracing::error!(invariant = self.name(), details = details(), "{VIOLATION_MESSAGE}");
         }
     }
 
     /// Number of violations in this process.
     pub fn violations(self) -> u64 {
-        VIOLATIONS[self as usize].load(Ordering::Relaxed)
+        VIOLATION_COUNTS[self as usize].load(Ordering::Relaxed)
     }
 }
 
