--- a/control-plane-sim/src/action.rs
+++ b/control-plane-sim/src/action.rs
@@ -133,9 +133,9 @@
         /// The machines, in the order in which they are tried.
         nodes: Vec<u8>,
     },
-    /// Machines lose power and their disks and restart at once. Each is skipped if the user documentation does not
-    /// permit another loss at that time; by its rule a removed machine no longer counts as lost once its successor has
-    /// synchronized.
+    /// Machines lose power and their disks and restart at once. Each is skipped if its process does not run, or if the
+    /// user documentation does not permit another loss at that time. By the rule of the documentation, a removed machine
+    /// no longer counts as lost once its successor has synchronized.
     WipeAfterRepair {
         /// The machines, in the order in which they are tried.
         nodes: Vec<u8>,
--- a/control-plane-sim/src/cluster.rs
+++ b/control-plane-sim/src/cluster.rs
@@ -4,7 +4,7 @@
 
 use glenfall_control_plane::chain::{ChainSettings, NodeId};
 
-/// The number of seeds, which are the voters until the first view.
+/// The number of seed nodes, which are the voters until the first view.
 const SEED_NODE_COUNT: u8 = 3;
 
 /// Returns the address of a machine by its number. Numbers start at 1.
@@ -17,7 +17,7 @@
     node.octets()[3]
 }
 
-/// Returns the nodes that every node is given as the initial voters.
+/// Returns the seed nodes, which every node is given as the initial voters.
 pub fn seeds() -> Vec<NodeId> {
     (1..=SEED_NODE_COUNT).map(node).collect()
 }
--- a/control-plane-sim/src/operators.rs
+++ b/control-plane-sim/src/operators.rs
@@ -7,14 +7,14 @@
 use glenfall_control_plane::config::ConfigChange;
 use glenfall_control_plane::Millis;
 
-/// A request to change the configuration, sent as often as necessary.
+/// A request to change the configuration, which may be sent several times.
 pub(crate) struct ChangeRequest {
     /// The version that the change creates.
     pub(crate) rev: u64,
     /// The version that the change is based on.
     pub(crate) builds_on: u64,
     pub(crate) change: ConfigChange,
-    /// Whether the document is no valid configuration.
+    /// Whether the document fails the validation of configurations.
     pub(crate) invalid: bool,
     /// How many more answers are lost before they reach the operator.
     pub(crate) lost_answers: u32,
--- a/control-plane-sim/src/schedule/generator.rs
+++ b/control-plane-sim/src/schedule/generator.rs
@@ -16,11 +16,12 @@
 pub(super) const SHORT_RECOVERY: Millis = 1_500;
 /// When faults end in a long schedule.
 const LONG_FAULTS_END: Millis = 20_000;
-/// When faults end in a short schedule, unless it is a loss after a repair.
+/// When faults end in a short schedule, unless it tests a loss after a repair.
 const SHORT_FAULTS_END: Range<Millis> = 4_000..9_000;
-/// Of this many seeds, one is a long schedule, and one is a loss after a repair if its cluster has a spare machine.
+/// One in this many seeds gives a long schedule. Another one gives a schedule that tests a loss after a repair, if its
+/// cluster has a spare machine.
 const SEEDS_PER_KIND: u64 = 16;
-/// The remainder modulo [`SEEDS_PER_KIND`] of the seeds of losses after repairs.
+/// Seeds with this remainder modulo [`SEEDS_PER_KIND`] give schedules that test a loss after a repair.
 const LOSS_AFTER_REPAIR_REMAINDER: u64 = 4;
 /// A machine is powered on again with a probability of one in this many at each step: after half a second on average.
 const STEPS_PER_POWER_ON: u32 = 50;
@@ -293,8 +294,8 @@
         }
     }
 
-    /// Partitions one link, one machine or a part of the cluster for the whole time, and adds other faults from a third
-    /// of it on.
+    /// Partitions one link, one machine or a part of the cluster from `from` to `until`, and adds other faults after a
+    /// third of that time.
     fn long_partition(&mut self, from: Millis, until: Millis) {
         let duration = until - from;
         self.partition(from, duration);
@@ -326,7 +327,7 @@
 }
 
 impl Schedule {
-    /// Generates a schedule with 20 s of faults, one every 1.3 s on average, and at least 8 s of recovery.
+    /// Generates a schedule with 20 s of faults, one every 1.3 s on average, and 8 s of recovery.
     pub fn long(seed: u64) -> Schedule {
         let size = LONG_SIZES[(seed % LONG_SIZES.len() as u64) as usize];
         let mut generator = Generator::new(seed, size, rng::EVENT_STREAM);
--- a/control-plane-sim/src/schedule/mod.rs
+++ b/control-plane-sim/src/schedule/mod.rs
@@ -27,7 +27,8 @@
 const MAX_LOSSES: u8 = 3;
 /// The most spare machines that a schedule file may specify.
 const MAX_SPARE_MACHINES: u8 = 3;
-/// The longest time, in milliseconds, and the largest other number in an event that a schedule file may specify.
+/// Upper bound of the durations and delays, in milliseconds, and of the version steps and numbers of lost answers that a
+/// schedule file may specify.
 const MAX_FIELD_VALUE: Millis = 600_000;
 
 /// A list of events, and the cluster that they happen in.
--- a/control-plane-sim/src/schedule/shrink.rs
+++ b/control-plane-sim/src/schedule/shrink.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Delta debugging: tries to drop ranges of events, first half of all events, finally single ones.
+    /// Delta debugging: tries to drop ranges of events. A range is half of all events at first, and one event at last.
     fn drop_events(&mut self) {
         let mut length = self.shortest.events.len().div_ceil(2);
         while length > 0 {
--- a/control-plane-sim/src/schedule/targeted.rs
+++ b/control-plane-sim/src/schedule/targeted.rs
@@ -1,6 +1,6 @@
-//! Schedules that target scenarios which random ones rarely reach: a promise that is lost before it is counted, a read
-//! that arrives before the message that its view has started, proposals that interleave, losses and partitions during a
-//! voter change, reads at a partitioned node, and a power failure at an acknowledgement.
+//! Schedules that target scenarios which random ones rarely reach. A promise is lost before it is counted, a read
+//! arrives before the message that its view has started, or proposals interleave. Losses and partitions occur during a
+//! voter change, a partitioned node receives reads, or the power fails at an acknowledgement.
 //!
 //! Targeted schedules have a seed space of their own: seed 1 here is unrelated to seed 1 of [`Schedule::generate`].
 
@@ -259,8 +259,8 @@
     /// Requests a voter change at a node, which then proposes the views of the change. Messages from this node to the
     /// other voters are delayed.
     ///
-    /// Returns the approximate time at which the node sends one of the views at random: the first, which adds the new
-    /// voter, or the second, which requires majorities of both voter sets.
+    /// Returns the approximate time at which the node sends one of two views, chosen at random. The first view adds the
+    /// new voter, and the second requires majorities of both voter sets.
     fn voter_replacement(&mut self, at: Millis, proposer: u8, removed: u8) -> Millis {
         let extra_delay = self.rng.random_range(40..150);
         let others: Vec<u8> = (1..=self.size.voters()).filter(|other| *other != proposer).collect();
--- a/control-plane-sim/src/world/faults.rs
+++ b/control-plane-sim/src/world/faults.rs
@@ -9,7 +9,7 @@
 use crate::machine::Machine;
 
 impl World {
-    /// Records a fault: the machine counts as lost until its end, and for `SYNC_TIME` after that.
+    /// Records a fault: the machine counts as lost until the fault ends, and for `SYNC_TIME` after that.
     fn record_fault(&mut self, number: u8, until: Millis) {
         let machine = self.machine(number);
         machine.faulty_until = machine.faulty_until.max(until);
--- a/control-plane-sim/src/world/loss_budget.rs
+++ b/control-plane-sim/src/world/loss_budget.rs
@@ -14,9 +14,12 @@
 impl World {
     /// Returns how many more disks may be lost now.
     ///
-    /// That is as many as the voters tolerate, less the voters that have lost their vote and have not been in a started
-    /// view since, and less the spare machines that lost their disks within the last `SYNC_TIME`. Until the first view
-    /// has started, the seeds are the voters.
+    /// That is as many as a voter set tolerates, at most `size.losses`, less the disks that count as lost. These are the
+    /// disks of voters that have lost their vote and have not been in a started view since, and of other machines that
+    /// were wiped within the last `SYNC_TIME`.
+    ///
+    /// The lowest number counts, over the voter sets of the newest started view and of the newest view that is on any
+    /// disk or in flight. Until the first view has started, the seed nodes are the voters.
     pub fn tolerated_disk_losses(&self) -> usize {
         let newest = self.newest_members();
         let members = [Some(&self.newest_view.members), newest.as_ref()].into_iter().flatten();
--- a/control-plane-sim/src/world/mod.rs
+++ b/control-plane-sim/src/world/mod.rs
@@ -123,8 +123,8 @@
         self.nodes().filter(move |peer| *peer != number)
     }
 
-    /// Whether all running nodes are in the same view, no voter change is in progress in it, its chain contains all of
-    /// its voters, and these are at least as many as the cluster size requires.
+    /// Whether all running nodes are in the same view, and no voter change is in progress in it. The chain of the view
+    /// must contain all of its voters, and these must be at least as many as the cluster size requires.
     pub fn in_one_view(&self) -> bool {
         let running = || self.machines.iter().filter_map(|machine| machine.chain.as_ref());
         let views: BTreeSet<_> = running().map(|chain| chain.view().map(|view| view.number)).collect();
--- a/control-plane-sim/src/world/oracle.rs
+++ b/control-plane-sim/src/world/oracle.rs
@@ -168,8 +168,9 @@
         self.operators.request(index).receive_answer();
     }
 
-    /// Checks a rejection for a conflict. The version that it names must have been the newest one at some time during
-    /// the call, and the version that the request builds on must not have been the newest one throughout the call.
+    /// Checks a rejection for a conflict. The version that it names must be committed, and not older than the newest one
+    /// that was acknowledged before the call. The version that the request builds on must not have been the newest one
+    /// throughout the call.
     fn check_conflict(&mut self, pending: &PendingCall, index: u64, current: u64) {
         let builds_on = self.operators.request(index).builds_on;
         let newest = self.operators.newest_committed;
--- a/control-plane/src/chain/ballot.rs
+++ b/control-plane/src/chain/ballot.rs
@@ -16,9 +16,9 @@
 
 /// Bits of the proposer's address in a ballot.
 const PROPOSER_BITS: u32 = 32;
-/// Upper bound of ballots and log indexes. A ballot increases by about 2^32 with each view and an index by 1, so that no
-/// system reaches the bound. A message with a higher number is rejected as malformed: a proposer needs a ballot above
-/// every ballot that it knows, and would have no valid one left.
+/// Exclusive upper bound of ballots and log indexes. A ballot increases by about 2^32 with each view and an index by 1
+/// with each change, so no system reaches the bound. A message with a number that is not below it is rejected as
+/// malformed: a proposer needs a ballot above every ballot that it knows, and would have no valid one left.
 const BALLOT_AND_INDEX_LIMIT: u64 = 1 << 62;
 
 /// Whether a ballot or log index is in the valid range.
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Tells a peer which higher ballot this node has promised.
+    /// Tells a peer which ballot this node has promised.
     pub(super) fn send_nack(&mut self, to: NodeId) {
         self.send(to, Message::Nack { promised: self.hard_state.promised });
     }
--- a/control-plane/src/chain/message.rs
+++ b/control-plane/src/chain/message.rs
@@ -45,7 +45,8 @@
 pub enum Claim {
     /// The tail answers with the committed record.
     Committed {
-        /// The tail answers [`Outcome::Unchanged`] if the record's log index is not above this one.
+        /// The tail answers [`Outcome::Unchanged`] if the record's log index is not above this one; `None` to get the
+        /// record in any case.
         newer_than: Option<u64>,
     },
     /// The head's decision on a change that it rejects, or that has been applied before.
@@ -125,7 +126,7 @@
     },
     /// Confirms a claim before it is answered (`ReadIndex` in Raft, 6.4). It passes along the chain after the call has
     /// started. Each member forwards it only if no promise has fenced the view, and the tail answers. The chain
-    /// contains a quorum, and so do the acceptors that promised a newer view: they have a member in common, which had
+    /// contains a quorum, and so do the acceptors that promised a newer view. They have a member in common, which had
     /// not promised yet when it forwarded this message.
     Confirm {
         /// The view's ballot.
--- a/control-plane/src/chain/mod.rs
+++ b/control-plane/src/chain/mod.rs
@@ -1,12 +1,13 @@
 //! The replicated chain that stores the configuration, and the agreement on views that repairs the chain.
 //!
-//! Some of the voters, at least a quorum, form the chain of the current view (chain replication, van Renesse and Schneider,
-//! 2004). A change enters at the head, each member makes it durable before it forwards it, and the tail commits it.
+//! Some of the voters, at least a quorum, form the chain of the current view (chain replication, van Renesse and
+//! Schneider, 2004). A change enters at the head, each member makes it durable before it forwards it, and the tail
+//! commits it.
 //!
-//! Each view has a ballot, under which one proposer proposes it (Paxos). The proposer gathers promises from a quorum, which
-//! fence all views with lower ballots. It takes the newest accepted record among the promises, and has all members of the
-//! new chain make that record durable; then the view is started. In terms of Paxos, the chain is the quorum of phase 2, as in
-//! *Vertical Paxos and Primary-Backup Replication* (2009).
+//! Each view has a ballot, under which one proposer proposes it (Paxos). The proposer gathers promises from a quorum,
+//! which fence all views with lower ballots. It takes the newest accepted record among the promises, and has all members
+//! of the new chain make that record durable; then the view is started. In terms of Paxos, the chain is the quorum of
+//! phase 2, as in *Vertical Paxos and Primary-Backup Replication* (2009).
 //!
 //! Safety follows from two invariants:
 //!
--- a/control-plane/src/chain/peers.rs
+++ b/control-plane/src/chain/peers.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SentRecord {
     seq: u64,
-    /// Heartbeats that were in transit at this time still report the older record.
+    /// When the record was sent. Heartbeats that were in transit then still report the older record.
     sent_at: Millis,
 }
 
@@ -43,7 +43,7 @@
         self.excluded_until = now + self.last_exclusion;
     }
 
-    /// Excludes a peer whose promise came too late for a proposal, so that the next proposal does not wait for it as well.
+    /// Excludes a peer whose promise came too late for a proposal, so that the next proposal does not wait for it too.
     fn exclude_slow(&mut self, now: Millis) {
         self.excluded_until = now + SLOW_PEER_EXCLUSION;
     }
@@ -131,8 +131,7 @@
         peer.up = true;
         peer.last_received = now;
         peer.sent_record = SentRecord::default();
-        // A chain contains only nodes that are known to reach each other, so that all peers have to learn of the new
-        // link.
+        // A chain contains only nodes that are known to reach each other, so all peers have to learn of the new link.
         self.send_heartbeats();
     }
 
@@ -299,7 +298,8 @@
     }
 
     /// Whether this node and the peers that have answered it form a quorum, both of the voters that this node knows and
-    /// of those that each of the peers knows: this node may have been replaced without knowing it.
+    /// of those that each of the peers knows. The peers' voters count because this node may have been replaced without
+    /// knowing it.
     pub fn is_quorum(&self, answered: &[NodeId]) -> bool {
         let is_quorum = |members: &JointConfig| {
             members.is_quorum(|node| *node == self.node_id || answered.contains(node))
--- a/control-plane/src/chain/proposal.rs
+++ b/control-plane/src/chain/proposal.rs
@@ -1,8 +1,8 @@
-//! The proposer's state machine. In phase 1 the proposer gathers promises, and in phase 2 the members of the new chain install
-//! the view (*Paxos Made Simple*, 2.2, with the new chain as the quorum of phase 2).
+//! The proposer's state machine. In phase 1 the proposer gathers promises, and in phase 2 the members of the new chain
+//! install the view. This is *Paxos Made Simple*, 2.2, with the new chain as the quorum of phase 2.
 //!
-//! Invariants: the record of the chosen view is the newest accepted one among the promises of a quorum, and the chain
-//! of the chosen view contains a quorum of the voters that were accepted with that record.
+//! Invariants: the record of the chosen view is the newest accepted one among the promises of a quorum. The chain of the
+//! chosen view contains a quorum of the voters that were accepted with that record.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -70,7 +70,7 @@
 
     /// Whether the wanted voters may become the voters of the next view. New voters are first added as learners to the
     /// chain of a view with the old voters, which gives them a vote. If they became voters without a vote, and all
-    /// machines lost power before the view was started, they could not vote afterwards; with the loss of one more disk
+    /// machines lost power before the view was started, they could not vote afterwards. With the loss of one more disk
     /// the new set could never form a majority again.
     fn can_become_voters(&self, wanted: &[NodeId], current: &JointConfig) -> bool {
         wanted.iter().all(|node| current.contains(*node) || self.has_vote(node))
--- a/control-plane/src/chain/quorum_read.rs
+++ b/control-plane/src/chain/quorum_read.rs
@@ -1,9 +1,9 @@
 //! Linearizable reads and rejections (`ReadIndex` in Raft, 6.4).
 //!
-//! An answer that depends on the newest version is sent only after each member of the chain has confirmed, after the
-//! start of the call, that the view is not fenced. The chain contains a quorum, and a newer view needs promises from a
-//! quorum: the two have a member in common, which does not confirm once it has promised. So no newer view can have
-//! committed a change before the call started.
+//! After a call has started, and before an answer that depends on the newest version is sent, each member of the chain
+//! confirms that the view is not fenced. The chain contains a quorum, and a newer view needs promises from a quorum: the
+//! two have a member in common, which does not confirm once it has promised. So no newer view can have committed a
+//! change before the call started.
 
 use std::sync::Arc;
 
--- a/control-plane/src/chain/settings.rs
+++ b/control-plane/src/chain/settings.rs
@@ -49,7 +49,8 @@
 pub(super) const VOTER_CHANGE_TIMEOUT: Millis = 3000;
 /// Time within which the tail has to acknowledge a change. After that a message is assumed lost, and the view is broken.
 pub(super) const REPLICATION_TIMEOUT: Millis = 1500;
-/// Time after which a call without an answer is answered with `Unavailable`. Callers time out after a second.
+/// Time after which a call that has no outcome yet is answered with `Unavailable`. It is shorter than the timeout of the
+/// callers.
 pub(super) const CALL_TIMEOUT: Millis = 900;
 /// Maximum number of calls that are pending at a node, and of changes that are queued at the head. There are few
 /// operators.
@@ -74,7 +75,7 @@
 /// Settings of the chain at one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChainSettings {
-    /// Number of losses to tolerate: as many machines may fail together, with their disks, without the loss of an
+    /// Number of losses to tolerate: this many machines may fail together, with their disks, without the loss of an
     /// acknowledged change.
     pub tolerated_losses: usize,
     /// Whether this node may become a voter.
@@ -135,8 +136,8 @@
     }
 
     /// Time without a message after which a voter is replaced by a standby. The standby may have started at the time of
-    /// the loss, so that the rest of `sync` has to suffice for the reconfiguration, with all other losses during it. If
-    /// `sync` leaves enough time, a machine that only restarts keeps its vote.
+    /// the loss, so the reconfiguration, with all other losses during it, has to fit into the rest of `sync`. If `sync`
+    /// leaves enough time, a machine that only restarts keeps its vote.
     pub fn replacement_delay(&self) -> Millis {
         let reconfiguration = self.view_changes_time() + self.further_losses() * self.peer_timeout();
         let time_left = self.sync.saturating_sub(reconfiguration);
--- a/control-plane/src/chain/view_change.rs
+++ b/control-plane/src/chain/view_change.rs
@@ -76,7 +76,8 @@
         reachable
     }
 
-    /// Whether a node in the installed chain may have been added recently as a learner.
+    /// Whether a node may be a learner: it is in the chain of the installed view, which is newer than
+    /// [`LEARNER_RETENTION`].
     fn is_learner(&self, node: NodeId) -> bool {
         self.installed.as_ref().is_some_and(|installed| {
             installed.view.chain.contains(&node) && self.now < installed.since + LEARNER_RETENTION
@@ -89,8 +90,8 @@
     }
 
     /// Whether this node is outside the newest started chain, and waits until a member of that chain proposes a view
-    /// that includes this node. Views older than the newest known one are ignored, as a peer that is outside the chain
-    /// itself may still report one as active.
+    /// that includes this node. Views older than the newest known one are ignored, as a peer that is itself outside the
+    /// newest chain may still report an older view as active.
     fn waits_to_be_included(&self) -> bool {
         if self.active_view().is_some() {
             return false;
@@ -104,7 +105,7 @@
 
     /// Number of possible proposers that take precedence over this node.
     fn proposers_before(&self, target: &[NodeId]) -> usize {
-        // Only this node knows of the operator's request, so that no other node proposes the view for it.
+        // Only this node knows of the operator's request, so no other node proposes the view for it.
         if self.requested_voters.is_some() {
             return 0;
         }
--- a/control-plane/src/config/document.rs
+++ b/control-plane/src/config/document.rs
@@ -10,15 +10,16 @@
 /// Maximum number of attempts of a request if its route does not specify `tries`.
 const DEFAULT_TRIES: u32 = 1;
 
-/// Which requests of a route may be sent more than once, and whether their responses may be stored.
+/// Whether the requests of a route may be executed more than once, and whether their responses may be stored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub enum RouteKind {
-    /// Object reads: requests may be retried, and responses may be stored.
+    /// Object reads: GET and HEAD requests may be retried, and responses may be stored.
     Cacheable,
     /// Requests may be retried; responses are not stored.
     Idempotent,
-    /// Requests are sent at most once. Kinds that this version does not know are treated as this one.
+    /// Requests are executed at most once: after a server may have executed one, it is not sent again. Kinds that this
+    /// version does not know are treated as this one.
     #[default]
     #[serde(other)]
     Mutating,
--- a/control-plane/src/config/mod.rs
+++ b/control-plane/src/config/mod.rs
@@ -17,7 +17,7 @@
 pub use validation::InvalidConfig;
 
 /// Maximum size of a document, also after a patch. A document of this size fits into one frame
-/// ([`MAX_FRAME_BYTES`](crate::messages::MAX_FRAME_BYTES)) together with the deduplication table and a view; a larger
+/// ([`MAX_FRAME_BYTES`](crate::messages::MAX_FRAME_BYTES)) together with the deduplication table and a view. A larger
 /// one could not be sent to the other members of the chain.
 pub const MAX_DOCUMENT_BYTES: usize = 3 << 20;
 
--- a/control-plane/src/config/routing.rs
+++ b/control-plane/src/config/routing.rs
@@ -39,7 +39,8 @@
         None
     }
 
-    /// Most clients send the host in lower case, so that the host is looked up as sent first, without a copy.
+    /// The routes of a host by path prefix. Most clients send the host in lower case, so it is first looked up as sent,
+    /// without a copy.
     fn prefixes_of(&self, host: &str) -> Option<&RoutesByPrefix> {
         self.by_host.get(host).or_else(|| self.by_host.get(&host.to_ascii_lowercase()))
     }
--- a/control-plane/src/deduplication.rs
+++ b/control-plane/src/deduplication.rs
@@ -1,8 +1,9 @@
-//! Idempotency keys of orders, and the deduplication table of the orders that were applied (client sessions in Raft, 6.3).
+//! Idempotency keys of orders, and the deduplication table of the orders that were applied (client sessions in Raft,
+//! 6.3).
 //!
-//! An *order* is an operator's change of the configuration together with the version that it builds on. The table is part
-//! of the replicated [`Record`](crate::record::Record): it is agreed on, made durable and transferred together with the
-//! document that it belongs to, so that no node has one without the other. The table is bounded. Of the evicted keys it
+//! An *order* is an operator's change of the configuration together with the version that it builds on. The table is
+//! part of the replicated [`Record`](crate::record::Record): it is agreed on, made durable and transferred together with
+//! the document that it belongs to. So no node has one without the other. The table is bounded. Of the evicted keys it
 //! retains only the *horizon*, which is the highest version whose key may have been evicted.
 
 use std::fmt;
@@ -15,8 +16,8 @@
 use crate::config::ConfigChange;
 
 /// Maximum number of orders in the table. With hundreds of orders a day now, and 3,200 a day expected in two years, the
-/// table covers more than a day. A version takes at most 10 bytes and a key 32, so the table stays below 176 KB, which is less
-/// than the document of 700 routes that it is sent with.
+/// table covers more than a day. A version takes at most 10 bytes and a key 32, so the table stays below 176 KB. That is
+/// less than a document of 700 routes, with which the table is sent.
 pub const MAX_APPLIED_ORDERS: usize = 4096;
 /// Number of orders in a chunk of the table. The oldest orders are evicted a chunk at a time. A full chunk is
 /// immutable, so that successive records share it, and it is written to disk only once.
@@ -128,7 +129,7 @@
 }
 
 impl DeduplicationTable {
-    /// An empty table, for a node that does not have the keys of the orders up to a version.
+    /// An empty table with the horizon `up_to`, for a node that does not have the keys of the orders up to that version.
     pub fn with_horizon(up_to: u64) -> Self {
         DeduplicationTable { horizon: up_to, ..DeduplicationTable::default() }
     }
--- a/control-plane/src/fleet/members_update.rs
+++ b/control-plane/src/fleet/members_update.rs
@@ -8,7 +8,7 @@
 use crate::nodes::Member;
 
 /// An update of the members whose sessions are connected to one control node. A peer that connects gets a snapshot, and
-/// deltas from then on. The connection between two nodes preserves the order, so that these updates have no versions.
+/// deltas from then on. The connection between two nodes preserves the order, so these updates need no versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembersUpdate {
     /// Whether the receiver clears its list before it applies the delta.
--- a/control-plane/src/fleet/mod.rs
+++ b/control-plane/src/fleet/mod.rs
@@ -124,7 +124,7 @@
         FleetUpdate::Snapshot { version: self.version, fleet: self.fleet.clone() }
     }
 
-    /// Replaces the fleet by `next`, and returns the update for receivers of the current version; `None` if they need
+    /// Replaces the fleet with `next`, and returns the update for receivers of the current version; `None` if they need
     /// none. A change of a server's remaining slow start alone causes no update, as it only decreases with time. It is
     /// sent when the server is new or another field of it changes.
     pub fn replace(&mut self, next: Fleet) -> Option<FleetUpdate> {
--- a/control-plane/src/known_fleet.rs
+++ b/control-plane/src/known_fleet.rs
@@ -14,7 +14,7 @@
     published: VersionedFleet,
     /// The fleet that this process uses, with its own version numbers; `None` until the first update.
     merged: Option<VersionedFleet>,
-    /// Whether both fleets are equal, so that a delta of one applies to the other.
+    /// Whether both fleets are equal, so that a delta of the published fleet also applies to the merged one.
     in_sync: bool,
 }
 
--- a/control-plane/src/lease.rs
+++ b/control-plane/src/lease.rs
@@ -9,8 +9,8 @@
 //! voters' grants to that node have expired.
 //!
 //! The clocks of two processes are never compared. The holder measures the lease from the time at which it *sent* the
-//! request, and the granter from the time at which it *received* the request, which is later; the granter adds a margin
-//! for clock drift. A grant echoes the holder's clock reading from the request, so that neither side has to store
+//! request, and the granter from the time at which it *received* the request, which is later. The granter also adds a
+//! margin for clock drift. A grant echoes the holder's clock reading from the request, so that neither side has to store
 //! requests.
 
 use std::cmp::Reverse;
@@ -23,14 +23,15 @@
 pub const VOTER_LEASE_DURATION: Millis = 1500;
 /// Interval at which control nodes renew the leases of voters.
 pub const VOTER_LEASE_RENEWAL_INTERVAL: Millis = 250;
-/// Longest lease that is granted to a session. Subscribers renew it with each ping.
+/// Longest lease that is granted to a session. Subscribers renew it at every keep-alive interval.
 pub const MAX_SESSION_LEASE_DURATION: Millis = 1200;
 /// The rates of two clocks may differ by 1 %: a granter adds the lease duration divided by this number to its wait.
 const CLOCK_DRIFT_DIVISOR: Millis = 100;
 /// Margin for clock readings that are truncated to milliseconds at each hop.
 const CLOCK_ROUNDING_MARGIN: Millis = 10;
 
-/// How long after the request a granter waits until a lease of this duration has expired at its holder.
+/// How long after it has received a request a granter has to wait until a lease of this duration has expired at its
+/// holder.
 pub const fn granter_wait(duration: Millis) -> Millis {
     duration + duration.div_ceil(CLOCK_DRIFT_DIVISOR) + CLOCK_ROUNDING_MARGIN
 }
--- a/control-plane/src/messages.rs
+++ b/control-plane/src/messages.rs
@@ -1,11 +1,12 @@
 //! Messages between the processes of the system, encoded with `postcard` in length-prefixed frames.
 //!
 //! A *session* is a watch stream. It connects a proxy to its agent, an agent to a control node, or a shield to the
-//! control node on its machine, all with the same messages: the publisher (the control node or agent) pushes numbered
+//! control node on its machine, all with the same messages. The publisher (the control node or agent) pushes numbered
 //! updates, and the subscriber acknowledges the highest number up to which it has applied them. Control nodes exchange
 //! [`PeerMessage`]s.
 //!
-//! `postcard` encodes variants and fields by their position: their order is part of the wire format, their names are not.
+//! `postcard` encodes variants and fields by their position: their order is part of the wire format, their names are
+//! not.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -20,7 +21,7 @@
 pub use crate::ids::CallId;
 pub use crate::nodes::{Member, ProxyRole, Server};
 
-/// Longest frame. The largest message carries a configuration with its deduplication table: see
+/// Maximum length of a frame. The largest message carries a configuration with its deduplication table: see
 /// [`MAX_DOCUMENT_BYTES`](crate::config::MAX_DOCUMENT_BYTES).
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
@@ -175,8 +176,8 @@
     pub incarnation: u64,
 }
 
-/// Messages between control nodes. Each node sends on the connection that it opened; the accepting side sends nothing but
-/// [`PeerMessage::KeepAlive`] on it.
+/// Messages between control nodes. Each node sends on the connection that it opened; the accepting side sends nothing
+/// but [`PeerMessage::KeepAlive`] on it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// A message of the replicated chain.
@@ -216,7 +217,7 @@
     Acknowledged {
         /// Correlation id of the request.
         id: CallId,
-        /// For a purge: whether every other process that may still use a lease from the sender has applied it as well.
+        /// For a purge: whether every other process that may still use a lease from the sender has applied the purge.
         complete: bool,
     },
     /// Requests a lease from a voter.
--- a/control-plane/src/purge_history.rs
+++ b/control-plane/src/purge_history.rs
@@ -57,8 +57,8 @@
     ids: HashSet<PurgeId>,
     /// Sum of [`text_bytes`] over all retained purges.
     bytes: usize,
-    /// When a purge was last evicted before the end of its retention; `None` if that was more than [`PURGE_RETENTION`]
-    /// ago.
+    /// When a purge was last evicted before the end of its retention; `None` if that has never happened. Reset by the
+    /// first [`add`](Self::add) after [`PURGE_RETENTION`].
     overflowed_at: Option<Millis>,
 }
 
--- a/control-plane/src/rate_limit.rs
+++ b/control-plane/src/rate_limit.rs
@@ -1,13 +1,13 @@
 //! Rate limit of a service, which bounds the requests that all machines together send to its servers.
 //!
 //! The operator's limit applies to the sum over all machines, in any window. Each machine has a *quota*, which is its
-//! share of the rate, and a token bucket that is refilled in proportion to the quota. The quotas sum to one, so that the
-//! limit holds without coordination.
+//! share of the rate, and a token bucket that is refilled in proportion to the quota. The quotas sum to at most one, so
+//! the limit holds without coordination.
 //!
-//! Each machine may send its saved tokens in addition. A bucket holds at most as many tokens as the quota yields in the
-//! burst time, so that the total over all machines does not depend on their number. A quota that yields less than one
-//! token in the burst time gets single tokens, at different times on each machine, and an unused token expires after
-//! the burst time.
+//! In addition, each machine may spend the tokens that it has saved. A bucket holds at most as many tokens as the quota
+//! yields in the burst time, so that the total over all machines does not depend on their number. A quota that yields
+//! less than one token in the burst time gets single tokens, at different times on each machine, and an unused token
+//! expires after the burst time.
 //!
 //! A process starts without saved tokens, as the previous process on the same machine may have just spent them. From
 //! then on it also accumulates tokens for services that it has not sent requests to yet.
@@ -38,8 +38,8 @@
 const QUEUE_TIME_DIVISOR: u32 = 5;
 /// A rejection is early if the client receives it within the latency target divided by this number.
 const EARLY_REJECTION_DIVISOR: u32 = 4;
-/// Network time of a request and its rejection between the client and the proxy that sends to the server: a round trip
-/// of 2 x 3 ms to the client, one of 2 x 1.4 ms between zones, and the wake-up delays of the machines.
+/// Network time of a request and its rejection between the client and the proxy that sends to the server. It consists
+/// of a round trip of 2 x 3 ms to the client, one of 2 x 1.4 ms between zones, and the wake-up delays of the machines.
 const NETWORK_ROUND_TRIP: Duration = Duration::from_millis(12);
 
 /// Maximum time that a request may wait for a token. A rejection after this time still reaches the client early.
@@ -126,8 +126,8 @@
         self.tokens = if burst > 1.0 {
             tokens.min(burst)
         } else {
-            // A complete token expires after the burst time. The fraction added since then counts towards the next
-            // token.
+            // A complete token expires one burst time after it was completed. The fraction that was added in the
+            // meantime counts towards the next token.
             let usable_fraction = tokens_per_ms * settings.burst_ms();
             let expired = (tokens - usable_fraction).floor().max(0.0);
             (tokens - expired).min(1.0 + usable_fraction)
@@ -175,7 +175,8 @@
     ///
     /// # Errors
     ///
-    /// The time in milliseconds until the next token if none is available.
+    /// The time in milliseconds until the next token if none is available, or the length of the window if there are too
+    /// many services.
     pub fn try_acquire(
         &mut self,
         now: Millis,
--- a/control-plane/src/registry/acceptance.rs
+++ b/control-plane/src/registry/acceptance.rs
@@ -6,8 +6,9 @@
 
 use crate::Millis;
 
-/// Time between two updates from which on the process is considered to have been stopped, and may have missed
-/// heartbeats. It is shorter than a heartbeat interval, and longer than the time between two updates on a busy machine.
+/// If two updates are this far apart or more, the process is considered to have been stopped between them, and may have
+/// missed heartbeats. This is shorter than a heartbeat interval, and longer than the time between two updates on a busy
+/// machine.
 const STALL_THRESHOLD: Millis = 400;
 
 /// Downtime of this node.
--- a/control-plane/src/registry/mod.rs
+++ b/control-plane/src/registry/mod.rs
@@ -9,7 +9,7 @@
 //! Calls of a server, which are its heartbeat requests, may arrive out of order, and a peer that was stopped or
 //! partitioned sends old entries. Three rules prevent such messages from reviving a server:
 //!
-//! - A deregistered server remains as a tombstone, which no later entry of the server replaces.
+//! - A deregistered server remains as a tombstone, which no later heartbeat of the server replaces.
 //! - The sequence number of an expired server's last call is remembered, and only a later call registers it again.
 //! - An address belongs to the server that was observed there last.
 
--- a/control-plane/src/retry_budget.rs
+++ b/control-plane/src/retry_budget.rs
@@ -2,7 +2,7 @@
 //!
 //! The operator's limit applies to the sum over all machines: in any window, there are at most `ratio` times as many
 //! retries as requests, plus `slack`. The first part needs no coordination: each machine sends at most `ratio` times
-//! the requests that it counts itself, and no request is counted by two machines, so that the sum is within the limit.
+//! the requests that it counts itself. No request is counted by two machines, so the sum is within the limit.
 //! The slack is divided by the number of machines, which the control plane publishes.
 //!
 //! An increase of a machine's share of the slack takes effect one window later, as another machine, or the previous
--- a/control-plane/src/subset.rs
+++ b/control-plane/src/subset.rs
@@ -12,8 +12,8 @@
 //! - Adding or removing an edge or server changes the subsets near it on the ring, and hardly any others.
 //!
 //! The size of a subset grows with the ratio of servers to edges, so that each server is used by
-//! [`MIN_EDGES_PER_SERVER`] or more edges on average, whose different loads even out. In a small system, a subset
-//! contains all servers.
+//! [`MIN_EDGES_PER_SERVER`] or more edges on average. The different loads of these edges even out. In a small system, a
+//! subset contains all servers.
 
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
 use crate::fleet::edge_hash;
 
 /// Minimum number of edges that use a server, on average. Clients are not distributed evenly over edges; with eight
-/// edges, the load of servers differs by a third.
+/// edges for each server, the loads of the servers differ by a third.
 pub const MIN_EDGES_PER_SERVER: usize = 8;
 /// Minimum number of servers in a subset: if two fail, there is still a choice of two.
 pub const MIN_SUBSET_SIZE: usize = 4;
