--- a/control-plane-sim/src/violation.rs
+++ b/control-plane-sim/src/violation.rs
@@ -74,8 +74,8 @@
         /// The version.
         rev: u64,
     },
-    /// A document that is no valid configuration was committed.
-    #[error("version {rev} was committed although its document is no valid configuration")]
+    /// A document that is not a valid configuration was committed.
+    #[error("version {rev} was committed although its document is not a valid configuration")]
     InvalidCommitted {
         /// The version.
         rev: u64,
--- a/control-plane-sim/src/world/oracle.rs
+++ b/control-plane-sim/src/world/oracle.rs
@@ -83,7 +83,7 @@
         request.committed = true;
         let (rejected, invalid, builds_on) = (request.rejected, request.invalid, request.builds_on);
         self.require(!rejected, || Violation::RejectedThenCommitted { rev });
-        // `None` if no node has published the preceding change, so that the base version is unknown.
+        // `None` if no node has published the preceding change, so the base version is unknown.
         let base = match seq {
             1 => Some(0),
             _ => previous.filter(|previous| previous.seq + 1 == seq).map(|previous| previous.rev),
--- a/control-plane-sim/tests/schedules.rs
+++ b/control-plane-sim/tests/schedules.rs
@@ -105,7 +105,7 @@
 
 #[test]
 fn a_schedule_file_keeps_its_text() {
-    let schedule: Schedule = serde_json::from_str(SCHEDULE_FILE).expect("the file is no schedule");
+    let schedule: Schedule = serde_json::from_str(SCHEDULE_FILE).expect("the file is not a schedule");
     assert_eq!(schedule.check(), Ok(()));
     let text = serde_json::to_string_pretty(&schedule).expect("the schedule can't be serialized");
     assert_eq!(text, SCHEDULE_FILE.trim_end());
--- a/control-plane/src/chain/mod.rs
+++ b/control-plane/src/chain/mod.rs
@@ -12,7 +12,7 @@
 //! Safety follows from two invariants:
 //!
 //! - A committed record is durable at all members of a chain, which contains a quorum. A later proposer has promises
-//!   from a quorum, so that at least one of them contains this record or a newer one: no committed change is lost.
+//!   from a quorum, so at least one of them contains this record or a newer one: no committed change is lost.
 //! - A member does not participate in a view with a ballot below the one that it has promised. So an old head or tail
 //!   can neither commit a change nor confirm a read once a newer view has a quorum of promises.
 //!
@@ -229,7 +229,7 @@
                 self.proposal = None;
             }
         }
-        // The heartbeat no longer lists the peer, so that the other nodes learn that this node does not reach it.
+        // The heartbeat no longer lists the peer, so the other nodes learn that this node does not reach it.
         self.send_heartbeats();
         self.propose_if_due();
         self.take_outputs()
--- a/control-plane/src/chain/peers.rs
+++ b/control-plane/src/chain/peers.rs
@@ -190,12 +190,12 @@
             peer.heartbeat = heartbeat;
         }
         if is_behind {
-            self.send_committed_once(from);
+            self.send_committed_if_due(from);
         }
     }
 
     /// Sends a peer the newest committed record, unless it was sent within the last [`RESEND_INTERVAL`].
-    fn send_committed_once(&mut self, to: NodeId) {
+    fn send_committed_if_due(&mut self, to: NodeId) {
         let (newest, now) = (self.committed.seq, self.now);
         let Some(peer) = self.peers.get_mut(to) else { return };
         let sent = &mut peer.sent_record;
--- a/control-plane/src/registry/entry.rs
+++ b/control-plane/src/registry/entry.rs
@@ -8,7 +8,7 @@
 use crate::Millis;
 
 /// Maximum length of an id, backend name or zone name. Names come from callers of the HTTP interface, and each entry is
-/// sent to every control node and every proxy, so that their length has to be bounded.
+/// sent to every control node and every proxy, so their length has to be bounded.
 pub(super) const MAX_NAME_BYTES: usize = 128;
 
 /// Status that a server reports in its heartbeat.
--- a/control-plane/src/retry_budget.rs
+++ b/control-plane/src/retry_budget.rs
@@ -95,7 +95,7 @@
         if self.pending_share.is_some_and(|pending| pending.share == share) {
             return;
         }
-        // A new share below the pending one is a part of it, so that it can take effect as early as the pending one.
+        // A new share below the pending one is a part of it, so it can take effect as early as the pending one.
         let larger_pending = self.pending_share.filter(|pending| share < pending.share);
         let effective_at = larger_pending.map_or(now + self.settings.window, |pending| pending.effective_at);
         self.pending_share = Some(PendingShare { share, effective_at });
