--- a/control-plane-sim/src/cluster.rs
+++ b/control-plane-sim/src/cluster.rs
@@ -4,8 +4,8 @@
 
 use glenfall_control_plane::chain::{ChainSettings, NodeId};
 
-/// The number of seeds, which are the voters until the first view.
-const SEED_COUNT: u8 = 3;
+/// The number of seed nodes, which are the voters until the first view.
+const SEED_NODE_COUNT: u8 = 3;
 
 /// Returns the address of a machine by its number. Numbers start at 1.
 pub fn node(number: u8) -> NodeId {
@@ -17,9 +17,9 @@
     node.octets()[3]
 }
 
-/// Returns the nodes that every node is given as the initial voters.
+/// Returns the seed nodes, which every node is given as the initial voters.
 pub fn seeds() -> Vec<NodeId> {
-    (1..=SEED_COUNT).map(node).collect()
+    (1..=SEED_NODE_COUNT).map(node).collect()
 }
 
 /// How many machine losses the replicated chain has to tolerate, and how many spare machines there are.
--- a/control-plane-sim/src/world/oracle.rs
+++ b/control-plane-sim/src/world/oracle.rs
@@ -8,13 +8,13 @@
 use crate::violation::Violation;
 
 /// Base of the exponential backoff after a failed attempt, doubled for each attempt up to [`MAX_BACKOFF_DOUBLINGS`].
-const RETRY_BACKOFF: Millis = 100;
+const RETRY_BACKOFF_BASE: Millis = 100;
 /// The backoff is doubled at most this many times.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 /// Returns how long an operator waits after its last attempt failed; `attempts` includes that one.
 pub(super) fn backoff(attempts: u32) -> Millis {
-    RETRY_BACKOFF << attempts.min(MAX_BACKOFF_DOUBLINGS)
+    RETRY_BACKOFF_BASE << attempts.min(MAX_BACKOFF_DOUBLINGS)
 }
 
 /// Returns the index of the change request that a document belongs to, or `None` if the document contains none.
@@ -83,7 +83,7 @@
         request.committed = true;
         let (rejected, invalid, builds_on) = (request.rejected, request.invalid, request.builds_on);
         self.require(!rejected, || Violation::RejectedThenCommitted { rev });
-        // `None` if no node has published the preceding change, so that the base version is unknown.
+        // `None` if no node has published the preceding change, so the base version is unknown.
         let base = match seq {
             1 => Some(0),
             _ => previous.filter(|previous| previous.seq + 1 == seq).map(|previous| previous.rev),
@@ -168,8 +168,9 @@
         self.operators.request(index).receive_answer();
     }
 
-    /// Checks a rejection for a conflict. The version that it names must have been the newest one at some time during
-    /// the call, and the version that the request builds on must not have been the newest one throughout the call.
+    /// Checks a rejection for a conflict. The version that it names must be committed, and not older than the newest one
+    /// that was acknowledged before the call. The version that the request builds on must not have been the newest one
+    /// throughout the call.
     fn check_conflict(&mut self, pending: &PendingCall, index: u64, current: u64) {
         let builds_on = self.operators.request(index).builds_on;
         let newest = self.operators.newest_committed;
--- a/control-plane/src/chain/mod.rs
+++ b/control-plane/src/chain/mod.rs
@@ -1,17 +1,18 @@
 //! The replicated chain that stores the configuration, and the agreement on views that repairs the chain.
 //!
-//! Some of the voters, at least a quorum, form the chain of the current view (chain replication, van Renesse and Schneider,
-//! 2004). A change enters at the head, each member makes it durable before it forwards it, and the tail commits it.
+//! Some of the voters, at least a quorum, form the chain of the current view (chain replication, van Renesse and
+//! Schneider, 2004). A change enters at the head, each member makes it durable before it forwards it, and the tail
+//! commits it.
 //!
-//! Each view has a ballot, under which one proposer proposes it (Paxos). The proposer gathers promises from a quorum, which
-//! fence all views with lower ballots. It takes the newest accepted record among the promises, and has all members of the
-//! new chain make that record durable; then the view is started. In terms of Paxos, the chain is the quorum of phase 2, as in
-//! *Vertical Paxos and Primary-Backup Replication* (2009).
+//! Each view has a ballot, under which one proposer proposes it (Paxos). The proposer gathers promises from a quorum,
+//! which fence all views with lower ballots. It takes the newest accepted record among the promises, and has all members
+//! of the new chain make that record durable; then the view is started. In terms of Paxos, the chain is the quorum of
+//! phase 2, as in *Vertical Paxos and Primary-Backup Replication* (2009).
 //!
 //! Safety follows from two invariants:
 //!
 //! - A committed record is durable at all members of a chain, which contains a quorum. A later proposer has promises
-//!   from a quorum, so that at least one of them contains this record or a newer one: no committed change is lost.
+//!   from a quorum, so at least one of them contains this record or a newer one: no committed change is lost.
 //! - A member does not participate in a view with a ballot below the one that it has promised. So an old head or tail
 //!   can neither commit a change nor confirm a read once a newer view has a quorum of promises.
 //!
@@ -109,7 +110,7 @@
     /// Since when a new view has been needed and this node has been able to propose it; `None` otherwise.
     view_needed_since: Option<Millis>,
     proposer_backoff: Option<ProposerBackoff>,
-    last_heartbeat: Option<Millis>,
+    last_heartbeat_at: Option<Millis>,
     /// At the head: the change that is being replicated.
     in_flight: Option<InFlight>,
     requested_voters: Option<RequestedVoters>,
@@ -146,7 +147,7 @@
             accepted_config: None,
             view_needed_since: None,
             proposer_backoff: None,
-            last_heartbeat: None,
+            last_heartbeat_at: None,
             in_flight: None,
             requested_voters: None,
             head_queue: VecDeque::new(),
@@ -197,7 +198,7 @@
     pub fn tick(&mut self, now: Millis) -> Vec<Output> {
         self.now = now;
         self.started_at.get_or_insert(now);
-        if self.last_heartbeat.is_none_or(|last| now >= last + HEARTBEAT_INTERVAL) {
+        if self.last_heartbeat_at.is_none_or(|last| now >= last + HEARTBEAT_INTERVAL) {
             self.send_heartbeats();
         }
         self.expire_calls();
@@ -228,7 +229,7 @@
                 self.proposal = None;
             }
         }
-        // The heartbeat no longer lists the peer, so that the other nodes learn that this node does not reach it.
+        // The heartbeat no longer lists the peer, so the other nodes learn that this node does not reach it.
         self.send_heartbeats();
         self.propose_if_due();
         self.take_outputs()
--- a/control-plane/src/chain/peers.rs
+++ b/control-plane/src/chain/peers.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SentRecord {
     seq: u64,
-    /// Heartbeats that were in transit at this time still report the older record.
+    /// When the record was sent. Heartbeats that were in transit then still report the older record.
     sent_at: Millis,
 }
 
@@ -43,7 +43,7 @@
         self.excluded_until = now + self.last_exclusion;
     }
 
-    /// Excludes a peer whose promise came too late for a proposal, so that the next proposal does not wait for it as well.
+    /// Excludes a peer whose promise came too late for a proposal, so that the next proposal does not wait for it too.
     fn exclude_slow(&mut self, now: Millis) {
         self.excluded_until = now + SLOW_PEER_EXCLUSION;
     }
@@ -131,8 +131,7 @@
         peer.up = true;
         peer.last_received = now;
         peer.sent_record = SentRecord::default();
-        // A chain contains only nodes that are known to reach each other, so that all peers have to learn of the new
-        // link.
+        // A chain contains only nodes that are known to reach each other, so all peers have to learn of the new link.
         self.send_heartbeats();
     }
 
@@ -160,7 +159,7 @@
 
     /// Sends a heartbeat to all connected peers.
     pub(super) fn send_heartbeats(&mut self) {
-        self.last_heartbeat = Some(self.now);
+        self.last_heartbeat_at = Some(self.now);
         let heartbeat = self.heartbeat();
         for peer in self.peers.matching(|peer| peer.up) {
             self.outputs.push(Output::Send(peer, Message::Heartbeat(heartbeat.clone())));
@@ -191,12 +190,12 @@
             peer.heartbeat = heartbeat;
         }
         if is_behind {
-            self.send_committed_once(from);
+            self.send_committed_if_due(from);
         }
     }
 
     /// Sends a peer the newest committed record, unless it was sent within the last [`RESEND_INTERVAL`].
-    fn send_committed_once(&mut self, to: NodeId) {
+    fn send_committed_if_due(&mut self, to: NodeId) {
         let (newest, now) = (self.committed.seq, self.now);
         let Some(peer) = self.peers.get_mut(to) else { return };
         let sent = &mut peer.sent_record;
@@ -299,7 +298,8 @@
     }
 
     /// Whether this node and the peers that have answered it form a quorum, both of the voters that this node knows and
-    /// of those that each of the peers knows: this node may have been replaced without knowing it.
+    /// of those that each of the peers knows. The peers' voters count because this node may have been replaced without
+    /// knowing it.
     pub fn is_quorum(&self, answered: &[NodeId]) -> bool {
         let is_quorum = |members: &JointConfig| {
             members.is_quorum(|node| *node == self.node_id || answered.contains(node))
--- a/control-plane/src/retry_budget.rs
+++ b/control-plane/src/retry_budget.rs
@@ -2,7 +2,7 @@
 //!
 //! The operator's limit applies to the sum over all machines: in any window, there are at most `ratio` times as many
 //! retries as requests, plus `slack`. The first part needs no coordination: each machine sends at most `ratio` times
-//! the requests that it counts itself, and no request is counted by two machines, so that the sum is within the limit.
+//! the requests that it counts itself. No request is counted by two machines, so the sum is within the limit.
 //! The slack is divided by the number of machines, which the control plane publishes.
 //!
 //! An increase of a machine's share of the slack takes effect one window later, as another machine, or the previous
@@ -95,7 +95,7 @@
         if self.pending_share.is_some_and(|pending| pending.share == share) {
             return;
         }
-        // A new share below the pending one is a part of it, so that it can take effect as early as the pending one.
+        // A new share below the pending one is a part of it, so it can take effect as early as the pending one.
         let larger_pending = self.pending_share.filter(|pending| share < pending.share);
         let effective_at = larger_pending.map_or(now + self.settings.window, |pending| pending.effective_at);
         self.pending_share = Some(PendingShare { share, effective_at });
