--- a/glenfall/src/agent/control_link.rs
+++ b/glenfall/src/agent/control_link.rs
@@ -92,7 +92,7 @@
                 frames,
                 outbox.clone(),
                 || relay.hello(),
-                || relay.clock(),
+                || relay.now(),
                 relay.members_changed(),
                 async |message| relay.handle(message).await,
             ) => {}
--- a/glenfall/src/agent/relay.rs
+++ b/glenfall/src/agent/relay.rs
@@ -59,7 +59,7 @@
     }
 
     /// The reading of the clock on which the agent's lease is measured.
-    pub(super) fn clock(&self) -> Millis {
+    pub(super) fn now(&self) -> Millis {
         self.lease.now()
     }
 
--- a/glenfall/src/control/purge_coordinator.rs
+++ b/glenfall/src/control/purge_coordinator.rs
@@ -95,7 +95,7 @@
     }
 
     /// The recent purges, for a session that begins now and may have missed them.
-    pub fn missed(&self) -> Vec<AgedPurge> {
+    pub fn purges_for_new_session(&self) -> Vec<AgedPurge> {
         self.history.borrow().purges_for_new_session(self.dependencies.clock.now())
     }
 
--- a/glenfall/src/control/session_publisher.rs
+++ b/glenfall/src/control/session_publisher.rs
@@ -41,7 +41,7 @@
         Greeting {
             messages: vec![PublisherMessage::ControlNodes(control.peers.links.control_nodes())],
             updates: vec![
-                Update::Purges(control.purges.missed()),
+                Update::Purges(control.purges.purges_for_new_session()),
                 control.fleet.snapshot(),
                 Update::Connected(control.purge_log_completeness.is_complete()),
             ],
--- a/glenfall/src/operator/declarative_config/files.rs
+++ b/glenfall/src/operator/declarative_config/files.rs
@@ -11,7 +11,7 @@
 use crate::operator::PathError;
 
 /// The longest name of an item, in bytes, so that with its extension it is a valid file name on every file system.
-const MAX_NAME_LENGTH: usize = 200;
+const MAX_NAME_BYTES: usize = 200;
 /// The field that is not stored in an item's file, but as the name of the file.
 const NAME_FIELD: &str = "name";
 
@@ -116,7 +116,7 @@
 /// The name of an item's file; `None` if the name is empty, too long, hidden, or contains `/` or NUL.
 fn file_name(item: &str) -> Option<String> {
     let is_valid = !item.is_empty()
-        && item.len() <= MAX_NAME_LENGTH
+        && item.len() <= MAX_NAME_BYTES
         && !item.starts_with('.')
         && !item.contains(['/', '\0']);
     is_valid.then(|| format!("{item}.toml"))
