--- a/glenfall/src/control/store/hard_state_row.rs
+++ b/glenfall/src/control/store/hard_state_row.rs
@@ -100,7 +100,7 @@
 /// Reads the state, which is stored in `layout`. `None` if none was written yet.
 pub(super) fn read(db: &Connection, layout: Layout) -> Result<Option<HardState>, StoreError> {
     if ChecksummedRow::read(db, SENTINEL_ID)?.is_none() {
-        return Err(StoreError::damaged("the sentinel row of the table is missing"));
+        return Err(StoreError::damaged("the sentinel row of the table `chain` is missing"));
     }
     let Some(row) = ChecksummedRow::read(db, STATE_ID)? else { return Ok(None) };
     if !row.is_intact() {
