--- a/glenfall/src/agent/control_link.rs
+++ b/glenfall/src/agent/control_link.rs
@@ -25,7 +25,8 @@
 /// The agent's session with control. When it is lost, the next one is opened with another node.
 pub(super) struct ControlLink<'a> {
     relay: &'a Relay,
-    /// Index of the next control node to try, modulo the number of nodes. Agents begin at different nodes.
+    /// Index of the next control node to try, modulo the number of nodes. It starts with a number derived from the
+    /// machine's name, so that agents begin at different nodes.
     next_node: usize,
 }
 
--- a/glenfall/src/agent/mod.rs
+++ b/glenfall/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The agent on the machine of an edge: holds the link to control and relays its updates to the edge over loopback.
+//! The agent on the machine of an edge: keeps a session with control and relays its updates to the edge over loopback.
 //!
 //! It keeps the configuration and the fleet, so that an edge that restarts has them at once, also during an outage of
 //! control.
--- a/glenfall/src/cli.rs
+++ b/glenfall/src/cli.rs
@@ -136,8 +136,8 @@
     Settings::load().map(Rc::new)
 }
 
-/// Runs the agent until the process receives a termination signal. The edge needs the watch stream until its own exit,
-/// but no further updates: it receives a signal itself and knows that it is draining.
+/// Runs the agent until the process receives a termination signal, which ends it at once. The edge on this machine
+/// receives a signal of its own, and drains with the configuration and the fleet that it has.
 async fn agent_until_terminated(settings: Rc<Settings>) -> std::io::Result<()> {
     tokio::select! {
         ended = agent::run(settings) => ended,
--- a/glenfall/src/control/api/voters.rs
+++ b/glenfall/src/control/api/voters.rs
@@ -14,7 +14,8 @@
 use crate::control::node::{Control, TICK_INTERVAL};
 use crate::http_server::FullResponse;
 
-/// Time limit for the quorum read of the newest set of voters. It is below one second, after which callers give up.
+/// Time limit for the quorum read of the newest set of voters. Together with [`VOTER_CHANGE_TIMEOUT`] it is below the
+/// 4.5 s after which the operator command gives up a call.
 const QUORUM_READ_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time limit for a change of the voters, until views with the new set are active.
 const VOTER_CHANGE_TIMEOUT: Duration = Duration::from_millis(3200);
--- a/glenfall/src/control/backup/checksum.rs
+++ b/glenfall/src/control/backup/checksum.rs
@@ -1,4 +1,4 @@
-//! The checksum of a backup, which is computed in the same way for all formats.
+//! The checksum of a backup. All formats use the same computation.
 
 use std::net::Ipv4Addr;
 
--- a/glenfall/src/control/backup/legacy.rs
+++ b/glenfall/src/control/backup/legacy.rs
@@ -8,7 +8,7 @@
 
 use super::checksum::ChecksumInput;
 
-/// A backup of the first format, in which orders are recognised by 64-bit hashes.
+/// A backup of the first format, in which orders are recognized by 64-bit hashes.
 #[derive(Deserialize)]
 pub(super) struct WeakKeysBackup {
     pub(super) voters: Vec<Ipv4Addr>,
@@ -56,8 +56,8 @@
     }
 
     /// Converts to a record. A 64-bit hash is too weak to confirm that an order was applied, and its absence does not
-    /// prove that the order was not: the hashes are dropped, and all orders up to the version of the document count as
-    /// forgotten.
+    /// prove that the order was not. The hashes are therefore dropped: for all orders up to the version of the document,
+    /// it is unknown whether they were applied.
     pub(super) fn into_record(self) -> Record {
         Record {
             seq: self.seq,
--- a/glenfall/src/control/backup/mod.rs
+++ b/glenfall/src/control/backup/mod.rs
@@ -16,7 +16,7 @@
 
 /// The current format, in which backups are written.
 const CURRENT_FORMAT: &str = "glenfall-state-2";
-/// The first format, in which orders are recognised by 64-bit hashes.
+/// The first format, in which orders are recognized by 64-bit hashes.
 const WEAK_KEYS_FORMAT: &str = "glenfall-state-1";
 
 /// Why a file can't be restored as a backup.
--- a/glenfall/src/control/chain_driver.rs
+++ b/glenfall/src/control/chain_driver.rs
@@ -111,7 +111,7 @@
         self.step(Chain::start_draining);
     }
 
-    /// Tells the chain of each write that is on disk, for as long as the writer thread runs.
+    /// Reports completed disk writes to the chain, for as long as the writer thread runs.
     pub async fn report_completed_writes(self: Rc<Self>, mut completed: mpsc::UnboundedReceiver<u64>) {
         while let Some(number) = completed.recv().await {
             self.step(|chain, now| chain.write_completed(now, number));
--- a/glenfall/src/control/node.rs
+++ b/glenfall/src/control/node.rs
@@ -84,8 +84,8 @@
 }
 
 impl Control {
-    /// Opens a control node with the state in its state directory. `completed_write_sender` is sent the number of each
-    /// write of the chain that is on disk.
+    /// Opens a control node with the state in its state directory. Once a write of the chain is on disk, its number is
+    /// sent to `completed_write_sender`; it covers all earlier writes.
     ///
     /// # Errors
     ///
--- a/glenfall/src/control/purge_coordinator.rs
+++ b/glenfall/src/control/purge_coordinator.rs
@@ -24,7 +24,7 @@
 
 /// Time limit for a purge to be applied by every process that may serve from stored responses. After that it is
 /// rejected, and the operator repeats it once the leases of the processes that have not applied it have expired. The
-/// limit is below one second, after which operators give up a call.
+/// limit is below one second, within which operators expect a response.
 const PURGE_TIMEOUT: Duration = Duration::from_millis(750);
 /// Time limit for a purge that a peer has sent, at this node and at the peers that it is forwarded to. It is shorter
 /// than [`PURGE_TIMEOUT`], so that the acknowledgement reaches the origin in time.
@@ -213,8 +213,9 @@
     }
 
     /// Acknowledges purges that a peer has sent, once no session at this node can serve responses that they invalidate.
-    /// If the peer is the origin of the purges, `notified_by_origin` lists the processes that it has notified itself,
-    /// and this node forwards the purges to all other processes that it is connected to.
+    /// If the peer is the origin of the purges, `notified_by_origin` lists the processes that it has notified itself.
+    /// This node then forwards the purges to all other processes that it is connected to. `None` means that the peer
+    /// has forwarded the purges.
     pub fn acknowledge(
         self: &Rc<Self>,
         peer: Ipv4Addr,
--- a/glenfall/src/control/purge_log_completeness.rs
+++ b/glenfall/src/control/purge_log_completeness.rs
@@ -14,8 +14,8 @@
 ///
 /// Owns the set of peers that have sent their complete history since they last connected, and whether these peers and
 /// this node were a majority of the voters at the last update. While they are, this node knows every acknowledged
-/// purge, because each is known to a majority: a session that receives the history of this node has missed no other
-/// purge.
+/// purge, because each is known to a majority. A session that receives the history of this node thus misses no
+/// acknowledged purge.
 ///
 /// A session that was notified that the history is complete relies on this until it is closed, even if the history
 /// becomes incomplete meanwhile. Thus the replacement of a voter invalidates no stored responses.
--- a/glenfall/src/control/quorum_contact.rs
+++ b/glenfall/src/control/quorum_contact.rs
@@ -10,8 +10,8 @@
 use super::chain_driver::ChainDriver;
 use super::peers::links::PeerLinks;
 
-/// How long a node is without a quorum before it rejects agents. If this was shorter, agents would be rejected at each
-/// replacement of a voter. If it was longer, agents would learn of a new configuration too late.
+/// How long a node is without a quorum before it rejects agents. If this were shorter, agents would be rejected at each
+/// replacement of a voter. If it were longer, agents of an isolated node would learn too late of a new configuration.
 const ISOLATION_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Contact of this node with a quorum of the voters.
--- a/glenfall/src/control/quorum_reads.rs
+++ b/glenfall/src/control/quorum_reads.rs
@@ -12,7 +12,7 @@
 use super::chain_driver::ChainDriver;
 
 /// Pause before a quorum read without a response is repeated; longer than the round trip of a chain. Each read times
-/// out, so that at most six are pending at a time.
+/// out after 900 ms, so that at most six are pending at a time.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Quorum reads, each shared by all callers that were waiting when it began.
--- a/glenfall/src/control/server_registry.rs
+++ b/glenfall/src/control/server_registry.rs
@@ -33,7 +33,8 @@
         self.registry.borrow_mut().set_accepting(self.clock.now(), accepting);
     }
 
-    /// Whether this node has received a heartbeat from every live server.
+    /// Whether the registry contains every live server: this node has accepted heartbeats for as long as a server stays
+    /// registered after its last one.
     pub fn is_complete(&self) -> bool {
         self.registry.borrow().is_complete(self.clock.now(), PROCESS_START)
     }
@@ -43,7 +44,8 @@
         self.registry.borrow_mut().observe(self.clock.now(), age, entry)
     }
 
-    /// Records the deregistration of a server. `None` if the registry is full.
+    /// Records the deregistration of a server. `None` if an unknown server can't be recorded: the registry is full, or
+    /// the id is invalid.
     pub fn deregister(&self, id: &str) -> Option<ServerEntry> {
         self.registry.borrow_mut().deregister(self.clock.now(), id)
     }
--- a/glenfall/src/control/server_replication.rs
+++ b/glenfall/src/control/server_replication.rs
@@ -48,7 +48,7 @@
     /// quorum.
     #[error("quorum read not completed within the time limit")]
     QuorumReadTimedOut,
-    /// The registry has no capacity to record the deregistration of a server that it does not have.
+    /// The registry can't record the deregistration of a server that it does not have: it is full, or the id is invalid.
     #[error("the registry is full: the deregistration can't be recorded")]
     RegistryFull,
 }
@@ -112,7 +112,7 @@
     ///
     /// # Errors
     ///
-    /// When not all control nodes have acknowledged it, or the registry is full.
+    /// When not all control nodes have acknowledged it, or the registry can't record it.
     pub async fn deregister(&self, id: &str) -> Result<(), ReplicationError> {
         let entry = self.dependencies.registry.deregister(id).ok_or(ReplicationError::RegistryFull)?;
         self.replicate_status(&entry).await
--- a/glenfall/src/control/store/hard_state_row.rs
+++ b/glenfall/src/control/store/hard_state_row.rs
@@ -1,5 +1,5 @@
-//! The database row of the hard state, with a CRC-32. It has everything except the full chunks of idempotency keys,
-//! which have rows of their own.
+//! The database row of the hard state, with a CRC-32. It contains everything except the full chunks of idempotency
+//! keys, which have rows of their own.
 
 use std::sync::Arc;
 
--- a/glenfall/src/control/store/idempotency_keys.rs
+++ b/glenfall/src/control/store/idempotency_keys.rs
@@ -1,4 +1,5 @@
-//! The applied orders on disk, with the idempotency keys by which a repeated order is recognised.
+//! The applied orders on disk, with the idempotency keys by which a repeated order is recognized. An order is an
+//! operator's change of the configuration together with the version that it builds on.
 //!
 //! A full chunk of the deduplication table never changes. It has a row of its own, which is written once, in the same
 //! transaction as the first state that refers to it by its key and CRC-32. The open chunk is written with the state.
@@ -73,8 +74,8 @@
     })
 }
 
-/// Reads the table that a state refers to. Fails if a row is missing or damaged, or if there is a row to which the
-/// state does not refer.
+/// Reads the deduplication table of a state. Fails if a row that the state refers to is missing or damaged, or if there
+/// is any other row.
 pub(super) fn read(db: &Connection, stored: &StoredTable) -> Result<DeduplicationTable, StoreError> {
     let rows: i64 = db.query_row("SELECT count(*) FROM taken", [], |row| row.get(0))?;
     if usize::try_from(rows) != Ok(stored.full_chunks.len()) {
--- a/glenfall/src/control/store/layout.rs
+++ b/glenfall/src/control/store/layout.rs
@@ -7,9 +7,9 @@
 /// The layout of a state file, which is stored as its `user_version`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Layout {
-    /// Fixed set of voters; orders are recognised by 64-bit hashes.
+    /// Fixed set of voters; orders are recognized by 64-bit hashes.
     FixedVoters = 1,
-    /// Changeable set of voters; orders are recognised by 64-bit hashes.
+    /// Changeable set of voters; orders are recognized by 64-bit hashes.
     WeakKeys = 2,
     /// The current layout, in which state files are written.
     Current = 3,
--- a/glenfall/src/control/store/legacy.rs
+++ b/glenfall/src/control/store/legacy.rs
@@ -1,8 +1,8 @@
 //! The state in earlier layouts, which are read and never written.
 //!
-//! Both recognise applied orders by 64-bit hashes. Such a hash is too weak to confirm that an order was applied, and
-//! its absence does not prove that the order was not: the hashes are dropped, and all orders up to the version of the
-//! document count as forgotten.
+//! Both recognize applied orders by 64-bit hashes. Such a hash is too weak to confirm that an order was applied, and
+//! its absence does not prove that the order was not. The hashes are therefore dropped: for all orders up to the version
+//! of the document, it is unknown whether they were applied.
 
 use std::sync::Arc;
 
--- a/glenfall/src/control/store/mod.rs
+++ b/glenfall/src/control/store/mod.rs
@@ -60,8 +60,8 @@
 }
 
 impl Store {
-    /// Opens the store in a folder, or creates it. The file is locked for as long as the store is open, so that SQLite
-    /// needs no shared-memory index, and each commit is followed by a full sync.
+    /// Opens the store in a folder, or creates it. The file is locked for as long as the store is open, and each commit
+    /// is synced to disk.
     pub fn open(path: &Path) -> Result<(Store, RecoveredState), StoreError> {
         disk::create_folder(path)?;
         let folder = StateFolder::new(path);
--- a/glenfall/src/control/store/writer.rs
+++ b/glenfall/src/control/store/writer.rs
@@ -11,7 +11,7 @@
 /// Pause before a failed write is retried. Everything that depends on the write waits meanwhile.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// A state to be written, with the number under which its durability is reported.
+/// A state to be written, with the number that is reported once it is on disk.
 struct PendingWrite {
     number: u64,
     state: HardState,
@@ -23,8 +23,8 @@
 }
 
 impl HardStateWriter {
-    /// Starts the thread. It sends the number of a write to `completed_writes` once the write, or a later one, is on
-    /// disk.
+    /// Starts the thread. Once a write is on disk, the thread sends its number to `completed_writes`. The number covers
+    /// all earlier writes, also those that were skipped.
     pub fn start(store: Store, completed_writes: UnboundedSender<u64>) -> std::io::Result<HardStateWriter> {
         let (queue, writes) = mpsc::channel();
         std::thread::Builder::new()
--- a/glenfall/src/control/voter_leases.rs
+++ b/glenfall/src/control/voter_leases.rs
@@ -72,8 +72,8 @@
     sessions: Rc<Sessions>,
     held: RefCell<VoterLeases>,
     granted: RefCell<Grants<ProcessId>>,
-    /// Until this time, leases that an earlier process at this address has granted may be valid. They are not known
-    /// here.
+    /// Until this time, leases that an earlier process at this address has granted may be valid. This process does not
+    /// know their holders.
     unknown_grants_end: Millis,
     voters: RefCell<VoterHistory>,
     last_renewal: Cell<Millis>,
--- a/glenfall/src/edge/mod.rs
+++ b/glenfall/src/edge/mod.rs
@@ -45,13 +45,13 @@
 /// Transit time of a request from the client to this edge, plus that of the response back. It is subtracted from the
 /// deadline, which the client counts from when it sends the request.
 const CLIENT_TRANSIT_TIME: Duration = Duration::from_millis(12);
-/// Share of the machine's memory for the local cache of objects whose shield is in another zone. The cache saves traffic
-/// between zones; the traffic for less requested objects would not justify the memory of a larger one.
+/// Fraction of the process's memory limit for the local cache of objects whose shield is in another zone. The cache saves
+/// traffic between zones; the traffic for less requested objects would not justify the memory of a larger one.
 pub const CACHE_MEMORY_SHARE: f64 = 0.06;
-/// Time between the deadline of requests at a draining edge and the end of its grace time, when the remaining ones are
+/// Time between the deadline of requests at a draining edge and the end of its grace period, when the remaining ones are
 /// aborted.
 const DRAIN_MARGIN: Duration = Duration::from_millis(200);
-/// `Retry-After` while the node is not ready yet, or has no memory for another response.
+/// `Retry-After` while the edge has no configuration or no service for a request, or no memory for another response.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// The state of an edge: its routing, forwarding and local cache.
@@ -101,7 +101,8 @@
         };
         let deadline = self.deadline(route, request);
         let is_read = is_cacheable_read(route, request);
-        // For a read the draw depends only on the object, so that a shield chooses the same service as the edge.
+        // The draw is a number from 0 to 1 that selects a service of the route. For a read it depends only on the object,
+        // so that a shield chooses the same service as the edge.
         let draw = match is_read {
             true => object_fraction(request.host(), request.path_and_query()),
             false => self.forwarder.origins.next_random(),
@@ -126,7 +127,7 @@
 
     /// The time by which a request must be answered. All waits on its behalf end by then. It is the client's or the route's
     /// deadline, whichever is earlier, and counts from when the request was read. A request that arrives while the edge is
-    /// draining ends within the grace time: its server receives the remaining time, and answers within it.
+    /// draining ends within the grace period: its server receives the remaining time, and answers within it.
     fn deadline(&self, route: &Route, request: &FullRequest) -> Instant {
         let requested =
             request.head.headers.get(DEADLINE_HEADER).and_then(|value| value.to_str().ok()?.parse().ok());
--- a/glenfall/src/edge/read/attempt_log.rs
+++ b/glenfall/src/edge/read/attempt_log.rs
@@ -11,7 +11,7 @@
     Answered,
     /// No connection was established, or the request could not be written completely.
     Unreachable,
-    /// The connection was lost, or the response is not one of a shield.
+    /// The connection was lost, the deadline passed, or the response did not come from a shield.
     ConnectionLost,
     /// No response was received within the hedge delay, and another attempt begins in parallel.
     Unresponsive,
--- a/glenfall/src/edge/read/attempts.rs
+++ b/glenfall/src/edge/read/attempts.rs
@@ -93,6 +93,7 @@
 
     /// Carries out the next step of the plan. Returns the client's response if the read has ended.
     async fn step(&mut self) -> Option<ProxyResponse> {
+        // A read that was sent nowhere continues after its deadline: its attempt at the servers is rejected as not run.
         if Instant::now() >= self.routed.deadline && self.plan.may_be_counted() {
             return Some(self.deadline_exceeded());
         }
--- a/glenfall/src/edge/read/shield_request.rs
+++ b/glenfall/src/edge/read/shield_request.rs
@@ -24,7 +24,7 @@
     pub headers: &'a HeaderMap,
     /// The sends that the shield may use.
     pub allowance: Allowance,
-    /// Whether another shield may have counted the request or sent it to a server.
+    /// Whether another shield may have counted the request towards the retry budget, or sent it to a server.
     pub is_retry: bool,
 }
 
--- a/glenfall/src/edge/read_plan.rs
+++ b/glenfall/src/edge/read_plan.rs
@@ -3,8 +3,8 @@
 //!
 //! A read tries one shield after another, and last the servers themselves. A shield that does not respond within the hedge
 //! delay may be down: the next attempt is made in parallel (hedged), with the sends that are left of the request's
-//! budget. The unresponsive attempt is not cancelled: a server may have received what it was allowed to send, and may
-//! still answer.
+//! budget. The unresponsive attempt is not cancelled: its shield may have sent the request to a server, which may still
+//! answer.
 
 use crate::http::send_budget::{Allowance, Reservation, SendBudget, SendReport, Usage};
 
@@ -34,7 +34,8 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No server has received the request: the shield was unreachable, or lacks the version of the configuration.
+    /// No server has received the request: the shield was unreachable, lacks the version of the configuration, or has
+    /// answered from its cache without a lease.
     NotSent,
     /// No usable response came back.
     ResponseLost,
@@ -70,7 +71,7 @@
     /// Whether a shield was tried with no sends left: it can still answer from its cache or from a fetch in flight.
     tried_without_sends: bool,
     tried_servers: bool,
-    /// Whether a shield may have counted the request, or sent it to a server.
+    /// Whether a shield may have counted the request towards the retry budget, or sent it to a server.
     may_be_counted: bool,
 }
 
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Whether a shield may have counted the request, or a server run it: further sends are retries then, and draw on the
-    /// retry budget.
+    /// Whether a shield may have counted the request towards the retry budget, or a server may have run it. Further sends
+    /// are retries then, and draw on that budget.
     pub fn may_be_counted(&self) -> bool {
         self.may_be_counted
     }
--- a/glenfall/src/edge/shield_selector.rs
+++ b/glenfall/src/edge/shield_selector.rs
@@ -95,7 +95,7 @@
     }
 
     /// Records that a shield has answered a request sent at this time. If all shields had failed, the failures of the others
-    /// are cleared too: they are likely to be available again, and if they stayed ejected, this shield would receive the
+    /// are cleared too, as they are likely to be available again. If they stayed ejected, this shield would receive the
     /// requests for all their objects.
     pub fn record_answer(&self, shield: &ServerId, sent: Instant) {
         let now = self.now();
--- a/glenfall/src/memory_budget.rs
+++ b/glenfall/src/memory_budget.rs
@@ -64,7 +64,7 @@
     }
 
     /// Waits until this many bytes are free, and reserves them. Calls are served in the order in which they were made.
-    /// `None` if the whole budget has fewer bytes.
+    /// `None` if the total budget is smaller than that.
     pub async fn reserve(&self, bytes: usize) -> Option<Reservation> {
         let units = units(bytes);
         if units as usize > self.total_units {
--- a/glenfall/src/operator/commands/control_client.rs
+++ b/glenfall/src/operator/commands/control_client.rs
@@ -70,7 +70,7 @@
 
 impl ControlRequest {
     /// Sends the request to control nodes in turn until one gives a definite response. A repeated request is safe:
-    /// control recognizes changes and purges that it has received before.
+    /// control recognizes changes that it has already applied, and a repeated purge does no harm.
     pub async fn send(&self, addresses: &ControlAddresses) -> Result<ServerResponse, OperatorError> {
         let pool = Pool::new(MAX_CONNECTIONS, MemoryBudget::new(MAX_RESPONSE_BYTES));
         for address in addresses.controls.iter().cycle().take(addresses.controls.len() * ATTEMPTS_PER_NODE) {
@@ -113,8 +113,8 @@
     String::from_utf8_lossy(response.body()).into_owned()
 }
 
-/// Reads a document from each control node; returns a list of them as indented JSON. A node that can't be reached has an
-/// entry with the field `error`.
+/// Reads a document from each control node; returns a list of them as indented JSON. A node that does not respond, or
+/// rejects the request, has an entry with the field `error`.
 pub(super) async fn get_from_each(
     addresses: &ControlAddresses,
     path: &'static str,
--- a/glenfall/src/operator/commands/core.rs
+++ b/glenfall/src/operator/commands/core.rs
@@ -11,7 +11,7 @@
 use super::error::OperatorError;
 
 const CORE_PATH: &str = "/api/core";
-/// Timeout of a call that changes the voters. The node responds once three successive views are active.
+/// Timeout of a call that changes the voters. The node's own time limits for the call add up to 4.1 s.
 const VOTER_CHANGE_TIMEOUT: Duration = Duration::from_millis(4500);
 
 #[derive(Subcommand)]
--- a/glenfall/src/operator/demo/set_up.rs
+++ b/glenfall/src/operator/demo/set_up.rs
@@ -39,7 +39,7 @@
 }
 
 /// Waits until every control node knows all shields and servers, and every session has applied these updates and holds a
-/// lease: without a lease an edge does not use the cache of a shield.
+/// lease. An edge with a lease does not use the cache of a shield without one.
 pub(super) async fn await_published(controls: &ControlAddresses) -> Result<(), DemoError> {
     let started = Instant::now();
     while started.elapsed() < STEP_TIMEOUT {
--- a/glenfall/src/roles/edge.rs
+++ b/glenfall/src/roles/edge.rs
@@ -12,7 +12,8 @@
 use crate::http_server::{self, ServerConfig};
 use crate::settings::Settings;
 
-/// Share of an edge's memory for the bodies of requests in flight. The rest is for the cache, connections and responses.
+/// Fraction of an edge's memory limit for the bodies of requests in flight. The remainder is for the cache, connections
+/// and responses.
 const REQUEST_BODY_MEMORY_SHARE: f64 = 0.4;
 /// How long a draining edge accepts connections. Load balancers probe the readiness endpoint once a second and stop
 /// sending connections after the second failed probe; connections that arrive until then are still accepted.
@@ -40,8 +41,8 @@
         Rc::new(EdgeHandler(edge)),
         process.stopping.clone(),
     );
-    // The role ends with the first of the two to end: the proxy once it has drained, the readiness endpoint at the end of
-    // the grace time, or either of them if it can't bind its address.
+    // The role ends with the first of the two to end. The proxy ends once it has drained, the readiness endpoint at the
+    // end of the grace period, and either of them at once if it can't bind its address.
     tokio::select! {
         served = proxy => Ok(served?),
         ended = readiness => Ok(ended?),
@@ -59,7 +60,7 @@
     }
 }
 
-/// The readiness endpoint accepts connections until the grace time ends, so that every probe sees the draining state.
+/// The readiness endpoint accepts connections until the grace period ends, so that every probe sees the draining state.
 fn readiness_config(listen: SocketAddrV4, settings: &Settings) -> ServerConfig {
     ServerConfig {
         listen,
--- a/glenfall/src/roles/mod.rs
+++ b/glenfall/src/roles/mod.rs
@@ -17,10 +17,10 @@
 
 /// File descriptors reserved for files, sessions and the runtime.
 const RESERVED_DESCRIPTORS: usize = 300;
-/// Minimum number of file descriptors for connections, whatever the limit of the process.
+/// Minimum number of file descriptors for connections, even if `maxFds` leaves fewer.
 const MIN_CONNECTION_DESCRIPTORS: usize = 16;
-/// Share of the machine's memory for responses in flight, in addition to the cache. Request bodies, responses and the cache
-/// together leave at least a quarter for connections and everything else.
+/// Fraction of the process's memory limit for responses in flight, in addition to the cache. Request bodies, responses
+/// and the cache together leave at least a quarter for connections and everything else.
 const RESPONSE_MEMORY_SHARE: f64 = 0.25;
 
 /// The error that ended a role.
--- a/glenfall/src/session/link/frames.rs
+++ b/glenfall/src/session/link/frames.rs
@@ -71,7 +71,7 @@
         timeout_at(self.last_received + LINK_TIMEOUT, self.next()).await?
     }
 
-    /// Removes the first frame from the buffer and returns its message; `None` while the frame is incomplete.
+    /// Removes the first frame from the buffer and returns its encoded message; `None` while the frame is incomplete.
     fn take_frame(&mut self) -> io::Result<Option<Bytes>> {
         let Some(length) = self.buffer.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_le_bytes(*length) as usize;
--- a/glenfall/src/session/link/outbox.rs
+++ b/glenfall/src/session/link/outbox.rs
@@ -11,10 +11,10 @@
 use super::liveness::LINK_TIMEOUT;
 use super::traffic::SENT_TRAFFIC;
 
-/// Maximum number of queued messages. A receiver that falls further behind is disconnected, and catches up on a new
-/// link.
+/// Maximum number of queued messages. Further messages are rejected: a session whose receiver falls that far behind is
+/// ended, and the receiver catches up in a new one.
 const MAX_QUEUED_MESSAGES: usize = 1024;
-/// Size from which a batch is full. Queued messages are written together until then.
+/// Size of a batch from which no more queued messages are added to it before it is written.
 const MIN_FULL_BATCH_BYTES: usize = 64 << 10;
 
 /// The sending side of a link. It can be cloned; the link is closed once all clones are dropped.
@@ -34,7 +34,8 @@
         Outbox(sender)
     }
 
-    /// Queues a message. Returns false if the link is lost or the queue is full: the caller must then drop the link.
+    /// Queues a message. Returns false if the link is lost or the queue is full. The message is then dropped, and a
+    /// caller whose receiver needs every message has to close the link.
     #[must_use]
     pub fn send(&self, message: T) -> bool {
         self.0.try_send(message).is_ok()
--- a/glenfall/src/session/publisher/acknowledgement.rs
+++ b/glenfall/src/session/publisher/acknowledgement.rs
@@ -42,9 +42,9 @@
         }
     }
 
-    /// Waits until no session can serve a response that is invalidated by a purge pushed before the call: each session
-    /// that was granted a lease has applied its updates, or its lease has ended. Returns false if that takes longer than
-    /// `time_limit`.
+    /// Waits until no session can serve a response that is invalidated by a purge pushed before the call. That is so once
+    /// each session that was granted a lease has applied its updates, or its lease has ended. Returns false if that takes
+    /// longer than `time_limit`.
     ///
     /// Sessions that are overdue are granted no lease until they have applied their updates, so that the next caller does
     /// not wait long for them.
--- a/glenfall/src/session/publisher/overdue.rs
+++ b/glenfall/src/session/publisher/overdue.rs
@@ -11,7 +11,7 @@
 /// The updates that a session had not applied when a wait for them timed out.
 struct OverdueUpdates {
     first: u64,
-    /// When the first of them became overdue.
+    /// When `first` became overdue, or when the session applied the update that was `first` before.
     since: Instant,
     last: u64,
 }
@@ -35,7 +35,8 @@
         overdue.last = overdue.last.max(number);
     }
 
-    /// Records which updates a session has applied. Returns true if the session was overdue and no longer is.
+    /// Records that a session has applied the updates up to the number `applied`. Returns true if the session was overdue
+    /// and no longer is.
     pub(super) fn acknowledge(&self, session: SessionId, applied: u64) -> bool {
         let mut by_session = self.by_session.borrow_mut();
         let Some(overdue) = by_session.get_mut(&session) else { return false };
--- a/glenfall/src/session/publisher/source.rs
+++ b/glenfall/src/session/publisher/source.rs
@@ -1,4 +1,4 @@
-//! The interface through which sessions obtain the state of the process that publishes it.
+//! The interface through which sessions obtain the state that their process publishes.
 
 use std::future::Future;
 
--- a/glenfall/src/session/publisher/status.rs
+++ b/glenfall/src/session/publisher/status.rs
@@ -14,6 +14,6 @@
     pub applied: u64,
     /// Whether it holds a lease.
     pub leased: bool,
-    /// The counters that it has sent last.
+    /// The counters that it last sent.
     pub counters: Vec<Counter>,
 }
--- a/glenfall/src/settings/derived.rs
+++ b/glenfall/src/settings/derived.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A share, from 0 to 1, of the memory that a process may use, in bytes.
+    /// A fraction, from 0 to 1, of the memory that each process may use (`reqLimits.memMb`), in bytes.
     pub fn memory_share(&self, share: f64) -> usize {
         (self.req_limits.mem_mb as f64 * share * BYTES_PER_MIB) as usize
     }
--- a/glenfall/src/settings/model.rs
+++ b/glenfall/src/settings/model.rs
@@ -22,7 +22,8 @@
     pub bind_ip: Ipv4Addr,
     /// The ports on which processes of the system connect to each other.
     pub port_range: PortRange,
-    /// `controlAddr` of the control nodes that a process contacts first; at least one.
+    /// `controlAddr` of the control nodes that a process contacts first; at least one. Only the IP addresses are used:
+    /// links go to the first port of `port_range`.
     pub seed_nodes: Vec<SocketAddrV4>,
     /// Whether this is the first start of the system, not only of this machine.
     #[serde(default)]
--- a/glenfall/src/watch_client.rs
+++ b/glenfall/src/watch_client.rs
@@ -81,7 +81,7 @@
 
     /// Waits until the applied configuration has version `rev` or a newer one.
     pub async fn wait_for_version(&self, rev: u64) {
-        // It can't fail, as the sender lives as long as this value.
+        // The wait can't fail, as `self` owns the sender.
         let _ = self.rev.subscribe().wait_for(|applied| *applied >= rev).await;
     }
 
