--- a/glenfall/src/control/peers/connections.rs
+++ b/glenfall/src/control/peers/connections.rs
@@ -145,7 +145,7 @@
     }
 
     fn report_if_connected(&self, peer: Ipv4Addr, events: &impl PeerEvents) {
-        if self.links.connect(peer) {
+        if self.links.mark_connected(peer) {
             tracing::info!(%peer, "peer connected");
             events.peer_connected(peer);
         }
--- a/glenfall/src/control/peers/links.rs
+++ b/glenfall/src/control/peers/links.rs
@@ -38,7 +38,7 @@
 
 impl Link {
     /// Marks the link as connected if both connections are open; returns whether it became connected by this call.
-    fn connect(&mut self) -> bool {
+    fn mark_connected(&mut self) -> bool {
         let both_open = self.outbound.is_some() && self.inbound.is_some();
         let becomes_connected = both_open && !self.connected;
         self.connected |= both_open;
@@ -46,7 +46,7 @@
     }
 
     /// Marks the link as disconnected; returns whether it was connected.
-    fn disconnect(&mut self) -> bool {
+    fn mark_disconnected(&mut self) -> bool {
         std::mem::take(&mut self.connected)
     }
 }
@@ -137,7 +137,7 @@
         let mut links = self.links.borrow_mut();
         let Some(link) = links.get_mut(&peer) else { return false };
         link.outbound = None;
-        link.disconnect()
+        link.mark_disconnected()
     }
 
     /// Records a connection that a peer has opened, which replaces an earlier one. `None` if the peer is not known.
@@ -147,7 +147,7 @@
         let connection = InboundId(self.next_inbound.replace(self.next_inbound.get() + 1));
         link.inbound = Some(connection);
         link.incarnation = incarnation;
-        Some(InboundOpened { connection, disconnected: link.disconnect() })
+        Some(InboundOpened { connection, disconnected: link.mark_disconnected() })
     }
 
     /// Whether a connection is the one that its peer has most recently opened.
@@ -163,11 +163,11 @@
             return false;
         };
         link.inbound = None;
-        link.disconnect()
+        link.mark_disconnected()
     }
 
     /// Marks a link as connected if both of its connections are open; returns whether it became connected by this call.
-    pub fn connect(&self, peer: Ipv4Addr) -> bool {
-        self.links.borrow_mut().get_mut(&peer).is_some_and(Link::connect)
+    pub fn mark_connected(&self, peer: Ipv4Addr) -> bool {
+        self.links.borrow_mut().get_mut(&peer).is_some_and(Link::mark_connected)
     }
 }
