--- a/glenfall/src/control/store/hard_state_row.rs
+++ b/glenfall/src/control/store/hard_state_row.rs
@@ -1,5 +1,5 @@
-//! The database row of the hard state, with a CRC-32. It has everything except the full chunks of idempotency keys,
-//! which have rows of their own.
+//! The database row of the hard state, with a CRC-32. It contains everything except the full chunks of idempotency
+//! keys, which have rows of their own.
 
 use std::sync::Arc;
 
@@ -100,7 +100,7 @@
 /// Reads the state, which is stored in `layout`. `None` if none was written yet.
 pub(super) fn read(db: &Connection, layout: Layout) -> Result<Option<HardState>, StoreError> {
     if ChecksummedRow::read(db, SENTINEL_ID)?.is_none() {
-        return Err(StoreError::damaged("the sentinel row of the table is missing"));
+        return Err(StoreError::damaged("the sentinel row of the table `chain` is missing"));
     }
     let Some(row) = ChecksummedRow::read(db, STATE_ID)? else { return Ok(None) };
     if !row.is_intact() {
