--- a/balancer-adapter/src/messages.rs
+++ b/balancer-adapter/src/messages.rs
@@ -129,7 +129,7 @@
 fn arrival(fields: &mut Fields, names: &Names) -> Result<NewRequest, AdapterError> {
     let id = RequestId(fields.required("a request id")?);
     let time_left = fields.number("the time left")?.unwrap_or(0.0);
-    let work = fields.number("work hint")?;
+    let work = fields.number("a work hint")?;
     let bitmap = fields.optional::<u64>("a bitmap of flags")?.unwrap_or(0);
     let tenant = fields.text().and_then(|name| names.tenant(name));
     let class = fields.text().and_then(|name| names.class(name));
--- a/balancer/src/balancer/admission.rs
+++ b/balancer/src/balancer/admission.rs
@@ -6,9 +6,9 @@
 use crate::rjch::splitmix64;
 
 /// How long a request may be queued while all servers are full, as a share of its class's latency target.
-const MAX_QUEUE_TIME: f64 = 0.25;
-/// Replaces [`MAX_QUEUE_TIME`] for requests over their tenant's quota.
-const MAX_QUEUE_TIME_OVER_QUOTA: f64 = 0.1;
+const MAX_QUEUE_TIME_SHARE: f64 = 0.25;
+/// Replaces [`MAX_QUEUE_TIME_SHARE`] for requests over their tenant's quota.
+const MAX_QUEUE_TIME_SHARE_OVER_QUOTA: f64 = 0.1;
 /// The origin's fetch limit is multiplied by this for writes.
 const WRITE_FETCH_PRIORITY: f64 = 2.0;
 const READ_FETCH_PRIORITY: f64 = 1.0;
@@ -102,8 +102,10 @@
 
     fn queue_or_end(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
-        let max_queue_time = if request.over_quota { MAX_QUEUE_TIME_OVER_QUOTA } else { MAX_QUEUE_TIME };
-        let queued_until = request.arrived + self.config.class(request.class).latency_target * max_queue_time;
+        let max_queue_share =
+            if request.over_quota { MAX_QUEUE_TIME_SHARE_OVER_QUOTA } else { MAX_QUEUE_TIME_SHARE };
+        let queued_until =
+            request.arrived + self.config.class(request.class).latency_target * max_queue_share;
         let no_retry_possible = !request.attempts.is_empty() && !self.rules().may_send_to_any(request);
         if no_retry_possible || self.now >= queued_until || self.now >= request.deadline {
             self.end(id);
--- a/balancer/src/balancer/hedging.rs
+++ b/balancer/src/balancer/hedging.rs
@@ -18,13 +18,13 @@
     /// Sends a read a second time, in parallel to the attempt in flight, if the server has answered attempts
     /// that were sent at least half a latency target later. The connection of the first attempt is then
     /// probably dead, or the request or its answer is lost or stuck in transit; without a second attempt the
-    /// read would wait until its time-out. The hedged request goes to the same server, because the key is
-    /// cached there. Expensive requests are overtaken too, and hedging doubles their work: therefore no
-    /// hedged request goes to a server that is slow on average, at its limit or warming up, and hedged
-    /// requests use at most half of the retry budget.
+    /// read would wait until its timeout. The hedged request goes to the same server, because the key is
+    /// cached there. Expensive requests are overtaken too, and hedging doubles their work. Therefore no
+    /// hedged request goes to a server that is slow on average, at its limit or warming up. Hedged requests
+    /// use at most half of the retry budget.
     pub(super) fn send_hedged_requests(&mut self) {
         let candidates: Vec<HedgedRequest> =
-            self.requests.iter().filter_map(|(&id, request)| self.hedge(id, request)).collect();
+            self.requests.iter().filter_map(|(&id, request)| self.hedged_request(id, request)).collect();
         for HedgedRequest { request, server, to_origin } in candidates {
             let is_below_limit = self.servers.get(&server).is_some_and(Server::is_below_limit);
             if is_below_limit && self.retry_budget.allows_hedged_request(self.now) {
@@ -34,7 +34,7 @@
     }
 
     /// The hedged request to send for this request; `None` if it may not be hedged or was not overtaken.
-    fn hedge(&self, id: RequestId, request: &Request) -> Option<HedgedRequest> {
+    fn hedged_request(&self, id: RequestId, request: &Request) -> Option<HedgedRequest> {
         let attempt = request.attempts.last()?;
         let server = self.servers.get(&attempt.server)?;
         let may_hedge = self.may_hedge(request)
--- a/balancer/src/balancer/membership.rs
+++ b/balancer/src/balancer/membership.rs
@@ -5,8 +5,8 @@
 use crate::node_config::HOUSEKEEPING_INTERVAL;
 use crate::settings::Membership;
 
-/// How many times idle connections to draining servers are closed within `close_on_drain`.
-const DRAIN_CLOSES: f64 = 4.0;
+/// How many times idle connections to draining servers are closed within the time `close_on_drain`.
+const CLOSES_PER_DRAIN: f64 = 4.0;
 
 impl Balancer {
     /// Subscribes to the server list if that is due.
@@ -37,7 +37,7 @@
     }
 
     fn apply_complete_list(&mut self, entries: Vec<RosterEntry>) {
-        self.servers.mark_absent_gone(&entries);
+        self.servers.mark_unlisted_as_gone(&entries);
         self.apply_entries(entries);
     }
 
@@ -54,11 +54,12 @@
 
     /// Closes idle connections to draining servers (the `close_on_drain` rule). This happens at the drain
     /// notice, after each outcome and periodically while the server is listed, because a connection may
-    /// become idle after its outcome: after a time-out it is still busy, and answers may be delivered in
+    /// become idle after its outcome: after a timeout it is still busy, and answers may be delivered in
     /// order.
     pub(super) fn close_draining_connections(&mut self) {
         let Some(within) = self.config.settings().guarantees.close_on_drain else { return };
-        self.connections.schedule_drain_close(self.now + (within / DRAIN_CLOSES).max(HOUSEKEEPING_INTERVAL));
+        self.connections
+            .schedule_drain_close(self.now + (within / CLOSES_PER_DRAIN).max(HOUSEKEEPING_INTERVAL));
         let draining = self.servers.iter().filter(|(_, server)| !server.is_ready());
         self.actions.extend(draining.map(|(id, _)| Action::CloseIdle(id.clone())));
     }
--- a/balancer/src/balancer/observation.rs
+++ b/balancer/src/balancer/observation.rs
@@ -13,8 +13,8 @@
 /// A server that reports fewer requests in flight than this is not considered overloaded.
 const MIN_OVERLOAD_QUEUE: f64 = 4.0;
 /// A server is overloaded if it needs longer than this to serve its requests in flight, as a share of the
-/// tightest latency target. This detects a queue long before answers miss the latency target.
-const QUEUE_DRAIN_TIME: f64 = 0.3;
+/// shortest latency target. This detects a queue long before answers miss the latency target.
+const OVERLOAD_DRAIN_TIME_SHARE: f64 = 0.3;
 /// Queueing delay, as a share of the latency target, from which a fetch counts as slow.
 const SLOW_FETCH_DELAY: f64 = 1.0;
 
@@ -141,7 +141,7 @@
             Status::Broken => !evidence.used_stale_connection && is_down,
             // Servers may be healthy but accept too few connections.
             Status::Unreachable => !is_small || (!connections_are_scarce && is_down),
-            // A time-out is the server's failure only if the server has answered nothing since the send
+            // A timeout is the server's failure only if the server has answered nothing since the send
             // (otherwise the origin was slow), and only if the attempt left it enough time: one that is sent
             // shortly before its deadline times out anywhere.
             Status::TimedOut => !evidence.has_answered_since && attempt.was_slow() && is_small,
@@ -179,7 +179,7 @@
 
     /// Reduces the server's key share if it reports a queue or answers slowly, and notifies the other nodes.
     fn detect_overload(&mut self, attempt: &EndedAttempt, evidence: &ServerEvidence) {
-        let drain_time = QUEUE_DRAIN_TIME * self.config.min_latency_target();
+        let drain_time = OVERLOAD_DRAIN_TIME_SHARE * self.config.min_latency_target();
         let reports_queue = attempt.load.is_some_and(|load| {
             load.in_flight >= MIN_OVERLOAD_QUEUE.max(load.served_per_second * drain_time)
         });
@@ -187,8 +187,8 @@
         let is_slow = (attempt.was_hit() || is_unanswered) && attempt.was_slow();
         // In mode `ReadThrough` a request that moves to another server causes a miss, which uses capacity:
         // requests wait for the overloaded server instead.
-        let may_pass_keys = !evidence.is_origin && !self.config.caches_read_through();
-        if (reports_queue || is_slow) && may_pass_keys && self.reduce_key_share(&attempt.location.server) {
+        let may_move_keys = !evidence.is_origin && !self.config.caches_read_through();
+        if (reports_queue || is_slow) && may_move_keys && self.reduce_key_share(&attempt.location.server) {
             self.notify_peers(&PeerMessage::Overloaded(attempt.location.server.clone()));
         }
     }
--- a/balancer/src/balancer/outcomes.rs
+++ b/balancer/src/balancer/outcomes.rs
@@ -8,8 +8,8 @@
 /// Allowance for slow cores: a request may take this multiple of its work hint before the rest of its time
 /// counts as queueing delay. Otherwise expensive requests would look like overload.
 const SLOW_CORE_FACTOR: f64 = 1.5;
-/// Queued requests that are dispatched when an attempt ends. An end frees capacity for one request; the other
-/// queued requests are dispatched at the next housekeeping.
+/// Queued requests that are dispatched when an attempt ends. That frees capacity for one request; the
+/// other queued requests are dispatched at the next housekeeping.
 const DISPATCHED_PER_OUTCOME: usize = 2;
 
 impl Balancer {
@@ -108,8 +108,8 @@
         let recent_requests = self.popularity.recent_requests(self.now);
         let is_costly =
             self.connections.idle_is_costly(&settings.prices, self.config.nodes(), recent_requests, self.now);
-        let is_idle_cache = server.in_flight() == 0.0 && server.capacity() > 0.0;
-        if must_close || (is_costly && is_idle_cache) {
+        let is_idle_cache_server = server.in_flight() == 0.0 && server.capacity() > 0.0;
+        if must_close || (is_costly && is_idle_cache_server) {
             self.actions.push(Action::CloseIdle(id.clone()));
         }
     }
--- a/balancer/src/balancer/placement.rs
+++ b/balancer/src/balancer/placement.rs
@@ -11,7 +11,7 @@
 /// request to the origin.
 const MIN_CAP_ASIDE: f64 = 3.0;
 /// Minimum cap of a node at one server in mode `ReadThrough`.
-const MIN_CAP_THROUGH: f64 = 1.0;
+const MIN_CAP_READ_THROUGH: f64 = 1.0;
 /// For a request over quota a server's limit is divided by 1 + this x mean answer time / latency target: by
 /// about two in normal operation and by four in an overload.
 const OVER_QUOTA_LIMIT_FACTOR: f64 = 6.0;
@@ -35,8 +35,8 @@
         let fleet_is_slow = self.config.caches_read_through() && self.latency.is_busy();
         let must_not_jump = fleet_is_slow || request.over_quota;
         let limit_divisor = self.limit_divisor(request);
-        let slots = self.popularity.slots_of(request.key, self.servers.placeable_servers(), self.now);
-        let first_slot = (request.slot_fraction * slots) as u64;
+        let slot_count = self.popularity.slot_count(request.key, self.servers.placeable_servers(), self.now);
+        let first_slot = (request.slot_fraction * slot_count) as u64;
         let takes = |jumps, id: &ServerId, hash| {
             self.servers.get(id).is_some_and(|server| self.takes_key(server, request.key, jumps, hash))
         };
@@ -84,7 +84,7 @@
 
     /// The cap max(floor, ⌈(1+ε)n/k⌉), with n/k weighted by the server's usable capacity.
     fn cap(&self, server: &Server) -> f64 {
-        let min_cap = if self.config.caches_read_through() { MIN_CAP_THROUGH } else { MIN_CAP_ASIDE };
+        let min_cap = if self.config.caches_read_through() { MIN_CAP_READ_THROUGH } else { MIN_CAP_ASIDE };
         let share = server.usable_capacity() / self.servers.usable_capacity();
         let floor = self.config.node_share(FLEET_MIN_IN_FLIGHT).ceil().max(min_cap);
         cap(self.servers.in_flight() + 1, share, floor)
--- a/balancer/src/concurrency_limit.rs
+++ b/balancer/src/concurrency_limit.rs
@@ -34,9 +34,10 @@
         }
     }
 
-    /// Multiplies the limit by `factor` after a slow answer to an attempt sent at `sent`. Attempts sent
-    /// before the last decrease say nothing about the limit that it set, and are ignored: all attempts in
-    /// flight at that time together cause one decrease.
+    /// Lowers the limit after a slow answer to an attempt sent at `sent`: to `factor` times `in_flight`,
+    /// which counts as at least half the limit and at most the limit. Attempts sent before the last decrease
+    /// say nothing about the limit that it set, and are ignored: all attempts in flight at that time together
+    /// cause one decrease.
     pub fn decrease(&mut self, factor: f64, in_flight: f64, now: Seconds, sent: Seconds) {
         if sent > self.last_decrease {
             self.value = (in_flight.clamp(self.value / 2.0, self.value) * factor).max(self.min);
--- a/balancer/src/connections.rs
+++ b/balancer/src/connections.rs
@@ -40,7 +40,8 @@
         self.sends.increment(now);
     }
 
-    /// Whether so many attempts get no connection that servers must be accepting too few for all nodes.
+    /// Whether more than [`SCARCITY_THRESHOLD`] of the attempts get no connection. The servers then accept
+    /// too few for all nodes.
     pub fn are_scarce(&self) -> bool {
         self.unreachable_share.value() > SCARCITY_THRESHOLD
     }
--- a/balancer/src/interface.rs
+++ b/balancer/src/interface.rs
@@ -218,7 +218,7 @@
         request: RequestId,
         /// The server to send it to.
         server: ServerId,
-        /// Time-out of the attempt; `None`: until the client stops waiting.
+        /// Timeout of the attempt; `None` if it lasts until the client stops waiting.
         timeout: Option<Seconds>,
     },
     /// Cancel an attempt in flight.
--- a/balancer/src/key_popularity.rs
+++ b/balancer/src/key_popularity.rs
@@ -8,9 +8,9 @@
 /// Maximum load that a key may add to each of its slots, as a share of the mean load of a server.
 const MAX_KEY_LOAD_SHARE: f64 = 0.6;
 /// Added to the total request count, so that two requests in a row for a key do not make it hot.
-const MIN_SAMPLE: f64 = 50.0;
+const REQUEST_COUNT_OFFSET: f64 = 50.0;
 /// Keys whose decayed count falls to this value are removed.
-const MIN_COUNT: f64 = 0.1;
+const MIN_REQUEST_COUNT: f64 = 0.1;
 
 /// Recent requests accepted by this node, for each key and in total.
 #[derive(Default)]
@@ -31,17 +31,17 @@
         self.total.value(now)
     }
 
-    /// How many slots a key is distributed over among `ready` servers: one, unless it is hot. All nodes would
-    /// fill the first slot of a hot key before the next one, as each sees only its part of the key's traffic.
-    /// So each request starts at one of these slots at random.
-    pub fn slots_of(&self, key: Key, ready: f64, now: Seconds) -> f64 {
+    /// How many slots a key is distributed over, with this many servers: one, unless it is hot. Each request
+    /// starts at one of these slots at random. Otherwise all nodes would fill the first slot of a hot key
+    /// before the next one, as each sees only its part of the key's traffic.
+    pub fn slot_count(&self, key: Key, servers: f64, now: Seconds) -> f64 {
         let count = self.keys.get(&key).map_or(0.0, |counter| counter.value(now));
-        let share = (count - 1.0).max(0.0) / (self.total.value(now) + MIN_SAMPLE);
-        (share * ready / MAX_KEY_LOAD_SHARE).ceil().clamp(1.0, ready.max(1.0))
+        let share = (count - 1.0).max(0.0) / (self.total.value(now) + REQUEST_COUNT_OFFSET);
+        (share * servers / MAX_KEY_LOAD_SHARE).ceil().clamp(1.0, servers.max(1.0))
     }
 
     /// Removes keys that are no longer requested.
     pub fn forget_unpopular_keys(&mut self, now: Seconds) {
-        self.keys.retain(|_, counter| counter.value(now) > MIN_COUNT);
+        self.keys.retain(|_, counter| counter.value(now) > MIN_REQUEST_COUNT);
     }
 }
--- a/balancer/src/key_share.rs
+++ b/balancer/src/key_share.rs
@@ -8,10 +8,10 @@
 /// Minimum time between two reductions, however many reports arrive. Servers report their load at about this
 /// interval.
 const REDUCTION_INTERVAL: Seconds = 0.5;
-/// Recovery of the share per second; as slow as queues drain.
-const RECOVERY_RATE: f64 = 0.1;
+/// How much of the share recovers per second: about as slowly as queues drain.
+const RECOVERY_PER_SECOND: f64 = 0.1;
 /// Minimum share, so that enough requests remain to detect that the server is no longer overloaded.
-const MIN_SHARE: f64 = 0.05;
+const MIN_KEY_SHARE: f64 = 0.05;
 
 /// The share of a server's keys for which it gets requests. The same at all nodes that receive the
 /// notifications.
@@ -28,7 +28,7 @@
 }
 
 impl KeyShare {
-    /// The present share, from [`MIN_SHARE`] to 1.
+    /// The present share, from [`MIN_KEY_SHARE`] to 1.
     pub fn value(&self) -> f64 {
         self.share
     }
@@ -39,7 +39,7 @@
         if !self.is_settled(now) {
             return false;
         }
-        self.share = (self.share * REDUCTION_FACTOR).max(MIN_SHARE);
+        self.share = (self.share * REDUCTION_FACTOR).max(MIN_KEY_SHARE);
         self.last_reduced = now;
         true
     }
@@ -47,7 +47,7 @@
     /// Lets the share recover over the time `elapsed`, unless it was reduced within [`REDUCTION_INTERVAL`].
     pub fn recover(&mut self, now: Seconds, elapsed: Seconds) {
         if self.is_settled(now) {
-            self.share = (self.share + RECOVERY_RATE * elapsed).min(1.0);
+            self.share = (self.share + RECOVERY_PER_SECOND * elapsed).min(1.0);
         }
     }
 
--- a/balancer/src/latency.rs
+++ b/balancer/src/latency.rs
@@ -11,7 +11,7 @@
 /// other servers then increase the load.
 pub const BUSY_QUEUE_DELAY: f64 = 0.35;
 
-/// Mean answer time and queueing delay of cache hits and time-outs, smoothed over all servers.
+/// Mean answer time and queueing delay of cache hits and timeouts, smoothed over all servers.
 pub struct FleetLatency {
     answer_time: MovingAverage,
     queue_delay: MovingAverage,
@@ -36,7 +36,7 @@
         self.queue_delay.value() > BUSY_QUEUE_DELAY
     }
 
-    /// Records one answer from cache or one time-out.
+    /// Records one answer from cache or one timeout.
     pub fn record(&mut self, elapsed: Seconds, queue_delay: f64, now: Seconds) {
         self.answer_time.record(elapsed, now);
         // Capped at twice the mean delay, so that a few slow servers do not make the fleet count as slow.
--- a/balancer/src/node_config.rs
+++ b/balancer/src/node_config.rs
@@ -6,8 +6,8 @@
 /// Housekeeping interval: much shorter than any latency target, much longer than the event interval.
 pub const HOUSEKEEPING_INTERVAL: Seconds = 0.05;
 /// With more nodes than this, each sees little of a server's traffic, and failures are detected differently.
-/// Time-outs do not count as failures, because they cannot be distinguished from lost answers: among 100
-/// nodes, any two that saw a time-out soon ejected a server, until half of the fleet was ejected and the
+/// Timeouts do not count as failures, because they cannot be distinguished from lost answers: among 100
+/// nodes, any two that saw a timeout soon ejected a server, until half of the fleet was ejected and the
 /// others were overloaded. A refused connection is reported at once instead of after several, because each
 /// node sees one only rarely.
 const MAX_NODES_OF_SMALL_DEPLOYMENT: f64 = 10.0;
--- a/balancer/src/origin_fetches.rs
+++ b/balancer/src/origin_fetches.rs
@@ -19,7 +19,7 @@
 const SLOW_ORIGIN_THRESHOLD: f64 = 0.6;
 /// The limit is multiplied by this when the origin is slow. Slow fetches take long to end, so decreases are
 /// rare and must be large.
-const DECREASE_FACTOR: f64 = 0.5;
+const LIMIT_DECREASE_FACTOR: f64 = 0.5;
 /// Lower bound on the miss share that the limit is divided by.
 const MIN_MISS_SHARE: f64 = 0.1;
 
@@ -116,7 +116,7 @@
         self.slow_share.record(f64::from(was_slow), now);
         let load = f64::from(self.in_flight + 1) * self.miss_share.value();
         if self.origin_is_slow() {
-            self.limit.decrease(DECREASE_FACTOR, load, now, sent);
+            self.limit.decrease(LIMIT_DECREASE_FACTOR, load, now, sent);
         } else {
             self.limit.increase(load);
         }
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -31,7 +31,8 @@
     }
 
     /// Whether it went to `server` and its status allows one retry there. A retry at the same server is
-    /// preferred because other servers do not have the key. After a reset, the server must not be down.
+    /// preferred because other servers do not have the key. After a reset it is allowed only while the server
+    /// does not count as down.
     fn may_be_retried_at(&self, server: &ServerId, server_is_down: bool) -> bool {
         let is_retryable = match self.status {
             Some(Status::Malformed) => true,
@@ -63,7 +64,8 @@
     pub slot_fraction: f64,
     /// Its attempts in the order of sending, including ended ones.
     pub attempts: Vec<Attempt>,
-    /// Whether its next attempt must go to the origin, because a cache server lacked its key (mode `Aside`).
+    /// Whether its next attempt must go to the origin (mode `Aside`): a cache server lacked its key, or only
+    /// one attempt is left.
     pub missed: bool,
     /// Whether a streamed answer to its client has begun.
     pub streaming: bool,
--- a/balancer/src/roster_subscription.rs
+++ b/balancer/src/roster_subscription.rs
@@ -34,9 +34,9 @@
     /// Whether the node must make a subscribe call now.
     pub fn subscribe_is_due(&self, now: Seconds, config: &NodeConfig) -> bool {
         // A call without an answer counts as failed well before `max_subscription_gap` has passed.
-        let time_out = config.settings().guarantees.max_subscription_gap * 0.5;
+        let call_timeout = config.settings().guarantees.max_subscription_gap * 0.5;
         let is_due = match self.call_started {
-            Some(at) => now - at > time_out,
+            Some(at) => now - at > call_timeout,
             None => now >= self.next_call,
         };
         is_due && !self.is_subscribed
--- a/balancer/src/send_rules.rs
+++ b/balancer/src/send_rules.rs
@@ -20,7 +20,7 @@
 impl SendRules<'_> {
     /// Whether one more attempt of `request` may be sent to this server.
     pub fn may_send(&self, request: &Request, id: &ServerId, server: &Server) -> bool {
-        server.is_ready() && self.may_send_anywhere(request) && self.may_run_again(request, id, server)
+        server.is_ready() && self.allows_another_attempt(request) && self.may_run_again(request, id, server)
     }
 
     /// Whether one more attempt of `request` may be sent to at least one server.
@@ -28,7 +28,7 @@
         self.servers.iter().any(|(id, server)| self.may_send(request, id, server))
     }
 
-    fn may_send_anywhere(&self, request: &Request) -> bool {
+    fn allows_another_attempt(&self, request: &Request) -> bool {
         !request.ended
             && !request.streaming
             && self.now < request.deadline
--- a/balancer/src/server_pool.rs
+++ b/balancer/src/server_pool.rs
@@ -92,7 +92,7 @@
     }
 
     /// Marks servers that are not in a complete list as gone.
-    pub fn mark_absent_gone(&mut self, entries: &[RosterEntry]) {
+    pub fn mark_unlisted_as_gone(&mut self, entries: &[RosterEntry]) {
         for (id, server) in &mut self.servers {
             if !entries.iter().any(|entry| entry.server == *id) {
                 server.mark_gone();
@@ -168,9 +168,9 @@
         }
     }
 
-    /// Refills the allowances of servers that are warming up, for the time `elapsed`. The rate of a server is
-    /// `multiple` times its usable capacity times the requests per second and unit of capacity: the mean over
-    /// the fleet for a total of `request_rate`, but at least `min_rate`.
+    /// Refills the allowances of servers that are warming up, for the time `elapsed`. The refill rate of a
+    /// server is `multiple` times its usable capacity times the request rate per unit of capacity. The latter
+    /// is `request_rate` divided by the total capacity, but at least `min_rate`.
     pub fn refill_slow_start(&mut self, request_rate: f64, min_rate: f64, multiple: f64, elapsed: Seconds) {
         let placeable_capacity = self.placeable.capacity;
         for server in self.servers.values_mut().filter(|server| server.is_warming_up()) {
--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -143,7 +143,7 @@
     pub health_checks: bool,
     /// Whether [`Action::NotifyPeers`](crate::Action::NotifyPeers) is allowed.
     pub peer_messages: bool,
-    /// Whether a request may have two attempts in flight at once. No rule requires this.
+    /// Whether a request may have two attempts in flight at once. No rule requires hedging.
     pub hedging: bool,
     /// Whether clients receive the `retry_after` advice of [`Action::Refuse`](crate::Action::Refuse).
     pub retry_after: bool,
--- a/balancer/src/shields.rs
+++ b/balancer/src/shields.rs
@@ -70,8 +70,8 @@
     }
 
     /// The shield for a request: the first one below its cap along the key's walk or, if all are full, the
-    /// first one. `None` if the request has `tried` all shields, or if all are ejected and no trial request
-    /// is due.
+    /// first one. `None` if the request has `tried` all shields. While all are ejected, also `None` for
+    /// a retry, and for any other request unless a trial request is due.
     pub fn choose(&mut self, now: Seconds, key: Key, tried: &[ServerId]) -> Option<&ServerId> {
         let none_available = self.ready.is_empty() || self.all_ejected(now);
         if none_available {
