--- a/balancer-node/src/client_connections.rs
+++ b/balancer-node/src/client_connections.rs
@@ -15,12 +15,12 @@
 /// Lower bound of the time limit for the body of the first request, which otherwise has what is left of
 /// `FIRST_REQUEST_TIMEOUT`.
 const MIN_BODY_TIMEOUT: Duration = Duration::from_millis(400);
-/// Of the allowed connections, one in this many may be idle after a request; beyond that, those idle longest
-/// are closed. Without this limit, clients that send one request and keep their connections open would shut out
+/// At most one in this many of the allowed connections may be idle after a request; beyond that, those idle
+/// longest are closed. Without this limit, clients that send one request and keep their connections open would shut out
 /// others long before the node is at capacity. It also bounds the number of connections that are open for
-/// clients that have died unnoticed. Drawback: if more clients than this are active in turn, they reconnect for
-/// each request.
-const IDLE_DIVISOR: usize = 3;
+/// clients that have died unnoticed. Drawback: if more clients than may be idle are active in turn, they
+/// reconnect for each request.
+const MAX_IDLE_DIVISOR: usize = 3;
 /// A new connection counts as unused only after this time: before, its request may still be in the kernel's
 /// buffer.
 const MIN_UNUSED_TIME: Duration = Duration::from_millis(200);
@@ -57,7 +57,7 @@
     pub fn new(max_open: usize) -> Self {
         ClientConnections {
             max_open,
-            max_idle: max_open / IDLE_DIVISOR,
+            max_idle: max_open / MAX_IDLE_DIVISOR,
             open: Cell::new(0),
             next_sequence: Cell::new(0),
             idle: RefCell::default(),
--- a/balancer-node/src/clock.rs
+++ b/balancer-node/src/clock.rs
@@ -6,7 +6,7 @@
 
 /// Shows Unix time, read once at the node's start and advanced by a monotonic clock from then on.
 ///
-/// Servers report their start as Unix time, and the balancer takes a later start time for a new process. With a
+/// Servers report their start as Unix time, and the balancer treats a later start time as a restart. With a
 /// fixed offset between the two clocks, an unchanged start time stays unchanged for the balancer.
 #[derive(Clone, Copy)]
 pub struct Clock {
--- a/balancer-node/src/config.rs
+++ b/balancer-node/src/config.rs
@@ -87,9 +87,9 @@
     /// The peers' addresses by node number.
     pub peers: Vec<SocketAddr>,
     /// An address that reaches all peers at once, such as a broadcast address, if there is one.
-    pub peers_all: Option<SocketAddr>,
+    pub broadcast_addr: Option<SocketAddr>,
     /// The list of servers that the node starts with.
-    pub known: Option<ServerList>,
+    pub initial_servers: Option<ServerList>,
     /// The balancer's settings.
     pub settings: Settings,
 }
@@ -105,7 +105,7 @@
         let settings = glenfall_balancer_settings::parse(&json["settings"]).map_err(ConfigError::Settings)?;
         let max_sockets = max_sockets(&json["limits"]["sockets"])?;
         let upstream_sockets = (max_sockets - RESERVED_SOCKETS) / 2;
-        let known = known_servers(&json["known"])?;
+        let initial_servers = initial_servers(&json["known"])?;
         Ok(Config {
             name: setting(&json, "name", "LB_NAME")?,
             listen: address("listen", &setting(&json, "listen", "LB_LISTEN")?)?,
@@ -115,8 +115,8 @@
             client_sockets: max_sockets - RESERVED_SOCKETS - upstream_sockets,
             peer_listen: optional_address(&json, "peer_listen")?,
             peers: peer_addresses(&json["peers"])?,
-            peers_all: optional_address(&json, "peers_all")?,
-            known,
+            broadcast_addr: optional_address(&json, "peers_all")?,
+            initial_servers,
             settings,
         })
     }
@@ -174,7 +174,7 @@
     stated.filter(|&sockets| sockets >= MIN_SOCKETS).ok_or_else(|| ConfigError::SocketLimit(json.clone()))
 }
 
-fn known_servers(json: &Value) -> Result<Option<ServerList>, ConfigError> {
+fn initial_servers(json: &Value) -> Result<Option<ServerList>, ConfigError> {
     if json.is_null() {
         return Ok(None);
     }
--- a/balancer-node/src/discovery.rs
+++ b/balancer-node/src/discovery.rs
@@ -17,7 +17,7 @@
 use crate::server_list::ServerList;
 
 /// How long discovery may delay the response to the first call of a watch. Short, as the balancer treats a call
-/// as lost that has no response after some seconds.
+/// without a response after some seconds as lost.
 const FIRST_LONG_POLL_DELAY: Duration = Duration::from_secs(1);
 /// The same for each later call of a watch. Long, as each call costs discovery work.
 const LONG_POLL_DELAY: Duration = Duration::from_secs(20);
@@ -28,7 +28,7 @@
 /// uninterrupted while the gaps between calls are below 200 ms.
 const EMPTY_RESPONSE_PAUSE: Duration = Duration::from_millis(100);
 /// Largest accepted response, in bytes; far larger than any list.
-const MAX_LIST_SIZE: usize = 4 << 20;
+const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// Why a call returned no list. The balancer learns only that the call failed.
 #[derive(Debug, thiserror::Error)]
@@ -82,10 +82,10 @@
 }
 
 impl Discovery {
-    /// Creates the client without making a call. `known` is the list that the node starts with; the first watch
+    /// Creates the client without making a call. `initial_list` is the list that the node starts with; the first watch
     /// requests changes to it.
-    pub fn new(addr: SocketAddr, known: Option<&ServerList>) -> Self {
-        let source = Source { addr, version: Cell::new(known.map(|list| list.version)) };
+    pub fn new(addr: SocketAddr, initial_list: Option<&ServerList>) -> Self {
+        let source = Source { addr, version: Cell::new(initial_list.map(|list| list.version)) };
         Discovery { source: RefCell::new(Rc::new(source)), watches: RefCell::default() }
     }
 
@@ -180,7 +180,7 @@
             if response.status() != StatusCode::OK {
                 return Err(CallError::Status(response.status()));
             }
-            let body = Limited::new(response.into_body(), MAX_LIST_SIZE).collect().await;
+            let body = Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await;
             let body = body.map_err(|_| CallError::NotAList)?.to_bytes();
             let json = serde_json::from_slice(&body).map_err(|_| CallError::NotAList)?;
             ServerList::read(&json).ok_or(CallError::NotAList)
--- a/balancer-node/src/host.rs
+++ b/balancer-node/src/host.rs
@@ -76,17 +76,17 @@
             requests: OpenRequests::default(),
             attempts: RefCell::default(),
             upstreams: Upstreams::start(&settings.limits, settings.nodes, config.upstream_sockets),
-            discovery: Rc::new(Discovery::new(config.discovery, config.known.as_ref())),
+            discovery: Rc::new(Discovery::new(config.discovery, config.initial_servers.as_ref())),
             peers: PeerSocket::bind(config).await.map_err(HostError::PeerSocket)?,
         });
         if host.peers.is_some() {
             spawn_local(Rc::clone(&host).receive_peer_messages());
         }
         // The balancer starts with its first event, so it gets one even if no server is known.
-        let servers = config.known.as_ref().map_or(Vec::new(), |list| list.servers.clone());
-        let known = ServerList { version: 0, is_complete: true, servers };
-        host.upstreams.update(&known);
-        host.handle_event(Event::Roster(RosterUpdate::Cached(entries(known.servers))));
+        let servers = config.initial_servers.as_ref().map_or(Vec::new(), |list| list.servers.clone());
+        let initial_list = ServerList { version: 0, is_complete: true, servers };
+        host.upstreams.update(&initial_list);
+        host.handle_event(Event::Roster(RosterUpdate::Cached(entries(initial_list.servers))));
         Ok(host)
     }
 
@@ -243,7 +243,7 @@
 }
 
 impl ServerListObserver for Host {
-    /// Applies new addresses and drains to the connections before the balancer can act on them.
+    /// Applies new addresses and server states to the connections before the balancer can act on them.
     fn on_list(self: Rc<Self>, list: ServerList) {
         self.upstreams.update(&list);
         let is_complete = list.is_complete;
@@ -322,7 +322,7 @@
 }
 
 /// Converts a time stated by the balancer. Never panics: negative times and NaN become zero, and times that are
-/// too long `MAX_DURATION`.
+/// too long become `MAX_DURATION`.
 fn to_duration(seconds: Seconds) -> Duration {
     Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(MAX_DURATION)
 }
--- a/balancer-node/src/peers.rs
+++ b/balancer-node/src/peers.rs
@@ -7,7 +7,7 @@
 use crate::config::Config;
 
 /// Largest message between nodes, in bytes.
-const MAX_MESSAGE_SIZE: usize = 256;
+const MAX_MESSAGE_BYTES: usize = 256;
 
 /// A message from another node.
 pub struct Datagram {
@@ -40,13 +40,13 @@
         let socket = UdpSocket::bind(listen).await?;
         let own_addr = socket.local_addr()?;
         let peers = config.peers.clone();
-        Ok(Some(PeerSocket { socket, own_addr, peers, broadcast_addr: config.peers_all }))
+        Ok(Some(PeerSocket { socket, own_addr, peers, broadcast_addr: config.broadcast_addr }))
     }
 
     /// Sends to all other nodes. A datagram that the socket does not accept at once is dropped, as the network
     /// may do too.
     pub fn broadcast(&self, bytes: &[u8]) {
-        if bytes.len() > MAX_MESSAGE_SIZE {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             return;
         }
         let receivers = match &self.broadcast_addr {
@@ -58,10 +58,10 @@
         }
     }
 
-    /// Waits for the next message from another node. Datagrams from unknown senders or above `MAX_MESSAGE_SIZE`
+    /// Waits for the next message from another node. Datagrams from unknown senders or above `MAX_MESSAGE_BYTES`
     /// are dropped.
     pub async fn receive(&self) -> Datagram {
-        let mut buffer = [0; MAX_MESSAGE_SIZE + 1];
+        let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
         loop {
             // An error here means that an earlier datagram was not delivered.
             let Ok((length, sender)) = self.socket.recv_from(&mut buffer).await else {
@@ -74,7 +74,7 @@
                 continue;
             }
             let Some(from) = self.peers.iter().position(|peer| *peer == sender) else { continue };
-            if length <= MAX_MESSAGE_SIZE {
+            if length <= MAX_MESSAGE_BYTES {
                 return Datagram { from: from as u32, bytes: buffer[..length].to_vec() };
             }
         }
--- a/balancer-node/src/protocol.rs
+++ b/balancer-node/src/protocol.rs
@@ -22,7 +22,7 @@
 pub const LOAD_HEADER: HeaderName = HeaderName::from_static("x-load");
 
 /// Largest body of any message, in bytes.
-pub const MAX_BODY_SIZE: usize = 64 << 10;
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 /// Largest head of any message, in bytes. Also the size of the read buffer, so that a head that does not end is
 /// rejected early.
-pub const MAX_HEAD_SIZE: usize = 16 << 10;
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
--- a/balancer-node/src/request.rs
+++ b/balancer-node/src/request.rs
@@ -13,7 +13,7 @@
 
 use crate::payload::Payload;
 use crate::protocol::{
-    CLASS_HEADER, COST_HINT_HEADER, DEADLINE_MS_HEADER, IDEMPOTENCY_KEY_HEADER, MAX_BODY_SIZE,
+    CLASS_HEADER, COST_HINT_HEADER, DEADLINE_MS_HEADER, IDEMPOTENCY_KEY_HEADER, MAX_BODY_BYTES,
     REQUEST_ID_HEADER, TENANT_HEADER,
 };
 
@@ -25,9 +25,9 @@
 /// Largest time limit that a client may state, in milliseconds; a request with a larger one is rejected.
 const MAX_STATED_TIMEOUT_MS: u64 = 3_600_000;
 /// Longest path with its query, in bytes.
-const MAX_PATH_LENGTH: usize = 2 << 10;
+const MAX_PATH_BYTES: usize = 2 << 10;
 /// Longest id of a request, in bytes.
-const MAX_ID_LENGTH: usize = 64;
+const MAX_ID_BYTES: usize = 64;
 const MICROSECONDS_PER_SECOND: Seconds = 1e6;
 
 /// A client's request that can be forwarded.
@@ -67,9 +67,8 @@
     }
 
     /// Reads a complete request, with its body within `body_timeout`. Requests that violate the protocol are
-    /// rejected before they reach the balancer: a server closes the connection on a request that it cannot
-    /// read, whatever else waits on that connection, and such requests must neither affect servers nor count
-    /// against a tenant's quota.
+    /// rejected before they reach the balancer, and must neither affect servers nor count against a tenant's
+    /// quota. A server that cannot read a request closes the connection, whatever else waits on it.
     ///
     /// # Errors
     ///
@@ -96,7 +95,7 @@
             number(&head.headers, &COST_HINT_HEADER)?.map(|work| work as Seconds / MICROSECONDS_PER_SECOND);
         check_body(&body, is_write)?;
         let body =
-            timeout(client_timeout.min(body_timeout), Limited::new(body, MAX_BODY_SIZE).collect()).await;
+            timeout(client_timeout.min(body_timeout), Limited::new(body, MAX_BODY_BYTES).collect()).await;
         let body = body.map_err(|_| Rejected(StatusCode::REQUEST_TIMEOUT))?.map_err(|_| BAD_REQUEST)?;
         let payload = Payload {
             method: head.method,
@@ -123,12 +122,12 @@
 /// Rejects what could make node and server disagree on where a request ends. hyper hides a `Content-Length`
 /// that comes with a `Transfer-Encoding`, in either order, and the two may disagree on where the next request
 /// begins. Valid clients send a `Content-Length`, so they never need a `Transfer-Encoding`. Also rejects a
-/// target with an authority, and a path above `MAX_PATH_LENGTH`.
+/// target with an authority, and a path above `MAX_PATH_BYTES`.
 fn check_framing(head: &Parts) -> Result<(), Rejected> {
     if head.headers.contains_key(header::TRANSFER_ENCODING) || head.uri.authority().is_some() {
         return Err(BAD_REQUEST);
     }
-    if head.uri.path_and_query().is_none_or(|path| path.as_str().len() > MAX_PATH_LENGTH) {
+    if head.uri.path_and_query().is_none_or(|path| path.as_str().len() > MAX_PATH_BYTES) {
         return Err(Rejected(StatusCode::URI_TOO_LONG));
     }
     Ok(())
@@ -144,7 +143,7 @@
 
 /// Rejects a body whose stated length is too large at once, before the client has sent it.
 fn check_body(body: &Incoming, is_write: bool) -> Result<(), Rejected> {
-    if body.size_hint().lower() > MAX_BODY_SIZE as u64 {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(Rejected(StatusCode::PAYLOAD_TOO_LARGE));
     }
     if !is_write && !body.is_end_stream() {
@@ -182,10 +181,10 @@
     id.cloned().ok_or(BAD_REQUEST)
 }
 
-/// Ids consist of up to `MAX_ID_LENGTH` letters, digits, `-`, `_` and `.`.
+/// Ids consist of up to `MAX_ID_BYTES` letters, digits, `-`, `_` and `.`.
 fn is_id(id: &[u8]) -> bool {
     let is_allowed = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.".contains(byte);
-    (1..=MAX_ID_LENGTH).contains(&id.len()) && id.iter().all(is_allowed)
+    (1..=MAX_ID_BYTES).contains(&id.len()) && id.iter().all(is_allowed)
 }
 
 /// The value of a header that may appear at most once: of two values, node and server might use different ones.
--- a/balancer-node/src/response.rs
+++ b/balancer-node/src/response.rs
@@ -8,7 +8,7 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{header, Response, StatusCode};
 
-use crate::protocol::{CACHE_HEADER, LOAD_HEADER, MAX_BODY_SIZE, NOT_RUN_HEADER};
+use crate::protocol::{CACHE_HEADER, LOAD_HEADER, MAX_BODY_BYTES, NOT_RUN_HEADER};
 
 /// A complete server response with status 200.
 pub struct ServerResponse {
@@ -45,11 +45,11 @@
         return AttemptResult::without_response(Status::Malformed);
     };
     // A body whose stated length is too large is not read.
-    let is_too_large = body.size_hint().lower() > MAX_BODY_SIZE as u64;
+    let is_too_large = body.size_hint().lower() > MAX_BODY_BYTES as u64;
     if BodyFraming::of(&head.headers) != BodyFraming::Delimited || is_too_large {
         return AttemptResult::without_response(Status::Malformed);
     }
-    let body = match Limited::new(body, MAX_BODY_SIZE).collect().await {
+    let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
             let is_too_large = error.is::<LengthLimitError>();
--- a/balancer-node/src/server.rs
+++ b/balancer-node/src/server.rs
@@ -21,7 +21,7 @@
 use crate::config::Config;
 use crate::host::Host;
 use crate::open_requests::Answer;
-use crate::protocol::MAX_HEAD_SIZE;
+use crate::protocol::MAX_HEAD_BYTES;
 use crate::request::{Rejected, RequestReader};
 
 /// Time limit for idle client connections. Long, because the node may close a connection while a new request is
@@ -30,7 +30,7 @@
 /// How long the node accepts connections after the signal to stop. New ones continue to arrive for up to 0.4 s.
 const ACCEPT_TIME_AFTER_STOP: Duration = Duration::from_millis(600);
 /// Pause after a failed accept, for example if no descriptor is left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_ERROR_BACKOFF: Duration = Duration::from_millis(10);
 
 /// State shared by all connections.
 struct Service {
@@ -70,7 +70,7 @@
             Ok((stream, _)) => {
                 spawn_local(serve_connection(stream, Rc::clone(service), clients.open()));
             }
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_ERROR_BACKOFF).await,
         }
     }
 }
@@ -91,7 +91,7 @@
     let mut serving = std::pin::pin!(http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(IDLE_TIMEOUT)
-        .max_buf_size(MAX_HEAD_SIZE)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), respond));
     tokio::select! {
         // An error means that the client disconnected, or sent an invalid request and got an error response.
--- a/balancer-node/src/upstream/mod.rs
+++ b/balancer-node/src/upstream/mod.rs
@@ -17,7 +17,7 @@
 use tokio::task::spawn_local;
 
 use crate::payload::{host_value, Payload};
-use crate::protocol::MAX_HEAD_SIZE;
+use crate::protocol::MAX_HEAD_BYTES;
 use crate::response::{self, AttemptResult};
 use crate::server_list::{ListedServer, ServerList};
 pub use connection_slots::ConnectionSlot;
@@ -26,7 +26,7 @@
 /// Idle connections are closed after this share of the time at which servers close them: a request that is
 /// sent while the server closes the connection ends in a reset.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
-/// The idle time-out if the settings state none.
+/// The idle timeout if the settings state none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Up to this number of nodes, each node may keep all connections that it once needed at a server. With more
 /// nodes, the time for which a node keeps connections beyond the first shrinks in proportion: a server accepts
@@ -37,7 +37,7 @@
 /// How long a server that has rejected a new connection is assumed to accept no more. Until then, requests wait
 /// for one of the node's open connections to it.
 const CONNECTION_REJECTION_TIME: Duration = Duration::from_secs(2);
-/// How often idle connections are checked for their time-outs.
+/// How often idle connections are checked for their timeouts.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Time limit for a complete response, from its first byte; a slower one counts as malformed.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
@@ -63,9 +63,9 @@
 /// How long unused connections are kept.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IdleTimeouts {
-    /// For the connection to a server that was used last.
+    /// For the most recently used connection to each server.
     pub last_used: Duration,
-    /// For each other connection to a server.
+    /// For every other connection.
     pub surplus: Duration,
 }
 
@@ -140,7 +140,7 @@
         self.servers.borrow().get(server).map_or(0, |server| server.idle.len())
     }
 
-    /// The idle time-outs in use.
+    /// The idle timeouts in use.
     pub fn idle_timeouts(&self) -> IdleTimeouts {
         self.idle_timeouts
     }
@@ -168,14 +168,14 @@
         self.servers.borrow().get(server).filter(|server| server.is_ready).map(|server| server.addr)
     }
 
-    /// Makes one attempt. `sent` records how much of the request has been written. The caller limits the time,
-    /// and ends the attempt by dropping the future.
+    /// Makes one attempt. `request_progress` records how much of the request has been written. The caller limits
+    /// the time, and ends the attempt by dropping the future.
     pub async fn exchange(
         &self,
         server: &ServerId,
         payload: &Payload,
         time_left: Duration,
-        sent: &RequestProgress,
+        request_progress: &RequestProgress,
     ) -> AttemptResult {
         let started = Instant::now();
         loop {
@@ -196,7 +196,7 @@
             let request = payload.to_request(connection.addr, time_left.saturating_sub(started.elapsed()));
             let progress = Rc::clone(&connection.progress);
             let exchange = async {
-                match connection.send(request, None, sent).await {
+                match connection.send(request, None, request_progress).await {
                     Ok(response) => Some(response::read(response).await),
                     // The connection had been closed, or had received unsolicited bytes: the server has not
                     // failed, and has not received the request.
@@ -220,8 +220,8 @@
                 // Done before the outcome is reported, as the balancer may start the next attempt in response.
                 let slots = pooled.slot.slots();
                 let is_reusable = self.return_to_pool(server, pooled).await;
-                // A server that rejects a request because its queue is full keeps the connection open, so this
-                // one has rejected the connection.
+                // A server whose queue is full rejects the request and keeps the connection open. This server has
+                // closed the connection, so it accepts no more connections.
                 if result.status == Status::Overloaded && !is_reused && !is_reusable {
                     slots.set_full_until(Instant::now() + CONNECTION_REJECTION_TIME);
                 }
@@ -248,7 +248,7 @@
         status.map_or(Status::TimedOut, |status| status.unwrap_or_else(|failed| failed))
     }
 
-    /// Closes idle connections that would exceed their time-out before the next sweep.
+    /// Closes idle connections that would exceed their timeout before the next sweep.
     pub fn close_unused(&self, now: Instant) {
         for server in self.servers.borrow_mut().values_mut() {
             // The most recently used connection is last, and is kept longest.
@@ -296,8 +296,8 @@
             (server.addr, server.slots.claim())
         };
         // Having no socket left is this node's fault, not the server's: nothing was sent.
-        let open = self.claim_socket().ok_or(Status::NotSent)?;
-        let connecting = Connection::open(addr, open, MAX_HEAD_SIZE);
+        let open_socket = self.claim_socket().ok_or(Status::NotSent)?;
+        let connecting = Connection::open(addr, open_socket, MAX_HEAD_BYTES);
         let connection = tokio::time::timeout(self.connect_timeout, connecting).await;
         let connection = connection.ok().flatten().ok_or(Status::Unreachable)?;
         Ok(PooledConnection { connection, idle_since: Instant::now(), slot })
@@ -314,8 +314,8 @@
         Some(OpenSocket::claim(&self.open))
     }
 
-    /// Returns a connection whose response has been read completely to the idle ones, if it can be reused.
-    /// Returns whether it was kept.
+    /// Adds a connection to the idle ones, if its last response was read completely and it can be reused.
+    /// Returns whether it was added.
     async fn return_to_pool(&self, server: &ServerId, mut pooled: PooledConnection) -> bool {
         if !pooled.connection.is_reusable().await {
             return false;
