--- a/http-client/src/connection.rs
+++ b/http-client/src/connection.rs
@@ -61,12 +61,12 @@
 impl Connection {
     /// Opens a connection, or returns `None` if that fails. `max_head_bytes` limits the head of a response. The
     /// caller limits the time that this may take.
-    pub async fn open(addr: SocketAddr, open: OpenSocket, max_head_bytes: usize) -> Option<Self> {
+    pub async fn open(addr: SocketAddr, open_socket: OpenSocket, max_head_bytes: usize) -> Option<Self> {
         let started = Instant::now();
         let stream = TcpStream::connect(addr).await.ok()?;
         let connect_time = started.elapsed();
         stream.set_nodelay(true).ok()?;
-        let (socket, progress) = Socket::new(stream, open);
+        let (socket, progress) = Socket::new(stream, open_socket);
         let mut builder = http1::Builder::new();
         let (sender, driving) = builder.max_buf_size(max_head_bytes).handshake(socket).await.ok()?;
         let driver = spawn_local(async move {
@@ -76,8 +76,8 @@
         Some(Connection { addr, progress, connect_time, sender, driver })
     }
 
-    /// Sends a request and waits for the head of its response. `sent` reports how far the request was written, even
-    /// if the future is dropped.
+    /// Sends a request and waits for the head of its response. `request_progress` reports how far the request was
+    /// written, even if the future is dropped.
     ///
     /// `id_header` is the header with the request id that a response repeats, for servers that do so. Without it, a
     /// late duplicate response cannot be distinguished from the expected one, as both arrive in order on the connection.
@@ -85,16 +85,18 @@
         &mut self,
         mut request: Request<Full<Bytes>>,
         id_header: Option<&HeaderName>,
-        sent: &RequestProgress,
+        request_progress: &RequestProgress,
     ) -> Result<Response<Incoming>, ExchangeError> {
         let expected_id = id_header.and_then(|name| Some((name, request.headers().get(name)?.clone())));
-        sent.begin(&self.progress);
+        request_progress.begin(&self.progress);
         self.progress.watch_informational(&mut request);
         match self.sender.try_send_request(request).await {
             Ok(response) if self.is_response_to(expected_id, &response) => Ok(response),
-            Ok(_) if sent.is_sent() => Err(ExchangeError::WrongRequest),
+            Ok(_) if request_progress.is_sent() => Err(ExchangeError::WrongRequest),
             Ok(_) => Err(ExchangeError::NotSent),
-            Err(error) if sent.is_sent() => Err(ExchangeError::ConnectionLost(error.into_error())),
+            Err(error) if request_progress.is_sent() => {
+                Err(ExchangeError::ConnectionLost(error.into_error()))
+            }
             Err(_) => Err(ExchangeError::NotSent),
         }
     }
--- a/http-client/src/progress.rs
+++ b/http-client/src/progress.rs
@@ -45,10 +45,10 @@
         }
     }
 
-    /// Resolves `timeout` after the first byte of a final response, by when the response should be complete. A server
-    /// has finished its work on the request when it sends that byte; without this limit, half a head or a body
-    /// shorter than its length would use up all the time that the request has left. Interim responses do not count as
-    /// a first byte.
+    /// Completes once `timeout` has passed since the first byte of a final response; the response should be complete
+    /// by then. A server has finished its work on the request when it sends that byte. Without this limit, half a
+    /// head or a body shorter than its length would use up all the time that the request has left. Interim responses
+    /// do not count as a first byte.
     pub async fn response_timed_out(&self, timeout: Duration) {
         loop {
             self.bytes_received.notified().await;
--- a/http-client/src/send.rs
+++ b/http-client/src/send.rs
@@ -103,13 +103,13 @@
 }
 
 impl ExecutionStatus {
-    /// Whether the request may be sent to another server. `failure` is whether the server responded with an error of
-    /// its own.
-    pub fn may_retry(self, idempotent: bool, failure: bool) -> bool {
+    /// Whether the request may be sent to another server. `is_server_error` is whether the server responded with a
+    /// server error (5xx).
+    pub fn may_retry(self, idempotent: bool, is_server_error: bool) -> bool {
         match self {
             ExecutionStatus::NotRun => true,
             ExecutionStatus::MayHaveRun => idempotent,
-            ExecutionStatus::Answered => idempotent && failure,
+            ExecutionStatus::Answered => idempotent && is_server_error,
             ExecutionStatus::InProgress | ExecutionStatus::Cancelled => false,
         }
     }
@@ -151,7 +151,7 @@
 }
 
 /// Limit on the failed connects of one request. Nothing was sent to these servers, so they do not count as sends, but
-/// each may cost a connect time-out.
+/// each may cost a connect timeout.
 const MAX_UNREACHABLE_SERVERS: u32 = 4;
 
 /// The successive sends of one request to different servers: a state machine over [`execution_status`].
@@ -192,15 +192,20 @@
         !self.stopped && self.used > 0 && self.used == self.max_sends
     }
 
-    /// Records the end of a send. `failure` is whether the server responded with an error of its own.
-    pub fn record_end(&mut self, stage: SendStage, event: SendEvent, failure: bool) -> ExecutionStatus {
+    /// Records the end of a send. `is_server_error` is whether the server responded with a server error (5xx).
+    pub fn record_end(
+        &mut self,
+        stage: SendStage,
+        event: SendEvent,
+        is_server_error: bool,
+    ) -> ExecutionStatus {
         let status = execution_status(stage, event, self.idempotent);
         if event == SendEvent::NoConnection {
             self.unreachable += 1;
         } else {
             self.used += 1;
         }
-        self.stopped = !status.may_retry(self.idempotent, failure);
+        self.stopped = !status.may_retry(self.idempotent, is_server_error);
         status
     }
 
--- a/http-client/src/socket.rs
+++ b/http-client/src/socket.rs
@@ -22,18 +22,18 @@
     progress: Rc<Progress>,
     /// Set while only the last byte of a request is unwritten; that byte may be written when the timer has fired.
     last_byte_timer: Option<Pin<Box<Sleep>>>,
-    _open: OpenSocket,
+    _open_socket: OpenSocket,
 }
 
 impl Socket {
     /// Wraps an open stream, and returns the progress of the requests on it.
-    pub(crate) fn new(stream: TcpStream, open: OpenSocket) -> (Self, Rc<Progress>) {
+    pub(crate) fn new(stream: TcpStream, open_socket: OpenSocket) -> (Self, Rc<Progress>) {
         let progress = Rc::new(Progress::new());
         let socket = Socket {
             stream: TokioIo::new(stream),
             progress: Rc::clone(&progress),
             last_byte_timer: None,
-            _open: open,
+            _open_socket: open_socket,
         };
         (socket, progress)
     }
@@ -148,9 +148,9 @@
 
 impl OpenSocket {
     /// Increments the counter; dropping the returned value decrements it.
-    pub fn claim(open: &Rc<Cell<usize>>) -> Self {
-        open.set(open.get() + 1);
-        OpenSocket(Rc::clone(open))
+    pub fn claim(open_count: &Rc<Cell<usize>>) -> Self {
+        open_count.set(open_count.get() + 1);
+        OpenSocket(Rc::clone(open_count))
     }
 }
 
