--- a/glenfall/src/cache/disk/cache_file.rs
+++ b/glenfall/src/cache/disk/cache_file.rs
@@ -15,7 +15,7 @@
 /// Page size of the file and of its write-ahead log, in bytes: a stored response takes few of them.
 const PAGE_BYTES: usize = 16 << 10;
 /// The write-ahead log is checkpointed when it reaches this many pages, and truncated to that size if it was longer.
-const WAL_PAGES: usize = 512;
+const WAL_CHECKPOINT_PAGES: usize = 512;
 /// Fraction of the disk that the file may take: enough for the rows of all responses in memory, and for free pages.
 const MAX_FRACTION_OF_DISK: f64 = 0.55;
 const BYTES_PER_MB: u32 = 1 << 20;
@@ -72,8 +72,8 @@
         for queued in changes {
             apply(&transaction, queued.change())?;
         }
-        // The write time is that of the last change: a removal that was queued after it is not in the file yet, however
-        // long this write takes.
+        // The write time is when the last change was queued: a removal that was queued later is not in the file yet,
+        // however long this write takes.
         if let Some(last) = changes.last() {
             let Timestamp { wall_ms, monotonic_ms } = last.queued_at();
             transaction.execute(UPSERT_WRITE_TIME, [wall_ms, monotonic_ms])?;
@@ -114,8 +114,8 @@
             let _ = std::fs::create_dir_all(folder);
         }
         let connection = disk::open_database(&self.path, PAGE_BYTES)?;
-        connection.pragma_update(None, "wal_autocheckpoint", WAL_PAGES)?;
-        connection.pragma_update(None, "journal_size_limit", WAL_PAGES * PAGE_BYTES)?;
+        connection.pragma_update(None, "wal_autocheckpoint", WAL_CHECKPOINT_PAGES)?;
+        connection.pragma_update(None, "journal_size_limit", WAL_CHECKPOINT_PAGES * PAGE_BYTES)?;
         connection.pragma_update(None, "max_page_count", self.max_pages)?;
         connection.execute_batch(CREATE_TABLES)?;
         Ok(connection)
--- a/glenfall/src/cache/disk/writer.rs
+++ b/glenfall/src/cache/disk/writer.rs
@@ -13,8 +13,9 @@
 
 /// Changes within this time are written in one transaction, with one sync.
 const BATCH_DELAY: Duration = Duration::from_millis(300);
-/// A transaction takes no further changes once it has this many rows. Each row may take a page of the write-ahead log,
-/// which then has at most twice the pages at which it is checkpointed, plus those of the bodies in the queue.
+/// A transaction takes no further changes once it has this many rows. Its last change may be a removal of up to as
+/// many more. Each row may take a page of the write-ahead log, which then has at most twice the pages at which it is
+/// checkpointed, plus those of the bodies in the queue.
 pub const MAX_BATCH_ROWS: usize = 256;
 /// Pause after a failed write.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
--- a/glenfall/src/cache/stored_response.rs
+++ b/glenfall/src/cache/stored_response.rs
@@ -22,7 +22,7 @@
 /// A complete response that may be sent again.
 #[derive(Debug)]
 pub struct StoredResponse {
-    /// The server's headers, without those of one connection.
+    /// The server's headers, without hop-by-hop headers.
     pub headers: HeaderMap,
     /// The complete object.
     pub body: Bytes,
--- a/glenfall/src/http/failure/cause.rs
+++ b/glenfall/src/http/failure/cause.rs
@@ -1,6 +1,6 @@
 //! The causes of failed requests.
 
-/// Defines [`Cause`] together with the names of its variants, so that a new one is added at a single place.
+/// Defines [`Cause`] together with the names of its variants, so that a new one is added in a single place.
 macro_rules! causes {
     ($($(#[$doc:meta])* $cause:ident = $name:literal,)+) => {
         /// Why a request got no response from a server, or got an error from it.
--- a/glenfall/src/http/failure/log.rs
+++ b/glenfall/src/http/failure/log.rs
@@ -12,7 +12,7 @@
 const MAX_QUOTED_BYTES: usize = 160;
 /// How many lines of one cause may be written at once. A flood of one cause must not hide another one in the log, nor
 /// use up the processor.
-const LOG_BURST: f64 = 64.0;
+const LOG_BURST_LINES: f64 = 64.0;
 /// How many lines of one cause may be written per second after a burst.
 const LOG_LINES_PER_S: f64 = 4.0;
 
@@ -52,7 +52,7 @@
 impl Default for FailureLog {
     fn default() -> Self {
         let new_state =
-            |_: &Cause| CauseState { count: 0, log_limit: LogLimit::new(LOG_BURST, LOG_LINES_PER_S) };
+            |_: &Cause| CauseState { count: 0, log_limit: LogLimit::new(LOG_BURST_LINES, LOG_LINES_PER_S) };
         FailureLog { causes: RefCell::new(Cause::ALL.iter().map(new_state).collect()) }
     }
 }
--- a/glenfall/src/http/response/server.rs
+++ b/glenfall/src/http/response/server.rs
@@ -46,7 +46,7 @@
         is_failure.then(|| Failure::with_attempts(Cause::ServerError, self.attempts.clone()))
     }
 
-    /// Where the shield that sent this response has it from; `None` if it was not sent by a shield.
+    /// Where the shield that sent this response got it; `None` if it was not sent by a shield.
     pub fn shield_source(&self) -> Option<ShieldSource> {
         ShieldSource::parse(self.headers.get(SHIELD_HEADER)?)
     }
--- a/glenfall/src/http/send_budget.rs
+++ b/glenfall/src/http/send_budget.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// Converts a text to a header value. The fallback is never used, as both texts are ASCII.
+/// Converts a text to a header value. The fallback is never used, as the callers pass ASCII only.
 fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static("used=0"))
 }
--- a/glenfall/src/http_server/deadlines.rs
+++ b/glenfall/src/http_server/deadlines.rs
@@ -11,7 +11,7 @@
 use tokio::time::{sleep_until, Instant};
 
 /// The lowest rate at which a client may read a response: it may take the idle timeout plus the time that it needs at
-/// this rate. Without it, slow clients could occupy the memory of their responses for any time.
+/// this rate. Without it, slow clients could occupy the memory of their responses indefinitely.
 const MIN_RESPONSE_BYTES_PER_S: f64 = 8.0 * 1024.0;
 
 /// What a connection waits for.
@@ -55,10 +55,10 @@
 /// What a connection waits for, and the deadline for it.
 pub struct Deadlines {
     phase: Cell<Phase>,
-    /// When the phase began, or, in [`Phase::Idle`], when the client last read part of the response.
+    /// When the phase began, or, in [`Phase::Idle`], when part of the response was last written.
     last_activity: Cell<Instant>,
-    response_ready: Cell<Instant>,
-    /// How many bytes of the response the client has read since `response_ready`.
+    response_ready_at: Cell<Instant>,
+    /// How many bytes of the response were written to the socket since `response_ready_at`.
     response_bytes: Cell<usize>,
     /// Returns the current timeouts, which a new configuration may change while the connection is open.
     current_timeouts: Box<dyn Fn() -> ClientTimeouts>,
@@ -73,7 +73,7 @@
         Rc::new(Deadlines {
             phase: Cell::new(Phase::Idle),
             last_activity: Cell::new(now),
-            response_ready: Cell::new(now),
+            response_ready_at: Cell::new(now),
             response_bytes: Cell::new(0),
             timeouts: Cell::new(current_timeouts()),
             current_timeouts: Box::new(current_timeouts),
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Records that the client has read part of the response, which restarts the idle timeout.
+    /// Records that the socket has accepted bytes of the response: the client still reads it, so the idle timeout
+    /// restarts.
     pub fn record_written(&self, bytes: usize) {
         if self.is_idle() {
             self.last_activity.set(Instant::now());
@@ -119,7 +120,7 @@
             Phase::Idle => {
                 let reading_time =
                     Duration::from_secs_f64(self.response_bytes.get() as f64 / MIN_RESPONSE_BYTES_PER_S);
-                let reading_deadline = self.response_ready.get() + idle + reading_time;
+                let reading_deadline = self.response_ready_at.get() + idle + reading_time;
                 Some((self.last_activity.get() + idle).min(reading_deadline))
             }
             Phase::ReadingHead => Some(self.last_activity.get() + head),
@@ -172,7 +173,7 @@
 impl Drop for ResponseGuard<'_> {
     fn drop(&mut self) {
         self.0.enter(Phase::Idle);
-        self.0.response_ready.set(self.0.last_activity.get());
+        self.0.response_ready_at.set(self.0.last_activity.get());
         self.0.response_bytes.set(0);
     }
 }
--- a/glenfall/src/http_server/request_body.rs
+++ b/glenfall/src/http_server/request_body.rs
@@ -17,7 +17,7 @@
 use crate::http_server::body_memory::{BodyMemory, BodyMemoryExhausted, BodyReservation};
 
 /// The lowest rate at which a client may send a body: a body may take `idleTimeoutMs` plus the time that it needs at
-/// this rate. Without it, slow clients could occupy the memory for their bodies for any time.
+/// this rate. Without it, slow clients could occupy the memory for their bodies indefinitely.
 const MIN_BODY_BYTES_PER_S: f64 = 32.0 * 1024.0;
 /// The `Retry-After` of a request that was rejected because there was no memory for its body.
 const BODY_MEMORY_RETRY_AFTER: Duration = Duration::from_millis(200);
@@ -120,8 +120,8 @@
     }
 }
 
-/// Reads a body. If its length is known, its memory is reserved at once; otherwise the reservation is twice the received
-/// length each time it has to grow.
+/// Reads a body. If its length is known, its memory is reserved at once; otherwise the reservation grows to twice the
+/// received length whenever it is too small.
 async fn read_body(
     mut body: Incoming,
     bounds: BodyBounds,
--- a/glenfall/src/metrics/latency.rs
+++ b/glenfall/src/metrics/latency.rs
@@ -25,7 +25,7 @@
 
 /// The latencies of one kind of operation.
 pub struct Latency {
-    /// `None` only if the bounds above are invalid.
+    /// `None` only if the range or the precision of the histograms is invalid.
     histograms: RefCell<Option<Histograms>>,
     window_started: Cell<Instant>,
 }
--- a/glenfall/src/shield/mod.rs
+++ b/glenfall/src/shield/mod.rs
@@ -140,7 +140,7 @@
     }
 
     /// While disconnected from control, the cache stays in use, and its responses are marked as not covered by a lease.
-    /// Edges that are disconnected as well use them.
+    /// Only edges that hold no lease either use them.
     fn connection_changed(&self, is_connected: bool) {
         if is_connected {
             self.warm_start.set_caught_up();
--- a/glenfall/src/shield/read.rs
+++ b/glenfall/src/shield/read.rs
@@ -23,8 +23,8 @@
 use crate::upstream::forward::{Rejection, UNAVAILABLE_RETRY_AFTER};
 
 /// How long a read waits for the version of the configuration that its edge has used. Updates reach the machines of one
-/// region within milliseconds of each other, and those of different regions within a round trip. One that takes longer
-/// may not arrive at all, because the control node of this machine is partitioned.
+/// region within milliseconds of each other, and those of different regions within a round trip. An update that takes
+/// longer may not arrive at all, because the control node of this machine is partitioned.
 const CONFIG_WAIT: Duration = Duration::from_millis(100);
 /// `Retry-After` of a shield that lacks the configuration for a read.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(200);
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The configuration, once it is at least as new as the edge's. A rejection if it does not become so in time.
+    /// The configuration, once it is at least as new as the edge's. A rejection if there is none in time.
     async fn config_for(&self, headers: &HeaderMap, deadline: Instant) -> Result<Arc<Config>, ReadResult> {
         let version = numeric_header(headers, CONFIG_VERSION_HEADER).unwrap_or(0);
         let not_ready = |cause| ReadResult::local(LocalResponse::rejected(cause, NOT_READY_RETRY_AFTER));
--- a/glenfall/src/upstream/concurrency_limit.rs
+++ b/glenfall/src/upstream/concurrency_limit.rs
@@ -22,8 +22,8 @@
 const OVERLOAD_LATE_FRACTION: f64 = 0.3;
 /// The limit may be raised while less than this fraction is late.
 const HEALTHY_LATE_FRACTION: f64 = 0.15;
-/// The limit is multiplied by this when it is lowered.
-const BACKOFF_FACTOR: f64 = 0.8;
+/// When the limit is lowered, the smaller of the limit and the requests in flight is multiplied by this.
+const LIMIT_DECREASE_FACTOR: f64 = 0.8;
 /// Lower bound of a limit, as a multiple of this machine's share of the servers' capacity. It keeps the servers busy,
 /// with a request ready to run when a slot becomes free.
 const MIN_LIMIT_PER_CAPACITY: f64 = 1.5;
@@ -67,7 +67,7 @@
         self.late_fraction += LATE_FRACTION_SMOOTHING * (sample - self.late_fraction);
         let in_flight = f64::from(self.in_flight);
         if self.late_fraction > OVERLOAD_LATE_FRACTION && now >= self.next_decrease_at {
-            self.limit = (self.limit.min(in_flight) * BACKOFF_FACTOR).max(self.min_limit);
+            self.limit = (self.limit.min(in_flight) * LIMIT_DECREASE_FACTOR).max(self.min_limit);
             // The effect of a decrease shows once the requests in flight have ended.
             self.next_decrease_at = now + latency_target / 2;
         } else if self.late_fraction < HEALTHY_LATE_FRACTION && in_flight + 1.0 >= self.limit {
--- a/glenfall/src/upstream/forward/attempts.rs
+++ b/glenfall/src/upstream/forward/attempts.rs
@@ -18,10 +18,10 @@
     max_sends: u32,
     idempotent: bool,
     trace: Trace,
-    /// Whether a server may have run the request: one has received it completely, and did not state that it has not run
-    /// it.
+    /// Whether a server may have run the request: one has received it completely, and has not stated that it was
+    /// not run.
     may_have_run: bool,
-    /// Whether the request holds an unused token of the rate limit: no server has received the request for it.
+    /// Whether the request holds a token of the rate limit that no send has used up.
     has_rate_limit_token: bool,
     /// How the request ends if it is sent to no further server.
     outcome_so_far: Outcome,
--- a/glenfall/src/upstream/pool/exchange.rs
+++ b/glenfall/src/upstream/pool/exchange.rs
@@ -18,7 +18,8 @@
 use crate::http::response::ServerResponse;
 
 /// Time from the first byte of a response within which it has to be complete; otherwise the request is sent to another
-/// server. It does not apply where the request can't be sent to another server: a pause alone does not end a response.
+/// server. It does not apply where the request can't be sent to another server: such a response may pause until the
+/// deadline.
 pub const RESPONSE_COMPLETION_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Where a request is sent, and how long its response may take.
