--- a/balancer/src/balancer/placement.rs
+++ b/balancer/src/balancer/placement.rs
@@ -37,10 +37,10 @@
         let limit_divisor = self.limit_divisor(request);
         let slot_count = self.popularity.slot_count(request.key, self.servers.placeable_servers(), self.now);
         let first_slot = (request.slot_fraction * slot_count) as u64;
-        let takes = |jumps, id: &ServerId, hash| {
+        let may_own = |jumps, id: &ServerId, hash| {
             self.servers.get(id).is_some_and(|server| self.takes_key(server, request.key, jumps, hash))
         };
-        for id in self.servers.slots().walk(request.key, first_slot, takes) {
+        for id in self.servers.slots().walk(request.key, first_slot, may_own) {
             let server = self.servers.get(id)?;
             match self.availability(request, id, server, limit_divisor) {
                 Availability::Available => return Some(id.clone()),
--- a/balancer/src/rjch.rs
+++ b/balancer/src/rjch.rs
@@ -107,14 +107,14 @@
         free
     }
 
-    /// The owner of slot h(key, attempt): the server of the nearest point clockwise for which `takes` is
+    /// The owner of slot h(key, attempt): the server of the nearest point clockwise for which `may_own` is
     /// true.
-    fn owner(&self, key: Key, attempt: u64, takes: impl Fn(&ServerId, u32) -> bool) -> Option<&ServerId> {
+    fn owner(&self, key: Key, attempt: u64, may_own: impl Fn(&ServerId, u32) -> bool) -> Option<&ServerId> {
         let slot = slot_of(key, attempt);
         let first = self.points.partition_point(|point| usize::from(point.slot) < slot);
         let (before, after) = self.points.split_at(first);
         let mut nearest = after.iter().chain(before).take(MAX_POINTS_PER_SLOT);
-        nearest.find_map(|point| self.member_of(point).filter(|id| takes(id, point.hash)))
+        nearest.find_map(|point| self.member_of(point).filter(|id| may_own(id, point.hash)))
     }
 
     fn member_of(&self, point: &Point) -> Option<&ServerId> {
@@ -122,16 +122,16 @@
     }
 
     /// The owners of h(key, first), h(key, first + 1) and so on, in the order in which a key tries them.
-    /// `takes` decides whether a server may own the slot; it is called with the number of jumps, from 0, the
+    /// `may_own` decides whether a server may own the slot; it is called with the number of jumps, from 0, the
     /// server and the hash of its point.
     pub fn walk<'a>(
         &'a self,
         key: Key,
         first: u64,
-        takes: impl Fn(u64, &ServerId, u32) -> bool + 'a,
+        may_own: impl Fn(u64, &ServerId, u32) -> bool + 'a,
     ) -> impl Iterator<Item = &'a ServerId> + 'a {
         (0..MAX_JUMPS)
-            .filter_map(move |jumps| self.owner(key, first + jumps, |id, hash| takes(jumps, id, hash)))
+            .filter_map(move |jumps| self.owner(key, first + jumps, |id, hash| may_own(jumps, id, hash)))
     }
 }
 
--- a/balancer/src/server.rs
+++ b/balancer/src/server.rs
@@ -60,7 +60,8 @@
     }
 
     /// Applies a new roster entry. A later start time means that the server was restarted: this clears its
-    /// failures and starts its slow start, with the initial allowance `allowance`.
+    /// failures, restores its key share, raises its limit to the initial one if it is lower, and starts slow
+    /// start with this `allowance`.
     pub fn update_entry(&mut self, entry: RosterEntry, allowance: f64, config: &NodeConfig) {
         let known_start = self.entry.started;
         let is_restart = entry.started.is_some_and(|at| known_start.is_none_or(|known| at > known));
