--- a/http-client/src/connection.rs
+++ b/http-client/src/connection.rs
@@ -94,9 +94,7 @@
             Ok(response) if self.is_response_to(expected_id, &response) => Ok(response),
             Ok(_) if request_progress.is_sent() => Err(ExchangeError::WrongRequest),
             Ok(_) => Err(ExchangeError::NotSent),
-            Err(error) if request_progress.is_sent() => {
-                Err(ExchangeError::ConnectionLost(error.into_error()))
-            }
+            Err(err) if request_progress.is_sent() => Err(ExchangeError::ConnectionLost(err.into_error())),
             Err(_) => Err(ExchangeError::NotSent),
         }
     }
