--- a/glenfall/src/upstream/pool/connection_pool.rs
+++ b/glenfall/src/upstream/pool/connection_pool.rs
@@ -41,8 +41,8 @@
     /// A process of this system, which never drops a connection without closing it.
     Internal,
     /// An origin server, which may have silently dropped an idle connection. The last byte of a request on such a
-    /// connection is delayed until a server that has dropped it would have reset it: a request that fails before has
-    /// not run, and can be sent on another connection.
+    /// connection is delayed until the reset from a server that has dropped the connection would have arrived. A
+    /// request that fails before that has not run, and can be sent on another connection.
     Origin,
 }
 
