--- a/balancer/src/rjch.rs
+++ b/balancer/src/rjch.rs
@@ -122,8 +122,8 @@
     }
 
     /// The owners of h(key, first), h(key, first + 1) and so on, in the order in which a key tries them.
-    /// `may_own` decides whether a server may own the slot; it is called with the number of jumps, from 0, the
-    /// server and the hash of its point.
+    /// `may_own` decides whether a server may own the slot; it is called with the number of jumps, from 0,
+    /// the server and the hash of its point.
     pub fn walk<'a>(
         &'a self,
         key: Key,
--- a/glenfall/src/upstream/origins/local_subsets.rs
+++ b/glenfall/src/upstream/origins/local_subsets.rs
@@ -63,8 +63,8 @@
         self.fleet_generation += 1;
     }
 
-    /// The ids of this machine's servers of a service; `None` if it may use any server. `ready_servers` lists the servers of
-    /// the service that accept requests; it is called only if the subset has to be checked.
+    /// The ids of this machine's servers of a service; `None` if it may use any server. `ready_servers` lists the
+    /// servers of the service that accept requests; it is called only if the subset has to be checked.
     pub fn subset_of(
         &mut self,
         now: Instant,
