--- a/glenfall/tests/majority_loss.rs
+++ b/glenfall/tests/majority_loss.rs
@@ -62,7 +62,7 @@
 struct Agent {
     link: Link,
     updates: Vec<Update>,
-    /// Number of leases granted, each for the maximum duration.
+    /// Number of leases granted, of any duration.
     granted_leases: usize,
 }
 
--- a/glenfall/tests/misbehaving_servers.rs
+++ b/glenfall/tests/misbehaving_servers.rs
@@ -147,7 +147,7 @@
         sleep(Duration::from_millis(ms)).await;
     }
 
-    /// The id of a request that has run, other than `own`.
+    /// The id of a request that has run, other than `own_id`.
     fn another_request_id(&self, own_id: &str) -> String {
         let observations = self.observations.borrow();
         let others: Vec<&String> = observations.run_counts.keys().filter(|id| *id != own_id).collect();
@@ -462,7 +462,7 @@
                 let request_rng = ChaCha8Rng::seed_from_u64(rng.random());
                 outcomes.push((id.clone(), send_request(&forwarder, &id, request_rng).await));
                 if rng.random_bool(0.2) {
-                    // Leaves some connections idle for longer than the pool reuses them.
+                    // Leaves some connections idle for longer than the pool trusts them (`MAX_TRUSTED_IDLE_TIME`).
                     sleep(Duration::from_millis(rng.random_range(1..150))).await;
                 }
             }
