--- a/glenfall/tests/bounds.rs
+++ b/glenfall/tests/bounds.rs
@@ -104,7 +104,8 @@
     }
     cache.remove(&(0..8000).map(key).collect::<Vec<_>>());
     (0..200).for_each(|_| measure());
-    // The file may take 55 % of the disk space; the write-ahead log twice its page limit of 8 MB, and the queued bodies.
+    // The file may take 55 % of the disk space. The write-ahead log may take twice the 8 MB at which it is checkpointed,
+    // plus up to 8 MB for the queued bodies.
     let bounds = [DISK_MB * (1 << 20) * 55 / 100, (2 * 8 + 8) * (1 << 20)];
     println!("at most {max_bytes} bytes on disk and {wal_bytes} bytes of write-ahead log; bounds {bounds:?}");
     assert!(wal_bytes <= bounds[1], "write-ahead log of {wal_bytes} bytes, above the bound of {}", bounds[1]);
@@ -129,7 +130,7 @@
         );
     }
     assert_eq!(purges.purges_for_new_session(1000), [AgedPurge { purge: Purge::Everything, age_ms: 0 }]);
-    // Also short purges, whose numbers take more bytes than their labels.
+    // The same for short purges, whose numbers take more bytes than their labels.
     let mut purges = PurgeHistory::default();
     let short_purge = |number: u64| {
         let purge = Purge::Label("l".into());
--- a/glenfall/tests/changes.rs
+++ b/glenfall/tests/changes.rs
@@ -145,7 +145,7 @@
         let received_bytes = status["counters"]["message_bytes_heard"].as_u64().unwrap();
         println!("{missed} missed, disk lost: {disk_lost}: in the chain after {elapsed_ms} ms, {received_bytes} bytes received, {version_bytes} bytes per version");
         // Each of the two other nodes sends the state when it sees that this one has an older version, and the view
-        // brings it once more. All of it happens twice if the first view fails.
+        // change sends it once more. All of this happens twice if the first view fails.
         assert!(
             received_bytes < 7 * version_bytes,
             "{received_bytes} bytes received after {missed} missed changes"
@@ -250,7 +250,7 @@
     }
     assert_eq!(system.status(1).unwrap()["view"], view, "the old disk caused a view change");
     assert_eq!(read_config(&system, 3), Some((200, document(19))));
-    // Refused until all voters are connected to it.
+    // The command is refused until all voters are connected to the node.
     wait_until("the node is added as a voter", || change_voter(&system, "add").0);
     system.wait_for_chain(&[1, 2, 3], 3);
     put_version(&system, &[3], 20);
--- a/glenfall/tests/common/mod.rs
+++ b/glenfall/tests/common/mod.rs
@@ -26,6 +26,7 @@
     /// Machine number, role and process.
     children: Vec<(u8, &'static str, Child)>,
     pub folder: PathBuf,
+    /// First of six consecutive ports, which are the same at each machine's address.
     base_port: u16,
 }
 
@@ -332,7 +333,7 @@
         assert!(outcome.0, "{}", outcome.1);
     }
 
-    /// Waits until the edge is ready and each control node knows three ready shields.
+    /// Waits until the edge is ready, and each control node knows three ready shields that its sessions have applied.
     pub fn wait_until_ready(&self) {
         let ready = self.edge_addrs()[1];
         wait_until("the edge is ready", || {
--- a/glenfall/tests/core.rs
+++ b/glenfall/tests/core.rs
@@ -176,8 +176,8 @@
         |rev: u64, note: &str| format!(r#"{{"rev":{rev},"paths":[],"backends":[],"note":"{note}"}}"#);
     let patch =
         |rev: u64, name: &str| format!(r#"{{"rev":{rev},"upsert":{{"backends":[{{"name":"{name}"}}]}}}}"#);
-    // Repeats the same change until its outcome is known. For a change that may have been accepted before the retained
-    // history begins, it is never known.
+    // Repeats the same change until the response is final. A 503 is final for a change that may have been accepted before
+    // the retained history begins, as its outcome can no longer be determined.
     let send_change = |core: &System, node: u8, method: &str, builds_on: u64, body: &str| {
         let headers = format!("Host: c\r\nIf-Match: {builds_on}\r\n");
         let mut response = (0, String::new());
@@ -379,6 +379,7 @@
 fn a_new_control_node_with_unreachable_seeds_joins_once_its_settings_name_reachable_ones() {
     let mut core = System::start(&["control"], &[]);
     core.wait_for_chain(&[1, 2, 3], 3);
+    // Only the addresses of the seed nodes are replaced, by unreachable ones.
     core.edit_settings(
         EDGE_MACHINE,
         &[("127.0.8.", "127.0.9."), ("bindIp = \"127.0.9.", "bindIp = \"127.0.8.")],
--- a/glenfall/tests/crash_simulation/mod.rs
+++ b/glenfall/tests/crash_simulation/mod.rs
@@ -55,7 +55,7 @@
     out.write_all(format!("{PROGRESS_PREFIX}{message}\n").as_bytes()).and_then(|()| out.flush()).unwrap();
 }
 
-/// In the recorded process: names this thread to the recorder and waits until it is traced.
+/// In the recorded process: sends the id of this thread to the recorder, and waits until the thread is traced.
 pub fn wait_for_recorder() {
     println!("\nthread {}", gettid());
     let mut line = String::new();
@@ -278,6 +278,7 @@
                     break;
                 }
             }
+            // The stop that `interrupt` requested: the thread is traced, and may go on.
             WaitStatus::PtraceEvent(..) => {
                 if let Some(mut input) = stdin.take() {
                     input.write_all(b"go\n").unwrap();
@@ -339,9 +340,9 @@
     }
 }
 
-/// A selection of the states in which a power loss after these events may leave the folder: each combination of
-/// unsynced name changes, with the unsynced writes all present, all missing, all present but one missing or torn, all
-/// missing but one present or torn, and four combinations drawn at random from the seed.
+/// A selection of the states in which a power loss after these events may leave the folder. Each combination of unsynced
+/// name changes occurs with the same outcomes of the unsynced writes: all present, all missing, all present but one
+/// missing or torn, all missing but one present or torn, and four lists of outcomes drawn at random from the seed.
 pub fn crash_states(before: &Files, events: &[Event], seed: u64) -> Vec<Files> {
     let mut files: Vec<File> =
         before.values().map(|bytes| File { synced: bytes.clone(), dirty: Vec::new() }).collect();
--- a/glenfall/tests/memory.rs
+++ b/glenfall/tests/memory.rs
@@ -11,8 +11,8 @@
 const MEMORY_LIMIT_MB: u64 = 96;
 /// Length of a server's response body.
 const RESPONSE_BYTES: usize = 8 << 20;
-/// Clients that don't read their responses. Together these are four times the memory limit, and more than the socket
-/// buffers of the kernel hold.
+/// Number of clients that don't read their responses, and of clients that don't complete their request bodies. Together
+/// the responses are four times the memory limit, and more than the socket buffers of the kernel hold.
 const CLIENT_COUNT: usize = 48;
 
 /// Starts a server with large responses.
--- a/glenfall/tests/missed_heartbeats.rs
+++ b/glenfall/tests/missed_heartbeats.rs
@@ -149,7 +149,7 @@
 
 #[test]
 fn a_server_that_deregisters_just_after_a_control_restart_gets_no_more_requests() {
-    // No further heartbeat is due before the end of the test, so the restarted nodes never have all servers.
+    // No further heartbeat is due before the end of the test, so the restarted nodes never know all servers.
     let (mut system, servers) = start(Duration::from_mins(2));
     wait_until("both servers get requests", || {
         send_request(&system, "POST /w/x");
--- a/glenfall/tests/planned_operations.rs
+++ b/glenfall/tests/planned_operations.rs
@@ -26,7 +26,7 @@
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(received) = receive_request(&mut reader) {
             let number = self.started_count.fetch_add(1, Ordering::Relaxed);
-            // Some requests take longer than a process accepts connections while it shuts down.
+            // Some requests take longer than a process that shuts down goes on accepting connections.
             let slow = received.request_line.starts_with("POST") && number % 8 == 7;
             let work_ms = if slow { 4500 } else { 20 + 90 * (number % 8) as u64 };
             std::thread::sleep(Duration::from_millis(work_ms));
@@ -173,7 +173,7 @@
     };
     vec![
         put(1, "{}", &all_routes()),
-        // Lowers the limits and the idle time-out considerably, and restores them.
+        // Lowers the limits and the idle timeout considerably, and restores them.
         put(
             2,
             r#"{"maxHeaderBytes":9000,"maxBodyBytes":3000,"headerTimeoutMs":400,"idleTimeoutMs":150}"#,
--- a/glenfall/tests/response_seals.rs
+++ b/glenfall/tests/response_seals.rs
@@ -19,7 +19,7 @@
     Status(u16),
     /// A sealed 304 if the request has an `If-None-Match` header, otherwise a sealed 200.
     Conditional,
-    /// A sealed response with this status and the header that the request has not been run.
+    /// A sealed response with this status, and with the header that declares the request not run.
     NotRun(u16),
     /// A sealed 200 without the last byte of its body.
     TruncatedBody,
--- a/glenfall/tests/send_budget.rs
+++ b/glenfall/tests/send_budget.rs
@@ -14,7 +14,7 @@
 const DEADLINE_MS: Ms = 4000;
 /// Time to a fast response.
 const FAST_RESPONSE_MS: Ms = 20;
-/// Time to a slow response: longer than the hedge delay, shorter than the time-out of a server.
+/// Time to a slow response: longer than the hedge delay, shorter than the timeout of a server.
 const SLOW_RESPONSE_MS: Ms = 1400;
 /// Time until connecting to an unreachable shield fails.
 const CONNECT_FAILURE_MS: Ms = 300;
--- a/glenfall/tests/sessions.rs
+++ b/glenfall/tests/sessions.rs
@@ -142,7 +142,8 @@
         let sessions = Rc::new(Sessions::default());
         let (mut frames, outbox) = open_session(&sessions, "early").await;
         assert!(outbox.send(SubscriberMessage::RenewLease { sent_at: 7 }));
-        // Messages of a connection are handled in order: once the counters are there, the lease request has been handled.
+        // Messages of a connection are handled in order: once the status has the counters, the lease request has been
+        // handled.
         assert!(outbox.send(SubscriberMessage::Counters(vec![Counter { name: "marker".into(), value: 1 }])));
         wait_until(|| sessions.statuses().iter().any(|status| !status.counters.is_empty())).await;
         sessions.set_own_lease_end(Instant::now() + WAIT_TIMEOUT);
--- a/glenfall/tests/stale_acknowledgements.rs
+++ b/glenfall/tests/stale_acknowledgements.rs
@@ -66,6 +66,7 @@
 fn an_acknowledgement_for_an_earlier_process_or_another_request_is_ignored() {
     let system = System::start(&["control"], &[]);
     system.wait_for_chain(&[1, 2, 3], 3);
+    // Control nodes accept peers at the base port, three below the port of their API.
     let peer_addr =
         |machine| SocketAddrV4::new(*system.control_addr(machine).ip(), system.control_addr(1).port() - 3);
     let purge_requests = start_peer(peer_addr(EDGE_MACHINE));
--- a/glenfall/tests/store.rs
+++ b/glenfall/tests/store.rs
@@ -32,7 +32,7 @@
     folder
 }
 
-/// Scenario in place of state numbers: creates the store with state 1, as a restore from a backup does.
+/// The scenario that lists no state numbers: it creates the store with state 1, as a restore from a backup does.
 const RESTORE_SCENARIO: &str = "import";
 
 /// The state with number `n`: its document takes several pages if `n` is even.
@@ -84,7 +84,7 @@
 
 /// Records a process that writes these states to a folder, and simulates the possible outcomes of a power loss after
 /// each recorded event. The store must recover the last acknowledged state or the one being written. `initial` is what it
-/// recovers from `before`: a state number, "nothing" or "damaged".
+/// recovers from `before`: a state number, "nothing" or "damaged". Returns the folder's files after each power loss.
 fn check_power_losses(name: &str, before: &Files, initial: &str, scenario: &str) -> Vec<Files> {
     let folder = folder(name);
     write_folder(&folder, before);
