--- a/glenfall/tests/send_budget.rs
+++ b/glenfall/tests/send_budget.rs
@@ -263,12 +263,12 @@
 }
 
 /// Checks every combination of server behavior with this number of shields.
-fn check_all_combinations(shields: usize) {
+fn check_all_combinations(shield_count: usize) {
     let server_lists: Vec<[ServerBehavior; SERVER_COUNT]> = lists(&SERVER_BEHAVIORS, SERVER_COUNT)
         .into_iter()
         .map(|list| list.try_into().expect("one behavior per server"))
         .collect();
-    for shields in lists(&SHIELD_BEHAVIORS, shields) {
+    for shields in lists(&SHIELD_BEHAVIORS, shield_count) {
         for servers in &server_lists {
             for tries in 1..=3 {
                 check_combination(&shields, servers, tries);
@@ -299,8 +299,8 @@
 
 #[test]
 fn a_request_reaches_at_most_tries_servers_and_fails_only_without_sends_left() {
-    for shields in 0..=3 {
-        check_all_combinations(shields);
+    for shield_count in 0..=3 {
+        check_all_combinations(shield_count);
     }
 }
 
