--- a/balancer/tests/random.rs
+++ b/balancer/tests/random.rs
@@ -103,7 +103,7 @@
                 }
                 let ran = open_request.sent.iter().any(|s| s.status.is_none_or(Status::may_have_run));
                 if matches!(action, Action::Refuse { .. }) && open_request.class != READ_CLASS && ran {
-                    return Err("a refusal that may not be given".into());
+                    return Err("a refusal although the request may have run".into());
                 }
             }
             Action::NotifyPeers(_) if !settings.limits.peer_messages => {
@@ -312,7 +312,9 @@
             }
         }
     };
-    assert!(run_random_events(1, 6000, refuse_instead_of_failing).unwrap_err().contains("may not be given"));
+    assert!(run_random_events(1, 6000, refuse_instead_of_failing)
+        .unwrap_err()
+        .contains("although the request may have run"));
     let drop_closes = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::CloseIdle(_)));
     assert!(run_random_events(4, 3000, drop_closes).unwrap_err().contains("left open"));
 }
