--- a/balancer-node/tests/common/mod.rs
+++ b/balancer-node/tests/common/mod.rs
@@ -178,7 +178,7 @@
     json!({"version": version, "full": full, "servers": servers})
 }
 
-/// A discovery server: a call of a watch waits until something newer is published, and gets that text
+/// A discovery server. A call for changes waits until a newer list is published, and gets the published text
 /// unchanged.
 pub struct Discovery {
     pub server: Server,
@@ -289,7 +289,7 @@
         Node::start_with(config, &[])
     }
 
-    /// The same, with additional environment variables.
+    /// Starts a node with additional environment variables, and waits until it listens.
     pub fn start_with(config: &Value, environment: &[(&str, String)]) -> Node {
         let config = ConfigFile::new(&config.to_string());
         let environment = environment.iter().map(|(name, value)| (name, value));
@@ -342,13 +342,13 @@
 }
 
 /// Polls until there is a result, for at most `TEST_TIMEOUT`.
-pub fn wait_until<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+pub fn wait_until<T>(description: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + TEST_TIMEOUT;
     loop {
         if let Some(result) = poll() {
             return result;
         }
-        assert!(Instant::now() < end, "{what}: no result within {TEST_TIMEOUT:?}");
+        assert!(Instant::now() < end, "{description}: no result within {TEST_TIMEOUT:?}");
         thread::sleep(Duration::from_millis(5));
     }
 }
--- a/balancer/tests/balancer/rules.rs
+++ b/balancer/tests/balancer/rules.rs
@@ -23,7 +23,7 @@
         let actions = node.event(Event::Timer(TimerToken(2)));
         assert!(refused(&actions) || failed(&actions), "{class:?}");
         assert!(sent(&actions).is_empty());
-        // A delayed batch reports the time-out after the final answer; it is ignored.
+        // A delayed batch reports the timeout after the final answer; it is ignored.
         node.now += 0.02;
         let delayed = node.outcome(1, Status::TimedOut, None);
         assert!(!refused(&delayed) && !failed(&delayed) && sent(&delayed).is_empty());
@@ -67,7 +67,7 @@
 ];
 
 #[test]
-fn every_effect_crossed_with_every_status() {
+fn no_status_leads_to_a_retry_that_the_effect_of_the_request_forbids() {
     for status in ALL_STATUSES {
         for class in [READ_CLASS, KEYED_CLASS, UNSAFE_CLASS] {
             let mut node = Node::with(settings(), 1, fleet(6));
--- a/control-plane/tests/lease_world/mod.rs
+++ b/control-plane/tests/lease_world/mod.rs
@@ -20,9 +20,9 @@
 pub type Time = u64;
 pub const MILLISECOND: Time = 1000;
 
-const CONTROL_NODES: usize = 3;
-const AGENTS: usize = 3;
-const PROCESSES: usize = CONTROL_NODES + 2 * AGENTS;
+const CONTROL_NODE_COUNT: usize = 3;
+const AGENT_COUNT: usize = 3;
+const PROCESS_COUNT: usize = CONTROL_NODE_COUNT + 2 * AGENT_COUNT;
 const TICK_INTERVAL: Time = 100 * MILLISECOND;
 
 /// The part of the mechanism that is disabled.
@@ -132,10 +132,10 @@
             offset: rng.random_range(0..1_000_000),
             parts_per_million: rng.random_range(-4500..=4500),
         };
-        let mut clocks: Vec<Clock> = (0..PROCESSES).map(|_| clock(&mut rng)).collect();
+        let mut clocks: Vec<Clock> = (0..PROCESS_COUNT).map(|_| clock(&mut rng)).collect();
         // A proxy runs on the machine of its agent, and so has the same clock.
-        for agent in CONTROL_NODES..CONTROL_NODES + AGENTS {
-            clocks[agent + AGENTS] = clocks[agent];
+        for agent in CONTROL_NODE_COUNT..CONTROL_NODE_COUNT + AGENT_COUNT {
+            clocks[agent + AGENT_COUNT] = clocks[agent];
         }
         let process = |clock: Clock| Process {
             clock,
@@ -164,7 +164,7 @@
             requested_purges: 0,
             violation: None,
         };
-        (0..PROCESSES).for_each(|process| world.schedule(process as Time, Event::Tick(process)));
+        (0..PROCESS_COUNT).for_each(|process| world.schedule(process as Time, Event::Tick(process)));
         world
     }
 
@@ -183,7 +183,7 @@
     }
 
     fn check_proxies(&mut self) {
-        for proxy in CONTROL_NODES + AGENTS..PROCESSES {
+        for proxy in CONTROL_NODE_COUNT + AGENT_COUNT..PROCESS_COUNT {
             let process = &self.processes[proxy];
             let serves = process.connected && process.lease.is_valid(process.clock.read(self.now));
             let missed_purge = self.acknowledged.difference(&process.purges).next();
@@ -203,8 +203,8 @@
     }
 
     fn machine(process: usize) -> usize {
-        if process >= CONTROL_NODES + AGENTS {
-            process - AGENTS
+        if process >= CONTROL_NODE_COUNT + AGENT_COUNT {
+            process - AGENT_COUNT
         } else {
             process
         }
@@ -281,7 +281,7 @@
                 self.schedule(self.now + TICK_INTERVAL, Event::Tick(process));
             }
         }
-        if process < CONTROL_NODES {
+        if process < CONTROL_NODE_COUNT {
             self.complete_purges(process);
         }
         self.complete_agents();
@@ -289,7 +289,7 @@
 
     fn deliver(&mut self, connection: usize, to: usize, message: Message) {
         let [initiator, acceptor] = self.connections[connection].ends;
-        match (initiator < CONTROL_NODES, to == acceptor) {
+        match (initiator < CONTROL_NODE_COUNT, to == acceptor) {
             (true, _) => {
                 self.handle_control(
                     to,
@@ -304,7 +304,7 @@
     }
 
     fn connection_closed(&mut self, connection: usize, at: usize) {
-        if self.connections[connection].ends[0] < CONTROL_NODES {
+        if self.connections[connection].ends[0] < CONTROL_NODE_COUNT {
             self.link_closed(at, connection);
         } else {
             self.session_closed(connection, at);
@@ -312,7 +312,7 @@
     }
 
     fn tick(&mut self, process: usize) {
-        if process < CONTROL_NODES {
+        if process < CONTROL_NODE_COUNT {
             self.tick_control(process);
         } else {
             self.tick_subscriber(process);
@@ -322,10 +322,10 @@
     // ---- Faults ----
 
     fn inject_fault(&mut self) {
-        let process = self.rng.random_range(0..PROCESSES);
+        let process = self.rng.random_range(0..PROCESS_COUNT);
         match self.rng.random_range(0..11) {
             0..4 => self.request_purge(),
-            10 => self.move_agent(CONTROL_NODES + process % AGENTS),
+            10 => self.move_agent(CONTROL_NODE_COUNT + process % AGENT_COUNT),
             4..6 => {
                 let pause = self.rng.random_range(50..3000) * MILLISECOND;
                 let until = &mut self.processes[process].paused_until;
@@ -333,7 +333,7 @@
             }
             6..8 => self.crash(process),
             8 => {
-                let (a, b) = (self.rng.random_range(0..CONTROL_NODES), Self::machine(process));
+                let (a, b) = (self.rng.random_range(0..CONTROL_NODE_COUNT), Self::machine(process));
                 if a != b {
                     self.partitioned.insert((a.min(b), a.max(b)));
                     self.end_partitioned();
@@ -367,7 +367,7 @@
         (crashed.sessions, crashed.pending_update, crashed.control) = (Sessions::default(), None, control);
         crashed.queued_messages.clear();
         crashed.pending_release = None;
-        if process >= CONTROL_NODES + AGENTS {
+        if process >= CONTROL_NODE_COUNT + AGENT_COUNT {
             crashed.purges = (0..self.requested_purges).collect();
         }
     }
--- a/control-plane/tests/lease_world/sessions.rs
+++ b/control-plane/tests/lease_world/sessions.rs
@@ -6,7 +6,7 @@
 use glenfall_control_plane::Millis;
 use rand::Rng;
 
-use super::{Disabled, Message, World, AGENTS, CONTROL_NODES};
+use super::{Disabled, Message, World, AGENT_COUNT, CONTROL_NODE_COUNT};
 
 /// A session at its publisher.
 #[derive(Default)]
@@ -15,7 +15,7 @@
     last_applied: u64,
     /// The last request for a renewal: the reading of the subscriber's clock in it, and when it was received.
     renewal: Option<(Millis, Millis)>,
-    /// Number of the last update for which a purge waited until its time-out. No lease is granted before it is applied.
+    /// Number of the last update for which a purge waited until its timeout. No lease is granted before it is applied.
     overdue: u64,
 }
 
@@ -30,7 +30,7 @@
 
 impl World {
     fn is_agent(process: usize) -> bool {
-        (CONTROL_NODES..CONTROL_NODES + AGENTS).contains(&process)
+        (CONTROL_NODE_COUNT..CONTROL_NODE_COUNT + AGENT_COUNT).contains(&process)
     }
 
     /// Connects to a publisher, or renews the lease.
@@ -42,8 +42,11 @@
         if self.processes[process].pending_release.take().is_some() {
             return;
         }
-        let publisher =
-            if Self::is_agent(process) { self.rng.random_range(0..CONTROL_NODES) } else { process - AGENTS };
+        let publisher = if Self::is_agent(process) {
+            self.rng.random_range(0..CONTROL_NODE_COUNT)
+        } else {
+            process - AGENT_COUNT
+        };
         if self.reaches(process, publisher) && self.processes[process].queued_messages.is_empty() {
             self.processes[process].upstream = Some(self.connect(process, publisher, Message::Hello));
         }
@@ -157,7 +160,7 @@
     pub fn handle_from_subscriber(&mut self, publisher: usize, connection: usize, message: Message) {
         let (now, purges) = (self.clock(publisher), self.processes[publisher].purges.clone());
         match message {
-            Message::Hello if publisher < CONTROL_NODES => {
+            Message::Hello if publisher < CONTROL_NODE_COUNT => {
                 if !self.has_quorum(publisher) {
                     return self.end_connection(connection, None);
                 }
@@ -230,7 +233,7 @@
 
     /// Acknowledges the updates that the proxies of agents have applied, and handles the messages queued meanwhile.
     pub fn complete_agents(&mut self) {
-        for agent in CONTROL_NODES..CONTROL_NODES + AGENTS {
+        for agent in CONTROL_NODE_COUNT..CONTROL_NODE_COUNT + AGENT_COUNT {
             if self.processes[agent].paused_until > self.now {
                 continue;
             }
--- a/control-plane/tests/unit/rate_limit.rs
+++ b/control-plane/tests/unit/rate_limit.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const LIMIT: RateLimitSettings = RateLimitSettings { window: 5000, overshoot_factor: 1.1 };
+const RATE_LIMIT_SETTINGS: RateLimitSettings = RateLimitSettings { window: 5000, overshoot_factor: 1.1 };
 const RATE_PER_S: f64 = 280.0;
 
 /// Numbers of requests that were sent in a simulation.
@@ -38,7 +38,7 @@
         }
         for n in 0..limiters.len() {
             if limiters[n].is_none() && (!faults || rng.random_bool(0.002)) || now == 0 {
-                limiters[n] = Some(RateLimiter::new(LIMIT, rng.random()));
+                limiters[n] = Some(RateLimiter::new(RATE_LIMIT_SETTINGS, rng.random()));
                 // A machine that starts knows only the configured number of shields.
                 known_shields[n] = (shields, now);
             }
@@ -61,7 +61,7 @@
     }
     let mut first = 0;
     let window_counts = (0..sent.len()).map(|last| {
-        while sent[first] + LIMIT.window <= sent[last] {
+        while sent[first] + RATE_LIMIT_SETTINGS.window <= sent[last] {
             first += 1;
         }
         last + 1 - first
@@ -71,7 +71,7 @@
 
 #[test]
 fn no_window_exceeds_the_limit_while_machines_stop_and_restart() {
-    let allowed = (RATE_PER_S * 5.0 * LIMIT.overshoot_factor) as usize + 5;
+    let allowed = (RATE_PER_S * 5.0 * RATE_LIMIT_SETTINGS.overshoot_factor) as usize + 5;
     for (shields, edges) in [(3, 10), (5, 90), (5, 900)] {
         for seed in 0..4 {
             let max_in_window = simulate(seed, shields, edges, true).max_in_window;
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_process_starts_without_tokens_and_reserves_saved_tokens_for_high_priority() {
-    let mut limiter = RateLimiter::new(LIMIT, 0.0);
+    let mut limiter = RateLimiter::new(RATE_LIMIT_SETTINGS, 0.0);
     limiter.set_holder(0, QuotaHolder::Shield { shield_count: 1 });
     let wait = limiter.try_acquire(0, "s", 100.0, 0.0).expect_err("no tokens are saved yet");
     assert!((10..12).contains(&wait), "the first token is due in about 10 ms, got {wait}");
@@ -110,7 +110,7 @@
 
 #[test]
 fn a_small_quota_yields_single_tokens_that_do_not_accumulate() {
-    let mut limiter = RateLimiter::new(LIMIT, 0.5);
+    let mut limiter = RateLimiter::new(RATE_LIMIT_SETTINGS, 0.5);
     limiter.set_holder(0, QuotaHolder::Edge { edge_count: 1000, without_shields: false });
     assert!(limiter.try_acquire(0, "s", 100.0, 1.0).is_err());
     let (mut sent, mut rejected) = (0, 0);
--- a/control-plane/tests/unit/retry_budget.rs
+++ b/control-plane/tests/unit/retry_budget.rs
@@ -5,7 +5,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const SETTINGS: RetryBudgetSettings = RetryBudgetSettings { ratio: 0.2, window: 10_000, slack: 60.0 };
+const RETRY_BUDGET_SETTINGS: RetryBudgetSettings =
+    RetryBudgetSettings { ratio: 0.2, window: 10_000, slack: 60.0 };
 
 /// Number of retries that the budget allows, out of 100 attempts.
 fn allowed_retries(budget: &mut RetryBudget, now: Millis, service: &str) -> usize {
@@ -14,7 +15,7 @@
 
 #[test]
 fn without_a_share_of_the_slack_only_counted_requests_add_to_the_budget() {
-    let mut budget = RetryBudget::new(SETTINGS);
+    let mut budget = RetryBudget::new(RETRY_BUDGET_SETTINGS);
     assert!(!budget.try_spend(0, "s"));
     budget.set_machine_count(0, 10);
     assert!(!budget.try_spend(9_999, "s"), "the previous process may have spent its share");
@@ -27,7 +28,7 @@
 
 #[test]
 fn a_smaller_share_takes_effect_at_once_and_a_larger_one_after_a_window() {
-    let mut budget = RetryBudget::new(SETTINGS);
+    let mut budget = RetryBudget::new(RETRY_BUDGET_SETTINGS);
     budget.set_machine_count(0, 3);
     budget.set_machine_count(5_000, 2);
     budget.set_machine_count(12_000, 6);
@@ -50,7 +51,8 @@
     const MACHINE_COUNT: usize = 13;
     for seed in 0..20u64 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut budgets: Vec<RetryBudget> = (0..MACHINE_COUNT).map(|_| RetryBudget::new(SETTINGS)).collect();
+        let mut budgets: Vec<RetryBudget> =
+            (0..MACHINE_COUNT).map(|_| RetryBudget::new(RETRY_BUDGET_SETTINGS)).collect();
         budgets.iter_mut().for_each(|budget| budget.set_machine_count(0, MACHINE_COUNT));
         let mut requests: Vec<Millis> = Vec::new();
         let mut retries: Vec<Millis> = Vec::new();
@@ -76,7 +78,7 @@
         for from in (-10_000..60_000i64).step_by(100) {
             let counted_requests = [from, from - 10_000, from - 5_000].map(|from| within(&requests, from));
             let counted_requests = counted_requests.into_iter().fold(0.0, f64::max);
-            let allowed = SETTINGS.ratio * counted_requests + SETTINGS.slack;
+            let allowed = RETRY_BUDGET_SETTINGS.ratio * counted_requests + RETRY_BUDGET_SETTINGS.slack;
             let retry_count = within(&retries, from);
             assert!(
                 retry_count <= allowed,
@@ -90,7 +92,7 @@
 
 #[test]
 fn the_number_of_counted_services_is_bounded() {
-    let mut budget = RetryBudget::new(SETTINGS);
+    let mut budget = RetryBudget::new(RETRY_BUDGET_SETTINGS);
     budget.set_machine_count(0, 1);
     for n in 0..3 * MAX_SERVICES as u64 {
         budget.record_request(n, &n.to_string());
@@ -98,7 +100,7 @@
     assert!(budget.services() <= MAX_SERVICES);
     assert!(!budget.try_spend(3 * MAX_SERVICES as u64, "one more"));
     assert!(
-        budget.try_spend(SETTINGS.window * 9, "one more"),
+        budget.try_spend(RETRY_BUDGET_SETTINGS.window * 9, "one more"),
         "services without requests in the window are removed"
     );
 }
--- a/experiments/src/fleet/report.rs
+++ b/experiments/src/fleet/report.rs
@@ -88,8 +88,8 @@
 
     fn phase_lines(&self, index: usize) -> String {
         let name = &self.sizes[0].control_traffic[index].name;
-        let line = |what: &str, cell: fn(&PhaseTraffic) -> String| {
-            self.line(&format!("{name}: {what}"), |size| cell(&size.control_traffic[index]))
+        let line = |quantity: &str, cell: fn(&PhaseTraffic) -> String| {
+            self.line(&format!("{name}: {quantity}"), |size| cell(&size.control_traffic[index]))
         };
         [
             line("messages to each edge", |phase| format!("{:.1}", phase.messages_to_edge)),
--- a/experiments/src/hollow/nodes/mod.rs
+++ b/experiments/src/hollow/nodes/mod.rs
@@ -35,7 +35,7 @@
 /// The longest delay before a node moves to its preferred control node, where nodes distribute themselves.
 pub const MAX_MOVE_DELAY: Duration = Duration::from_secs(5);
 /// The downtime of a node during a restart.
-const RESTART_TIME: Duration = Duration::from_millis(300);
+const RESTART_DOWNTIME: Duration = Duration::from_millis(300);
 
 /// The addresses of control nodes, and how hollow nodes choose one.
 #[derive(Clone)]
@@ -112,7 +112,7 @@
                     self.mark_disconnected();
                     self.state.take();
                     self.has_moved.set(false);
-                    sleep(RESTART_TIME).await;
+                    sleep(RESTART_DOWNTIME).await;
                 }
             }
         }
--- a/experiments/src/report.rs
+++ b/experiments/src/report.rs
@@ -235,8 +235,8 @@
             self.value_share
         );
         // Writing to a `String` never fails.
-        let mut line = |what: std::fmt::Arguments| {
-            let _ = writeln!(text, "{what}");
+        let mut line = |content: std::fmt::Arguments| {
+            let _ = writeln!(text, "{content}");
         };
         line(format_args!(
             "| class | requests | within target | late | rejected | failed | value share | p50 ms | p99 ms |"
--- a/experiments/tests/processor.rs
+++ b/experiments/tests/processor.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::process::Command;
 
-const ROLES: [&str; 4] = ["edge", "agent", "shield", "control"];
+const MEASURED_ROLES: [&str; 4] = ["edge", "agent", "shield", "control"];
 
 fn measure(out: &Path, extra: &[&str]) -> serde_json::Value {
     let program = env!("CARGO_BIN_EXE_glenfall-lab");
@@ -40,7 +40,7 @@
     let cases = report["cases"].as_array().unwrap();
     assert_eq!(cases.len(), 9);
     for case in cases {
-        for role in ROLES {
+        for role in MEASURED_ROLES {
             assert!(case["costs"][role]["wakeups"].is_number(), "{}, {role}", case["name"]);
         }
     }
--- a/glenfall/tests/unit/backlog.rs
+++ b/glenfall/tests/unit/backlog.rs
@@ -6,7 +6,7 @@
 
 use glenfall::cache::backlog::{Backlog, Reservation, SharedCount};
 
-const CAPACITY: usize = 100;
+const BACKLOG_CAPACITY: usize = 100;
 
 type Step = Box<dyn FnOnce() + Send>;
 
@@ -54,7 +54,7 @@
 
 fn interrupted_backlog() -> (Backlog<InterruptedCount>, Arc<InterruptedCount>) {
     let count = Arc::new(InterruptedCount::default());
-    (Backlog::with_count(Arc::clone(&count), CAPACITY), count)
+    (Backlog::with_count(Arc::clone(&count), BACKLOG_CAPACITY), count)
 }
 
 #[test]
@@ -82,7 +82,7 @@
 
 #[test]
 fn concurrent_threads_never_exceed_the_capacity_and_release_everything() {
-    let backlog = Backlog::new(CAPACITY);
+    let backlog = Backlog::new(BACKLOG_CAPACITY);
     thread::scope(|scope| {
         for number in 0..4 {
             let backlog = backlog.clone();
@@ -90,7 +90,7 @@
                 for round in 0..5000 {
                     let reserved = backlog.reserve(30 + (round + number) % 30);
                     thread::yield_now();
-                    assert!(backlog.queued() <= CAPACITY);
+                    assert!(backlog.queued() <= BACKLOG_CAPACITY);
                     drop(reserved);
                     thread::yield_now();
                 }
--- a/glenfall/tests/unit/concurrency_limit.rs
+++ b/glenfall/tests/unit/concurrency_limit.rs
@@ -32,14 +32,14 @@
 /// Ten machines share a service of twelve slots, which takes 72 ms for a request and queues all requests that it gets.
 /// All machines together receive `requests_per_s`. Requests are counted from the fifth second on.
 async fn simulate(requests_per_s: u64, is_limited: bool) -> SimulationResult {
-    const MACHINES: usize = 10;
+    const MACHINE_COUNT: usize = 10;
     const SLOTS: usize = 12;
     let service_time = Duration::from_millis(72);
-    let limits: Vec<ConcurrencyLimits> = (0..MACHINES).map(|_| ConcurrencyLimits::default()).collect();
+    let limits: Vec<ConcurrencyLimits> = (0..MACHINE_COUNT).map(|_| ConcurrencyLimits::default()).collect();
     if is_limited {
         limits
             .iter()
-            .for_each(|limit| limit.update(&BTreeMap::from([("s", SLOTS as f64 / MACHINES as f64)])));
+            .for_each(|limit| limit.update(&BTreeMap::from([("s", SLOTS as f64 / MACHINE_COUNT as f64)])));
     }
     let started_at = Instant::now();
     // When each slot becomes free.
@@ -67,7 +67,7 @@
         let rank = (draw() % 2) as usize;
         let is_counted = now >= started_at + Duration::from_secs(5);
         counted[rank] += f64::from(u8::from(is_counted));
-        let machine = &limits[(draw() % MACHINES as u64) as usize];
+        let machine = &limits[(draw() % MACHINE_COUNT as u64) as usize];
         match machine.admit("s", rank as f64, LATENCY_TARGET) {
             Some(permit) => {
                 let Some(slot) = slots.iter_mut().min() else { continue };
--- a/glenfall/tests/unit/declarative_config.rs
+++ b/glenfall/tests/unit/declarative_config.rs
@@ -11,7 +11,7 @@
     folder
 }
 
-const DOCUMENT: &str = r#"{"rev": 7, "later": 1,
+const CONFIG_DOCUMENT: &str = r#"{"rev": 7, "later": 1,
     "paths": [{"name": "r-a", "hostname": "one.example", "pathPrefix": "/a/", "type": "cacheable",
                "deadlineMs": 900, "prio": 2, "tries": 2, "maxAgeS": 40.0, "later": 1,
                "split": [{"backend": "s", "weight": 90}, {"backend": "t", "weight": 10}]},
@@ -23,12 +23,12 @@
 #[test]
 fn a_document_written_as_files_is_read_back_unchanged() {
     let folder = folder("round-trip");
-    let omitted = write(DOCUMENT.as_bytes(), &folder).unwrap();
+    let omitted = write(CONFIG_DOCUMENT.as_bytes(), &folder).unwrap();
     assert_eq!(omitted.len(), 1, "{omitted:?}");
-    assert!(write(DOCUMENT.as_bytes(), &folder).is_err(), "existing files are not overwritten");
+    assert!(write(CONFIG_DOCUMENT.as_bytes(), &folder).is_err(), "existing files are not overwritten");
     let declared = DeclaredConfig::read(&folder).unwrap();
     assert_eq!(declared.counts(), ItemCounts { routes: 2, services: 2 });
-    let differences = declared.differences(DOCUMENT.as_bytes()).unwrap();
+    let differences = declared.differences(CONFIG_DOCUMENT.as_bytes()).unwrap();
     let texts: Vec<String> = differences.iter().map(ToString::to_string).collect();
     assert_eq!(texts, ["~ paths r-a\n    later: 1 -> null"], "what can't be written is reported");
     assert!(declared.differences(&declared.document(9)).unwrap().is_empty());
@@ -38,7 +38,7 @@
     std::fs::write(folder.join("services/s.toml"), "ratePerS = 850").unwrap();
     std::fs::write(folder.join("limits.toml"), "maxBodyBytes = 2000").unwrap();
     let declared = DeclaredConfig::read(&folder).unwrap();
-    let differences = declared.differences(DOCUMENT.as_bytes()).unwrap();
+    let differences = declared.differences(CONFIG_DOCUMENT.as_bytes()).unwrap();
     let texts: Vec<String> = differences.iter().map(ToString::to_string).collect();
     assert_eq!(
         texts[1..],
@@ -62,6 +62,6 @@
         let error = DeclaredConfig::read(&folder).expect_err(case).to_string();
         assert!(error.contains(expected) && !error.contains('\n'), "{case}: {error}");
     }
-    let outside = DOCUMENT.replace("r-a", "../r-a");
+    let outside = CONFIG_DOCUMENT.replace("r-a", "../r-a");
     assert!(matches!(write(outside.as_bytes(), &folder("outside")), Err(DeclaredConfigError::Name(_))));
 }
--- a/glenfall/tests/unit/stored_data.rs
+++ b/glenfall/tests/unit/stored_data.rs
@@ -26,7 +26,7 @@
 const STATE_FILE: &str = "state.sqlite";
 const PURGES_FILE: &str = "purges.sqlite";
 const BACKUP_FILE: &str = "backup.json";
-const DOCUMENT: &[u8] =
+const CONFIG_DOCUMENT: &[u8] =
     br#"{"rev": 90, "paths": [], "backends": [{"name": "s"}], "unknown": {"kept": true}}"#;
 /// One full chunk of orders, and some that do not fill a second one.
 const ORDER_COUNT: u64 = ORDERS_PER_CHUNK as u64 + 6;
@@ -65,7 +65,8 @@
     let order = |rev: u64| AppliedOrder { rev, key: IdempotencyKey([rev as u8; 32]) };
     let orders: Vec<AppliedOrder> = (FIRST_ORDER..FIRST_ORDER + ORDER_COUNT).map(order).collect();
     let table = DeduplicationTable::from_orders(FIRST_ORDER - 1, &orders).expect("a table");
-    let record = Arc::new(Record { seq: 71, rev: 90, document: DOCUMENT.to_vec(), applied_orders: table });
+    let record =
+        Arc::new(Record { seq: 71, rev: 90, document: CONFIG_DOCUMENT.to_vec(), applied_orders: table });
     HardState { members, votes: true, promised: 1025, accepted: 513, record }
 }
 
