--- a/balancer-node/tests/clients.rs
+++ b/balancer-node/tests/clients.rs
@@ -7,8 +7,8 @@
 use common::*;
 use serde_json::json;
 
-/// Well above the time limit for a first request, and well below the longer one that unused connections once
-/// had.
+/// Well above the time limit for a first request, and low enough to detect a much longer one for unused
+/// connections.
 const MAX_TIME_TO_DISCONNECT: Duration = Duration::from_secs(15);
 
 fn request_headers(id: &str) -> String {
--- a/balancer-node/tests/node.rs
+++ b/balancer-node/tests/node.rs
@@ -67,7 +67,7 @@
 fn connections_are_reused_and_a_connection_closed_by_its_server_is_no_failure() {
     // One attempt per request, so that a retry cannot hide a failure.
     let cache = Server::start(|request| match request.path() {
-        // Closes without `Connection: close`, like a server whose idle time-out has fired.
+        // Closes without `Connection: close`, like a server whose idle timeout has fired.
         "/read/last" => Reply::Close(response("200 OK", "", "closed")),
         _ => hit("kept"),
     });
--- a/balancer-node/tests/origin.rs
+++ b/balancer-node/tests/origin.rs
@@ -47,8 +47,8 @@
         Fleet { node: Node::start(&config), origin, gate, _cache: cache }
     }
 
-    /// How many of this number of concurrent reads are served, if the origin responds to none before each of
-    /// them has arrived there or was refused.
+    /// Sends this many reads concurrently, and returns how many are served. The origin responds only once each
+    /// of them has arrived there or was refused.
     fn served_concurrently(&self, reads: usize) -> usize {
         while self.origin.requests.try_recv().is_ok() {}
         let (status_sender, status_receiver) = channel();
@@ -146,7 +146,7 @@
     assert_eq!(fleet.served_concurrently(4), 4);
 }
 
-/// Guards against a read that waits on a dead connection until its time-out.
+/// Guards against a read that waits on a dead connection until its timeout.
 #[test]
 fn a_read_that_later_ones_have_overtaken_is_hedged() {
     let first = Mutex::new(true);
--- a/balancer/tests/balancer/connections.rs
+++ b/balancer/tests/balancer/connections.rs
@@ -52,7 +52,7 @@
     assert!(!closes(&node.request(read(1003, key))), "the suspicion no longer applies");
 }
 
-/// A dead idle connection may also show as a time-out without a reset, while later attempts are answered.
+/// A dead idle connection may also show as a timeout without a reset, while later attempts are answered.
 #[test]
 fn a_time_out_on_an_idle_connection_closes_it_if_the_server_answers_other_requests() {
     let mut node = Node::with(settings(), 1, fleet(1));
@@ -67,7 +67,7 @@
     assert!(actions.contains(&Action::CloseIdle(id(1))), "{actions:?}");
 }
 
-/// Guards against a read that waits until its time-out on a dead connection, while its server answers all later
+/// Guards against a read that waits until its timeout on a dead connection, while its server answers all later
 /// requests.
 #[test]
 fn an_overtaken_read_is_hedged_once_and_an_unsafe_request_never() {
--- a/balancer/tests/balancer/origin_fetches.rs
+++ b/balancer/tests/balancer/origin_fetches.rs
@@ -163,7 +163,7 @@
     assert!(unknown > 25, "{unknown} sent");
 }
 
-/// Guards against time-outs of unresponsive servers (8 of 75) counting as a slow origin: two thirds of all reads
+/// Guards against timeouts of unresponsive servers (8 of 75) counting as a slow origin: two thirds of all reads
 /// were then refused.
 #[test]
 fn time_outs_of_an_unresponsive_server_do_not_lower_the_fetch_limit() {
--- a/balancer/tests/balancer/placement.rs
+++ b/balancer/tests/balancer/placement.rs
@@ -61,7 +61,7 @@
             }
         }
     }
-    // max(floor, ceil((1 + 0.7) * 28 / 10)) with a floor of 8 over two nodes.
+    // The cap is ceil((1 + 0.7) * 28 / 10), as the minimum cap of a node is less: 8, divided by two nodes.
     assert_eq!(load[&home], 5, "{load:?}");
     assert!(load.values().all(|&n| n <= 5), "{load:?}");
     assert!(overflow.len() >= 5, "overflow to {} servers", overflow.len());
--- a/balancer/tests/balancer/server_health.rs
+++ b/balancer/tests/balancer/server_health.rs
@@ -52,7 +52,7 @@
     assert!(third.len() == 1 && third != [id(1)], "the third attempt goes to another server: {third:?}");
 }
 
-/// Guards against time-outs of requests that were sent only milliseconds before their deadline, after waiting for
+/// Guards against timeouts of requests that were sent only milliseconds before their deadline, after waiting for
 /// a fetch, ejecting the servers.
 #[test]
 fn time_outs_of_requests_with_little_time_left_do_not_eject_a_server() {
@@ -85,8 +85,8 @@
     assert!(with_hints > without_hints, "{with_hints} at once with hints, {without_hints} without");
 }
 
-/// Guards against each node detecting an overloaded server by its own time-outs only: 36 nodes together sent it
-/// enough requests to keep it overloaded. Two time-outs, at any nodes, must eject it at all nodes.
+/// Guards against each node detecting an overloaded server by its own timeouts only: 36 nodes together sent it
+/// enough requests to keep it overloaded. Two timeouts, at any nodes, must eject it at all nodes.
 #[test]
 fn a_server_with_two_time_outs_is_ejected_and_peers_are_notified() {
     let mut settings_with_peers = settings();
@@ -100,7 +100,7 @@
     assert!(node.outcome(1000, Status::TimedOut, None).contains(&notification));
     node.advance(0.5);
     assert_eq!(node.home(2000, keys[1]), id(1), "one time-out does not eject the server");
-    // Another node reports a time-out too; messages that name no server are ignored.
+    // Another node reports a timeout too; messages that name no server are ignored.
     for bytes in [failing_message(&id(1)), b"\xff\xfe".to_vec(), b"nobody".to_vec()] {
         node.event(Event::Message { from: 3, bytes });
     }
@@ -192,7 +192,7 @@
     assert_eq!(node.home(5003, keys[1]), id(1), "used again later");
 }
 
-/// Guards against time-outs at any two of 100 nodes ejecting a server at all nodes: half of the fleet was ejected
+/// Guards against timeouts at any two of 100 nodes ejecting a server at all nodes: half of the fleet was ejected
 /// and the other half overloaded.
 #[test]
 fn among_many_nodes_time_outs_do_not_eject_a_server() {
--- a/balancer/tests/shields.rs
+++ b/balancer/tests/shields.rs
@@ -1,4 +1,4 @@
-//! The edge's choice of a shield: RJ-CH over the ready shields and its exceptions.
+//! The edge's choice of a shield: random jump consistent hashing (RJ-CH) over the ready shields, and its exceptions.
 
 use glenfall_balancer::{splitmix64, Key, ServerId, Shields};
 
@@ -45,7 +45,7 @@
         in_flight += 1;
         assert!(in_flight < 100, "no cap is reached");
     }
-    // The minimum cap, because (1+ε)n/k is less here.
+    // The minimum cap, because (1 + ε) · n / k is less for these n requests in flight at k shields.
     assert_eq!(in_flight, 16);
     // The keys of one full shield overflow to both others.
     let next: std::collections::BTreeSet<_> = (0..200)
--- a/control-plane/tests/chain.rs
+++ b/control-plane/tests/chain.rs
@@ -1,6 +1,6 @@
 //! The chain on a simulated network and disk, under fixed seeds: links that delay, fail and recover, partitions, paused
 //! processes, power losses of single nodes and of all, wiped disks, two operators whose changes race, and voters that are
-//! replaced. Clusters have three, five and seven voters with standbys, and lose up to as many disks as promised.
+//! replaced. Clusters have three, five and seven voters with standbys, and lose at most as many disks as they tolerate.
 //!
 //! A failing seed is printed and replays exactly: `CHAIN_SEED=n cargo test -p glenfall-control-plane --test chain`.
 //! `CHAIN_RUNS=n` sets the number of schedules.
--- a/control-plane/tests/exhaustive/main.rs
+++ b/control-plane/tests/exhaustive/main.rs
@@ -1,10 +1,11 @@
 //! Every order of events in a small cluster: three voters, and two operators whose changes race on the same version, each at
 //! any node; messages and disk writes arrive in any order that links and disks allow. In every reachable state, each node in
-//! turn loses its power, with and without its disk, and the others repair the chain: the acknowledged change has to be
-//! committed then, and no other one. `chain.rs` runs long random schedules; this test visits all short ones.
+//! turn loses its power, with and without its disk. After the others have repaired the chain, the acknowledged change has
+//! to be committed, and no other one. `chain.rs` runs long random schedules; this test visits all short ones.
 //!
-//! With five voters, it visits every order of a few events from each moment of a reconfiguration on, and in each state the
-//! loss of all power together with any two disks. The default is two events; `EXHAUSTIVE_DEPTH=3` takes some minutes.
+//! With five voters, it visits every order of a few events that follow each moment of a reconfiguration. In each state it
+//! checks a power loss of all nodes together with the loss of any two disks. The default is two events;
+//! `EXHAUSTIVE_DEPTH=3` takes some minutes.
 //! `EXHAUSTIVE_THREADS` sets the number of threads.
 
 mod reconfiguration;
--- a/control-plane/tests/exhaustive/reconfiguration.rs
+++ b/control-plane/tests/exhaustive/reconfiguration.rs
@@ -33,8 +33,8 @@
             && view.chain == *voters
     }
 
-    /// Whether the promised losses include the loss of these disks in this state: a majority of the voters still has a vote,
-    /// both by the newest view that has started and by the newest one on a disk.
+    /// Whether the tolerated losses include the loss of these disks in this state: a majority of the voters still has a
+    /// vote, both by the newest view that has started and by the newest one on a disk.
     fn tolerates_loss_of(&self, lost: [usize; 2]) -> bool {
         let newest =
             self.machines.iter().filter_map(|machine| machine.disk.as_ref()).max_by_key(|disk| disk.accepted);
@@ -50,7 +50,8 @@
         configs.all(|members| members.is_quorum(votes))
     }
 
-    /// Checks that the acknowledged change is committed after all nodes have lost power, and these their disks, and restarted.
+    /// Checks that the acknowledged change is committed after all nodes have lost power and restarted, the nodes `lost`
+    /// without their disks.
     fn check_restart(&self, lost: [usize; 2]) -> Result<(), String> {
         let start = |(n, machine): (usize, &Machine)| match &machine.disk {
             Some(disk) if !lost.contains(&n) => Some(Start::Recovered(disk.clone())),
@@ -149,7 +150,7 @@
     Ok(())
 }
 
-/// Checks the loss of all power together with any two disks, where the promised losses include that.
+/// Checks the loss of all power together with any two disks, where the tolerated losses include that.
 fn check_power_loss(world: &World, visited: &Mutex<Visited>) -> Result<(), String> {
     let disks: Vec<_> = world.machines.iter().map(|machine| &machine.disk).collect();
     for (a, b) in pairs(world.nodes()) {
--- a/control-plane/tests/linearizability.rs
+++ b/control-plane/tests/linearizability.rs
@@ -71,7 +71,7 @@
     document: Vec<u8>,
 }
 
-/// Numbers of the answers that depend on the newest version and return no document.
+/// Counts of the answers that depend on the newest version and return no document.
 #[derive(Clone, Copy, Debug, Default)]
 struct AnswerCounts {
     conflicts: u64,
--- a/control-plane/tests/members.rs
+++ b/control-plane/tests/members.rs
@@ -1,6 +1,6 @@
-//! Machine losses in as close succession as the promise allows, in clusters of three, five and seven voters. A machine
-//! counts as lost while it does not run, and for `sync` after its return; a machine that is removed counts until its
-//! replacement has been running for `sync`. Machines are lost together where the promise allows it, also during a
+//! Machine losses in the closest succession that has to be tolerated, in clusters of three, five and seven voters. A
+//! machine counts as lost while it does not run, and for `sync` after its return; a machine that is removed counts until
+//! its replacement has been running for `sync`. Machines are lost together where that is tolerated, also during a
 //! reconfiguration, and with slow disks. The remaining machines always have a quorum, no interruption of changes exceeds
 //! its bound, and no acknowledged change is lost.
 //!
@@ -20,14 +20,14 @@
 const DRAIN_TIMEOUT: Millis = 5300;
 /// Time before the first loss, in which the first voters and standbys form the cluster.
 const START_PHASE: Millis = 3000;
-/// Longest time without a committed change: the views of a reconfiguration, and for each promised loss a second of failure
-/// detection and the view that follows, one after the other.
+/// Longest time without a committed change that the views of a reconfiguration cause.
 const MAX_INTERRUPTION: Millis = 1500;
+/// Longest time that each tolerated loss adds: a second of failure detection, and the view that follows.
 const MAX_INTERRUPTION_PER_LOSS: Millis = 1500;
 
 /// A machine that counts as lost.
 enum Loss {
-    /// It is powered off, possibly with its disk erased. Its peers detect the failure by the time-out.
+    /// It is powered off, possibly with its disk erased. Its peers detect the failure by a timeout.
     PoweredOff { until: Millis },
     /// Its process is killed, which its peers detect at once, and restarts at `until`.
     Killed { until: Millis },
@@ -234,7 +234,7 @@
         }
     }
 
-    /// Drains one of the machines that are due to be removed, as soon as the promise allows.
+    /// Drains one of the machines that are due to be removed, as soon as one more loss is tolerated.
     fn drain_planned_removals(&mut self) {
         let now = self.world.now;
         let due = |(n, at): (&u8, &Millis)| (now >= *at && !self.losses.contains_key(n)).then_some(*n);
@@ -328,7 +328,7 @@
             self.drain_planned_removals();
             if now >= next_loss && self.losses.len() < usize::from(size.losses) {
                 self.lose_machine();
-                // The next loss comes as soon as the promise allows, or after a random time, often during the repair.
+                // The next loss comes as soon as it is tolerated, or after a random time, often during the repair.
                 next_loss = now + if self.rng.random_bool(0.3) { 0 } else { self.rng.random_range(0..4000) };
             }
             if now.is_multiple_of(100) {
@@ -361,7 +361,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
     let losses = (seed % 3) as u8 + 1;
     let max_sync_duration = [10, 25, 50][rng.random_range(0..3)];
-    // The documented table of worst cases states what is not promised on these disks.
+    // The documented table of worst cases states what is not guaranteed on these disks.
     let sync = rng.random_range(4..=6) * 1000;
     let size = ClusterSize { losses, spare: 6 };
     let settings = ChainSettings { sync, ..size.settings() };
--- a/control-plane/tests/unit/registry.rs
+++ b/control-plane/tests/unit/registry.rs
@@ -42,7 +42,7 @@
         assert_eq!(registry.observe(40, 0, entry(id, 1, EntryStatus::Ready, 9)), HeartbeatOutcome::Stale);
     }
     assert!(registry.servers(40, false).is_empty());
-    // A receiver that retains what an incomplete list lacks needs the tombstones.
+    // With an incomplete list, a receiver retains the servers that are missing in it, unless it gets their tombstones.
     let with_tombstones = registry.servers(40, true);
     assert_eq!(
         with_tombstones.iter().map(|server| (&server.id[..], server.ready)).collect::<Vec<_>>(),
@@ -217,7 +217,7 @@
         ),
         case("rejects, then accepts for four", &[(Rejecting, 9000), (Accepting, 15_000)], false, true),
         case("is stopped, then accepts for four", &[(Stopped, 9000), (Accepting, 15_000)], false, true),
-        // The time before the downtime and the time after it are added up.
+        // For missed heartbeats, the time before the downtime and the time after it are added up.
         case(
             "is stopped in between",
             &[(Accepting, 3000), (Stopped, 9000), (Accepting, 12_000)],
--- a/experiments/src/execution_log.rs
+++ b/experiments/src/execution_log.rs
@@ -132,7 +132,7 @@
     }
 
     /// Checks a successful response to a request that was sent at `sent_at`. The response must have the seal header
-    /// of its server, and a body of `length` bytes that is that of some version of the object.
+    /// of its server, and the body of some version of the object, with `length` bytes.
     pub fn check(
         &self,
         path: &str,
--- a/experiments/src/fleet/control_traffic.rs
+++ b/experiments/src/fleet/control_traffic.rs
@@ -27,7 +27,7 @@
 const ROLLOUT_DURATION: Millis = 10_000;
 /// A restarting edge is down for [`ROLLOUT_DURATION`] divided by this.
 const RESTART_DOWNTIME_DIVISOR: Millis = 20;
-/// An old server deregisters once as many servers as the total divided by this have been replaced after it.
+/// An old server drains until further servers have been replaced: as many as the total number divided by this.
 const DRAINING_TIME_DIVISOR: u32 = 10;
 /// The push number in the frames of an established session; it affects their encoded length.
 const TYPICAL_PUSH_NUMBER: u64 = 1000;
--- a/experiments/src/hollow/mod.rs
+++ b/experiments/src/hollow/mod.rs
@@ -1,6 +1,7 @@
-//! Connects hollow nodes to real control processes: nodes with real sessions and frames, but without client traffic. The
-//! report shows, for each number of nodes, what the control plane costs at control processes and at a node, how long a
-//! change or a purge takes to reach all nodes, and how long nodes take to reconnect after a control process is killed.
+//! Connects hollow nodes to real control processes: nodes with real sessions and frames, but without client traffic. For
+//! each number of nodes, the report shows what the control plane costs at control processes and at a node. It also shows
+//! how long a change or a purge takes to reach all nodes, and how long nodes take to reconnect after a control process is
+//! killed.
 
 mod measurement;
 mod nodes;
--- a/experiments/src/load.rs
+++ b/experiments/src/load.rs
@@ -28,7 +28,8 @@
 
 /// Emulated clients; each sends its first attempts to one edge.
 const CLIENT_COUNT: u64 = 200;
-/// The most requests in flight. Beyond it the generator would be the bottleneck: requests are counted as not sent.
+/// The most requests in flight. Further requests are counted as not sent, as the generator itself would be the
+/// bottleneck.
 const MAX_IN_FLIGHT: u32 = 20_000;
 /// The connection limit of all clients together.
 const MAX_CONNECTIONS: usize = 2000;
--- a/experiments/src/processor/mod.rs
+++ b/experiments/src/processor/mod.rs
@@ -23,9 +23,9 @@
 const MEASURED_ROLES: [&str; 4] = ["edge", "agent", "shield", "control"];
 /// Third octet of the IP addresses of the machines of the first system; the second system uses the next value.
 const FIRST_NET: u8 = 12;
-/// Number of zones with which edges store no responses: they store only those whose shield is in another zone.
+/// A single zone, in which edges store no responses: they store only those of shields in other zones.
 const ONE_ZONE: u8 = 1;
-/// Number of zones with which no edge is in the zone of a shield, so that edges store responses.
+/// Enough zones that no edge is in the zone of a shield, so that edges store responses.
 const SEPARATE_ZONES: u8 = 5;
 
 /// Command-line options of `glenfall-lab processor`.
--- a/experiments/src/soak/fault_history.rs
+++ b/experiments/src/soak/fault_history.rs
@@ -11,7 +11,7 @@
 /// `contactMs`.
 pub const CONTACT_TIME: Duration = Duration::from_secs(4);
 
-/// The kind of a fault: during planned work requests must still be answered.
+/// Whether a fault is planned work, during which requests must still be answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultKind {
     /// Planned work: termination by SIGTERM, or a reload by SIGHUP.
--- a/experiments/src/soak/mod.rs
+++ b/experiments/src/soak/mod.rs
@@ -1,6 +1,6 @@
-//! Soak tests: run the real processes of a system on this machine, over real sockets, under random faults drawn from
-//! a seed: kills, pauses, partitions, lost responses, lost disks, reloads, and misbehaving clients and servers,
-//! mostly two or three at a time. What clients, servers and operators observe is checked against the invariants of
+//! Soak tests: run the real processes of a system on this machine, over real sockets. A seed determines the faults,
+//! of which mostly two or three overlap: kills, pauses, partitions, lost responses, lost disks, reloads, and
+//! misbehaving clients and servers. What clients, servers and operators observe is checked against the invariants of
 //! the system; runtime assertions that failed in the processes are collected from their logs.
 
 mod active_faults;
--- a/experiments/src/soak/schedule.rs
+++ b/experiments/src/soak/schedule.rs
@@ -87,7 +87,7 @@
         /// Number of the affected machine.
         machine: u8,
     },
-    /// Partitions a machine from all other core machines.
+    /// Partitions a machine, which may be an edge, from all core machines other than itself.
     #[serde(rename = "Cut")]
     Partition {
         /// Number of the affected machine.
--- a/glenfall/tests/unit/store.rs
+++ b/glenfall/tests/unit/store.rs
@@ -124,7 +124,7 @@
     let folder = Folder::new("store-orders");
     let (store, _) = Store::open(&folder).unwrap();
     let (max_orders, chunk) = (MAX_APPLIED_ORDERS as u64, ORDERS_PER_CHUNK as u64);
-    // Orders in the table, and the number of rows that are written or deleted, that of the state included. The table
+    // Orders in the table, and the number of rows that are written or deleted, including that of the state. The table
     // grows, fills up, evicts its oldest chunk, and is replaced as after a restore.
     let cases = [
         (1..=chunk - 1, 1),
@@ -163,9 +163,9 @@
     }
 }
 
-/// Opens a folder whose file holds these bytes, and returns whether the file was recognized as damaged. A file that was
-/// not has to hold the saved state, or to be empty. The damage has to be known after a restart, and the file can then
-/// be written again.
+/// Opens a folder whose file holds these bytes, and returns whether the file was recognized as damaged. Any other
+/// file has to hold the saved state, or to be empty. Damage has to be known after a restart as well, and the file can
+/// then be written again.
 fn open_damaged(folder: &Path, bytes: &[u8], saved: &HardState, case: &str) -> bool {
     let _ = std::fs::remove_dir_all(folder);
     std::fs::create_dir_all(folder).unwrap();
