--- a/experiments/src/experiment/setup.rs
+++ b/experiments/src/experiment/setup.rs
@@ -68,7 +68,7 @@
         match commands::call_control(controls, Method::PUT, "/api/config", Some(0), body).await {
             Ok(_) => return Ok(()),
             Err(OperatorError::NoDefiniteResponse) if began_at.elapsed() < START_TIMEOUT => {
-                sleep(retry_pause).await
+                sleep(retry_pause).await;
             }
             Err(error) => return Err(error.into()),
         }
