--- a/experiments/src/origin/requests.rs
+++ b/experiments/src/origin/requests.rs
@@ -53,13 +53,13 @@
         self.count_arrival_after_drain();
         let wanted_server = header_text(request, "x-glenfall-want-server");
         if wanted_server.is_some_and(|wanted| wanted != self.id) {
-            return self.reject(StatusCode::MISDIRECTED_REQUEST, "the request is for another server");
+            return self.reject(StatusCode::MISDIRECTED_REQUEST, "another server");
         }
         let Some(class) = self.class_of(request) else {
-            return self.reject(StatusCode::MISDIRECTED_REQUEST, "the request is for another service");
+            return self.reject(StatusCode::MISDIRECTED_REQUEST, "another service");
         };
         let Some(id) = header_text(request, TRY_ID_HEADER.as_str()) else {
-            return self.reject(StatusCode::BAD_REQUEST, "the request has no try id");
+            return self.reject(StatusCode::BAD_REQUEST, "no id");
         };
         let slot = match self.wait_for_slot(request, class).await {
             Ok(slot) => slot,
@@ -73,7 +73,7 @@
         sleep(work.duration).await;
         drop(slot);
         match work.fails {
-            true => plain_response(StatusCode::INTERNAL_SERVER_ERROR, "simulated server error"),
+            true => plain_response(StatusCode::INTERNAL_SERVER_ERROR, "as it happens"),
             false => self.respond(request, class, version),
         }
     }
@@ -95,13 +95,13 @@
         let timeout_ms = header_text(request, DEADLINE_HEADER.as_str()).and_then(|ms| ms.parse().ok());
         let until = Instant::now() + Duration::from_millis(timeout_ms.unwrap_or(class.deadline_ms));
         if self.slots.available_permits() == 0 && self.queued.get() >= self.plan.queue {
-            return Err(self.reject(StatusCode::SERVICE_UNAVAILABLE, "the queue is full"));
+            return Err(self.reject(StatusCode::SERVICE_UNAVAILABLE, "full"));
         }
         let _queued = QueuedRequest::new(&self.queued);
         tokio::select! {
             // The semaphore is never closed.
             slot = self.slots.acquire() => Ok(slot.ok()),
-            () = sleep_until(until) => Err(self.reject(StatusCode::SERVICE_UNAVAILABLE, "waited past the deadline")),
+            () = sleep_until(until) => Err(self.reject(StatusCode::SERVICE_UNAVAILABLE, "waited too long")),
         }
     }
 
