--- a/glenfall/src/control/store/error.rs
+++ b/glenfall/src/control/store/error.rs
@@ -20,7 +20,7 @@
     #[error("state on disk: {0}")]
     Damaged(String),
     /// A database, or one that was set aside as damaged, exists in the folder where a new state is to be created.
-    #[error("{} is in the way: a new state is created only in a folder that has none", .0.display())]
+    #[error("{} already exists: a new state is created only in a folder that has none", .0.display())]
     StateExists(PathBuf),
 }
 
--- a/glenfall/src/operator/commands/declared.rs
+++ b/glenfall/src/operator/commands/declared.rs
@@ -68,7 +68,7 @@
     let differences = declared.differences(&active.document)?;
     Ok(match &differences[..] {
         [] => active.unchanged_message(),
-        differences => format!("to version {}:\n{}", active.rev, format_differences(differences)),
+        differences => format!("changes to version {}:\n{}", active.rev, format_differences(differences)),
     })
 }
 
@@ -90,7 +90,7 @@
     // After a concurrent change this fails with 412, so that it can't overwrite that change.
     let document = declared.document(next_rev);
     call_control(addresses, Method::PUT, CONFIG_PATH, Some(active.rev), document.into()).await?;
-    Ok(format!("version {next_rev} is in force:\n{}", format_differences(&differences)))
+    Ok(format!("version {next_rev} is now active:\n{}", format_differences(&differences)))
 }
 
 async fn export(addresses: &ControlAddresses, folder: &Path) -> Result<String, OperatorError> {
@@ -133,6 +133,6 @@
 
     /// The message for a folder that does not differ from it.
     fn unchanged_message(&self) -> String {
-        format!("version {} is what is declared", self.rev)
+        format!("version {} matches the declared configuration", self.rev)
     }
 }
--- a/glenfall/src/operator/commands/error.rs
+++ b/glenfall/src/operator/commands/error.rs
@@ -37,7 +37,7 @@
     #[error(transparent)]
     Declared(#[from] DeclaredConfigError),
     /// The active configuration is not the one that the operator has reviewed the change against.
-    #[error("version {current} is in force, not {expected}: review the change again with `declared plan`")]
+    #[error("version {current} is active, not {expected}: review the change again with `declared plan`")]
     VersionMismatch {
         /// The version given with `--if-rev`.
         expected: u64,
--- a/glenfall/src/operator/declarative_config/mod.rs
+++ b/glenfall/src/operator/declarative_config/mod.rs
@@ -48,7 +48,7 @@
         message: String,
     },
     /// It has a field that items of its kind don't have.
-    #[error("no such field: {0}")]
+    #[error("unknown field: {0}")]
     UnknownField(String),
     /// It has the field `name`. The file name is the name of the item, so that no two files can describe one item.
     #[error("name: not allowed, as the file name is the name of the route or service")]
