--- a/glenfall/src/cli.rs
+++ b/glenfall/src/cli.rs
@@ -30,7 +30,7 @@
     Edge,
     /// Run the agent of an edge: relay updates from control to the edge on this machine
     Agent,
-    /// Run a shield: answer reads of edges from its cache, or fetch from servers
+    /// Run a shield: answer read requests of edges from its cache, or fetch the objects from servers
     Shield,
     /// Run a control node: store the configuration, track servers, and publish both to edges and shields
     Control,
