--- a/balancer/src/balancer/observation.rs
+++ b/balancer/src/balancer/observation.rs
@@ -76,10 +76,10 @@
     in_flight: f64,
     /// Whether the connection was probably dead before the attempt.
     used_stale_connection: bool,
-    /// Whether an attempt that was sent clearly later has been answered. Servers queue requests in order, so
-    /// this attempt was not queued: its connection is dead, or its answer was lost or sent in part. It then
-    /// says nothing about the server's load. Drawback: a server that starves some requests while it serves
-    /// others is limited by its slow answers only.
+    /// Whether the server has answered an attempt that was sent clearly later than this one. Servers queue
+    /// requests in order, so this attempt did not wait in the queue: its connection is dead, or its answer
+    /// was lost or sent in part. Its end then says nothing about the server's load. Drawback: if a server
+    /// starves some requests while it serves others, the time-outs of the former do not lower its limit.
     was_overtaken: bool,
     /// Whether the server has answered any attempt of this node since this one was sent.
     has_answered_since: bool,
@@ -112,7 +112,7 @@
     fn collect_evidence(&self, attempt: &EndedAttempt) -> Option<ServerEvidence> {
         let server = self.servers.get(&attempt.location.server)?;
         let has_answered_since = server.health.has_answered_since(attempt.sent);
-        // Timed out while the server answered other attempts, and not because of the request's own work.
+        // It timed out while the server answered other attempts, and not because of the request's own work.
         let was_silently_dropped = attempt.timed_out() && attempt.was_slow() && has_answered_since;
         let was_dropped = was_silently_dropped || attempt.status == Status::Broken;
         let overtaken_after = attempt.sent + OVERLOAD_QUEUE_DELAY * self.config.min_latency_target();
--- a/balancer/src/concurrency_limit.rs
+++ b/balancer/src/concurrency_limit.rs
@@ -26,18 +26,18 @@
         self.value
     }
 
-    /// Raises the limit after a quick answer. A limit that is not at least half used does not grow, because
-    /// the answer says nothing about it.
+    /// Raises the limit after a quick answer, if the attempts in flight use at least half of it. With fewer
+    /// in flight, the answer does not show whether the server could handle more.
     pub fn increase(&mut self, in_flight: f64) {
         if in_flight >= self.value / 2.0 {
             self.value += (self.value / 2.0).min(1.0 / self.value);
         }
     }
 
-    /// Lowers the limit after a slow answer to an attempt sent at `sent`: to `factor` times `in_flight`,
-    /// which counts as at least half the limit and at most the limit. Attempts sent before the last decrease
-    /// say nothing about the limit that it set, and are ignored: all attempts in flight at that time together
-    /// cause one decrease.
+    /// Lowers the limit after a slow answer to an attempt sent at `sent`. The new limit is `factor` times
+    /// `in_flight`, which is first clamped to between half the limit and the limit. An attempt that was sent
+    /// before the last decrease is ignored, as it was not yet subject to the limit that the decrease set. So
+    /// the attempts that were in flight then do not lower the limit again.
     pub fn decrease(&mut self, factor: f64, in_flight: f64, now: Seconds, sent: Seconds) {
         if sent > self.last_decrease {
             self.value = (in_flight.clamp(self.value / 2.0, self.value) * factor).max(self.min);
--- a/experiments/src/report.rs
+++ b/experiments/src/report.rs
@@ -22,9 +22,10 @@
     WithinTarget,
     /// It succeeded after its latency target.
     Late,
-    /// It was rejected as not executed, and so were the client's retries.
+    /// The last attempt was rejected as not executed, and the client does not retry it again.
     Rejected,
-    /// It failed in any other way.
+    /// The last attempt ended in any other error status, or without a response: for example, its edge could not be
+    /// reached, or the deadline passed.
     Failed,
 }
 
@@ -42,7 +43,7 @@
     /// Those that were rejected as not executed.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Those that failed in any other way.
+    /// Those that neither succeeded nor were rejected as not executed: see [`RequestOutcome::Failed`].
     pub failed: u64,
 }
 
--- a/glenfall/src/shield/mod.rs
+++ b/glenfall/src/shield/mod.rs
@@ -41,8 +41,8 @@
 /// The header of a request that another shield has received before, which may have counted it or sent it to a server.
 /// Further sends of it are retries, and spend the retry budget.
 pub const REPEATED_REQUEST_HEADER: HeaderName = HeaderName::from_static("x-glenfall-again");
-/// Fraction of the machine's memory for the cache. The rest is for requests in flight, and for the control node on the
-/// same machine.
+/// Fraction of the process's memory limit for the cache. The rest is for requests in flight. The limit does not
+/// cover the control node on the same machine, which is a process of its own.
 pub const CACHE_MEMORY_SHARE: f64 = 0.4;
 
 /// A shield: its cache, and the fetches in flight.
--- a/glenfall/src/upstream/concurrency_limit.rs
+++ b/glenfall/src/upstream/concurrency_limit.rs
@@ -1,10 +1,12 @@
 //! Adaptive concurrency limit: how many requests this machine may have in flight to a service.
 //!
 //! A service that receives more requests than it can handle keeps all its queues full: its throughput stays the same,
-//! but its responses are late. So each machine observes which fraction of its responses exceeds the latency target.
-//! While that fraction is large, the machine lowers its limit step by step, down to its share of the servers' capacity,
-//! and immediately rejects the requests above it, the lowest priority first. Once responses are on time again, it
-//! raises the limit. Machines need no coordination for this, as they observe the same queues.
+//! but its responses are late. So each machine keeps a moving average of the fraction of its requests to the service
+//! that were late: that took most of the latency target or longer, or that the servers rejected as overloaded. While
+//! that fraction is large, the machine lowers its limit step by step, though not below a minimum that follows from its
+//! share of the servers' capacity, and immediately rejects the requests above the limit, the lowest priority first.
+//! Once responses are on time again, it raises the limit. Machines need no coordination for this, as they observe the
+//! same queues.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,33 +14,34 @@
 
 use tokio::time::Instant;
 
-/// A response counts as late if it takes more than this fraction of the latency target, as transit to the client takes
-/// time as well.
+/// A response counts as late if it takes more than this fraction of the latency target. The rest of the target is for
+/// the transit to the client.
 const ON_TIME_FRACTION: f64 = 0.8;
-/// Weight of a response in the moving average of the fraction of late ones.
+/// Weight of the newest request in the moving average of the fraction of late requests.
 const LATE_FRACTION_SMOOTHING: f64 = 0.1;
-/// The limit is lowered while more than this fraction is late. A single slow server among several, or requests that
-/// take long by themselves, stay below it.
+/// The limit is lowered while more than this fraction of requests is late. A single slow server among several, or a few
+/// requests that take long even without a queue, do not make as many requests late.
 const OVERLOAD_LATE_FRACTION: f64 = 0.3;
-/// The limit may be raised while less than this fraction is late.
+/// The limit may be raised while less than this fraction of requests is late, and the requests in flight reach it.
 const HEALTHY_LATE_FRACTION: f64 = 0.15;
 /// When the limit is lowered, the smaller of the limit and the requests in flight is multiplied by this.
 const LIMIT_DECREASE_FACTOR: f64 = 0.8;
-/// Lower bound of a limit, as a multiple of this machine's share of the servers' capacity. It keeps the servers busy,
-/// with a request ready to run when a slot becomes free.
+/// Lower bound of a limit, as a multiple of this machine's share of the servers' capacity. It is above 1 so that the
+/// servers stay busy: a request is ready to run when a slot becomes free.
 const MIN_LIMIT_PER_CAPACITY: f64 = 1.5;
-/// Absolute lower bound of a limit: clients do not distribute their requests evenly over machines.
+/// Lower bound of a limit whatever the capacity: clients do not distribute their requests evenly over machines, so that
+/// one machine may need more than its share.
 const MIN_LIMIT: f64 = 3.0;
 /// Upper bound of a limit, and its initial value for a service.
 pub const MAX_LIMIT: f64 = 256.0;
-/// The fraction of the limit that is not available to the lowest priority.
+/// The fraction of the limit that is reserved for requests above the lowest priority.
 const PRIORITY_RESERVE: f64 = 0.5;
 
 struct ServiceLimit {
     limit: f64,
     min_limit: f64,
     in_flight: u32,
-    /// Moving average of the fraction of responses that are late.
+    /// Moving average of the fraction of requests that were late.
     late_fraction: f64,
     next_decrease_at: Instant,
 }
@@ -139,7 +142,7 @@
         self.timeliness = Some(if is_on_time { Timeliness::OnTime } else { Timeliness::Late });
     }
 
-    /// Records that the service was at capacity, or did not respond before the deadline.
+    /// Records that the service was at capacity, or did not respond before the deadline. Counts as a late response.
     pub fn record_overload(&mut self) {
         self.timeliness = Some(Timeliness::Late);
     }
