--- a/glenfall/tests/added_routes.rs
+++ b/glenfall/tests/added_routes.rs
@@ -14,7 +14,7 @@
 const CHANGE_COUNT: u64 = 24;
 /// Each change whose number is a multiple of this adds a service for its routes.
 const NEW_SERVICE_INTERVAL: u64 = 4;
-/// Requests to each route once a change is in force.
+/// Requests to each route once a change is active.
 const REQUESTS_PER_ROUTE: usize = 4;
 
 /// A server that runs up to `capacity` requests at once, each for `work`, and rejects the others as not run.
--- a/glenfall/tests/changes.rs
+++ b/glenfall/tests/changes.rs
@@ -117,15 +117,15 @@
 
 #[test]
 fn a_restarted_node_is_sent_one_complete_state_however_many_changes_it_missed() {
-    let missed = std::env::var("MISSED").unwrap_or_else(|_| "1,25".into());
+    let missed_counts = std::env::var("MISSED").unwrap_or_else(|_| "1,25".into());
     let mut system = System::start(&["control"], &["agent"]);
     system.wait_for_chain(&[1, 2, 3], 3);
     let (mut rev, version_bytes) = (1, document(1).len() as u64);
     put_version(&system, &[1, 2], rev);
-    let restart_after_missing = |system: &mut System, rev: &mut u64, missed: u64, disk_lost: bool| {
+    let restart_after_missing = |system: &mut System, rev: &mut u64, missed_changes: u64, disk_lost: bool| {
         system.kill(3, "control");
         system.wait_for_chain(&[1, 2], 2);
-        for _ in 0..missed {
+        for _ in 0..missed_changes {
             *rev += 1;
             put_version(system, &[1, 2], *rev);
         }
@@ -143,16 +143,16 @@
         let elapsed_ms = began.elapsed().as_millis();
         let status = status_if_caught_up(system, 3, *rev).unwrap();
         let received_bytes = status["counters"]["message_bytes_heard"].as_u64().unwrap();
-        println!("{missed} missed, disk lost: {disk_lost}: in the chain after {elapsed_ms} ms, {received_bytes} bytes received, {version_bytes} bytes per version");
+        println!("{missed_changes} missed, disk lost: {disk_lost}: in the chain after {elapsed_ms} ms, {received_bytes} bytes received, {version_bytes} bytes per version");
         // Each of the two other nodes sends the state when it sees that this one has an older version, and the view
         // change sends it once more. All of this happens twice if the first view fails.
         assert!(
             received_bytes < 7 * version_bytes,
-            "{received_bytes} bytes received after {missed} missed changes"
+            "{received_bytes} bytes received after {missed_changes} missed changes"
         );
     };
-    for missed in missed.split(',') {
-        restart_after_missing(&mut system, &mut rev, missed.parse().unwrap(), false);
+    for missed_count in missed_counts.split(',') {
+        restart_after_missing(&mut system, &mut rev, missed_count.parse().unwrap(), false);
     }
     restart_after_missing(&mut system, &mut rev, 10, true);
     assert_eq!(read_config(&system, 3), Some((200, document(rev))));
--- a/glenfall/tests/majority_loss.rs
+++ b/glenfall/tests/majority_loss.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// Three control nodes with a configuration in force.
+/// Starts three control nodes and makes configuration version 5 active.
 fn start_core() -> System {
     let core = System::start(&["control"], &[]);
     core.wait_for_chain(&[1, 2, 3], 3);
