--- a/control-plane/src/chain/message.rs
+++ b/control-plane/src/chain/message.rs
@@ -56,14 +56,14 @@
 /// Messages between control nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Shows that the sender is alive, and reports its state.
+    /// Shows all connected peers that the sender is alive, and reports its state.
     Heartbeat(Heartbeat),
-    /// Phase 1 of Paxos: requests a promise.
+    /// Phase 1 of Paxos: a proposer requests a promise from each node of the chain that it proposes.
     Prepare {
         /// The proposer's ballot.
         view: u64,
     },
-    /// The acceptor's promise to accept nothing with a lower ballot.
+    /// An acceptor's reply to [`Message::Prepare`]: it promises to accept nothing with a lower ballot.
     Promise {
         /// The promised ballot.
         view: u64,
@@ -75,24 +75,26 @@
         /// The newest accepted record.
         record: Arc<Record>,
     },
-    /// The sender has promised a higher ballot.
+    /// The sender has promised a higher ballot. It goes to the proposer of a [`Message::Prepare`] or
+    /// [`Message::Install`] that the sender rejects, or to the head of a fenced view after a [`Message::Confirm`].
     Nack {
         /// The ballot that the sender has promised.
         promised: u64,
     },
-    /// Phase 2 of Paxos: requests the members of the new chain to accept the view with its first record.
+    /// Phase 2 of Paxos: the proposer requests the members of the new chain to accept the view with its first record.
     Install {
         /// The proposed view.
         view: View,
         /// The record that the view begins with.
         record: Arc<Record>,
     },
-    /// The sender has made the view durable.
+    /// A member's reply to [`Message::Install`]: it has made the view durable.
     Installed {
         /// The view's ballot.
         view: u64,
     },
-    /// All members have made the view durable (`StartView` in Viewstamped Replication, 4.2).
+    /// From the proposer to all nodes: all members have made the view durable (`StartView` in Viewstamped Replication,
+    /// 4.2).
     StartView {
         /// The view that has started.
         view: View,
@@ -104,30 +106,31 @@
         /// The log entry of the change.
         entry: Arc<LogEntry>,
     },
-    /// Sent by the tail to all members of the chain: the change is committed.
+    /// From the tail to all members of the chain: the change is committed.
     Acked {
         /// The view's ballot.
         view: u64,
         /// Log index of the change.
         seq: u64,
     },
-    /// The newest committed record, to nodes outside the chain. Its deduplication table is empty, as those nodes only
-    /// distribute the document; a node that becomes a member gets the table with [`Message::Install`].
+    /// The newest committed record. The tail sends it to the nodes outside the chain at each commit, and each node
+    /// sends it to a peer whose heartbeat reports an older one. Its deduplication table is empty, as nodes outside the
+    /// chain only distribute the document; a node that becomes a member gets the table with [`Message::Install`].
     Committed {
         /// The committed record, without its table.
         record: Arc<Record>,
     },
-    /// A client call that is forwarded to the head.
+    /// A client call, from the node that received it to the head of the newest view that this node knows.
     Forward {
         /// Identifies the call at the sender.
         id: CallId,
         /// The client's call.
         call: Call,
     },
-    /// Confirms a claim before it is answered (`ReadIndex` in Raft, 6.4). It passes along the chain after the call has
-    /// started. Each member forwards it only if no promise has fenced the view, and the tail answers. The chain
-    /// contains a quorum, and so do the acceptors that promised a newer view. They have a member in common, which had
-    /// not promised yet when it forwarded this message.
+    /// Confirms a claim before it is answered (`ReadIndex` in Raft, 6.4). It passes along the chain from the head after
+    /// the call has started. Each member forwards it only if no promise has fenced the view, and the tail answers. The
+    /// chain contains a quorum, and so do the acceptors that promised a newer view. They have a member in common, which
+    /// had not promised yet when it forwarded this message.
     Confirm {
         /// The view's ballot.
         view: u64,
@@ -138,7 +141,7 @@
         /// The claim to confirm.
         claim: Claim,
     },
-    /// The result of a call, to the node that received it.
+    /// The result of a call, from the head or the tail to the node that received the call.
     Answer {
         /// Identifies the call at that node.
         id: CallId,
--- a/control-plane/src/messages.rs
+++ b/control-plane/src/messages.rs
@@ -25,7 +25,7 @@
 /// [`MAX_DOCUMENT_BYTES`](crate::config::MAX_DOCUMENT_BYTES).
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// The first frame on each connection between processes.
+/// The first frame on each connection between processes, sent by the process that opened the connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConnectionOpening {
     /// The connecting process is a subscriber: a session follows.
@@ -53,57 +53,60 @@
 /// Messages from a proxy to its agent, and from an agent or a shield to a control node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubscriberMessage {
-    /// Identifies the subscriber. It is the first message, and is sent again whenever its content changes.
+    /// Identifies the subscriber. It is the first message of a session, and is sent again whenever its content changes.
     Hello {
         /// Name of the subscriber's machine.
         node: String,
         /// The proxy; `None` from an agent whose proxy is not connected.
         member: Option<Member>,
     },
-    /// The subscriber has applied all updates up to this number.
+    /// The subscriber has applied all updates up to this number. It is sent after each update.
     Applied(u64),
-    /// The subscriber's counters, for `status`.
+    /// The subscriber's counters, for `status`. They are sent at regular intervals.
     Counters(Vec<Counter>),
-    /// Requests a lease on stored responses.
+    /// Requests a lease on stored responses, or its renewal. It is sent at regular intervals.
     RenewLease {
         /// Reading of the subscriber's clock, which the grant echoes.
         sent_at: Millis,
     },
-    /// The subscriber, and all processes that hold a lease from it, no longer serve stored responses.
+    /// Sent by an agent at the end of its session with a control node: the agent gives up its lease, and no process
+    /// that held a lease from the agent serves stored responses any more.
     LeaseReleased,
-    /// Shows that the subscriber is alive.
+    /// Shows that the subscriber is alive. Subscribers do not send it at present, as
+    /// [`RenewLease`](SubscriberMessage::RenewLease) shows the same.
     Ping,
 }
 
 /// Messages from a control node to an agent or a shield, and from an agent to its proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PublisherMessage {
-    /// The control nodes that an agent may connect to when its connection to this one is lost.
+    /// The control nodes that an agent may connect to when its connection to this one is lost. A control node sends
+    /// them when a session begins and when another control node connects.
     ControlNodes(Vec<Ipv4Addr>),
-    /// An update to apply.
+    /// An update to apply. The state of the publisher is pushed when a session begins, and then each change to it.
     Push {
         /// Number of the update on this session, one higher than that of the update before it.
         number: u64,
         /// What the subscriber applies before it acknowledges the number.
         update: Update,
     },
-    /// Grants a lease on stored responses.
+    /// Grants the lease on stored responses that a [`SubscriberMessage::RenewLease`] requested.
     LeaseGranted {
         /// The reading of the subscriber's clock from its request, at which the lease begins.
         sent_at: Millis,
         /// Duration of the lease in milliseconds.
         duration: Millis,
     },
-    /// The publisher is about to stop: the subscriber has to connect to another one.
+    /// Sent by a control node that begins to shut down: the subscriber has to end the session and open a new one.
     Draining,
-    /// Shows that the publisher is alive.
+    /// Shows that the publisher is alive. It is sent at regular intervals, unless a lease has just been granted.
     Ping,
 }
 
 /// An update that is pushed on a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update {
-    /// A new configuration.
+    /// The newest configuration.
     Config {
         /// Version of the document.
         rev: u64,
@@ -114,8 +117,9 @@
     Fleet(fleet::FleetUpdate),
     /// Purges that the subscriber has to apply.
     Purges(Vec<AgedPurge>),
-    /// Whether the publisher is connected to a control node. While it is not, purges may be missed, and stored responses
-    /// must not be served as fresh.
+    /// Whether the session has received all acknowledged purges. A control node sends true once its purge history is
+    /// complete. An agent passes that on to its proxy, and sends false when its connection to the control node is lost.
+    /// While it is false, purges may be missed, and stored responses must not be served as fresh.
     Connected(bool),
 }
 
@@ -180,14 +184,16 @@
 /// but [`PeerMessage::KeepAlive`] on it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A message of the replicated chain.
+    /// A message of the replicated chain: see [`chain::Message`].
     Chain(chain::Message),
-    /// The members whose sessions are connected to the sender.
+    /// The members whose sessions are connected to the sender: all of them to a peer that has just connected, then each
+    /// change to all peers.
     Members(fleet::MembersUpdate),
-    /// Registry entries, each with the time since the sender received the server's heartbeat.
+    /// Registry entries, each with the time since the sender received the server's heartbeat: all of them to a peer
+    /// that has just connected, then those with new heartbeats to all peers.
     Servers(Vec<ObservedServer>),
-    /// A registry entry whose replication the sender waits for: the receiver acknowledges the entry once it has pushed
-    /// it to its sessions.
+    /// The registry entry of a server that is draining or deregistered, to all peers. The sender waits for its
+    /// replication: the receiver acknowledges the entry once it has pushed it to its sessions.
     ReplicateServer {
         /// Correlation id, which the acknowledgement repeats.
         id: CallId,
@@ -196,7 +202,8 @@
         /// Whether the receiver first replicates the entry to the nodes that it reaches and the sender does not.
         forward: bool,
     },
-    /// Purges to apply and to store in the history.
+    /// Purges to apply and to store in the history: the sender's complete history to a peer that has just connected,
+    /// then each purge that the sender accepts or forwards.
     Purges {
         /// Correlation id, which the acknowledgement repeats; `None` if the sender does not wait for one.
         id: Option<CallId>,
@@ -206,7 +213,7 @@
         /// processes that it reaches; if this is `None`, it does not forward them.
         already_notified: Option<Vec<ProcessId>>,
     },
-    /// A purge that the receiver accepted is durable on the sender's disk.
+    /// Sent to the control node that accepted a purge: the purge is durable on the sender's disk.
     PurgeDurable {
         /// Incarnation of the receiver's process that accepted the purge.
         incarnation: u64,
@@ -220,7 +227,7 @@
         /// For a purge: whether every other process that may still use a lease from the sender has applied the purge.
         complete: bool,
     },
-    /// Requests a lease from a voter.
+    /// Requests a lease from a voter, or its renewal. It is sent at regular intervals.
     RenewLease {
         /// Correlation id, which the grant repeats. Its number is a reading of the sender's clock.
         id: CallId,
@@ -232,8 +239,9 @@
         /// Duration of the lease in milliseconds.
         duration: Millis,
     },
-    /// The sender and its sessions no longer use the leases granted to the sender, and it will request no more.
+    /// Sent by a control node that shuts down, to the voters in place of [`PeerMessage::RenewLease`]: the sender and
+    /// its sessions no longer use the leases granted to the sender, and it will request no more.
     LeaseReleased,
-    /// Shows that the side that accepted the connection is alive.
+    /// Shows that the side that accepted the connection is alive. It is sent at regular intervals.
     KeepAlive,
 }
