--- a/scripts/own-days.sh
+++ b/scripts/own-days.sh
@@ -1,19 +1,20 @@
 #!/usr/bin/env bash
-# Days of our own on a users' site: the traffic of its quiet day with one trouble (or a few) of one kind and `how`, and
-# changes, purges and servers that leave all the while.
-#   scripts/own-days.sh SITE.toml DIR [PATTERN]    writes the days whose names match to DIR, and prints their paths
-# Each is played with `fleetbench run SITE DAY.toml`. Kinds that a site does not know are left out.
+# Generates fault scenarios ("days") for `fleetbench run SITE DAY.toml`. Each has the traffic of the site's quiet day, one
+# or a few faults, and configuration changes, purges and scale-in throughout the run.
+#   scripts/own-days.sh SITE.toml DIR [PATTERN]    writes the days whose names match PATTERN to DIR and prints their paths
+# Faults and planned work of kinds that the site does not support are left out; a day with nothing left is not written.
 set -euo pipefail
 site=$1 dir=$2 pattern=${3:-.}
 mkdir -p "$dir"
 bench=../given/kit/more/system/more/bench-497b98/bin/fleetbench
-known=$("$bench" kinds "$site" | sed -n 's/^\([a-z_]*\): .*/\1/p')
+known_kinds=$("$bench" kinds "$site" | sed -n 's/^\([a-z_]*\): .*/\1/p')
 
-# The first day of the site is a quiet one.
-quiet=$(awk '/^\[\[day\]\]/ { n++ } n == 1' "$site")
-length=$(sed -n 's/^length_s = //p' "$site")
+# The quiet day is the first day of a site.
+quiet_day=$(awk '/^\[\[day\]\]/ { n++ } n == 1' "$site")
+length_s=$(sed -n 's/^length_s = //p' "$site")
 
-# name | closing fault | troubles | planned work beside that of all days, at seconds from the start of traffic
+# name | closing fault | faults | planned work in addition to that of all days
+# `at` is in seconds from the start of the traffic.
 days='
 cut-20s                  || core_cut at=4 for_s=20 count=1
 cut-20s-leader           || core_cut at=4 for_s=20 count=1 how="leader"
@@ -119,34 +120,34 @@
 mix-slow-burst           || node_slow at=4 for_s=10 share=0.3 x=5; disk_slow at=4 for_s=10 count=1 x=30; srv_slow at=6 for_s=8 x=3; burst at=8 for_s=4 x=1.5; node_kill at=16 on="core" count=1 for_s=3 how="leader power meet"
 '
 
-# `kind at=4 how="x"; kind …` as entries of a day, without the kinds that the site does not know.
-entries() {
+# Converts `kind at=4 how="x"; kind ...` to TOML entries of a day, without the kinds that the site does not support.
+toml_entries() {
     local entry kind fields
     while IFS= read -r -d ';' entry; do
         read -r kind fields <<<"$entry"
-        [ -n "$kind" ] && grep -qx "$kind" <<<"$known" || continue
+        [ -n "$kind" ] && grep -qx "$kind" <<<"$known_kinds" || continue
         fields=$(sed -E 's/ ([a-z_]+=)/, \1/g; s/=/ = /g' <<<"$fields")
         printf '  { kind = "%s", %s },\n' "$kind" "$fields"
     done <<<"$1;"
 }
 
 number=0
-while IFS='|' read -r name closing troubles planned; do
+while IFS='|' read -r name closing_fault fault_list work_list; do
     name=$(tr -d ' ' <<<"$name")
     number=$((number + 1))
     [[ -n $name && $name =~ $pattern ]] || continue
-    faults=$(entries "$troubles")
-    work=$(entries "$planned")
-    [ -n "$faults$work" ] || [[ $closing == *[a-z]* ]] || continue
+    faults=$(toml_entries "$fault_list")
+    planned_work=$(toml_entries "$work_list")
+    [ -n "$faults$planned_work" ] || [[ $closing_fault == *[a-z]* ]] || continue
     {
         echo "[[day]]"
-        printf 'name = "own-%s"\nslot = "trouble"\nseed = %d\nlength_s = %s\n' "$name" $((7000 + number)) "$length"
-        if read -r kind fields <<<"$closing" && [ -n "$kind" ]; then
+        printf 'name = "own-%s"\nslot = "trouble"\nseed = %d\nlength_s = %s\n' "$name" $((7000 + number)) "$length_s"
+        if read -r kind fields <<<"$closing_fault" && [ -n "$kind" ]; then
             printf 'closing = { kind = "%s", %s }\n' "$kind" "$(sed -E 's/ ([a-z_]+=)/, \1/g; s/=/ = /g' <<<"$fields")"
         fi
         printf 'faults = [\n%s\n]\n' "$faults"
         printf 'plan = [\n'
-        [ -z "$work" ] || printf '%s\n' "$work"
+        [ -z "$planned_work" ] || printf '%s\n' "$planned_work"
         cat <<PLAN
   { at = 2.0, kind = "config_change", how = "route" },
   { at = 5.5, kind = "config_change", how = "weights" },
@@ -161,7 +162,7 @@
              /^\[\[day\]\]/ { next }
              /^plan = \[/ { skip = !/\]$/; next }
              skip { if (/^\]/) skip = 0; next }
-             { print }' <<<"$quiet"
+             { print }' <<<"$quiet_day"
         printf 'labels = []\nwall = 2.0\nlight = false\n'
     } >"$dir/own-$name.toml"
     echo "$dir/own-$name.toml"
